--- a/src/main/kotlin/lichenstage/cluster/Frames.kt
+++ b/src/main/kotlin/lichenstage/cluster/Frames.kt
@@ -3,6 +3,7 @@
 package lichenstage.cluster
 
 import it.unimi.dsi.fastutil.longs.LongOpenHashSet
+import kotlinx.serialization.EncodeDefault
 import kotlinx.serialization.ExperimentalSerializationApi
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.Transient
@@ -86,6 +87,15 @@
     val attempt: Long,
 )
 
+/** Stop a running task that can save its progress, with [leewayUs] to do so. Versions that do not know it let the task run on. */
+@Serializable
+data class SaveOrder(
+    val machine: String,
+    val task: String,
+    val attempt: Long,
+    val leewayUs: Long,
+)
+
 /**
  * The leader's word to one part. Parts obey only the newest [term], and of its frames only those with a rising [seq]. [closed],
  * the machines that get no more tasks, is null where it is as in the frames before.
@@ -105,6 +115,9 @@
     val stops: List<AttemptOrder> = emptyList(),
     val clears: List<AttemptOrder> = emptyList(),
     val closed: Set<String>? = null,
+    /** Left out where there are none, so that such a frame is, byte for byte, that of versions without it. */
+    @EncodeDefault(EncodeDefault.Mode.NEVER)
+    val saves: List<SaveOrder> = emptyList(),
 ) : Frame
 
 @Serializable
--- a/src/main/kotlin/lichenstage/fleet/Estimate.kt
+++ b/src/main/kotlin/lichenstage/fleet/Estimate.kt
@@ -23,22 +23,26 @@
                 perMachine(it, spec.shape) > 0
         }
 
-    /** What each open job still asks for, with the time by which it should be done. */
+    /**
+     * What each open job still asks for, with the time by which it should be done. A job that waits for others counts from when a
+     * machine that is rented now would come too late for it: [readyInUs] says when it is expected to be ready.
+     */
     fun demand(
         jobs: Collection<Job>,
         flavors: Map<String, Flavor>,
         coresMax: (String) -> Double,
         runUs: (JobSpec) -> Long,
         dueUs: (Job) -> Long?,
+        readyInUs: (Job) -> Long,
     ): List<Demand> {
         val byTeam = HashMap<String, Double>()
         val demand = ArrayList<Demand>()
         for (job in jobs) {
             val spec = job.spec
             val left = job.left
-            // What waits for others is not due now; it counts once it is ready.
-            if (left <= 0 || job.phase != JobPhase.OPEN || !job.ready) continue
+            if (left <= 0 || job.phase != JobPhase.OPEN) continue
             val flavor = fitting(spec, flavors).minByOrNull { it.price / perMachine(it, spec.shape) } ?: continue
+            if (!job.ready && readyInUs(job) > flavor.bootUs * BOOTS_AHEAD) continue
             val allowed = coresMax(spec.team) - (byTeam[spec.team] ?: 0.0)
             val atOnce = if (spec.shape.cores <= 0.0) left.toDouble() else minOf(left.toDouble(), allowed / spec.shape.cores)
             if (atOnce <= 0.0) continue
@@ -46,6 +50,7 @@
             val per = perMachine(flavor, spec.shape).toDouble()
             val eachUs = (runUs(spec) + flavor.fetchUs(spec.imageGb)) / per
             val waiting = if (job.placeable) job.pending.size else left
+            val waitingUs = minOf(waiting.toDouble(), atOnce) * eachUs
             demand +=
                 Demand(
                     build = flavor.name,
@@ -54,7 +59,7 @@
                     workUs = left * eachUs,
                     dueUs = dueUs(job),
                     busy = job.alive.size / per,
-                    waitingUs = minOf(waiting.toDouble(), atOnce) * eachUs,
+                    waitingUs = maxOf(waitingUs - job.totalSavedUs / per, 0.0),
                 )
         }
         return demand
@@ -72,4 +77,7 @@
         val machines = spec.tasks.toDouble() / perMachine(flavor, spec.shape)
         return Arrival(flavor.name, job.readyUs, machines, runUs + flavor.fetchUs(spec.imageGb), urgent(flavor))
     }
+
+    /** Boots usually take up to one and a half times as long as their type says. */
+    private const val BOOTS_AHEAD = 1.5
 }
--- a/src/main/kotlin/lichenstage/part/Machine.kt
+++ b/src/main/kotlin/lichenstage/part/Machine.kt
@@ -22,6 +22,12 @@
     var stopWanted = false
     var clearWanted = false
 
+    /** The leader wants it stopped with so much time to save; null where it is to run on. */
+    var saveLeewayUs: Long? = null
+
+    /** When the stop that lets it save was last sent. */
+    var saveSentUs = Long.MIN_VALUE / 2
+
     /** Of the part's versions, the one that last changed what the leader sees of it. */
     var version = 0L
 
@@ -42,6 +48,12 @@
 
     val present get() = phase != TaskPhase.PENDING
 
+    /**
+     * The stop that lets it save is to be sent. Not again before the answer that carried it would have been dropped: a second stop
+     * might end the saving.
+     */
+    fun saveDue(now: Long) = saveLeewayUs != null && !stopWanted && phase == TaskPhase.RUNNING && now - saveSentUs > ANSWER_LIFE_US
+
     private fun underWay(now: Long) = inFlight > 0 || now - answeredUs <= ANSWER_LIFE_US
 
     /**
--- a/src/main/kotlin/lichenstage/part/PartCore.kt
+++ b/src/main/kotlin/lichenstage/part/PartCore.kt
@@ -11,6 +11,7 @@
 import lichenstage.cluster.Offer
 import lichenstage.cluster.PartFrame
 import lichenstage.cluster.Room
+import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.Shape
 import lichenstage.cluster.StartOrder
 import lichenstage.cluster.TaskPhase
@@ -136,13 +137,7 @@
         if (report.session == machine.session) machine.answeredUs = now
         val heeded = machine.settled && report.session == machine.session && !machine.lost
         val commands = if (heeded) commands(machine, now).take(MAX_COMMANDS) else emptyList()
-        for (command in commands) {
-            if (command !is Command.Start) continue
-            machine.attempts.get(command.attempt)?.let {
-                it.answeredUs = now
-                it.sentUs = now
-            }
-        }
+        sent(machine, commands, now) { it.answeredUs = now }
         return ReportAnswer.Accepted(term, commands)
     }
 
@@ -247,11 +242,31 @@
                 attempt.stopWanted -> {
                     commands += Command.Stop(attempt.task, attempt.number, 0.0)
                 }
+
+                attempt.saveDue(now) -> {
+                    commands += Command.Stop(attempt.task, attempt.number, attempt.saveLeewayUs!! / SECOND.toDouble())
+                }
             }
         }
         return commands
     }
 
+    /** Notes what goes out to a machine now; [started] also notes the way that a start takes. */
+    private fun sent(
+        machine: Machine,
+        commands: List<Command>,
+        now: Long,
+        started: (Attempt) -> Unit,
+    ) {
+        for (command in commands) {
+            val attempt = machine.attempts.get(command.attempt) ?: continue
+            if (command is Command.Stop && !attempt.stopWanted) attempt.saveSentUs = now
+            if (command !is Command.Start) continue
+            attempt.sentUs = now
+            started(attempt)
+        }
+    }
+
     /**
      * Direct orders for what shouldn't wait for a report: one at a time for each machine, [most] in all, as there are connections.
      * The rest stays due; where it has to wait, what must stop comes before what may start.
@@ -262,28 +277,25 @@
     ): List<DirectOrder> {
         if (ordersDue.isEmpty() || most <= 0) return emptyList()
         val orders = ArrayList<DirectOrder>()
-        val due = if (ordersDue.size > most) ordersDue.sortedBy { !stopDue(it) } else ordersDue.toList()
+        val due = if (ordersDue.size > most) ordersDue.sortedBy { !stopDue(it, now) } else ordersDue.toList()
         for (machine in due) {
             if (orders.size >= most) break
             ordersDue -= machine
             if (!machine.settled || machine.lost || machine.deaf || machine.ordersInFlight || machine.ordersBlocked) continue
-            val urgent = stopDue(machine) || machine.attempts.values.any { !it.present && !it.stopWanted }
+            val urgent = stopDue(machine, now) || machine.attempts.values.any { !it.present && !it.stopWanted }
             if (!urgent) continue
             val commands = commands(machine, now).take(MAX_COMMANDS)
-            for (command in commands) {
-                if (command !is Command.Start) continue
-                machine.attempts.get(command.attempt).let {
-                    it.inFlight++
-                    it.sentUs = now
-                }
-            }
+            sent(machine, commands, now) { it.inFlight++ }
             machine.ordersInFlight = true
             orders += DirectOrder(machine.name, machine.address, machine.session, commands)
         }
         return orders
     }
 
-    private fun stopDue(machine: Machine) = machine.attempts.values.any { it.present && it.stopWanted && it.phase != TaskPhase.ENDED }
+    private fun stopDue(
+        machine: Machine,
+        now: Long,
+    ) = machine.attempts.values.any { it.saveDue(now) || (it.present && it.stopWanted && it.phase != TaskPhase.ENDED) }
 
     /**
      * Machines to be asked at once whether they know this owner's token, or whether they hear us. A new owner need not wait
@@ -397,6 +409,7 @@
         frame.starts.forEach { release(it.stamp) }
         for (order in frame.stops) mark(order, now) { it.stopWanted = true }
         for (order in frame.clears) mark(order, now) { it.clearWanted = true }
+        frame.saves.forEach(::save)
         grantAll(frame.asks.sortedBy { it.stamp }, now)
         if (frame.asks.isNotEmpty() || frame.starts.isNotEmpty() || frame.stops.isNotEmpty()) dirty = true
     }
@@ -445,6 +458,14 @@
         dirty = true
     }
 
+    /** The task is to save and stop; where it has ended or is saving already, there is nothing to do. */
+    private fun save(order: SaveOrder) {
+        val machine = machines[order.machine] ?: return
+        val attempt = machine.attempts.get(order.attempt) ?: return
+        attempt.saveLeewayUs = order.leewayUs
+        ordersDue += machine
+    }
+
     /** A start on a lapsed or unknown hold is refused: the machine's list, told again, shows the leader that it isn't there. */
     private fun start(
         order: StartOrder,
--- a/src/main/kotlin/lichenstage/placement/Chains.kt
+++ b/src/main/kotlin/lichenstage/placement/Chains.kt
@@ -1,9 +1,8 @@
 package lichenstage.placement
 
-import lichenstage.app.SECOND
 import lichenstage.jobs.Priority
 
-/** What a job has from those that wait for it. */
+/** What a job has from those that wait for it. [dueUs]: when it should be complete for their sake. */
 data class FromWaiters(
     val dueUs: Long?,
     val priority: Priority,
@@ -20,44 +19,25 @@
 ) {
     /** For one plan: what many share is worked out once. */
     inner class Plan {
-        private val known = HashMap<Job, FromWaiters>()
+        // Jobs wait only for such as were accepted before, so that the chains have an end.
+        private val fold = GraphFold({ job -> waitersOf(job).filter { it.phase == JobPhase.OPEN } }, ::from)
 
-        /** [dueUs]: when the job should be complete for the sake of what waits for it, directly or through others. */
-        fun of(job: Job): FromWaiters {
-            known[job]?.let { return it }
-            // Jobs wait only for such as were accepted before, so that the chains have an end; they may be deep, so no recursion.
-            val stack = ArrayDeque(listOf(job))
-            while (stack.isNotEmpty()) {
-                val next = stack.last()
-                val waiters = waitersOf(next).filter { it.phase == JobPhase.OPEN }
-                val missing = waiters.filter { it !in known }
-                if (missing.isEmpty()) {
-                    known[next] = from(next, waiters)
-                    stack.removeLast()
-                } else {
-                    stack += missing
-                }
-            }
-            return known.getValue(job)
-        }
+        /** What the job has from those that wait for it, directly or through others. */
+        fun of(job: Job): FromWaiters = fold.of(job)
 
         private fun from(
             job: Job,
             waiters: List<Job>,
+            known: Map<Job, FromWaiters>,
         ): FromWaiters {
             val due =
                 waiters.mapNotNull { waiter ->
                     val own = goals.deadlineUs(waiter)
                     val inherited = known.getValue(waiter).dueUs
-                    listOfNotNull(own, inherited).minOrNull()?.let { it - runTimes.expectedUs(waiter.spec) - STAGE_US }
+                    listOfNotNull(own, inherited).minOrNull()?.let { it - runTimes.expectedUs(waiter.spec) - ReadinessForecast.STAGE_US }
                 }
             val priorities = waiters.map { known.getValue(it).priority }
             return FromWaiters(due.minOrNull(), maxOf(job.spec.priority, priorities.maxOrNull() ?: job.spec.priority))
         }
     }
-
-    private companion object {
-        /** From the end of one stage until the tasks of the next run: its record, a round of requests, an image. */
-        const val STAGE_US = 4 * SECOND
-    }
 }
--- /dev/null
+++ b/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
@@ -0,0 +1,118 @@
+package lichenstage.placement
+
+import lichenstage.app.SECOND
+import lichenstage.cluster.MachineView
+import lichenstage.cluster.SaveOrder
+import lichenstage.cluster.TaskPhase
+
+/**
+ * Decides which running tasks are stopped with time to save their progress, because their machine goes away.
+ *
+ * Two things take a machine away. After a spot notice a task runs on for as long as it can still save, since that time is paid for
+ * in any case. A machine that is being drained is given back once it is empty: where only tasks that can save are left on it, and
+ * they would run for long, they are moved. A task that is expected to end by itself before is left alone, and so is one that could
+ * not finish saving.
+ */
+class CheckpointStops(
+    private val runTimes: RunTimes,
+) {
+    /** When machines with a notice will be taken, at the latest. */
+    private val takenByUs = HashMap<String, Long>()
+    private val sentUs = HashMap<Long, Long>()
+
+    /** Machines that have a notice. */
+    val noticed: Set<String> get() = takenByUs.keys
+
+    /** A machine as its part shows it at [now]. The notice may be older than the frame, never younger. */
+    fun seen(
+        view: MachineView,
+        now: Long,
+    ) {
+        val leftUs = view.recallUs ?: return
+        takenByUs.merge(view.name, now + leftUs, ::minOf)
+    }
+
+    fun gone(machine: String) {
+        takenByUs.remove(machine)
+    }
+
+    /** What is to be ordered now for a machine that goes away, with the [attempts] that may be running there. */
+    fun orders(
+        machine: String,
+        attempts: Collection<Attempt>,
+        now: Long,
+    ): List<SaveOrder> {
+        val takenByUs = takenByUs[machine]
+        val stopped = if (takenByUs != null) beforeNotice(attempts, takenByUs - now, now) else whileDraining(attempts, now)
+        return stopped.filter { due(it, now) }.map { SaveOrder(machine, it.task, it.number, leewayUs(it)) }
+    }
+
+    private fun beforeNotice(
+        attempts: Collection<Attempt>,
+        leftUs: Long,
+        now: Long,
+    ) = attempts.filter {
+        val saveUs = it.job.spec.saveUs
+        canSave(it) && leftUs in saveUs + LEAST_MARGIN_US..saveUs + NOTICE_MARGIN_US && remainingUs(it, now) + LEAST_MARGIN_US > leftUs
+    }
+
+    private fun whileDraining(
+        attempts: Collection<Attempt>,
+        now: Long,
+    ): List<Attempt> {
+        if (attempts.isEmpty() || attempts.any { !worthMoving(it, now) }) return emptyList()
+        return attempts.toList()
+    }
+
+    private fun worthMoving(
+        attempt: Attempt,
+        now: Long,
+    ) = canSave(attempt) && attempt.runningUs > 0 && now - attempt.runningUs >= LEAST_RUN_US &&
+        remainingUs(attempt, now) > attempt.job.spec.saveUs + MOVE_COST_US
+
+    private fun canSave(attempt: Attempt) = attempt.job.spec.checkpointUs > 0 && attempt.phase == TaskPhase.RUNNING
+
+    /** Estimates are often wrong by half: a task that has run for longer than expected goes on for a good part of that. */
+    private fun remainingUs(
+        attempt: Attempt,
+        now: Long,
+    ): Long {
+        val progressUs = attempt.progressUs(now)
+        return maxOf(runTimes.expectedUs(attempt.job.spec) - progressUs, progressUs / OVERRUN_SHARE)
+    }
+
+    private fun leewayUs(attempt: Attempt) = attempt.job.spec.saveUs + LEAST_MARGIN_US
+
+    /** Frames get lost, so an order is repeated while the task is still seen running. */
+    private fun due(
+        attempt: Attempt,
+        now: Long,
+    ): Boolean {
+        val last = sentUs[attempt.number]
+        if (last != null && now - last < REPEAT_US) return false
+        sentUs[attempt.number] = now
+        if (attempt.saveOrderedUs == 0L) attempt.saveOrderedUs = now
+        return true
+    }
+
+    /** The attempt is over. */
+    fun ended(attempt: Attempt) {
+        sentUs.remove(attempt.number)
+    }
+
+    private companion object {
+        /** Beside the time to save: the least with which saving is expected to succeed. */
+        const val LEAST_MARGIN_US = SECOND
+
+        /** The time left beside the saving at which a task is stopped: two repeats of a lost order fit in. */
+        const val NOTICE_MARGIN_US = 6 * SECOND
+
+        /** A start that is stopped sooner does not count for its job's aims. */
+        const val LEAST_RUN_US = 35 * SECOND
+
+        /** What a task loses by starting anew elsewhere: a request, an image. */
+        const val MOVE_COST_US = 15 * SECOND
+        const val OVERRUN_SHARE = 4
+        const val REPEAT_US = 2 * SECOND
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/lichenstage/placement/GraphFold.kt
@@ -0,0 +1,29 @@
+package lichenstage.placement
+
+/**
+ * Works out a value for nodes of a graph without cycles from the values of the nodes that they depend on, each once. Chains may be
+ * thousands of nodes deep, so there is no recursion.
+ */
+internal class GraphFold<N : Any, V : Any>(
+    private val dependencies: (N) -> List<N>,
+    private val combine: (node: N, dependencies: List<N>, values: Map<N, V>) -> V,
+) {
+    private val values = HashMap<N, V>()
+
+    fun of(node: N): V {
+        values[node]?.let { return it }
+        val stack = ArrayDeque(listOf(node))
+        while (stack.isNotEmpty()) {
+            val next = stack.last()
+            val needed = dependencies(next)
+            val missing = needed.filter { it !in values }
+            if (missing.isEmpty()) {
+                values[next] = combine(next, needed, values)
+                stack.removeLast()
+            } else {
+                stack += missing
+            }
+        }
+        return values.getValue(node)
+    }
+}
--- a/src/main/kotlin/lichenstage/placement/Job.kt
+++ b/src/main/kotlin/lichenstage/placement/Job.kt
@@ -1,5 +1,6 @@
 package lichenstage.placement
 
+import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap
 import it.unimi.dsi.fastutil.ints.Int2ObjectLinkedOpenHashMap
 import it.unimi.dsi.fastutil.ints.IntArrayList
 import lichenstage.cluster.TaskPhase
@@ -19,7 +20,15 @@
     var seq = 0L
     var phase = TaskPhase.PENDING
     val task get() = taskName(job.spec.id, index)
+
+    /** When it was seen to begin to run; 0 before that. */
     var runningUs = 0L
+
+    /** When it was first ordered to save its progress and stop; 0 where it was not. */
+    var saveOrderedUs = 0L
+
+    /** Progress of the task at [now], with what earlier attempts have saved. */
+    fun progressUs(now: Long) = job.savedUs(index) + if (runningUs > 0) now - runningUs else 0
 }
 
 enum class JobPhase { OPEN, CLOSED }
@@ -68,6 +77,23 @@
     var notBeforeUs = Long.MIN_VALUE
     var failures = 0
 
+    /** Progress that tasks have saved, as far as this leader knows. */
+    private val saved = Int2LongOpenHashMap()
+
+    /** All progress that is saved of tasks that are not done. */
+    var totalSavedUs = 0L
+        private set
+
+    fun savedUs(index: Int) = saved.get(index)
+
+    fun savedProgress(
+        index: Int,
+        progressUs: Long,
+    ) {
+        if (done.get(index) || progressUs <= saved.get(index)) return
+        totalSavedUs += progressUs - saved.put(index, progressUs)
+    }
+
     private var doneCount = 0
 
     val complete get() = doneCount >= spec.tasks
@@ -78,6 +104,7 @@
     fun did(index: Int): Boolean {
         if (done.get(index)) return false
         done.set(index)
+        totalSavedUs -= saved.remove(index)
         doneCount++
         return true
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -489,12 +489,16 @@
             core.parts.values
                 .flatMap { it.machines.values }
                 .associateBy { it.name }
+        val readiness = core.expectedReadiness(now)
         val demand =
-            Estimate.demand(core.jobs.values, catalog.flavors, { settings.teams[it]?.coresMax ?: 0.0 }, core.runTimes::expectedUs) { job ->
-                core.runTimes.expectedUs(job.spec).let { runUs ->
-                    goals.promises(job, runUs, now).firstOrNull()?.let { it.startByUs + runUs }
-                }
-            }
+            Estimate.demand(
+                core.jobs.values,
+                catalog.flavors,
+                coresMax = { settings.teams[it]?.coresMax ?: 0.0 },
+                runUs = core.runTimes::expectedUs,
+                dueUs = { nextDueUs(it, now) },
+                readyInUs = { readiness.readyUs(it) - now },
+            )
         fleet.observe(
             demand,
             { name ->
@@ -517,6 +521,16 @@
         }
     }
 
+    /** By when the job should be done; of one that waits for others only its deadline is known. */
+    private fun nextDueUs(
+        job: Job,
+        now: Long,
+    ): Long? {
+        if (!job.ready) return goals.deadlineUs(job)
+        val runUs = core.runTimes.expectedUs(job.spec)
+        return goals.promises(job, runUs, now).firstOrNull()?.let { it.startByUs + runUs }
+    }
+
     private fun callCloud(now: Long) {
         if (cloudBusy || now - cloudCalledUs < (1_000_000 / (settings.cloudRps * 0.7)).toLong()) return
         if (!core.complete && catalog.flavors.isEmpty()) return
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -11,6 +11,7 @@
 import lichenstage.cluster.MachineView
 import lichenstage.cluster.PartFrame
 import lichenstage.cluster.Parting
+import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.Shape
 import lichenstage.cluster.StartOrder
 import lichenstage.cluster.TaskPhase
@@ -88,7 +89,12 @@
     private val orders = Orders()
     val runTimes = RunTimes()
     private val chains = Chains(goals, runTimes) { job -> waitersOf(job.spec.id).mapNotNull { jobs[it] } }
+    private val readiness = ReadinessForecast(runTimes, fetchUs) { jobs[it] }
     private val queue = Queue(goals, teams, runTimes, chains = chains)
+    private val checkpointStops = CheckpointStops(runTimes)
+
+    /** Orders to save that the next frame to each part takes along. */
+    private val saves = HashMap<String, List<SaveOrder>>()
 
     /** Machines on which something runs that counts for no team: its job has no record any more, or it should not be there. */
     private val strange = HashMap<String, String>()
@@ -164,6 +170,9 @@
         worthAsking = true
     }
 
+    /** When jobs that wait for others are expected to be ready, as of [now]. */
+    fun expectedReadiness(now: Long) = readiness.Plan(now)
+
     /** The record of the job is gone: cancelled, or done by what an earlier leader wrote. */
     fun jobClosed(id: String) {
         val job = jobs[id] ?: return
@@ -218,6 +227,7 @@
             val view = news.after(part.machines[news.name])
             part.machines[view.name] = view
             addresses[view.name] = view.address
+            checkpointStops.seen(view, now)
             worthAsking = true
             poked += frame.part
             for (task in news.tasks) listed(frame.part, part, view, task, now)
@@ -249,7 +259,7 @@
             } else if (mine && task.cause != "done") {
                 failed(job, view, task, now)
             }
-            if (mine) gone(known!!)
+            if (mine) gone(known!!, stoppedProgressUs(known))
             return
         }
         if (mine) {
@@ -278,6 +288,7 @@
     private fun supplant(attempt: Attempt) {
         log.info("{} try {} on {} was followed by another", attempt.task, attempt.number, attempt.machine)
         ledger.remove(attempt)
+        checkpointStops.ended(attempt)
         parts[attempt.part]?.machines?.get(attempt.machine)?.let { collect(attempt.part, it) }
     }
 
@@ -285,7 +296,7 @@
         attempt: Attempt?,
         now: Long,
     ) {
-        if (attempt != null && attempt.runningUs > 0) runTimes.learned(attempt.job.spec, now - attempt.runningUs)
+        if (attempt != null && attempt.runningUs > 0) runTimes.learned(attempt.job.spec, attempt.progressUs(now))
     }
 
     private fun failed(
@@ -303,14 +314,30 @@
         job.notBeforeUs = maxOf(job.notBeforeUs, now + pauseUs / 2)
     }
 
-    /** Nothing of the attempt is left. */
-    private fun gone(attempt: Attempt) {
+    /** Nothing of the attempt is left but [savedUs] of progress. */
+    private fun gone(
+        attempt: Attempt,
+        savedUs: Long = checkpointedUs(attempt),
+    ) {
         ledger.remove(attempt)
+        checkpointStops.ended(attempt)
+        attempt.job.savedProgress(attempt.index, savedUs)
         attempt.job.requeue(attempt.index)
         worthAsking = true
         forgetIfOver(attempt.job)
     }
 
+    /** Progress of a task that was stopped by command. */
+    private fun stoppedProgressUs(attempt: Attempt) =
+        if (attempt.saveOrderedUs > 0) attempt.progressUs(attempt.saveOrderedUs) else checkpointedUs(attempt)
+
+    /** A task that saves by itself now and then has kept its progress up to the last time. */
+    private fun checkpointedUs(attempt: Attempt): Long {
+        val everyUs = attempt.job.spec.checkpointUs
+        if (everyUs <= 0 || attempt.phase != TaskPhase.RUNNING) return 0
+        return attempt.progressUs(sweptUs) / everyUs * everyUs
+    }
+
     /** The attempt can no longer be anywhere: its part has seen its start, and its machine does not list it or is gone. */
     private fun absent(
         attempt: Attempt,
@@ -334,7 +361,7 @@
 
     /** The machine is proven gone: a return call was answered, and with it all that ran there is gone. */
     fun machineGone(name: String) {
-        ledger.on(name).toList().forEach(::gone)
+        ledger.on(name).toList().forEach { gone(it) }
         parts.forEach { (id, part) ->
             part.machines.remove(name)
             orders.forget(id, name)
@@ -343,6 +370,7 @@
         addresses.remove(name)
         strange.remove(name)
         faults.remove(name)
+        checkpointStops.gone(name)
         retired += name
         takeover.gone(name)
         checkComplete()
@@ -379,6 +407,19 @@
         checkComplete()
         giveUp(ledger.all().filter { attempt -> parts[attempt.part]?.let { absent(attempt, it) } == true }.toList())
         cores = parts.values.sumOf { part -> part.machines.values.sumOf { if (it.lost) 0.0 else capacityOf(it.build)?.cores ?: 0.0 } }
+        orderSaves(now)
+    }
+
+    /** Tasks on machines that go away save their progress. */
+    private fun orderSaves(now: Long) {
+        saves.clear()
+        for (machine in closed + checkpointStops.noticed) {
+            val part = registry[machine] ?: continue
+            val orders = checkpointStops.orders(machine, ledger.on(machine), now)
+            if (orders.isEmpty()) continue
+            saves.merge(part, orders) { before, more -> before + more }
+            poked += part
+        }
     }
 
     /**
@@ -618,6 +659,7 @@
                 stops = stops,
                 clears = clears,
                 closed = briefing.closedNews(id, part, now) { it in closed || it !in registry },
+                saves = saves.remove(id).orEmpty(),
             )
         emit(Effect.Send(id, frame))
         return seq
--- a/src/main/kotlin/lichenstage/placement/Queue.kt
+++ b/src/main/kotlin/lichenstage/placement/Queue.kt
@@ -85,7 +85,8 @@
                             job in guaranteed,
                             others.dueUs,
                         ).map { Step(it.startByUs + runUs, if (it.byTask) share else 1.0) }
-                Waiting(job, job.pending.size * job.spec.shape.cores * runUs, steps, runUs, others.priority)
+                val waitingUs = maxOf(job.pending.size * runUs - job.totalSavedUs, 1)
+                Waiting(job, waitingUs * job.spec.shape.cores, steps, runUs, others.priority)
             }
         val ordered = Promises.order(rows, maxOf(cores, 1.0) * FILL, now)
         val aged = waiting.filter { now - it.readyUs > agedUs }.sortedBy { it.readyUs }
--- a/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
@@ -44,6 +44,7 @@
                     stops,
                     clears,
                     setOf(w),
+                    if (a > b) emptyList() else listOf(SaveOrder(w, w, a, b)),
                 )
             }
         val part =
--- a/src/test/kotlin/lichenstage/part/PartCoreTest.kt
+++ b/src/test/kotlin/lichenstage/part/PartCoreTest.kt
@@ -5,6 +5,7 @@
 import lichenstage.cluster.AttemptOrder
 import lichenstage.cluster.JobFacts
 import lichenstage.cluster.LeaderFrame
+import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.Shape
 import lichenstage.cluster.StartOrder
 import lichenstage.cluster.TaskPhase
@@ -191,6 +192,69 @@
         condition(part.commands(report(5, ended), 7 * SECOND).single() is Command.Clear) { "not cleared" }
     }
 
+    private fun saveFrame(leewayS: Long = 5) =
+        LeaderFrame("z/0", 1, ++seq, 0, 0, saves = listOf(SaveOrder("m", "j-1/0", 1, leewayS * SECOND)))
+
+    private fun task(phase: TaskPhase) = ReportedTask("j-1/0", 1, phase, if (phase == TaskPhase.ENDED) "halted" else null)
+
+    /** A part with j-1/0 running as try 1 on machine m. */
+    private fun running(): PartCore {
+        val part = part()
+        part.ordered(started(part), OrderOutcome.Answered(true, report(5, task(TaskPhase.RUNNING))), 2)
+        return part
+    }
+
+    @Example
+    fun `a task that is to save is stopped with leeway once, and again only when the first stop must have been lost`() {
+        val part = running()
+        part.leader(saveFrame(), SECOND)
+        val order = part.directOrders(SECOND).single()
+        condition(order.commands == listOf(Command.Stop("j-1/0", 1, 5.0))) { "$order" }
+        part.ordered(order, OrderOutcome.NotSent, SECOND)
+        part.leader(saveFrame(), 3 * SECOND)
+        condition(part.commands(report(5, task(TaskPhase.RUNNING)), 4 * SECOND).isEmpty()) { "a second stop may end the saving" }
+        val again = part.commands(report(5, task(TaskPhase.RUNNING)), 8 * SECOND)
+        condition(again == listOf(Command.Stop("j-1/0", 1, 5.0))) { "$again" }
+        condition(part.commands(report(5, task(TaskPhase.SAVING)), 20 * SECOND).isEmpty()) { "stopped while it saves" }
+        condition(part.commands(report(5, task(TaskPhase.ENDED)), 21 * SECOND).isEmpty()) { "stopped after its end" }
+    }
+
+    @Example
+    fun `a saving task whose job is cancelled is ended by a second stop`() {
+        val part = running()
+        part.leader(saveFrame(), SECOND)
+        part.directOrders(SECOND)
+        part.report(report(5, task(TaskPhase.SAVING)), 2 * SECOND)
+        part.leader(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2 * SECOND)
+        val commands = part.commands(report(5, task(TaskPhase.SAVING)), 3 * SECOND)
+        condition(commands == listOf(Command.Stop("j-1/0", 1, 0.0))) { "$commands" }
+    }
+
+    @Example
+    fun `a task that is to save and of which nothing is heard stays counted until its machine's lease has run out`() {
+        val part = running()
+        part.leader(saveFrame(), SECOND)
+        part.ordered(part.directOrders(SECOND).single(), OrderOutcome.Unclear, 4 * SECOND)
+        condition(part.directOrders(5 * SECOND).isEmpty()) { "ordered although it does not answer" }
+
+        fun listed(now: Long) =
+            part
+                .frame(now)
+                ?.machines
+                ?.single()
+                ?.tasks
+                .orEmpty()
+        condition(listed(5 * SECOND).single().phase == TaskPhase.RUNNING) { "taken for gone" }
+        part.tick(2 * LEASE)
+        condition(
+            part
+                .frame(2 * LEASE)!!
+                .machines
+                .single()
+                .lost,
+        ) { "not lost after its lease" }
+    }
+
     @Example
     fun `a machine that does not heed an order is not offered until it answers one, however often it reports`() {
         val part = part()
--- /dev/null
+++ b/src/test/kotlin/lichenstage/placement/CheckpointStopsTest.kt
@@ -0,0 +1,98 @@
+package lichenstage.placement
+
+import lichenstage.app.SECOND
+import lichenstage.cluster.MachineView
+import lichenstage.cluster.SaveOrder
+import lichenstage.cluster.TaskPhase
+import lichenstage.jobs.Priority
+import net.jqwik.api.Example
+import org.junit.platform.commons.util.Preconditions.condition
+
+class CheckpointStopsTest {
+    private val stops = CheckpointStops(RunTimes())
+
+    private fun job(
+        runS: Long,
+        checkpointS: Long = 20,
+    ) = Job(
+        oneCoreSpec(1, "c", Priority.STANDARD, 4, runS * SECOND).copy(checkpointUs = checkpointS * SECOND, saveUs = 4 * SECOND),
+        1,
+        0,
+    )
+
+    private fun running(
+        job: Job,
+        sinceS: Long,
+        index: Int = 0,
+    ) = Attempt(job, index, 10L + index, "m", "z/0").apply {
+        phase = TaskPhase.RUNNING
+        runningUs = sinceS * SECOND
+    }
+
+    private fun notice(
+        leftS: Long,
+        nowS: Long,
+    ) = stops.seen(
+        MachineView("m", "1.2.3.4:5", "t", true, true, false, false, false, leftS * SECOND, emptyList()),
+        nowS * SECOND,
+    )
+
+    private fun orders(
+        nowS: Long,
+        vararg attempts: Attempt,
+    ) = stops.orders("m", attempts.toList(), nowS * SECOND)
+
+    @Example
+    fun `after a notice a task runs on for as long as it can still save, and the order is repeated`() {
+        val attempt = running(job(runS = 60), sinceS = 1)
+        notice(leftS = 20, nowS = 10)
+        condition(orders(15, attempt).isEmpty()) { "stopped with 15 s left" }
+        val order = SaveOrder("m", "j-1/0", 10, 5 * SECOND)
+        condition(orders(21, attempt) == listOf(order)) { "not stopped with 9 s left" }
+        condition(orders(22, attempt).isEmpty()) { "repeated at once" }
+        condition(orders(24, attempt) == listOf(order)) { "not repeated" }
+        attempt.phase = TaskPhase.SAVING
+        condition(orders(25, attempt).isEmpty()) { "stopped while it saves" }
+    }
+
+    @Example
+    fun `a notice that is told again later does not give more time`() {
+        val attempt = running(job(runS = 60), sinceS = 1)
+        notice(leftS = 20, nowS = 10)
+        notice(leftS = 20, nowS = 14)
+        condition(orders(21, attempt).isNotEmpty()) { "the notice was taken for a later one" }
+    }
+
+    @Example
+    fun `a task that ends by itself before, one that can't save and one with no time to save are left alone`() {
+        notice(leftS = 20, nowS = 10)
+        condition(orders(21, running(job(runS = 24), sinceS = 1)).isEmpty()) { "it ends in 4 s" }
+        condition(orders(21, running(job(runS = 60, checkpointS = 0), sinceS = 1)).isEmpty()) { "it can't save" }
+        condition(orders(26, running(job(runS = 60), sinceS = 1)).isEmpty()) { "4 s are too few for 4 s of saving" }
+        val fetching = running(job(runS = 60), sinceS = 1).apply { phase = TaskPhase.FETCHING }
+        condition(orders(21, fetching).isEmpty()) { "it has nothing to save" }
+    }
+
+    @Example
+    fun `a draining machine is emptied only where nothing but long tasks that can save is left`() {
+        val long = running(job(runS = 120), sinceS = 1)
+        condition(orders(20, long).isEmpty()) { "its start would not count" }
+        condition(orders(40, long, running(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)).isEmpty()) { "the other holds it" }
+        condition(orders(40, long, running(job(runS = 50), sinceS = 1, index = 1)).isEmpty()) { "the other ends soon" }
+        condition(orders(40, long).map { it.attempt } == listOf(10L)) { "not moved" }
+    }
+
+    @Example
+    fun `progress that was saved counts as done until the task is`() {
+        val job = job(runS = 60)
+        job.savedProgress(0, 30 * SECOND)
+        job.savedProgress(0, 20 * SECOND)
+        job.savedProgress(1, 5 * SECOND)
+        condition(job.totalSavedUs == 35 * SECOND) { "${job.totalSavedUs}" }
+        condition(running(job, sinceS = 10).progressUs(15 * SECOND) == 35 * SECOND) { "an attempt goes on from there" }
+        job.did(0)
+        condition(job.totalSavedUs == 5 * SECOND) { "${job.totalSavedUs}" }
+        job.savedProgress(0, 50 * SECOND)
+        condition(job.totalSavedUs == 5 * SECOND) { "what is done has nothing saved" }
+    }
+}
--- a/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
@@ -210,6 +210,43 @@
         return leader
     }
 
+    /** The order goes out with the next frame, the progress counts once the task is seen stopped, and the task is queued again. */
+    @Example
+    fun `tasks with checkpoints on a machine with a notice are ordered to save, and go on elsewhere`() {
+        val leader = leader()
+        leader.registered(mapOf("m1" to "z/0"))
+        val spec = spec("j-1", tasks = 1).copy(estimateUs = 100 * SECOND, checkpointUs = 20 * SECOND, saveUs = 4 * SECOND)
+        val job = Job(spec, 101, 0)
+        leader.jobAdded(job)
+        leader.frame(part("y", 0), SECOND)
+        leader.frame(part("z", 0, view("m1")), SECOND)
+        leader.tick(SECOND)
+        val ask = lastAsk()
+        leader.frame(part("y", sent("y").last().seq, offers = ask.asks.map { Offer(it.stamp, emptyList()) }), SECOND)
+        leader.frame(part("z", ask.seq, offers = offer(ask, "m1", 1)), SECOND)
+        leader.tick(SECOND)
+        val attempt = starts().single().attempt
+        val seq = sent("z").last().seq
+
+        fun shown(
+            phase: TaskPhase,
+            recallS: Long?,
+            nowS: Long,
+        ) {
+            val cause = if (phase == TaskPhase.ENDED) "halted" else null
+            val machine = view("m1", TaskView("j-1/0", attempt, phase, cause)).copy(recallUs = recallS?.let { it * SECOND })
+            leader.frame(part("z", seq, machine), nowS * SECOND)
+            leader.tick(nowS * SECOND)
+        }
+        shown(TaskPhase.RUNNING, null, 2)
+        shown(TaskPhase.RUNNING, 9, 40)
+        leader.tick(41 * SECOND)
+        condition(sent("z").flatMap { it.saves }.map { it.attempt } == listOf(attempt)) { "${sent("z").last()}" }
+        shown(TaskPhase.ENDED, 4, 45)
+        condition(job.totalSavedUs in 37 * SECOND..39 * SECOND) { "${job.totalSavedUs}" }
+        condition(leader.attemptsOn("m1").isEmpty() && job.pending.size == 1) { "not queued again" }
+    }
+
     @Example
     fun `a start is given up only when its part has seen it and does not list it`() {
         val leader = placed()
--- /dev/null
+++ b/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
@@ -0,0 +1,74 @@
+package lichenstage.placement
+
+import lichenstage.app.SECOND
+import lichenstage.cluster.Shape
+import lichenstage.fleet.Estimate
+import lichenstage.fleet.Flavor
+import lichenstage.jobs.Priority
+import net.jqwik.api.Example
+import org.junit.platform.commons.util.Preconditions.condition
+
+class ReadinessForecastTest {
+    private val jobs = HashMap<String, Job>()
+    private val forecast = ReadinessForecast(RunTimes(), { SECOND }) { jobs[it] }
+
+    private fun job(
+        number: Int,
+        runS: Long,
+        vararg needs: Int,
+    ) = Job(
+        oneCoreSpec(number, "c", Priority.LOW, 2, runS * SECOND).copy(needs = needs.map { "j-$it" }),
+        number.toLong(),
+        0,
+    ).also {
+        jobs[it.spec.id] = it
+        if (it.ready) it.open()
+    }
+
+    private fun readyInS(
+        job: Job,
+        nowS: Long = 0,
+    ) = (forecast.Plan(nowS * SECOND).readyUs(job) - nowS * SECOND) / SECOND
+
+    @Example
+    fun `a job is ready at the end of the longest chain of what it needs`() {
+        job(1, 10)
+        val thumbs = job(2, 25, 1)
+        job(3, 60, 1)
+        val last = job(4, 8, 2, 3)
+        condition(readyInS(thumbs) == 1 + 10 + 4L) { "${readyInS(thumbs)}" }
+        condition(readyInS(last) == 15 + 1 + 60 + 4L) { "${readyInS(last)}" }
+    }
+
+    @Example
+    fun `what runs counts from its start, and what is over holds nothing up`() {
+        val first = job(1, 10)
+        val next = job(2, 5, 1, 77)
+        while (first.next() >= 0) first.placedUs = 20 * SECOND
+        condition(readyInS(next, nowS = 25) == 1 + 10 - 5 + 4L) { "${readyInS(next, nowS = 25)}" }
+        condition(readyInS(next, nowS = 99) == 4L) { "an overdue end is expected now" }
+        first.phase = JobPhase.CLOSED
+        condition(readyInS(next, nowS = 99) == 0L) { "${readyInS(next, nowS = 99)}" }
+    }
+
+    @Example
+    fun `deep chains are walked without recursion`() {
+        job(0, 1)
+        repeat(20_000) { job(it + 1, 1, it) }
+        condition(readyInS(jobs.getValue("j-20000")) > 100_000) { "the chain was cut short" }
+    }
+
+    /** Neither as work due now nor first when it is ready: a machine needs a boot time. */
+    @Example
+    fun `a job that waits asks for machines from a boot time before it is ready`() {
+        val flavor = Flavor("t", Shape(16.0, 0.0, 64.0), 1.0, 0.4, 30 * SECOND, 50.0, 0.5, listOf("z"))
+        job(1, 100)
+        val next = job(2, 50, 1)
+
+        fun asked(readyInS: Long) =
+            Estimate.demand(listOf(next), mapOf("t" to flavor), { Double.MAX_VALUE }, { it.estimateUs }, { null }) { readyInS * SECOND }
+        condition(asked(60).isEmpty()) { "asks a minute before" }
+        val soon = asked(40).single()
+        condition(soon.busy == 0.0 && soon.waitingUs > 0 && soon.dueUs == null) { "$soon" }
+    }
+}
