--- a/src/main/kotlin/lichenstage/jobs/JobsActor.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsActor.kt
@@ -317,11 +317,13 @@
     private suspend fun stillOpen(
         id: String,
         needed: List<String>,
-    ): Reply {
-        if (needed.isEmpty() || pipelines.readyAt(needed) != null) return running(id)
-        if (pipelines.isOrphan(id)) return cancel(id)
-        return if (replica.readWithin(MOST_STALE_US, clock.now())) running(id) else later("not known yet", 1)
-    }
+    ): Reply =
+        when (pipelines.readiness(id, needed)) {
+            Readiness.READY -> running(id)
+            Readiness.CANCELLED -> cancel(id)
+            Readiness.UNKNOWN -> later("not known yet", 1)
+            Readiness.WAITING -> if (replica.readWithin(MOST_STALE_US, clock.now())) running(id) else later("not known yet", 1)
+        }
 
     private fun running(id: String): Reply {
         val (done, running) = counts.jobs[id] ?: listOf(0, 0)
--- a/src/main/kotlin/lichenstage/jobs/Pipelines.kt
+++ b/src/main/kotlin/lichenstage/jobs/Pipelines.kt
@@ -6,6 +6,21 @@
     val atUs: Long?,
 )
 
+/** Where a job with an open record stands by what is known of the jobs that it needs. */
+enum class Readiness {
+    /** All that it needs is done. */
+    READY,
+
+    /** It waits for jobs that may yet be done. */
+    WAITING,
+
+    /** A job that it needs, directly or through others, is cancelled. */
+    CANCELLED,
+
+    /** A job that it needs, directly or through others, has ended, and it is not known how. */
+    UNKNOWN,
+}
+
 /**
  * Who waits for whom: the open jobs that need others, and what became of those.
  *
@@ -78,6 +93,33 @@
         }
     }
 
+    /**
+     * Where [job], which needs [jobNeeds], stands. Guards against a user who hears of a waiting job long after what it needs was
+     * cancelled: between the word that a job has ended and the word how, nothing may be said of what waits for it.
+     */
+    fun readiness(
+        job: String,
+        jobNeeds: List<String>,
+    ): Readiness =
+        when {
+            jobNeeds.isEmpty() || readyAt(jobNeeds) != null -> Readiness.READY
+            job in orphaned || jobNeeds.any { it in orphaned || outcomes[it]?.done == false } -> Readiness.CANCELLED
+            reachesUnresolved(jobNeeds) -> Readiness.UNKNOWN
+            else -> Readiness.WAITING
+        }
+
+    private fun reachesUnresolved(first: List<String>): Boolean {
+        if (unresolved.isEmpty()) return false
+        val due = ArrayDeque(first)
+        val seen = HashSet<String>()
+        while (due.isNotEmpty()) {
+            val job = due.removeLast()
+            if (job in unresolved) return true
+            if (seen.add(job)) due += needs[job].orEmpty()
+        }
+        return false
+    }
+
     fun needsOf(job: String): List<String> = needs[job].orEmpty()
 
     /** The jobs that wait for this one directly. */
--- a/src/test/kotlin/lichenstage/jobs/PipelinesTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/PipelinesTest.kt
@@ -7,6 +7,25 @@
 import java.util.Random
 
 class PipelinesTest {
+    /** Found by the simulated world: after an outage longer than cancel_s a waiting job was called pending at that moment. */
+    @Example
+    fun `between the word that a job has ended and the word how, nothing is said of what waits for it`() {
+        val pipelines = Pipelines()
+        pipelines.opened("j-1", emptyList())
+        pipelines.opened("j-2", listOf("j-1"))
+        pipelines.opened("j-3", listOf("j-2"))
+
+        fun readiness() =
+            listOf("j-1" to emptyList(), "j-2" to listOf("j-1"), "j-3" to listOf("j-2")).map { (job, needs) ->
+                pipelines.readiness(job, needs)
+            }
+        condition(readiness() == listOf(Readiness.READY, Readiness.WAITING, Readiness.WAITING)) { "${readiness()}" }
+        pipelines.ended("j-1")
+        condition(readiness().drop(1) == listOf(Readiness.UNKNOWN, Readiness.UNKNOWN)) { "${readiness()}" }
+        pipelines.resolved("j-1", Outcome(done = false, atUs = null))
+        condition(readiness().drop(1) == listOf(Readiness.CANCELLED, Readiness.CANCELLED)) { "${readiness()}" }
+    }
+
     /** Jobs that need any that came before; ends become known, and how they ended, in any order. A simple model says what follows. */
     @Property(tries = 300, seed = "23")
     fun `who is ready and who is orphaned follows from what is recorded`(
--- a/src/test/kotlin/lichenstage/world/Checker.kt
+++ b/src/test/kotlin/lichenstage/world/Checker.kt
@@ -36,6 +36,8 @@
         val there = on.getOrPut(key) { ArrayList() }
         if (there.any { it.machine != machine }) broken += "ran_twice: $key on $machine and ${there[0].machine} at $now"
         placed(machine, job, now)
+        val missing = job.needs.filter { !complete(it) }
+        if (missing.isNotEmpty()) broken += "too_early: $key started at $now, before $missing were done"
         there += Running(machine, job)
         if (completed[job.id]?.contains(index) == true) reruns++
         val total = used.merge(job.team, job.cores, Double::plus)!!
@@ -61,6 +63,58 @@
         if (job.spread && here >= (job.tasks + 1) / 2) broken += "wrong_place: ${job.id} in $zones starts on $machine at $now"
     }
 
+    private val known = HashMap<String, SimJob>()
+    private val final = HashMap<String, PollAnswer>()
+
+    private fun complete(id: String) = known[id]?.let { (completed[id]?.size ?: 0) >= it.tasks } ?: false
+
+    fun doneTasks(id: String) = completed[id]?.size ?: 0
+
+    /** The job is accepted, or about to be. */
+    fun accepted(job: SimJob) {
+        known[job.id] = job
+    }
+
+    /** Once troubles are over: from here on every question is to be answered before long. */
+    var calmFromUs = Long.MAX_VALUE
+    private val answeredUs = HashMap<String, Long>()
+
+    /** A user has asked about the job; [answer] is null where it was told to come again, or nothing came. */
+    fun polled(
+        job: SimJob,
+        answer: PollAnswer?,
+        now: Long,
+    ) {
+        if (answer == null) {
+            val sinceUs = maxOf(answeredUs[job.id] ?: 0, calmFromUs)
+            if (now - sinceUs > MOST_SILENCE_US) broken += "forgotten: no answer about ${job.id} since $sinceUs at $now"
+            return
+        }
+        answeredUs[job.id] = now
+        final[job.id]?.let { if (it != answer) broken += "went_back: ${job.id} was $it and is $answer at $now" }
+        val cancelledUs = cancelledBefore(job)
+        if (answer == PollAnswer.OPEN) {
+            if (cancelledUs != null && now - cancelledUs > cancelUs) broken += "orphaned: ${job.id} is open at $now"
+            return
+        }
+        final[job.id] = answer
+        if (answer == PollAnswer.CANCELLED && job.id !in cancelled && cancelledUs == null) broken += "went_back: nobody cancelled ${job.id}"
+    }
+
+    /** When a user was first told that a job that this one needs, directly or through others, is cancelled. */
+    private fun cancelledBefore(job: SimJob): Long? {
+        val due = ArrayDeque(job.needs)
+        val seen = HashSet<String>()
+        var first: Long? = null
+        while (due.isNotEmpty()) {
+            val id = due.removeLast()
+            if (!seen.add(id)) continue
+            cancelled[id]?.let { first = minOf(first ?: it, it) }
+            due += known[id]?.needs.orEmpty()
+        }
+        return first
+    }
+
     private fun zoneOf(machine: String) = machine.removePrefix("vm-").take(1)
 
     fun ended(
@@ -125,9 +179,13 @@
 
     private companion object {
         const val MOST_WAIT_US = 90_000_000L
+        const val MOST_SILENCE_US = 75_000_000L
     }
 }
 
+/** What a user hears of a job; pending and running are one. */
+enum class PollAnswer { OPEN, DONE, CANCELLED }
+
 data class SimJob(
     val id: String,
     val team: String,
@@ -139,4 +197,6 @@
     val spread: Boolean = false,
     /** Its tasks run for very different times. */
     val uneven: Boolean = false,
+    /** Jobs that have to be done before any task of this one starts. */
+    val needs: List<String> = emptyList(),
 )
--- /dev/null
+++ b/src/test/kotlin/lichenstage/world/PipelineFaultsTest.kt
@@ -0,0 +1,117 @@
+package lichenstage.world
+
+import lichenstage.app.MILLI
+import lichenstage.app.SECOND
+import net.jqwik.api.Example
+import org.junit.platform.commons.util.Preconditions.condition
+
+/**
+ * Pipelines (chains, fans, diamonds) under concurrent faults: no task starts before all that its job needs is done (`too_early`), and
+ * `cancel_s` after a cancellation nothing that needs the job is called open (`orphaned`). All polls are
+ * answered once the faults are over (`forgotten`). Each guard that is taken out breaks its rule.
+ */
+class PipelineFaultsTest {
+    private class Scenario(
+        val name: String,
+        val script: World.() -> Unit,
+    )
+
+    private val scenarios =
+        listOf(
+            Scenario("drawn faults") {
+                repeat(24) { n -> script(SECOND + n * 3 * SECOND) { drawnFault() } }
+                cancellations(8)
+            },
+            Scenario("the leader is refused alone while first stages are cancelled") {
+                script(20 * SECOND) { refuse(maxOf(leader, 0), 30 * SECOND) }
+                cancellations(21)
+            },
+            Scenario("an outage longer than a cancellation may take, right after cancellations") {
+                script(24 * SECOND) { cancelPipelines(4) }
+                script(24 * SECOND + 30 * MILLI) { outage(50 * SECOND) }
+            },
+            Scenario("the same, and no other controller hears of the cancellations before the outage is over") {
+                script(24 * SECOND) {
+                    for ((one, other) in listOf(0 to 1, 0 to 2, 1 to 2)) apart(one, other, 60 * SECOND)
+                    cancelPipelines(4)
+                }
+                script(24 * SECOND + 30 * MILLI) { outage(50 * SECOND) }
+            },
+            Scenario("transactions are held up and carried out late, while leaders change") {
+                for (atS in 15L..60L step 15) {
+                    script(atS * SECOND) {
+                        val late = maxOf(leader, 0)
+                        holdState(late, 6 * SECOND)
+                        crash((late + 1) % 3, 300 * MILLI)
+                    }
+                }
+                cancellations(16)
+            },
+            Scenario("a cancellation at the moment at which a first stage is recorded as done") {
+                for (atS in 4L..60L step 4) script(atS * SECOND) { cancelPipelines(1) }
+            },
+            Scenario("processes are restarted one after the other and together, some back at once") {
+                for ((n, atS) in (10L..64L step 6).withIndex()) script(atS * SECOND) { crash(n % 3, (300 + n % 3 * 2000) * MILLI) }
+                script(40 * SECOND) { repeat(3) { crash(it, SECOND + it * SECOND) } }
+                cancellations(9)
+            },
+        )
+
+    private fun World.cancellations(fromS: Long) {
+        for (atS in fromS..65L step 7) script(atS * SECOND) { cancelPipelines(1) }
+    }
+
+    private fun play(
+        scenario: Scenario,
+        seed: Long,
+        sabotage: Sabotage = Sabotage.NONE,
+    ) = World(seed, sabotage).apply {
+        repeat(16) { n -> script(SECOND + n * 4 * SECOND) { submitPipeline(1000 + 4 * n) } }
+        script(0) { load(8, TROUBLE_US) }
+        scenario.script(this)
+        run(TROUBLE_US, CALM_US)
+    }
+
+    @Example
+    fun `rules of pipelines hold under concurrent faults, and all that was not cancelled gets done`() {
+        for (scenario in scenarios) {
+            for (seed in 1L..SEEDS) {
+                val world = play(scenario, seed)
+                condition(world.checker.broken.isEmpty()) { "${scenario.name}, seed $seed: ${world.checker.broken.take(3)}" }
+                condition(world.openJobs.isEmpty()) { "${scenario.name}, seed $seed: never over: ${world.openJobs}\n${world.describe()}" }
+                condition(world.done.count { it.length == PIPELINE_ID } >= PIPELINE) { "${scenario.name}, seed $seed: done ${world.done}" }
+            }
+        }
+    }
+
+    @Example
+    fun `each guard is needed`() {
+        val needed =
+            mapOf(
+                Sabotage.NEEDS_IGNORED to "too_early",
+                Sabotage.ENDS_TAKEN_FOR_DONE to "too_early",
+                Sabotage.CANCELLED_NEEDS_UNSEEN to "forgotten",
+                Sabotage.UNRESOLVED_CALLED_OPEN to "orphaned",
+                Sabotage.STALE_CALLED_OPEN to "orphaned",
+            )
+        for ((sabotage, rule) in needed) {
+            val seen =
+                scenarios.any { scenario ->
+                    (1L..SEEDS).any { seed -> play(scenario, seed, sabotage).checker.broken.any { it.startsWith(rule) } }
+                }
+            condition(seen) { "without its guard $sabotage nothing broke $rule" }
+        }
+    }
+
+    private companion object {
+        const val SEEDS = 12L
+        const val TROUBLE_US = 75 * SECOND
+        const val CALM_US = 240 * SECOND
+
+        /** Jobs of a pipeline: the last one comes after the last cancellation. */
+        const val PIPELINE = 4
+
+        /** Of pipelines' ids, which have four digits. */
+        const val PIPELINE_ID = 6
+    }
+}
--- a/src/test/kotlin/lichenstage/world/World.kt
+++ b/src/test/kotlin/lichenstage/world/World.kt
@@ -12,7 +12,10 @@
 import lichenstage.cluster.Shape
 import lichenstage.jobs.JobReplica
 import lichenstage.jobs.JobSpec
+import lichenstage.jobs.Outcome
+import lichenstage.jobs.Pipelines
 import lichenstage.jobs.Priority
+import lichenstage.jobs.Readiness
 import lichenstage.part.Build
 import lichenstage.part.DirectOrder
 import lichenstage.part.OrderOutcome
@@ -66,6 +69,21 @@
 
     /** A controller answers for what the process before it has told. */
     SPOKEN_FOR_PREDECESSOR,
+
+    /** A job that waits for others is placed as if it did not. */
+    NEEDS_IGNORED,
+
+    /** A job that has ended is taken for done, however it ended. */
+    ENDS_TAKEN_FOR_DONE,
+
+    /** Nobody finds out that what a job needs was cancelled. */
+    CANCELLED_NEEDS_UNSEEN,
+
+    /** A waiting job is called open although it is not known how one that it needs has ended. */
+    UNRESOLVED_CALLED_OPEN,
+
+    /** A waiting job is called open by a controller that has not read the state service for long. */
+    STALE_CALLED_OPEN,
 }
 
 /**
@@ -101,6 +119,8 @@
         var pact = Pact(emptySet())
         var bond = Bond(-10 * SECOND)
         var replica = replicaOf(this)
+        var pipelines = Pipelines()
+        var orphansBusy = false
 
         fun entitled() = alive && (now < coveredUs || sabotage == Sabotage.AUTHORITY_KEPT)
 
@@ -137,6 +157,9 @@
     private val durable = HashMap<String, java.util.BitSet>()
     val done = HashSet<String>()
 
+    /** Of jobs that are over, whether they are done. */
+    private val outcomes = HashMap<String, Boolean>()
+
     /** Jobs that are over, with the revision. */
     private val ends = ArrayList<Pair<String, Long>>()
 
@@ -206,7 +229,9 @@
         }
         script.forEach { (atUs, event) -> at(atUs) { event() } }
         every(SECOND) { checker.sweep(now) }
-        every(SECOND) { if (now > troubleUs + LONGEST_TROUBLE_US) checker.waiting(open.values, now) }
+        every(SECOND) { if (now > troubleUs + LONGEST_TROUBLE_US) checker.waiting(open.values.filter(::ready), now) }
+        checker.calmFromUs = troubleUs + LONGEST_TROUBLE_US
+        every(40 * MILLI) { poll() }
         val end = troubleUs + calmUs
         while (queue.isNotEmpty() && queue.peek().atUs <= end) {
             val event = queue.poll()
@@ -258,6 +283,91 @@
         sameZone: Boolean,
     ) = accept(SimJob("j-$n", if (n % 2 == 0) "red" else "blue", tasks, 1.0, 12 * SECOND, ++term, sameZone, !sameZone))
 
+    /**
+     * Four jobs, submitted one after the other as users do: a chain, a fan or a diamond of one to three tasks each, numbered from [n].
+     * Some need a job besides that was there before.
+     */
+    fun submitPipeline(n: Int) {
+        val earlier = if (random.nextInt(3) == 0) open.keys.filter { random.nextInt(4) == 0 }.take(1) else emptyList()
+        val shape = listOf(CHAIN, FAN, DIAMOND)[n / PIPELINE % 3]
+        var afterUs = 0L
+        for ((stage, needs) in shape.withIndex()) {
+            val named = needs.map { "j-${n + it}" } + if (stage == 0) earlier else emptyList()
+            val job = SimJob("j-${n + stage}", if (n % 2 == 0) "red" else "blue", 1 + random.nextInt(3), 1.0, 5 * SECOND, 0, needs = named)
+            at(afterUs) { submitNeeding(job) }
+            // Now and then the last comes only when the others are over.
+            afterUs += if (random.nextInt(6) == 0) 30 * SECOND else SECOND / 2 + random.nextInt(1_500_000)
+        }
+    }
+
+    /** Read first and written after, on the condition that what was read still holds. */
+    private fun submitNeeding(job: SimJob) {
+        if (now < outageUntilUs || job.needs.any { it !in jobs }) return at(SECOND) { submitNeeding(job) }
+        val read = job.needs.associateWith { outcomes[it] }
+        at(MILLI + random.nextInt(80_000)) {
+            val changed = read.any { (id, outcome) -> outcome == null && id !in open }
+            if (now < outageUntilUs || changed) {
+                submitNeeding(job)
+            } else if (read.values.any { it == false }) {
+                jobs[job.id] = job
+                checker.accepted(job)
+                end(job.id, done = false)
+                checker.polled(job, PollAnswer.CANCELLED, now)
+            } else {
+                accept(job.copy(stamp = ++term))
+            }
+        }
+    }
+
+    private fun ready(job: SimJob) = job.needs.all { outcomes[it] == true }
+
+    /** A user asks any controller about any job. */
+    private fun poll() {
+        if (jobs.isEmpty()) return
+        val node = nodes[random.nextInt(3)]
+        // Mostly about what waits: of the others little can be said wrongly.
+        val waiting = open.values.filter { it.needs.isNotEmpty() }
+        val asked = if (waiting.isNotEmpty() && random.nextInt(3) > 0) waiting else jobs.values
+        val job = asked.elementAt(random.nextInt(asked.size))
+        checker.polled(job, if (node.alive && reachesState(node)) answerTo(node, job) else null, now)
+    }
+
+    /** What the user API says of the job; null where it tells the user to come again. */
+    private fun answerTo(
+        node: Node,
+        job: SimJob,
+    ): PollAnswer? {
+        outcomes[job.id]?.let { done -> return if (done) PollAnswer.DONE else PollAnswer.CANCELLED }
+        return when (node.pipelines.readiness(job.id, job.needs)) {
+            Readiness.READY -> {
+                PollAnswer.OPEN
+            }
+
+            Readiness.CANCELLED -> {
+                end(job.id, done = false)
+                PollAnswer.CANCELLED
+            }
+
+            Readiness.UNKNOWN -> {
+                PollAnswer.OPEN.takeIf { sabotage == Sabotage.UNRESOLVED_CALLED_OPEN }
+            }
+
+            Readiness.WAITING -> {
+                PollAnswer.OPEN.takeIf { node.replica.readWithin(10 * SECOND, now) || sabotage == Sabotage.STALE_CALLED_OPEN }
+            }
+        }
+    }
+
+    /** The job's record says that it is over. */
+    private fun end(
+        id: String,
+        done: Boolean,
+    ) {
+        open.remove(id)
+        outcomes[id] = done
+        ends += id to ++term
+    }
+
     /** A job whose tasks run for very different times. */
     fun submitUneven(n: Int) = accept(SimJob("j-$n", "red", 3, 1.0, 6 * SECOND, ++term, uneven = true))
 
@@ -280,6 +390,7 @@
     }
 
     private fun accept(job: SimJob) {
+        checker.accepted(job)
         jobs[job.id] = job
         open[job.id] = job
         durable[job.id] = java.util.BitSet()
@@ -292,10 +403,12 @@
     ) {
         val node = List(3) { nodes[(by + it) % 3] }.firstOrNull { it.alive && reachesState(it) }
         if (node == null) return at(SECOND) { cancel(id, by) }
-        val job = open.remove(id) ?: return
-        ends += id to ++term
+        val job = open[id] ?: return
+        end(id, done = false)
         node.replica.learned(id, term)
+        node.pipelines.ended(id)
         checker.toldCancelled(job, now)
+        checker.polled(job, PollAnswer.CANCELLED, now)
         for (other in nodes) {
             if (other != node && shared) send("n${node.id}", "n${other.id}") { told(other, listOf(id)) }
         }
@@ -310,6 +423,7 @@
     ) {
         if (!node.alive) return
         node.replica.told(jobs)
+        jobs.forEach(node.pipelines::ended)
         jobs.forEach { node.leader?.jobClosed(it) }
     }
 
@@ -324,10 +438,22 @@
     private fun readJobs(node: Node) {
         val replica = node.replica
         val stamps = open.mapValues { it.value.stamp }
-        if (replica.revision < 0) {
-            replica.loaded(stamps, term, now)
-        } else {
-            replica.changed(stamps, ends.filter { it.second > replica.revision }.toMap(), term, now)
+        open.values.forEach { node.pipelines.opened(it.id, it.needs) }
+        val ended =
+            if (replica.revision < 0) {
+                replica.loaded(stamps, term, now)
+            } else {
+                replica.changed(stamps, ends.filter { it.second > replica.revision }.toMap(), term, now)
+            }
+        ended.forEach(node.pipelines::ended)
+    }
+
+    /** Reads the records of jobs that others need and that have ended. */
+    private fun resolve(node: Node) {
+        for (id in node.pipelines.toResolve(8)) {
+            val done = outcomes[id] ?: continue
+            if (sabotage == Sabotage.CANCELLED_NEEDS_UNSEEN && !done) continue
+            node.pipelines.resolved(id, Outcome(done || sabotage == Sabotage.ENDS_TAKEN_FOR_DONE, null))
         }
     }
 
@@ -346,7 +472,10 @@
                 send("n${other.id}", "n${node.id}") {
                     if (node.life != life || !node.alive) return@send
                     val believed = if (sabotage == Sabotage.HANDOVER_DROPPED) answer.copy(jobs = emptyList()) else answer
-                    node.replica.answered("n${other.id}", believed).forEach { node.leader?.jobClosed(it) }
+                    for (id in node.replica.answered("n${other.id}", believed)) {
+                        node.pipelines.ended(id)
+                        node.leader?.jobClosed(id)
+                    }
                 }
             }
         }
@@ -475,6 +604,22 @@
         backAfterUs: Long,
     ) = crash(nodes[id], backAfterUs)
 
+    fun drawnFault() = trouble()
+
+    /** What node [id] sends to the state service arrives late, after newer words of others. */
+    fun holdState(
+        id: Int,
+        forUs: Long,
+    ) = cut("n$id", "state", forUs, held = true)
+
+    /** Users call off up to [count] jobs of pipelines that others wait for, preferring those that are about to end. */
+    fun cancelPipelines(count: Int) =
+        open.values
+            .filter { job -> open.values.any { job.id in it.needs } }
+            .sortedBy { -checker.doneTasks(it.id) }
+            .take(count)
+            .forEach { cancel(it.id, random.nextInt(3)) }
+
     /** Nothing passes between a machine and any controller; reports are held, or lost. */
     fun cutOff(
         worker: Int,
@@ -553,6 +698,7 @@
             node.pact = pactOf(node)
             node.bond = Bond(now)
             node.replica = replicaOf(node)
+            node.pipelines = Pipelines()
         }
     }
 
@@ -606,6 +752,8 @@
                 if (key !in owner && node.bond.free(now) && random.nextInt(3) == 0) owner[key] = node.id to ++term
             }
             node.seen = HashMap(owner)
+            // A turn later than the word that they have ended.
+            resolve(node)
             readJobs(node)
         }
         askEnds(node)
@@ -659,9 +807,32 @@
                     .forEach(leader::jobClosed)
             }
         }
+        readied(node, leader)
+        cancelOrphans(node, leader)
         leader.tick(now)
     }
 
+    private fun readied(
+        node: Node,
+        leader: LeaderCore,
+    ) = leader.jobs.values
+        .filter { !it.ready && (sabotage == Sabotage.NEEDS_IGNORED || node.pipelines.readyAt(it.spec.needs) != null) }
+        .forEach { leader.jobReady(it, now) }
+
+    /** Jobs of which one that they need is cancelled are recorded as such. */
+    private fun cancelOrphans(
+        node: Node,
+        leader: LeaderCore,
+    ) {
+        val due = node.pipelines.orphans(6).filter { it in leader.jobs }
+        if (due.isEmpty() || node.orphansBusy) return
+        node.orphansBusy = true
+        write(node, leader.term, { due.filter { it in open }.forEach { end(it, done = false) } }) { current, ok ->
+            node.orphansBusy = false
+            if (ok) due.forEach(current::jobClosed)
+        }
+    }
+
     private fun startLeading(
         node: Node,
         term: Long,
@@ -669,9 +840,21 @@
         val limits = if (sabotage == Sabotage.IGNORED_LIMIT) teams.mapValues { it.value.copy(coresMax = 1e9) } else teams
         val lease = if (sabotage == Sabotage.EAGER_OWNER) -3 * SECOND else WORKER_LEASE_US
         val leader =
-            LeaderCore(term, term, parting, limits, lease, Timers(), Goals(emptyList()), { Shape(8.0, 0.0, 64.0) }, 12) {
+            LeaderCore(
+                term,
+                term,
+                parting,
+                limits,
+                lease,
+                Timers(),
+                Goals(emptyList()),
+                { Shape(8.0, 0.0, 64.0) },
+                12,
+                waitersOf = node.pipelines::waitersOf,
+            ) {
                 effect(node, term, it)
             }
+        node.orphansBusy = false
         if (sabotage != Sabotage.REGISTRY_LOST) leader.inherited(workers.map { Inherited(it.name, partOf(it), "type", "10.0.0.1:9000") })
         node.leader = leader
         node.leaderSeenJobs = HashSet()
@@ -706,6 +889,7 @@
                 0,
                 null,
                 0,
+                sim.needs,
             )
         val job = Job(spec, sim.stamp, now)
         if (sabotage != Sabotage.RANGES_LOST) job.recorded(durable.getValue(sim.id))
@@ -769,10 +953,11 @@
 
     private fun finish(job: Job) {
         val id = job.spec.id
-        if (open.remove(id) == null) return
+        if (id !in open) return
+        end(id, done = true)
         done += id
-        ends += id to ++term
         checker.toldDone(jobs.getValue(id), now)
+        checker.polled(jobs.getValue(id), PollAnswer.DONE, now)
     }
 
     private fun deliver(
@@ -913,5 +1098,11 @@
         const val CANCEL_US = 40 * SECOND
         const val LATEST_US = 45_000_000
         const val LONGEST_TROUBLE_US = 60 * SECOND
+
+        /** Numbers that a pipeline takes, and what each of its jobs needs of those before it. */
+        const val PIPELINE = 4
+        val CHAIN = listOf(emptyList(), listOf(0), listOf(1), listOf(2))
+        val FAN = listOf(emptyList(), listOf(0), listOf(0), listOf(0))
+        val DIAMOND = listOf(emptyList(), listOf(0), listOf(0), listOf(1, 2))
     }
 }
