--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -7,22 +7,22 @@
 import kotlinx.coroutines.launch
 import lichenstage.authority.Authority
 import lichenstage.authority.View
-import lichenstage.cluster.Bind
-import lichenstage.cluster.Bound
-import lichenstage.cluster.Counts
-import lichenstage.cluster.Ended
-import lichenstage.cluster.EndsOf
-import lichenstage.cluster.EndsSince
-import lichenstage.cluster.Forward
-import lichenstage.cluster.Forwarded
-import lichenstage.cluster.Forwarder
+import lichenstage.cluster.CompletionSyncReply
+import lichenstage.cluster.CompletionSyncRequest
+import lichenstage.cluster.ForwardedReply
+import lichenstage.cluster.ForwardedRequest
 import lichenstage.cluster.Frame
 import lichenstage.cluster.Hello
-import lichenstage.cluster.LeaderFrame
-import lichenstage.cluster.Links
-import lichenstage.cluster.PartFrame
+import lichenstage.cluster.JobsEnded
+import lichenstage.cluster.PartitionFrame
+import lichenstage.cluster.PeerLinks
 import lichenstage.cluster.Ping
-import lichenstage.cluster.Relayed
+import lichenstage.cluster.PlacementFrame
+import lichenstage.cluster.Pledge
+import lichenstage.cluster.PledgeRequest
+import lichenstage.cluster.RelayedFrame
+import lichenstage.cluster.RequestForwarder
+import lichenstage.cluster.TaskCounts
 import lichenstage.fleet.Catalog
 import lichenstage.fleet.CloudClient
 import lichenstage.fleet.FleetPolicy
@@ -62,9 +62,18 @@
     private val cloud = CloudClient(vertx, settings.cloud)
     private val catalog = Catalog(cloud, state, scope)
     private val authority: Authority = Authority(settings, state, clock, scope, { to, frame -> links.send(to, frame) }, ::viewChanged)
-    private val links: Links =
-        Links(vertx, settings, clock, scope, authority::stateAnswers, metrics.counter("frames"), metrics.counter("frame_bytes"), ::received)
-    private val forwarder = Forwarder({ links.peerWithState() }) { to, frame -> links.send(to, frame) }
+    private val links: PeerLinks =
+        PeerLinks(
+            vertx,
+            settings,
+            clock,
+            scope,
+            authority::stateAnswers,
+            metrics.counter("frames"),
+            metrics.counter("frame_bytes"),
+            ::received,
+        )
+    private val forwarder = RequestForwarder({ links.peerWithState() }) { to, frame -> links.send(to, frame) }
     private val others = settings.peers.map { it.label }
     private val replica =
         JobReplica(
@@ -82,7 +91,7 @@
             clock,
             scope,
             { to, frame -> links.send(to, frame) },
-            { leader?.tell(LeaderMessage.Ended(it)) },
+            { leader?.tell(LeaderMessage.JobsEnded(it)) },
             { leader?.tell(LeaderMessage.Resolved) },
         )
     private val jobs =
@@ -187,17 +196,17 @@
             )
     }
 
-    private fun toLeader(frame: PartFrame) {
+    private fun toLeader(frame: PartitionFrame) {
         val holder = authority.view().leader ?: return
         links.send(holder.label, frame)
     }
 
     private fun answer(
         from: String,
-        frame: Forward,
+        frame: ForwardedRequest,
     ) = jobs.tell(
         JobsMessage.Asked(frame.verb, frame.text, forwarded = true) {
-            links.send(from, Forwarded(frame.number, it.status, it.body.encode(), it.retryAfterS))
+            links.send(from, ForwardedReply(frame.number, it.status, it.body.encode(), it.retryAfterS))
         },
     )
 
@@ -206,17 +215,17 @@
         frame: Frame,
     ) {
         when (frame) {
-            is Hello, is Ping, is Relayed -> Unit
-            is LeaderFrame -> part.tell(PartMessage.FromLeader(frame))
-            is PartFrame -> leader?.tell(LeaderMessage.FromPart(frame))
-            is Forward -> answer(from, frame)
-            is Forwarded -> forwarder.answered(frame)
-            is Bind -> authority.asked(from, frame)
-            is Bound -> authority.answered(from, frame)
-            is EndsSince -> feed.asked(from, frame)
-            is EndsOf -> feed.answered(from, frame)
-            is Ended -> feed.told(frame)
-            is Counts -> jobs.tell(JobsMessage.Counted(frame))
+            is Hello, is Ping, is RelayedFrame -> Unit
+            is PlacementFrame -> part.tell(PartMessage.FromLeader(frame))
+            is PartitionFrame -> leader?.tell(LeaderMessage.FromPart(frame))
+            is ForwardedRequest -> answer(from, frame)
+            is ForwardedReply -> forwarder.answered(frame)
+            is PledgeRequest -> authority.asked(from, frame)
+            is Pledge -> authority.answered(from, frame)
+            is CompletionSyncRequest -> feed.asked(from, frame)
+            is CompletionSyncReply -> feed.answered(from, frame)
+            is JobsEnded -> feed.told(frame)
+            is TaskCounts -> jobs.tell(JobsMessage.Counted(frame))
         }
     }
 
--- a/src/main/kotlin/lichenstage/app/Rehearsal.kt
+++ b/src/main/kotlin/lichenstage/app/Rehearsal.kt
@@ -2,9 +2,9 @@
 
 import io.vertx.core.buffer.Buffer
 import lichenstage.cluster.FrameCodec
-import lichenstage.cluster.LeaderFrame
-import lichenstage.cluster.PartFrame
-import lichenstage.cluster.Parting
+import lichenstage.cluster.PartitionAssignment
+import lichenstage.cluster.PartitionFrame
+import lichenstage.cluster.PlacementFrame
 import lichenstage.cluster.Shape
 import lichenstage.jobs.JobRecord
 import lichenstage.jobs.JobSpec
@@ -54,10 +54,20 @@
 private fun decide() {
     val shape = Shape(1.0, 0.0, 1.0)
     val team = Team("t", 0.0, 99.0, 0.0, 99.0)
-    val sent = ArrayList<LeaderFrame>()
+    val sent = ArrayList<PlacementFrame>()
     val leader =
-        LeaderCore(1, 1, Parting(listOf("z"), emptyMap()), mapOf("t" to team), SECOND, Timers(), Goals(emptyList()), { shape }, 10) {
-            if (it is Effect.Send) sent += FrameCodec.decode(FrameCodec.encode(it.frame)) as LeaderFrame
+        LeaderCore(
+            1,
+            1,
+            PartitionAssignment(listOf("z"), emptyMap()),
+            mapOf("t" to team),
+            SECOND,
+            Timers(),
+            Goals(emptyList()),
+            { shape },
+            10,
+        ) {
+            if (it is Effect.Send) sent += FrameCodec.decode(FrameCodec.encode(it.frame)) as PlacementFrame
         }
     val spec =
         JobSpec("j-1", "c", "t", Priority.HIGH, 1, shape, null, null, false, false, true, "i", 1.0, SECOND, 0, 0, null, 0)
@@ -75,7 +85,7 @@
         sent.clear()
         part.directOrders(now * SECOND)
         part.tick(now * SECOND)
-        part.frame(now * SECOND)?.let { leader.frame(FrameCodec.decode(FrameCodec.encode(it)) as PartFrame, now * SECOND) }
+        part.frame(now * SECOND)?.let { leader.frame(FrameCodec.decode(FrameCodec.encode(it)) as PartitionFrame, now * SECOND) }
     }
 }
 
--- a/src/main/kotlin/lichenstage/app/Settings.kt
+++ b/src/main/kotlin/lichenstage/app/Settings.kt
@@ -2,7 +2,7 @@
 
 import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
-import lichenstage.cluster.Parting
+import lichenstage.cluster.PartitionAssignment
 
 /** Where a host can be reached: numbers only, since no name look-up exists on the machines. */
 data class Address(
@@ -63,7 +63,7 @@
     val maxSockets: Int,
 ) {
     /** How the machines are parted among the controllers. */
-    val parting by lazy { Parting(zones, peers.associate { it.label to it.zone } + (label to zone)) }
+    val parting by lazy { PartitionAssignment(zones, peers.associate { it.label to it.zone } + (label to zone)) }
 
     companion object {
         /** Reads the platform's file; unknown fields are ignored, wrong ones are named. */
--- a/src/main/kotlin/lichenstage/authority/Authority.kt
+++ b/src/main/kotlin/lichenstage/authority/Authority.kt
@@ -9,9 +9,9 @@
 import lichenstage.app.MILLI
 import lichenstage.app.SECOND
 import lichenstage.app.Settings
-import lichenstage.cluster.Bind
-import lichenstage.cluster.Bound
 import lichenstage.cluster.Frame
+import lichenstage.cluster.Pledge
+import lichenstage.cluster.PledgeRequest
 import lichenstage.state.Change
 import lichenstage.state.Committed
 import lichenstage.state.Entry
@@ -117,24 +117,24 @@
         while (true) {
             delay(PACT_MS)
             if (stateAnswers() || !entitled()) continue
-            val question = Bind(life, clock.now())
+            val question = PledgeRequest(life, clock.now())
             others.forEach { send(it, question) }
         }
     }
 
     fun asked(
         from: String,
-        question: Bind,
+        question: PledgeRequest,
     ) {
         val now = clock.now()
         if ((stateAnswers() && !unanswered) || acquiring || now - unclearUs < UNCLEAR_US) return
         bond.bind(now)
-        send(from, Bound(question.life, question.askedUs))
+        send(from, Pledge(question.life, question.askedUs))
     }
 
     fun answered(
         from: String,
-        answer: Bound,
+        answer: Pledge,
     ) {
         if (answer.life != life) return
         pact.promised(from, answer.askedUs)
--- a/src/main/kotlin/lichenstage/cluster/Frames.kt
+++ b/src/main/kotlin/lichenstage/cluster/Frames.kt
@@ -5,6 +5,7 @@
 import it.unimi.dsi.fastutil.longs.LongOpenHashSet
 import kotlinx.serialization.EncodeDefault
 import kotlinx.serialization.ExperimentalSerializationApi
+import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.Transient
 import kotlinx.serialization.cbor.Cbor
@@ -35,7 +36,7 @@
 /** What a part must know of a job whose tasks are on its machines. */
 @Serializable
 @CborArray
-data class JobFacts(
+data class JobRequirements(
     val shape: Shape,
     val image: String,
     val imageGb: Double = 0.0,
@@ -47,8 +48,10 @@
 
 /** Says who connects. [life] rises from process to process: what an earlier one had under way is not heard any more. */
 @Serializable
+@SerialName("lichenstage.cluster.Hello")
 data class Hello(
     val label: String,
+    @SerialName("life")
     val life: Long = 0,
 ) : Frame
 
@@ -58,10 +61,10 @@
  */
 @Serializable
 @CborArray
-data class Ask(
+data class PlacementRequest(
     val stamp: Long,
     val job: String,
-    val facts: JobFacts,
+    val facts: JobRequirements,
     val count: Int,
     val builds: List<String>?,
     val zone: String?,
@@ -101,19 +104,27 @@
  * the machines that get no more tasks, is null where it is as in the frames before.
  */
 @Serializable
-data class LeaderFrame(
+@SerialName("lichenstage.cluster.LeaderFrame")
+data class PlacementFrame(
+    @SerialName("part")
     val part: String,
     val term: Long,
     val seq: Long,
+    @SerialName("ackTerm")
     val ackTerm: Long,
+    @SerialName("ackVersion")
     val ackVersion: Long,
-    val facts: Map<String, JobFacts> = emptyMap(),
+    @SerialName("facts")
+    val facts: Map<String, JobRequirements> = emptyMap(),
     val addresses: Map<String, String> = emptyMap(),
-    val asks: List<Ask> = emptyList(),
+    @SerialName("asks")
+    val requests: List<PlacementRequest> = emptyList(),
+    @SerialName("starts")
     val starts: List<StartOrder> = emptyList(),
     val releases: List<Long> = emptyList(),
     val stops: List<AttemptOrder> = emptyList(),
     val clears: List<AttemptOrder> = emptyList(),
+    @SerialName("closed")
     val closed: Set<String>? = null,
     /** Left out where there are none, so that such a frame is, byte for byte, that of versions without it. */
     @EncodeDefault(EncodeDefault.Mode.NEVER)
@@ -125,7 +136,7 @@
 
 @Serializable
 @CborArray
-data class TaskView(
+data class TaskState(
     val task: String,
     val attempt: Long,
     val phase: TaskPhase,
@@ -148,7 +159,7 @@
  */
 @Serializable
 @CborArray
-data class MachineView(
+data class MachineState(
     val name: String,
     val address: String,
     val build: String,
@@ -158,11 +169,11 @@
     val silent: Boolean,
     val lost: Boolean,
     val recallUs: Long?,
-    val tasks: List<TaskView>,
+    val tasks: List<TaskState>,
     val gone: List<Long> = emptyList(),
 ) {
     /** The whole machine, where [before] is what was known of it and this tells what has changed since. */
-    fun after(before: MachineView?): MachineView {
+    fun after(before: MachineState?): MachineState {
         if (before == null) return if (gone.isEmpty()) this else copy(gone = emptyList())
         val told = LongOpenHashSet(gone)
         tasks.forEach { told.add(it.attempt) }
@@ -173,7 +184,7 @@
 /** Room held on a machine. [warm]: it has the request's image, or is fetching it. */
 @Serializable
 @CborArray
-data class Held(
+data class HeldSlots(
     val machine: String,
     val count: Int,
     val room: Int,
@@ -184,7 +195,7 @@
 @CborArray
 data class Offer(
     val stamp: Long,
-    val held: List<Held>,
+    val held: List<HeldSlots>,
 )
 
 /**
@@ -193,35 +204,44 @@
  * ([whole]) does a missing machine or task mean something, and only then [seq] goes on.
  */
 @Serializable
-data class PartFrame(
+@SerialName("lichenstage.cluster.PartFrame")
+data class PartitionFrame(
+    @SerialName("part")
     val part: String,
     val term: Long,
     val ageUs: Long,
     val leaderTerm: Long,
     val seq: Long,
-    val heardSeq: Long,
+    @SerialName("heardSeq")
+    val receivedSeq: Long,
     val since: Long,
     val version: Long,
+    @SerialName("whole")
     val whole: Boolean,
-    val machines: List<MachineView>,
+    val machines: List<MachineState>,
     val offers: List<Offer>,
 ) : Frame
 
 /** Says that the sender is there, and whether the state service answers it. */
 @Serializable
+@SerialName("lichenstage.cluster.Ping")
 data class Ping(
     val stateAnswers: Boolean,
 ) : Frame
 
 /** Asks the receiver to take no key for a moment. [life] and [askedUs] are the asker's, and come back with the answer. */
 @Serializable
-data class Bind(
+@SerialName("lichenstage.cluster.Bind")
+data class PledgeRequest(
+    @SerialName("life")
     val life: Long,
     val askedUs: Long,
 ) : Frame
 
 @Serializable
-data class Bound(
+@SerialName("lichenstage.cluster.Bound")
+data class Pledge(
+    @SerialName("life")
     val life: Long,
     val askedUs: Long,
 ) : Frame
@@ -231,35 +251,46 @@
  * taken in so far, and how much of it. [life] and [askedUs] are the asker's, and come back with the answer.
  */
 @Serializable
-data class EndsSince(
+@SerialName("lichenstage.cluster.EndsSince")
+data class CompletionSyncRequest(
+    @SerialName("life")
     val life: Long,
     val askedUs: Long,
     val revision: Long,
+    @SerialName("logLife")
     val logLife: Long,
+    @SerialName("upTo")
     val upTo: Long,
 ) : Frame
 
 /** A piece of the sender's log, from [since] to [upTo]; [whole] where that is all of it. */
 @Serializable
-data class EndsOf(
+@SerialName("lichenstage.cluster.EndsOf")
+data class CompletionSyncReply(
+    @SerialName("life")
     val life: Long,
     val askedUs: Long,
+    @SerialName("logLife")
     val logLife: Long,
     val since: Long,
+    @SerialName("upTo")
     val upTo: Long,
     val jobs: List<String>,
+    @SerialName("whole")
     val whole: Boolean,
 ) : Frame
 
 /** These jobs have ended, as the sender is about to tell a user: so that their tasks stop early. Nothing rests on its arrival. */
 @Serializable
-data class Ended(
+@SerialName("lichenstage.cluster.Ended")
+data class JobsEnded(
     val jobs: List<String>,
 ) : Frame
 
 /** A frame on its way through a third controller, for a pair that can't reach each other (the paper's intermediate agent). */
 @Serializable
-data class Relayed(
+@SerialName("lichenstage.cluster.Relayed")
+data class RelayedFrame(
     val from: String,
     val to: String,
     val frame: Frame,
@@ -270,7 +301,8 @@
 
 /** A user's request that a controller passes to another because the state service does not answer it. */
 @Serializable
-data class Forward(
+@SerialName("lichenstage.cluster.Forward")
+data class ForwardedRequest(
     val number: Long,
     val verb: UserVerb,
     val text: String,
@@ -278,7 +310,8 @@
 
 /** The other's answer to request [number]. */
 @Serializable
-data class Forwarded(
+@SerialName("lichenstage.cluster.Forwarded")
+data class ForwardedReply(
     val number: Long,
     val status: Int,
     val body: String,
@@ -287,7 +320,8 @@
 
 /** For display: how many tasks of each open job are done and running. */
 @Serializable
-data class Counts(
+@SerialName("lichenstage.cluster.Counts")
+data class TaskCounts(
     val term: Long,
     val jobs: Map<String, List<Int>>,
 ) : Frame
--- a/src/main/kotlin/lichenstage/cluster/Parting.kt
+++ b/src/main/kotlin/lichenstage/cluster/PartitionAssignment.kt
@@ -6,7 +6,7 @@
  * The part of a machine follows from its zone and its name alone, so that every controller sees the same without a table.
  * [controllers] are the labels of all controllers with their zones, as every controller's settings name them.
  */
-class Parting(
+class PartitionAssignment(
     zones: Collection<String>,
     controllers: Map<String, String>,
 ) {
--- a/src/main/kotlin/lichenstage/cluster/Links.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerLinks.kt
@@ -21,7 +21,7 @@
 import java.util.concurrent.TimeUnit
 
 /** One outgoing connection to each of the other controllers, and the server that takes theirs. */
-class Links(
+class PeerLinks(
     private val vertx: Vertx,
     private val settings: Settings,
     private val clock: Clock,
@@ -80,7 +80,7 @@
             return
         }
         val agent = if (direct(label)) null else settings.peers.firstOrNull { it.label != label && direct(it.label) }
-        if (agent == null) write(label, frame) else write(agent.label, Relayed(settings.label, label, frame))
+        if (agent == null) write(label, frame) else write(agent.label, RelayedFrame(settings.label, label, frame))
     }
 
     private fun write(
@@ -170,8 +170,8 @@
         heardUs[from] = clock.now()
         when {
             frame is Ping -> noted(from, frame)
-            frame is Relayed && frame.to == settings.label -> received(frame.from, frame.frame)
-            frame is Relayed -> write(frame.to, frame)
+            frame is RelayedFrame && frame.to == settings.label -> received(frame.from, frame.frame)
+            frame is RelayedFrame -> write(frame.to, frame)
             else -> received(from, frame)
         }
     }
--- a/src/main/kotlin/lichenstage/cluster/Room.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementScore.kt
@@ -7,16 +7,16 @@
  * that is left of it, neither is roomier. Among equals those with the image come first (a fetch takes as long as many
  * tasks run), then the fullest, so that small tasks don't take the last whole machines from large ones.
  */
-object Room {
+object PlacementScore {
     /** Up to [count] tasks on the roomiest of [offers], each machine filled before the next. */
     fun take(
-        offers: List<Held>,
+        offers: List<HeldSlots>,
         count: Int,
-    ): List<Held> {
+    ): List<HeldSlots> {
         if (count <= 0) return emptyList()
         val sorted = offers.filterTo(ArrayList()) { it.count > 0 }
         sorted.sortWith(ROOMIEST)
-        val taken = ArrayList<Held>()
+        val taken = ArrayList<HeldSlots>()
         var left = count
         var next = 0
         // While the roomiest is used up whole, the order does not depend on how much is left.
@@ -40,8 +40,8 @@
     }
 
     private fun before(
-        one: Held,
-        other: Held,
+        one: HeldSlots,
+        other: HeldSlots,
         left: Int,
     ): Boolean {
         val a = minOf(one.count, left)
@@ -53,5 +53,5 @@
         }
     }
 
-    private val ROOMIEST = compareByDescending<Held> { it.count }.thenByDescending { it.warm }.thenBy { it.room }
+    private val ROOMIEST = compareByDescending<HeldSlots> { it.count }.thenByDescending { it.warm }.thenBy { it.room }
 }
--- a/src/main/kotlin/lichenstage/cluster/Forwarder.kt
+++ b/src/main/kotlin/lichenstage/cluster/RequestForwarder.kt
@@ -6,11 +6,11 @@
 import java.util.concurrent.TimeUnit
 
 /** Has another controller answer a user's request, as the paper's intermediate agents do. */
-class Forwarder(
+class RequestForwarder(
     private val peer: () -> String?,
     private val send: (String, Frame) -> Unit,
 ) {
-    private val open = Long2ObjectHashMap<CompletableDeferred<Forwarded>>()
+    private val open = Long2ObjectHashMap<CompletableDeferred<ForwardedReply>>()
 
     /** Begins where no process before this one has been: a late answer to a request of that one must not answer another. */
     private var last = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis())
@@ -19,21 +19,21 @@
     suspend fun ask(
         verb: UserVerb,
         text: String,
-    ): Forwarded? {
+    ): ForwardedReply? {
         val to = peer() ?: return null
         if (open.size >= MOST_OPEN) return null
         val number = ++last
-        val answer = CompletableDeferred<Forwarded>()
+        val answer = CompletableDeferred<ForwardedReply>()
         open[number] = answer
         return try {
-            send(to, Forward(number, verb, text))
+            send(to, ForwardedRequest(number, verb, text))
             withTimeoutOrNull(WAIT_MS) { answer.await() }
         } finally {
             open.remove(number)
         }
     }
 
-    fun answered(frame: Forwarded) {
+    fun answered(frame: ForwardedReply) {
         open[frame.number]?.complete(frame)
     }
 
--- a/src/main/kotlin/lichenstage/jobs/JobFeed.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobFeed.kt
@@ -5,10 +5,10 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import lichenstage.app.Clock
-import lichenstage.cluster.Ended
-import lichenstage.cluster.EndsOf
-import lichenstage.cluster.EndsSince
+import lichenstage.cluster.CompletionSyncReply
+import lichenstage.cluster.CompletionSyncRequest
 import lichenstage.cluster.Frame
+import lichenstage.cluster.JobsEnded
 import lichenstage.state.Read
 import lichenstage.state.StateClient
 import lichenstage.state.Watched
@@ -97,22 +97,22 @@
     ) {
         replica.learned(job, at)
         news(listOf(job))
-        others.forEach { send(it, Ended(listOf(job))) }
+        others.forEach { send(it, JobsEnded(listOf(job))) }
     }
 
     fun asked(
         from: String,
-        question: EndsSince,
+        question: CompletionSyncRequest,
     ) {
         replica.handOver(question)?.let { send(from, it) }
     }
 
     fun answered(
         from: String,
-        answer: EndsOf,
+        answer: CompletionSyncReply,
     ) = news(replica.answered(from, answer))
 
-    fun told(frame: Ended) = news(replica.told(frame.jobs))
+    fun told(frame: JobsEnded) = news(replica.told(frame.jobs))
 
     private fun news(jobs: List<String>) {
         jobs.forEach(pipelines::ended)
--- a/src/main/kotlin/lichenstage/jobs/JobReplica.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplica.kt
@@ -2,8 +2,8 @@
 
 import lichenstage.app.SECOND
 import lichenstage.app.withDrift
-import lichenstage.cluster.EndsOf
-import lichenstage.cluster.EndsSince
+import lichenstage.cluster.CompletionSyncReply
+import lichenstage.cluster.CompletionSyncRequest
 
 /**
  * This process's copy of the keys of the open jobs, and how stale it may be (invariant 15).
@@ -123,14 +123,14 @@
     fun question(
         other: String,
         now: Long,
-    ): EndsSince? {
+    ): CompletionSyncRequest? {
         if (revision < 0) return null
         val known = heard[other]
-        return EndsSince(life, now, revision, known?.life ?: 0, known?.upTo ?: 0)
+        return CompletionSyncRequest(life, now, revision, known?.life ?: 0, known?.upTo ?: 0)
     }
 
     /** The answer to another controller's question, a piece at a time; null where this one can't know all that users were told. */
-    fun handOver(question: EndsSince): EndsOf? {
+    fun handOver(question: CompletionSyncRequest): CompletionSyncReply? {
         if (revision < 0 || question.revision < base) return null
         val since = if (question.logLife == life) maxOf(question.upTo, first) else first
         val end = first + log.size
@@ -141,13 +141,13 @@
             if (next.revision > question.revision) jobs += next.job
             upTo++
         }
-        return EndsOf(question.life, question.askedUs, life, since, upTo, jobs, whole = upTo == end)
+        return CompletionSyncReply(question.life, question.askedUs, life, since, upTo, jobs, whole = upTo == end)
     }
 
     /** Takes in what [other] answered; returns the ends that are news. */
     fun answered(
         other: String,
-        answer: EndsOf,
+        answer: CompletionSyncReply,
     ): List<String> {
         if (answer.life != life) return emptyList()
         val known = heard[other]?.takeIf { it.life == answer.logLife } ?: Heard(answer.logLife, answer.since).also { heard[other] = it }
--- a/src/main/kotlin/lichenstage/jobs/JobSpec.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobSpec.kt
@@ -3,7 +3,7 @@
 import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
 import lichenstage.app.SECOND
-import lichenstage.cluster.JobFacts
+import lichenstage.cluster.JobRequirements
 import lichenstage.cluster.Shape
 
 /** Higher ones come first. */
@@ -33,7 +33,7 @@
     /** Jobs that have to be done before any task of this one starts. */
     val needs: List<String> = emptyList(),
 ) {
-    val facts get() = JobFacts(shape, image, imageGb)
+    val facts get() = JobRequirements(shape, image, imageGb)
 }
 
 /** The record of a job in the state service. */
--- a/src/main/kotlin/lichenstage/jobs/JobsActor.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsActor.kt
@@ -8,8 +8,8 @@
 import lichenstage.app.Mailbox
 import lichenstage.app.SECOND
 import lichenstage.app.Team
-import lichenstage.cluster.Counts
-import lichenstage.cluster.Forwarder
+import lichenstage.cluster.RequestForwarder
+import lichenstage.cluster.TaskCounts
 import lichenstage.cluster.UserVerb
 import lichenstage.fleet.Estimate
 import lichenstage.fleet.Flavor
@@ -36,7 +36,7 @@
     ) : JobsMessage
 
     data class Counted(
-        val counts: Counts,
+        val counts: TaskCounts,
     ) : JobsMessage
 }
 
@@ -50,7 +50,7 @@
     private val flavors: () -> Map<String, Flavor>,
     private val teams: Map<String, Team>,
     private val stateAnswers: () -> Boolean,
-    private val forwarder: Forwarder,
+    private val forwarder: RequestForwarder,
     private val replica: JobReplica,
     private val pipelines: Pipelines,
     private val clock: Clock,
@@ -75,7 +75,7 @@
             override fun removeEldestEntry(eldest: MutableMap.MutableEntry<String, List<String>>) = size > REMEMBERED_OPEN
         }
     private val openCheck = OpenCheck(limits.guards, scope) { state.txn(it, emptyList(), COMPARE_TIMEOUT_MS) }
-    private var counts = Counts(0, emptyMap())
+    private var counts = TaskCounts(0, emptyMap())
     private var open = 0
     private val mailbox = Mailbox("jobs", scope, ::handle, shed = ::shed)
 
--- a/src/main/kotlin/lichenstage/part/Machine.kt
+++ b/src/main/kotlin/lichenstage/part/Machine.kt
@@ -3,11 +3,11 @@
 import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap
 import it.unimi.dsi.fastutil.longs.LongArrayList
 import lichenstage.app.SECOND
-import lichenstage.cluster.JobFacts
-import lichenstage.cluster.MachineView
+import lichenstage.cluster.JobRequirements
+import lichenstage.cluster.MachineState
 import lichenstage.cluster.Shape
 import lichenstage.cluster.TaskPhase
-import lichenstage.cluster.TaskView
+import lichenstage.cluster.TaskState
 
 /** One try of one task on a machine, from the leader's order until it has been cleared. Its number is unique (invariant 7). */
 class Attempt(
@@ -75,7 +75,7 @@
         repeatsUs: Long,
     ) = !underWay(now) && (cause == "done" || now - sentUs > repeatsUs)
 
-    fun view() = TaskView(task, number, phase, cause)
+    fun view() = TaskState(task, number, phase, cause)
 
     private companion object {
         const val ANSWER_LIFE_US = 5 * SECOND
@@ -137,7 +137,7 @@
     private var used: Shape? = null
     private var usedValid = false
 
-    fun uses(facts: JobFacts) = images.use(facts.image, facts.imageGb)
+    fun uses(facts: JobRequirements) = images.use(facts.image, facts.imageGb)
 
     fun warm(image: String) = image in images
 
@@ -167,7 +167,7 @@
 
     /** What the leader is to be told. */
     fun view() =
-        MachineView(
+        MachineState(
             name,
             address,
             build,
@@ -198,7 +198,7 @@
     fun room(
         shape: Shape,
         capacity: Shape,
-        factsOf: (String) -> JobFacts?,
+        factsOf: (String) -> JobRequirements?,
     ): Int {
         if (!usedValid) {
             used = count(factsOf)
@@ -209,7 +209,7 @@
         return (capacity - taken - holds.total).fits(shape)
     }
 
-    private fun count(factsOf: (String) -> JobFacts?): Shape? {
+    private fun count(factsOf: (String) -> JobRequirements?): Shape? {
         var cores = 0.0
         var cards = 0.0
         var mem = 0.0
--- a/src/main/kotlin/lichenstage/part/PartActor.kt
+++ b/src/main/kotlin/lichenstage/part/PartActor.kt
@@ -8,8 +8,8 @@
 import lichenstage.app.Mailbox
 import lichenstage.app.Settings
 import lichenstage.authority.Authority
-import lichenstage.cluster.LeaderFrame
-import lichenstage.cluster.PartFrame
+import lichenstage.cluster.PartitionFrame
+import lichenstage.cluster.PlacementFrame
 import lichenstage.jobs.JobReplica
 import org.slf4j.LoggerFactory
 
@@ -34,7 +34,7 @@
     ) : PartMessage
 
     data class FromLeader(
-        val frame: LeaderFrame,
+        val frame: PlacementFrame,
     ) : PartMessage
 
     data class Ordered(
@@ -63,7 +63,7 @@
     private val workers: WorkerClient,
     private val buildOf: (String) -> Build?,
     private val replica: JobReplica,
-    private val toLeader: (PartFrame) -> Unit,
+    private val toLeader: (PartitionFrame) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.part")
     private val parting = settings.parting
--- a/src/main/kotlin/lichenstage/part/PartCore.kt
+++ b/src/main/kotlin/lichenstage/part/PartCore.kt
@@ -3,14 +3,14 @@
 import lichenstage.app.MILLI
 import lichenstage.app.SECOND
 import lichenstage.app.withDrift
-import lichenstage.cluster.Ask
 import lichenstage.cluster.AttemptOrder
-import lichenstage.cluster.Held
-import lichenstage.cluster.JobFacts
-import lichenstage.cluster.LeaderFrame
+import lichenstage.cluster.HeldSlots
+import lichenstage.cluster.JobRequirements
 import lichenstage.cluster.Offer
-import lichenstage.cluster.PartFrame
-import lichenstage.cluster.Room
+import lichenstage.cluster.PartitionFrame
+import lichenstage.cluster.PlacementFrame
+import lichenstage.cluster.PlacementRequest
+import lichenstage.cluster.PlacementScore
 import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.Shape
 import lichenstage.cluster.StartOrder
@@ -83,17 +83,17 @@
     private val buildOf: (String) -> Build?,
 ) {
     private class Hold(
-        val ask: Ask,
+        val ask: PlacementRequest,
         val grantedUs: Long,
         val counts: MutableMap<String, Int>,
     )
 
     private val machines = HashMap<String, Machine>()
     private val facts =
-        object : LinkedHashMap<String, JobFacts>(64, 0.75f, true) {
-            override fun removeEldestEntry(eldest: MutableMap.MutableEntry<String, JobFacts>) = size > REMEMBERED_JOBS
+        object : LinkedHashMap<String, JobRequirements>(64, 0.75f, true) {
+            override fun removeEldestEntry(eldest: MutableMap.MutableEntry<String, JobRequirements>) = size > REMEMBERED_JOBS
         }
-    private val factsOf: (String) -> JobFacts? = { facts[it] }
+    private val factsOf: (String) -> JobRequirements? = { facts[it] }
     private val holds = Long2ObjectHashMap<Hold>()
     private val offers = ArrayList<Offer>()
 
@@ -391,7 +391,7 @@
 
     /** A frame of the leader; one that is older than the newest seen is not obeyed (invariant 8). */
     fun leader(
-        frame: LeaderFrame,
+        frame: PlacementFrame,
         now: Long,
     ) {
         if (frame.term < leaderTerm) return
@@ -410,8 +410,8 @@
         for (order in frame.stops) mark(order, now) { it.stopWanted = true }
         for (order in frame.clears) mark(order, now) { it.clearWanted = true }
         frame.saves.forEach(::save)
-        grantAll(frame.asks.sortedBy { it.stamp }, now)
-        if (frame.asks.isNotEmpty() || frame.starts.isNotEmpty() || frame.stops.isNotEmpty()) dirty = true
+        grantAll(frame.requests.sortedBy { it.stamp }, now)
+        if (frame.requests.isNotEmpty() || frame.starts.isNotEmpty() || frame.stops.isNotEmpty()) dirty = true
     }
 
     /** A new leader knows nothing yet: it is told everything. */
@@ -508,14 +508,14 @@
 
     /** In the order of the stamps. Of a job that asks twice, the later request is for what the first has not got. */
     private fun grantAll(
-        asks: List<Ask>,
+        requests: List<PlacementRequest>,
         now: Long,
     ) {
-        if (asks.isEmpty()) return
-        asks.forEach { facts[it.job] = it.facts }
+        if (requests.isEmpty()) return
+        requests.forEach { facts[it.job] = it.facts }
         val got = HashMap<String, Int>()
-        val open = open(asks, now)
-        for (ask in asks) {
+        val open = open(requests, now)
+        for (ask in requests) {
             val offer = grant(ask, ask.count - (got[ask.job] ?: 0), open, now)
             got.merge(ask.job, offer.held.sumOf { it.count }, Int::plus)
             offers += offer
@@ -527,10 +527,10 @@
      * each look at every machine would cost more than all else that a part does.
      */
     private fun open(
-        asks: List<Ask>,
+        requests: List<PlacementRequest>,
         now: Long,
     ): List<Machine> {
-        val shapes = asks.map { it.facts.shape }
+        val shapes = requests.map { it.facts.shape }
         val least = Shape(shapes.minOf { it.cores }, shapes.minOf { it.cards }, shapes.minOf { it.memGb })
         return machines.values.filter { machine ->
             usable(machine) && machine.name !in closed && now - maxOf(machine.reportedUs, acquiredUs) <= reportUs * 5 / 2 &&
@@ -540,7 +540,7 @@
 
     /** Holds room for as many tasks of the request as fit, up to [most], on the roomiest of the [open] machines. */
     private fun grant(
-        ask: Ask,
+        ask: PlacementRequest,
         most: Int,
         open: List<Machine>,
         now: Long,
@@ -548,16 +548,16 @@
         // Not for what its leader may not know yet to be over.
         if (over(ask.job, now)) return Offer(ask.stamp, emptyList())
         if (ask.zone != null && ask.zone != zone) return Offer(ask.stamp, emptyList())
-        val fitting = ArrayList<Held>()
+        val fitting = ArrayList<HeldSlots>()
         for (machine in open) {
             if ((ask.builds != null && machine.build !in ask.builds) || (machine.spot && !ask.spot)) continue
             val warm = machine.warm(ask.facts.image)
             if (ask.warmOnly && !warm) continue
             val build = buildOf(machine.build) ?: continue
             val tasks = machine.room(ask.facts.shape, build.capacity, factsOf)
-            if (tasks > 0) fitting += Held(machine.name, tasks, tasks, warm)
+            if (tasks > 0) fitting += HeldSlots(machine.name, tasks, tasks, warm)
         }
-        val held = Room.take(fitting, most)
+        val held = PlacementScore.take(fitting, most)
         if (held.isNotEmpty()) {
             holds[ask.stamp] = Hold(ask, now, held.associateTo(HashMap()) { it.machine to it.count })
             held.forEach { machines.getValue(it.machine).hold(ask.facts.shape, it.count) }
@@ -614,7 +614,7 @@
     }
 
     /** The next frame for the leader, or null while there is nothing to say. Offers go at once, the rest in batches. */
-    fun frame(now: Long): PartFrame? {
+    fun frame(now: Long): PartitionFrame? {
         if (leaderTerm == 0L) return null
         val due = if (dirty) now - sentUs >= BATCH_US || offers.isNotEmpty() else now - sentUs >= HEARTBEAT_US
         if (!due) return null
@@ -625,13 +625,13 @@
         // While a piece is missing, nothing may be concluded from what is not listed.
         if (whole) toldSeq = seq
         val frame =
-            PartFrame(
+            PartitionFrame(
                 part = id,
                 term = term,
                 ageUs = now - acquiredUs,
                 leaderTerm = leaderTerm,
                 seq = toldSeq,
-                heardSeq = seq,
+                receivedSeq = seq,
                 since = acked,
                 version = if (whole) version else news.last().version,
                 whole = whole,
--- a/src/main/kotlin/lichenstage/placement/Briefing.kt
+++ b/src/main/kotlin/lichenstage/placement/Briefing.kt
@@ -16,7 +16,7 @@
         seq: Long,
     ): Boolean {
         val first = informedBy.getOrPut("$id ${part?.term}") { seq }
-        return part != null && part.heardSeq >= first
+        return part != null && part.receivedSeq >= first
     }
 
     /** The machines of a part that get no tasks, where that has changed or was told long ago. */
--- a/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
 import lichenstage.app.SECOND
-import lichenstage.cluster.MachineView
+import lichenstage.cluster.MachineState
 import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.TaskPhase
 
@@ -25,7 +25,7 @@
 
     /** A machine as its part shows it at [now]. The notice may be older than the frame, never younger. */
     fun seen(
-        view: MachineView,
+        view: MachineState,
         now: Long,
     ) {
         val leftUs = view.recallUs ?: return
--- a/src/main/kotlin/lichenstage/placement/Choice.kt
+++ b/src/main/kotlin/lichenstage/placement/Choice.kt
@@ -1,8 +1,8 @@
 package lichenstage.placement
 
-import lichenstage.cluster.Ask
-import lichenstage.cluster.Held
-import lichenstage.cluster.Room
+import lichenstage.cluster.HeldSlots
+import lichenstage.cluster.PlacementRequest
+import lichenstage.cluster.PlacementScore
 
 /** A held place that may be chosen. */
 data class Place(
@@ -18,7 +18,7 @@
      * [zoneRoom] says how many more tasks of the job a zone may get (spread and one-zone jobs).
      */
     fun roomiest(
-        offers: Map<String, List<Held>>,
+        offers: Map<String, List<HeldSlots>>,
         most: Int,
         zoneOf: (String) -> String,
         zoneRoom: (String) -> Int,
@@ -28,15 +28,15 @@
         val allowed =
             offers.entries
                 .groupBy({ zoneOf(it.key) }, { it.value })
-                .flatMap { (zone, held) -> Room.take(held.flatten(), minOf(most, zoneRoom(zone))) }
-        return Room
+                .flatMap { (zone, held) -> PlacementScore.take(held.flatten(), minOf(most, zoneRoom(zone))) }
+        return PlacementScore
             .take(allowed, most)
             .flatMap { held -> List(held.count) { Place(partOf.getValue(held.machine), held.machine) } }
     }
 
     /** For a job whose tasks must share a zone: the zone that offers most. */
     fun bestZone(
-        offers: Map<String, List<Held>>,
+        offers: Map<String, List<HeldSlots>>,
         zoneOf: (String) -> String,
     ): String? =
         offers.entries
@@ -47,12 +47,12 @@
 
 /** Requests that were broadcast together, and what the parts have answered so far. */
 class Round(
-    val asks: List<Pair<Ask, Job>>,
+    val requests: List<Pair<PlacementRequest, Job>>,
     now: Long,
     alphaUs: Long,
 ) {
-    private val stamps = asks.mapTo(HashSet()) { it.first.stamp }
-    private val offers = HashMap<Long, HashMap<String, List<Held>>>()
+    private val stamps = requests.mapTo(HashSet()) { it.first.stamp }
+    private val offers = HashMap<Long, HashMap<String, List<HeldSlots>>>()
     private val answered = HashSet<String>()
     var deadlineUs = now + alphaUs
         private set
@@ -61,7 +61,7 @@
     fun offered(
         part: String,
         stamp: Long,
-        held: List<Held>,
+        held: List<HeldSlots>,
         now: Long,
         betaUs: Long,
     ) {
@@ -72,5 +72,5 @@
 
     fun heardFrom(parts: Set<String>) = answered.containsAll(parts)
 
-    fun of(stamp: Long): Map<String, List<Held>> = offers[stamp] ?: emptyMap()
+    fun of(stamp: Long): Map<String, List<HeldSlots>> = offers[stamp] ?: emptyMap()
 }
--- a/src/main/kotlin/lichenstage/placement/Effect.kt
+++ b/src/main/kotlin/lichenstage/placement/Effect.kt
@@ -1,6 +1,6 @@
 package lichenstage.placement
 
-import lichenstage.cluster.LeaderFrame
+import lichenstage.cluster.PlacementFrame
 import java.util.BitSet
 
 /** Tasks of a job that are done but not recorded, and the chunks in which they fall. */
@@ -14,7 +14,7 @@
 sealed interface Effect {
     data class Send(
         val part: String,
-        val frame: LeaderFrame,
+        val frame: PlacementFrame,
     ) : Effect
 
     /** Record that these tasks are done, in one transaction. */
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -12,9 +12,9 @@
 import lichenstage.app.Mailbox
 import lichenstage.app.Settings
 import lichenstage.authority.Authority
-import lichenstage.cluster.Counts
 import lichenstage.cluster.Frame
-import lichenstage.cluster.PartFrame
+import lichenstage.cluster.PartitionFrame
+import lichenstage.cluster.TaskCounts
 import lichenstage.fleet.Catalog
 import lichenstage.fleet.CloudCall
 import lichenstage.fleet.CloudClient
@@ -45,7 +45,7 @@
 
 sealed interface LeaderMessage {
     data class FromPart(
-        val frame: PartFrame,
+        val frame: PartitionFrame,
     ) : LeaderMessage
 
     data class Loaded(
@@ -65,7 +65,7 @@
     ) : LeaderMessage
 
     /** Jobs that others know to be over; the watch of this leader may be the only one that is not answered. */
-    data class Ended(
+    data class JobsEnded(
         val jobs: List<String>,
     ) : LeaderMessage
 
@@ -243,7 +243,7 @@
                 message.removed.forEach(::closed)
             }
 
-            is LeaderMessage.Ended -> {
+            is LeaderMessage.JobsEnded -> {
                 if (loaded) message.jobs.forEach { closed(JobRecord.OPEN + it) }
             }
 
@@ -308,7 +308,7 @@
         cancelOrphans()
         if (now - countedUs >= COUNT_US) {
             countedUs = now
-            val counts = Counts(term, core.counts())
+            val counts = TaskCounts(term, core.counts())
             (settings.peers.map { it.label } + settings.label).forEach { send(it, counts) }
         }
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -4,18 +4,18 @@
 import lichenstage.app.SECOND
 import lichenstage.app.Team
 import lichenstage.app.withDrift
-import lichenstage.cluster.Ask
 import lichenstage.cluster.AttemptOrder
-import lichenstage.cluster.Held
-import lichenstage.cluster.LeaderFrame
-import lichenstage.cluster.MachineView
-import lichenstage.cluster.PartFrame
-import lichenstage.cluster.Parting
+import lichenstage.cluster.HeldSlots
+import lichenstage.cluster.MachineState
+import lichenstage.cluster.PartitionAssignment
+import lichenstage.cluster.PartitionFrame
+import lichenstage.cluster.PlacementFrame
+import lichenstage.cluster.PlacementRequest
 import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.Shape
 import lichenstage.cluster.StartOrder
 import lichenstage.cluster.TaskPhase
-import lichenstage.cluster.TaskView
+import lichenstage.cluster.TaskState
 import lichenstage.jobs.JobSpec
 import org.slf4j.LoggerFactory
 
@@ -38,12 +38,12 @@
 
     /** The frame up to which the part has told all that came of it, and the last that it has taken. */
     var seq = 0L
-    var heardSeq = 0L
+    var receivedSeq = 0L
 
     /** As of the last frame that left nothing out: before one, a missing machine means nothing. */
     var ageUs = 0L
     var heardUs = 0L
-    val machines = LinkedHashMap<String, MachineView>()
+    val machines = LinkedHashMap<String, MachineState>()
 }
 
 /**
@@ -56,7 +56,7 @@
 class LeaderCore(
     val term: Long,
     private val stamp: Long,
-    private val parting: Parting,
+    private val parting: PartitionAssignment,
     teams: Map<String, Team>,
     private val leaseUs: Long,
     private val timers: Timers,
@@ -134,7 +134,7 @@
      * Machines that the state service does not hold yet, with the part of each. Only those that have shown their part's token in
      * this term: a late copy of a report must not bring back a machine that is gone.
      */
-    fun unregistered(): List<Pair<String, MachineView>> =
+    fun unregistered(): List<Pair<String, MachineState>> =
         parts.flatMap { (id, part) ->
             part.machines.values
                 .filter { it.settled && !it.lost && it.name !in registry }
@@ -203,7 +203,7 @@
     }
 
     fun frame(
-        frame: PartFrame,
+        frame: PartitionFrame,
         now: Long,
     ) {
         if (frame.leaderTerm != term || parting.zone(frame.part) == null) return
@@ -219,7 +219,7 @@
         if (frame.since > part.version || frame.version < part.version || frame.seq < part.seq) return
         part.version = frame.version
         part.seq = frame.seq
-        part.heardSeq = frame.heardSeq
+        part.receivedSeq = frame.receivedSeq
         if (frame.whole) part.ageUs = frame.ageUs
         part.heardUs = now
         for (news in frame.machines) {
@@ -242,8 +242,8 @@
     private fun listed(
         id: String,
         part: PartState,
-        view: MachineView,
-        task: TaskView,
+        view: MachineState,
+        task: TaskState,
         now: Long,
     ) {
         val job = jobs[task.job] ?: return
@@ -301,8 +301,8 @@
 
     private fun failed(
         job: Job,
-        view: MachineView,
-        task: TaskView,
+        view: MachineState,
+        task: TaskState,
         now: Long,
     ) {
         if (task.cause == "halted") return
@@ -456,10 +456,10 @@
             first += job to count
         }
         if (first.isEmpty()) return
-        val asks = runs(first) { (job, _) -> hurried(job) }.flatMap { requests(it, now) }
-        round = Round(asks, now, timers.alphaUs)
-        val frames = asks.map { it.first }
-        parting.parts.forEach { send(it, now, asks = frames) }
+        val requests = runs(first) { (job, _) -> hurried(job) }.flatMap { requests(it, now) }
+        round = Round(requests, now, timers.alphaUs)
+        val frames = requests.map { it.first }
+        parting.parts.forEach { send(it, now, requests = frames) }
     }
 
     /**
@@ -470,7 +470,7 @@
     private fun requests(
         jobs: List<Pair<Job, Int>>,
         now: Long,
-    ): List<Pair<Ask, Job>> {
+    ): List<Pair<PlacementRequest, Job>> {
         val atOnce = jobs.map { (job, count) -> request(job, count, warmOnly = gainsByImage(job)) to job }
         val after = jobs.filter { (job, _) -> gainsByImage(job) && !patient(job, now) }
         return atOnce + after.map { (job, count) -> request(job, count, warmOnly = false) to job }
@@ -495,9 +495,9 @@
         job: Job,
         count: Int,
         warmOnly: Boolean,
-    ): Ask {
+    ): PlacementRequest {
         val spec = job.spec
-        return Ask(++stampCounter, spec.id, spec.facts, count, spec.builds, zoneFor(job), spec.spot, warmOnly)
+        return PlacementRequest(++stampCounter, spec.id, spec.facts, count, spec.builds, zoneFor(job), spec.spot, warmOnly)
     }
 
     /** A job whose tasks must share a zone stays in the one it is in. */
@@ -533,7 +533,7 @@
         val strangers = strangers()
         val starts = HashMap<String, ArrayList<StartOrder>>()
         val sent = ArrayList<Attempt>()
-        for ((ask, job) in current.asks) {
+        for ((ask, job) in current.requests) {
             if (job.phase != JobPhase.OPEN) continue
             val spec = job.spec
             val most = minOf(ask.count, ledger.allowance(spec.team, spec.shape, strangers))
@@ -551,7 +551,7 @@
                 starts.getOrPut(place.part) { ArrayList() } += StartOrder(ask.stamp, place.machine, index, attempt.number)
             }
         }
-        val releases = current.asks.map { it.first.stamp }
+        val releases = current.requests.map { it.first.stamp }
         for (id in parting.parts) {
             val here = starts[id] ?: emptyList<StartOrder>()
             val chosen = here.mapTo(HashSet()) { it.stamp }
@@ -566,7 +566,7 @@
     /** How many more tasks of the job each zone may get. */
     private fun zoneRoom(
         job: Job,
-        offers: Map<String, List<Held>>,
+        offers: Map<String, List<HeldSlots>>,
     ): (String) -> Int {
         val spec = job.spec
         if (!spec.sameZone && !spec.spread) return { Int.MAX_VALUE }
@@ -633,7 +633,7 @@
     private fun send(
         id: String,
         now: Long,
-        asks: List<Ask> = emptyList(),
+        requests: List<PlacementRequest> = emptyList(),
         starts: List<StartOrder> = emptyList(),
         releases: List<Long> = emptyList(),
     ): Long {
@@ -645,7 +645,7 @@
         val inform = !briefing.informed(id, part, seq)
         val (stops, clears) = orders.take(id, now)
         val frame =
-            LeaderFrame(
+            PlacementFrame(
                 part = id,
                 term = term,
                 seq = seq,
@@ -653,7 +653,7 @@
                 ackVersion = part?.version ?: 0,
                 facts = if (inform) jobs.values.associate { it.spec.id to it.spec.facts } else emptyMap(),
                 addresses = if (inform) addresses.filterKeys { registry[it] == id } else emptyMap(),
-                asks = asks,
+                requests = requests,
                 starts = starts,
                 releases = releases,
                 stops = stops,
@@ -668,7 +668,7 @@
     /** Finds what a machine still has to stop and to clear, and whether something on it is a stranger's. */
     private fun collect(
         id: String,
-        view: MachineView,
+        view: MachineState,
     ) {
         val stops = ArrayList<AttemptOrder>()
         val clears = ArrayList<AttemptOrder>()
--- a/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
@@ -27,10 +27,10 @@
                 .`as`(::AttemptOrder)
                 .list()
                 .ofMaxSize(4)
-        val facts = JobFacts(Shape(1.5, 0.0, 7.25), "img")
+        val facts = JobRequirements(Shape(1.5, 0.0, 7.25), "img")
         val leader =
             Combinators.combine(words, numbers, numbers, orders, orders).`as` { w, a, b, stops, clears ->
-                LeaderFrame(
+                PlacementFrame(
                     w,
                     a,
                     b,
@@ -38,7 +38,7 @@
                     a,
                     mapOf(w to facts),
                     mapOf(w to "1.2.3.4:5"),
-                    listOf(Ask(a, w, facts, 3, if (a % 2 == 0L) null else listOf(w), null, true)),
+                    listOf(PlacementRequest(a, w, facts, 3, if (a % 2 == 0L) null else listOf(w), null, true)),
                     listOf(StartOrder(a, w, 3, b)),
                     listOf(a, b),
                     stops,
@@ -50,7 +50,7 @@
         val part =
             Combinators.combine(words, numbers, numbers, Arbitraries.of(TaskPhase.entries)).`as` { w, a, b, phase ->
                 val view =
-                    MachineView(
+                    MachineState(
                         w,
                         w,
                         w,
@@ -66,27 +66,27 @@
                         } else {
                             null
                         },
-                        listOf(TaskView(w, b, phase, null)),
+                        listOf(TaskState(w, b, phase, null)),
                     )
-                PartFrame(w, a, b, a, b, a, b, a, b > 0, listOf(view), listOf(Offer(a, listOf(Held(w, 2, 3, a > 0)))))
+                PartitionFrame(w, a, b, a, b, a, b, a, b > 0, listOf(view), listOf(Offer(a, listOf(HeldSlots(w, 2, 3, a > 0)))))
             }
         val others =
             Arbitraries.of(
                 Hello("x"),
                 Ping(true),
-                Bind(1, 2),
-                Bound(3, 4),
-                EndsSince(1, 2, 3, 4, 5),
-                EndsOf(1, 2, 3, 4, 6, listOf("j-1", "j-2"), true),
-                Ended(listOf("j-1")),
-                Forward(1, UserVerb.SUBMIT, "{}"),
-                Forwarded(1, 503, "{}", null),
-                Counts(
+                PledgeRequest(1, 2),
+                Pledge(3, 4),
+                CompletionSyncRequest(1, 2, 3, 4, 5),
+                CompletionSyncReply(1, 2, 3, 4, 6, listOf("j-1", "j-2"), true),
+                JobsEnded(listOf("j-1")),
+                ForwardedRequest(1, UserVerb.SUBMIT, "{}"),
+                ForwardedReply(1, 503, "{}", null),
+                TaskCounts(
                     3,
                     mapOf("j-1" to listOf(1, 2)),
                 ),
             )
-        val relayed = leader.map { Relayed("a", "b", it) }
+        val relayed = leader.map { RelayedFrame("a", "b", it) }
         return Arbitraries.oneOf(leader.map { it }, part.map { it }, others.map { it as Frame }, relayed.map { it })
     }
 }
--- a/src/test/kotlin/lichenstage/cluster/PartingTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PartitionAssignmentTest.kt
@@ -6,7 +6,7 @@
 import net.jqwik.api.constraints.IntRange
 import org.junit.platform.commons.util.Preconditions.condition
 
-class PartingTest {
+class PartitionAssignmentTest {
     @Property(tries = 100, seed = "4")
     fun `any number of controllers, in zones of their own or not, see the same parts`(
         @ForAll @IntRange(min = 1, max = 9) count: Int,
@@ -15,8 +15,8 @@
     ) {
         val zones = List(zoneCount) { "z$it" }
         val controllers = (0 until count).associate { "n$it" to "z${(it + shift) % (zoneCount + 1)}" }
-        val one = Parting(zones, controllers)
-        val other = Parting(zones.reversed(), controllers.entries.reversed().associate { it.key to it.value })
+        val one = PartitionAssignment(zones, controllers)
+        val other = PartitionAssignment(zones.reversed(), controllers.entries.reversed().associate { it.key to it.value })
         condition(one.parts == other.parts) { "${one.parts} and ${other.parts}" }
         for (zone in zones) {
             val homes = one.parts.filter { one.zone(it) == zone }.map(one::home)
@@ -32,7 +32,7 @@
 
     @Example
     fun `the machines of a zone spread evenly, also where names differ in every third number only`() {
-        val parting = Parting(listOf("z"), mapOf("a" to "z", "b" to "z", "c" to "z"))
+        val parting = PartitionAssignment(listOf("z"), mapOf("a" to "z", "b" to "z", "c" to "z"))
         for (stride in 1..6) {
             val sizes = (0 until 300).groupingBy { parting.partOf("vm-%06d".format(it * stride), "z") }.eachCount()
             condition(sizes.size == 3 && sizes.values.all { it in 70..130 }) { "$stride: $sizes" }
--- a/src/test/kotlin/lichenstage/cluster/RoomTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PlacementScoreTest.kt
@@ -7,12 +7,12 @@
 import net.jqwik.api.constraints.Size
 import org.junit.platform.commons.util.Preconditions.condition
 
-class RoomTest {
+class PlacementScoreTest {
     private fun held(
         name: String,
         room: Int,
         warm: Boolean = false,
-    ) = Held(name, room, room, warm)
+    ) = HeldSlots(name, room, room, warm)
 
     @Property(tries = 300, seed = "99")
     fun `never more than asked or held, and all that fits`(
@@ -21,21 +21,21 @@
     ) {
         val rooms = drawn.map { Math.floorMod(it, 17) }
         val offers = rooms.mapIndexed { i, room -> held("m$i", room, i % 3 == 0) }
-        val taken = Room.take(offers, count)
+        val taken = PlacementScore.take(offers, count)
         condition(taken.sumOf { it.count } == minOf(count, rooms.sum())) { "$rooms $count: $taken" }
         condition(taken.all { it.count in 1..offers.first { o -> o.machine == it.machine }.count }) { "$rooms $count: $taken" }
     }
 
     @Example
     fun `small requests leave whole machines whole`() {
-        val taken = Room.take(listOf(held("whole", 16), held("broken", 5)), 3)
+        val taken = PlacementScore.take(listOf(held("whole", 16), held("broken", 5)), 3)
         condition(taken.map { it.machine } == listOf("broken")) { "$taken" }
     }
 
     @Example
     fun `what a request can use decides first, the image next`() {
         val offers = listOf(held("whole", 16), held("warm", 3, warm = true), held("warm whole", 16, warm = true))
-        condition(Room.take(offers, 8).map { it.machine } == listOf("warm whole")) { "${Room.take(offers, 8)}" }
-        condition(Room.take(offers, 2).map { it.machine } == listOf("warm")) { "${Room.take(offers, 2)}" }
+        condition(PlacementScore.take(offers, 8).map { it.machine } == listOf("warm whole")) { "${PlacementScore.take(offers, 8)}" }
+        condition(PlacementScore.take(offers, 2).map { it.machine } == listOf("warm")) { "${PlacementScore.take(offers, 2)}" }
     }
 }
--- a/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
@@ -1,7 +1,7 @@
 package lichenstage.jobs
 
 import lichenstage.app.SECOND
-import lichenstage.cluster.EndsOf
+import lichenstage.cluster.CompletionSyncReply
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
@@ -27,7 +27,7 @@
         val others = HashMap(mapOf("a" to replica(2, "b", "asker"), "b" to replica(3, "a", "asker")))
         others.values.forEach { it.loaded(emptyMap(), 100, 0) }
         val told = ArrayList<Pair<String, Long>>()
-        val late = ArrayList<Pair<String, EndsOf>>()
+        val late = ArrayList<Pair<String, CompletionSyncReply>>()
         var revision = 100L
         var now = 0L
         repeat(400) { step ->
--- a/src/test/kotlin/lichenstage/jobs/JobsActorTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobsActorTest.kt
@@ -14,7 +14,7 @@
 import lichenstage.app.Clock
 import lichenstage.app.MILLI
 import lichenstage.app.Team
-import lichenstage.cluster.Forwarder
+import lichenstage.cluster.RequestForwarder
 import lichenstage.cluster.Shape
 import lichenstage.cluster.UserVerb
 import lichenstage.fleet.Flavor
@@ -83,7 +83,7 @@
         val pipelines = Pipelines()
         val clock = Clock { scope.coroutineContext[TestCoroutineScheduler]!!.currentTime * MILLI }
         if (store is SlowStore) scope.launch { follow(store, replica, pipelines, clock) }
-        val forwarder = Forwarder({ null }) { _, _ -> }
+        val forwarder = RequestForwarder({ null }) { _, _ -> }
         return JobsActor(
             store,
             { flavors },
--- a/src/test/kotlin/lichenstage/part/NewsTest.kt
+++ b/src/test/kotlin/lichenstage/part/NewsTest.kt
@@ -2,9 +2,9 @@
 
 import lichenstage.app.SECOND
 import lichenstage.cluster.FrameCodec
-import lichenstage.cluster.LeaderFrame
-import lichenstage.cluster.MachineView
-import lichenstage.cluster.PartFrame
+import lichenstage.cluster.MachineState
+import lichenstage.cluster.PartitionFrame
+import lichenstage.cluster.PlacementFrame
 import lichenstage.cluster.Shape
 import lichenstage.cluster.TaskPhase
 import net.jqwik.api.Example
@@ -39,19 +39,19 @@
     private fun word(
         term: Long,
         acked: Long,
-    ) = part.leader(LeaderFrame("z/0", term, ++seq, 5, acked), now)
+    ) = part.leader(PlacementFrame("z/0", term, ++seq, 5, acked), now)
 
-    private fun told(): PartFrame? {
+    private fun told(): PartitionFrame? {
         now += SECOND
-        return part.frame(now)?.let { FrameCodec.decode(FrameCodec.encode(it)) as PartFrame }
+        return part.frame(now)?.let { FrameCodec.decode(FrameCodec.encode(it)) as PartitionFrame }
     }
 
     /** The leader's side of the frames. */
     private class Mirror {
         var version = 0L
-        val machines = HashMap<String, MachineView>()
+        val machines = HashMap<String, MachineState>()
 
-        fun take(frame: PartFrame) {
+        fun take(frame: PartitionFrame) {
             if (frame.since > version || frame.version < version) return
             version = frame.version
             frame.machines.forEach { machines[it.name] = it.after(machines[it.name]) }
@@ -66,7 +66,7 @@
         setting = Setting()
         var mirror = Mirror()
         var term = 1L
-        val late = ArrayList<PartFrame>()
+        val late = ArrayList<PartitionFrame>()
         repeat(150) {
             repeat(1 + random.nextInt(5)) { change(random) }
             told()?.let { frame ->
--- a/src/test/kotlin/lichenstage/part/PartCoreTest.kt
+++ b/src/test/kotlin/lichenstage/part/PartCoreTest.kt
@@ -1,10 +1,10 @@
 package lichenstage.part
 
 import lichenstage.app.SECOND
-import lichenstage.cluster.Ask
 import lichenstage.cluster.AttemptOrder
-import lichenstage.cluster.JobFacts
-import lichenstage.cluster.LeaderFrame
+import lichenstage.cluster.JobRequirements
+import lichenstage.cluster.PlacementFrame
+import lichenstage.cluster.PlacementRequest
 import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.Shape
 import lichenstage.cluster.StartOrder
@@ -14,7 +14,7 @@
 
 /** The invariants that a part alone must keep. */
 class PartCoreTest {
-    private val facts = JobFacts(Shape(4.0, 0.0, 1.0), "img")
+    private val facts = JobRequirements(Shape(4.0, 0.0, 1.0), "img")
     private var seq = 0L
     private var tally = 0L
 
@@ -29,16 +29,16 @@
 
     private fun frame(
         term: Long = 1,
-        asks: List<Ask> = emptyList(),
+        requests: List<PlacementRequest> = emptyList(),
         starts: List<StartOrder> = emptyList(),
         stops: List<AttemptOrder> = emptyList(),
         clears: List<AttemptOrder> = emptyList(),
-    ) = LeaderFrame("z/0", term, ++seq, 0, 0, asks = asks, starts = starts, stops = stops, clears = clears)
+    ) = PlacementFrame("z/0", term, ++seq, 0, 0, requests = requests, starts = starts, stops = stops, clears = clears)
 
     private fun ask(
         stamp: Long,
         count: Int,
-    ) = Ask(stamp, "j-1", facts, count, null, null, true)
+    ) = PlacementRequest(stamp, "j-1", facts, count, null, null, true)
 
     private fun PartCore.commands(
         report: Report,
@@ -52,7 +52,7 @@
     ): DirectOrder {
         part.report(report(0), now)
         part.report(report(5), now)
-        part.leader(frame(asks = listOf(ask(1, 1))), now)
+        part.leader(frame(requests = listOf(ask(1, 1))), now)
         part.leader(frame(starts = listOf(StartOrder(1, "m", 0, 1))), now)
         return part.directOrders(now).single()
     }
@@ -61,7 +61,7 @@
     fun `a machine is offered only after its worker has shown the token`() {
         val part = part()
         part.report(report(3), 1)
-        part.leader(frame(asks = listOf(ask(1, 1))), 1)
+        part.leader(frame(requests = listOf(ask(1, 1))), 1)
         condition(
             part
                 .frame(2)!!
@@ -71,7 +71,7 @@
                 .isEmpty(),
         ) { "offered before it was settled" }
         part.report(report(5), 2)
-        part.leader(frame(asks = listOf(ask(2, 1))), 3)
+        part.leader(frame(requests = listOf(ask(2, 1))), 3)
         condition(
             part
                 .frame(4)!!
@@ -92,7 +92,7 @@
     fun `requests in one frame are granted in the order of their stamps`() {
         val part = part()
         part.report(report(5), 1)
-        part.leader(frame(asks = listOf(ask(9, 2).copy(job = "j-2"), ask(3, 1))), 1)
+        part.leader(frame(requests = listOf(ask(9, 2).copy(job = "j-2"), ask(3, 1))), 1)
         val offers = part.frame(2)!!.offers.associate { it.stamp to it.held.sumOf { held -> held.count } }
         condition(offers == mapOf(3L to 1, 9L to 1)) { "$offers" }
     }
@@ -104,7 +104,7 @@
         for (name in listOf("m1", "m2")) part.report(report(5, machine = name), 1)
         part.report(report(5, ReportedTask("j-9/0", 9, TaskPhase.RUNNING, null), machine = "m3"), 2)
         part.directOrders(2)
-        part.leader(frame(asks = listOf(ask(1, 4))), 3)
+        part.leader(frame(requests = listOf(ask(1, 4))), 3)
         val starts = listOf("m1", "m2").mapIndexed { i, name -> StartOrder(1, name, i, 10L + i) }
         part.leader(frame(starts = starts, stops = listOf(AttemptOrder("m3", "j-9/0", 9))), 4)
         condition(part.directOrders(5, most = 0).isEmpty()) { "sent without a connection" }
@@ -122,14 +122,14 @@
                     looks++
                     Build("t", Shape(8.0, 0.0, 64.0))
                 }
-            part.leader(frame(asks = listOf(ask(1, 0))), 1)
+            part.leader(frame(requests = listOf(ask(1, 0))), 1)
             val busy = listOf(1L, 2L).map { ReportedTask("j-1/$it", it, TaskPhase.RUNNING, null) }.toTypedArray()
             repeat(machines) { part.report(report(5, *busy, machine = "m$it"), 1) }
             part.report(report(5, machine = "free"), 1)
             looks = 0
             part.report(report(5, *busy, machine = "m7"), 1)
             condition(looks == 0) { "a report made $looks looks at $machines machines" }
-            part.leader(frame(asks = (1L..24L).map { ask(10 + it, 1).copy(job = "j-$it") }), 2)
+            part.leader(frame(requests = (1L..24L).map { ask(10 + it, 1).copy(job = "j-$it") }), 2)
             condition(looks in machines..machines + 1 + 24) { "$looks looks at $machines machines" }
             val held = part.frame(3)!!.offers.sumOf { offer -> offer.held.sumOf { it.count } }
             condition(held == 2) { "$held held on the one that is free" }
@@ -140,7 +140,7 @@
     fun `holds lapse and a start on a lapsed one is refused and told`() {
         val part = part()
         part.report(report(5), 0)
-        part.leader(frame(asks = listOf(ask(1, 1))), 0)
+        part.leader(frame(requests = listOf(ask(1, 1))), 0)
         part.frame(1)
         part.leader(frame(starts = listOf(StartOrder(1, "m", 0, 1))), 6 * SECOND)
         condition(part.directOrders(6 * SECOND).isEmpty()) { "started on a lapsed hold" }
@@ -158,7 +158,7 @@
     fun `a newer leader's word drops the holds of the one before, whose starts are refused`() {
         val part = part()
         part.report(report(5), 0)
-        part.leader(frame(term = 1, asks = listOf(ask(1, 1))), 0)
+        part.leader(frame(term = 1, requests = listOf(ask(1, 1))), 0)
         part.leader(frame(term = 2), 1)
         part.leader(frame(term = 1, starts = listOf(StartOrder(1, "m", 0, 1))), 2)
         part.leader(frame(term = 2, starts = listOf(StartOrder(1, "m", 0, 1))), 3)
@@ -193,7 +193,7 @@
     }
 
     private fun saveFrame(leewayS: Long = 5) =
-        LeaderFrame("z/0", 1, ++seq, 0, 0, saves = listOf(SaveOrder("m", "j-1/0", 1, leewayS * SECOND)))
+        PlacementFrame("z/0", 1, ++seq, 0, 0, saves = listOf(SaveOrder("m", "j-1/0", 1, leewayS * SECOND)))
 
     private fun task(phase: TaskPhase) = ReportedTask("j-1/0", 1, phase, if (phase == TaskPhase.ENDED) "halted" else null)
 
@@ -261,11 +261,11 @@
         val order = started(part)
         part.ordered(order, OrderOutcome.Unclear, 3 * SECOND)
         part.report(report(5), 4 * SECOND)
-        part.leader(frame(asks = listOf(ask(2, 1))), 4 * SECOND)
+        part.leader(frame(requests = listOf(ask(2, 1))), 4 * SECOND)
         condition(offered(part, 4 * SECOND).isEmpty()) { "offered although nothing reaches it" }
         val probe = part.probes(5 * SECOND).single()
         part.probed(probe, report(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), 5 * SECOND)
-        part.leader(frame(asks = listOf(ask(3, 1))), 5 * SECOND)
+        part.leader(frame(requests = listOf(ask(3, 1))), 5 * SECOND)
         condition(offered(part, 5 * SECOND) == listOf("m")) { "not offered although it heeds again" }
     }
 
@@ -274,7 +274,7 @@
         val part = part()
         started(part)
         part.report(report(5, session = 2), 20 * SECOND)
-        part.leader(frame(asks = listOf(ask(2, 1))), 20 * SECOND)
+        part.leader(frame(requests = listOf(ask(2, 1))), 20 * SECOND)
         condition(offered(part, 20 * SECOND).isEmpty()) { "offered" }
         condition(part.probes(20 * SECOND).single().session == 2L) { "not asked" }
     }
@@ -295,8 +295,8 @@
         repeat(130) { part.report(report(5, machine = "m$it"), 1) }
         part.leader(frame(), 1)
         val first = part.frame(SECOND)!!
-        condition(!first.whole && first.machines.size == 100 && first.seq == 0L && first.heardSeq == seq) { "$first" }
-        part.leader(LeaderFrame("z/0", 1, ++seq, 5, first.version), SECOND)
+        condition(!first.whole && first.machines.size == 100 && first.seq == 0L && first.receivedSeq == seq) { "$first" }
+        part.leader(PlacementFrame("z/0", 1, ++seq, 5, first.version), SECOND)
         val second = part.frame(2 * SECOND)!!
         condition(second.whole && second.machines.size == 30 && second.seq == seq) { "$second" }
         val names = (first.machines + second.machines).map { it.name }.toSet()
@@ -407,7 +407,7 @@
     fun `a machine with something of unknown size on it is full`() {
         val part = part()
         part.report(report(5, ReportedTask("j-77/0", 1, TaskPhase.RUNNING, null)), 1)
-        part.leader(frame(asks = listOf(ask(1, 1))), 2)
+        part.leader(frame(requests = listOf(ask(1, 1))), 2)
         condition(
             part
                 .frame(3)!!
@@ -422,11 +422,11 @@
     fun `among equally roomy machines the one with the image is offered first`() {
         val part = part()
         listOf("a", "b", "c").forEach { part.report(report(5, machine = it), 1) }
-        part.leader(frame(asks = listOf(ask(1, 3))), 2)
+        part.leader(frame(requests = listOf(ask(1, 3))), 2)
         part.leader(frame(starts = listOf(StartOrder(1, "b", 0, 1))), 3)
         part.directOrders(3)
         part.report(report(5, ReportedTask("j-1/0", 1, TaskPhase.ENDED, "done"), machine = "b"), 4)
-        part.leader(frame(asks = listOf(ask(2, 1))), 5)
+        part.leader(frame(requests = listOf(ask(2, 1))), 5)
         condition(
             part
                 .frame(6)!!
@@ -442,9 +442,9 @@
     fun `of a job that asks twice the later request is for what the first has not got`() {
         val part = part()
         listOf("a", "b").forEach { part.report(report(5, machine = it), 1) }
-        part.leader(frame(asks = listOf(ask(1, 4))), 2)
+        part.leader(frame(requests = listOf(ask(1, 4))), 2)
         part.leader(frame(starts = listOf(StartOrder(1, "b", 0, 1))), 3)
-        part.leader(frame(asks = listOf(ask(2, 3).copy(warmOnly = true), ask(3, 3))), 4)
+        part.leader(frame(requests = listOf(ask(2, 3).copy(warmOnly = true), ask(3, 3))), 4)
         val counts =
             part
                 .frame(SECOND)!!
@@ -458,12 +458,12 @@
     fun `a request that waits for warm room gets no other`() {
         val part = part()
         listOf("a", "b").forEach { part.report(report(5, machine = it), 1) }
-        part.leader(frame(asks = listOf(ask(1, 3).copy(warmOnly = true))), 2)
+        part.leader(frame(requests = listOf(ask(1, 3).copy(warmOnly = true))), 2)
         condition(offered(part, 2).isEmpty()) { "a cold machine was offered" }
-        part.leader(frame(asks = listOf(ask(2, 4))), 3)
+        part.leader(frame(requests = listOf(ask(2, 4))), 3)
         part.leader(frame(starts = listOf(StartOrder(2, "b", 0, 1))), 4)
         part.directOrders(4)
-        part.leader(frame(asks = listOf(ask(3, 3).copy(warmOnly = true))), 5)
+        part.leader(frame(requests = listOf(ask(3, 3).copy(warmOnly = true))), 5)
         condition(offered(part, 5) == listOf("b")) { "not the machine that fetches the image" }
     }
 
@@ -477,7 +477,7 @@
             // As a mute machine does: what it is asked it answers, and its own reports reach nobody.
             part.probed(Probe("m", "1.2.3.4:5", 1), report(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), now)
         }
-        part.leader(frame(asks = listOf(ask(2, 1))), now)
+        part.leader(frame(requests = listOf(ask(2, 1))), now)
         val offer = part.frame(now + SECOND)!!.offers.single { it.stamp == 2L }
         condition(offer.held.isEmpty()) { "offered: ${offer.held}" }
     }
@@ -487,10 +487,10 @@
         val over = HashSet<String>()
         val part = PartCore("z/0", "z", 5, LEASE, 3 * SECOND, 0, over = { job, _ -> job in over }) { Build("t", Shape(8.0, 0.0, 64.0)) }
         started(part)
-        part.leader(frame(asks = listOf(ask(2, 1))), SECOND)
+        part.leader(frame(requests = listOf(ask(2, 1))), SECOND)
         part.commands(report(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), SECOND)
         over += "j-1"
-        part.leader(frame(asks = listOf(ask(3, 1)), starts = listOf(StartOrder(2, "m", 1, 2))), 2 * SECOND)
+        part.leader(frame(requests = listOf(ask(3, 1)), starts = listOf(StartOrder(2, "m", 1, 2))), 2 * SECOND)
         condition(
             part
                 .frame(2 * SECOND)!!
--- a/src/test/kotlin/lichenstage/placement/CheckpointStopsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CheckpointStopsTest.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
 import lichenstage.app.SECOND
-import lichenstage.cluster.MachineView
+import lichenstage.cluster.MachineState
 import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.TaskPhase
 import lichenstage.jobs.Priority
@@ -33,7 +33,7 @@
         leftS: Long,
         nowS: Long,
     ) = stops.seen(
-        MachineView("m", "1.2.3.4:5", "t", true, true, false, false, false, leftS * SECOND, emptyList()),
+        MachineState("m", "1.2.3.4:5", "t", true, true, false, false, false, leftS * SECOND, emptyList()),
         nowS * SECOND,
     )
 
--- a/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
@@ -4,15 +4,15 @@
 import lichenstage.app.ObjectiveKind
 import lichenstage.app.SECOND
 import lichenstage.app.Team
-import lichenstage.cluster.Held
-import lichenstage.cluster.LeaderFrame
-import lichenstage.cluster.MachineView
+import lichenstage.cluster.HeldSlots
+import lichenstage.cluster.MachineState
 import lichenstage.cluster.Offer
-import lichenstage.cluster.PartFrame
-import lichenstage.cluster.Parting
+import lichenstage.cluster.PartitionAssignment
+import lichenstage.cluster.PartitionFrame
+import lichenstage.cluster.PlacementFrame
 import lichenstage.cluster.Shape
 import lichenstage.cluster.TaskPhase
-import lichenstage.cluster.TaskView
+import lichenstage.cluster.TaskState
 import lichenstage.jobs.JobSpec
 import lichenstage.jobs.Priority
 import net.jqwik.api.Example
@@ -23,7 +23,7 @@
     private val effects = ArrayList<Effect>()
     private val teams = mapOf("red" to Team("red", 0.0, 8.0, 0.0, Double.POSITIVE_INFINITY))
     private var version = 0L
-    private val parting = Parting(listOf("y", "z"), emptyMap())
+    private val parting = PartitionAssignment(listOf("y", "z"), emptyMap())
 
     private fun leader() =
         LeaderCore(7, 100, parting, teams, 20 * SECOND, Timers(), Goals(emptyList()), { Shape(16.0, 0.0, 64.0) }, 10) { effects += it }
@@ -45,33 +45,33 @@
 
     private fun view(
         name: String,
-        vararg tasks: TaskView,
+        vararg tasks: TaskState,
         settled: Boolean = true,
         lost: Boolean = false,
-    ) = MachineView(name, "1.2.3.4:5", "t", false, settled, false, false, lost, null, tasks.toList())
+    ) = MachineState(name, "1.2.3.4:5", "t", false, settled, false, false, lost, null, tasks.toList())
 
     private fun part(
         zone: String,
         seq: Long,
-        vararg views: MachineView,
+        vararg views: MachineState,
         offers: List<Offer> = emptyList(),
         term: Long = 3,
         age: Long = SECOND,
         whole: Boolean = true,
-    ) = PartFrame("$zone/0", term, age, 7, seq, seq, 0, ++version, whole, views.toList(), offers)
+    ) = PartitionFrame("$zone/0", term, age, 7, seq, seq, 0, ++version, whole, views.toList(), offers)
 
     private fun sent(zone: String) = effects.filterIsInstance<Effect.Send>().filter { it.part == "$zone/0" }.map { it.frame }
 
-    private fun lastAsk(): LeaderFrame = sent("z").last { it.asks.isNotEmpty() }
+    private fun lastAsk(): PlacementFrame = sent("z").last { it.requests.isNotEmpty() }
 
     private fun starts() = effects.filterIsInstance<Effect.Send>().flatMap { it.frame.starts }
 
     private fun offer(
-        frame: LeaderFrame,
+        frame: PlacementFrame,
         machine: String,
         count: Int,
-    ) = frame.asks.map {
-        Offer(it.stamp, listOf(Held(machine, count, count, false)))
+    ) = frame.requests.map {
+        Offer(it.stamp, listOf(HeldSlots(machine, count, count, false)))
     }
 
     private fun inherited(vararg names: String) = names.map { Inherited(it, "z/0", "t", null) }
@@ -83,10 +83,10 @@
         leader.jobAdded(job("j-1", stamp = 50))
         leader.frame(part("z", 0, view("m1")), SECOND)
         leader.tick(2 * SECOND)
-        condition(sent("z").none { it.asks.isNotEmpty() }) { "asked while m2 was not accounted for" }
+        condition(sent("z").none { it.requests.isNotEmpty() }) { "asked while m2 was not accounted for" }
         leader.frame(part("z", 0, view("m1"), view("m2")), 3 * SECOND)
         leader.tick(3 * SECOND)
-        condition(lastAsk().asks.single().job == "j-1") { "not asked" }
+        condition(lastAsk().requests.single().job == "j-1") { "not asked" }
     }
 
     @Example
@@ -96,7 +96,7 @@
         leader.jobAdded(job("j-2", stamp = 101))
         leader.frame(part("z", 0, view("m1")), SECOND)
         leader.tick(2 * SECOND)
-        condition(sent("z").none { it.asks.isNotEmpty() }) { "16 unheard cores leave nothing of a limit of 8" }
+        condition(sent("z").none { it.requests.isNotEmpty() }) { "16 unheard cores leave nothing of a limit of 8" }
     }
 
     @Example
@@ -146,8 +146,8 @@
         val leader = leader()
         leader.inherited(inherited("m1"))
         leader.jobAdded(job("j-1"))
-        val ghost = view("ghost", TaskView("j-1/0", 3, TaskPhase.RUNNING))
-        leader.frame(part("z", 0, ghost, view("m1", TaskView("j-1/0", 4, TaskPhase.RUNNING))), SECOND)
+        val ghost = view("ghost", TaskState("j-1/0", 3, TaskPhase.RUNNING))
+        leader.frame(part("z", 0, ghost, view("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING))), SECOND)
         condition(leader.attemptsOn("ghost").isEmpty()) { "adopted" }
         condition(leader.attemptsOn("m1").single().number == 4L) { "the real one is not known" }
         leader.tick(SECOND)
@@ -162,7 +162,7 @@
             val leader = leader()
             leader.inherited(inherited("back", "m1"))
             leader.jobAdded(job("j-1"))
-            val views = listOf(view("back", TaskView("j-1/0", 3, TaskPhase.RUNNING)), view("m1", TaskView("j-1/0", 4, TaskPhase.RUNNING)))
+            val views = listOf(view("back", TaskState("j-1/0", 3, TaskPhase.RUNNING)), view("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING)))
             leader.frame(part("z", 0, *(if (newerFirst) views.reversed() else views).toTypedArray()), SECOND)
             condition(leader.attemptsOn("back").isEmpty()) { "the older is still counted" }
             condition(leader.attemptsOn("m1").single().number == 4L) { "the newer is not known" }
@@ -171,7 +171,7 @@
             leader.frame(part("z", 0, view("back", lost = true)), 2 * SECOND)
             leader.tick(2 * SECOND)
             leader.tick(3 * SECOND)
-            condition(lastAsk().asks.single().count == 1) { "more than the other task is asked for: ${lastAsk().asks}" }
+            condition(lastAsk().requests.single().count == 1) { "more than the other task is asked for: ${lastAsk().requests}" }
         }
     }
 
@@ -189,9 +189,9 @@
         val leader = leader()
         leader.inherited(inherited("m1"))
         leader.jobAdded(job("j-1"))
-        leader.frame(part("z", 0, view("m1", TaskView("j-1/0", 3, TaskPhase.RUNNING))), SECOND)
+        leader.frame(part("z", 0, view("m1", TaskState("j-1/0", 3, TaskPhase.RUNNING))), SECOND)
         leader.tick(2 * SECOND)
-        condition(lastAsk().asks.single().count == 1) { "${lastAsk().asks}" }
+        condition(lastAsk().requests.single().count == 1) { "${lastAsk().requests}" }
     }
 
     /** Brings a job's two tasks on m1 in part z. */
@@ -203,7 +203,7 @@
         leader.frame(part("z", 0, view("m1")), SECOND)
         leader.tick(SECOND)
         val ask = lastAsk()
-        leader.frame(part("y", sent("y").last().seq, offers = ask.asks.map { Offer(it.stamp, emptyList()) }), SECOND)
+        leader.frame(part("y", sent("y").last().seq, offers = ask.requests.map { Offer(it.stamp, emptyList()) }), SECOND)
         leader.frame(part("z", ask.seq, offers = offer(ask, "m1", 2)), SECOND)
         leader.tick(SECOND)
         condition(starts().map { it.index }.toSet() == setOf(0, 1)) { "${starts()}" }
@@ -222,7 +222,7 @@
         leader.frame(part("z", 0, view("m1")), SECOND)
         leader.tick(SECOND)
         val ask = lastAsk()
-        leader.frame(part("y", sent("y").last().seq, offers = ask.asks.map { Offer(it.stamp, emptyList()) }), SECOND)
+        leader.frame(part("y", sent("y").last().seq, offers = ask.requests.map { Offer(it.stamp, emptyList()) }), SECOND)
         leader.frame(part("z", ask.seq, offers = offer(ask, "m1", 1)), SECOND)
         leader.tick(SECOND)
         val attempt = starts().single().attempt
@@ -234,7 +234,7 @@
             nowS: Long,
         ) {
             val cause = if (phase == TaskPhase.ENDED) "halted" else null
-            val machine = view("m1", TaskView("j-1/0", attempt, phase, cause)).copy(recallUs = recallS?.let { it * SECOND })
+            val machine = view("m1", TaskState("j-1/0", attempt, phase, cause)).copy(recallUs = recallS?.let { it * SECOND })
             leader.frame(part("z", seq, machine), nowS * SECOND)
             leader.tick(nowS * SECOND)
         }
@@ -253,7 +253,7 @@
         val seq = sent("z").last { it.starts.isNotEmpty() }.seq
         leader.frame(part("z", seq - 1, view("m1")), 2 * SECOND)
         condition(leader.attemptsOn("m1").size == 2) { "given up by a frame from before it" }
-        leader.frame(part("z", seq, view("m1", TaskView("j-1/${starts()[0].index}", starts()[0].attempt, TaskPhase.PENDING))), 2 * SECOND)
+        leader.frame(part("z", seq, view("m1", TaskState("j-1/${starts()[0].index}", starts()[0].attempt, TaskPhase.PENDING))), 2 * SECOND)
         condition(leader.attemptsOn("m1").map { it.index } == listOf(starts()[0].index)) { "${leader.attemptsOn("m1").map { it.task }}" }
     }
 
@@ -272,13 +272,13 @@
         leader.jobAdded(job("j-2"))
         effects.clear()
         leader.tick(5 * SECOND)
-        condition(sent("z").none { it.asks.isNotEmpty() }) { "asked beyond the limit of 8 cores" }
+        condition(sent("z").none { it.requests.isNotEmpty() }) { "asked beyond the limit of 8 cores" }
     }
 
     @Example
     fun `done is written before it is cleared, and the job is over only with the record`() {
         val leader = placed()
-        val ended = starts().map { TaskView("j-1/${it.index}", it.attempt, TaskPhase.ENDED, "done") }
+        val ended = starts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.ENDED, "done") }
         val seq = sent("z").last().seq
         leader.frame(part("z", seq, view("m1", *ended.toTypedArray())), 2 * SECOND)
         effects.clear()
@@ -293,17 +293,17 @@
     @Example
     fun `what runs of a cancelled job is stopped and stays counted until it is gone`() {
         val leader = placed()
-        val running = starts().map { TaskView("j-1/${it.index}", it.attempt, TaskPhase.RUNNING) }.toTypedArray()
+        val running = starts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.RUNNING) }.toTypedArray()
         leader.frame(part("z", sent("z").last().seq, view("m1", *running)), 2 * SECOND)
         leader.jobClosed("j-1")
         leader.jobAdded(job("j-2"))
         effects.clear()
         leader.tick(3 * SECOND)
         condition(sent("z").last().stops.size == 2) { "not stopped" }
-        condition(sent("z").none { it.asks.isNotEmpty() }) { "its cores were given away" }
+        condition(sent("z").none { it.requests.isNotEmpty() }) { "its cores were given away" }
         leader.frame(part("z", sent("z").last().seq, view("m1").copy(gone = running.map { it.attempt })), 4 * SECOND)
         leader.tick(4 * SECOND)
-        condition(lastAsk().asks.single().job == "j-2") { "its cores were not freed" }
+        condition(lastAsk().requests.single().job == "j-2") { "its cores were not freed" }
     }
 
     @Example
@@ -311,9 +311,9 @@
         val leader = leader()
         leader.inherited(inherited("m1"))
         leader.jobAdded(job("j-2"))
-        leader.frame(part("z", 0, view("m1", TaskView("j-9/0", 3, TaskPhase.RUNNING))), SECOND)
+        leader.frame(part("z", 0, view("m1", TaskState("j-9/0", 3, TaskPhase.RUNNING))), SECOND)
         leader.tick(SECOND)
-        condition(sent("z").none { it.asks.isNotEmpty() }) { "a stranger's cores were given away" }
+        condition(sent("z").none { it.requests.isNotEmpty() }) { "a stranger's cores were given away" }
     }
 
     /** Counted, not timed: [looks] are questions for a machine's size, of which whoever goes through all machines asks one each. */
@@ -355,9 +355,9 @@
     fun `one zone jobs keep to the zone they are in and spread jobs to half`() {
         val offers =
             mapOf(
-                "y/0" to listOf(Held("a", 4, 4, false)),
-                "z/0" to listOf(Held("b", 3, 3, false)),
-                "z/1" to listOf(Held("c", 6, 6, false)),
+                "y/0" to listOf(HeldSlots("a", 4, 4, false)),
+                "z/0" to listOf(HeldSlots("b", 3, 3, false)),
+                "z/1" to listOf(HeldSlots("c", 6, 6, false)),
             )
         val zoneOf = { part: String -> part.substringBefore('/') }
         val spread = Choice.roomiest(offers, 9, zoneOf) { 5 }
@@ -373,10 +373,10 @@
         leader.jobAdded(waiting)
         leader.frame(part("z", 0, view("m1")), SECOND)
         leader.tick(2 * SECOND)
-        condition(sent("z").none { it.asks.isNotEmpty() }) { "asked before all that it needs was done" }
+        condition(sent("z").none { it.requests.isNotEmpty() }) { "asked before all that it needs was done" }
         leader.jobAdded(job("j-3", stamp = 102))
         leader.tick(3 * SECOND)
-        condition(lastAsk().asks.single().job == "j-3") { "the other job is held up" }
+        condition(lastAsk().requests.single().job == "j-3") { "the other job is held up" }
         leader.frame(part("z", 1, view("m1"), offers = offer(lastAsk(), "m1", 2)), 3 * SECOND)
         leader.tick(4 * SECOND)
         leader.jobReady(waiting, 4 * SECOND)
@@ -398,9 +398,9 @@
         }
         leader.frame(part("z", 0, view("m1")), 5 * SECOND)
         leader.tick(5 * SECOND)
-        val asks = lastAsk().asks.sortedBy { it.stamp }
-        condition(asks.map { it.warmOnly } == listOf(true, true, false, false, true, false)) { "$asks" }
-        condition(asks.takeLast(2).all { it.job == "j-3" }) { "$asks" }
+        val requests = lastAsk().requests.sortedBy { it.stamp }
+        condition(requests.map { it.warmOnly } == listOf(true, true, false, false, true, false)) { "$requests" }
+        condition(requests.takeLast(2).all { it.job == "j-3" }) { "$requests" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/world/World.kt
+++ b/src/test/kotlin/lichenstage/world/World.kt
@@ -5,10 +5,10 @@
 import lichenstage.app.Team
 import lichenstage.authority.Bond
 import lichenstage.authority.Pact
-import lichenstage.cluster.EndsOf
-import lichenstage.cluster.LeaderFrame
-import lichenstage.cluster.PartFrame
-import lichenstage.cluster.Parting
+import lichenstage.cluster.CompletionSyncReply
+import lichenstage.cluster.PartitionAssignment
+import lichenstage.cluster.PartitionFrame
+import lichenstage.cluster.PlacementFrame
 import lichenstage.cluster.Shape
 import lichenstage.jobs.JobReplica
 import lichenstage.jobs.JobSpec
@@ -137,7 +137,7 @@
 
     /** Zone a has two controllers and so two parts, zone c none of its own. */
     private val controllers = mapOf("n0" to "a", "n1" to "a", "n2" to "b")
-    private val parting = Parting(zones, controllers)
+    private val parting = PartitionAssignment(zones, controllers)
     private val teams =
         listOf("red", "blue").associateWith { Team(it, 0.0, 24.0, 0.0, Double.POSITIVE_INFINITY) }
     val checker = Checker(teams.mapValues { it.value.coresMax }, CANCEL_US)
@@ -466,7 +466,7 @@
             val question = node.replica.question("n${other.id}", now) ?: continue
             send("n${node.id}", "n${other.id}") {
                 if (!other.alive) return@send
-                val whole = EndsOf(question.life, question.askedUs, other.replica.hashCode().toLong(), 0, 0, emptyList(), true)
+                val whole = CompletionSyncReply(question.life, question.askedUs, other.replica.hashCode().toLong(), 0, 0, emptyList(), true)
                 val answer = other.replica.handOver(question) ?: whole.takeIf { sabotage == Sabotage.SPOKEN_FOR_PREDECESSOR }
                 if (answer == null) return@send
                 send("n${other.id}", "n${node.id}") {
@@ -962,7 +962,7 @@
 
     private fun deliver(
         node: Node,
-        frame: LeaderFrame,
+        frame: PlacementFrame,
     ) {
         if (!node.alive) return
         node.parts[frame.part]?.leader(frame, now)
@@ -982,7 +982,7 @@
 
     private fun toLeader(
         node: Node,
-        frame: PartFrame,
+        frame: PartitionFrame,
     ) {
         val to = owner[LEADER]?.first ?: return
         val life = nodes[to].life
