--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -32,9 +32,9 @@
 import lichenstage.jobs.JobsMessage
 import lichenstage.jobs.Pipelines
 import lichenstage.jobs.RecordLimits
-import lichenstage.part.PartActor
-import lichenstage.part.PartMessage
-import lichenstage.part.WorkerClient
+import lichenstage.partition.PartitionActor
+import lichenstage.partition.PartitionMessage
+import lichenstage.partition.WorkerClient
 import lichenstage.placement.LeaderActor
 import lichenstage.placement.LeaderMessage
 import lichenstage.state.StateClient
@@ -108,8 +108,8 @@
             feed::cancelled,
             scope,
         )
-    private val part =
-        PartActor(
+    private val partition =
+        PartitionActor(
             settings,
             authority,
             clock,
@@ -119,7 +119,7 @@
             replica,
             ::toLeader,
         )
-    private val api = HttpApi(vertx, settings.listen, jobs, part, metrics, clock, sockets, ::healthy)
+    private val api = HttpApi(vertx, settings.listen, jobs, partition, metrics, clock, sockets, ::healthy)
     private var leader: LeaderActor? = null
 
     fun start() {
@@ -128,7 +128,7 @@
         }
         metrics.gauge("leading") { if (leader != null) 1 else 0 }
         metrics.gauge("open_jobs") { leader?.openJobs ?: 0 }
-        metrics.gauge("machines") { part.machineCount }
+        metrics.gauge("machines") { partition.machineCount }
         metrics.gauge("served_connections") { sockets.served }
         metrics.gauge("heap_bytes") { Runtime.getRuntime().let { it.totalMemory() - it.freeMemory() } }
         api.start()
@@ -140,9 +140,9 @@
         scope.launch {
             while (isActive) {
                 delay(HAND_BACK_MS)
-                for (part in settings.parting.parts) {
-                    val home = settings.parting.home(part)
-                    if (home != null && home != settings.label && links.steady(home)) authority.release(part)
+                for (partition in settings.assignment.partitions) {
+                    val home = settings.assignment.home(partition)
+                    if (home != null && home != settings.label && links.steady(home)) authority.release(partition)
                 }
             }
         }
@@ -216,8 +216,8 @@
     ) {
         when (frame) {
             is Hello, is Ping, is RelayedFrame -> Unit
-            is PlacementFrame -> part.tell(PartMessage.FromLeader(frame))
-            is PartitionFrame -> leader?.tell(LeaderMessage.FromPart(frame))
+            is PlacementFrame -> partition.tell(PartitionMessage.FromLeader(frame))
+            is PartitionFrame -> leader?.tell(LeaderMessage.FromPartition(frame))
             is ForwardedRequest -> answer(from, frame)
             is ForwardedReply -> forwarder.answered(frame)
             is PledgeRequest -> authority.asked(from, frame)
--- a/src/main/kotlin/lichenstage/app/HttpApi.kt
+++ b/src/main/kotlin/lichenstage/app/HttpApi.kt
@@ -10,10 +10,10 @@
 import lichenstage.jobs.JobsActor
 import lichenstage.jobs.JobsMessage
 import lichenstage.jobs.Reply
-import lichenstage.part.PartActor
-import lichenstage.part.PartMessage
-import lichenstage.part.WorkerAnswer
-import lichenstage.part.WorkerCodec
+import lichenstage.partition.PartitionActor
+import lichenstage.partition.PartitionMessage
+import lichenstage.partition.WorkerAnswer
+import lichenstage.partition.WorkerCodec
 import org.slf4j.LoggerFactory
 
 /** The one address for users, workers and health checks: reads requests, passes them to the actors, writes answers. */
@@ -21,7 +21,7 @@
     private val vertx: Vertx,
     private val listen: Address,
     private val jobs: JobsActor,
-    private val part: PartActor,
+    private val partition: PartitionActor,
     private val metrics: Metrics,
     private val clock: Clock,
     private val sockets: Sockets,
@@ -148,7 +148,7 @@
             log.info("a report that can't be read from {}", request.remoteAddress())
             return fail(request, 400, "not a report")
         }
-        part.tell(PartMessage.Beat(report) { answer -> answer(request, answer) })
+        partition.tell(PartitionMessage.Beat(report) { answer -> answer(request, answer) })
     }
 
     private fun answer(
--- a/src/main/kotlin/lichenstage/app/Rehearsal.kt
+++ b/src/main/kotlin/lichenstage/app/Rehearsal.kt
@@ -9,10 +9,10 @@
 import lichenstage.jobs.JobRecord
 import lichenstage.jobs.JobSpec
 import lichenstage.jobs.Priority
-import lichenstage.part.Build
-import lichenstage.part.PartCore
-import lichenstage.part.ReportAnswer
-import lichenstage.part.WorkerCodec
+import lichenstage.partition.Build
+import lichenstage.partition.PartitionCore
+import lichenstage.partition.ReportAnswer
+import lichenstage.partition.WorkerCodec
 import lichenstage.placement.Effect
 import lichenstage.placement.Goals
 import lichenstage.placement.Job
@@ -73,19 +73,19 @@
         JobSpec("j-1", "c", "t", Priority.HIGH, 1, shape, null, null, false, false, true, "i", 1.0, SECOND, 0, 0, null, 0)
     leader.jobAdded(Job(JobRecord.decode(JobRecord.encode(spec)), 1, 0))
     leader.registered(mapOf("m" to "z/0"))
-    val part = PartCore("z/0", "z", 2, 20 * SECOND, SECOND, 0) { Build("b", shape) }
+    val partition = PartitionCore("z/0", "z", 2, 20 * SECOND, SECOND, 0) { Build("b", shape) }
     for (now in 1L..6L) {
-        val tasks = if (now < 5) "" else """{"part":"j-1/0","try":4294967297,"status":"ended","cause":"done"}"""
+        val tasks = if (now < 5) "" else """{"partition":"j-1/0","try":4294967297,"status":"ended","cause":"done"}"""
         val report =
-            """{"holdfast":"m","addr":"127.0.0.1:1","build":"b","yard":"z","tenure":1,"tally":$now,"warrant":2,"parts":[$tasks]}"""
-        (part.report(WorkerCodec.report(Buffer.buffer(report))!!, now * SECOND) as ReportAnswer.Accepted)
+            """{"holdfast":"m","addr":"127.0.0.1:1","build":"b","yard":"z","tenure":1,"tally":$now,"warrant":2,"partitions":[$tasks]}"""
+        (partition.report(WorkerCodec.report(Buffer.buffer(report))!!, now * SECOND) as ReportAnswer.Accepted)
             .let { WorkerCodec.orders(it.token, it.commands).encode() }
         leader.tick(now * SECOND)
-        sent.forEach { part.leader(it, now * SECOND) }
+        sent.forEach { partition.leader(it, now * SECOND) }
         sent.clear()
-        part.directOrders(now * SECOND)
-        part.tick(now * SECOND)
-        part.frame(now * SECOND)?.let { leader.frame(FrameCodec.decode(FrameCodec.encode(it)) as PartitionFrame, now * SECOND) }
+        partition.directOrders(now * SECOND)
+        partition.tick(now * SECOND)
+        partition.frame(now * SECOND)?.let { leader.frame(FrameCodec.decode(FrameCodec.encode(it)) as PartitionFrame, now * SECOND) }
     }
 }
 
--- a/src/main/kotlin/lichenstage/app/Settings.kt
+++ b/src/main/kotlin/lichenstage/app/Settings.kt
@@ -63,7 +63,7 @@
     val maxSockets: Int,
 ) {
     /** How the machines are parted among the controllers. */
-    val parting by lazy { PartitionAssignment(zones, peers.associate { it.label to it.zone } + (label to zone)) }
+    val assignment by lazy { PartitionAssignment(zones, peers.associate { it.label to it.zone } + (label to zone)) }
 
     companion object {
         /** Reads the platform's file; unknown fields are ignored, wrong ones are named. */
--- a/src/main/kotlin/lichenstage/authority/Authority.kt
+++ b/src/main/kotlin/lichenstage/authority/Authority.kt
@@ -39,7 +39,7 @@
  *
  * Every ownership takes a new term from one counter in the same guarded transaction (invariant 1), and the lease is
  * counted from the sending of the last renewal that succeeded, less drift and a margin (invariant 2). While the state
- * service is away from all, it goes on for as long as all other controllers promise to take nothing ([Pact]), else it pauses;
+ * service is away from all, it goes on for as long as all other controllers promise to take nothing ([CollectedPledges]), else it pauses;
  * where the service comes back with the lease alive, nobody else can have held the keys.
  */
 class Authority(
@@ -54,17 +54,17 @@
     private val lifeUs = (settings.workerLeaseUs / 4).coerceIn(2 * SECOND, 4 * SECOND)
     private val lease = LocalLease(lifeUs)
     private var renewedUs = Long.MIN_VALUE / 2
-    private val life = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis())
+    private val incarnation = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis())
     private val others = settings.peers.map { it.label }.toSet()
 
     /** Where the seeds leave somebody out, nobody can promise for all. */
-    private val pact = Pact(if (settings.count == others.size + 1) others else emptySet())
-    private val bond = Bond(clock.now())
+    private val collectedPledges = CollectedPledges(if (settings.count == others.size + 1) others else emptySet())
+    private val ownPledge = OwnPledge(clock.now())
 
     /** A try to take a key had no answer at this time: it may still succeed. */
     private var unclearUs = Long.MIN_VALUE / 2
-    private val parting = settings.parting
-    private val partKeys = parting.parts.map { PART + it }
+    private val assignment = settings.assignment
+    private val partitionKeys = assignment.partitions.map { PARTITION + it }
     private val keys = HashMap<String, Entry>()
 
     /** [keys] as holders, read once: they are asked for at every report. */
@@ -87,11 +87,20 @@
 
     fun leading(): Holder? = mine(LEADER)
 
-    fun owning(part: String): Holder? = mine(PART + part)
+    fun owning(partition: String): Holder? = mine(PARTITION + partition)
 
-    fun owner(part: String): Holder? = holder(PART + part)
+    fun owner(partition: String): Holder? = holder(PARTITION + partition)
 
-    fun view() = View(holder(LEADER), parting.parts.mapNotNull { part -> holder(PART + part)?.let { part to it } }.toMap())
+    fun view() =
+        View(
+            holder(LEADER),
+            assignment.partitions
+                .mapNotNull { partition ->
+                    holder(PARTITION + partition)?.let {
+                        partition to it
+                    }
+                }.toMap(),
+        )
 
     /** True once this process has seen the state of the keys at least once. */
     fun ready() = watching && entitled()
@@ -99,7 +108,7 @@
     fun start() {
         scope.launch { keepLease() }
         scope.launch { watch() }
-        scope.launch { keepPact() }
+        scope.launch { requestPledges() }
         scope.launch {
             while (true) {
                 delay(200)
@@ -113,11 +122,11 @@
      * transaction under way, does not promise: it may see our lease end and take over. One renewal without an answer is enough to
      * promise: who was refused alone before the others has little of its lease left when they notice.
      */
-    private suspend fun keepPact() {
+    private suspend fun requestPledges() {
         while (true) {
-            delay(PACT_MS)
+            delay(PLEDGE_REQUEST_MS)
             if (stateAnswers() || !entitled()) continue
-            val question = PledgeRequest(life, clock.now())
+            val question = PledgeRequest(incarnation, clock.now())
             others.forEach { send(it, question) }
         }
     }
@@ -128,17 +137,17 @@
     ) {
         val now = clock.now()
         if ((stateAnswers() && !unanswered) || acquiring || now - unclearUs < UNCLEAR_US) return
-        bond.bind(now)
-        send(from, Pledge(question.life, question.askedUs))
+        ownPledge.pledge(now)
+        send(from, Pledge(question.incarnation, question.askedUs))
     }
 
     fun answered(
         from: String,
         answer: Pledge,
     ) {
-        if (answer.life != life) return
-        pact.promised(from, answer.askedUs)
-        lease.vouched(pact.bindsUntil(), clock.now())
+        if (answer.incarnation != incarnation) return
+        collectedPledges.pledged(from, answer.askedUs)
+        lease.extendedByPledges(collectedPledges.pledgedUntilUs(), clock.now())
     }
 
     private fun mine(key: String) =
@@ -253,9 +262,9 @@
      * to a worker after the new owner has begun would extend a lease that the new owner counts as run out. A delete without
      * an answer is sent again until the key is gone, or the part would be nobody's.
      */
-    suspend fun release(part: String) {
-        val held = owning(part) ?: return
-        val key = PART + part
+    suspend fun release(partition: String) {
+        val held = owning(partition) ?: return
+        val key = PARTITION + partition
         // If its own controller does not take it although it seems well, the part must not go round and round.
         if (clock.now() - (takenUs[key] ?: 0) < LEAST_HELD_US) return
         givenUp += held.stamp
@@ -276,7 +285,7 @@
     private suspend fun acquireMissing() {
         if (!ready()) return
         val now = clock.now()
-        for (key in partKeys + LEADER) {
+        for (key in partitionKeys + LEADER) {
             if (keys.containsKey(key)) {
                 missingSinceUs.remove(key)
                 continue
@@ -294,7 +303,7 @@
         val labels = (settings.peers.map { it.label } + settings.label).sorted()
         val rank = labels.indexOf(settings.label)
         val held = holders.values.count { it.label == settings.label }
-        val home = parting.home(key.removePrefix(PART))
+        val home = assignment.home(key.removePrefix(PARTITION))
         return when {
             key == LEADER -> held * 150 * MILLI + rank * 50 * MILLI + if (roomy) 0 else 400 * MILLI
             home == settings.label -> 0
@@ -314,7 +323,7 @@
 
     private suspend fun acquire(key: String) {
         val held = lease.id ?: return
-        if (acquiring || !bond.free(clock.now())) return
+        if (acquiring || !ownPledge.free(clock.now())) return
         acquiring = true
         try {
             val counter = keys[TERMS]
@@ -352,9 +361,9 @@
     companion object {
         const val PREFIX = "c/"
         const val LEADER = "c/leader"
-        const val PART = "c/part/"
+        const val PARTITION = "c/part/"
         private const val TERMS = "c/terms"
-        private const val PACT_MS = 400L
+        private const val PLEDGE_REQUEST_MS = 400L
         private const val UNCLEAR_US = 120 * SECOND
         private const val LEAST_HELD_US = 12 * SECOND
         private const val HOME_FIRST_US = 3 * SECOND
--- a/src/main/kotlin/lichenstage/authority/Pact.kt
+++ b/src/main/kotlin/lichenstage/authority/CollectedPledges.kt
@@ -10,38 +10,38 @@
  * authority may go on through an outage for as long as all others are heard. Guards against workers whose leases run out, with all
  * that they run, because no controller dared to answer them.
  */
-class Pact(
+class CollectedPledges(
     private val others: Set<String>,
 ) {
     private val untilUs = HashMap<String, Long>()
 
     /** [other] answered a question that was asked at [askedUs]: it was bound no earlier than that. */
-    fun promised(
+    fun pledged(
         other: String,
         askedUs: Long,
     ) {
-        untilUs.merge(other, askedUs + BOUND_US, ::maxOf)
+        untilUs.merge(other, askedUs + PLEDGE_US, ::maxOf)
     }
 
     /** Until when nobody can take a key of ours; in the past where that can't be said. */
-    fun bindsUntil(): Long = if (others.isEmpty()) Long.MIN_VALUE else others.minOf { untilUs[it] ?: Long.MIN_VALUE }
+    fun pledgedUntilUs(): Long = if (others.isEmpty()) Long.MIN_VALUE else others.minOf { untilUs[it] ?: Long.MIN_VALUE }
 
     companion object {
-        const val BOUND_US = 2 * SECOND
+        const val PLEDGE_US = 2 * SECOND
     }
 }
 
 /** The other side: this process takes no key while it is bound, nor while a process before it may have been. */
-class Bond(
+class OwnPledge(
     startedUs: Long,
 ) {
-    private var boundUntilUs = startedUs + withDrift(Pact.BOUND_US) + MARGIN_US
+    private var pledgedUntilUs = startedUs + withDrift(CollectedPledges.PLEDGE_US) + MARGIN_US
 
-    fun bind(now: Long) {
-        boundUntilUs = maxOf(boundUntilUs, now + withDrift(Pact.BOUND_US) + MARGIN_US)
+    fun pledge(now: Long) {
+        pledgedUntilUs = maxOf(pledgedUntilUs, now + withDrift(CollectedPledges.PLEDGE_US) + MARGIN_US)
     }
 
-    fun free(now: Long) = now > boundUntilUs
+    fun free(now: Long) = now > pledgedUntilUs
 
     private companion object {
         const val MARGIN_US = SECOND / 10
--- a/src/main/kotlin/lichenstage/authority/LocalLease.kt
+++ b/src/main/kotlin/lichenstage/authority/LocalLease.kt
@@ -33,7 +33,7 @@
      * Nobody can take what hangs on the lease before [untilUs], whatever the service does. Counts only while the lease does: once
      * there was a gap, somebody else may hold the keys unseen.
      */
-    fun vouched(
+    fun extendedByPledges(
         untilUs: Long,
         now: Long,
     ) {
--- a/src/main/kotlin/lichenstage/cluster/Frames.kt
+++ b/src/main/kotlin/lichenstage/cluster/Frames.kt
@@ -46,13 +46,13 @@
 @Serializable
 sealed interface Frame
 
-/** Says who connects. [life] rises from process to process: what an earlier one had under way is not heard any more. */
+/** Says who connects. [incarnation] rises from process to process: what an earlier one had under way is not heard any more. */
 @Serializable
 @SerialName("lichenstage.cluster.Hello")
 data class Hello(
     val label: String,
     @SerialName("life")
-    val life: Long = 0,
+    val incarnation: Long = 0,
 ) : Frame
 
 /**
@@ -107,7 +107,7 @@
 @SerialName("lichenstage.cluster.LeaderFrame")
 data class PlacementFrame(
     @SerialName("part")
-    val part: String,
+    val partition: String,
     val term: Long,
     val seq: Long,
     @SerialName("ackTerm")
@@ -207,7 +207,7 @@
 @SerialName("lichenstage.cluster.PartFrame")
 data class PartitionFrame(
     @SerialName("part")
-    val part: String,
+    val partition: String,
     val term: Long,
     val ageUs: Long,
     val leaderTerm: Long,
@@ -229,12 +229,12 @@
     val stateAnswers: Boolean,
 ) : Frame
 
-/** Asks the receiver to take no key for a moment. [life] and [askedUs] are the asker's, and come back with the answer. */
+/** Asks the receiver to take no key for a moment. [incarnation] and [askedUs] are the asker's, and come back with the answer. */
 @Serializable
 @SerialName("lichenstage.cluster.Bind")
 data class PledgeRequest(
     @SerialName("life")
-    val life: Long,
+    val incarnation: Long,
     val askedUs: Long,
 ) : Frame
 
@@ -242,23 +242,23 @@
 @SerialName("lichenstage.cluster.Bound")
 data class Pledge(
     @SerialName("life")
-    val life: Long,
+    val incarnation: Long,
     val askedUs: Long,
 ) : Frame
 
 /**
- * Asks for all ends of jobs after [revision] that the receiver has learned of. [logLife] and [upTo]: the process whose log the asker has
- * taken in so far, and how much of it. [life] and [askedUs] are the asker's, and come back with the answer.
+ * Asks for all ends of jobs after [revision] that the receiver has learned of. [logIncarnation] and [upTo]: the process whose log the asker has
+ * taken in so far, and how much of it. [incarnation] and [askedUs] are the asker's, and come back with the answer.
  */
 @Serializable
 @SerialName("lichenstage.cluster.EndsSince")
 data class CompletionSyncRequest(
     @SerialName("life")
-    val life: Long,
+    val incarnation: Long,
     val askedUs: Long,
     val revision: Long,
     @SerialName("logLife")
-    val logLife: Long,
+    val logIncarnation: Long,
     @SerialName("upTo")
     val upTo: Long,
 ) : Frame
@@ -268,10 +268,10 @@
 @SerialName("lichenstage.cluster.EndsOf")
 data class CompletionSyncReply(
     @SerialName("life")
-    val life: Long,
+    val incarnation: Long,
     val askedUs: Long,
     @SerialName("logLife")
-    val logLife: Long,
+    val logIncarnation: Long,
     val since: Long,
     @SerialName("upTo")
     val upTo: Long,
--- a/src/main/kotlin/lichenstage/cluster/PartitionAssignment.kt
+++ b/src/main/kotlin/lichenstage/cluster/PartitionAssignment.kt
@@ -27,20 +27,20 @@
         }
     }
 
-    val parts: List<String> = homes.keys.toList()
+    val partitions: List<String> = homes.keys.toList()
 
     /** The controller that normally owns the part; null where its zone has none. */
-    fun home(part: String): String? = homes[part]
+    fun home(partition: String): String? = homes[partition]
 
-    fun zone(part: String): String? = zoneOf[part]
+    fun zone(partition: String): String? = zoneOf[partition]
 
     /** Null for a zone that the deployment does not have. */
-    fun partOf(
+    fun partitionOf(
         machine: String,
         zone: String,
     ): String? {
-        val parts = byZone[zone] ?: return null
-        return if (parts.size == 1) parts[0] else parts[Math.floorMod(spread(machine), parts.size)]
+        val partitions = byZone[zone] ?: return null
+        return if (partitions.size == 1) partitions[0] else partitions[Math.floorMod(spread(machine), partitions.size)]
     }
 
     /** Names that differ only in their last digit must not fall into one part. */
--- a/src/main/kotlin/lichenstage/cluster/PeerLinks.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerLinks.kt
@@ -39,7 +39,7 @@
 
     /** Of each controller, the newest process that has connected. */
     private val lives = HashMap<String, Long>()
-    private val life = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis())
+    private val incarnation = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis())
     private val client = vertx.createNetClient(NetClientOptions().setConnectTimeout(1500).setTcpNoDelay(true))
 
     fun start() {
@@ -108,7 +108,7 @@
                 socket.closeHandler { closed.complete(Unit) }
                 socket.exceptionHandler { socket.close() }
                 socket.handler { }
-                socket.write(packed(Hello(settings.label, life)))
+                socket.write(packed(Hello(settings.label, incarnation)))
                 sockets[peer.label] = socket
                 pauseMs = 200
                 closed.await()
@@ -146,8 +146,8 @@
                 when {
                     frame is Hello -> {
                         label = frame.label
-                        itsLife = frame.life
-                        lives.merge(frame.label, frame.life, ::maxOf)
+                        itsLife = frame.incarnation
+                        lives.merge(frame.label, frame.incarnation, ::maxOf)
                     }
 
                     // What a process had under way that has been followed by another is not heard any more.
--- a/src/main/kotlin/lichenstage/fleet/Catalog.kt
+++ b/src/main/kotlin/lichenstage/fleet/Catalog.kt
@@ -7,7 +7,7 @@
 import kotlinx.coroutines.isActive
 import kotlinx.coroutines.launch
 import lichenstage.cluster.Shape
-import lichenstage.part.Build
+import lichenstage.partition.Build
 import lichenstage.state.Change
 import lichenstage.state.Read
 import lichenstage.state.StateClient
--- a/src/main/kotlin/lichenstage/jobs/DoneRanges.kt
+++ b/src/main/kotlin/lichenstage/jobs/DoneRanges.kt
@@ -26,9 +26,9 @@
         done: BitSet,
         chunk: Int,
     ): JsonObject {
-        val part = done.get(chunk * CHUNK, (chunk + 1) * CHUNK)
-        val ranges = ranges(part)
-        val bitmap = Base64.getEncoder().encodeToString(part.toByteArray())
+        val partition = done.get(chunk * CHUNK, (chunk + 1) * CHUNK)
+        val ranges = ranges(partition)
+        val bitmap = Base64.getEncoder().encodeToString(partition.toByteArray())
         return if (ranges.length <= bitmap.length) JsonObject().put("ranges", ranges) else JsonObject().put("bits", bitmap)
     }
 
@@ -41,27 +41,27 @@
         chunk: Int,
         mostBytes: Int,
     ): BitSet {
-        val part = done.get(chunk * CHUNK, (chunk + 1) * CHUNK)
+        val partition = done.get(chunk * CHUNK, (chunk + 1) * CHUNK)
         val room = mostBytes - FORM_BYTES
-        if (minOf(ranges(part).length, (part.length() + 7) / 8 * 4 / 3 + 4) <= room) return part
-        val asBits = part.get(0, room * 3 / 4 / 3 * 3 * 8)
-        val asRanges = firstRanges(part, room)
+        if (minOf(ranges(partition).length, (partition.length() + 7) / 8 * 4 / 3 + 4) <= room) return partition
+        val asBits = partition.get(0, room * 3 / 4 / 3 * 3 * 8)
+        val asRanges = firstRanges(partition, room)
         return if (asBits.cardinality() >= asRanges.cardinality()) asBits else asRanges
     }
 
     private fun firstRanges(
-        part: BitSet,
+        partition: BitSet,
         room: Int,
     ): BitSet {
         val first = BitSet()
         var left = room
-        var from = part.nextSetBit(0)
+        var from = partition.nextSetBit(0)
         while (from >= 0) {
-            val end = part.nextClearBit(from)
+            val end = partition.nextClearBit(from)
             left -= "$from-${end - 1},".length
             if (left < 0) break
             first.set(from, end)
-            from = part.nextSetBit(end)
+            from = partition.nextSetBit(end)
         }
         return first
     }
@@ -75,11 +75,11 @@
         val base = chunk * CHUNK
         val bits = value.getString("bits")
         if (bits != null) {
-            val part = BitSet.valueOf(Base64.getDecoder().decode(bits))
-            var i = part.nextSetBit(0)
+            val partition = BitSet.valueOf(Base64.getDecoder().decode(bits))
+            var i = partition.nextSetBit(0)
             while (i >= 0) {
                 done.set(base + i)
-                i = part.nextSetBit(i + 1)
+                i = partition.nextSetBit(i + 1)
             }
             return
         }
@@ -90,15 +90,15 @@
         }
     }
 
-    private fun ranges(part: BitSet): String {
+    private fun ranges(partition: BitSet): String {
         val text = StringBuilder()
-        var from = part.nextSetBit(0)
+        var from = partition.nextSetBit(0)
         while (from >= 0) {
-            val end = part.nextClearBit(from)
+            val end = partition.nextClearBit(from)
             if (text.isNotEmpty()) text.append(',')
             text.append(from)
             if (end - 1 > from) text.append('-').append(end - 1)
-            from = part.nextSetBit(end)
+            from = partition.nextSetBit(end)
         }
         return text.toString()
     }
--- a/src/main/kotlin/lichenstage/jobs/JobReplica.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplica.kt
@@ -21,7 +21,7 @@
  */
 class JobReplica(
     /** Rises from process to process: names the log of this one. */
-    private val life: Long,
+    private val incarnation: Long,
     /** Null where they are not all known, so that nobody can speak for all. */
     private val others: Set<String>?,
     private val boundUs: Long,
@@ -33,7 +33,7 @@
 
     /** What was taken of another controller's log, and as of when that was all that it knew. */
     private class Heard(
-        val life: Long,
+        val incarnation: Long,
         var upTo: Long,
         var allUs: Long = Long.MIN_VALUE,
     )
@@ -126,13 +126,13 @@
     ): CompletionSyncRequest? {
         if (revision < 0) return null
         val known = heard[other]
-        return CompletionSyncRequest(life, now, revision, known?.life ?: 0, known?.upTo ?: 0)
+        return CompletionSyncRequest(incarnation, now, revision, known?.incarnation ?: 0, known?.upTo ?: 0)
     }
 
     /** The answer to another controller's question, a piece at a time; null where this one can't know all that users were told. */
     fun handOver(question: CompletionSyncRequest): CompletionSyncReply? {
         if (revision < 0 || question.revision < base) return null
-        val since = if (question.logLife == life) maxOf(question.upTo, first) else first
+        val since = if (question.logIncarnation == incarnation) maxOf(question.upTo, first) else first
         val end = first + log.size
         val jobs = ArrayList<String>()
         var upTo = since
@@ -141,7 +141,7 @@
             if (next.revision > question.revision) jobs += next.job
             upTo++
         }
-        return CompletionSyncReply(question.life, question.askedUs, life, since, upTo, jobs, whole = upTo == end)
+        return CompletionSyncReply(question.incarnation, question.askedUs, incarnation, since, upTo, jobs, whole = upTo == end)
     }
 
     /** Takes in what [other] answered; returns the ends that are news. */
@@ -149,8 +149,10 @@
         other: String,
         answer: CompletionSyncReply,
     ): List<String> {
-        if (answer.life != life) return emptyList()
-        val known = heard[other]?.takeIf { it.life == answer.logLife } ?: Heard(answer.logLife, answer.since).also { heard[other] = it }
+        if (answer.incarnation != incarnation) return emptyList()
+        val known =
+            heard[other]?.takeIf { it.incarnation == answer.logIncarnation }
+                ?: Heard(answer.logIncarnation, answer.since).also { heard[other] = it }
         // A piece that doesn't join what was taken would leave some out unseen; it is asked for again.
         if (answer.since > known.upTo) return emptyList()
         known.upTo = maxOf(known.upTo, answer.upTo)
--- a/src/main/kotlin/lichenstage/part/Lines.kt
+++ b/src/main/kotlin/lichenstage/partition/Lines.kt
@@ -1,4 +1,4 @@
-package lichenstage.part
+package lichenstage.partition
 
 /**
  * Connections that may be kept for orders: at most [most] at a time, the ones that are in use among them. One that is idle is closed
--- a/src/main/kotlin/lichenstage/part/Machine.kt
+++ b/src/main/kotlin/lichenstage/partition/Machine.kt
@@ -1,4 +1,4 @@
-package lichenstage.part
+package lichenstage.partition
 
 import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap
 import it.unimi.dsi.fastutil.longs.LongArrayList
--- a/src/main/kotlin/lichenstage/part/PartActor.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionActor.kt
@@ -1,4 +1,4 @@
-package lichenstage.part
+package lichenstage.partition
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
@@ -27,35 +27,35 @@
     data object NotNow : WorkerAnswer
 }
 
-sealed interface PartMessage {
+sealed interface PartitionMessage {
     data class Beat(
         val report: Report,
         val answer: (WorkerAnswer) -> Unit,
-    ) : PartMessage
+    ) : PartitionMessage
 
     data class FromLeader(
         val frame: PlacementFrame,
-    ) : PartMessage
+    ) : PartitionMessage
 
     data class Ordered(
-        val part: String,
+        val partition: String,
         val term: Long,
         val order: DirectOrder,
         val outcome: OrderOutcome,
-    ) : PartMessage
+    ) : PartitionMessage
 
     data class Probed(
-        val part: String,
+        val partition: String,
         val term: Long,
         val probe: Probe,
         val report: Report?,
-    ) : PartMessage
+    ) : PartitionMessage
 
-    data object Tick : PartMessage
+    data object Tick : PartitionMessage
 }
 
 /** Holds the parts that this process owns. */
-class PartActor(
+class PartitionActor(
     private val settings: Settings,
     private val authority: Authority,
     private val clock: Clock,
@@ -65,101 +65,101 @@
     private val replica: JobReplica,
     private val toLeader: (PartitionFrame) -> Unit,
 ) {
-    private val log = LoggerFactory.getLogger("lichenstage.part")
-    private val parting = settings.parting
-    private val parts = HashMap<String, PartCore>()
+    private val log = LoggerFactory.getLogger("lichenstage.partition")
+    private val assignment = settings.assignment
+    private val partitions = HashMap<String, PartitionCore>()
     private val mailbox = Mailbox("part", scope, ::handle, shed = ::shed)
 
     init {
         scope.launch {
             while (isActive) {
                 delay(TICK_MS)
-                mailbox.tell(PartMessage.Tick)
+                mailbox.tell(PartitionMessage.Tick)
             }
         }
     }
 
-    fun tell(message: PartMessage) = mailbox.tell(message)
+    fun tell(message: PartitionMessage) = mailbox.tell(message)
 
-    val machineCount get() = parts.values.sumOf { it.machineCount }
+    val machineCount get() = partitions.values.sumOf { it.machineCount }
 
     /** Reports and frames come again. */
-    private fun shed(message: PartMessage): Boolean {
-        if (message is PartMessage.Beat) message.answer(WorkerAnswer.NotNow)
-        return message is PartMessage.Beat || message is PartMessage.FromLeader || message is PartMessage.Tick
+    private fun shed(message: PartitionMessage): Boolean {
+        if (message is PartitionMessage.Beat) message.answer(WorkerAnswer.NotNow)
+        return message is PartitionMessage.Beat || message is PartitionMessage.FromLeader || message is PartitionMessage.Tick
     }
 
-    private fun handle(message: PartMessage) {
+    private fun handle(message: PartitionMessage) {
         val now = clock.now()
         when (message) {
-            is PartMessage.Beat -> {
+            is PartitionMessage.Beat -> {
                 beat(message, now)
             }
 
-            is PartMessage.FromLeader -> {
+            is PartitionMessage.FromLeader -> {
                 refresh(now)
-                parts[message.frame.part]?.let {
+                partitions[message.frame.partition]?.let {
                     it.leader(message.frame, now)
                     pump(it, now)
                 }
             }
 
-            is PartMessage.Ordered -> {
-                current(message.part, message.term)?.let {
+            is PartitionMessage.Ordered -> {
+                current(message.partition, message.term)?.let {
                     it.ordered(message.order, message.outcome, now)
                     pump(it, now)
                 }
             }
 
-            is PartMessage.Probed -> {
-                current(message.part, message.term)?.let {
+            is PartitionMessage.Probed -> {
+                current(message.partition, message.term)?.let {
                     it.probed(message.probe, message.report, now)
                     pump(it, now)
                 }
             }
 
-            PartMessage.Tick -> {
+            PartitionMessage.Tick -> {
                 refresh(now)
-                for (part in parts.values) {
-                    part.tick(now)
-                    if (!entitled(part)) continue
-                    part.probes(now, workers.free / 2).forEach { probe(part, it) }
-                    pump(part, now)
+                for (partition in partitions.values) {
+                    partition.tick(now)
+                    if (!entitled(partition)) continue
+                    partition.probes(now, workers.free / 2).forEach { probe(partition, it) }
+                    pump(partition, now)
                 }
             }
         }
     }
 
     private fun current(
-        part: String,
+        partition: String,
         term: Long,
-    ) = parts[part]?.takeIf { it.term == term }
+    ) = partitions[partition]?.takeIf { it.term == term }
 
     /** Holding the part is not enough: an answer renews a lease, and must not keep alive what a user was told is cancelled (invariant 15). */
-    private fun entitled(part: PartCore) = authority.owning(part.id)?.term == part.term && replica.current(clock.now())
+    private fun entitled(partition: PartitionCore) = authority.owning(partition.id)?.term == partition.term && replica.current(clock.now())
 
     /** Nothing is ordered or offered without authority; what is due then goes out when it is back. */
     private fun pump(
-        part: PartCore,
+        partition: PartitionCore,
         now: Long,
     ) {
-        if (!entitled(part)) return
-        part.directOrders(now, workers.free).forEach { send(part, it) }
-        part.frame(now)?.let(toLeader)
+        if (!entitled(partition)) return
+        partition.directOrders(now, workers.free).forEach { send(partition, it) }
+        partition.frame(now)?.let(toLeader)
     }
 
     /** Follows the ownership of keys. A part whose authority only pauses keeps what it knows. */
     private fun refresh(now: Long) {
-        for (id in parting.parts) {
+        for (id in assignment.partitions) {
             val owner = authority.owner(id)
-            val part = parts[id]
-            if (part != null && owner != null && owner.term > part.term) parts.remove(id)
+            val partition = partitions[id]
+            if (partition != null && owner != null && owner.term > partition.term) partitions.remove(id)
             val mine = authority.owning(id) ?: continue
-            if (parts[id]?.term != mine.term) {
-                parts[id] =
-                    PartCore(
+            if (partitions[id]?.term != mine.term) {
+                partitions[id] =
+                    PartitionCore(
                         id,
-                        parting.zone(id)!!,
+                        assignment.zone(id)!!,
                         mine.term,
                         settings.workerLeaseUs,
                         settings.reportUs,
@@ -173,23 +173,23 @@
     }
 
     private fun beat(
-        message: PartMessage.Beat,
+        message: PartitionMessage.Beat,
         now: Long,
     ) {
         val report = message.report
-        val id = parting.partOf(report.machine, report.zone)
+        val id = assignment.partitionOf(report.machine, report.zone)
         if (id == null) {
             message.answer(WorkerAnswer.NotNow)
             return
         }
-        if (parts[id] == null) refresh(now)
-        val part = parts[id]
-        if (part != null && entitled(part)) {
-            when (val outcome = part.report(report, now)) {
+        if (partitions[id] == null) refresh(now)
+        val partition = partitions[id]
+        if (partition != null && entitled(partition)) {
+            when (val outcome = partition.report(report, now)) {
                 is ReportAnswer.Accepted -> message.answer(WorkerAnswer.Take(outcome.token, outcome.commands))
                 ReportAnswer.Superseded -> message.answer(WorkerAnswer.NotNow)
             }
-            pump(part, now)
+            pump(partition, now)
         } else {
             val owner = authority.owner(id)?.label
             message.answer(if (owner != null && owner != settings.label) WorkerAnswer.GoTo(owner) else WorkerAnswer.NotNow)
@@ -197,20 +197,20 @@
     }
 
     private fun send(
-        part: PartCore,
+        partition: PartitionCore,
         order: DirectOrder,
     ) {
         scope.launch {
-            val outcome = workers.send(order, part.term)
-            mailbox.tell(PartMessage.Ordered(part.id, part.term, order, outcome))
+            val outcome = workers.send(order, partition.term)
+            mailbox.tell(PartitionMessage.Ordered(partition.id, partition.term, order, outcome))
         }
     }
 
     private fun probe(
-        part: PartCore,
+        partition: PartitionCore,
         probe: Probe,
     ) {
-        scope.launch { mailbox.tell(PartMessage.Probed(part.id, part.term, probe, workers.probe(probe, part.term))) }
+        scope.launch { mailbox.tell(PartitionMessage.Probed(partition.id, partition.term, probe, workers.probe(probe, partition.term))) }
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/part/PartCore.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionCore.kt
@@ -1,4 +1,4 @@
-package lichenstage.part
+package lichenstage.partition
 
 import lichenstage.app.MILLI
 import lichenstage.app.SECOND
@@ -70,7 +70,7 @@
  * Plain code: reports, leader frames and order outcomes come in with the time, answers and effects go out. A report or a frame
  * costs by what it changes, never by how many machines there are: what has changed and what has orders due is kept apart.
  */
-class PartCore(
+class PartitionCore(
     val id: String,
     private val zone: String,
     val term: Long,
@@ -626,7 +626,7 @@
         if (whole) toldSeq = seq
         val frame =
             PartitionFrame(
-                part = id,
+                partition = id,
                 term = term,
                 ageUs = now - acquiredUs,
                 leaderTerm = leaderTerm,
--- a/src/main/kotlin/lichenstage/part/Wire.kt
+++ b/src/main/kotlin/lichenstage/partition/Wire.kt
@@ -1,4 +1,4 @@
-package lichenstage.part
+package lichenstage.partition
 
 import com.fasterxml.jackson.core.JsonFactory
 import com.fasterxml.jackson.core.JsonParser
--- a/src/main/kotlin/lichenstage/part/WorkerClient.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerClient.kt
@@ -1,4 +1,4 @@
-package lichenstage.part
+package lichenstage.partition
 
 import io.micrometer.core.instrument.Counter
 import io.vertx.core.Vertx
--- a/src/main/kotlin/lichenstage/placement/Briefing.kt
+++ b/src/main/kotlin/lichenstage/placement/Briefing.kt
@@ -12,24 +12,24 @@
     /** What is known of jobs and machines goes to a part until it has shown that it got it; later jobs come with requests. */
     fun informed(
         id: String,
-        part: PartState?,
+        partition: PartitionState?,
         seq: Long,
     ): Boolean {
-        val first = informedBy.getOrPut("$id ${part?.term}") { seq }
-        return part != null && part.receivedSeq >= first
+        val first = informedBy.getOrPut("$id ${partition?.term}") { seq }
+        return partition != null && partition.receivedSeq >= first
     }
 
     /** The machines of a part that get no tasks, where that has changed or was told long ago. */
     fun closedNews(
         id: String,
-        part: PartState?,
+        partition: PartitionState?,
         now: Long,
         closed: (String) -> Boolean,
     ): Set<String>? {
-        if (part == null) return null
+        if (partition == null) return null
         val due = now - (closedToldUs[id] ?: (Long.MIN_VALUE / 2))
         if (due < CLOSED_US) return null
-        val here = part.machines.keys.filterTo(HashSet(), closed)
+        val here = partition.machines.keys.filterTo(HashSet(), closed)
         if (here == closedTold[id] && due < CLOSED_AGAIN_US) return null
         closedTold[id] = here
         closedToldUs[id] = now
--- a/src/main/kotlin/lichenstage/placement/Choice.kt
+++ b/src/main/kotlin/lichenstage/placement/Choice.kt
@@ -6,7 +6,7 @@
 
 /** A held place that may be chosen. */
 data class Place(
-    val part: String,
+    val partition: String,
     val machine: String,
 )
 
@@ -23,15 +23,15 @@
         zoneOf: (String) -> String,
         zoneRoom: (String) -> Int,
     ): List<Place> {
-        val partOf = HashMap<String, String>()
-        for ((part, held) in offers) held.forEach { partOf[it.machine] = part }
+        val partitionOf = HashMap<String, String>()
+        for ((partition, held) in offers) held.forEach { partitionOf[it.machine] = partition }
         val allowed =
             offers.entries
                 .groupBy({ zoneOf(it.key) }, { it.value })
                 .flatMap { (zone, held) -> PlacementScore.take(held.flatten(), minOf(most, zoneRoom(zone))) }
         return PlacementScore
             .take(allowed, most)
-            .flatMap { held -> List(held.count) { Place(partOf.getValue(held.machine), held.machine) } }
+            .flatMap { held -> List(held.count) { Place(partitionOf.getValue(held.machine), held.machine) } }
     }
 
     /** For a job whose tasks must share a zone: the zone that offers most. */
@@ -41,7 +41,7 @@
     ): String? =
         offers.entries
             .groupBy { zoneOf(it.key) }
-            .maxByOrNull { (_, parts) -> parts.sumOf { part -> part.value.sumOf { it.count } } }
+            .maxByOrNull { (_, partitions) -> partitions.sumOf { partition -> partition.value.sumOf { it.count } } }
             ?.key
 }
 
@@ -59,18 +59,18 @@
 
     /** Takes an offer; after each, the wait is [betaUs] from now. */
     fun offered(
-        part: String,
+        partition: String,
         stamp: Long,
         held: List<HeldSlots>,
         now: Long,
         betaUs: Long,
     ) {
         if (stamp !in stamps) return
-        offers.getOrPut(stamp) { HashMap() }[part] = held
-        if (answered.add(part)) deadlineUs = now + betaUs
+        offers.getOrPut(stamp) { HashMap() }[partition] = held
+        if (answered.add(partition)) deadlineUs = now + betaUs
     }
 
-    fun heardFrom(parts: Set<String>) = answered.containsAll(parts)
+    fun heardFrom(partitions: Set<String>) = answered.containsAll(partitions)
 
     fun of(stamp: Long): Map<String, List<HeldSlots>> = offers[stamp] ?: emptyMap()
 }
--- a/src/main/kotlin/lichenstage/placement/Effect.kt
+++ b/src/main/kotlin/lichenstage/placement/Effect.kt
@@ -13,7 +13,7 @@
 /** What the leader's decisions ask of the outside. */
 sealed interface Effect {
     data class Send(
-        val part: String,
+        val partition: String,
         val frame: PlacementFrame,
     ) : Effect
 
--- a/src/main/kotlin/lichenstage/placement/Job.kt
+++ b/src/main/kotlin/lichenstage/placement/Job.kt
@@ -13,10 +13,10 @@
     val index: Int,
     val number: Long,
     val machine: String,
-    val part: String,
+    val partition: String,
 ) {
     /** The part's ownership term and the frame in which the start went out: what is older than these tells nothing of it. */
-    var partTerm = 0L
+    var partitionTerm = 0L
     var seq = 0L
     var phase = TaskPhase.PENDING
     val task get() = taskName(job.spec.id, index)
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -44,7 +44,7 @@
 import kotlinx.coroutines.Job as Running
 
 sealed interface LeaderMessage {
-    data class FromPart(
+    data class FromPartition(
         val frame: PartitionFrame,
     ) : LeaderMessage
 
@@ -137,7 +137,7 @@
         LeaderCore(
             term,
             stamp,
-            settings.parting,
+            settings.assignment,
             settings.teams,
             settings.workerLeaseUs,
             timers,
@@ -155,7 +155,7 @@
     private val owned = OwnedKeys(state)
     private val forecast = Forecast(clock.now())
     private val fleet = FleetCore(term, policy, forecast)
-    private val mailbox = Mailbox("leader", scope, ::handle, shed = { it is LeaderMessage.FromPart || it is LeaderMessage.Tick })
+    private val mailbox = Mailbox("leader", scope, ::handle, shed = { it is LeaderMessage.FromPartition || it is LeaderMessage.Tick })
     private var loaded = false
 
     /** Jobs that wait for others. */
@@ -256,7 +256,7 @@
                 message.jobs.forEach { closed(JobRecord.OPEN + it.spec.id) }
             }
 
-            is LeaderMessage.FromPart -> {
+            is LeaderMessage.FromPartition -> {
                 if (loaded) core.frame(message.frame, now)
             }
 
@@ -332,12 +332,12 @@
     }
 
     private fun known(machine: Registered) {
-        val part = settings.parting.partOf(machine.name, machine.zone)
-        if (part == null) {
+        val partition = settings.assignment.partitionOf(machine.name, machine.zone)
+        if (partition == null) {
             log.error("machine {} is recorded in {}, which is no zone of this deployment", machine.name, machine.zone)
             return
         }
-        core.inherited(listOf(Inherited(machine.name, part, machine.build, machine.address)))
+        core.inherited(listOf(Inherited(machine.name, partition, machine.build, machine.address)))
         fleet.known(machine.name, machine.build, machine.zone, machine.spot, 0, clock.now())
     }
 
@@ -421,7 +421,7 @@
 
     private fun effect(effect: Effect) {
         when (effect) {
-            is Effect.Send -> authority.owner(effect.part)?.let { send(it.label, effect.frame) }
+            is Effect.Send -> authority.owner(effect.partition)?.let { send(it.label, effect.frame) }
             is Effect.WriteRanges -> scope.launch { writeRanges(effect.news) }
             is Effect.Finish -> scope.launch { finish(effect.job) }
         }
@@ -480,13 +480,13 @@
 
     private fun observe(now: Long) {
         fleet.flavors = catalog.flavors
-        for ((id, part) in core.parts) {
-            val zone = settings.parting.zone(id) ?: continue
-            part.machines.values.forEach { fleet.known(it.name, it.build, zone, it.spot, 0, now) }
+        for ((id, partition) in core.partitions) {
+            val zone = settings.assignment.zone(id) ?: continue
+            partition.machines.values.forEach { fleet.known(it.name, it.build, zone, it.spot, 0, now) }
         }
         fleet.fence(core.blockers())
         val views =
-            core.parts.values
+            core.partitions.values
                 .flatMap { it.machines.values }
                 .associateBy { it.name }
         val readiness = core.expectedReadiness(now)
@@ -571,7 +571,7 @@
         val closing = fleet.closing()
         for ((id, view) in core.unregistered()) {
             if (view.name in closing || view.name in registry) continue
-            registry.add(Registered(view.name, view.build, settings.parting.zone(id)!!, view.spot, view.address))
+            registry.add(Registered(view.name, view.build, settings.assignment.zone(id)!!, view.spot, view.address))
         }
         val pages = registry.due(settings.txnOps)
         if (pages.isEmpty()) return
@@ -587,7 +587,7 @@
         registryBusy = false
         if (!message.ok) return registry.notWritten(message.pages)
         val news = message.pages.flatMap { it.machines }.filter { it.name !in core.registry }
-        core.registered(news.associate { it.name to settings.parting.partOf(it.name, it.zone)!! })
+        core.registered(news.associate { it.name to settings.assignment.partitionOf(it.name, it.zone)!! })
     }
 
     private fun returned(names: List<String>) {
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -31,7 +31,7 @@
 )
 
 /** What the leader knows of one part. */
-class PartState(
+class PartitionState(
     val term: Long,
 ) {
     var version = 0L
@@ -56,7 +56,7 @@
 class LeaderCore(
     val term: Long,
     private val stamp: Long,
-    private val parting: PartitionAssignment,
+    private val assignment: PartitionAssignment,
     teams: Map<String, Team>,
     private val leaseUs: Long,
     private val timers: Timers,
@@ -70,11 +70,11 @@
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.placement")
     val jobs = LinkedHashMap<String, Job>()
-    val parts = HashMap<String, PartState>()
+    val partitions = HashMap<String, PartitionState>()
 
     /** Names that the state service holds, with the part of each: only these may get tasks (invariant 4). */
     val registry = HashMap<String, String>()
-    private val takeover = Takeover(leaseUs) { parts[it] }
+    private val takeover = Takeover(leaseUs) { partitions[it] }
     private val addresses = HashMap<String, String>()
 
     /** Machines proven gone: a late word about one is not believed. */
@@ -118,7 +118,7 @@
     /** The machines that were registered before this term. */
     fun inherited(machines: Collection<Inherited>) {
         machines.forEach {
-            registry[it.name] = it.part
+            registry[it.name] = it.partition
             takeover.await(it)
             it.address?.let { address -> addresses[it.name] = address }
         }
@@ -135,8 +135,8 @@
      * this term: a late copy of a report must not bring back a machine that is gone.
      */
     fun unregistered(): List<Pair<String, MachineState>> =
-        parts.flatMap { (id, part) ->
-            part.machines.values
+        partitions.flatMap { (id, partition) ->
+            partition.machines.values
                 .filter { it.settled && !it.lost && it.name !in registry }
                 .map { id to it }
         }
@@ -154,7 +154,7 @@
         // A job accepted within this term can't have been started by an earlier leader.
         val fresh = job.stamp > stamp
         if (job.ready && (complete || fresh)) job.open()
-        if (!fresh) parts.keys.forEach { adopt(job, it) }
+        if (!fresh) partitions.keys.forEach { adopt(job, it) }
         if (job.complete) recorder.note(job, Long.MIN_VALUE / 2)
     }
 
@@ -193,11 +193,11 @@
         job: Job,
         id: String,
     ) {
-        val part = parts[id] ?: return
-        for (view in part.machines.values) {
+        val partition = partitions[id] ?: return
+        for (view in partition.machines.values) {
             val here = view.tasks.filter { it.job == job.spec.id }
             if (here.isEmpty()) continue
-            here.forEach { listed(id, part, view, it, 0) }
+            here.forEach { listed(id, partition, view, it, 0) }
             collect(id, view)
         }
     }
@@ -206,42 +206,42 @@
         frame: PartitionFrame,
         now: Long,
     ) {
-        if (frame.leaderTerm != term || parting.zone(frame.part) == null) return
-        var part = parts[frame.part]
-        if (part != null && frame.term < part.term) return
-        if (part == null || frame.term > part.term) {
-            part = PartState(frame.term)
-            parts[frame.part] = part
-            orders.forget(frame.part)
-            poked += frame.part
+        if (frame.leaderTerm != term || assignment.zone(frame.partition) == null) return
+        var partition = partitions[frame.partition]
+        if (partition != null && frame.term < partition.term) return
+        if (partition == null || frame.term > partition.term) {
+            partition = PartitionState(frame.term)
+            partitions[frame.partition] = partition
+            orders.forget(frame.partition)
+            poked += frame.partition
         }
         // A frame that builds on what was acknowledged never skips a change; one that does is of another time.
-        if (frame.since > part.version || frame.version < part.version || frame.seq < part.seq) return
-        part.version = frame.version
-        part.seq = frame.seq
-        part.receivedSeq = frame.receivedSeq
-        if (frame.whole) part.ageUs = frame.ageUs
-        part.heardUs = now
+        if (frame.since > partition.version || frame.version < partition.version || frame.seq < partition.seq) return
+        partition.version = frame.version
+        partition.seq = frame.seq
+        partition.receivedSeq = frame.receivedSeq
+        if (frame.whole) partition.ageUs = frame.ageUs
+        partition.heardUs = now
         for (news in frame.machines) {
             if (news.name in retired) continue
-            val view = news.after(part.machines[news.name])
-            part.machines[view.name] = view
+            val view = news.after(partition.machines[news.name])
+            partition.machines[view.name] = view
             addresses[view.name] = view.address
             checkpointStops.seen(view, now)
             worthAsking = true
-            poked += frame.part
-            for (task in news.tasks) listed(frame.part, part, view, task, now)
-            giveUp(ledger.on(view.name).filter { it.part == frame.part && absent(it, part) })
-            collect(frame.part, view)
+            poked += frame.partition
+            for (task in news.tasks) listed(frame.partition, partition, view, task, now)
+            giveUp(ledger.on(view.name).filter { it.partition == frame.partition && absent(it, partition) })
+            collect(frame.partition, view)
         }
-        round?.let { current -> frame.offers.forEach { current.offered(frame.part, it.stamp, it.held, now, timers.betaUs) } }
+        round?.let { current -> frame.offers.forEach { current.offered(frame.partition, it.stamp, it.held, now, timers.betaUs) } }
         checkComplete()
     }
 
     /** What a part says of a task on a machine. */
     private fun listed(
         id: String,
-        part: PartState,
+        partition: PartitionState,
         view: MachineState,
         task: TaskState,
         now: Long,
@@ -274,8 +274,8 @@
             // Of two the newer is the real one: it was started only once the older was known to be gone, and what lists the older
             // is a machine that was given back with no time left to record it.
             val attempt = Attempt(job, index, task.attempt, view.name, id)
-            attempt.partTerm = part.term
-            attempt.seq = part.seq
+            attempt.partitionTerm = partition.term
+            attempt.seq = partition.seq
             attempt.phase = task.phase
             if (known != null) supplant(known)
             ledger.track(attempt)
@@ -289,7 +289,7 @@
         log.info("{} try {} on {} was followed by another", attempt.task, attempt.number, attempt.machine)
         ledger.remove(attempt)
         checkpointStops.ended(attempt)
-        parts[attempt.part]?.machines?.get(attempt.machine)?.let { collect(attempt.part, it) }
+        partitions[attempt.partition]?.machines?.get(attempt.machine)?.let { collect(attempt.partition, it) }
     }
 
     private fun learn(
@@ -341,12 +341,12 @@
     /** The attempt can no longer be anywhere: its part has seen its start, and its machine does not list it or is gone. */
     private fun absent(
         attempt: Attempt,
-        part: PartState,
+        partition: PartitionState,
     ): Boolean {
-        if (attempt.partTerm >= part.term && attempt.seq > part.seq) return false
-        val view = part.machines[attempt.machine]
+        if (attempt.partitionTerm >= partition.term && attempt.seq > partition.seq) return false
+        val view = partition.machines[attempt.machine]
         return when {
-            view == null -> part.ageUs > withDrift(leaseUs) + Takeover.UNHEARD_MARGIN_US
+            view == null -> partition.ageUs > withDrift(leaseUs) + Takeover.UNHEARD_MARGIN_US
             view.lost -> true
             !view.settled -> false
             else -> view.tasks.none { it.attempt == attempt.number && it.task == attempt.task }
@@ -362,8 +362,8 @@
     /** The machine is proven gone: a return call was answered, and with it all that ran there is gone. */
     fun machineGone(name: String) {
         ledger.on(name).toList().forEach { gone(it) }
-        parts.forEach { (id, part) ->
-            part.machines.remove(name)
+        partitions.forEach { (id, partition) ->
+            partition.machines.remove(name)
             orders.forget(id, name)
         }
         registry.remove(name)
@@ -395,7 +395,7 @@
         if (current != null && (current.heardFrom(reachable(now)) || now >= current.deadlineUs)) decide(current, now)
         if (round == null && now - askedUs >= if (worthAsking) timers.paceUs else timers.retryUs) ask(now)
         recorder.record(now)
-        for (id in parting.parts) {
+        for (id in assignment.partitions) {
             val waitedUs = now - (sentUs[id] ?: Long.MIN_VALUE / 2)
             if ((id in poked && waitedUs >= ACK_US) || waitedUs >= HEARTBEAT_US) send(id, now)
         }
@@ -405,8 +405,18 @@
     private fun sweep(now: Long) {
         sweptUs = now
         checkComplete()
-        giveUp(ledger.all().filter { attempt -> parts[attempt.part]?.let { absent(attempt, it) } == true }.toList())
-        cores = parts.values.sumOf { part -> part.machines.values.sumOf { if (it.lost) 0.0 else capacityOf(it.build)?.cores ?: 0.0 } }
+        giveUp(ledger.all().filter { attempt -> partitions[attempt.partition]?.let { absent(attempt, it) } == true }.toList())
+        cores =
+            partitions.values.sumOf { partition ->
+                partition.machines.values.sumOf {
+                    if (it.lost) {
+                        0.0
+                    } else {
+                        capacityOf(it.build)?.cores
+                            ?: 0.0
+                    }
+                }
+            }
         orderSaves(now)
     }
 
@@ -414,11 +424,11 @@
     private fun orderSaves(now: Long) {
         saves.clear()
         for (machine in closed + checkpointStops.noticed) {
-            val part = registry[machine] ?: continue
+            val partition = registry[machine] ?: continue
             val orders = checkpointStops.orders(machine, ledger.on(machine), now)
             if (orders.isEmpty()) continue
-            saves.merge(part, orders) { before, more -> before + more }
-            poked += part
+            saves.merge(partition, orders) { before, more -> before + more }
+            poked += partition
         }
     }
 
@@ -437,7 +447,7 @@
         return Shape(cores, cards, 0.0)
     }
 
-    private fun reachable(now: Long) = parts.filterValues { now - it.heardUs < REACHABLE_US }.keys
+    private fun reachable(now: Long) = partitions.filterValues { now - it.heardUs < REACHABLE_US }.keys
 
     /** Broadcasts requests for the first jobs in the queue that have something to place. */
     private fun ask(now: Long) {
@@ -459,7 +469,7 @@
         val requests = runs(first) { (job, _) -> hurried(job) }.flatMap { requests(it, now) }
         round = Round(requests, now, timers.alphaUs)
         val frames = requests.map { it.first }
-        parting.parts.forEach { send(it, now, requests = frames) }
+        assignment.partitions.forEach { send(it, now, requests = frames) }
     }
 
     /**
@@ -505,7 +515,7 @@
         if (job.spec.zone != null || !job.spec.sameZone) return job.spec.zone
         return job.alive.values
             .firstOrNull()
-            ?.let { parting.zone(it.part) }
+            ?.let { assignment.zone(it.partition) }
     }
 
     /** A fetch keeps a machine's room from being used at all: worth avoiding where it isn't short beside the run. */
@@ -541,27 +551,27 @@
             for (place in Choice.roomiest(offers, most, ::zoneOf, zoneRoom(job, offers))) {
                 val index = job.next()
                 if (index < 0) break
-                val attempt = Attempt(job, index, newAttempt(), place.machine, place.part)
-                attempt.partTerm = parts.getValue(place.part).term
+                val attempt = Attempt(job, index, newAttempt(), place.machine, place.partition)
+                attempt.partitionTerm = partitions.getValue(place.partition).term
                 // Not told by any frame so far: its own is sent below.
                 attempt.seq = Long.MAX_VALUE
                 ledger.track(attempt)
                 job.placedUs = now
                 sent += attempt
-                starts.getOrPut(place.part) { ArrayList() } += StartOrder(ask.stamp, place.machine, index, attempt.number)
+                starts.getOrPut(place.partition) { ArrayList() } += StartOrder(ask.stamp, place.machine, index, attempt.number)
             }
         }
         val releases = current.requests.map { it.first.stamp }
-        for (id in parting.parts) {
+        for (id in assignment.partitions) {
             val here = starts[id] ?: emptyList<StartOrder>()
             val chosen = here.mapTo(HashSet()) { it.stamp }
             val seq = send(id, now, starts = here, releases = releases.filter { it !in chosen })
-            sent.forEach { if (it.part == id) it.seq = seq }
+            sent.forEach { if (it.partition == id) it.seq = seq }
         }
         if (sent.isNotEmpty()) worthAsking = true
     }
 
-    private fun zoneOf(part: String) = parting.zone(part) ?: part
+    private fun zoneOf(partition: String) = assignment.zone(partition) ?: partition
 
     /** How many more tasks of the job each zone may get. */
     private fun zoneRoom(
@@ -572,7 +582,7 @@
         if (!spec.sameZone && !spec.spread) return { Int.MAX_VALUE }
         val there =
             job.alive.values
-                .groupingBy { zoneOf(it.part) }
+                .groupingBy { zoneOf(it.partition) }
                 .eachCount()
         val most = if (spec.spread) (spec.tasks + 1) / 2 else Int.MAX_VALUE
         val only = if (spec.sameZone) there.keys.firstOrNull() ?: Choice.bestZone(offers, ::zoneOf) else null
@@ -622,8 +632,8 @@
     /** What machines need to do changes with the job. */
     private fun review(job: Job) {
         for (machine in job.listedOn) {
-            for ((id, part) in parts) {
-                val view = part.machines[machine] ?: continue
+            for ((id, partition) in partitions) {
+                val view = partition.machines[machine] ?: continue
                 collect(id, view)
             }
         }
@@ -641,16 +651,16 @@
         seqs[id] = seq
         sentUs[id] = now
         poked -= id
-        val part = parts[id]
-        val inform = !briefing.informed(id, part, seq)
+        val partition = partitions[id]
+        val inform = !briefing.informed(id, partition, seq)
         val (stops, clears) = orders.take(id, now)
         val frame =
             PlacementFrame(
-                part = id,
+                partition = id,
                 term = term,
                 seq = seq,
-                ackTerm = part?.term ?: 0,
-                ackVersion = part?.version ?: 0,
+                ackTerm = partition?.term ?: 0,
+                ackVersion = partition?.version ?: 0,
                 facts = if (inform) jobs.values.associate { it.spec.id to it.spec.facts } else emptyMap(),
                 addresses = if (inform) addresses.filterKeys { registry[it] == id } else emptyMap(),
                 requests = requests,
@@ -658,7 +668,7 @@
                 releases = releases,
                 stops = stops,
                 clears = clears,
-                closed = briefing.closedNews(id, part, now) { it in closed || it !in registry },
+                closed = briefing.closedNews(id, partition, now) { it in closed || it !in registry },
                 saves = saves.remove(id).orEmpty(),
             )
         emit(Effect.Send(id, frame))
--- a/src/main/kotlin/lichenstage/placement/Orders.kt
+++ b/src/main/kotlin/lichenstage/placement/Orders.kt
@@ -15,16 +15,16 @@
         var sentUs = Long.MIN_VALUE / 2
     }
 
-    private val parts = HashMap<String, LinkedHashMap<String, List<Due>>>()
+    private val partitions = HashMap<String, LinkedHashMap<String, List<Due>>>()
 
     /** What [machine] needs now. True where something of it is new. */
     fun set(
-        part: String,
+        partition: String,
         machine: String,
         stops: List<AttemptOrder>,
         clears: List<AttemptOrder>,
     ): Boolean {
-        val machines = parts.getOrPut(part) { LinkedHashMap() }
+        val machines = partitions.getOrPut(partition) { LinkedHashMap() }
         if (stops.isEmpty() && clears.isEmpty()) {
             machines.remove(machine)
             return false
@@ -41,25 +41,25 @@
     }
 
     fun forget(
-        part: String,
+        partition: String,
         machine: String,
     ) {
-        parts[part]?.remove(machine)
+        partitions[partition]?.remove(machine)
     }
 
     /** A new owner of the part has to be told everything. */
-    fun forget(part: String) {
-        parts.remove(part)
+    fun forget(partition: String) {
+        partitions.remove(partition)
     }
 
     /** The stops and the clears to send to a part now. */
     fun take(
-        part: String,
+        partition: String,
         now: Long,
     ): Pair<List<AttemptOrder>, List<AttemptOrder>> {
         val stops = ArrayList<AttemptOrder>()
         val clears = ArrayList<AttemptOrder>()
-        for (machine in parts[part]?.values.orEmpty()) {
+        for (machine in partitions[partition]?.values.orEmpty()) {
             for (due in machine) {
                 if (now - due.sentUs < if (due.stop) STOP_AGAIN_US else CLEAR_AGAIN_US) continue
                 if (stops.size + clears.size >= MOST) return stops to clears
--- a/src/main/kotlin/lichenstage/placement/Takeover.kt
+++ b/src/main/kotlin/lichenstage/placement/Takeover.kt
@@ -7,7 +7,7 @@
 /** A machine that was registered before a leader's term. */
 data class Inherited(
     val name: String,
-    val part: String,
+    val partition: String,
     val build: String,
     val address: String?,
 )
@@ -18,7 +18,7 @@
  */
 class Takeover(
     private val leaseUs: Long,
-    private val partOf: (String) -> PartState?,
+    private val partitionOf: (String) -> PartitionState?,
 ) {
     private val awaited = HashMap<String, Inherited>()
 
@@ -44,9 +44,9 @@
      * that was never heard, once the part is older than a lease.
      */
     private fun accounted(machine: Inherited): Boolean {
-        val part = partOf(machine.part) ?: return false
-        val view = part.machines[machine.name]
-        return if (view == null) part.ageUs > withDrift(leaseUs) + UNHEARD_MARGIN_US else view.settled || view.lost
+        val partition = partitionOf(machine.partition) ?: return false
+        val view = partition.machines[machine.name]
+        return if (view == null) partition.ageUs > withDrift(leaseUs) + UNHEARD_MARGIN_US else view.settled || view.lost
     }
 
     /**
@@ -62,7 +62,7 @@
                 awaited.size <= registered / SOME_SHARE -> LATER_US
                 else -> return emptyList()
             }
-        return awaited.values.filter { (partOf(it.part)?.ageUs ?: 0) > afterUs }.map { it.name }
+        return awaited.values.filter { (partitionOf(it.partition)?.ageUs ?: 0) > afterUs }.map { it.name }
     }
 
     /** What may be in use on the machines of which nothing is known yet: each counts at its full size. */
--- a/src/test/kotlin/lichenstage/authority/LocalLeaseTest.kt
+++ b/src/test/kotlin/lichenstage/authority/LocalLeaseTest.kt
@@ -17,12 +17,12 @@
         @ForAll @IntRange(min = 0, max = 3_000) delayMs: Int,
         @ForAll @IntRange(min = -5, max = 5) drift: Int,
     ) {
-        val life = lifeMs * MILLI
-        val lease = LocalLease(life).apply { granted(1, 0) }
+        val incarnation = lifeMs * MILLI
+        val lease = LocalLease(incarnation).apply { granted(1, 0) }
         val rate = 1.0 + drift / 10_000.0
-        val endsThere = delayMs * MILLI + (life * rate).toLong()
+        val endsThere = delayMs * MILLI + (incarnation * rate).toLong()
         condition(!lease.valid(endsThere)) { "still valid when the lease of $lifeMs ms had ended" }
-        if (lifeMs > 1_000) condition(lease.valid(life / 2)) { "given up at half its life" }
+        if (lifeMs > 1_000) condition(lease.valid(incarnation / 2)) { "given up at half its life" }
     }
 
     @Example
@@ -46,14 +46,14 @@
     @Example
     fun `a pact needs everybody, carries on without a gap, and ends with the first who is silent`() {
         val lease = LocalLease(5 * SECOND).apply { granted(1, 0) }
-        val pact = Pact(setOf("a", "b"))
+        val collectedPledges = CollectedPledges(setOf("a", "b"))
 
         fun hear(
             from: String,
             askedUs: Long,
         ) {
-            pact.promised(from, askedUs)
-            lease.vouched(pact.bindsUntil(), askedUs + MILLI)
+            collectedPledges.pledged(from, askedUs)
+            lease.extendedByPledges(collectedPledges.pledgedUntilUs(), askedUs + MILLI)
         }
         hear("a", 4 * SECOND)
         condition(!lease.valid(5 * SECOND)) { "one of two is not enough" }
@@ -70,9 +70,9 @@
 
     @Example
     fun `who has promised takes nothing until every asker has stopped counting on it, and neither does a new process`() {
-        val bond = Bond(0)
-        condition(!bond.free(Pact.BOUND_US) && bond.free(3 * SECOND)) { "the process before it may have promised" }
-        bond.bind(10 * SECOND)
-        condition(!bond.free(10 * SECOND + withDrift(Pact.BOUND_US)) && bond.free(13 * SECOND)) { "not bound" }
+        val ownPledge = OwnPledge(0)
+        condition(!ownPledge.free(CollectedPledges.PLEDGE_US) && ownPledge.free(3 * SECOND)) { "the process before it may have promised" }
+        ownPledge.pledge(10 * SECOND)
+        condition(!ownPledge.free(10 * SECOND + withDrift(CollectedPledges.PLEDGE_US)) && ownPledge.free(13 * SECOND)) { "not bound" }
     }
 }
--- a/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
@@ -47,7 +47,7 @@
                     if (a > b) emptyList() else listOf(SaveOrder(w, w, a, b)),
                 )
             }
-        val part =
+        val partition =
             Combinators.combine(words, numbers, numbers, Arbitraries.of(TaskPhase.entries)).`as` { w, a, b, phase ->
                 val view =
                     MachineState(
@@ -87,6 +87,6 @@
                 ),
             )
         val relayed = leader.map { RelayedFrame("a", "b", it) }
-        return Arbitraries.oneOf(leader.map { it }, part.map { it }, others.map { it as Frame }, relayed.map { it })
+        return Arbitraries.oneOf(leader.map { it }, partition.map { it }, others.map { it as Frame }, relayed.map { it })
     }
 }
--- a/src/test/kotlin/lichenstage/cluster/PartitionAssignmentTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PartitionAssignmentTest.kt
@@ -17,24 +17,24 @@
         val controllers = (0 until count).associate { "n$it" to "z${(it + shift) % (zoneCount + 1)}" }
         val one = PartitionAssignment(zones, controllers)
         val other = PartitionAssignment(zones.reversed(), controllers.entries.reversed().associate { it.key to it.value })
-        condition(one.parts == other.parts) { "${one.parts} and ${other.parts}" }
+        condition(one.partitions == other.partitions) { "${one.partitions} and ${other.partitions}" }
         for (zone in zones) {
-            val homes = one.parts.filter { one.zone(it) == zone }.map(one::home)
+            val homes = one.partitions.filter { one.zone(it) == zone }.map(one::home)
             val here = controllers.filterValues { it == zone }.keys
             condition(if (here.isEmpty()) homes == listOf(null) else homes.toSet() == here) { "$zone: $homes, not $here" }
             for (n in 0 until 50) {
-                val part = one.partOf("vm-$n", zone)
-                condition(part == other.partOf("vm-$n", zone) && one.zone(part!!) == zone) { "vm-$n: $part" }
+                val partition = one.partitionOf("vm-$n", zone)
+                condition(partition == other.partitionOf("vm-$n", zone) && one.zone(partition!!) == zone) { "vm-$n: $partition" }
             }
         }
-        condition(one.partOf("vm-1", "nowhere") == null) { "a part in no zone" }
+        condition(one.partitionOf("vm-1", "nowhere") == null) { "a part in no zone" }
     }
 
     @Example
     fun `the machines of a zone spread evenly, also where names differ in every third number only`() {
-        val parting = PartitionAssignment(listOf("z"), mapOf("a" to "z", "b" to "z", "c" to "z"))
+        val assignment = PartitionAssignment(listOf("z"), mapOf("a" to "z", "b" to "z", "c" to "z"))
         for (stride in 1..6) {
-            val sizes = (0 until 300).groupingBy { parting.partOf("vm-%06d".format(it * stride), "z") }.eachCount()
+            val sizes = (0 until 300).groupingBy { assignment.partitionOf("vm-%06d".format(it * stride), "z") }.eachCount()
             condition(sizes.size == 3 && sizes.values.all { it in 70..130 }) { "$stride: $sizes" }
         }
     }
--- a/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
@@ -10,9 +10,9 @@
 
 class JobReplicaTest {
     private fun replica(
-        life: Long,
+        incarnation: Long,
         vararg others: String,
-    ) = JobReplica(life, others.toSet(), BOUND)
+    ) = JobReplica(incarnation, others.toSet(), BOUND)
 
     /**
      * One that can't read asks two that can; answers are lost, late and repeated, and a process of them is followed by another. Whenever
--- a/src/test/kotlin/lichenstage/part/LinesTest.kt
+++ b/src/test/kotlin/lichenstage/partition/LinesTest.kt
@@ -1,4 +1,4 @@
-package lichenstage.part
+package lichenstage.partition
 
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
--- a/src/test/kotlin/lichenstage/part/NewsTest.kt
+++ b/src/test/kotlin/lichenstage/partition/NewsTest.kt
@@ -1,4 +1,4 @@
-package lichenstage.part
+package lichenstage.partition
 
 import lichenstage.app.SECOND
 import lichenstage.cluster.FrameCodec
@@ -15,14 +15,14 @@
 
 /** What a part tells of its machines: changes only, from which the leader always knows the whole. */
 class NewsTest {
-    private val part get() = setting.part
+    private val partition get() = setting.partition
     private val tasks get() = setting.tasks
     private var setting = Setting()
 
     /** A part with its machines as they are. */
     private class Setting {
-        val part =
-            PartCore("z/0", "z", 5, 3600 * SECOND, 4 * SECOND, 0) { Build("t", Shape(64.0, 0.0, 512.0)) }
+        val partition =
+            PartitionCore("z/0", "z", 5, 3600 * SECOND, 4 * SECOND, 0) { Build("t", Shape(64.0, 0.0, 512.0)) }
         val tasks = HashMap<String, MutableMap<Long, ReportedTask>>()
     }
 
@@ -33,17 +33,17 @@
 
     private fun report(machine: String) {
         val rows = tasks.getOrPut(machine) { HashMap() }.values.toList()
-        part.report(Report(machine, "1.2.3.4:5", "t", "z", false, 1, ++tally, 5, null, rows), now)
+        partition.report(Report(machine, "1.2.3.4:5", "t", "z", false, 1, ++tally, 5, null, rows), now)
     }
 
     private fun word(
         term: Long,
         acked: Long,
-    ) = part.leader(PlacementFrame("z/0", term, ++seq, 5, acked), now)
+    ) = partition.leader(PlacementFrame("z/0", term, ++seq, 5, acked), now)
 
     private fun told(): PartitionFrame? {
         now += SECOND
-        return part.frame(now)?.let { FrameCodec.decode(FrameCodec.encode(it)) as PartitionFrame }
+        return partition.frame(now)?.let { FrameCodec.decode(FrameCodec.encode(it)) as PartitionFrame }
     }
 
     /** The leader's side of the frames. */
--- a/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
@@ -23,10 +23,10 @@
     private val effects = ArrayList<Effect>()
     private val teams = mapOf("red" to Team("red", 0.0, 8.0, 0.0, Double.POSITIVE_INFINITY))
     private var version = 0L
-    private val parting = PartitionAssignment(listOf("y", "z"), emptyMap())
+    private val assignment = PartitionAssignment(listOf("y", "z"), emptyMap())
 
     private fun leader() =
-        LeaderCore(7, 100, parting, teams, 20 * SECOND, Timers(), Goals(emptyList()), { Shape(16.0, 0.0, 64.0) }, 10) { effects += it }
+        LeaderCore(7, 100, assignment, teams, 20 * SECOND, Timers(), Goals(emptyList()), { Shape(16.0, 0.0, 64.0) }, 10) { effects += it }
 
     private fun spec(
         id: String,
@@ -50,7 +50,7 @@
         lost: Boolean = false,
     ) = MachineState(name, "1.2.3.4:5", "t", false, settled, false, false, lost, null, tasks.toList())
 
-    private fun part(
+    private fun partition(
         zone: String,
         seq: Long,
         vararg views: MachineState,
@@ -60,7 +60,7 @@
         whole: Boolean = true,
     ) = PartitionFrame("$zone/0", term, age, 7, seq, seq, 0, ++version, whole, views.toList(), offers)
 
-    private fun sent(zone: String) = effects.filterIsInstance<Effect.Send>().filter { it.part == "$zone/0" }.map { it.frame }
+    private fun sent(zone: String) = effects.filterIsInstance<Effect.Send>().filter { it.partition == "$zone/0" }.map { it.frame }
 
     private fun lastAsk(): PlacementFrame = sent("z").last { it.requests.isNotEmpty() }
 
@@ -81,10 +81,10 @@
         val leader = leader()
         leader.inherited(inherited("m1", "m2"))
         leader.jobAdded(job("j-1", stamp = 50))
-        leader.frame(part("z", 0, view("m1")), SECOND)
+        leader.frame(partition("z", 0, view("m1")), SECOND)
         leader.tick(2 * SECOND)
         condition(sent("z").none { it.requests.isNotEmpty() }) { "asked while m2 was not accounted for" }
-        leader.frame(part("z", 0, view("m1"), view("m2")), 3 * SECOND)
+        leader.frame(partition("z", 0, view("m1"), view("m2")), 3 * SECOND)
         leader.tick(3 * SECOND)
         condition(lastAsk().requests.single().job == "j-1") { "not asked" }
     }
@@ -94,7 +94,7 @@
         val leader = leader()
         leader.inherited(inherited("m1", "m2"))
         leader.jobAdded(job("j-2", stamp = 101))
-        leader.frame(part("z", 0, view("m1")), SECOND)
+        leader.frame(partition("z", 0, view("m1")), SECOND)
         leader.tick(2 * SECOND)
         condition(sent("z").none { it.requests.isNotEmpty() }) { "16 unheard cores leave nothing of a limit of 8" }
     }
@@ -104,9 +104,9 @@
         val leader = leader()
         leader.inherited(inherited("m1"))
         leader.jobAdded(job("j-1"))
-        leader.frame(part("z", 0, age = 21 * SECOND), SECOND)
+        leader.frame(partition("z", 0, age = 21 * SECOND), SECOND)
         condition(!leader.complete && leader.blockers() == listOf("m1")) { "${leader.complete} ${leader.blockers()}" }
-        leader.frame(part("z", 0, age = 23 * SECOND), 3 * SECOND)
+        leader.frame(partition("z", 0, age = 23 * SECOND), 3 * SECOND)
         condition(leader.complete) { "still waiting" }
     }
 
@@ -115,9 +115,9 @@
         val leader = leader()
         leader.inherited(inherited("m1"))
         leader.jobAdded(job("j-1"))
-        leader.frame(part("z", 0, view("m1", settled = false), age = 60 * SECOND), SECOND)
+        leader.frame(partition("z", 0, view("m1", settled = false), age = 60 * SECOND), SECOND)
         condition(!leader.complete) { "an answer may have renewed its lease" }
-        leader.frame(part("z", 0, view("m1", settled = false, lost = true), age = 61 * SECOND), 2 * SECOND)
+        leader.frame(partition("z", 0, view("m1", settled = false, lost = true), age = 61 * SECOND), 2 * SECOND)
         condition(leader.complete) { "still waiting" }
     }
 
@@ -126,18 +126,18 @@
         val leader = leader()
         leader.inherited(inherited("m1", "m2"))
         leader.jobAdded(job("j-1"))
-        leader.frame(part("z", 0, view("m1"), age = 60 * SECOND, whole = false), SECOND)
+        leader.frame(partition("z", 0, view("m1"), age = 60 * SECOND, whole = false), SECOND)
         condition(!leader.complete) { "m2 may be in the next piece" }
-        leader.frame(part("z", 0, age = 60 * SECOND), 2 * SECOND)
+        leader.frame(partition("z", 0, age = 60 * SECOND), 2 * SECOND)
         condition(leader.complete) { "still waiting" }
     }
 
     @Example
     fun `only a machine that has shown the token is recorded, and one that was returned never again`() {
         val leader = leader()
-        leader.frame(part("z", 0, view("m1"), view("m2", settled = false), view("m3")), SECOND)
+        leader.frame(partition("z", 0, view("m1"), view("m2", settled = false), view("m3")), SECOND)
         leader.machineGone("m3")
-        leader.frame(part("z", 0, view("m3")), 2 * SECOND)
+        leader.frame(partition("z", 0, view("m3")), 2 * SECOND)
         condition(leader.unregistered().map { it.second.name } == listOf("m1")) { "${leader.unregistered()}" }
     }
 
@@ -147,7 +147,7 @@
         leader.inherited(inherited("m1"))
         leader.jobAdded(job("j-1"))
         val ghost = view("ghost", TaskState("j-1/0", 3, TaskPhase.RUNNING))
-        leader.frame(part("z", 0, ghost, view("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING))), SECOND)
+        leader.frame(partition("z", 0, ghost, view("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING))), SECOND)
         condition(leader.attemptsOn("ghost").isEmpty()) { "adopted" }
         condition(leader.attemptsOn("m1").single().number == 4L) { "the real one is not known" }
         leader.tick(SECOND)
@@ -163,12 +163,12 @@
             leader.inherited(inherited("back", "m1"))
             leader.jobAdded(job("j-1"))
             val views = listOf(view("back", TaskState("j-1/0", 3, TaskPhase.RUNNING)), view("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING)))
-            leader.frame(part("z", 0, *(if (newerFirst) views.reversed() else views).toTypedArray()), SECOND)
+            leader.frame(partition("z", 0, *(if (newerFirst) views.reversed() else views).toTypedArray()), SECOND)
             condition(leader.attemptsOn("back").isEmpty()) { "the older is still counted" }
             condition(leader.attemptsOn("m1").single().number == 4L) { "the newer is not known" }
             leader.tick(SECOND)
             condition(sent("z").flatMap { it.stops }.map { it.machine } == listOf("back")) { "${sent("z").flatMap { it.stops }}" }
-            leader.frame(part("z", 0, view("back", lost = true)), 2 * SECOND)
+            leader.frame(partition("z", 0, view("back", lost = true)), 2 * SECOND)
             leader.tick(2 * SECOND)
             leader.tick(3 * SECOND)
             condition(lastAsk().requests.single().count == 1) { "more than the other task is asked for: ${lastAsk().requests}" }
@@ -180,7 +180,7 @@
         val leader = leader()
         leader.inherited(inherited("m1"))
         leader.jobAdded(job("j-1"))
-        leader.frame(part("z", 0, view("m1"), view("ghost", settled = false)), SECOND)
+        leader.frame(partition("z", 0, view("m1"), view("ghost", settled = false)), SECOND)
         condition(leader.complete) { "waiting for a machine that is gone" }
     }
 
@@ -189,7 +189,7 @@
         val leader = leader()
         leader.inherited(inherited("m1"))
         leader.jobAdded(job("j-1"))
-        leader.frame(part("z", 0, view("m1", TaskState("j-1/0", 3, TaskPhase.RUNNING))), SECOND)
+        leader.frame(partition("z", 0, view("m1", TaskState("j-1/0", 3, TaskPhase.RUNNING))), SECOND)
         leader.tick(2 * SECOND)
         condition(lastAsk().requests.single().count == 1) { "${lastAsk().requests}" }
     }
@@ -199,12 +199,12 @@
         val leader = leader()
         leader.registered(mapOf("m1" to "z/0"))
         leader.jobAdded(job("j-1"))
-        leader.frame(part("y", 0), SECOND)
-        leader.frame(part("z", 0, view("m1")), SECOND)
+        leader.frame(partition("y", 0), SECOND)
+        leader.frame(partition("z", 0, view("m1")), SECOND)
         leader.tick(SECOND)
         val ask = lastAsk()
-        leader.frame(part("y", sent("y").last().seq, offers = ask.requests.map { Offer(it.stamp, emptyList()) }), SECOND)
-        leader.frame(part("z", ask.seq, offers = offer(ask, "m1", 2)), SECOND)
+        leader.frame(partition("y", sent("y").last().seq, offers = ask.requests.map { Offer(it.stamp, emptyList()) }), SECOND)
+        leader.frame(partition("z", ask.seq, offers = offer(ask, "m1", 2)), SECOND)
         leader.tick(SECOND)
         condition(starts().map { it.index }.toSet() == setOf(0, 1)) { "${starts()}" }
         return leader
@@ -218,12 +218,12 @@
         val spec = spec("j-1", tasks = 1).copy(estimateUs = 100 * SECOND, checkpointUs = 20 * SECOND, saveUs = 4 * SECOND)
         val job = Job(spec, 101, 0)
         leader.jobAdded(job)
-        leader.frame(part("y", 0), SECOND)
-        leader.frame(part("z", 0, view("m1")), SECOND)
+        leader.frame(partition("y", 0), SECOND)
+        leader.frame(partition("z", 0, view("m1")), SECOND)
         leader.tick(SECOND)
         val ask = lastAsk()
-        leader.frame(part("y", sent("y").last().seq, offers = ask.requests.map { Offer(it.stamp, emptyList()) }), SECOND)
-        leader.frame(part("z", ask.seq, offers = offer(ask, "m1", 1)), SECOND)
+        leader.frame(partition("y", sent("y").last().seq, offers = ask.requests.map { Offer(it.stamp, emptyList()) }), SECOND)
+        leader.frame(partition("z", ask.seq, offers = offer(ask, "m1", 1)), SECOND)
         leader.tick(SECOND)
         val attempt = starts().single().attempt
         val seq = sent("z").last().seq
@@ -235,7 +235,7 @@
         ) {
             val cause = if (phase == TaskPhase.ENDED) "halted" else null
             val machine = view("m1", TaskState("j-1/0", attempt, phase, cause)).copy(recallUs = recallS?.let { it * SECOND })
-            leader.frame(part("z", seq, machine), nowS * SECOND)
+            leader.frame(partition("z", seq, machine), nowS * SECOND)
             leader.tick(nowS * SECOND)
         }
         shown(TaskPhase.RUNNING, null, 2)
@@ -251,18 +251,21 @@
     fun `a start is given up only when its part has seen it and does not list it`() {
         val leader = placed()
         val seq = sent("z").last { it.starts.isNotEmpty() }.seq
-        leader.frame(part("z", seq - 1, view("m1")), 2 * SECOND)
+        leader.frame(partition("z", seq - 1, view("m1")), 2 * SECOND)
         condition(leader.attemptsOn("m1").size == 2) { "given up by a frame from before it" }
-        leader.frame(part("z", seq, view("m1", TaskState("j-1/${starts()[0].index}", starts()[0].attempt, TaskPhase.PENDING))), 2 * SECOND)
+        leader.frame(
+            partition("z", seq, view("m1", TaskState("j-1/${starts()[0].index}", starts()[0].attempt, TaskPhase.PENDING))),
+            2 * SECOND,
+        )
         condition(leader.attemptsOn("m1").map { it.index } == listOf(starts()[0].index)) { "${leader.attemptsOn("m1").map { it.task }}" }
     }
 
     @Example
     fun `under a new owner nothing is given up before the worker has shown the new token`() {
         val leader = placed()
-        leader.frame(part("z", 0, view("m1", settled = false), term = 4), 3 * SECOND)
+        leader.frame(partition("z", 0, view("m1", settled = false), term = 4), 3 * SECOND)
         condition(leader.attemptsOn("m1").size == 2) { "given up too early" }
-        leader.frame(part("z", 0, view("m1"), term = 4), 4 * SECOND)
+        leader.frame(partition("z", 0, view("m1"), term = 4), 4 * SECOND)
         condition(leader.attemptsOn("m1").isEmpty()) { "kept" }
     }
 
@@ -280,7 +283,7 @@
         val leader = placed()
         val ended = starts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.ENDED, "done") }
         val seq = sent("z").last().seq
-        leader.frame(part("z", seq, view("m1", *ended.toTypedArray())), 2 * SECOND)
+        leader.frame(partition("z", seq, view("m1", *ended.toTypedArray())), 2 * SECOND)
         effects.clear()
         leader.tick(2 * SECOND)
         val end = effects.filterIsInstance<Effect.Finish>().single()
@@ -294,14 +297,14 @@
     fun `what runs of a cancelled job is stopped and stays counted until it is gone`() {
         val leader = placed()
         val running = starts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.RUNNING) }.toTypedArray()
-        leader.frame(part("z", sent("z").last().seq, view("m1", *running)), 2 * SECOND)
+        leader.frame(partition("z", sent("z").last().seq, view("m1", *running)), 2 * SECOND)
         leader.jobClosed("j-1")
         leader.jobAdded(job("j-2"))
         effects.clear()
         leader.tick(3 * SECOND)
         condition(sent("z").last().stops.size == 2) { "not stopped" }
         condition(sent("z").none { it.requests.isNotEmpty() }) { "its cores were given away" }
-        leader.frame(part("z", sent("z").last().seq, view("m1").copy(gone = running.map { it.attempt })), 4 * SECOND)
+        leader.frame(partition("z", sent("z").last().seq, view("m1").copy(gone = running.map { it.attempt })), 4 * SECOND)
         leader.tick(4 * SECOND)
         condition(lastAsk().requests.single().job == "j-2") { "its cores were not freed" }
     }
@@ -311,7 +314,7 @@
         val leader = leader()
         leader.inherited(inherited("m1"))
         leader.jobAdded(job("j-2"))
-        leader.frame(part("z", 0, view("m1", TaskState("j-9/0", 3, TaskPhase.RUNNING))), SECOND)
+        leader.frame(partition("z", 0, view("m1", TaskState("j-9/0", 3, TaskPhase.RUNNING))), SECOND)
         leader.tick(SECOND)
         condition(sent("z").none { it.requests.isNotEmpty() }) { "a stranger's cores were given away" }
     }
@@ -322,7 +325,7 @@
         for (machines in listOf(400, 1600)) {
             var looks = 0
             val leader =
-                LeaderCore(7, 100, parting, teams, 20 * SECOND, Timers(), Goals(emptyList()), {
+                LeaderCore(7, 100, assignment, teams, 20 * SECOND, Timers(), Goals(emptyList()), {
                     looks++
                     Shape(16.0, 0.0, 64.0)
                 }, 10) { effects += it }
@@ -331,14 +334,14 @@
             leader.jobAdded(job("j-1"))
             for (piece in names.chunked(100)) {
                 val last = piece.last() == names.last()
-                leader.frame(part("z", 0, *piece.map { view(it) }.toTypedArray(), whole = last), SECOND)
+                leader.frame(partition("z", 0, *piece.map { view(it) }.toTypedArray(), whole = last), SECOND)
             }
             condition(leader.complete && looks == 0) { "$looks looks at $machines machines in a takeover" }
             leader.tick(SECOND)
             val before = looks
             condition(before <= machines + 10) { "$before looks at $machines machines in the first turn" }
             repeat(20) {
-                leader.frame(part("z", 0, view("m$it")), SECOND + it * 10_000)
+                leader.frame(partition("z", 0, view("m$it")), SECOND + it * 10_000)
                 leader.tick(SECOND + it * 10_000)
             }
             condition(looks == before) { "${looks - before} looks at $machines machines for 20 frames of one" }
@@ -359,9 +362,9 @@
                 "z/0" to listOf(HeldSlots("b", 3, 3, false)),
                 "z/1" to listOf(HeldSlots("c", 6, 6, false)),
             )
-        val zoneOf = { part: String -> part.substringBefore('/') }
+        val zoneOf = { partition: String -> partition.substringBefore('/') }
         val spread = Choice.roomiest(offers, 9, zoneOf) { 5 }
-        condition(spread.count { zoneOf(it.part) == "z" } == 5 && spread.size == 9) { "$spread" }
+        condition(spread.count { zoneOf(it.partition) == "z" } == 5 && spread.size == 9) { "$spread" }
         condition(Choice.bestZone(offers, zoneOf) == "z") { "not the larger offer" }
     }
 
@@ -371,13 +374,13 @@
         leader.inherited(inherited("m1"))
         val waiting = Job(spec("j-2").copy(needs = listOf("j-1")), 101, 0)
         leader.jobAdded(waiting)
-        leader.frame(part("z", 0, view("m1")), SECOND)
+        leader.frame(partition("z", 0, view("m1")), SECOND)
         leader.tick(2 * SECOND)
         condition(sent("z").none { it.requests.isNotEmpty() }) { "asked before all that it needs was done" }
         leader.jobAdded(job("j-3", stamp = 102))
         leader.tick(3 * SECOND)
         condition(lastAsk().requests.single().job == "j-3") { "the other job is held up" }
-        leader.frame(part("z", 1, view("m1"), offers = offer(lastAsk(), "m1", 2)), 3 * SECOND)
+        leader.frame(partition("z", 1, view("m1"), offers = offer(lastAsk(), "m1", 2)), 3 * SECOND)
         leader.tick(4 * SECOND)
         leader.jobReady(waiting, 4 * SECOND)
         leader.tick(5 * SECOND)
@@ -390,13 +393,13 @@
     fun `room with the image is asked for before any room, but not before what is in more of a hurry`() {
         val goals = Goals(listOf(Objective(ObjectiveKind.WAIT, "quick", 2 * SECOND)))
         val leader =
-            LeaderCore(7, 100, parting, mapOf("red" to teams.getValue("red").copy(coresMax = 99.0)), 20 * SECOND, Timers(), goals, {
+            LeaderCore(7, 100, assignment, mapOf("red" to teams.getValue("red").copy(coresMax = 99.0)), 20 * SECOND, Timers(), goals, {
                 Shape(16.0, 0.0, 64.0)
             }, 10, { SECOND }) { effects += it }
         for ((id, kind) in listOf("j-1" to "quick", "j-2" to "quick", "j-3" to "c")) {
             leader.jobAdded(Job(spec(id).copy(kind = kind), 1, 0))
         }
-        leader.frame(part("z", 0, view("m1")), 5 * SECOND)
+        leader.frame(partition("z", 0, view("m1")), 5 * SECOND)
         leader.tick(5 * SECOND)
         val requests = lastAsk().requests.sortedBy { it.stamp }
         condition(requests.map { it.warmOnly } == listOf(true, true, false, false, true, false)) { "$requests" }
--- a/src/test/kotlin/lichenstage/world/SimWorker.kt
+++ b/src/test/kotlin/lichenstage/world/SimWorker.kt
@@ -2,10 +2,10 @@
 
 import lichenstage.app.SECOND
 import lichenstage.cluster.TaskPhase
-import lichenstage.part.Command
-import lichenstage.part.OrderOutcome
-import lichenstage.part.Report
-import lichenstage.part.ReportedTask
+import lichenstage.partition.Command
+import lichenstage.partition.OrderOutcome
+import lichenstage.partition.Report
+import lichenstage.partition.ReportedTask
 import java.util.Random
 
 /** A worker as the protocol describes it: tokens, sessions, leases, tasks. */
--- a/src/test/kotlin/lichenstage/world/World.kt
+++ b/src/test/kotlin/lichenstage/world/World.kt
@@ -3,8 +3,8 @@
 import lichenstage.app.MILLI
 import lichenstage.app.SECOND
 import lichenstage.app.Team
-import lichenstage.authority.Bond
-import lichenstage.authority.Pact
+import lichenstage.authority.CollectedPledges
+import lichenstage.authority.OwnPledge
 import lichenstage.cluster.CompletionSyncReply
 import lichenstage.cluster.PartitionAssignment
 import lichenstage.cluster.PartitionFrame
@@ -16,13 +16,13 @@
 import lichenstage.jobs.Pipelines
 import lichenstage.jobs.Priority
 import lichenstage.jobs.Readiness
-import lichenstage.part.Build
-import lichenstage.part.DirectOrder
-import lichenstage.part.OrderOutcome
-import lichenstage.part.PartCore
-import lichenstage.part.Probe
-import lichenstage.part.Report
-import lichenstage.part.ReportAnswer
+import lichenstage.partition.Build
+import lichenstage.partition.DirectOrder
+import lichenstage.partition.OrderOutcome
+import lichenstage.partition.PartitionCore
+import lichenstage.partition.Probe
+import lichenstage.partition.Report
+import lichenstage.partition.ReportAnswer
 import lichenstage.placement.DoneNews
 import lichenstage.placement.Effect
 import lichenstage.placement.Goals
@@ -104,10 +104,10 @@
         val id: Int,
     ) {
         var alive = true
-        var life = 0
+        var incarnation = 0
         var renewedUs = 0L
         var ownsFrom = 0
-        val parts = HashMap<String, PartCore>()
+        val partitions = HashMap<String, PartitionCore>()
         var leader: LeaderCore? = null
         var leaderSeenJobs = HashSet<String>()
 
@@ -116,8 +116,8 @@
 
         /** The keys as it last saw them. */
         var seen = HashMap<String, Pair<Int, Long>>()
-        var pact = Pact(emptySet())
-        var bond = Bond(-10 * SECOND)
+        var collectedPledges = CollectedPledges(emptySet())
+        var ownPledge = OwnPledge(-10 * SECOND)
         var replica = replicaOf(this)
         var pipelines = Pipelines()
         var orphansBusy = false
@@ -137,7 +137,7 @@
 
     /** Zone a has two controllers and so two parts, zone c none of its own. */
     private val controllers = mapOf("n0" to "a", "n1" to "a", "n2" to "b")
-    private val parting = PartitionAssignment(zones, controllers)
+    private val assignment = PartitionAssignment(zones, controllers)
     private val teams =
         listOf("red", "blue").associateWith { Team(it, 0.0, 24.0, 0.0, Double.POSITIVE_INFINITY) }
     val checker = Checker(teams.mapValues { it.value.coresMax }, CANCEL_US)
@@ -172,7 +172,7 @@
     private var slowStateUntilUs = 0L
     private var outageUntilUs = 0L
 
-    private fun partOf(worker: SimWorker) = parting.partOf(worker.name, worker.zone)!!
+    private fun partitionOf(worker: SimWorker) = assignment.partitionOf(worker.name, worker.zone)!!
 
     private fun at(
         delayUs: Long,
@@ -216,7 +216,7 @@
         troubleUs: Long,
         calmUs: Long,
     ) {
-        nodes.forEach { it.pact = pactOf(it) }
+        nodes.forEach { it.collectedPledges = collectedPledgesOf(it) }
         nodes.forEach { node -> every(200 * MILLI) { control(node) } }
         workers.forEach { worker ->
             target[worker.name] = random.nextInt(3)
@@ -246,11 +246,11 @@
     fun describe(): String =
         nodes.joinToString("\n") { node ->
             val leader = node.leader
-            "n${node.id} parts ${node.parts.mapValues { it.value.term }} leader ${leader?.term} complete ${leader?.complete} " +
+            "n${node.id} parts ${node.partitions.mapValues { it.value.term }} leader ${leader?.term} complete ${leader?.complete} " +
                 leader?.jobs?.values?.joinToString {
                     "${it.spec.id} ${it.phase} pending ${it.pending} alive ${it.alive.keys} done ${it.done}"
                 } +
-                leader?.parts?.map { (z, p) -> "\n  $z term ${p.term} v${p.version} ${p.machines.values}" }
+                leader?.partitions?.map { (z, p) -> "\n  $z term ${p.term} v${p.version} ${p.machines.values}" }
         } + "\nowners $owner"
 
     private val script = ArrayList<Pair<Long, World.() -> Unit>>()
@@ -429,7 +429,7 @@
 
     private fun replicaOf(node: Node) =
         JobReplica(
-            node.id * 1000L + node.life,
+            node.id * 1000L + node.incarnation,
             List(3) { "n$it" }.filter { it != "n${node.id}" }.toSet(),
             JobReplica.bound(CANCEL_US, WORKER_LEASE_US),
         )
@@ -462,15 +462,16 @@
         if (!node.replica.lagging(now) || !shared) return
         for (other in nodes) {
             if (other == node) continue
-            val life = node.life
+            val incarnation = node.incarnation
             val question = node.replica.question("n${other.id}", now) ?: continue
             send("n${node.id}", "n${other.id}") {
                 if (!other.alive) return@send
-                val whole = CompletionSyncReply(question.life, question.askedUs, other.replica.hashCode().toLong(), 0, 0, emptyList(), true)
+                val whole =
+                    CompletionSyncReply(question.incarnation, question.askedUs, other.replica.hashCode().toLong(), 0, 0, emptyList(), true)
                 val answer = other.replica.handOver(question) ?: whole.takeIf { sabotage == Sabotage.SPOKEN_FOR_PREDECESSOR }
                 if (answer == null) return@send
                 send("n${other.id}", "n${node.id}") {
-                    if (node.life != life || !node.alive) return@send
+                    if (node.incarnation != incarnation || !node.alive) return@send
                     val believed = if (sabotage == Sabotage.HANDOVER_DROPPED) answer.copy(jobs = emptyList()) else answer
                     for (id in node.replica.answered("n${other.id}", believed)) {
                         node.pipelines.ended(id)
@@ -687,39 +688,39 @@
         backAfterUs: Long = 100 * MILLI + if (random.nextInt(3) == 0) random.nextInt(300_000) else random.nextInt(6_000_000),
     ) {
         node.alive = false
-        node.life++
-        node.parts.clear()
+        node.incarnation++
+        node.partitions.clear()
         node.seen.clear()
         node.leader = null
         at(backAfterUs) {
             node.alive = true
             node.renewedUs = Long.MIN_VALUE / 2
             node.coveredUs = Long.MIN_VALUE / 2
-            node.pact = pactOf(node)
-            node.bond = Bond(now)
+            node.collectedPledges = collectedPledgesOf(node)
+            node.ownPledge = OwnPledge(now)
             node.replica = replicaOf(node)
             node.pipelines = Pipelines()
         }
     }
 
-    private fun pactOf(node: Node): Pact {
+    private fun collectedPledgesOf(node: Node): CollectedPledges {
         val others = nodes.filter { it != node }.map { "n${it.id}" }
-        return Pact(others.toSet())
+        return CollectedPledges(others.toSet())
     }
 
     /** Without the state service, the others are asked to take no key for a moment. */
-    private fun keepPact(node: Node) {
+    private fun requestPledges(node: Node) {
         val askedUs = now
-        val life = node.life
+        val incarnation = node.incarnation
         for (other in nodes) {
             if (other == node) continue
             send("n${node.id}", "n${other.id}") {
                 if (other.alive && !reachesState(other)) {
-                    other.bond.bind(now)
+                    other.ownPledge.pledge(now)
                     send("n${other.id}", "n${node.id}") {
-                        if (node.life == life) {
-                            node.pact.promised("n${other.id}", askedUs)
-                            if (node.entitled()) node.coveredUs = maxOf(node.coveredUs, node.pact.bindsUntil())
+                        if (node.incarnation == incarnation) {
+                            node.collectedPledges.pledged("n${other.id}", askedUs)
+                            if (node.entitled()) node.coveredUs = maxOf(node.coveredUs, node.collectedPledges.pledgedUntilUs())
                         }
                     }
                 }
@@ -740,16 +741,16 @@
         for (i in nodes.indices) if (expiry[i] <= now) owner.values.removeIf { it.first == i }
         if (!node.alive) return
         if (reachesState(node)) {
-            if (node.ownsFrom != node.life) {
+            if (node.ownsFrom != node.incarnation) {
                 // A new process has a lease of its own, and ends that of the one before it.
-                node.ownsFrom = node.life
+                node.ownsFrom = node.incarnation
                 owner.values.removeIf { it.first == node.id }
             }
             expiry[node.id] = now + LEASE_US
             node.renewedUs = now
             node.coveredUs = maxOf(node.coveredUs, now + LEASE_US - 300 * MILLI)
-            for (key in parting.parts + LEADER) {
-                if (key !in owner && node.bond.free(now) && random.nextInt(3) == 0) owner[key] = node.id to ++term
+            for (key in assignment.partitions + LEADER) {
+                if (key !in owner && node.ownPledge.free(now) && random.nextInt(3) == 0) owner[key] = node.id to ++term
             }
             node.seen = HashMap(owner)
             // A turn later than the word that they have ended.
@@ -757,35 +758,35 @@
             readJobs(node)
         }
         askEnds(node)
-        if (!reachesState(node) && node.entitled()) keepPact(node)
+        if (!reachesState(node) && node.entitled()) requestPledges(node)
         if (!node.entitled()) return
-        for (id in parting.parts) {
+        for (id in assignment.partitions) {
             val mine = node.seen[id]?.takeIf { it.first == node.id }
             if (mine == null) {
-                node.parts.remove(id)
-            } else if (node.parts[id]?.term != mine.second) {
+                node.partitions.remove(id)
+            } else if (node.partitions[id]?.term != mine.second) {
                 val lease = if (sabotage == Sabotage.SHORT_LEASE) WORKER_LEASE_US / 5 else WORKER_LEASE_US
-                val zone = parting.zone(id)!!
+                val zone = assignment.zone(id)!!
                 val repeats = if (sabotage == Sabotage.CLEARED_AT_ONCE) 0 else 10 * WORKER_LEASE_US
-                node.parts[id] = partCore(node, id, zone, mine.second, lease, repeats)
+                node.partitions[id] = partitionCore(node, id, zone, mine.second, lease, repeats)
             }
         }
         lead(node)
-        node.parts.values.forEach { it.tick(now) }
+        node.partitions.values.forEach { it.tick(now) }
         pump(node)
     }
 
-    private fun partCore(
+    private fun partitionCore(
         node: Node,
         id: String,
         zone: String,
         term: Long,
         lease: Long,
         repeats: Long,
-    ): PartCore {
+    ): PartitionCore {
         val over: (String, Long) -> Boolean =
             { job, since -> shared && node.replica.over(job, since) }
-        return PartCore(id, zone, term, lease, 3 * SECOND, now, repeats, over) { Build("type", Shape(8.0, 0.0, 64.0)) }
+        return PartitionCore(id, zone, term, lease, 3 * SECOND, now, repeats, over) { Build("type", Shape(8.0, 0.0, 64.0)) }
     }
 
     private fun lead(node: Node) {
@@ -843,7 +844,7 @@
             LeaderCore(
                 term,
                 term,
-                parting,
+                assignment,
                 limits,
                 lease,
                 Timers(),
@@ -855,7 +856,11 @@
                 effect(node, term, it)
             }
         node.orphansBusy = false
-        if (sabotage != Sabotage.REGISTRY_LOST) leader.inherited(workers.map { Inherited(it.name, partOf(it), "type", "10.0.0.1:9000") })
+        if (sabotage !=
+            Sabotage.REGISTRY_LOST
+        ) {
+            leader.inherited(workers.map { Inherited(it.name, partitionOf(it), "type", "10.0.0.1:9000") })
+        }
         node.leader = leader
         node.leaderSeenJobs = HashSet()
         open.values.forEach { addJob(node, leader, it) }
@@ -903,9 +908,9 @@
     ) {
         when (effect) {
             is Effect.Send -> {
-                val to = owner[effect.part]?.first ?: return
-                val life = nodes[to].life
-                send("n${node.id}", "n$to") { if (nodes[to].life == life) deliver(nodes[to], effect.frame) }
+                val to = owner[effect.partition]?.first ?: return
+                val incarnation = nodes[to].incarnation
+                send("n${node.id}", "n$to") { if (nodes[to].incarnation == incarnation) deliver(nodes[to], effect.frame) }
             }
 
             is Effect.WriteRanges -> {
@@ -929,11 +934,11 @@
         apply: () -> Unit,
         answer: (LeaderCore, Boolean) -> Unit,
     ) {
-        val life = node.life
+        val incarnation = node.incarnation
         var answered = false
 
         fun told(ok: Boolean) {
-            if (answered || node.life != life) return
+            if (answered || node.incarnation != incarnation) return
             answered = true
             node.leader?.takeIf { it.term == term }?.let { answer(it, ok) }
         }
@@ -965,18 +970,18 @@
         frame: PlacementFrame,
     ) {
         if (!node.alive) return
-        node.parts[frame.part]?.leader(frame, now)
+        node.partitions[frame.partition]?.leader(frame, now)
         pump(node)
     }
 
     /** Lets out what the parts of a node have to say. */
     private fun pump(node: Node) {
         if (!node.answers()) return
-        for (part in node.parts.values) {
-            if (node.seen[part.id]?.second != part.term) continue
-            part.directOrders(now).forEach { order(node, part, it) }
-            part.probes(now).forEach { probe(node, part, it) }
-            part.frame(now)?.let { frame -> toLeader(node, frame) }
+        for (partition in node.partitions.values) {
+            if (node.seen[partition.id]?.second != partition.term) continue
+            partition.directOrders(now).forEach { order(node, partition, it) }
+            partition.probes(now).forEach { probe(node, partition, it) }
+            partition.frame(now)?.let { frame -> toLeader(node, frame) }
         }
     }
 
@@ -985,10 +990,10 @@
         frame: PartitionFrame,
     ) {
         val to = owner[LEADER]?.first ?: return
-        val life = nodes[to].life
+        val incarnation = nodes[to].incarnation
         send("n${node.id}", "n$to") {
             val target = nodes[to]
-            if (target.alive && target.life == life) {
+            if (target.alive && target.incarnation == incarnation) {
                 target.leader?.frame(frame, now)
                 if (target.entitled()) target.leader?.tick(now)
             }
@@ -997,22 +1002,22 @@
 
     private fun probe(
         node: Node,
-        part: PartCore,
+        partition: PartitionCore,
         probe: Probe,
     ) {
         val worker = workers.first { it.name == probe.machine }
-        val life = node.life
+        val incarnation = node.incarnation
         var answered = false
 
         fun outcome(report: Report?) {
-            if (answered || node.life != life) return
+            if (answered || node.incarnation != incarnation) return
             answered = true
-            part.probed(probe, report, now)
+            partition.probed(probe, report, now)
             pump(node)
         }
         send("n${node.id}", worker.name, repeats = false) {
             if (!worker.hung(now)) {
-                val result = worker.orders(part.term, worker.session, emptyList(), now)
+                val result = worker.orders(partition.term, worker.session, emptyList(), now)
                 send(worker.name, "n${node.id}") { outcome(result.report.takeIf { result.executed }) }
             }
         }
@@ -1021,28 +1026,28 @@
 
     private fun order(
         node: Node,
-        part: PartCore,
+        partition: PartitionCore,
         order: DirectOrder,
     ) {
         val worker = workers.first { it.name == order.machine }
-        val life = node.life
+        val incarnation = node.incarnation
         var answered = false
 
         fun outcome(result: OrderOutcome) {
-            if (answered || node.life != life) return
+            if (answered || node.incarnation != incarnation) return
             answered = true
-            part.ordered(order, result, now)
+            partition.ordered(order, result, now)
         }
         // Like a packet, an order that was sent lands even if nobody waits for it any more.
         send("n${node.id}", worker.name, repeats = false) {
             fun land() {
                 if (worker.hung(now)) return at(worker.hungUntilUs - now + MILLI) { land() }
-                val result = worker.orders(part.term, order.session, order.commands, now)
+                val result = worker.orders(partition.term, order.session, order.commands, now)
                 send(worker.name, "n${node.id}") { outcome(result) }
                 // A repeat of what was carried out.
                 if (random.nextInt(6) == 0) {
                     at(random.nextInt(LATEST_US).toLong()) {
-                        if (!worker.hung(now)) worker.orders(part.term, order.session, order.commands, now)
+                        if (!worker.hung(now)) worker.orders(partition.term, order.session, order.commands, now)
                     }
                 }
             }
@@ -1077,16 +1082,16 @@
     }
 
     private fun redirect(worker: SimWorker) {
-        target[worker.name] = owner[partOf(worker)]?.first?.takeIf { random.nextInt(4) > 0 } ?: random.nextInt(3)
+        target[worker.name] = owner[partitionOf(worker)]?.first?.takeIf { random.nextInt(4) > 0 } ?: random.nextInt(3)
     }
 
     private fun answer(
         node: Node,
         report: Report,
     ): ReportAnswer.Accepted? {
-        val id = parting.partOf(report.machine, report.zone)!!
-        val part = node.parts[id]?.takeIf { node.alive && node.answers() } ?: return null
-        val outcome = part.report(report, now) as? ReportAnswer.Accepted
+        val id = assignment.partitionOf(report.machine, report.zone)!!
+        val partition = node.partitions[id]?.takeIf { node.alive && node.answers() } ?: return null
+        val outcome = partition.report(report, now) as? ReportAnswer.Accepted
         pump(node)
         return outcome
     }
