--- a/src/main/kotlin/lichenstage/app/Rehearsal.kt
+++ b/src/main/kotlin/lichenstage/app/Rehearsal.kt
@@ -13,10 +13,10 @@
 import lichenstage.partition.PartitionCore
 import lichenstage.partition.ReportAnswer
 import lichenstage.partition.WorkerCodec
-import lichenstage.placement.Effect
-import lichenstage.placement.Goals
 import lichenstage.placement.Job
 import lichenstage.placement.LeaderCore
+import lichenstage.placement.LeaderEffect
+import lichenstage.placement.ServiceObjectives
 import lichenstage.placement.Timers
 import java.io.IOException
 import java.net.ServerSocket
@@ -63,11 +63,11 @@
             mapOf("t" to team),
             SECOND,
             Timers(),
-            Goals(emptyList()),
+            ServiceObjectives(emptyList()),
             { shape },
             10,
         ) {
-            if (it is Effect.Send) sent += FrameCodec.decode(FrameCodec.encode(it.frame)) as PlacementFrame
+            if (it is LeaderEffect.Send) sent += FrameCodec.decode(FrameCodec.encode(it.frame)) as PlacementFrame
         }
     val spec =
         JobSpec("j-1", "c", "t", Priority.HIGH, 1, shape, null, null, false, false, true, "i", 1.0, SECOND, 0, 0, null, 0)
--- a/src/main/kotlin/lichenstage/cluster/Frames.kt
+++ b/src/main/kotlin/lichenstage/cluster/Frames.kt
@@ -100,7 +100,7 @@
 )
 
 /**
- * The leader's word to one part. Parts obey only the newest [term], and of its frames only those with a rising [seq]. [closed],
+ * The leader's word to one part. Parts obey only the newest [term], and of its frames only those with a rising [seq]. [cordoned],
  * the machines that get no more tasks, is null where it is as in the frames before.
  */
 @Serializable
@@ -125,7 +125,7 @@
     val stops: List<AttemptOrder> = emptyList(),
     val clears: List<AttemptOrder> = emptyList(),
     @SerialName("closed")
-    val closed: Set<String>? = null,
+    val cordoned: Set<String>? = null,
     /** Left out where there are none, so that such a frame is, byte for byte, that of versions without it. */
     @EncodeDefault(EncodeDefault.Mode.NEVER)
     val saves: List<SaveOrder> = emptyList(),
--- a/src/main/kotlin/lichenstage/fleet/FleetCore.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetCore.kt
@@ -93,7 +93,7 @@
     var flavors = emptyMap<String, Flavor>()
 
     /** Machines that should get no more tasks. */
-    fun closing(): Set<String> = machines.filterValues { it.giveBack || it.draining }.keys
+    fun cordoned(): Set<String> = machines.filterValues { it.giveBack || it.draining }.keys
 
     fun known(
         name: String,
--- a/src/main/kotlin/lichenstage/partition/PartitionCore.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionCore.kt
@@ -103,7 +103,7 @@
 
     /** Machines with attempts that are not wanted and may never have landed. */
     private val unwanted = HashSet<Machine>()
-    private var closed: Set<String> = emptySet()
+    private var cordoned: Set<String> = emptySet()
     private val addresses = HashMap<String, String>()
     private val probedUs = HashMap<String, Long>()
     private val probing = HashSet<String>()
@@ -400,7 +400,7 @@
         seq = frame.seq
         facts.putAll(frame.facts)
         addresses += frame.addresses
-        frame.closed?.let { closed = it }
+        frame.cordoned?.let { cordoned = it }
         if (frame.ackTerm == term) acknowledged(frame.ackVersion)
         lapse(now)
         frame.releases.forEach(::release)
@@ -423,7 +423,7 @@
         acked = 0
         holds.keys.toList().forEach(::release)
         offers.clear()
-        closed = emptySet()
+        cordoned = emptySet()
         unacked.clear()
         unacked += machines.values.sortedBy { it.version }
         machines.values.forEach {
@@ -533,7 +533,7 @@
         val shapes = requests.map { it.facts.shape }
         val least = Shape(shapes.minOf { it.cores }, shapes.minOf { it.cards }, shapes.minOf { it.memGb })
         return machines.values.filter { machine ->
-            usable(machine) && machine.name !in closed && now - maxOf(machine.reportedUs, acquiredUs) <= reportUs * 5 / 2 &&
+            usable(machine) && machine.name !in cordoned && now - maxOf(machine.reportedUs, acquiredUs) <= reportUs * 5 / 2 &&
                 buildOf(machine.build)?.let { machine.room(least, it.capacity, factsOf) > 0 } == true
         }
     }
--- a/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
@@ -14,7 +14,7 @@
  * not finish saving.
  */
 class CheckpointStops(
-    private val runTimes: RunTimes,
+    private val runTimes: RunTimeEstimates,
 ) {
     /** When machines with a notice will be taken, at the latest. */
     private val takenByUs = HashMap<String, Long>()
--- a/src/main/kotlin/lichenstage/placement/Recorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -4,11 +4,11 @@
 import java.util.BitSet
 
 /** What the leader has recorded of the tasks that are done, in batches of at most [batch] changes, each after [flushUs] at the earliest. */
-class Recorder(
+class CompletionRecorder(
     private val batch: Int,
     private val flushUs: Long,
     private val valueBytes: Int,
-    private val emit: (Effect) -> Unit,
+    private val emit: (LeaderEffect) -> Unit,
 ) {
     /** Jobs with tasks that are done but not recorded, with when that began, the oldest first. */
     private val unrecorded = LinkedHashMap<Job, Long>()
@@ -35,10 +35,10 @@
         if (unrecorded.isEmpty()) return
         for (job in unrecorded.keys.filter { it.complete && !it.finishUnderWay }) {
             job.finishUnderWay = true
-            emit(Effect.Finish(job))
+            emit(LeaderEffect.Finish(job))
         }
         if (rangesUnderWay) return
-        val news = ArrayList<DoneNews>()
+        val news = ArrayList<CompletionDelta>()
         // Come again with the next of their tasks that is done.
         val tooLarge = ArrayList<Job>()
         var writes = 0
@@ -53,7 +53,7 @@
                 continue
             }
             writes += chunks.size
-            news += DoneNews(job, covers, chunks)
+            news += CompletionDelta(job, covers, chunks)
         }
         tooLarge.forEach { unrecorded.remove(it) }
         if (news.isEmpty()) return
@@ -62,7 +62,7 @@
             unrecorded.remove(it.job)
             it.job.rangesUnderWay = true
         }
-        emit(Effect.WriteRanges(news))
+        emit(LeaderEffect.WriteRanges(news))
     }
 
     /**
@@ -95,7 +95,7 @@
     }
 
     fun written(
-        news: List<DoneNews>,
+        news: List<CompletionDelta>,
         ok: Boolean,
         now: Long,
     ) {
--- a/src/main/kotlin/lichenstage/placement/Queue.kt
+++ b/src/main/kotlin/lichenstage/placement/JobQueue.kt
@@ -5,18 +5,18 @@
 import lichenstage.app.Team
 
 /**
- * The order in which waiting jobs are placed: that of [Promises], and beside it the ones that have waited long.
+ * The order in which waiting jobs are placed: that of [ObjectiveOrder], and beside it the ones that have waited long.
  *
  * Guards against starving: what no promise is left for would come last for as long as more is asked than can be done. Every
  * second place goes to the job that has waited longest beyond [agedUs], counted from its record, so that no change of leader
  * makes it young again.
  */
-class Queue(
-    private val goals: Goals,
+class JobQueue(
+    private val serviceObjectives: ServiceObjectives,
     private val teams: Map<String, Team>,
-    private val runTimes: RunTimes,
+    private val runTimes: RunTimeEstimates,
     private val agedUs: Long = AGED_US,
-    private val chains: Chains = Chains(goals, runTimes) { emptyList() },
+    private val pipelineDeadlines: PipelineDeadlines = PipelineDeadlines(serviceObjectives, runTimes) { emptyList() },
 ) {
     private class Mean {
         private var sum = 0.0
@@ -68,27 +68,27 @@
         cores: Double,
         now: Long,
     ): List<Job> {
-        val guaranteed = goals.guaranteed(jobs, teams)
+        val guaranteed = serviceObjectives.guaranteed(jobs, teams)
         val waiting = jobs.filter { it.phase == JobPhase.OPEN && it.placeable && !it.pending.isEmpty }
-        val pipelines = chains.Plan()
+        val pipelines = pipelineDeadlines.Plan()
         val rows =
             waiting.map { job ->
                 val others = pipelines.of(job)
                 val runUs = runTimes.expectedUs(job.spec)
                 val share = job.pending.size / sizes.getValue(job.spec.kind).mean
                 val steps =
-                    goals
-                        .promises(
+                    serviceObjectives
+                        .startObjectives(
                             job,
                             runUs,
                             now,
                             job in guaranteed,
                             others.dueUs,
-                        ).map { Step(it.startByUs + runUs, if (it.byTask) share else 1.0) }
+                        ).map { ObjectiveStep(it.startByUs + runUs, if (it.byTask) share else 1.0) }
                 val waitingUs = maxOf(job.pending.size * runUs - job.totalSavedUs, 1)
-                Waiting(job, waitingUs * job.spec.shape.cores, steps, runUs, others.priority)
+                QueuedJob(job, waitingUs * job.spec.shape.cores, steps, runUs, others.priority)
             }
-        val ordered = Promises.order(rows, maxOf(cores, 1.0) * FILL, now)
+        val ordered = ObjectiveOrder.order(rows, maxOf(cores, 1.0) * FILL, now)
         val aged = waiting.filter { now - it.readyUs > agedUs }.sortedBy { it.readyUs }
         return if (aged.isEmpty()) ordered else interleaved(aged, ordered)
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -78,7 +78,7 @@
     ) : LeaderMessage
 
     data class RangesWritten(
-        val news: List<DoneNews>,
+        val news: List<CompletionDelta>,
         val ok: Boolean,
     ) : LeaderMessage
 
@@ -132,7 +132,7 @@
     private val log = LoggerFactory.getLogger("lichenstage.placement")
     private val life: Running = SupervisorJob(parent.coroutineContext[Running])
     private val scope = parent + life
-    private val goals = Goals(settings.objectives)
+    private val serviceObjectives = ServiceObjectives(settings.objectives)
     private val core =
         LeaderCore(
             term,
@@ -141,7 +141,7 @@
             settings.teams,
             settings.workerLeaseUs,
             timers,
-            goals,
+            serviceObjectives,
             { catalog.flavors[it]?.capacity },
             settings.txnOps,
             ::fetchUs,
@@ -337,7 +337,7 @@
             log.error("machine {} is recorded in {}, which is no zone of this deployment", machine.name, machine.zone)
             return
         }
-        core.inherited(listOf(Inherited(machine.name, partition, machine.build, machine.address)))
+        core.inherited(listOf(InheritedMachine(machine.name, partition, machine.build, machine.address)))
         fleet.known(machine.name, machine.build, machine.zone, machine.spot, 0, clock.now())
     }
 
@@ -370,7 +370,7 @@
     /** The forecast counts a job from when it can run. */
     private fun expected(job: Job) {
         val runUs = core.runTimes.expectedUs(job.spec)
-        Estimate.arrival(job, catalog.flavors, runUs) { goals.startsWithin(job.spec.kind, it.bootUs) }?.let(forecast::arrived)
+        Estimate.arrival(job, catalog.flavors, runUs) { serviceObjectives.startsWithin(job.spec.kind, it.bootUs) }?.let(forecast::arrived)
     }
 
     /** Lets jobs go of which all that they need is recorded as done; their times count from the last of these records. */
@@ -419,11 +419,11 @@
         entries.forEach(::added)
     }
 
-    private fun effect(effect: Effect) {
+    private fun effect(effect: LeaderEffect) {
         when (effect) {
-            is Effect.Send -> authority.owner(effect.partition)?.let { send(it.label, effect.frame) }
-            is Effect.WriteRanges -> scope.launch { writeRanges(effect.news) }
-            is Effect.Finish -> scope.launch { finish(effect.job) }
+            is LeaderEffect.Send -> authority.owner(effect.partition)?.let { send(it.label, effect.frame) }
+            is LeaderEffect.WriteRanges -> scope.launch { writeRanges(effect.news) }
+            is LeaderEffect.Finish -> scope.launch { finish(effect.job) }
         }
     }
 
@@ -431,7 +431,7 @@
      * Guarded by the leadership: a late transaction of an earlier leader changes nothing, and ranges of a job that ended
      * meanwhile are tidied away. A late one of this leader is kept from changing anything by [OwnedKeys].
      */
-    private suspend fun writeRanges(news: List<DoneNews>) {
+    private suspend fun writeRanges(news: List<CompletionDelta>) {
         val puts =
             news.flatMap { row ->
                 row.chunks.map { Change.Put(DoneRanges.key(row.job.spec.id, it), DoneRanges.encode(row.covers, it)) }
@@ -514,7 +514,7 @@
             },
             now,
         )
-        core.close(fleet.closing())
+        core.cordon(fleet.cordoned())
         if (log.isDebugEnabled && now - describedUs >= DESCRIBE_US) {
             describedUs = now
             log.debug("{}", fleet.describe(now))
@@ -526,9 +526,9 @@
         job: Job,
         now: Long,
     ): Long? {
-        if (!job.ready) return goals.deadlineUs(job)
+        if (!job.ready) return serviceObjectives.deadlineUs(job)
         val runUs = core.runTimes.expectedUs(job.spec)
-        return goals.promises(job, runUs, now).firstOrNull()?.let { it.startByUs + runUs }
+        return serviceObjectives.startObjectives(job, runUs, now).firstOrNull()?.let { it.startByUs + runUs }
     }
 
     private fun callCloud(now: Long) {
@@ -568,9 +568,9 @@
         if (registryBusy || now - registeredUs < if (registry.behind) BEHIND_US else REGISTER_US) return
         // Also where nothing is due: the search looks at every machine, and this is asked after every message.
         registeredUs = now
-        val closing = fleet.closing()
+        val cordoned = fleet.cordoned()
         for ((id, view) in core.unregistered()) {
-            if (view.name in closing || view.name in registry) continue
+            if (view.name in cordoned || view.name in registry) continue
             registry.add(Registered(view.name, view.build, settings.assignment.zone(id)!!, view.spot, view.address))
         }
         val pages = registry.due(settings.txnOps)
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -60,13 +60,13 @@
     teams: Map<String, Team>,
     private val leaseUs: Long,
     private val timers: Timers,
-    private val goals: Goals,
+    private val serviceObjectives: ServiceObjectives,
     private val capacityOf: (String) -> Shape?,
     batch: Int,
     private val fetchUs: (JobSpec) -> Long = { 0 },
     private val waitersOf: (String) -> Collection<String> = { emptyList() },
     valueBytes: Int = Int.MAX_VALUE,
-    private val emit: (Effect) -> Unit,
+    private val emit: (LeaderEffect) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.placement")
     val jobs = LinkedHashMap<String, Job>()
@@ -84,39 +84,39 @@
     val faults = HashMap<String, HashSet<String>>()
 
     /** Machines that get no more tasks. */
-    private var closed: Set<String> = emptySet()
-    private val ledger = Ledger(teams)
-    private val orders = Orders()
-    val runTimes = RunTimes()
-    private val chains = Chains(goals, runTimes) { job -> waitersOf(job.spec.id).mapNotNull { jobs[it] } }
+    private var cordoned: Set<String> = emptySet()
+    private val runningAttempts = RunningAttempts(teams)
+    private val orders = TaskOrders()
+    val runTimes = RunTimeEstimates()
+    private val pipelineDeadlines = PipelineDeadlines(serviceObjectives, runTimes) { job -> waitersOf(job.spec.id).mapNotNull { jobs[it] } }
     private val readiness = ReadinessForecast(runTimes, fetchUs) { jobs[it] }
-    private val queue = Queue(goals, teams, runTimes, chains = chains)
+    private val queue = JobQueue(serviceObjectives, teams, runTimes, pipelineDeadlines = pipelineDeadlines)
     private val checkpointStops = CheckpointStops(runTimes)
 
     /** Orders to save that the next frame to each part takes along. */
     private val saves = HashMap<String, List<SaveOrder>>()
 
     /** Machines on which something runs that counts for no team: its job has no record any more, or it should not be there. */
-    private val strange = HashMap<String, String>()
+    private val unaccountedMachines = HashMap<String, String>()
     private val seqs = HashMap<String, Long>()
-    private val briefing = Briefing()
+    private val partitionSync = PartitionSync()
     private val sentUs = HashMap<String, Long>()
     private val poked = HashSet<String>()
     private var attemptCounter = 0L
     private var stampCounter = 0L
-    private var round: Round? = null
+    private var round: RequestRound? = null
     private var worthAsking = true
     private var askedUs = Long.MIN_VALUE / 2
     private var sweptUs = Long.MIN_VALUE / 2
 
-    private val recorder = Recorder(batch, timers.flushUs, valueBytes, emit)
+    private val completionRecorder = CompletionRecorder(batch, timers.flushUs, valueBytes, emit)
     private var cores = 0.0
 
     /** Every registered machine is accounted for, so what isn't known to run doesn't (invariant 5). */
     val complete get() = takeover.complete
 
     /** The machines that were registered before this term. */
-    fun inherited(machines: Collection<Inherited>) {
+    fun inherited(machines: Collection<InheritedMachine>) {
         machines.forEach {
             registry[it.name] = it.partition
             takeover.await(it)
@@ -142,8 +142,8 @@
         }
 
     /** These machines get no more tasks. */
-    fun close(machines: Set<String>) {
-        closed = machines
+    fun cordon(machines: Set<String>) {
+        cordoned = machines
     }
 
     fun jobAdded(job: Job) {
@@ -155,7 +155,7 @@
         val fresh = job.stamp > stamp
         if (job.ready && (complete || fresh)) job.open()
         if (!fresh) partitions.keys.forEach { adopt(job, it) }
-        if (job.complete) recorder.note(job, Long.MIN_VALUE / 2)
+        if (job.complete) completionRecorder.note(job, Long.MIN_VALUE / 2)
     }
 
     /** All that the job needs is recorded as done, since [atUs]. */
@@ -179,7 +179,7 @@
         if (job.phase == JobPhase.CLOSED) return
         job.phase = JobPhase.CLOSED
         job.pending.clear()
-        recorder.over(job)
+        completionRecorder.over(job)
         review(job)
         forgetIfOver(job)
     }
@@ -231,7 +231,7 @@
             worthAsking = true
             poked += frame.partition
             for (task in news.tasks) listed(frame.partition, partition, view, task, now)
-            giveUp(ledger.on(view.name).filter { it.partition == frame.partition && absent(it, partition) })
+            giveUp(runningAttempts.on(view.name).filter { it.partition == frame.partition && absent(it, partition) })
             collect(frame.partition, view)
         }
         round?.let { current -> frame.offers.forEach { current.offered(frame.partition, it.stamp, it.held, now, timers.betaUs) } }
@@ -255,7 +255,7 @@
         if (task.phase == TaskPhase.ENDED) {
             if (task.cause == "done" && job.did(index)) {
                 learn(known?.takeIf { mine }, now)
-                if (job.phase == JobPhase.OPEN) recorder.note(job, now)
+                if (job.phase == JobPhase.OPEN) completionRecorder.note(job, now)
             } else if (mine && task.cause != "done") {
                 failed(job, view, task, now)
             }
@@ -278,7 +278,7 @@
             attempt.seq = partition.seq
             attempt.phase = task.phase
             if (known != null) supplant(known)
-            ledger.track(attempt)
+            runningAttempts.track(attempt)
         } else if (known != null) {
             log.info("{} is on {} with try {} and on {} with try {}", task.task, view.name, task.attempt, known.machine, known.number)
         }
@@ -287,7 +287,7 @@
     /** A newer attempt has come to light: this one is counted no more, and its machine is to stop what it may still list. */
     private fun supplant(attempt: Attempt) {
         log.info("{} try {} on {} was followed by another", attempt.task, attempt.number, attempt.machine)
-        ledger.remove(attempt)
+        runningAttempts.remove(attempt)
         checkpointStops.ended(attempt)
         partitions[attempt.partition]?.machines?.get(attempt.machine)?.let { collect(attempt.partition, it) }
     }
@@ -319,7 +319,7 @@
         attempt: Attempt,
         savedUs: Long = checkpointedUs(attempt),
     ) {
-        ledger.remove(attempt)
+        runningAttempts.remove(attempt)
         checkpointStops.ended(attempt)
         attempt.job.savedProgress(attempt.index, savedUs)
         attempt.job.requeue(attempt.index)
@@ -361,14 +361,14 @@
 
     /** The machine is proven gone: a return call was answered, and with it all that ran there is gone. */
     fun machineGone(name: String) {
-        ledger.on(name).toList().forEach { gone(it) }
+        runningAttempts.on(name).toList().forEach { gone(it) }
         partitions.forEach { (id, partition) ->
             partition.machines.remove(name)
             orders.forget(id, name)
         }
         registry.remove(name)
         addresses.remove(name)
-        strange.remove(name)
+        unaccountedMachines.remove(name)
         faults.remove(name)
         checkpointStops.gone(name)
         retired += name
@@ -394,7 +394,7 @@
         val current = round
         if (current != null && (current.heardFrom(reachable(now)) || now >= current.deadlineUs)) decide(current, now)
         if (round == null && now - askedUs >= if (worthAsking) timers.paceUs else timers.retryUs) ask(now)
-        recorder.record(now)
+        completionRecorder.record(now)
         for (id in assignment.partitions) {
             val waitedUs = now - (sentUs[id] ?: Long.MIN_VALUE / 2)
             if ((id in poked && waitedUs >= ACK_US) || waitedUs >= HEARTBEAT_US) send(id, now)
@@ -405,7 +405,7 @@
     private fun sweep(now: Long) {
         sweptUs = now
         checkComplete()
-        giveUp(ledger.all().filter { attempt -> partitions[attempt.partition]?.let { absent(attempt, it) } == true }.toList())
+        giveUp(runningAttempts.all().filter { attempt -> partitions[attempt.partition]?.let { absent(attempt, it) } == true }.toList())
         cores =
             partitions.values.sumOf { partition ->
                 partition.machines.values.sumOf {
@@ -423,9 +423,9 @@
     /** Tasks on machines that go away save their progress. */
     private fun orderSaves(now: Long) {
         saves.clear()
-        for (machine in closed + checkpointStops.noticed) {
+        for (machine in cordoned + checkpointStops.noticed) {
             val partition = registry[machine] ?: continue
-            val orders = checkpointStops.orders(machine, ledger.on(machine), now)
+            val orders = checkpointStops.orders(machine, runningAttempts.on(machine), now)
             if (orders.isEmpty()) continue
             saves.merge(partition, orders) { before, more -> before + more }
             poked += partition
@@ -436,11 +436,11 @@
      * What may be in use by nobody knows whom: on machines that run something whose job has no record, and on those of which
      * nothing is known yet. Each counts at its full size against every team.
      */
-    private fun strangers(): Shape {
+    private fun unaccountedUse(): Shape {
         val unknown = takeover.unknown(capacityOf)
         var cores = unknown.cores
         var cards = unknown.cards
-        for (build in strange.values) {
+        for (build in unaccountedMachines.values) {
             cores += capacityOf(build)?.cores ?: Double.MAX_VALUE
             cards += capacityOf(build)?.cards ?: Double.MAX_VALUE
         }
@@ -453,21 +453,21 @@
     private fun ask(now: Long) {
         worthAsking = false
         askedUs = now
-        val strangers = strangers()
+        val unaccountedUse = unaccountedUse()
         val planned = HashMap<String, Shape>()
         val first = ArrayList<Pair<Job, Int>>()
         for (job in queue.order(jobs.values, { cores }, now)) {
             if (first.size >= timers.askJobs) break
             val spec = job.spec
-            val before = planned[spec.team] ?: Ledger.NONE
-            val count = minOf(job.pending.size, timers.askTasks, ledger.allowance(spec.team, spec.shape, strangers, before))
+            val before = planned[spec.team] ?: RunningAttempts.NONE
+            val count = minOf(job.pending.size, timers.askTasks, runningAttempts.allowance(spec.team, spec.shape, unaccountedUse, before))
             if (count <= 0) continue
             planned[spec.team] = before - spec.shape * -count
             first += job to count
         }
         if (first.isEmpty()) return
         val requests = runs(first) { (job, _) -> hurried(job) }.flatMap { requests(it, now) }
-        round = Round(requests, now, timers.alphaUs)
+        round = RequestRound(requests, now, timers.alphaUs)
         val frames = requests.map { it.first }
         assignment.partitions.forEach { send(it, now, requests = frames) }
     }
@@ -499,7 +499,7 @@
         return result
     }
 
-    private fun hurried(job: Job) = goals.startsWithin(job.spec.kind, HURRY_US)
+    private fun hurried(job: Job) = serviceObjectives.startsWithin(job.spec.kind, HURRY_US)
 
     private fun request(
         job: Job,
@@ -536,26 +536,26 @@
 
     /** Keeps the roomiest of what is held, starts tasks there, and lets go of the rest. */
     private fun decide(
-        current: Round,
+        current: RequestRound,
         now: Long,
     ) {
         round = null
-        val strangers = strangers()
+        val unaccountedUse = unaccountedUse()
         val starts = HashMap<String, ArrayList<StartOrder>>()
         val sent = ArrayList<Attempt>()
         for ((ask, job) in current.requests) {
             if (job.phase != JobPhase.OPEN) continue
             val spec = job.spec
-            val most = minOf(ask.count, ledger.allowance(spec.team, spec.shape, strangers))
-            val offers = current.of(ask.stamp).mapValues { (_, held) -> held.filter { it.machine in registry && it.machine !in closed } }
-            for (place in Choice.roomiest(offers, most, ::zoneOf, zoneRoom(job, offers))) {
+            val most = minOf(ask.count, runningAttempts.allowance(spec.team, spec.shape, unaccountedUse))
+            val offers = current.of(ask.stamp).mapValues { (_, held) -> held.filter { it.machine in registry && it.machine !in cordoned } }
+            for (place in OfferSelection.roomiest(offers, most, ::zoneOf, zoneRoom(job, offers))) {
                 val index = job.next()
                 if (index < 0) break
                 val attempt = Attempt(job, index, newAttempt(), place.machine, place.partition)
                 attempt.partitionTerm = partitions.getValue(place.partition).term
                 // Not told by any frame so far: its own is sent below.
                 attempt.seq = Long.MAX_VALUE
-                ledger.track(attempt)
+                runningAttempts.track(attempt)
                 job.placedUs = now
                 sent += attempt
                 starts.getOrPut(place.partition) { ArrayList() } += StartOrder(ask.stamp, place.machine, index, attempt.number)
@@ -585,7 +585,7 @@
                 .groupingBy { zoneOf(it.partition) }
                 .eachCount()
         val most = if (spec.spread) (spec.tasks + 1) / 2 else Int.MAX_VALUE
-        val only = if (spec.sameZone) there.keys.firstOrNull() ?: Choice.bestZone(offers, ::zoneOf) else null
+        val only = if (spec.sameZone) there.keys.firstOrNull() ?: OfferSelection.bestZone(offers, ::zoneOf) else null
         return { zone ->
             val allowed = !spec.sameZone || (zone == only && there.keys.all { it == zone })
             if (allowed) most - (there[zone] ?: 0) else 0
@@ -597,11 +597,11 @@
 
     /** The record holds what [news] covers; workers may now forget these tasks (invariant 9). */
     fun rangesWritten(
-        news: List<DoneNews>,
+        news: List<CompletionDelta>,
         ok: Boolean,
         now: Long,
     ) {
-        recorder.written(news, ok, now)
+        completionRecorder.written(news, ok, now)
         if (ok) news.forEach { if (it.job.phase == JobPhase.OPEN) review(it.job) }
     }
 
@@ -619,7 +619,7 @@
             (now - job.readyUs) / MILLI,
         )
         job.finishUnderWay = false
-        recorder.over(job)
+        completionRecorder.over(job)
         job.phase = JobPhase.CLOSED
         review(job)
         forgetIfOver(job)
@@ -652,7 +652,7 @@
         sentUs[id] = now
         poked -= id
         val partition = partitions[id]
-        val inform = !briefing.informed(id, partition, seq)
+        val inform = !partitionSync.informed(id, partition, seq)
         val (stops, clears) = orders.take(id, now)
         val frame =
             PlacementFrame(
@@ -668,10 +668,10 @@
                 releases = releases,
                 stops = stops,
                 clears = clears,
-                closed = briefing.closedNews(id, partition, now) { it in closed || it !in registry },
+                cordoned = partitionSync.cordonDelta(id, partition, now) { it in cordoned || it !in registry },
                 saves = saves.remove(id).orEmpty(),
             )
-        emit(Effect.Send(id, frame))
+        emit(LeaderEffect.Send(id, frame))
         return seq
     }
 
@@ -682,7 +682,7 @@
     ) {
         val stops = ArrayList<AttemptOrder>()
         val clears = ArrayList<AttemptOrder>()
-        var stranger = false
+        var hasUnaccounted = false
         if (!view.lost) {
             for (task in view.tasks) {
                 val job = jobs[task.job]
@@ -693,12 +693,12 @@
                     if (!keep) clears += AttemptOrder(view.name, task.task, task.attempt)
                 } else {
                     val counted = job?.alive?.get(index)?.let { it.number == task.attempt && it.machine == view.name } == true
-                    if (!counted) stranger = true
+                    if (!counted) hasUnaccounted = true
                     if (!counted || !wanted) stops += AttemptOrder(view.name, task.task, task.attempt)
                 }
             }
         }
-        if (stranger && view.name in registry) strange[view.name] = view.build else strange.remove(view.name)
+        if (hasUnaccounted && view.name in registry) unaccountedMachines[view.name] = view.build else unaccountedMachines.remove(view.name)
         if (!view.settled) {
             stops.clear()
             clears.clear()
@@ -712,7 +712,7 @@
             job.spec.id to listOf(job.spec.tasks - job.left, job.alive.values.count { it.phase != TaskPhase.PENDING })
         }
 
-    fun attemptsOn(machine: String): Collection<Attempt> = ledger.on(machine)
+    fun attemptsOn(machine: String): Collection<Attempt> = runningAttempts.on(machine)
 
     private companion object {
         const val HEARTBEAT_US = 800 * MILLI
--- a/src/main/kotlin/lichenstage/placement/Effect.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderEffect.kt
@@ -4,26 +4,26 @@
 import java.util.BitSet
 
 /** Tasks of a job that are done but not recorded, and the chunks in which they fall. */
-data class DoneNews(
+data class CompletionDelta(
     val job: Job,
     val covers: BitSet,
     val chunks: List<Int>,
 )
 
 /** What the leader's decisions ask of the outside. */
-sealed interface Effect {
+sealed interface LeaderEffect {
     data class Send(
         val partition: String,
         val frame: PlacementFrame,
-    ) : Effect
+    ) : LeaderEffect
 
     /** Record that these tasks are done, in one transaction. */
     data class WriteRanges(
-        val news: List<DoneNews>,
-    ) : Effect
+        val news: List<CompletionDelta>,
+    ) : LeaderEffect
 
     /** Record that all tasks of a job are done, and with them the job. */
     data class Finish(
         val job: Job,
-    ) : Effect
+    ) : LeaderEffect
 }
--- a/src/main/kotlin/lichenstage/placement/Promises.kt
+++ b/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
@@ -4,16 +4,16 @@
 import java.util.PriorityQueue
 
 /** A promise as the plan sees it: when its work must be done, and what keeping it counts, in jobs of its class. */
-data class Step(
+data class ObjectiveStep(
     val dueUs: Long,
     val value: Double,
 )
 
 /** A job as the order of the queue sees it: the work left, and the promises that can still be kept, the earliest first. */
-class Waiting(
+class QueuedJob(
     val job: Job,
     val work: Double,
-    val steps: List<Step>,
+    val steps: List<ObjectiveStep>,
     val runUs: Long,
     /** Its own, or that of a job that waits for it. */
     val priority: Priority = job.spec.priority,
@@ -34,38 +34,38 @@
  * has one. A deadline is counted by jobs, so that large jobs yield least; a start is counted by tasks, so that they don't. What
  * no promise is left for comes after, the longest tasks first, so that all is done early.
  */
-object Promises {
+object ObjectiveOrder {
     /** [capacity] is the work done in a microsecond. */
     fun order(
-        waiting: List<Waiting>,
+        waiting: List<QueuedJob>,
         capacity: Double,
         now: Long,
     ): List<Job> {
-        val late = ArrayList<Waiting>()
+        val late = ArrayList<QueuedJob>()
         var planned = waiting.filter { it.steps.isNotEmpty() }
         waiting.filterTo(late) { it.steps.isEmpty() }
         for (round in 0 until MOST_ROUNDS) {
-            val off = putOff(planned.sortedBy { it.due }, capacity, now)
+            val off = postpone(planned.sortedBy { it.due }, capacity, now)
             if (off.isEmpty()) break
             val gone = off.filter { ++it.step >= it.steps.size }.toSet()
             late += gone
             planned = planned.filter { it !in gone }
         }
-        val kept = planned.sortedWith(compareBy<Waiting> { it.due }.thenBy { it.job.stamp })
+        val kept = planned.sortedWith(compareBy<QueuedJob> { it.due }.thenBy { it.job.stamp })
         return (
             kept +
-                late.sortedWith(compareByDescending<Waiting> { it.priority }.thenByDescending { it.runUs }.thenBy { it.job.stamp })
+                late.sortedWith(compareByDescending<QueuedJob> { it.priority }.thenByDescending { it.runUs }.thenBy { it.job.stamp })
         ).map { it.job }
     }
 
     /** Those that give way when [planned] is worked off in its order. */
-    private fun putOff(
-        planned: List<Waiting>,
+    private fun postpone(
+        planned: List<QueuedJob>,
         capacity: Double,
         now: Long,
-    ): List<Waiting> {
-        val off = ArrayList<Waiting>()
-        val taken = PriorityQueue(compareBy<Waiting> { it.priority }.thenBy { it.yield })
+    ): List<QueuedJob> {
+        val off = ArrayList<QueuedJob>()
+        val taken = PriorityQueue(compareBy<QueuedJob> { it.priority }.thenBy { it.yield })
         var work = 0.0
         for (next in planned) {
             taken += next
--- a/src/main/kotlin/lichenstage/placement/Choice.kt
+++ b/src/main/kotlin/lichenstage/placement/OfferSelection.kt
@@ -5,13 +5,13 @@
 import lichenstage.cluster.PlacementScore
 
 /** A held place that may be chosen. */
-data class Place(
+data class Placement(
     val partition: String,
     val machine: String,
 )
 
 /** What the leader picks of the offers for one request. */
-object Choice {
+object OfferSelection {
     /**
      * The [most] places on the roomiest of the held machines; [offers] are by part.
      *
@@ -22,7 +22,7 @@
         most: Int,
         zoneOf: (String) -> String,
         zoneRoom: (String) -> Int,
-    ): List<Place> {
+    ): List<Placement> {
         val partitionOf = HashMap<String, String>()
         for ((partition, held) in offers) held.forEach { partitionOf[it.machine] = partition }
         val allowed =
@@ -31,7 +31,7 @@
                 .flatMap { (zone, held) -> PlacementScore.take(held.flatten(), minOf(most, zoneRoom(zone))) }
         return PlacementScore
             .take(allowed, most)
-            .flatMap { held -> List(held.count) { Place(partitionOf.getValue(held.machine), held.machine) } }
+            .flatMap { held -> List(held.count) { Placement(partitionOf.getValue(held.machine), held.machine) } }
     }
 
     /** For a job whose tasks must share a zone: the zone that offers most. */
@@ -46,7 +46,7 @@
 }
 
 /** Requests that were broadcast together, and what the parts have answered so far. */
-class Round(
+class RequestRound(
     val requests: List<Pair<PlacementRequest, Job>>,
     now: Long,
     alphaUs: Long,
--- a/src/main/kotlin/lichenstage/placement/Briefing.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionSync.kt
@@ -4,10 +4,10 @@
 import lichenstage.app.SECOND
 
 /** What each part has been told beside requests and orders: the jobs and machines that were there, and which get no tasks. */
-class Briefing {
+class PartitionSync {
     private val informedBy = HashMap<String, Long>()
-    private val closedTold = HashMap<String, Set<String>>()
-    private val closedToldUs = HashMap<String, Long>()
+    private val cordonedSent = HashMap<String, Set<String>>()
+    private val cordonedSentUs = HashMap<String, Long>()
 
     /** What is known of jobs and machines goes to a part until it has shown that it got it; later jobs come with requests. */
     fun informed(
@@ -20,19 +20,19 @@
     }
 
     /** The machines of a part that get no tasks, where that has changed or was told long ago. */
-    fun closedNews(
+    fun cordonDelta(
         id: String,
         partition: PartitionState?,
         now: Long,
-        closed: (String) -> Boolean,
+        cordoned: (String) -> Boolean,
     ): Set<String>? {
         if (partition == null) return null
-        val due = now - (closedToldUs[id] ?: (Long.MIN_VALUE / 2))
+        val due = now - (cordonedSentUs[id] ?: (Long.MIN_VALUE / 2))
         if (due < CLOSED_US) return null
-        val here = partition.machines.keys.filterTo(HashSet(), closed)
-        if (here == closedTold[id] && due < CLOSED_AGAIN_US) return null
-        closedTold[id] = here
-        closedToldUs[id] = now
+        val here = partition.machines.keys.filterTo(HashSet(), cordoned)
+        if (here == cordonedSent[id] && due < CLOSED_AGAIN_US) return null
+        cordonedSent[id] = here
+        cordonedSentUs[id] = now
         return here
     }
 
--- a/src/main/kotlin/lichenstage/placement/Chains.kt
+++ b/src/main/kotlin/lichenstage/placement/PipelineDeadlines.kt
@@ -3,7 +3,7 @@
 import lichenstage.jobs.Priority
 
 /** What a job has from those that wait for it. [dueUs]: when it should be complete for their sake. */
-data class FromWaiters(
+data class InheritedUrgency(
     val dueUs: Long?,
     val priority: Priority,
 )
@@ -12,9 +12,9 @@
  * Plans pipelines backwards from their end. Users set a deadline, and the priority that they care about, on the last job only: a job
  * has the priority of the most urgent that waits for it, and should be done early enough for the longest chain behind it.
  */
-class Chains(
-    private val goals: Goals,
-    private val runTimes: RunTimes,
+class PipelineDeadlines(
+    private val serviceObjectives: ServiceObjectives,
+    private val runTimes: RunTimeEstimates,
     private val waitersOf: (Job) -> List<Job>,
 ) {
     /** For one plan: what many share is worked out once. */
@@ -23,21 +23,21 @@
         private val fold = GraphFold({ job -> waitersOf(job).filter { it.phase == JobPhase.OPEN } }, ::from)
 
         /** What the job has from those that wait for it, directly or through others. */
-        fun of(job: Job): FromWaiters = fold.of(job)
+        fun of(job: Job): InheritedUrgency = fold.of(job)
 
         private fun from(
             job: Job,
             waiters: List<Job>,
-            known: Map<Job, FromWaiters>,
-        ): FromWaiters {
+            known: Map<Job, InheritedUrgency>,
+        ): InheritedUrgency {
             val due =
                 waiters.mapNotNull { waiter ->
-                    val own = goals.deadlineUs(waiter)
+                    val own = serviceObjectives.deadlineUs(waiter)
                     val inherited = known.getValue(waiter).dueUs
                     listOfNotNull(own, inherited).minOrNull()?.let { it - runTimes.expectedUs(waiter.spec) - ReadinessForecast.STAGE_US }
                 }
             val priorities = waiters.map { known.getValue(it).priority }
-            return FromWaiters(due.minOrNull(), maxOf(job.spec.priority, priorities.maxOrNull() ?: job.spec.priority))
+            return InheritedUrgency(due.minOrNull(), maxOf(job.spec.priority, priorities.maxOrNull() ?: job.spec.priority))
         }
     }
 }
--- a/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
+++ b/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
@@ -9,7 +9,7 @@
  * Machines take a while to boot. With this the fleet has them when a stage becomes ready, and not a boot time later.
  */
 class ReadinessForecast(
-    private val runTimes: RunTimes,
+    private val runTimes: RunTimeEstimates,
     private val fetchUs: (JobSpec) -> Long,
     private val jobOf: (String) -> Job?,
 ) {
--- a/src/main/kotlin/lichenstage/placement/RunTimes.kt
+++ b/src/main/kotlin/lichenstage/placement/RunTimeEstimates.kt
@@ -8,7 +8,7 @@
  * How long tasks really run. Owners' estimates are the prior; how far those of a class are off on the whole is learned from
  * its completions, since on some days they are mostly too high or mostly too low.
  */
-class RunTimes {
+class RunTimeEstimates {
     private class Bias(
         var sum: Double = 0.0,
         var weight: Double = 0.0,
--- a/src/main/kotlin/lichenstage/placement/Ledger.kt
+++ b/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
@@ -4,7 +4,7 @@
 import lichenstage.cluster.Shape
 
 /** Every attempt that may be running, and what the teams use by them (invariant 11). */
-class Ledger(
+class RunningAttempts(
     private val teams: Map<String, Team>,
 ) {
     private val byMachine = HashMap<String, LinkedHashSet<Attempt>>()
@@ -39,16 +39,16 @@
         usedCards.merge(spec.team, sign * spec.shape.cards, Double::plus)
     }
 
-    /** How many tasks of [shape] a team may still start, beside what is [planned] for it and what [strangers] may be using. */
+    /** How many tasks of [shape] a team may still start, beside what is [planned] for it and what [unaccountedUse] may be using. */
     fun allowance(
         team: String,
         shape: Shape,
-        strangers: Shape,
+        unaccountedUse: Shape,
         planned: Shape = NONE,
     ): Int {
         val limit = teams[team] ?: return 0
-        val cores = limit.coresMax - strangers.cores - (usedCores[team] ?: 0.0) - planned.cores
-        val cards = limit.cardsMax - strangers.cards - (usedCards[team] ?: 0.0) - planned.cards
+        val cores = limit.coresMax - unaccountedUse.cores - (usedCores[team] ?: 0.0) - planned.cores
+        val cards = limit.cardsMax - unaccountedUse.cards - (usedCards[team] ?: 0.0) - planned.cards
         return Shape(cores, cards, Double.POSITIVE_INFINITY).fits(shape)
     }
 
--- a/src/main/kotlin/lichenstage/placement/Goals.kt
+++ b/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
@@ -5,13 +5,13 @@
 import lichenstage.app.Team
 
 /** A time by which all of a job's tasks should have started. [byTask]: starts are counted task by task, not job by job. */
-data class Promise(
+data class StartObjective(
     val startByUs: Long,
     val byTask: Boolean,
 )
 
 /** What users were promised for each class of jobs, as times by which a task must start. */
-class Goals(
+class ServiceObjectives(
     objectives: List<Objective>,
 ) {
     private val byClass = objectives.groupBy { it.kind to it.jobClass }.mapValues { (_, rows) -> rows.mapNotNull { it.withinUs }.sorted() }
@@ -57,17 +57,17 @@
      * The promises for the job that can still be kept, the earliest first. [runUs] is how long a task is expected to run; a
      * start that seems somewhat too late may still do. [forOthersUs]: when those that wait for it need it done.
      */
-    fun promises(
+    fun startObjectives(
         job: Job,
         runUs: Long,
         now: Long,
         guaranteed: Boolean = false,
         forOthersUs: Long? = null,
-    ): List<Promise> {
+    ): List<StartObjective> {
         val waits = byClass[ObjectiveKind.WAIT to job.spec.kind].orEmpty() + listOfNotNull(guaranteeUs?.takeIf { guaranteed })
         return (
-            waits.map { Promise(job.readyUs + it, byTask = true) } +
-                (dueUs(job) + listOfNotNull(forOthersUs)).map { Promise(it - runUs, byTask = false) }
+            waits.map { StartObjective(job.readyUs + it, byTask = true) } +
+                (dueUs(job) + listOfNotNull(forOthersUs)).map { StartObjective(it - runUs, byTask = false) }
         ).filter { it.startByUs + runUs / 4 >= now }
             .map { it.copy(startByUs = maxOf(it.startByUs, now)) }
             .sortedBy { it.startByUs }
--- a/src/main/kotlin/lichenstage/placement/Takeover.kt
+++ b/src/main/kotlin/lichenstage/placement/Takeover.kt
@@ -5,7 +5,7 @@
 import lichenstage.cluster.Shape
 
 /** A machine that was registered before a leader's term. */
-data class Inherited(
+data class InheritedMachine(
     val name: String,
     val partition: String,
     val build: String,
@@ -20,11 +20,11 @@
     private val leaseUs: Long,
     private val partitionOf: (String) -> PartitionState?,
 ) {
-    private val awaited = HashMap<String, Inherited>()
+    private val awaited = HashMap<String, InheritedMachine>()
 
     val complete get() = awaited.isEmpty()
 
-    fun await(machine: Inherited) {
+    fun await(machine: InheritedMachine) {
         awaited[machine.name] = machine
     }
 
@@ -43,7 +43,7 @@
      * One that its part has heard counts only once it has shown the token or its lease has run out since its last answer; one
      * that was never heard, once the part is older than a lease.
      */
-    private fun accounted(machine: Inherited): Boolean {
+    private fun accounted(machine: InheritedMachine): Boolean {
         val partition = partitionOf(machine.partition) ?: return false
         val view = partition.machines[machine.name]
         return if (view == null) partition.ageUs > withDrift(leaseUs) + UNHEARD_MARGIN_US else view.settled || view.lost
--- a/src/main/kotlin/lichenstage/placement/Orders.kt
+++ b/src/main/kotlin/lichenstage/placement/TaskOrders.kt
@@ -7,7 +7,7 @@
  * The stops and clears that machines still need. Each goes out once, and again after a while as long as the machine has not
  * shown that it is done: frames get lost.
  */
-class Orders {
+class TaskOrders {
     private class Due(
         val order: AttemptOrder,
         val stop: Boolean,
--- a/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
@@ -73,7 +73,7 @@
         now += 60 * SECOND
         look()
         look()
-        condition(fleet.closing() == setOf("a", "b", "c")) { "${fleet.closing()}" }
+        condition(fleet.cordoned() == setOf("a", "b", "c")) { "${fleet.cordoned()}" }
         condition(fleet.next(now) == CloudCall.GiveBack(listOf("b", "c"))) { "${fleet.next(now)}" }
     }
 
@@ -94,7 +94,7 @@
         val urgent = forecast.machines("t", 0.85, 600 * SECOND)
         condition(urgent in 14.0..20.0) { "and 7 is their spread: $urgent" }
         for (s in 0L..50L step 10) fleet.observe(emptyList(), { seen(0) }, (600 + s) * SECOND)
-        condition(fleet.closing().size in 8..30) { "${fleet.closing()}" }
+        condition(fleet.cordoned().size in 8..30) { "${fleet.cordoned()}" }
         condition(forecast.machines("t", 0.85, 900 * SECOND) == 0.0) { "nothing comes any more" }
     }
 
@@ -105,7 +105,7 @@
             val names = List(count) { "m$it" }
             names.forEach { fleet.known(it, "t", "z", false, 0, 0) }
             fleet.observe(demand(9.0), { Seen(up = true, silent = true, lost = false, tasks = 1, faulty = false) }, 100 * SECOND)
-            condition(fleet.closing().isNotEmpty() == (count == 1)) { "$count silent: ${fleet.closing()}" }
+            condition(fleet.cordoned().isNotEmpty() == (count == 1)) { "$count silent: ${fleet.cordoned()}" }
         }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/CheckpointStopsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CheckpointStopsTest.kt
@@ -9,7 +9,7 @@
 import org.junit.platform.commons.util.Preconditions.condition
 
 class CheckpointStopsTest {
-    private val stops = CheckpointStops(RunTimes())
+    private val stops = CheckpointStops(RunTimeEstimates())
 
     private fun job(
         runS: Long,
--- a/src/test/kotlin/lichenstage/placement/QueueTest.kt
+++ b/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
@@ -8,8 +8,8 @@
 import org.junit.platform.commons.util.Preconditions.condition
 
 /** Who comes first, and that nobody waits for ever. */
-class QueueTest {
-    private val goals = Goals(listOf(Objective(ObjectiveKind.WAIT, "quick", 2 * SECOND)))
+class JobQueueTest {
+    private val serviceObjectives = ServiceObjectives(listOf(Objective(ObjectiveKind.WAIT, "quick", 2 * SECOND)))
 
     private fun job(
         number: Int,
@@ -24,7 +24,7 @@
      * promise still begins in time. With [agedUs] out of reach it does not: the guard is what does it.
      */
     private fun largestBeginsAfter(agedUs: Long): Long? {
-        val queue = Queue(goals, emptyMap(), RunTimes(), agedUs)
+        val queue = JobQueue(serviceObjectives, emptyMap(), RunTimeEstimates(), agedUs)
         val large = job(0, "slow", 400, 0, Priority.LOW)
         val jobs = LinkedHashMap<Int, Job>()
         jobs[0] = large
@@ -57,7 +57,7 @@
 
     @Example
     fun `age comes from the record, so that a new leader lets nobody wait anew`() {
-        val queue = Queue(goals, emptyMap(), RunTimes())
+        val queue = JobQueue(serviceObjectives, emptyMap(), RunTimeEstimates())
         val old = job(1, "slow", 5, -200 * SECOND, Priority.LOW)
         val fresh = List(5) { job(2 + it, "quick", 5, 0) }
         (fresh + old).forEach(queue::added)
--- a/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
@@ -20,13 +20,16 @@
 
 /** What the leader alone must keep. */
 class LeaderCoreTest {
-    private val effects = ArrayList<Effect>()
+    private val effects = ArrayList<LeaderEffect>()
     private val teams = mapOf("red" to Team("red", 0.0, 8.0, 0.0, Double.POSITIVE_INFINITY))
     private var version = 0L
     private val assignment = PartitionAssignment(listOf("y", "z"), emptyMap())
 
     private fun leader() =
-        LeaderCore(7, 100, assignment, teams, 20 * SECOND, Timers(), Goals(emptyList()), { Shape(16.0, 0.0, 64.0) }, 10) { effects += it }
+        LeaderCore(7, 100, assignment, teams, 20 * SECOND, Timers(), ServiceObjectives(emptyList()), { Shape(16.0, 0.0, 64.0) }, 10) {
+            effects +=
+                it
+        }
 
     private fun spec(
         id: String,
@@ -60,11 +63,11 @@
         whole: Boolean = true,
     ) = PartitionFrame("$zone/0", term, age, 7, seq, seq, 0, ++version, whole, views.toList(), offers)
 
-    private fun sent(zone: String) = effects.filterIsInstance<Effect.Send>().filter { it.partition == "$zone/0" }.map { it.frame }
+    private fun sent(zone: String) = effects.filterIsInstance<LeaderEffect.Send>().filter { it.partition == "$zone/0" }.map { it.frame }
 
     private fun lastAsk(): PlacementFrame = sent("z").last { it.requests.isNotEmpty() }
 
-    private fun starts() = effects.filterIsInstance<Effect.Send>().flatMap { it.frame.starts }
+    private fun starts() = effects.filterIsInstance<LeaderEffect.Send>().flatMap { it.frame.starts }
 
     private fun offer(
         frame: PlacementFrame,
@@ -74,7 +77,7 @@
         Offer(it.stamp, listOf(HeldSlots(machine, count, count, false)))
     }
 
-    private fun inherited(vararg names: String) = names.map { Inherited(it, "z/0", "t", null) }
+    private fun inherited(vararg names: String) = names.map { InheritedMachine(it, "z/0", "t", null) }
 
     @Example
     fun `older jobs wait until every registered machine is accounted for, fresh ones do not`() {
@@ -286,7 +289,7 @@
         leader.frame(partition("z", seq, view("m1", *ended.toTypedArray())), 2 * SECOND)
         effects.clear()
         leader.tick(2 * SECOND)
-        val end = effects.filterIsInstance<Effect.Finish>().single()
+        val end = effects.filterIsInstance<LeaderEffect.Finish>().single()
         condition(sent("z").all { it.clears.isEmpty() }) { "cleared before the record was written" }
         leader.finished(end.job, 3 * SECOND)
         leader.tick(4 * SECOND)
@@ -325,7 +328,7 @@
         for (machines in listOf(400, 1600)) {
             var looks = 0
             val leader =
-                LeaderCore(7, 100, assignment, teams, 20 * SECOND, Timers(), Goals(emptyList()), {
+                LeaderCore(7, 100, assignment, teams, 20 * SECOND, Timers(), ServiceObjectives(emptyList()), {
                     looks++
                     Shape(16.0, 0.0, 64.0)
                 }, 10) { effects += it }
@@ -363,9 +366,9 @@
                 "z/1" to listOf(HeldSlots("c", 6, 6, false)),
             )
         val zoneOf = { partition: String -> partition.substringBefore('/') }
-        val spread = Choice.roomiest(offers, 9, zoneOf) { 5 }
+        val spread = OfferSelection.roomiest(offers, 9, zoneOf) { 5 }
         condition(spread.count { zoneOf(it.partition) == "z" } == 5 && spread.size == 9) { "$spread" }
-        condition(Choice.bestZone(offers, zoneOf) == "z") { "not the larger offer" }
+        condition(OfferSelection.bestZone(offers, zoneOf) == "z") { "not the larger offer" }
     }
 
     @Example
@@ -391,11 +394,24 @@
 
     @Example
     fun `room with the image is asked for before any room, but not before what is in more of a hurry`() {
-        val goals = Goals(listOf(Objective(ObjectiveKind.WAIT, "quick", 2 * SECOND)))
+        val serviceObjectives = ServiceObjectives(listOf(Objective(ObjectiveKind.WAIT, "quick", 2 * SECOND)))
         val leader =
-            LeaderCore(7, 100, assignment, mapOf("red" to teams.getValue("red").copy(coresMax = 99.0)), 20 * SECOND, Timers(), goals, {
-                Shape(16.0, 0.0, 64.0)
-            }, 10, { SECOND }) { effects += it }
+            LeaderCore(
+                7,
+                100,
+                assignment,
+                mapOf(
+                    "red" to teams.getValue("red").copy(coresMax = 99.0),
+                ),
+                20 * SECOND,
+                Timers(),
+                serviceObjectives,
+                {
+                    Shape(16.0, 0.0, 64.0)
+                },
+                10,
+                { SECOND },
+            ) { effects += it }
         for ((id, kind) in listOf("j-1" to "quick", "j-2" to "quick", "j-3" to "c")) {
             leader.jobAdded(Job(spec(id).copy(kind = kind), 1, 0))
         }
@@ -408,22 +424,48 @@
 
     @Example
     fun `a promise that can't be kept any more does not come first`() {
-        val goals = Goals(listOf(Objective(ObjectiveKind.WAIT, "c", 15 * SECOND), Objective(ObjectiveKind.FINISHED, "c", 90 * SECOND)))
+        val serviceObjectives =
+            ServiceObjectives(
+                listOf(
+                    Objective(ObjectiveKind.WAIT, "c", 15 * SECOND),
+                    Objective(
+                        ObjectiveKind.FINISHED,
+                        "c",
+                        90 * SECOND,
+                    ),
+                ),
+            )
         val job = job("j-1")
-        val start = Promise(15 * SECOND, byTask = true)
-        val finish = Promise(89 * SECOND, byTask = false)
-        condition(goals.promises(job, SECOND, 0) == listOf(start, finish)) { "${goals.promises(job, SECOND, 0)}" }
-        condition(goals.promises(job, SECOND, 20 * SECOND) == listOf(finish)) { "${goals.promises(job, SECOND, 20 * SECOND)}" }
-        condition(goals.promises(job, SECOND, 100 * SECOND).isEmpty()) { "${goals.promises(job, SECOND, 100 * SECOND)}" }
+        val start = StartObjective(15 * SECOND, byTask = true)
+        val finish = StartObjective(89 * SECOND, byTask = false)
+        condition(serviceObjectives.startObjectives(job, SECOND, 0) == listOf(start, finish)) {
+            "${serviceObjectives.startObjectives(job, SECOND, 0)}"
+        }
+        condition(serviceObjectives.startObjectives(job, SECOND, 20 * SECOND) == listOf(finish)) {
+            "${serviceObjectives.startObjectives(
+                job,
+                SECOND,
+                20 * SECOND,
+            )}"
+        }
+        condition(serviceObjectives.startObjectives(job, SECOND, 100 * SECOND).isEmpty()) {
+            "${serviceObjectives.startObjectives(
+                job,
+                SECOND,
+                100 * SECOND,
+            )}"
+        }
     }
 
     @Example
     fun `a guarantee covers the earliest jobs that fit into it together`() {
-        val goals = Goals(listOf(Objective(ObjectiveKind.GUARANTEE, null, 5 * SECOND)))
+        val serviceObjectives = ServiceObjectives(listOf(Objective(ObjectiveKind.GUARANTEE, null, 5 * SECOND)))
         val team = mapOf("red" to Team("red", 12.0, 99.0, 0.0, 9.0))
         val jobs = listOf(Job(spec("j-1"), 1, 30), Job(spec("j-2"), 2, 10), Job(spec("j-3"), 3, 20))
-        val within = goals.guaranteed(jobs, team).map { it.spec.id }
+        val within = serviceObjectives.guaranteed(jobs, team).map { it.spec.id }
         condition(within == listOf("j-2")) { "8 of 12 cores are j-2's, with j-3 it would be 16: $within" }
-        condition(goals.promises(jobs[1], SECOND, 0, guaranteed = true).first().startByUs == 10 + 5 * SECOND) { "no promise of it" }
+        condition(serviceObjectives.startObjectives(jobs[1], SECOND, 0, guaranteed = true).first().startByUs == 10 + 5 * SECOND) {
+            "no promise of it"
+        }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/PromisesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
@@ -9,7 +9,7 @@
 import org.junit.platform.commons.util.Preconditions.condition
 import java.util.Random
 
-class PromisesTest {
+class ObjectiveOrderTest {
     private fun spec(
         n: Int,
         priority: Priority,
@@ -21,13 +21,13 @@
         work: Double,
         vararg due: Long,
         priority: Priority = Priority.HIGH,
-    ) = Waiting(Job(spec(n, priority), n.toLong(), 0), work, due.map { Step(it, 1.0) }, n * SECOND)
+    ) = QueuedJob(Job(spec(n, priority), n.toLong(), 0), work, due.map { ObjectiveStep(it, 1.0) }, n * SECOND)
 
     private fun ids(jobs: List<Job>) = jobs.map { it.spec.id }
 
     @Example
     fun `where all can be kept the earliest due comes first whatever its priority`() {
-        val order = Promises.order(listOf(waiting(1, 5.0, 100), waiting(2, 5.0, 50, priority = Priority.LOW)), 1.0, 0)
+        val order = ObjectiveOrder.order(listOf(waiting(1, 5.0, 100), waiting(2, 5.0, 50, priority = Priority.LOW)), 1.0, 0)
         condition(ids(order) == listOf("j-2", "j-1")) { "${ids(order)}" }
     }
 
@@ -41,20 +41,22 @@
                 waiting(4, 5.0, 60, priority = Priority.STANDARD),
                 waiting(5, 9.0, 65, priority = Priority.STANDARD),
             )
-        condition(ids(Promises.order(rows, 1.0, 0)) == listOf("j-2", "j-3", "j-1", "j-5", "j-4")) { "${ids(Promises.order(rows, 1.0, 0))}" }
+        condition(ids(ObjectiveOrder.order(rows, 1.0, 0)) == listOf("j-2", "j-3", "j-1", "j-5", "j-4")) {
+            "${ids(ObjectiveOrder.order(rows, 1.0, 0))}"
+        }
     }
 
     @Example
     fun `where starts are counted by tasks a large job does not give way for its size`() {
-        val large = Waiting(Job(spec(1, Priority.HIGH), 1, 0), 60.0, listOf(Step(70, 6.0)), SECOND)
-        val small = Waiting(Job(spec(2, Priority.HIGH), 2, 0), 20.0, listOf(Step(75, 1.0)), SECOND)
-        condition(ids(Promises.order(listOf(large, small), 1.0, 0)) == listOf("j-1", "j-2")) { "the large one gave way" }
+        val large = QueuedJob(Job(spec(1, Priority.HIGH), 1, 0), 60.0, listOf(ObjectiveStep(70, 6.0)), SECOND)
+        val small = QueuedJob(Job(spec(2, Priority.HIGH), 2, 0), 20.0, listOf(ObjectiveStep(75, 1.0)), SECOND)
+        condition(ids(ObjectiveOrder.order(listOf(large, small), 1.0, 0)) == listOf("j-1", "j-2")) { "the large one gave way" }
     }
 
     @Example
     fun `a job that gives way is kept to its next promise`() {
         val rows = listOf(waiting(1, 60.0, 70, 200), waiting(2, 20.0, 75), waiting(3, 30.0, 300))
-        condition(ids(Promises.order(rows, 1.0, 0)) == listOf("j-2", "j-1", "j-3")) { "${ids(Promises.order(rows, 1.0, 0))}" }
+        condition(ids(ObjectiveOrder.order(rows, 1.0, 0)) == listOf("j-2", "j-1", "j-3")) { "${ids(ObjectiveOrder.order(rows, 1.0, 0))}" }
     }
 
     @Property(tries = 200, seed = "31")
@@ -68,13 +70,13 @@
                 val due = LongArray(random.nextInt(4)) { random.nextInt(1000).toLong() }.apply { sort() }
                 waiting(it, random.nextDouble() * 200, *due, priority = Priority.entries[random.nextInt(4)])
             }
-        val order = Promises.order(rows, 1.0, random.nextInt(500).toLong())
+        val order = ObjectiveOrder.order(rows, 1.0, random.nextInt(500).toLong())
         condition(order.toSet() == rows.map { it.job }.toSet() && order.size == count) { "seed $seed" }
     }
 
     @Example
     fun `run times are learned by class and fade in from the estimate`() {
-        val times = RunTimes()
+        val times = RunTimeEstimates()
         val spec = spec(1, Priority.HIGH, tasks = 1)
         condition(times.expectedUs(spec) == 10 * SECOND) { "${times.expectedUs(spec)}" }
         repeat(20) { times.learned(spec, 20 * SECOND) }
--- a/src/test/kotlin/lichenstage/placement/ChainsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
@@ -5,10 +5,10 @@
 import net.jqwik.api.Example
 import org.junit.platform.commons.util.Preconditions.condition
 
-class ChainsTest {
-    private val goals = Goals(emptyList())
+class PipelineDeadlinesTest {
+    private val serviceObjectives = ServiceObjectives(emptyList())
     private val waiters = HashMap<Job, List<Job>>()
-    private val chains = Chains(goals, RunTimes()) { waiters[it].orEmpty() }
+    private val pipelineDeadlines = PipelineDeadlines(serviceObjectives, RunTimeEstimates()) { waiters[it].orEmpty() }
 
     private fun job(
         number: Int,
@@ -26,17 +26,17 @@
         waiters[first] = listOf(thumbs, drafts)
         waiters[thumbs] = listOf(last)
         waiters[drafts] = listOf(last)
-        val plan = chains.Plan()
-        condition(plan.of(last) == FromWaiters(null, Priority.HIGH)) { "${plan.of(last)}" }
-        condition(plan.of(drafts) == FromWaiters((200 - 8 - 4) * SECOND, Priority.HIGH)) { "${plan.of(drafts)}" }
-        condition(plan.of(first) == FromWaiters((200 - 8 - 4 - 60 - 4) * SECOND, Priority.HIGH)) { "${plan.of(first)}" }
+        val plan = pipelineDeadlines.Plan()
+        condition(plan.of(last) == InheritedUrgency(null, Priority.HIGH)) { "${plan.of(last)}" }
+        condition(plan.of(drafts) == InheritedUrgency((200 - 8 - 4) * SECOND, Priority.HIGH)) { "${plan.of(drafts)}" }
+        condition(plan.of(first) == InheritedUrgency((200 - 8 - 4 - 60 - 4) * SECOND, Priority.HIGH)) { "${plan.of(first)}" }
     }
 
     @Example
     fun `deep chains are walked without recursion, and each job once`() {
         val jobs = List(20_000) { job(it, 1, dueS = if (it == 19_999) 100 else null) }
         jobs.zipWithNext { a, b -> waiters[a] = listOf(b) }
-        condition(chains.Plan().of(jobs[0]).dueUs != null) { "the last deadline is lost" }
+        condition(pipelineDeadlines.Plan().of(jobs[0]).dueUs != null) { "the last deadline is lost" }
     }
 
     @Example
@@ -45,7 +45,7 @@
         val last = job(2, 8, dueS = 60, priority = Priority.HIGH)
         waiters[first] = listOf(last)
         val other = job(3, 10, dueS = 400, priority = Priority.HIGH)
-        val queue = Queue(goals, emptyMap(), RunTimes(), chains = chains)
+        val queue = JobQueue(serviceObjectives, emptyMap(), RunTimeEstimates(), pipelineDeadlines = pipelineDeadlines)
         listOf(other, first).forEach {
             it.open()
             queue.added(it)
--- a/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
@@ -10,7 +10,7 @@
 
 class ReadinessForecastTest {
     private val jobs = HashMap<String, Job>()
-    private val forecast = ReadinessForecast(RunTimes(), { SECOND }) { jobs[it] }
+    private val forecast = ReadinessForecast(RunTimeEstimates(), { SECOND }) { jobs[it] }
 
     private fun job(
         number: Int,
--- a/src/test/kotlin/lichenstage/world/World.kt
+++ b/src/test/kotlin/lichenstage/world/World.kt
@@ -23,12 +23,12 @@
 import lichenstage.partition.Probe
 import lichenstage.partition.Report
 import lichenstage.partition.ReportAnswer
-import lichenstage.placement.DoneNews
-import lichenstage.placement.Effect
-import lichenstage.placement.Goals
-import lichenstage.placement.Inherited
+import lichenstage.placement.CompletionDelta
+import lichenstage.placement.InheritedMachine
 import lichenstage.placement.Job
 import lichenstage.placement.LeaderCore
+import lichenstage.placement.LeaderEffect
+import lichenstage.placement.ServiceObjectives
 import lichenstage.placement.Timers
 import java.util.PriorityQueue
 import java.util.Random
@@ -848,7 +848,7 @@
                 limits,
                 lease,
                 Timers(),
-                Goals(emptyList()),
+                ServiceObjectives(emptyList()),
                 { Shape(8.0, 0.0, 64.0) },
                 12,
                 waitersOf = node.pipelines::waitersOf,
@@ -859,7 +859,7 @@
         if (sabotage !=
             Sabotage.REGISTRY_LOST
         ) {
-            leader.inherited(workers.map { Inherited(it.name, partitionOf(it), "type", "10.0.0.1:9000") })
+            leader.inherited(workers.map { InheritedMachine(it.name, partitionOf(it), "type", "10.0.0.1:9000") })
         }
         node.leader = leader
         node.leaderSeenJobs = HashSet()
@@ -904,22 +904,22 @@
     private fun effect(
         node: Node,
         term: Long,
-        effect: Effect,
+        effect: LeaderEffect,
     ) {
         when (effect) {
-            is Effect.Send -> {
+            is LeaderEffect.Send -> {
                 val to = owner[effect.partition]?.first ?: return
                 val incarnation = nodes[to].incarnation
                 send("n${node.id}", "n$to") { if (nodes[to].incarnation == incarnation) deliver(nodes[to], effect.frame) }
             }
 
-            is Effect.WriteRanges -> {
+            is LeaderEffect.WriteRanges -> {
                 write(node, term, { effect.news.forEach(::recorded) }) { leader, ok ->
                     leader.rangesWritten(effect.news, ok, now)
                 }
             }
 
-            is Effect.Finish -> {
+            is LeaderEffect.Finish -> {
                 write(node, term, { finish(effect.job) }) { leader, ok ->
                     if (ok) leader.finished(effect.job, now) else leader.notFinished(effect.job)
                 }
@@ -950,7 +950,7 @@
         }
     }
 
-    private fun recorded(news: DoneNews) {
+    private fun recorded(news: CompletionDelta) {
         val id = news.job.spec.id
         durable.getValue(id).or(news.covers)
         if (sabotage == Sabotage.DONE_TOO_EARLY && news.covers.cardinality() * 3 > jobs.getValue(id).tasks) finish(news.job)
