--- /dev/null
+++ b/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
@@ -0,0 +1,85 @@
+@file:OptIn(ExperimentalSerializationApi::class)
+
+package lichenstage.cluster
+
+import kotlinx.serialization.EncodeDefault
+import kotlinx.serialization.ExperimentalSerializationApi
+import kotlinx.serialization.SerialName
+import kotlinx.serialization.Serializable
+import kotlinx.serialization.cbor.CborArray
+
+/**
+ * A placement request: [count] tasks of one shape. [stamp] orders the requests at every part. [imageOnly]: it is for room on machines
+ * with the image, since others would first spend a good part of the run time on fetching it.
+ */
+@Serializable
+@CborArray
+data class PlacementRequest(
+    val stamp: Long,
+    val job: String,
+    val facts: JobRequirements,
+    val count: Int,
+    val allowedTypes: List<String>?,
+    val zone: String?,
+    val spot: Boolean,
+    val imageOnly: Boolean = false,
+)
+
+/** Start the task [index] of the job of request [stamp] on a machine that is held for it. */
+@Serializable
+@CborArray
+data class StartOrder(
+    val stamp: Long,
+    val machine: String,
+    val index: Int,
+    val attempt: Long,
+)
+
+@Serializable
+@CborArray
+data class AttemptOrder(
+    val machine: String,
+    val task: String,
+    val attempt: Long,
+)
+
+/** Stop a running task that can save its progress, with [leewayUs] to do so. Versions that do not know it let the task run on. */
+@Serializable
+data class SaveOrder(
+    val machine: String,
+    val task: String,
+    val attempt: Long,
+    val leewayUs: Long,
+)
+
+/**
+ * The leader's word to one part. Parts obey only the newest [term], and of its frames only those with a rising [seq]. [cordoned],
+ * the machines that get no more tasks, is null where it is as in the frames before.
+ */
+@Serializable
+@SerialName("lichenstage.cluster.LeaderFrame")
+data class PlacementFrame(
+    @SerialName("part")
+    val partition: String,
+    val term: Long,
+    val seq: Long,
+    @SerialName("ackTerm")
+    val ackTerm: Long,
+    @SerialName("ackVersion")
+    val ackVersion: Long,
+    @SerialName("facts")
+    val facts: Map<String, JobRequirements> = emptyMap(),
+    val addresses: Map<String, String> = emptyMap(),
+    @SerialName("asks")
+    val requests: List<PlacementRequest> = emptyList(),
+    @SerialName("starts")
+    val starts: List<StartOrder> = emptyList(),
+    val releases: List<Long> = emptyList(),
+    val stops: List<AttemptOrder> = emptyList(),
+    val clears: List<AttemptOrder> = emptyList(),
+    @SerialName("closed")
+    val cordoned: Set<String>? = null,
+    /** Left out where there are none, so that such a frame is, byte for byte, that of versions without it. */
+    @EncodeDefault(EncodeDefault.Mode.NEVER)
+    val saves: List<SaveOrder> = emptyList(),
+) : Frame
--- /dev/null
+++ b/src/main/kotlin/lichenstage/cluster/PledgeFrames.kt
@@ -0,0 +1,21 @@
+package lichenstage.cluster
+
+import kotlinx.serialization.SerialName
+import kotlinx.serialization.Serializable
+
+/** Asks the receiver to take no key for a moment. [incarnation] and [askedUs] are the asker's, and come back with the answer. */
+@Serializable
+@SerialName("lichenstage.cluster.Bind")
+data class PledgeRequest(
+    @SerialName("life")
+    val incarnation: Long,
+    val askedUs: Long,
+) : Frame
+
+@Serializable
+@SerialName("lichenstage.cluster.Bound")
+data class Pledge(
+    @SerialName("life")
+    val incarnation: Long,
+    val askedUs: Long,
+) : Frame
--- /dev/null
+++ b/src/main/kotlin/lichenstage/cluster/UserFrames.kt
@@ -0,0 +1,34 @@
+package lichenstage.cluster
+
+import kotlinx.serialization.SerialName
+import kotlinx.serialization.Serializable
+
+@Serializable
+enum class UserVerb { SUBMIT, SHOW, CANCEL }
+
+/** A user's request that a controller passes to another because the state service does not answer it. */
+@Serializable
+@SerialName("lichenstage.cluster.Forward")
+data class ForwardedRequest(
+    val number: Long,
+    val verb: UserVerb,
+    val text: String,
+) : Frame
+
+/** The other's answer to request [number]. */
+@Serializable
+@SerialName("lichenstage.cluster.Forwarded")
+data class ForwardedReply(
+    val number: Long,
+    val status: Int,
+    val body: String,
+    val retryAfterS: Int?,
+) : Frame
+
+/** For display: how many tasks of each open job are done and running. */
+@Serializable
+@SerialName("lichenstage.cluster.Counts")
+data class TaskCounts(
+    val term: Long,
+    val jobs: Map<String, List<Int>>,
+) : Frame
