--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -38,7 +38,7 @@
             emit(LeaderEffect.Finish(job))
         }
         if (rangesUnderWay) return
-        val news = ArrayList<CompletionDelta>()
+        val deltas = ArrayList<CompletionDelta>()
         // Come again with the next of their tasks that is done.
         val tooLarge = ArrayList<Job>()
         var writes = 0
@@ -47,22 +47,22 @@
             if (job.complete) continue
             val covers = job.durable.clone() as BitSet
             val chunks = changedChunks(job).filter { cover(job, it, covers) }
-            if (writes + chunks.size > batch && news.isNotEmpty()) break
+            if (writes + chunks.size > batch && deltas.isNotEmpty()) break
             if (chunks.isEmpty()) {
                 tooLarge += job
                 continue
             }
             writes += chunks.size
-            news += CompletionDelta(job, covers, chunks)
+            deltas += CompletionDelta(job, covers, chunks)
         }
         tooLarge.forEach { unrecorded.remove(it) }
-        if (news.isEmpty()) return
+        if (deltas.isEmpty()) return
         rangesUnderWay = true
-        news.forEach {
+        deltas.forEach {
             unrecorded.remove(it.job)
             it.job.rangesUnderWay = true
         }
-        emit(LeaderEffect.WriteRanges(news))
+        emit(LeaderEffect.WriteRanges(deltas))
     }
 
     /**
@@ -87,20 +87,20 @@
     }
 
     private fun changedChunks(job: Job): List<Int> {
-        val news = (job.done.clone() as BitSet).apply { andNot(job.durable) }
+        val unrecordedTasks = (job.done.clone() as BitSet).apply { andNot(job.durable) }
         return (0 until DoneRanges.chunks(job.spec.tasks)).filter {
-            val next = news.nextSetBit(it * DoneRanges.CHUNK)
+            val next = unrecordedTasks.nextSetBit(it * DoneRanges.CHUNK)
             next >= 0 && next < (it + 1) * DoneRanges.CHUNK
         }
     }
 
     fun written(
-        news: List<CompletionDelta>,
+        deltas: List<CompletionDelta>,
         ok: Boolean,
         now: Long,
     ) {
         rangesUnderWay = false
-        for ((job, covers) in news) {
+        for ((job, covers) in deltas) {
             job.rangesUnderWay = false
             if (ok) job.durable.or(covers)
             if (job.phase == JobPhase.OPEN && job.done.cardinality() != job.durable.cardinality()) note(job, now)
--- /dev/null
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -0,0 +1,194 @@
+package lichenstage.placement
+
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.launch
+import lichenstage.app.Settings
+import lichenstage.fleet.Catalog
+import lichenstage.fleet.CloudCall
+import lichenstage.fleet.CloudClient
+import lichenstage.fleet.DemandEstimate
+import lichenstage.fleet.DemandForecast
+import lichenstage.fleet.FleetCore
+import lichenstage.fleet.FleetPolicy
+import lichenstage.fleet.ListedMachine
+import lichenstage.fleet.MachineStatus
+import lichenstage.jobs.JobSpec
+import org.slf4j.LoggerFactory
+
+/** Shows the fleet's decisions what the leader knows of jobs and machines, and carries them out at the cloud, one call at a time. */
+internal class FleetDriver(
+    private val settings: Settings,
+    private val core: LeaderCore,
+    private val cloud: CloudClient,
+    private val catalog: Catalog,
+    private val objectives: ServiceObjectives,
+    policy: FleetPolicy,
+    now: Long,
+    private val scope: CoroutineScope,
+    private val tell: (LeaderMessage) -> Unit,
+) {
+    private val log = LoggerFactory.getLogger("lichenstage.placement")
+    private val forecast = DemandForecast(now)
+    private val fleet = FleetCore(core.term, policy, forecast)
+    private var calling = false
+    private var calledUs = Long.MIN_VALUE / 2
+    private var askedUs = Long.MIN_VALUE / 2
+    private var observedUs = Long.MIN_VALUE / 2
+    private var describedUs = Long.MIN_VALUE / 2
+
+    /** Machines that get no more tasks. */
+    val cordoned get() = fleet.cordoned()
+
+    /** A machine that an earlier leader has recorded. */
+    fun known(
+        machine: Registered,
+        now: Long,
+    ) = fleet.known(machine.name, machine.typeName, machine.zone, machine.spot, 0, now)
+
+    /** The forecast counts a job from when it can run. */
+    fun arrived(job: Job) {
+        val runUs = core.runTimes.expectedUs(job.spec)
+        DemandEstimate
+            .arrival(job, catalog.machineTypes, runUs) { objectives.startsWithin(job.spec.kind, it.bootUs) }
+            ?.let(forecast::arrived)
+    }
+
+    fun step(now: Long) {
+        if (now - observedUs >= OBSERVE_US) {
+            observedUs = now
+            observe(now)
+        }
+        call(now)
+    }
+
+    private fun observe(now: Long) {
+        fleet.machineTypes = catalog.machineTypes
+        for ((id, partition) in core.partitions) {
+            val zone = settings.assignment.zone(id) ?: continue
+            partition.machines.values.forEach { fleet.known(it.name, it.typeName, zone, it.spot, 0, now) }
+        }
+        fleet.fence(core.blockers())
+        fleet.observe(demand(now), statusOfMachines(), now)
+        core.cordon(fleet.cordoned())
+        if (log.isDebugEnabled && now - describedUs >= DESCRIBE_US) {
+            describedUs = now
+            log.debug("{}", fleet.describe(now))
+        }
+    }
+
+    private fun statusOfMachines(): (String) -> MachineStatus? {
+        val states =
+            core.partitions.values
+                .flatMap { it.machines.values }
+                .associateBy { it.name }
+        return { name ->
+            states[name]?.let {
+                MachineStatus(
+                    up = !it.lost,
+                    silent = it.silent,
+                    lost = it.lost,
+                    tasks = core.attemptsOn(name).size,
+                    faulty = (core.faults[name]?.size ?: 0) >= FAULTY_JOBS,
+                )
+            }
+        }
+    }
+
+    private fun demand(now: Long) =
+        core.expectedReadiness(now).let { readiness ->
+            DemandEstimate.demand(
+                core.jobs.values,
+                catalog.machineTypes,
+                coresMax = { settings.teams[it]?.coresMax ?: 0.0 },
+                runUs = core.runTimes::expectedUs,
+                dueUs = { nextDueUs(it, now) },
+                readyInUs = { readiness.readyUs(it) - now },
+            )
+        }
+
+    /** By when the job should be done; of one that waits for others only its deadline is known. */
+    private fun nextDueUs(
+        job: Job,
+        now: Long,
+    ): Long? {
+        if (!job.ready) return objectives.deadlineUs(job)
+        val runUs = core.runTimes.expectedUs(job.spec)
+        return objectives.startObjectives(job, runUs, now).firstOrNull()?.let { it.startByUs + runUs }
+    }
+
+    private fun call(now: Long) {
+        if (calling || now - calledUs < (MICROS_A_SECOND / (settings.cloudRps * RATE_USED)).toLong()) return
+        if (!core.complete && catalog.machineTypes.isEmpty()) return
+        // What to call next looks at every machine, so it is not asked anew after every message.
+        if (now - askedUs < ASK_US) return
+        askedUs = now
+        val call = fleet.next(now) ?: return
+        calling = true
+        calledUs = now
+        scope.launch {
+            when (call) {
+                is CloudCall.Rent -> tell(LeaderMessage.HireAnswered(call.hire, cloud.hire(call.hire)))
+                is CloudCall.GiveBack -> tell(LeaderMessage.Returned(call.names, cloud.giveBack(call.names)))
+                CloudCall.ListAll -> tell(LeaderMessage.ListAnswered(listAll()))
+            }
+        }
+    }
+
+    private suspend fun listAll(): List<ListedMachine>? {
+        val rows = ArrayList<ListedMachine>()
+        while (true) {
+            val (page, more) = cloud.list(rows.lastOrNull()?.name) ?: return null
+            rows += page
+            if (!more || page.isEmpty()) return rows
+            delay((MILLIS_A_SECOND / settings.cloudRps).toLong())
+        }
+    }
+
+    fun hired(
+        message: LeaderMessage.HireAnswered,
+        now: Long,
+    ) {
+        calling = false
+        val hire = message.hire
+        val names = fleet.hired(hire, message.outcome, now)
+        if (names.isNotEmpty()) log.info("rented {} {} in {}: {}", names.size, hire.typeName, hire.zone, names)
+    }
+
+    /** True where the machines are gone. */
+    fun returned(message: LeaderMessage.Returned): Boolean {
+        calling = false
+        if (!message.ok) return false
+        log.info("returned {}", message.names)
+        fleet.returned(message.names)
+        return true
+    }
+
+    fun listed(
+        message: LeaderMessage.ListAnswered,
+        now: Long,
+    ) {
+        calling = false
+        message.rows?.let { fleet.listed(it, now) }
+    }
+
+    companion object {
+        /** How long the image of a job takes on the slowest of the machine types that it may run on. */
+        fun fetchUs(
+            spec: JobSpec,
+            catalog: Catalog,
+        ) = DemandEstimate.fitting(spec, catalog.machineTypes).maxOfOrNull { it.fetchUs(spec.imageGb) } ?: 0
+
+        private const val OBSERVE_US = 500_000L
+        private const val ASK_US = 200_000L
+        private const val DESCRIBE_US = 10_000_000L
+        private const val MICROS_A_SECOND = 1_000_000
+        private const val MILLIS_A_SECOND = 1_000
+
+        /** The part of the cloud's rate that is used: bursts of an earlier leader may still count. */
+        private const val RATE_USED = 0.7
+
+        /** A machine on which tasks of so many jobs failed is faulty. */
+        private const val FAULTY_JOBS = 2
+    }
+}
--- a/src/main/kotlin/lichenstage/placement/LeaderEffect.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderEffect.kt
@@ -19,7 +19,7 @@
 
     /** Record that these tasks are done, in one transaction. */
     data class WriteRanges(
-        val news: List<CompletionDelta>,
+        val deltas: List<CompletionDelta>,
     ) : LeaderEffect
 
     /** Record that all tasks of a job are done, and with them the job. */
--- /dev/null
+++ b/src/main/kotlin/lichenstage/placement/LeaderMessage.kt
@@ -0,0 +1,89 @@
+package lichenstage.placement
+
+import lichenstage.cluster.PartitionFrame
+import lichenstage.fleet.Hire
+import lichenstage.fleet.Hired
+import lichenstage.fleet.ListedMachine
+import lichenstage.state.Committed
+import lichenstage.state.Entry
+
+/** What the leader's actor is told, by others and by what it has set going itself. */
+sealed interface LeaderMessage {
+    /** About jobs and their records. */
+    sealed interface JobMessage : LeaderMessage
+
+    /** A partition's owner says what has changed. */
+    data class FromPartition(
+        val frame: PartitionFrame,
+    ) : LeaderMessage
+
+    /** The records with which the term begins: open jobs, done ranges, pages of the registry. */
+    data class Loaded(
+        val jobs: List<Entry>,
+        val done: List<Entry>,
+        val machines: List<Entry>,
+    ) : LeaderMessage
+
+    /** The open jobs as they stand after a watch was lost. */
+    data class Reloaded(
+        val jobs: List<Entry>,
+    ) : JobMessage
+
+    /** Records of open jobs that the watch has shown, and the keys of those that are gone. */
+    data class Changed(
+        val added: List<Entry>,
+        val removed: List<String>,
+    ) : JobMessage
+
+    /** Jobs that others know to be over; the watch of this leader may be the only one that is not answered. */
+    data class JobsEnded(
+        val jobs: List<String>,
+    ) : JobMessage
+
+    /** It has come to light how jobs ended that others need. */
+    data object Resolved : JobMessage
+
+    /** These are recorded as cancelled, since one that they need is. */
+    data class OrphansWritten(
+        val jobs: List<Job>,
+    ) : JobMessage
+
+    /** What became of a transaction with done ranges. */
+    data class RangesWritten(
+        val deltas: List<CompletionDelta>,
+        val ok: Boolean,
+    ) : JobMessage
+
+    /** What became of the transaction that records a job as done; [stillOpen] unless its record is known to be gone. */
+    data class Finished(
+        val job: Job,
+        val outcome: Committed,
+        val stillOpen: Boolean,
+    ) : JobMessage
+
+    /** What became of a transaction with [pages] of the registry. */
+    data class PagesWritten(
+        val pages: List<RegistryPage>,
+        val ok: Boolean,
+    ) : LeaderMessage
+
+    /** The cloud's answer to a hire. */
+    data class HireAnswered(
+        val hire: Hire,
+        val outcome: Hired,
+    ) : LeaderMessage
+
+    /** The cloud's answer to a return of machines. */
+    data class Returned(
+        val names: List<String>,
+        val ok: Boolean,
+    ) : LeaderMessage
+
+    /** The cloud's list of machines; [rows] is null where it could not be read whole. */
+    data class ListAnswered(
+        val rows: List<ListedMachine>?,
+    ) : LeaderMessage
+
+    /** Time has passed. */
+    data object Tick : LeaderMessage
+}
--- /dev/null
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordReader.kt
@@ -0,0 +1,60 @@
+package lichenstage.placement
+
+import kotlinx.coroutines.delay
+import lichenstage.jobs.JobRecord
+import lichenstage.state.StateClient
+import lichenstage.state.Watched
+
+/** Reads the records that a term of leadership begins with, and follows the open jobs from there. */
+internal class LeaderRecordReader(
+    private val state: StateClient,
+    private val tell: (LeaderMessage) -> Unit,
+) {
+    /** Runs until it is cancelled. */
+    suspend fun run() {
+        // The order does not matter, since a task starts only after all is loaded.
+        val machines = retry { state.scan(MACHINES) }
+        val jobs = retry { state.scan(JobRecord.OPEN) }
+        val done = retry { state.scan(JobRecord.DONE) }
+        tell(LeaderMessage.Loaded(jobs.entries, done.entries, machines.entries))
+        follow(jobs.revision)
+    }
+
+    private suspend fun follow(from: Long) {
+        var since = from
+        while (true) {
+            when (val seen = state.changes(JobRecord.OPEN, since, WATCH_MS)) {
+                is Watched.Events -> {
+                    since = seen.revision
+                    // A job that was put and deleted in one batch is gone: within a prefix, the delete is the newer.
+                    val removed = seen.deletes.map { it.key }
+                    if (seen.puts.isNotEmpty() || removed.isNotEmpty()) tell(LeaderMessage.Changed(seen.puts, removed))
+                }
+
+                Watched.TooOld -> {
+                    val again = retry { state.scan(JobRecord.OPEN) }
+                    since = again.revision
+                    tell(LeaderMessage.Reloaded(again.entries))
+                }
+
+                Watched.Unavailable -> {
+                    delay(UNAVAILABLE_MS)
+                }
+            }
+        }
+    }
+
+    private suspend fun <T : Any> retry(read: suspend () -> T?): T {
+        while (true) {
+            read()?.let { return it }
+            delay(RETRY_MS)
+        }
+    }
+
+    private companion object {
+        const val MACHINES = "m/"
+        const val WATCH_MS = 8000L
+        const val UNAVAILABLE_MS = 250L
+        const val RETRY_MS = 300L
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -0,0 +1,105 @@
+package lichenstage.placement
+
+import io.vertx.core.json.JsonObject
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.launch
+import lichenstage.authority.Authority
+import lichenstage.jobs.DoneRanges
+import lichenstage.jobs.JobRecord
+import lichenstage.state.Change
+import lichenstage.state.Committed
+import lichenstage.state.OwnedKeys
+import lichenstage.state.Read
+import lichenstage.state.StateClient
+import java.util.concurrent.TimeUnit
+
+/**
+ * Writes what the leader records: done tasks, ends of jobs, pages of the registry.
+ *
+ * Guarded by the leadership: a late transaction of an earlier leader changes nothing, and ranges of a job that ended
+ * meanwhile are deleted. A late one of this leader is kept from changing anything by [OwnedKeys].
+ */
+internal class LeaderRecordWriter(
+    private val state: StateClient,
+    private val owned: OwnedKeys,
+    /** The revision of the leadership's key. */
+    private val leaderStamp: Long,
+    private val txnOps: Int,
+    private val scope: CoroutineScope,
+    private val finished: (String, JsonObject) -> Unit,
+    private val tell: (LeaderMessage) -> Unit,
+) {
+    fun writeRanges(deltas: List<CompletionDelta>) {
+        scope.launch {
+            val puts =
+                deltas.flatMap { row ->
+                    row.chunks.map { Change.Put(DoneRanges.key(row.job.spec.id, it), DoneRanges.encode(row.covers, it)) }
+                }
+            val written = writeAll(puts)
+            if (!written) delay(RETRY_MS)
+            tell(LeaderMessage.RangesWritten(deltas, written))
+        }
+    }
+
+    fun finish(job: Job) {
+        scope.launch {
+            val id = job.spec.id
+            val guards = mapOf(Authority.LEADER to leaderStamp, JobRecord.OPEN + id to job.stamp)
+            val record = JobRecord.over("done", job.spec.tasks, timeOfDayUs())
+            val outcome = state.txn(guards, listOf(Change.Delete(JobRecord.OPEN + id), Change.Put(JobRecord.FINISHED + id, record)))
+            val stillOpen = outcome !is Committed.Refused || state.get(JobRecord.OPEN + id) !is Read.Missing
+            if (outcome is Committed.Yes) finished(id, record) else delay(RETRY_MS)
+            tell(LeaderMessage.Finished(job, outcome, stillOpen))
+        }
+    }
+
+    /** Records jobs that can never run as cancelled: together, or, where one of them has ended meanwhile, each for itself. */
+    fun cancel(jobs: List<Job>) {
+        scope.launch {
+            val written = if (recordCancelled(jobs)) jobs else jobs.filter { recordCancelled(listOf(it)) }
+            if (written.isEmpty()) delay(RETRY_MS)
+            tell(LeaderMessage.OrphansWritten(written))
+        }
+    }
+
+    private suspend fun recordCancelled(jobs: List<Job>): Boolean {
+        val guards = jobs.associate { JobRecord.OPEN + it.spec.id to it.stamp } + (Authority.LEADER to leaderStamp)
+        val atUs = timeOfDayUs()
+        val changes =
+            jobs.flatMap {
+                val id = it.spec.id
+                listOf(Change.Delete(JobRecord.OPEN + id), Change.Put(JobRecord.FINISHED + id, JobRecord.over("cancelled", 0, atUs)))
+            }
+        return state.txn(guards, changes, urgent = false) is Committed.Yes
+    }
+
+    fun writePages(pages: List<RegistryPage>) {
+        scope.launch {
+            val written = owned.write(mapOf(Authority.LEADER to leaderStamp), pages.map { it.change }, urgent = true)
+            if (!written) delay(RETRY_MS)
+            tell(LeaderMessage.PagesWritten(pages, written))
+        }
+    }
+
+    /** Done ranges of a job that is over are of no more use. Where some are still being written, it is done after that. */
+    fun deleteRanges(job: Job) {
+        if (job.rangesUnderWay || job.durable.isEmpty) return
+        delete((0 until DoneRanges.chunks(job.spec.tasks)).map { DoneRanges.key(job.spec.id, it) })
+    }
+
+    fun delete(keys: List<String>) {
+        if (keys.isNotEmpty()) scope.launch { writeAll(keys.map { Change.Delete(it) }) }
+    }
+
+    private suspend fun writeAll(changes: List<Change>): Boolean {
+        val guards = mapOf(Authority.LEADER to leaderStamp)
+        return changes.chunked(txnOps).all { owned.write(guards, it, urgent = false) }
+    }
+
+    private fun timeOfDayUs() = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis())
+
+    private companion object {
+        const val RETRY_MS = 300L
+    }
+}
--- a/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
@@ -929,8 +929,8 @@
             }
 
             is LeaderEffect.WriteRanges -> {
-                write(node, term, { effect.news.forEach(::recorded) }) { leader, ok ->
-                    leader.rangesWritten(effect.news, ok, now)
+                write(node, term, { effect.deltas.forEach(::recorded) }) { leader, ok ->
+                    leader.rangesWritten(effect.deltas, ok, now)
                 }
             }
 
