--- /dev/null
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -0,0 +1,208 @@
+package lichenstage.placement
+
+import lichenstage.app.SECOND
+import lichenstage.app.withDrift
+import lichenstage.cluster.MachineState
+import lichenstage.cluster.TaskPhase
+import lichenstage.cluster.TaskState
+import org.slf4j.LoggerFactory
+
+/** What an [AttemptTracker] has found out. */
+internal interface AttemptListener {
+    /** The task is done, which was not known before. */
+    fun taskDone(
+        job: Job,
+        now: Long,
+    )
+
+    /** Nothing of the attempt is left. */
+    fun attemptGone(attempt: Attempt)
+
+    /** A newer attempt of the task has come to light: what this one's machine still lists is to be stopped. */
+    fun attemptSupplanted(attempt: Attempt)
+}
+
+/** Follows attempts by what partitions say of the tasks on their machines. */
+internal class AttemptTracker(
+    private val leaseUs: Long,
+    private val attempts: RunningAttempts,
+    private val runTimes: RunTimeEstimates,
+    private val checkpointStops: CheckpointStops,
+    private val isRegistered: (String) -> Boolean,
+    private val listener: AttemptListener,
+) {
+    private val log = LoggerFactory.getLogger("lichenstage.placement")
+
+    /** Jobs whose tasks failed on a machine: several point at the machine. */
+    val failedJobs = HashMap<String, HashSet<String>>()
+
+    /** As of when what is lost is counted: the progress of tasks that save by themselves depends on it. */
+    private var nowUs = 0L
+
+    fun timePassed(now: Long) {
+        nowUs = now
+    }
+
+    /** What a partition says of a task of [job] on a machine. */
+    fun listed(
+        partition: PartitionRef,
+        machine: MachineState,
+        task: TaskState,
+        job: Job,
+        now: Long,
+    ) {
+        val index = task.index
+        if (index !in 0 until job.spec.tasks) return
+        job.listedOn += machine.name
+        val known = job.alive.get(index)
+        val mine = known?.takeIf { it.number == task.attempt && it.machine == machine.name }
+        when {
+            task.phase == TaskPhase.ENDED -> ended(machine, task, job, mine, now)
+            mine != null -> progressed(mine, task.phase, now)
+            else -> found(partition, machine, task, job, known)
+        }
+    }
+
+    private fun progressed(
+        attempt: Attempt,
+        phase: TaskPhase,
+        now: Long,
+    ) {
+        if (attempt.phase != phase && phase == TaskPhase.RUNNING) {
+            attempt.runningUs = now
+            attempt.job.runningUs = now
+        }
+        attempt.phase = phase
+    }
+
+    private fun ended(
+        machine: MachineState,
+        task: TaskState,
+        job: Job,
+        attempt: Attempt?,
+        now: Long,
+    ) {
+        if (task.cause == DONE) {
+            val ranUs = attempt?.takeIf { it.runningUs > 0 }?.progressUs(now)
+            if (job.did(task.index)) {
+                if (ranUs != null) runTimes.learned(job.spec, ranUs)
+                listener.taskDone(job, now)
+            }
+        } else if (attempt != null) {
+            failed(job, machine, task, now)
+        }
+        if (attempt != null) gone(attempt, stoppedProgressUs(attempt))
+    }
+
+    /**
+     * Started by an earlier leader. Not on a machine without record: that one is gone, as its partition will find (invariant 4), and
+     * its tasks may run elsewhere by now. (Seen on inc-2104: they were taken for the real ones, which were stopped.) Of two attempts the
+     * newer is the real one: it was started only once the older was known to be gone, and what lists the older is a machine that
+     * was given back with no time left to record it.
+     */
+    private fun found(
+        partition: PartitionRef,
+        machine: MachineState,
+        task: TaskState,
+        job: Job,
+        known: Attempt?,
+    ) {
+        if (machine.settled && isRegistered(machine.name) && (known == null || task.attempt > known.number)) {
+            val attempt = Attempt(job, task.index, task.attempt, machine.name, partition.id)
+            attempt.partitionTerm = partition.state.term
+            attempt.seq = partition.state.seq
+            attempt.phase = task.phase
+            if (known != null) supplant(known)
+            attempts.track(attempt)
+        } else if (known != null) {
+            log.info("{} is on {} with try {} and on {} with try {}", task.task, machine.name, task.attempt, known.machine, known.number)
+        }
+    }
+
+    private fun supplant(attempt: Attempt) {
+        log.info("{} try {} on {} was followed by another", attempt.task, attempt.number, attempt.machine)
+        attempts.remove(attempt)
+        checkpointStops.ended(attempt)
+        listener.attemptSupplanted(attempt)
+    }
+
+    private fun failed(
+        job: Job,
+        machine: MachineState,
+        task: TaskState,
+        now: Long,
+    ) {
+        if (task.cause == HALTED) return
+        log.info("{} try {} ended on {}: {}", task.task, task.attempt, machine.name, task.cause)
+        if (task.cause == ERROR) failedJobs.getOrPut(machine.name) { HashSet() }.add(job.spec.id)
+        job.failures++
+        // A job that fails everywhere must not take the places of others over and over.
+        val pauseUs = (SECOND shl minOf(job.failures, MOST_DOUBLINGS)).coerceAtMost(MOST_PAUSE_US)
+        job.notBeforeUs = maxOf(job.notBeforeUs, now + pauseUs / 2)
+    }
+
+    /** Nothing of the attempt is left but [savedUs] of progress. */
+    private fun gone(
+        attempt: Attempt,
+        savedUs: Long,
+    ) {
+        attempts.remove(attempt)
+        checkpointStops.ended(attempt)
+        attempt.job.savedProgress(attempt.index, savedUs)
+        attempt.job.requeue(attempt.index)
+        listener.attemptGone(attempt)
+    }
+
+    /** Attempts that were lost with their machine, or never got there. */
+    fun lost(over: List<Attempt>) = over.forEach { gone(it, checkpointedUs(it)) }
+
+    /** Gives up those of [among] that can no longer be anywhere. */
+    fun giveUpAbsent(
+        among: Sequence<Attempt>,
+        partition: (String) -> PartitionState?,
+    ) {
+        val over = among.filter { attempt -> partition(attempt.partition)?.let { isAbsent(attempt, it) } == true }.toList()
+        over.forEach { log.debug("{} try {} is no longer on {}", it.task, it.number, it.machine) }
+        lost(over)
+    }
+
+    /** Its partition has seen its start, and its machine does not list it or is gone. */
+    private fun isAbsent(
+        attempt: Attempt,
+        partition: PartitionState,
+    ): Boolean {
+        if (attempt.partitionTerm >= partition.term && attempt.seq > partition.seq) return false
+        val machine = partition.machines[attempt.machine]
+        return when {
+            machine == null -> partition.ageUs > withDrift(leaseUs) + Takeover.UNHEARD_MARGIN_US
+            machine.lost -> true
+            !machine.settled -> false
+            else -> machine.tasks.none { it.attempt == attempt.number && it.task == attempt.task }
+        }
+    }
+
+    /** Progress of a task that was stopped by command. */
+    private fun stoppedProgressUs(attempt: Attempt) =
+        if (attempt.saveOrderedUs > 0) attempt.progressUs(attempt.saveOrderedUs) else checkpointedUs(attempt)
+
+    /** A task that saves by itself now and then has kept its progress up to the last time. */
+    private fun checkpointedUs(attempt: Attempt): Long {
+        val everyUs = attempt.job.spec.checkpointUs
+        if (everyUs <= 0 || attempt.phase != TaskPhase.RUNNING) return 0
+        return attempt.progressUs(nowUs) / everyUs * everyUs
+    }
+
+    private companion object {
+        const val DONE = "done"
+        const val HALTED = "halted"
+        const val ERROR = "error"
+        const val MOST_DOUBLINGS = 4
+        const val MOST_PAUSE_US = 10 * SECOND
+    }
+}
+
+/** A partition by its name, with what is known of it. */
+internal class PartitionRef(
+    val id: String,
+    val state: PartitionState,
+)
--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -89,7 +89,7 @@
                     silent = it.silent,
                     lost = it.lost,
                     tasks = core.attemptsOn(name).size,
-                    faulty = (core.faults[name]?.size ?: 0) >= FAULTY_JOBS,
+                    faulty = core.failedJobsOn(name).size >= FAULTY_JOBS,
                 )
             }
         }
--- /dev/null
+++ b/src/main/kotlin/lichenstage/placement/MachineAudit.kt
@@ -0,0 +1,56 @@
+package lichenstage.placement
+
+import lichenstage.cluster.AttemptOrder
+import lichenstage.cluster.MachineState
+import lichenstage.cluster.TaskPhase
+import lichenstage.cluster.TaskState
+
+/** What a machine still has to stop and to clear, and whether something runs there that counts for no team. */
+internal class MachineAudit(
+    val stops: List<AttemptOrder>,
+    val clears: List<AttemptOrder>,
+    val unaccounted: Boolean,
+) {
+    companion object {
+        /** Compares a machine's task list with the jobs. */
+        fun of(
+            machine: MachineState,
+            jobs: Map<String, Job>,
+        ): MachineAudit {
+            if (machine.lost) return MachineAudit(emptyList(), emptyList(), unaccounted = false)
+            val stops = ArrayList<AttemptOrder>()
+            val clears = ArrayList<AttemptOrder>()
+            var unaccounted = false
+            for (task in machine.tasks) {
+                val job = jobs[task.job]
+                val order = AttemptOrder(machine.name, task.task, task.attempt)
+                if (task.phase == TaskPhase.ENDED) {
+                    if (!mustBeKept(task, job)) clears += order
+                } else {
+                    val counted = counts(task, machine.name, job)
+                    if (!counted) unaccounted = true
+                    if (!counted || !isWanted(job)) stops += order
+                }
+            }
+            // Nothing is ordered of a worker that has not shown the token.
+            return if (machine.settled) MachineAudit(stops, clears, unaccounted) else MachineAudit(emptyList(), emptyList(), unaccounted)
+        }
+
+        private fun isWanted(job: Job?) = job != null && job.phase != JobPhase.CLOSED
+
+        /** Its end is done and not recorded yet (invariant 9). */
+        private fun mustBeKept(
+            task: TaskState,
+            job: Job?,
+        ) = job != null && isWanted(job) && task.index >= 0 && task.cause == "done" && !job.durable.get(task.index)
+
+        private fun counts(
+            task: TaskState,
+            machine: String,
+            job: Job?,
+        ): Boolean {
+            val attempt = job?.alive?.get(task.index) ?: return false
+            return attempt.number == task.attempt && attempt.machine == machine
+        }
+    }
+}
--- a/src/main/kotlin/lichenstage/placement/OfferSelection.kt
+++ b/src/main/kotlin/lichenstage/placement/OfferSelection.kt
@@ -1,7 +1,6 @@
 package lichenstage.placement
 
 import lichenstage.cluster.HeldSlots
-import lichenstage.cluster.PlacementRequest
 import lichenstage.cluster.PlacementScore
 
 /** A held place that may be chosen. */
@@ -44,33 +43,3 @@
             .maxByOrNull { (_, partitions) -> partitions.sumOf { partition -> partition.value.sumOf { it.count } } }
             ?.key
 }
-
-/** Requests that were broadcast together, and what the parts have answered so far. */
-class RequestRound(
-    val requests: List<Pair<PlacementRequest, Job>>,
-    now: Long,
-    alphaUs: Long,
-) {
-    private val stamps = requests.mapTo(HashSet()) { it.first.stamp }
-    private val offers = HashMap<Long, HashMap<String, List<HeldSlots>>>()
-    private val answered = HashSet<String>()
-    var deadlineUs = now + alphaUs
-        private set
-
-    /** Takes an offer; after each, the wait is [betaUs] from now. */
-    fun offered(
-        partition: String,
-        stamp: Long,
-        held: List<HeldSlots>,
-        now: Long,
-        betaUs: Long,
-    ) {
-        if (stamp !in stamps) return
-        offers.getOrPut(stamp) { HashMap() }[partition] = held
-        if (answered.add(partition)) deadlineUs = now + betaUs
-    }
-
-    fun heardFrom(partitions: Set<String>) = answered.containsAll(partitions)
-
-    fun of(stamp: Long): Map<String, List<HeldSlots>> = offers[stamp] ?: emptyMap()
-}
--- /dev/null
+++ b/src/main/kotlin/lichenstage/placement/UnaccountedUse.kt
@@ -0,0 +1,39 @@
+package lichenstage.placement
+
+import lichenstage.cluster.Shape
+
+/**
+ * What may be in use by nobody knows whom: on machines that run something whose job has no record, or that should not be there, and
+ * on those of which nothing is known yet. Each machine counts at its full size against every team's limit (invariant 5).
+ */
+internal class UnaccountedUse(
+    private val takeover: Takeover,
+    private val capacityOf: (String) -> Shape?,
+) {
+    /** Machines with the names of their types. */
+    private val machines = HashMap<String, String>()
+
+    fun set(
+        machine: String,
+        typeName: String,
+        unaccounted: Boolean,
+    ) {
+        if (unaccounted) machines[machine] = typeName else machines.remove(machine)
+    }
+
+    fun gone(machine: String) {
+        machines.remove(machine)
+    }
+
+    fun shape(): Shape {
+        val unknown = takeover.unknown(capacityOf)
+        var cores = unknown.cores
+        var cards = unknown.cards
+        for (typeName in machines.values) {
+            val capacity = capacityOf(typeName)
+            cores += capacity?.cores ?: Double.MAX_VALUE
+            cards += capacity?.cards ?: Double.MAX_VALUE
+        }
+        return Shape(cores, cards, 0.0)
+    }
+}
