--- a/src/main/kotlin/lichenstage/partition/Machine.kt
+++ b/src/main/kotlin/lichenstage/partition/Machine.kt
@@ -132,6 +132,9 @@
     /** After an order without an answer the report answers are the path, until a report has come. */
     var ordersBlocked = false
 
+    /** A direct order may be sent to it now. */
+    val takesOrders get() = settled && !lost && !unresponsive && !ordersInFlight && !ordersBlocked
+
     private val images = Images(cacheGb)
     private val holds = Holds()
     private var used: Shape? = null
--- /dev/null
+++ b/src/main/kotlin/lichenstage/partition/ReportIntake.kt
@@ -0,0 +1,95 @@
+package lichenstage.partition
+
+import lichenstage.cluster.JobRequirements
+
+/** Takes over what workers' reports say, as far as it may be believed (invariant 3). */
+internal class ReportIntake(
+    private val term: Long,
+    private val changes: ChangeLog,
+    private val requirementsOf: (String) -> JobRequirements?,
+) {
+    /** False where the report is no news: an older one, or a late copy, of which nothing is believed. */
+    fun take(
+        machine: Machine,
+        report: Report,
+        now: Long,
+    ): Boolean {
+        if (!isNews(machine, report)) return false
+        machine.heardUs = now
+        var changed = machine.lost || machine.address != report.address || (machine.recallUs == null) != (report.recallUs == null)
+        if (report.session > machine.session) {
+            newSession(machine, report.session, now)
+            changed = true
+        }
+        machine.sequence = report.sequence
+        machine.lost = false
+        machine.address = report.address
+        machine.recallUs = report.recallUs
+        if (report.token == term) {
+            if (!machine.settled) changed = true
+            machine.settled = true
+            if (takeTasks(machine, report, now)) changed = true
+        }
+        if (changed) changes.touch(machine)
+        return true
+    }
+
+    private fun isNews(
+        machine: Machine,
+        report: Report,
+    ): Boolean {
+        if (report.session != machine.session) return report.session > machine.session
+        // A report of a session that has run out is a late one: what it lists is gone.
+        return report.sequence > machine.sequence && !machine.lost
+    }
+
+    /** The worker has killed and forgotten all tasks of the earlier session; orders with it are refused. */
+    private fun newSession(
+        machine: Machine,
+        session: Long,
+        now: Long,
+    ) {
+        machine.begin(session)
+        machine.sessionSeenUs = now
+        // Its lease ran out although it was answered, so it may not hear us: it has to heed an order first.
+        machine.unresponsive = true
+    }
+
+    /** Takes over the task list of a worker that has shown this owner's token; true where it changes something. */
+    private fun takeTasks(
+        machine: Machine,
+        report: Report,
+        now: Long,
+    ): Boolean {
+        var changed = false
+        for (row in report.tasks) if (takeTask(machine, row, report.sequence, now)) changed = true
+        if (machine.drop { it.present && it.listedIn != report.sequence }) changed = true
+        if (changed) machine.changed()
+        return changed
+    }
+
+    private fun takeTask(
+        machine: Machine,
+        row: ReportedTask,
+        sequence: Long,
+        now: Long,
+    ): Boolean {
+        var attempt = machine.attempts.get(row.attempt)
+        var changed = false
+        if (attempt == null) {
+            attempt = Attempt(row.task, row.attempt, now)
+            attempt.version = changes.nextVersion
+            machine.attempts.put(row.attempt, attempt)
+            requirementsOf(attempt.job)?.let { machine.uses(it) }
+            changed = true
+        }
+        attempt.listedIn = sequence
+        if (attempt.phase == row.phase && attempt.cause == row.cause) return changed
+        // It took up a start: so it hears us.
+        if (!attempt.present) machine.unresponsive = false
+        attempt.phase = row.phase
+        attempt.cause = row.cause
+        attempt.version = changes.nextVersion
+        return true
+    }
+}
