--- /dev/null
+++ b/src/main/kotlin/lichenstage/jobs/Reply.kt
@@ -0,0 +1,81 @@
+package lichenstage.jobs
+
+import io.vertx.core.json.JsonObject
+
+/**
+ * An answer to a user.
+ *
+ * @property status the HTTP status
+ * @property body the JSON body
+ * @property retryAfterS when the user should come again, where it can't be answered now
+ */
+data class Reply(
+    val status: Int,
+    val body: JsonObject,
+    val retryAfterS: Int? = null,
+) {
+    companion object {
+        /** The state of an open job. */
+        fun ofOpen(
+            id: String,
+            counts: TaskProgress,
+        ) = ofJob(id, if (counts.running > 0) "running" else "pending", counts)
+
+        /** The state of a job that is over, as its record says. */
+        fun ofOver(
+            id: String,
+            record: JsonObject,
+        ) = ofJob(id, record.getString("status"), TaskProgress(record.getInteger("tasks") ?: 0, 0))
+
+        private fun ofJob(
+            id: String,
+            status: String,
+            counts: TaskProgress,
+        ) = Reply(
+            OK,
+            JsonObject()
+                .put("uid", id)
+                .put("status", status)
+                .put("done", counts.done)
+                .put("running", counts.running),
+        )
+
+        /** A job that was accepted just now. */
+        fun accepted(
+            id: String,
+            status: String,
+        ) = Reply(CREATED, JsonObject().put("uid", id).put("status", status))
+
+        /** A request that is wrong in [field]. */
+        fun problem(
+            status: Int,
+            field: String,
+            what: String,
+        ) = Reply(status, JsonObject().put("error", what).put("field", field))
+
+        /** A job that was never accepted. */
+        fun unknownJob() = problem(NOT_FOUND, "uid", "no such job")
+
+        /** It can't be said now. */
+        fun later(
+            why: String,
+            seconds: Int = 1,
+        ) = Reply(UNAVAILABLE, JsonObject().put("error", why), seconds)
+
+        /** The state service did not answer. */
+        fun stateUnavailable() = later("the state service can't be asked")
+
+        const val OK = 200
+        const val CREATED = 201
+        const val BAD_REQUEST = 400
+        const val NOT_FOUND = 404
+        const val UNPROCESSABLE = 422
+        const val UNAVAILABLE = 503
+    }
+}
+
+/** How many tasks of a job are done and running, for display. */
+data class TaskProgress(
+    val done: Int,
+    val running: Int,
+)
--- a/src/main/kotlin/lichenstage/partition/PartitionCore.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionCore.kt
@@ -1,5 +1,6 @@
 package lichenstage.partition
 
+import lichenstage.app.LruMap
 import lichenstage.app.SECOND
 import lichenstage.app.withDrift
 import lichenstage.cluster.AttemptOrder
@@ -31,10 +32,7 @@
     private val limitsOf: (String) -> MachineLimits?,
 ) {
     private val machines = HashMap<String, Machine>()
-    private val requirements =
-        object : LinkedHashMap<String, JobRequirements>(64, 0.75f, true) {
-            override fun removeEldestEntry(eldest: MutableMap.MutableEntry<String, JobRequirements>) = size > REMEMBERED_JOBS
-        }
+    private val requirements = LruMap<String, JobRequirements>(REMEMBERED_JOBS)
     private val requirementsOf: (String) -> JobRequirements? = { requirements[it] }
     private val changes = ChangeLog(id, term, acquiredUs)
     private val intake = ReportIntake(term, changes, requirementsOf)
