--- /dev/null
+++ b/src/main/kotlin/lichenstage/authority/AcquisitionOrder.kt
@@ -0,0 +1,42 @@
+package lichenstage.authority
+
+import lichenstage.app.MILLI
+import lichenstage.app.SECOND
+import lichenstage.app.Settings
+
+/**
+ * How long a controller waits before it takes a key that nobody holds. A partition's own controller takes it at once; others wait a
+ * little, in an order that avoids collisions. To lead costs about as much as a partition: who has little else to do comes first.
+ */
+internal class AcquisitionOrder(
+    private val settings: Settings,
+) {
+    private val rank = (settings.peers.map { it.label } + settings.label).sorted().indexOf(settings.label)
+
+    /** Its own partition is no larger than the others': it shares its zone, or nobody does. */
+    private val evenlyShared =
+        settings.peers.any { it.zone == settings.zone } ||
+            (settings.peers.map { it.zone } + settings.zone).distinct().size >
+            settings.peers
+                .map { it.label }
+                .distinct()
+                .size
+
+    /** [held]: how many keys this process holds; [home]: the controller that normally owns the partition. */
+    fun patienceUs(
+        leadership: Boolean,
+        held: Int,
+        home: String?,
+        everOwned: Boolean,
+    ): Long =
+        when {
+            leadership -> held * 150 * MILLI + rank * 50 * MILLI + if (evenlyShared) 0 else 400 * MILLI
+            home == settings.label -> 0
+            home != null && !everOwned -> FIRST_PATIENCE_US + rank * 200 * MILLI
+            else -> 200 * MILLI + held * 250 * MILLI + rank * 100 * MILLI
+        }
+
+    private companion object {
+        const val FIRST_PATIENCE_US = 6 * SECOND
+    }
+}
--- a/src/main/kotlin/lichenstage/authority/Authority.kt
+++ b/src/main/kotlin/lichenstage/authority/Authority.kt
@@ -5,7 +5,6 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import lichenstage.app.Clock
-import lichenstage.app.JsonHttp.Companion.parsed
 import lichenstage.app.MILLI
 import lichenstage.app.SECOND
 import lichenstage.app.Settings
@@ -20,14 +19,6 @@
 import org.slf4j.LoggerFactory
 import java.util.concurrent.TimeUnit
 
-/** Who holds a key, under which term and process lease. */
-data class Holder(
-    val label: String,
-    val term: Long,
-    val lease: Long,
-    val stamp: Long,
-)
-
 /** Who leads and who owns which part, as last seen. */
 data class View(
     val leader: Holder?,
@@ -65,10 +56,8 @@
     private var unclearUs = Long.MIN_VALUE / 2
     private val assignment = settings.assignment
     private val partitionKeys = assignment.partitions.map { PARTITION + it }
-    private val keys = HashMap<String, Entry>()
-
-    /** [keys] as holders, read once: they are asked for at every report. */
-    private val holders = HashMap<String, Holder>()
+    private val keys = OwnershipKeys()
+    private val acquisitionOrder = AcquisitionOrder(settings)
     private val missingSinceUs = HashMap<String, Long>()
     private val takenUs = HashMap<String, Long>()
     private var watching = false
@@ -153,24 +142,7 @@
     private fun mine(key: String) =
         holder(key)?.takeIf { it.label == settings.label && it.lease == lease.id && it.stamp !in givenUp && entitled() }
 
-    private fun holder(key: String): Holder? = holders[key]
-
-    private fun read(entry: Entry): Holder? =
-        parsed {
-            Holder(entry.value.getString("label")!!, entry.value.getLong("term")!!, entry.value.getLong("lease")!!, entry.stamp)
-        }
-
-    /** The key as of a newer change; null where it was deleted at [stamp]. */
-    private fun take(
-        key: String,
-        entry: Entry?,
-        stamp: Long,
-    ) {
-        if ((keys[key]?.stamp ?: 0) >= stamp) return
-        if (entry == null) keys.remove(key) else keys[key] = entry
-        val holder = if (entry == null || key == TERMS) null else read(entry)
-        if (holder == null) holders.remove(key) else holders[key] = holder
-    }
+    private fun holder(key: String): Holder? = keys.holder(key)
 
     private suspend fun keepLease() {
         while (true) {
@@ -221,9 +193,7 @@
                 delay(300)
                 continue
             }
-            keys.clear()
-            holders.clear()
-            scan.entries.forEach { take(it.key, it, it.stamp) }
+            keys.reset(scan.entries)
             if (!watching) revokePredecessor()
             watching = true
             changed(view())
@@ -233,8 +203,8 @@
                 if (seen is Watched.TooOld) break
                 if (seen is Watched.Events) {
                     since = seen.revision
-                    seen.deletes.forEach { take(it.key, null, it.stamp) }
-                    seen.puts.forEach { take(it.key, it, it.stamp) }
+                    seen.deletes.forEach { keys.remove(it.key, it.stamp) }
+                    seen.puts.forEach(keys::put)
                     if (seen.puts.isNotEmpty() || seen.deletes.isNotEmpty()) {
                         changed(view())
                         acquireMissing()
@@ -251,8 +221,8 @@
      * once so that nobody waits for it.
      */
     private suspend fun revokePredecessor() {
-        val old = keys.values.filter { it.value.getString("label") == settings.label }.mapNotNull { it.value.getLong("lease") }
-        for (it in old.distinct()) if (it != lease.id) state.revoke(it)
+        val old = keys.holdersInForce.filter { it.label == settings.label }.map { it.lease }
+        for (leaseId in old.distinct()) if (leaseId != lease.id) state.revoke(leaseId)
     }
 
     /**
@@ -269,9 +239,9 @@
         if (clock.now() - (takenUs[key] ?: 0) < LEAST_HELD_US) return
         givenUp += held.stamp
         changed(view())
-        while (keys[key]?.stamp == held.stamp) {
+        while (keys.stamp(key) == held.stamp) {
             if (state.txn(mapOf(key to held.stamp), listOf(Change.Delete(key))) is Committed.Yes) {
-                if (keys[key]?.stamp == held.stamp) take(key, null, held.stamp + 1)
+                if (keys.stamp(key) == held.stamp) keys.remove(key, held.stamp + 1)
             } else {
                 delay(300)
             }
@@ -286,7 +256,7 @@
         if (!ready()) return
         val now = clock.now()
         for (key in partitionKeys + LEADER) {
-            if (keys.containsKey(key)) {
+            if (key in keys) {
                 missingSinceUs.remove(key)
                 continue
             }
@@ -295,30 +265,12 @@
         }
     }
 
-    /**
-     * A part's own controller takes it at once; others wait a little, in an order that avoids collisions. To lead costs about as
-     * much as a part: who has little else to do comes first.
-     */
     private fun patience(key: String): Long {
-        val labels = (settings.peers.map { it.label } + settings.label).sorted()
-        val rank = labels.indexOf(settings.label)
-        val held = holders.values.count { it.label == settings.label }
+        val held = keys.holdersInForce.count { it.label == settings.label }
         val home = assignment.home(key.removePrefix(PARTITION))
-        return when {
-            key == LEADER -> held * 150 * MILLI + rank * 50 * MILLI + if (roomy) 0 else 400 * MILLI
-            home == settings.label -> 0
-            home != null && !everOwned(key) -> FIRST_PATIENCE_US + rank * 200 * MILLI
-            else -> 200 * MILLI + held * 250 * MILLI + rank * 100 * MILLI
-        }
+        return acquisitionOrder.patienceUs(key == LEADER, held, home, keys.everOwned(key))
     }
 
-    /** Its own part is no larger than the others': it shares its zone, or nobody does. */
-    private val roomy =
-        settings.peers.any { it.zone == settings.zone } || (settings.peers.map { it.zone } + settings.zone).distinct().size > others.size
-
-    /** Before anybody has owned a part its own controller is given time to start. */
-    private fun everOwned(key: String) = (keys[TERMS]?.value?.getJsonArray("owned")?.contains(key)) == true
-
     private var acquiring = false
 
     private suspend fun acquire(key: String) {
@@ -326,26 +278,15 @@
         if (acquiring || !ownPledge.free(clock.now())) return
         acquiring = true
         try {
-            val counter = keys[TERMS]
-            val term = (counter?.value?.getLong("term") ?: 0) + 1
-            val owned = (counter?.value?.getJsonArray("owned")?.map { it as String } ?: emptyList()).toSortedSet().apply { add(key) }
-            val value = JsonObject().put("label", settings.label).put("term", term).put("lease", held)
-            val counted =
-                JsonObject().put("term", term).put(
-                    "owned",
-                    io.vertx.core.json
-                        .JsonArray(owned.toList()),
-                )
-            val outcome =
-                state.txn(
-                    mapOf(TERMS to (counter?.stamp ?: 0L), key to 0L),
-                    listOf(Change.Put(TERMS, counted), Change.Put(key, value, held)),
-                )
+            val counter = keys.nextTerm(key)
+            val value = JsonObject().put("label", settings.label).put("term", counter.term).put("lease", held)
+            val guards = mapOf(OwnershipKeys.TERMS to (keys.stamp(OwnershipKeys.TERMS) ?: 0L), key to 0L)
+            val changes = listOf(Change.Put(OwnershipKeys.TERMS, counter.encode()), Change.Put(key, value, held))
+            val outcome = state.txn(guards, changes)
             if (outcome is Committed.Yes) {
-                log.info("took {} under term {}", key, term)
-                val mark = outcome.revision
-                take(TERMS, Entry(TERMS, counted, mark), mark)
-                take(key, Entry(key, value, mark), mark)
+                log.info("took {} under term {}", key, counter.term)
+                keys.put(Entry(OwnershipKeys.TERMS, counter.encode(), outcome.revision))
+                keys.put(Entry(key, value, outcome.revision))
                 missingSinceUs.remove(key)
                 takenUs[key] = clock.now()
                 changed(view())
@@ -362,11 +303,9 @@
         const val PREFIX = "c/"
         const val LEADER = "c/leader"
         const val PARTITION = "c/part/"
-        private const val TERMS = "c/terms"
         private const val PLEDGE_REQUEST_MS = 400L
         private const val UNCLEAR_US = 120 * SECOND
         private const val LEAST_HELD_US = 12 * SECOND
         private const val HOME_FIRST_US = 3 * SECOND
-        private const val FIRST_PATIENCE_US = 6 * SECOND
     }
 }
--- /dev/null
+++ b/src/main/kotlin/lichenstage/authority/OwnershipKeys.kt
@@ -0,0 +1,97 @@
+package lichenstage.authority
+
+import io.vertx.core.json.JsonArray
+import io.vertx.core.json.JsonObject
+import lichenstage.app.JsonHttp.Companion.parsed
+import lichenstage.state.Entry
+
+/** Who holds a key, under which term and process lease; [stamp] is the key's revision. */
+data class Holder(
+    val label: String,
+    val term: Long,
+    val lease: Long,
+    val stamp: Long,
+)
+
+/** The term counter as it is to be written with an ownership, with the keys that anybody has ever owned. */
+internal class TermCounter(
+    val term: Long,
+    val owned: Collection<String>,
+) {
+    fun encode(): JsonObject = JsonObject().put(TERM, term).put(OWNED, JsonArray(owned.toList()))
+
+    companion object {
+        const val TERM = "term"
+        const val OWNED = "owned"
+    }
+}
+
+/** The keys of leadership and ownership as this process last saw them. */
+internal class OwnershipKeys {
+    private val keys = HashMap<String, Entry>()
+
+    /** Read once: they are asked for at every report. */
+    private val holders = HashMap<String, Holder>()
+
+    /** Who holds keys now. */
+    val holdersInForce: Collection<Holder> get() = holders.values
+
+    operator fun contains(key: String) = keys.containsKey(key)
+
+    fun holder(key: String): Holder? = holders[key]
+
+    fun stamp(key: String): Long? = keys[key]?.stamp
+
+    /** All of them, read whole. */
+    fun reset(entries: List<Entry>) {
+        keys.clear()
+        holders.clear()
+        entries.forEach(::put)
+    }
+
+    /** The key as of a newer change. */
+    fun put(entry: Entry) {
+        if (isOld(entry.key, entry.stamp)) return
+        keys[entry.key] = entry
+        val holder = if (entry.key == TERMS) null else read(entry)
+        if (holder == null) holders.remove(entry.key) else holders[entry.key] = holder
+    }
+
+    /** The key was deleted at [stamp]. */
+    fun remove(
+        key: String,
+        stamp: Long,
+    ) {
+        if (isOld(key, stamp)) return
+        keys.remove(key)
+        holders.remove(key)
+    }
+
+    private fun isOld(
+        key: String,
+        stamp: Long,
+    ) = (keys[key]?.stamp ?: 0) >= stamp
+
+    private fun read(entry: Entry): Holder? =
+        parsed {
+            Holder(entry.value.getString("label")!!, entry.value.getLong("term")!!, entry.value.getLong("lease")!!, entry.stamp)
+        }
+
+    /** The counter that goes with the next ownership of [key]. */
+    fun nextTerm(key: String) = TermCounter((keys[TERMS]?.value?.getLong(TermCounter.TERM) ?: 0) + 1, (owned() + key).toSortedSet())
+
+    /** Before anybody has owned a partition its own controller is given time to start. */
+    fun everOwned(key: String) = key in owned()
+
+    private fun owned(): List<String> =
+        keys[TERMS]
+            ?.value
+            ?.getJsonArray(TermCounter.OWNED)
+            ?.map { it as String }
+            .orEmpty()
+
+    companion object {
+        /** The key of the term counter. */
+        const val TERMS = "c/terms"
+    }
+}
--- a/src/main/kotlin/lichenstage/fleet/FleetCore.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetCore.kt
@@ -3,55 +3,6 @@
 import lichenstage.app.SECOND
 import kotlin.math.ceil
 
-/**
- * What a job still asks of machines of type [typeName]: at most [machines] at once, [workUs] of machine time, until [dueUs];
- * null where no promise is left to keep. It uses [busy] machines now, and [waitingUs] of its work has not begun.
- */
-data class Demand(
-    val typeName: String,
-    val spot: Boolean,
-    val machines: Double,
-    val workUs: Double,
-    val dueUs: Long?,
-    val busy: Double = 0.0,
-    val waitingUs: Double = workUs,
-)
-
-/** A machine as the leader knows it from its part, for decisions on renting. */
-data class MachineStatus(
-    val up: Boolean,
-    val silent: Boolean,
-    val lost: Boolean,
-    val tasks: Int,
-    val faulty: Boolean,
-)
-
-/** The next thing to ask of the cloud. */
-sealed interface CloudCall {
-    data class Rent(
-        val hire: Hire,
-    ) : CloudCall
-
-    data class GiveBack(
-        val names: List<String>,
-    ) : CloudCall
-
-    data object ListAll : CloudCall
-}
-
-/** How machines are rented and returned. */
-data class FleetPolicy(
-    /** Work that is due sooner than this is not helped by renting. */
-    val leastHorizonUs: Long = 40 * SECOND,
-    /** The part of the time up to a promise in which its work should be done. */
-    val slackUsed: Double = 0.5,
-    /** What waits should be begun within this time. */
-    val backlogUs: Long = 90 * SECOND,
-    /** The part of a machine's time that can be filled. */
-    val fill: Double = 1.0,
-    val settleUs: Long = 30 * SECOND,
-)
-
 /**
  * What is rented. Plain code: told of demand and machines, it names the next cloud call, and is told its outcome.
  *
