--- a/src/main/kotlin/lichenstage/fleet/DemandEstimate.kt
+++ b/src/main/kotlin/lichenstage/fleet/DemandEstimate.kt
@@ -42,7 +42,8 @@
             val left = job.left
             if (left <= 0 || job.phase != JobPhase.OPEN) continue
             val machineType = fitting(spec, machineTypes).minByOrNull { it.price / perMachine(it, spec.shape) } ?: continue
-            if (!job.ready && readyInUs(job) > machineType.bootUs * BOOTS_AHEAD) continue
+            val aheadUs = if (job.ready) 0 else (machineType.bootUs * BOOTS_AHEAD).toLong()
+            if (!job.ready && readyInUs(job) > aheadUs) continue
             val allowed = coresMax(spec.team) - (byTeam[spec.team] ?: 0.0)
             val atOnce = if (spec.shape.cores <= 0.0) left.toDouble() else minOf(left.toDouble(), allowed / spec.shape.cores)
             if (atOnce <= 0.0) continue
@@ -60,6 +61,7 @@
                     dueUs = dueUs(job),
                     busy = job.alive.size / per,
                     waitingUs = maxOf(waitingUs - job.totalSavedUs / per, 0.0),
+                    foreseenInUs = aheadUs,
                 )
         }
         return demand
--- a/src/main/kotlin/lichenstage/fleet/FleetCore.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetCore.kt
@@ -117,18 +117,20 @@
     /**
      * How many machines of a type the work asks for: what the jobs to come will use, or more where what waits now could not be
      * begun in a while without (a busy machine costs the same now as later, and a backlog only grows late) or where promises
-     * ask for it.
+     * ask for it. Jobs that wait for others are part of what is to come: as work that waits now they were counted twice, and a tenth
+     * more was paid for nothing.
      */
     private fun need(
         typeName: String,
         now: Long,
     ): Int {
-        val here = wanted.filter { it.typeName == typeName }
+        val (foreseen, here) = wanted.filter { it.typeName == typeName }.partition { it.foreseenInUs > 0 }
         val parallel = here.sumOf { it.machines }
         val backlog = here.sumOf { it.busy } + here.sumOf { it.waitingUs } / policy.fill / policy.backlogUs
         val promised = pace(here.filter { it.dueUs != null }, now)
         val expected = forecast.machines(typeName, policy.fill, now)
-        return ceil(maxOf(expected, minOf(parallel, maxOf(backlog, promised))) - 1e-9).toInt()
+        val toCome = foreseen.sumOf { it.workUs / it.foreseenInUs } / policy.fill
+        return ceil(maxOf(expected, toCome, minOf(parallel, maxOf(backlog, promised))) - 1e-9).toInt()
     }
 
     /** For the log: what there is, and why it is held for right. */
--- a/src/main/kotlin/lichenstage/fleet/FleetTypes.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetTypes.kt
@@ -4,7 +4,8 @@
 
 /**
  * What a job still asks of machines of type [typeName]: at most [machines] at once, [workUs] of machine time, until [dueUs];
- * null where no promise is left to keep. It uses [busy] machines now, and [waitingUs] of its work has not begun.
+ * null where no promise is left to keep. It uses [busy] machines now, and [waitingUs] of its work has not begun. [foreseenInUs]: the
+ * job waits for others and is expected to be ready within that time; 0 for all that is ready.
  */
 data class Demand(
     val typeName: String,
@@ -14,6 +15,7 @@
     val dueUs: Long?,
     val busy: Double = 0.0,
     val waitingUs: Double = workUs,
+    val foreseenInUs: Long = 0,
 )
 
 /** A machine as the leader knows it from its part, for decisions on renting. */
--- a/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
@@ -55,6 +55,21 @@
         condition(kinds == listOf(true, true, false)) { "$kinds" }
     }
 
+    /** As work that waits now they were counted beside what is expected of their classes, and a tenth more was paid for nothing. */
+    @Example
+    fun `jobs that wait for others are had machines for, but not beside what is expected anyway`() {
+        val foreseen = Demand("t", true, 4.0, 4.0 * 45 * SECOND, null, foreseenInUs = 45 * SECOND)
+        val idle = fleet()
+        idle.observe(listOf(foreseen), { null }, SECOND)
+        condition(idle.rentNow(SECOND)?.count == 2) { "4 machines are 2 in each of two zones" }
+        val forecast = DemandForecast(0)
+        val fleet = fleet(forecast)
+        for (s in 1L..200L step 10) forecast.arrived(JobArrival("t", s * SECOND, 5.0, 20 * SECOND, urgent = false))
+        repeat(14) { fleet.known("m$it", "t", "z", true, 0, 200 * SECOND) }
+        fleet.observe(listOf(foreseen), { seen(1) }, 200 * SECOND)
+        condition(fleet.next(202 * SECOND) !is CloudCall.Rent) { "rented beside the 10 that are expected" }
+    }
+
     @Example
     fun `jobs that may not run on cheap machines get dear ones`() {
         val fleet = fleet()
--- a/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
@@ -72,6 +72,6 @@
             }
         condition(asked(60).isEmpty()) { "asks a minute before" }
         val soon = asked(40).single()
-        condition(soon.busy == 0.0 && soon.waitingUs > 0 && soon.dueUs == null) { "$soon" }
+        condition(soon.busy == 0.0 && soon.foreseenInUs == 45 * SECOND && soon.dueUs == null) { "$soon" }
     }
 }
