--- a/src/main/kotlin/lichenstage/fleet/FleetCore.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetCore.kt
@@ -38,6 +38,9 @@
     /** Types that jobs have asked for which may run on cheap machines. */
     private val spotWelcome = HashSet<String>()
     private val surplusSinceUs = HashMap<String, Long>()
+
+    /** The most machines of a type that were in use at once in this term. */
+    private val mostUsed = HashMap<String, Double>()
     private var listedOnce = false
     private var returnedUs = Long.MIN_VALUE / 2
     private var swappedUs = Long.MIN_VALUE / 2
@@ -78,30 +81,37 @@
         now: Long,
     ) {
         wanted = demand
+        for ((typeName, rows) in demand.groupBy { it.typeName }) mostUsed.merge(typeName, rows.sumOf { it.busy }, ::maxOf)
         demand.forEach { if (it.spot) spotWelcome += it.typeName }
         // A machine that hangs is replaced before its lease has run out: its return is the fastest proof that its tasks may
         // go elsewhere. Where many are silent, the network is at fault, not they.
         val silent = machines.keys.filter { seen(it)?.silent == true }
         if (silent.size <= maxOf(MOST_SILENT, machines.size / SILENT_SHARE)) fence(silent)
-        for ((name, machine) in machines) {
-            val view = seen(name)
-            if (view != null && view.up) machine.upOnce = true
-            machine.tasks = view?.tasks ?: 0
-            val boot = machineTypes[machine.typeName]?.bootUs ?: (60 * SECOND)
-            val neverUp = !machine.upOnce && now - machine.sinceUs > 3 * boot + 10 * SECOND
-            if (view?.lost == true || view?.faulty == true || machine.status == "failed" || neverUp) machine.giveBack = true
-        }
+        for ((name, machine) in machines) judge(machine, seen(name), now)
         shed(now)
     }
 
+    /** Gives back what is of no more use. */
+    private fun judge(
+        machine: Rented,
+        status: MachineStatus?,
+        now: Long,
+    ) {
+        if (status != null && status.up) machine.upOnce = true
+        machine.tasks = status?.tasks ?: 0
+        val bootUs = machineTypes[machine.typeName]?.bootUs ?: USUAL_BOOT_US
+        val neverUp = !machine.upOnce && now - machine.sinceUs > 3 * bootUs + 10 * SECOND
+        if (status?.lost == true || status?.faulty == true || machine.status == FAILED || neverUp) machine.giveBack = true
+    }
+
     /**
      * Machines beyond what is needed take no more tasks, the dear ones first, and are given back when they are empty:
      * the roomiest machine gets the next task, so that none would run empty by itself.
      */
     private fun shed(now: Long) {
         for ((typeName, group) in machines.values.filter { !it.giveBack }.groupBy { it.typeName }) {
-            val surplus = group.size - need(typeName, now)
-            if (surplus <= 0 || forecast.learning(now)) {
+            val surplus = group.size - maxOf(need(typeName, now), neededWhileLearning(typeName, now))
+            if (surplus <= 0) {
                 surplusSinceUs.remove(typeName)
                 group.forEach { it.draining = false }
                 continue
@@ -117,6 +127,16 @@
         }
     }
 
+    /**
+     * A leader that has just begun does not know what came before it, so that its forecast is too low for a while. Until then what was
+     * in use at some time since is kept, with room to spare. Keeping all that there was cost a tenth of the money of a day on which
+     * leaders change while machines are too many.
+     */
+    private fun neededWhileLearning(
+        typeName: String,
+        now: Long,
+    ): Int = if (forecast.learning(now)) ceil((mostUsed[typeName] ?: 0.0) * LEARNING_MARGIN).toInt() else 0
+
     /**
      * How many machines of a type the work asks for: what the jobs to come will use, or more where what waits now could not be
      * begun in a while without (a busy machine costs the same now as later, and a backlog only grows late) or where promises
@@ -293,6 +313,11 @@
         const val SILENT_SHARE = 100
         const val LEAST_US = 55 * SECOND
         const val SWAP_US = 10 * SECOND
+        const val LEARNING_MARGIN = 1.25
+
+        /** Where the machine types are not known yet. */
+        const val USUAL_BOOT_US = 60 * SECOND
+        const val FAILED = "failed"
         const val LIST_US = 4 * SECOND
         const val MOST_RETURNS = 100
         const val RETURN_US = SECOND
--- a/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
@@ -113,6 +113,24 @@
         condition(forecast.machines("t", 0.85, 900 * SECOND) == 0.0) { "nothing comes any more" }
     }
 
+    /** On the upgrade days each new leader kept hundreds of idle machines for the 100 s in which its forecast learns. */
+    @Example
+    fun `a new leader keeps what has been in use with room to spare, and not all that there is`() {
+        val began = 100 * SECOND
+        val fleet = fleet(DemandForecast(began))
+        repeat(40) { fleet.known("m$it", "t", "z", false, 100 * SECOND, began) }
+
+        fun look(
+            afterS: Long,
+            busy: Double,
+        ) = fleet.observe(listOf(Demand("t", true, busy, 0.0, null, busy, 0.0)), { seen(1) }, began + afterS * SECOND)
+        look(1, 20.0)
+        look(2, 8.0)
+        condition(fleet.cordoned().isEmpty()) { "drained at once" }
+        look(40, 8.0)
+        condition(fleet.cordoned().size == 15) { "20 were in use, 25 are to be kept: ${fleet.cordoned().size} of 40 drain" }
+    }
+
     @Example
     fun `a silent machine is replaced, many silent ones are not`() {
         for (count in listOf(1, 5)) {
