--- a/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
@@ -1,6 +1,9 @@
 package lichenstage.cluster
 
 import io.vertx.core.json.JsonObject
+import kotlinx.serialization.ExperimentalSerializationApi
+import kotlinx.serialization.Serializable
+import kotlinx.serialization.cbor.Cbor
 import lichenstage.jobs.DoneRanges
 import lichenstage.jobs.JobRecord
 import lichenstage.jobs.JobSpec
@@ -14,7 +17,46 @@
  * What the version in production writes, in `production.json` by its own code (deploy/service.toml names it): this version reads it,
  * and writes the same to the last byte, so that either takes the other's word while both serve.
  */
+@OptIn(ExperimentalSerializationApi::class)
 class ProductionSamplesTest {
+    /** The fields of a leader's frame as production reads them, by the names that it writes. */
+    @Serializable
+    private data class ProductionLeaderFrame(
+        val part: String,
+        val term: Long,
+        val seq: Long,
+        val ackTerm: Long,
+        val ackVersion: Long,
+        val starts: List<StartOrder> = emptyList(),
+        val stops: List<AttemptOrder> = emptyList(),
+        val clears: List<AttemptOrder> = emptyList(),
+        val closed: Set<String>? = null,
+    )
+
+    /** An owner of production's version passes over orders to save, and takes all else. */
+    @Example
+    fun `orders to save are passed over by production, and are not written where there are none`() {
+        val codec =
+            Cbor {
+                ignoreUnknownKeys = true
+                encodeDefaults = true
+            }
+        val stop = AttemptOrder("m", "j-1/0", 7)
+        val plain = PlacementFrame("z/0", 1, 2, 3, 4, stops = listOf(stop), cordoned = setOf("m"))
+        val saving = plain.copy(saves = listOf(SaveOrder("m", "j-1/1", 8, 5)))
+        for (frame in listOf(plain, saving)) {
+            val read =
+                codec.decodeFromByteArray(
+                    ProductionLeaderFrame.serializer(),
+                    codec.encodeToByteArray(PlacementFrame.serializer(), frame),
+                )
+            val expected = ProductionLeaderFrame("z/0", 1, 2, 3, 4, stops = listOf(stop), closed = setOf("m"))
+            condition(read == expected) { "$read" }
+        }
+        val names = listOf(plain, saving).map { String(FrameCodec.encode(it), Charsets.ISO_8859_1).contains("saves") }
+        condition(names == listOf(false, true)) { "$names" }
+    }
+
     private val samples = JsonObject(javaClass.getResource("/production.json")!!.readText())
 
     @Example
