--- a/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
@@ -197,37 +197,28 @@
         condition(lastAsk().requests.single().count == 1) { "${lastAsk().requests}" }
     }
 
-    /** Brings a job's two tasks on m1 in part z. */
-    private fun placed(): LeaderCore {
+    /** Brings all tasks of a job, two where none is given, on m1 in partition z. */
+    private fun placed(job: Job = job("j-1")): LeaderCore {
         val leader = leader()
         leader.registered(mapOf("m1" to "z/0"))
-        leader.jobAdded(job("j-1"))
+        leader.jobAdded(job)
         leader.frame(partition("y", 0), SECOND)
         leader.frame(partition("z", 0, view("m1")), SECOND)
         leader.tick(SECOND)
         val ask = lastAsk()
         leader.frame(partition("y", sent("y").last().seq, offers = ask.requests.map { Offer(it.stamp, emptyList()) }), SECOND)
-        leader.frame(partition("z", ask.seq, offers = offer(ask, "m1", 2)), SECOND)
+        leader.frame(partition("z", ask.seq, offers = offer(ask, "m1", job.spec.tasks)), SECOND)
         leader.tick(SECOND)
-        condition(starts().map { it.index }.toSet() == setOf(0, 1)) { "${starts()}" }
+        condition(starts().map { it.index }.toSet() == (0 until job.spec.tasks).toSet()) { "${starts()}" }
         return leader
     }
 
     /** The order goes out with the next frame, the progress counts once the task is seen stopped, and the task is queued again. */
     @Example
     fun `tasks with checkpoints on a machine with a notice are ordered to save, and go on elsewhere`() {
-        val leader = leader()
-        leader.registered(mapOf("m1" to "z/0"))
         val spec = spec("j-1", tasks = 1).copy(estimateUs = 100 * SECOND, checkpointUs = 20 * SECOND, saveUs = 4 * SECOND)
         val job = Job(spec, 101, 0)
-        leader.jobAdded(job)
-        leader.frame(partition("y", 0), SECOND)
-        leader.frame(partition("z", 0, view("m1")), SECOND)
-        leader.tick(SECOND)
-        val ask = lastAsk()
-        leader.frame(partition("y", sent("y").last().seq, offers = ask.requests.map { Offer(it.stamp, emptyList()) }), SECOND)
-        leader.frame(partition("z", ask.seq, offers = offer(ask, "m1", 1)), SECOND)
-        leader.tick(SECOND)
+        val leader = placed(job)
         val attempt = starts().single().attempt
         val seq = sent("z").last().seq
 
