--- a/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
@@ -30,23 +30,17 @@
 import lichenstage.placement.LeaderEffect
 import lichenstage.placement.ServiceObjectives
 import lichenstage.placement.Timers
-import java.util.PriorityQueue
 import java.util.Random
 
 /**
  * Controllers' decision logic and workers on virtual time, with crashes, cuts, hangs and held and repeated messages drawn
- * from a seed. Copies of reports and repeats of orders come up to three leases late. Authority is a small model of leases in the state service: what is under test is what is decided with it.
+ * from a seed. Copies of reports and repeats of orders come up to three leases late. Authority is a small model of leases in the state
+ * service: what is under test is what is decided with it.
  */
 class SimulatedCluster(
     seed: Long,
     private val mutation: Mutation = Mutation.NONE,
 ) {
-    private class Event(
-        val atUs: Long,
-        val order: Long,
-        val run: () -> Unit,
-    )
-
     private inner class Node(
         val id: Int,
     ) {
@@ -76,10 +70,8 @@
     }
 
     private val random = Random(seed)
-    private val queue = PriorityQueue<Event>(compareBy<Event> { it.atUs }.thenBy { it.order })
-    private var orders = 0L
-    var now = 0L
-        private set
+    private val network = SimulatedNetwork(random)
+    val now get() = network.now
     private val zones = listOf("a", "b", "c")
 
     /** Zone a has two controllers and so two parts, zone c none of its own. */
@@ -110,13 +102,8 @@
     /** Jobs that are over, with the revision. */
     private val ends = ArrayList<Pair<String, Long>>()
 
-    // Cuts: pairs of hosts that can't talk until a time; messages are held or lost.
-    private val cuts = HashMap<String, Pair<Long, Boolean>>()
-
-    // Machines that nothing reaches, and until when the state service answers late.
-    private val deafUntilUs = HashMap<String, Long>()
+    // Machines whose reports reach nobody, and until when the state service answers nobody.
     private val muteUntilUs = HashMap<String, Long>()
-    private var slowStateUntilUs = 0L
     private var outageUntilUs = 0L
 
     private fun partitionOf(worker: SimulatedWorker) = assignment.partitionOf(worker.name, worker.zone)!!
@@ -124,40 +111,19 @@
     private fun at(
         delayUs: Long,
         run: () -> Unit,
-    ) = queue.add(Event(now + delayUs, orders++, run)).let { }
+    ) = network.at(delayUs, run)
 
     private fun every(
         periodUs: Long,
         run: () -> Unit,
-    ): Unit =
-        at(random.nextInt(periodUs.toInt()).toLong()) {
-            run()
-            at(periodUs / 2 + random.nextInt(periodUs.toInt()).toLong()) { every(periodUs, run) }
-        }
+    ) = network.every(periodUs, run)
 
-    /** A message from one host to another; it may be late, held by a cut, lost with it, or repeated. */
     private fun send(
         from: String,
         to: String,
         repeats: Boolean = true,
         deliver: () -> Unit,
-    ) {
-        val cut = cuts[pair(from, to)]?.takeIf { it.first > now }
-        val delay = (MILLI + random.nextInt(8000)) * if (to == "state" && now < slowStateUntilUs) 20 else 1
-        // Nothing reaches a deaf machine; what is lost on the way is not sent again.
-        if ((deafUntilUs[to] ?: 0) > now) return
-        if (cut == null) {
-            at(delay, deliver)
-            if (repeats && random.nextInt(50) == 0) at(delay + random.nextInt(20_000_000), deliver)
-        } else if (cut.second) {
-            at(cut.first - now + delay, deliver)
-        }
-    }
-
-    private fun pair(
-        a: String,
-        b: String,
-    ) = if (a < b) "$a $b" else "$b $a"
+    ) = network.send(from, to, repeats, deliver)
 
     fun run(
         faultsUs: Long,
@@ -179,12 +145,7 @@
         every(SECOND) { if (now > faultsUs + LONGEST_FAULT_US) checker.waiting(open.values.filter(::ready), now) }
         checker.calmFromUs = faultsUs + LONGEST_FAULT_US
         every(40 * MILLI) { poll() }
-        val end = faultsUs + calmUs
-        while (queue.isNotEmpty() && queue.peek().atUs <= end) {
-            val event = queue.poll()
-            now = event.atUs
-            event.run()
-        }
+        network.runUntil(faultsUs + calmUs)
     }
 
     fun unfinished() = open.keys.toList()
@@ -478,7 +439,7 @@
 
             // Its reports arrive, but nothing reaches it.
             6 -> {
-                deafUntilUs[worker.name] = now + forUs + WORKER_LEASE_US / 2
+                network.deafen(worker.name, forUs + WORKER_LEASE_US / 2)
             }
 
             // It keeps its workers, and loses all else.
@@ -501,7 +462,7 @@
             }
 
             11 -> {
-                slowStateUntilUs = now + forUs
+                network.slowState(forUs)
             }
 
             12 -> {
@@ -544,13 +505,11 @@
     private fun List<String>.random() = this[random.nextInt(size)]
 
     private fun cut(
-        a: String,
-        b: String,
+        one: String,
+        other: String,
         forUs: Long,
         held: Boolean,
-    ) {
-        cuts[pair(a, b)] = now + forUs to held
-    }
+    ) = network.cut(one, other, forUs, held)
 
     private fun apart(
         one: String,
@@ -608,7 +567,7 @@
         worker: Int,
         forUs: Long,
     ) {
-        deafUntilUs[workers[worker].name] = now + forUs
+        network.deafen(workers[worker].name, forUs)
     }
 
     fun mute(
@@ -618,9 +577,7 @@
         muteUntilUs[workers[worker].name] = now + forUs
     }
 
-    fun slowState(forUs: Long) {
-        slowStateUntilUs = now + forUs
-    }
+    fun slowState(forUs: Long) = network.slowState(forUs)
 
     /** The state service refuses node [id] alone. */
     fun refuse(
@@ -696,7 +653,7 @@
         nodes.forEach { if (expiry[it.id] > now) expiry[it.id] = outageUntilUs + LEASE_US }
     }
 
-    private fun reachesState(node: Node) = now >= outageUntilUs && (cuts[pair("n${node.id}", "state")]?.first ?: 0) <= now
+    private fun reachesState(node: Node) = now >= outageUntilUs && !network.isCut("n${node.id}", SimulatedNetwork.STATE)
 
     /** A turn of a controller: its lease, the keys, its parts and its leadership. */
     private fun control(node: Node) {
