--- a/src/test/kotlin/lichenstage/world/PipelineFaultsTest.kt
+++ b/src/test/kotlin/lichenstage/world/PipelineFaultsTest.kt
@@ -19,7 +19,7 @@
     private val scenarios =
         listOf(
             Scenario("drawn faults") {
-                repeat(24) { n -> script(SECOND + n * 3 * SECOND) { drawFaultNow() } }
+                repeat(24) { n -> script(SECOND + n * 3 * SECOND) { drawFault() } }
                 cancellations(8)
             },
             Scenario("the leader is refused alone while first stages are cancelled") {
@@ -41,7 +41,7 @@
                 for (atS in 15L..60L step 15) {
                     script(atS * SECOND) {
                         val late = maxOf(leader, 0)
-                        holdState(late, 6 * SECOND)
+                        cutFromState(late, 6 * SECOND, held = true)
                         crash((late + 1) % 3, 300 * MILLI)
                     }
                 }
--- a/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
@@ -86,6 +86,7 @@
             List(3) { SimulatedWorker("vm-$zone$it", zone, 8.0, WORKER_LEASE_US, Random(random.nextLong()), { id -> jobs[id] }, checker) }
         }
     private val target = HashMap<String, Int>()
+    private val faults = DrawnFaults(this, random)
 
     // The state service.
     private var term = 0L
@@ -405,105 +406,6 @@
         }
     }
 
-    private fun drawFault() {
-        val forUs = 2 * SECOND + random.nextInt(20_000_000)
-        val held = random.nextBoolean()
-        val node = nodes[random.nextInt(3)]
-        val worker = workers[random.nextInt(workers.size)]
-        val self = "n${node.id}"
-        val others = nodes.filter { it != node }.map { "n${it.id}" }
-        when (random.nextInt(17)) {
-            0 -> {
-                crash(node)
-            }
-
-            1 -> {
-                nodes.forEach { cut(worker.name, "n${it.id}", forUs, held) }
-            }
-
-            2 -> {
-                worker.hungUntilUs = now + forUs
-            }
-
-            3 -> {
-                cut(self, "state", forUs, held)
-            }
-
-            4 -> {
-                cut(self, others.random(), forUs, held)
-            }
-
-            5 -> {
-                workers.forEach { cut(it.name, self, forUs, held) }
-            }
-
-            // Its reports arrive, but nothing reaches it.
-            6 -> {
-                network.deafen(worker.name, forUs + WORKER_LEASE_US / 2)
-            }
-
-            // It keeps its workers, and loses all else.
-            7 -> {
-                (others + "state").forEach { cut(self, it, forUs, held) }
-            }
-
-            // Connections between controllers are refused.
-            8 -> {
-                nodes.forEach { a -> nodes.forEach { b -> cut("n${a.id}", "n${b.id}", forUs, held = false) } }
-            }
-
-            // Two zones apart.
-            9 -> {
-                apart("a", "b", forUs, held)
-            }
-
-            10 -> {
-                nodes.forEach(::crash)
-            }
-
-            11 -> {
-                network.slowState(forUs)
-            }
-
-            12 -> {
-                outage(forUs)
-            }
-
-            // An outage for all but one.
-            13 -> {
-                nodes.filter { it != node }.forEach { cut("n${it.id}", "state", forUs, held) }
-            }
-
-            // Its reports reach nobody, orders to it land.
-            14 -> {
-                muteUntilUs[worker.name] = now + forUs + WORKER_LEASE_US / 2
-            }
-
-            // Users call off what runs, and some of the machines hang.
-            15 -> {
-                open.keys
-                    .filter { running(it) > 0 }
-                    .take(3)
-                    .forEach { cancel(it, random.nextInt(3)) }
-                repeat(3) { workers[random.nextInt(workers.size)].hungUntilUs = now + forUs }
-            }
-
-            // The state service refuses the leader alone, and then everybody, while users call off what runs.
-            16 -> {
-                refuse(maxOf(leader, 0), 14 * SECOND)
-                at(SECOND) {
-                    open.keys
-                        .filter { running(it) > 0 }
-                        .take(2)
-                        .forEach { cancel(it, random.nextInt(3)) }
-                }
-                at(SECOND + SECOND / 2) { outage(forUs * 2) }
-            }
-        }
-    }
-
-    private fun List<String>.random() = this[random.nextInt(size)]
-
     private fun cut(
         one: String,
         other: String,
@@ -526,13 +428,35 @@
         backAfterUs: Long,
     ) = crash(nodes[id], backAfterUs)
 
-    fun drawFaultNow() = drawFault()
+    /** A fault of any kind, as the seed has it. */
+    fun drawFault() = faults.next()
 
-    /** What node [id] sends to the state service arrives late, after newer words of others. */
-    fun holdState(
+    /** As [crash], for a time that is drawn. */
+    fun crash(id: Int) = crash(nodes[id])
+
+    fun after(
+        delayUs: Long,
+        event: () -> Unit,
+    ) = at(delayUs, event)
+
+    fun cutFromState(
         id: Int,
         forUs: Long,
-    ) = cut("n$id", "state", forUs, held = true)
+        held: Boolean,
+    ) = cut("n$id", SimulatedNetwork.STATE, forUs, held)
+
+    fun cutControllers(
+        one: Int,
+        other: Int,
+        forUs: Long,
+        held: Boolean,
+    ) = cut("n$one", "n$other", forUs, held)
+
+    fun cutFromWorkers(
+        id: Int,
+        forUs: Long,
+        held: Boolean,
+    ) = workers.forEach { cut(it.name, "n$id", forUs, held) }
 
     /** Users call off up to [count] jobs of pipelines that others wait for, preferring those that are about to end. */
     fun cancelPipelines(count: Int) =
@@ -583,13 +507,13 @@
     fun refuse(
         id: Int,
         forUs: Long,
-    ) = cut("n$id", "state", forUs, held = false)
+    ) = cutFromState(id, forUs, held = false)
 
     fun apart(
         one: Int,
         other: Int,
         forUs: Long,
-    ) = cut("n$one", "n$other", forUs, held = false)
+    ) = cutControllers(one, other, forUs, held = false)
 
     fun hang(
         worker: Int,
