--- a/src/main/kotlin/lichenstage/app/JsonHttp.kt
+++ b/src/main/kotlin/lichenstage/app/JsonHttp.kt
@@ -12,6 +12,12 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import org.slf4j.LoggerFactory
 
+/** An answer with a JSON body. */
+data class JsonAnswer(
+    val status: Int,
+    val body: JsonObject,
+)
+
 /**
  * One request to the end of its answer, or null after [timeoutMs].
  *
@@ -57,13 +63,13 @@
         path: String,
         body: JsonObject?,
         timeoutMs: Long,
-    ): Pair<Int, JsonObject>? =
+    ): JsonAnswer? =
         @Suppress("TooGenericExceptionCaught") // Whatever goes wrong on the way, there is no answer.
         try {
             client.exchange(method, address, path, timeoutMs) { request ->
                 val response = (if (body == null) request.send() else request.send(body.toBuffer())).coAwait()
                 val text = response.body().coAwait()
-                response.statusCode() to (if (text.length() == 0) JsonObject() else JsonObject(text))
+                JsonAnswer(response.statusCode(), if (text.length() == 0) JsonObject() else JsonObject(text))
             }
         } catch (e: CancellationException) {
             throw e
--- a/src/main/kotlin/lichenstage/authority/Authority.kt
+++ b/src/main/kotlin/lichenstage/authority/Authority.kt
@@ -14,6 +14,7 @@
 import lichenstage.state.Change
 import lichenstage.state.Committed
 import lichenstage.state.Entry
+import lichenstage.state.Renewal
 import lichenstage.state.StateClient
 import lichenstage.state.Watched
 import org.slf4j.LoggerFactory
@@ -164,18 +165,18 @@
                 delay(300)
             } else {
                 when (state.renew(held)) {
-                    true -> {
+                    Renewal.RENEWED -> {
                         extended { lease.renewed(sentUs) }
                     }
 
-                    false -> {
+                    Renewal.ENDED -> {
                         log.info("process lease {} has ended", held)
                         lease.ended()
                         changed(view())
                         continue
                     }
 
-                    null -> {
+                    Renewal.UNKNOWN -> {
                         unanswered = true
                         log.info("process lease {} not renewed", held)
                     }
--- a/src/main/kotlin/lichenstage/fleet/Cloud.kt
+++ b/src/main/kotlin/lichenstage/fleet/Cloud.kt
@@ -57,6 +57,12 @@
     data object Unclear : Hired
 }
 
+/** A page of the cloud's list; [more] where it is not the last. */
+data class MachinePage(
+    val machines: List<ListedMachine>,
+    val more: Boolean,
+)
+
 /** Speaks to the cloud. */
 class CloudClient(
     vertx: Vertx,
@@ -103,15 +109,15 @@
 
     /** True where the machines are proven gone. */
     suspend fun giveBack(names: List<String>): Boolean =
-        call(HttpMethod.POST, "/hosts/return", JsonObject().put("holdfasts", JsonArray(names)))?.first == 200
+        call(HttpMethod.POST, "/hosts/return", JsonObject().put("holdfasts", JsonArray(names)))?.status == 200
 
-    /** One page of the list after [since], and whether there is more. */
-    suspend fun list(since: String?): Pair<List<ListedMachine>, Boolean>? {
+    /** One page of the list after [since], or null where the cloud does not answer. */
+    suspend fun list(since: String?): MachinePage? {
         val from = if (since == null) "" else "since=$since&"
         val (status, body) = call(HttpMethod.GET, "/hosts?${from}most=500", null) ?: return null
         if (status != 200) return null
         return parsed {
-            body.getJsonArray("holdfasts").map { listed(it as JsonObject) } to (body.getBoolean("truncated") ?: false)
+            MachinePage(body.getJsonArray("holdfasts").map { listed(it as JsonObject) }, body.getBoolean("truncated") ?: false)
         }
     }
 
--- a/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
+++ b/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
@@ -1,5 +1,11 @@
 package lichenstage.jobs
 
+/** A [field] of a submission that is too large, and why. */
+data class TooLarge(
+    val field: String,
+    val reason: String,
+)
+
 /**
  * What one record and one transaction can bear. A submission that is over it could never be written, now or once the state service
  * lowers its limits, so it is refused at once instead of being tried over and over.
@@ -14,13 +20,13 @@
     /** Each job that is named may be a condition, beside the two that the job itself is new. */
     val mostNeeds = guards - OWN_GUARDS
 
-    /** The field that is too large and why, or null. */
-    fun refusal(spec: JobSpec): Pair<String, String>? {
-        if (spec.needs.size > mostNeeds) return "waits_on" to "at most $mostNeeds jobs can be named"
+    /** What is too large, or null. */
+    fun refusal(spec: JobSpec): TooLarge? {
+        if (spec.needs.size > mostNeeds) return TooLarge("waits_on", "at most $mostNeeds jobs can be named")
         val bytes = size(spec)
         if (bytes <= valueBytes) return null
         val field = if (size(spec.copy(needs = emptyList())) <= valueBytes) "waits_on" else "builds"
-        return field to "the record would take $bytes bytes of at most $valueBytes"
+        return TooLarge(field, "the record would take $bytes bytes of at most $valueBytes")
     }
 
     private fun size(spec: JobSpec) =
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -141,11 +141,11 @@
      * Machines that the state service does not hold yet, with the partition of each. Only those that have shown their partition's token
      * in this term: a late copy of a report must not bring back a machine that is gone.
      */
-    fun unregistered(): List<Pair<String, MachineState>> =
+    fun unregistered(): List<PartitionMachine> =
         partitions.flatMap { (id, partition) ->
             partition.machines.values
                 .filter { it.settled && !it.lost && !isRegistered(it.name) }
-                .map { id to it }
+                .map { PartitionMachine(id, it) }
         }
 
     /** These machines get no more tasks. */
--- a/src/main/kotlin/lichenstage/placement/PartitionState.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionState.kt
@@ -2,6 +2,12 @@
 
 import lichenstage.cluster.MachineState
 
+/** A machine with the partition that it is in. */
+data class PartitionMachine(
+    val partition: String,
+    val machine: MachineState,
+)
+
 /** What the leader knows of one partition under one owner. */
 class PartitionState(
     /** The owner's term. */
--- a/src/main/kotlin/lichenstage/placement/TaskOrders.kt
+++ b/src/main/kotlin/lichenstage/placement/TaskOrders.kt
@@ -3,6 +3,12 @@
 import lichenstage.app.SECOND
 import lichenstage.cluster.AttemptOrder
 
+/** Stops and clears that go out together. */
+data class DueOrders(
+    val stops: List<AttemptOrder>,
+    val clears: List<AttemptOrder>,
+)
+
 /**
  * The stops and clears that machines still need. Each goes out once, and again after a while as long as the machine has not
  * shown that it is done: frames get lost.
@@ -57,7 +63,7 @@
     fun take(
         partition: String,
         now: Long,
-    ): Pair<List<AttemptOrder>, List<AttemptOrder>> {
+    ): DueOrders {
         val stops = ArrayList<AttemptOrder>()
         val clears = ArrayList<AttemptOrder>()
         val waiting =
@@ -70,7 +76,7 @@
             due.sentUs = now
             (if (due.stop) stops else clears) += due.order
         }
-        return stops to clears
+        return DueOrders(stops, clears)
     }
 
     private fun isDue(
--- a/src/main/kotlin/lichenstage/state/StateClient.kt
+++ b/src/main/kotlin/lichenstage/state/StateClient.kt
@@ -81,6 +81,17 @@
     data object Unavailable : Watched
 }
 
+/** What became of the renewal of a lease. */
+enum class Renewal {
+    RENEWED,
+
+    /** There is no such lease any more. */
+    ENDED,
+
+    /** No answer, or one that decides nothing. */
+    UNKNOWN,
+}
+
 /** What the decisions about records need of the state service; a model of it stands in where they are tested. */
 interface Store {
     /** Reads one key. */
@@ -149,9 +160,9 @@
             val since = if (entries.isEmpty()) "" else "&since=${entries.last().key}"
             val (status, body) = http.call(HttpMethod.GET, "/kv?prefix=$prefix$since&most=200", null, 4000) ?: return null
             if (status != 200) return null
-            val page = parsed { body.getLong("ledger_rev") to body.getJsonArray("rows").map { entry(it as JsonObject) } } ?: return null
-            if (revision < 0) revision = page.first
-            entries += page.second
+            val page = parsed { Scan(body.getJsonArray("rows").map { entry(it as JsonObject) }, body.getLong("ledger_rev")) } ?: return null
+            if (revision < 0) revision = page.revision
+            entries += page.entries
             if (body.getBoolean("truncated") != true) return Scan(entries, revision)
         }
     }
@@ -181,22 +192,22 @@
     /** Grants a lease; null where that failed. */
     suspend fun grant(lifeUs: Long): Long? {
         val answer = leases.call(HttpMethod.POST, "/leases", JsonObject().put("life_ms", lifeUs / 1000), 1500)
-        return answer?.takeIf { it.first == 200 }?.second?.getLong("tenancy")
+        return answer?.takeIf { it.status == 200 }?.body?.getLong("tenancy")
     }
 
-    /** True where renewed, false where the lease has ended, null where nobody knows. */
-    suspend fun renew(lease: Long): Boolean? {
+    /** Renews a lease. */
+    suspend fun renew(lease: Long): Renewal {
         val answer = leases.call(HttpMethod.POST, "/leases/$lease/renew", JsonObject(), 1200)
-        return when (answer?.first) {
-            200 -> true
-            404 -> false
-            else -> null
+        return when (answer?.status) {
+            200 -> Renewal.RENEWED
+            404 -> Renewal.ENDED
+            else -> Renewal.UNKNOWN
         }
     }
 
     /** Ends a lease at once; false where that is not known to have happened. */
     suspend fun revoke(lease: Long): Boolean =
-        leases.call(HttpMethod.DELETE, "/leases/$lease", null, 1500)?.first.let { it == 200 || it == 404 }
+        leases.call(HttpMethod.DELETE, "/leases/$lease", null, 1500)?.status.let { it == 200 || it == 404 }
 
     /** Waits for changes under a prefix after a revision. */
     suspend fun changes(
--- a/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
@@ -141,7 +141,7 @@
         leader.frame(partition("z", 0, view("m1"), view("m2", settled = false), view("m3")), SECOND)
         leader.machineGone("m3")
         leader.frame(partition("z", 0, view("m3")), 2 * SECOND)
-        condition(leader.unregistered().map { it.second.name } == listOf("m1")) { "${leader.unregistered()}" }
+        condition(leader.unregistered().map { it.machine.name } == listOf("m1")) { "${leader.unregistered()}" }
     }
 
     @Example
