--- a/src/test/kotlin/lichenstage/app/JsonHttpTest.kt
+++ b/src/test/kotlin/lichenstage/app/JsonHttpTest.kt
@@ -38,8 +38,8 @@
             val request = held.await()
             repeat(3) { condition(http.call(HttpMethod.GET, "/given-up", null, 20) == null) { "answered without a connection" } }
             request.response().end("{}")
-            condition(first.await() == 200 to JsonObject()) { "the first was not answered" }
-            condition(http.call(HttpMethod.GET, "/next", null, LONG_MS) == 200 to JsonObject()) { "the connection is lost" }
+            condition(first.await() == JsonAnswer(200, JsonObject())) { "the first was not answered" }
+            condition(http.call(HttpMethod.GET, "/next", null, LONG_MS) == JsonAnswer(200, JsonObject())) { "the connection is lost" }
         }
 
     private companion object {
