--- a/src/main/kotlin/lichenstage/app/Settings.kt
+++ b/src/main/kotlin/lichenstage/app/Settings.kt
@@ -63,7 +63,7 @@
     val objectives: List<Objective>,
     val maxSockets: Int,
 ) {
-    /** How the machines are parted among the controllers. */
+    /** How the machines are partitioned among the controllers. */
     val assignment by lazy { PartitionAssignment(zones, peers.associate { it.label to it.zone } + (label to zone)) }
 
     companion object {
--- a/src/main/kotlin/lichenstage/app/WarmUp.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUp.kt
@@ -50,7 +50,7 @@
       "cloud":{"rps":4,"list_lag_s":4}}}
     """
 
-/** Has the decisions of a leader and a part run once, with their frames, so that their classes are in the archive too. */
+/** Has the decisions of a leader and a partition run once, with their frames, so that their classes are in the archive too. */
 private fun decide() {
     val shape = Shape(1.0, 0.0, 1.0)
     val team = Team("t", 0.0, 99.0, 0.0, 99.0)
--- a/src/main/kotlin/lichenstage/authority/Authority.kt
+++ b/src/main/kotlin/lichenstage/authority/Authority.kt
@@ -20,18 +20,18 @@
 import org.slf4j.LoggerFactory
 import java.util.concurrent.TimeUnit
 
-/** Who leads and who owns which part, as last seen. */
+/** Who leads and who owns which partition, as last seen. */
 data class View(
     val leader: Holder?,
     val owners: Map<String, Holder>,
 )
 
 /**
- * The process's lease, and the keys that hang on it: leadership and the ownership of parts.
+ * The process's lease, and the keys that hang on it: leadership and the ownership of partitions.
  *
  * Every ownership takes a new term from one counter in the same guarded transaction (invariant 1), and the lease is
  * counted from the sending of the last renewal that succeeded, less drift and a margin (invariant 2). While the state
- * service is away from all, it goes on for as long as all other controllers promise to take nothing ([CollectedPledges]), else it pauses;
+ * service is away from all, it goes on for as long as all other controllers pledge to take nothing ([CollectedPledges]), else it pauses;
  * where the service comes back with the lease alive, nobody else can have held the keys.
  */
 class Authority(
@@ -49,7 +49,7 @@
     private val incarnation = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis())
     private val others = settings.peers.map { it.label }.toSet()
 
-    /** Where the seeds leave somebody out, nobody can promise for all. */
+    /** Where the seeds leave somebody out, nobody can pledge for all. */
     private val collectedPledges = CollectedPledges(if (settings.count == others.size + 1) others else emptySet())
     private val ownPledge = OwnPledge(clock.now())
 
@@ -248,16 +248,16 @@
     }
 
     /**
-     * Lets go of a part whose own controller is well again: in its zone it reaches the workers even when the zone is cut off.
+     * Lets go of a partition whose own controller is well again: in its zone it reaches the workers even when the zone is cut off.
      *
      * Authority ends here before the delete is sent, and does not come back whatever becomes of it (invariant 2): an answer
      * to a worker after the new owner has begun would extend a lease that the new owner counts as run out. A delete without
-     * an answer is sent again until the key is gone, or the part would be nobody's.
+     * an answer is sent again until the key is gone, or the partition would be nobody's.
      */
     suspend fun release(partition: String) {
         val held = owning(partition) ?: return
         val key = PARTITION + partition
-        // If its own controller does not take it although it seems well, the part must not go round and round.
+        // If its own controller does not take it although it seems well, the partition must not go round and round.
         if (clock.now() - (takenUs[key] ?: 0) < LEAST_HELD_US) return
         givenUp += held.stamp
         changed(view())
--- a/src/main/kotlin/lichenstage/cluster/FrameCodec.kt
+++ b/src/main/kotlin/lichenstage/cluster/FrameCodec.kt
@@ -7,7 +7,7 @@
 
 /**
  * What comes by the hundred in a frame is written as arrays: with the names of the fields each machine's tasks took twice the bytes,
- * and the leader read them from every part ten times a second.
+ * and the leader read them from every partition ten times a second.
  */
 object FrameCodec {
     private val cbor =
--- a/src/main/kotlin/lichenstage/cluster/PartitionAssignment.kt
+++ b/src/main/kotlin/lichenstage/cluster/PartitionAssignment.kt
@@ -1,7 +1,7 @@
 package lichenstage.cluster
 
 /**
- * How the machines are parted: a zone has one part for each controller in it, and one where it has none.
+ * How the machines are partitioned: a zone has one partition for each controller in it, and one where it has none.
  *
  * The part of a machine follows from its zone and its name alone, so that every controller sees the same without a table.
  * [controllers] are the labels of all controllers with their zones, as every controller's settings name them.
@@ -29,7 +29,7 @@
 
     val partitions: List<String> = homes.keys.toList()
 
-    /** The controller that normally owns the part; null where its zone has none. */
+    /** The controller that normally owns the partition; null where its zone has none. */
     fun home(partition: String): String? = homes[partition]
 
     /** The zone of a partition; null for one that the deployment does not have. */
@@ -44,7 +44,7 @@
         return if (partitions.size == 1) partitions[0] else partitions[Math.floorMod(spread(machine), partitions.size)]
     }
 
-    /** Names that differ only in their last digit must not fall into one part. */
+    /** Names that differ only in their last digit must not fall into one partition. */
     private fun spread(name: String): Int {
         var hash = name.hashCode()
         hash = (hash xor (hash ushr 16)) * -0x7a143595
--- a/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
@@ -9,7 +9,7 @@
 import kotlinx.serialization.cbor.CborArray
 
 /**
- * A placement request: [count] tasks of one shape. [stamp] orders the requests at every part. [imageOnly]: it is for room on machines
+ * A placement request: [count] tasks of one shape. [stamp] orders the requests at every partition. [imageOnly]: it is for room on machines
  * with the image, since others would first spend a good part of the run time on fetching it.
  */
 @Serializable
@@ -54,7 +54,7 @@
 )
 
 /**
- * The leader's word to one part. Parts obey only the newest [term], and of its frames only those with a rising [seq]. [cordoned],
+ * The leader's word to one partition. Partitions obey only the newest [term], and of its frames only those with a rising [seq]. [cordoned],
  * the machines that get no more tasks, is null where it is as in the frames before.
  */
 @Serializable
--- a/src/main/kotlin/lichenstage/cluster/PlacementScore.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementScore.kt
@@ -1,7 +1,7 @@
 package lichenstage.cluster
 
 /**
- * Which machines are the roomiest for a request, as parts that grant and the leader that chooses both see it.
+ * Which machines are the roomiest for a request, as partitions that grant and the leader that chooses both see it.
  *
  * Room is counted in tasks of the request, and only as far as the request can use it: of two machines that both take all
  * that is left of it, neither is roomier. Among equals those with the image come first (a fetch takes as long as many
--- a/src/main/kotlin/lichenstage/cluster/Shapes.kt
+++ b/src/main/kotlin/lichenstage/cluster/Shapes.kt
@@ -30,7 +30,7 @@
     ): Int = if (need <= 0.0 || free == Double.POSITIVE_INFINITY) Int.MAX_VALUE else ((free + 1e-6) / need).toInt()
 }
 
-/** What a part must know of a job whose tasks are on its machines. */
+/** What a partition must know of a job whose tasks are on its machines. */
 @Serializable
 @CborArray
 data class JobRequirements(
--- a/src/main/kotlin/lichenstage/fleet/FleetTypes.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetTypes.kt
@@ -18,7 +18,7 @@
     val foreseenInUs: Long = 0,
 )
 
-/** A machine as the leader knows it from its part, for decisions on renting. */
+/** A machine as the leader knows it from its partition, for decisions on renting. */
 data class MachineStatus(
     val up: Boolean,
     val silent: Boolean,
--- a/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
@@ -91,7 +91,7 @@
         resolved()
     }
 
-    /** This process has cancelled the job and is about to tell its user. Who leads and who owns parts hear it at once. */
+    /** This process has cancelled the job and is about to tell its user. Who leads and who owns partitions hear it at once. */
     fun cancelled(
         job: String,
         at: Long,
--- a/src/main/kotlin/lichenstage/partition/Machine.kt
+++ b/src/main/kotlin/lichenstage/partition/Machine.kt
@@ -13,7 +13,7 @@
 class Attempt(
     val task: String,
     val number: Long,
-    /** When this part first knew of it. */
+    /** When this partition first knew of it. */
     val knownUs: Long,
 ) {
     val job = task.substringBefore('/')
@@ -28,7 +28,7 @@
     /** When the stop that lets it save was last sent. */
     var saveSentUs = Long.MIN_VALUE / 2
 
-    /** Of the part's versions, the one that last changed what the leader sees of it. */
+    /** Of the partition's versions, the one that last changed what the leader sees of it. */
     var version = 0L
 
     /** The report that listed it last. */
@@ -83,7 +83,7 @@
     }
 }
 
-/** A machine of this part, as its worker's reports describe it. */
+/** A machine of this partition, as its worker's reports describe it. */
 class Machine(
     val name: String,
     report: Report,
@@ -120,7 +120,7 @@
     /** An order got no answer since it last heeded one: hearing it does not prove that it hears us, so its room is not offered. */
     var unresponsive = false
 
-    /** Of the part's versions, the one that last changed what the leader sees, and the one that the leader has acknowledged. */
+    /** Of the partition's versions, the one that last changed what the leader sees, and the one that the leader has acknowledged. */
     var version = 0L
         private set
     private var acked = 0L
--- a/src/main/kotlin/lichenstage/partition/PartitionActor.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionActor.kt
@@ -61,7 +61,7 @@
     data object Tick : PartitionMessage
 }
 
-/** Holds the parts that this process owns. */
+/** Holds the partitions that this process owns. */
 class PartitionActor(
     private val settings: Settings,
     private val authority: Authority,
@@ -159,7 +159,7 @@
         partition.frame(now)?.let(toLeader)
     }
 
-    /** Follows the ownership of keys. A part whose authority only pauses keeps what it knows. */
+    /** Follows the ownership of keys. A partition whose authority only pauses keeps what it knows. */
     private fun refresh(now: Long) {
         for (id in assignment.partitions) {
             val owner = authority.owner(id)
--- a/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
@@ -23,7 +23,7 @@
     /** Machines that have a notice. */
     val noticed: Set<String> get() = takenByUs.keys
 
-    /** A machine as its part shows it at [now]. The notice may be older than the frame, never younger. */
+    /** A machine as its partition shows it at [now]. The notice may be older than the frame, never younger. */
     fun seen(
         view: MachineState,
         now: Long,
--- a/src/main/kotlin/lichenstage/placement/Job.kt
+++ b/src/main/kotlin/lichenstage/placement/Job.kt
@@ -15,7 +15,7 @@
     val machine: String,
     val partition: String,
 ) {
-    /** The part's ownership term and the frame in which the start went out: what is older than these tells nothing of it. */
+    /** The partition's ownership term and the frame in which the start went out: what is older than these tells nothing of it. */
     var partitionTerm = 0L
     var seq = 0L
     var phase = TaskPhase.PENDING
--- a/src/main/kotlin/lichenstage/placement/OfferSelection.kt
+++ b/src/main/kotlin/lichenstage/placement/OfferSelection.kt
@@ -12,7 +12,7 @@
 /** What the leader picks of the offers for one request. */
 object OfferSelection {
     /**
-     * The [most] places on the roomiest of the held machines; [offers] are by part.
+     * The [most] places on the roomiest of the held machines; [offers] are by partition.
      *
      * [zoneRoom] says how many more tasks of the job a zone may get (spread and one-zone jobs).
      */
--- a/src/main/kotlin/lichenstage/placement/PartitionSync.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionSync.kt
@@ -3,13 +3,13 @@
 import lichenstage.app.MILLI
 import lichenstage.app.SECOND
 
-/** What each part has been told beside requests and orders: the jobs and machines that were there, and which get no tasks. */
+/** What each partition has been told beside requests and orders: the jobs and machines that were there, and which get no tasks. */
 class PartitionSync {
     private val informedBy = HashMap<String, Long>()
     private val cordonedSent = HashMap<String, Set<String>>()
     private val cordonedSentUs = HashMap<String, Long>()
 
-    /** What is known of jobs and machines goes to a part until it has shown that it got it; later jobs come with requests. */
+    /** What is known of jobs and machines goes to a partition until it has shown that it got it; later jobs come with requests. */
     fun informed(
         id: String,
         partition: PartitionState?,
@@ -19,7 +19,7 @@
         return partition != null && partition.receivedSeq >= first
     }
 
-    /** The machines of a part that get no tasks, where that has changed or was told long ago. */
+    /** The machines of a partition that get no tasks, where that has changed or was told long ago. */
     fun cordonDelta(
         id: String,
         partition: PartitionState?,
--- a/src/main/kotlin/lichenstage/placement/Takeover.kt
+++ b/src/main/kotlin/lichenstage/placement/Takeover.kt
@@ -42,8 +42,8 @@
     }
 
     /**
-     * One that its part has heard counts only once it has shown the token or its lease has run out since its last answer; one
-     * that was never heard, once the part is older than a lease.
+     * One that its partition has heard counts only once it has shown the token or its lease has run out since its last answer; one
+     * that was never heard, once the partition is older than a lease.
      */
     private fun accounted(machine: InheritedMachine): Boolean {
         val partition = partitionOf(machine.partition) ?: return false
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Machines that keep all older jobs waiting because nothing is heard of them although their part has an owner: giving them
+     * Machines that keep all older jobs waiting because nothing is heard of them although their partition has an owner: giving them
      * back is the fastest proof that nothing runs on them. A few are given back soon (cheap machines are taken at any time, so
      * that in a large deployment some are always just gone), more of them later; where many are silent, the network is at fault.
      */
--- a/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
@@ -12,7 +12,7 @@
 import net.jqwik.api.Example
 import org.junit.platform.commons.util.Preconditions.condition
 
-/** The invariants that a part alone must keep. */
+/** The invariants that a partition alone must keep. */
 class PartitionCoreTest {
     private val facts = JobRequirements(Shape(4.0, 0.0, 1.0), "img")
     private var seq = 0L
@@ -45,7 +45,7 @@
         now: Long,
     ) = (report(report, now) as ReportAnswer.Accepted).commands
 
-    /** A part with a settled machine on which j-1/0 was started as try 1; its direct order is returned. */
+    /** A partition with a settled machine on which j-1/0 was started as try 1; its direct order is returned. */
     private fun started(
         partition: PartitionCore,
         now: Long = 1,
@@ -197,7 +197,7 @@
 
     private fun task(phase: TaskPhase) = ReportedTask("j-1/0", 1, phase, if (phase == TaskPhase.ENDED) "halted" else null)
 
-    /** A part with j-1/0 running as try 1 on machine m. */
+    /** A partition with j-1/0 running as try 1 on machine m. */
     private fun running(): PartitionCore {
         val partition = partition()
         partition.ordered(started(partition), OrderOutcome.Answered(true, report(5, task(TaskPhase.RUNNING))), 2)
--- a/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
@@ -13,13 +13,13 @@
 import org.junit.platform.commons.util.Preconditions.condition
 import java.util.Random
 
-/** What a part tells of its machines: changes only, from which the leader always knows the whole. */
+/** What a partition tells of its machines: changes only, from which the leader always knows the whole. */
 class PartitionDeltaTest {
     private val partition get() = setting.partition
     private val tasks get() = setting.tasks
     private var setting = Setting()
 
-    /** A part with its machines as they are. */
+    /** A partition with its machines as they are. */
     private class Setting {
         val partition =
             PartitionCore("z/0", "z", 5, 3600 * SECOND, 4 * SECOND, 0) { MachineLimits("t", Shape(64.0, 0.0, 512.0)) }
--- a/src/test/kotlin/lichenstage/world/ConcurrentFaultsTest.kt
+++ b/src/test/kotlin/lichenstage/world/ConcurrentFaultsTest.kt
@@ -6,8 +6,9 @@
 import org.junit.platform.commons.util.Preconditions.condition
 
 /**
- * Concurrent faults, one test for each pair of the operators' list that the simulated cluster can bring about (docs/operations.md has the
- * table). Each keeps the rules with every seed, all work gets done, and each fails for some seed where the guard named with it is taken out.
+ * Concurrent faults, one test for each pair of the operators' list that the simulated cluster can bring about (docs/operations.md
+ * has the table). Each keeps the rules with every seed, all work gets done, and each fails for some seed where the guard named with
+ * it is taken out.
  */
 class ConcurrentFaultsTest {
     private fun scenario(
--- a/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
@@ -74,7 +74,7 @@
     val now get() = network.now
     private val zones = listOf("a", "b", "c")
 
-    /** Zone a has two controllers and so two parts, zone c none of its own. */
+    /** Zone a has two controllers and so two partitions, zone c none of its own. */
     private val controllers = mapOf("n0" to "a", "n1" to "a", "n2" to "b")
     private val assignment = PartitionAssignment(zones, controllers)
     private val teams =
@@ -579,7 +579,7 @@
 
     private fun reachesState(node: Node) = now >= outageUntilUs && !network.isCut("n${node.id}", SimulatedNetwork.STATE)
 
-    /** A turn of a controller: its lease, the keys, its parts and its leadership. */
+    /** A turn of a controller: its lease, the keys, its partitions and its leadership. */
     private fun control(node: Node) {
         for (i in nodes.indices) if (expiry[i] <= now) owner.values.removeIf { it.first == i }
         if (!node.alive) return
