--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -39,7 +39,6 @@
 import lichenstage.placement.LeaderMessage
 import lichenstage.state.StateClient
 import org.slf4j.LoggerFactory
-import java.util.concurrent.TimeUnit
 
 /** Wires the actors of one process together. */
 class Controller(
@@ -77,7 +76,7 @@
     private val others = settings.peers.map { it.label }
     private val replica =
         JobReplica(
-            TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis()),
+            timeOfDayUs(),
             others.toSet().takeIf { settings.count == controllers },
             JobReplica.bound(settings.cancelUs, settings.workerLeaseUs),
         )
--- a/src/main/kotlin/lichenstage/authority/Authority.kt
+++ b/src/main/kotlin/lichenstage/authority/Authority.kt
@@ -8,6 +8,7 @@
 import lichenstage.app.MILLI
 import lichenstage.app.SECOND
 import lichenstage.app.Settings
+import lichenstage.app.timeOfDayUs
 import lichenstage.cluster.Frame
 import lichenstage.cluster.Pledge
 import lichenstage.cluster.PledgeRequest
@@ -18,7 +19,6 @@
 import lichenstage.state.StateClient
 import lichenstage.state.Watched
 import org.slf4j.LoggerFactory
-import java.util.concurrent.TimeUnit
 
 /** Who leads and who owns which partition, as last seen. */
 data class View(
@@ -46,7 +46,7 @@
     private val lifeUs = (settings.workerLeaseUs / 4).coerceIn(2 * SECOND, 4 * SECOND)
     private val lease = LocalLease(lifeUs)
     private var renewedUs = Long.MIN_VALUE / 2
-    private val incarnation = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis())
+    private val incarnation = timeOfDayUs()
     private val others = settings.peers.map { it.label }.toSet()
 
     /** Where the seeds leave somebody out, nobody can pledge for all. */
--- a/src/main/kotlin/lichenstage/cluster/PeerLinks.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerLinks.kt
@@ -17,8 +17,8 @@
 import lichenstage.app.Peer
 import lichenstage.app.SECOND
 import lichenstage.app.Settings
+import lichenstage.app.timeOfDayUs
 import org.slf4j.LoggerFactory
-import java.util.concurrent.TimeUnit
 
 /** One outgoing connection to each of the other controllers, and the server that takes theirs. */
 class PeerLinks(
@@ -39,7 +39,7 @@
 
     /** Of each controller, the newest process that has connected. */
     private val lives = HashMap<String, Long>()
-    private val incarnation = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis())
+    private val incarnation = timeOfDayUs()
     private val client = vertx.createNetClient(NetClientOptions().setConnectTimeout(1500).setTcpNoDelay(true))
 
     /** Listens for the other controllers and connects to them. */
--- a/src/main/kotlin/lichenstage/cluster/RequestForwarder.kt
+++ b/src/main/kotlin/lichenstage/cluster/RequestForwarder.kt
@@ -2,8 +2,8 @@
 
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.withTimeoutOrNull
+import lichenstage.app.timeOfDayUs
 import org.agrona.collections.Long2ObjectHashMap
-import java.util.concurrent.TimeUnit
 
 /** Has another controller answer a user's request, as the paper's intermediate agents do. */
 class RequestForwarder(
@@ -13,7 +13,7 @@
     private val open = Long2ObjectHashMap<CompletableDeferred<ForwardedReply>>()
 
     /** Begins where no process before this one has been: a late answer to a request of that one must not answer another. */
-    private var last = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis())
+    private var last = timeOfDayUs()
 
     /** Null where nobody can answer, or nobody does in time. */
     suspend fun ask(
--- a/src/main/kotlin/lichenstage/jobs/JobLookup.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobLookup.kt
@@ -3,11 +3,11 @@
 import io.vertx.core.json.JsonObject
 import lichenstage.app.Clock
 import lichenstage.app.SECOND
+import lichenstage.app.timeOfDayUs
 import lichenstage.state.Change
 import lichenstage.state.Committed
 import lichenstage.state.Read
 import lichenstage.state.Store
-import java.util.concurrent.TimeUnit
 
 /** Answers where a job stands, and cancels jobs. */
 class JobLookup(
@@ -140,7 +140,7 @@
         fun overNow(
             status: String,
             tasks: Int,
-        ): JsonObject = JobRecord.over(status, tasks, TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis()))
+        ): JsonObject = JobRecord.over(status, tasks, timeOfDayUs())
 
         /** How long a read of the state service may take for a user. */
         const val READ_TIMEOUT_MS = 1400L
--- a/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
@@ -2,13 +2,13 @@
 
 import io.vertx.core.json.JsonObject
 import lichenstage.app.Team
+import lichenstage.app.timeOfDayUs
 import lichenstage.fleet.DemandEstimate
 import lichenstage.fleet.MachineType
 import lichenstage.state.Change
 import lichenstage.state.Committed
 import lichenstage.state.Read
 import lichenstage.state.Store
-import java.util.concurrent.TimeUnit
 
 /** Takes submissions: reads them, refuses what can never run, and writes the record of what is accepted. */
 class JobSubmission(
@@ -26,7 +26,7 @@
         val json = parse(text) ?: return notAnObject()
         val spec =
             try {
-                JobCodec.submission(json, TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis()))
+                JobCodec.submission(json, timeOfDayUs())
             } catch (e: Malformed) {
                 // A job that is known is answered as such, whatever its repeat looks like.
                 val id = json.getValue("uid") as? String
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -10,6 +10,7 @@
 import lichenstage.app.Clock
 import lichenstage.app.Mailbox
 import lichenstage.app.Settings
+import lichenstage.app.timeOfDayUs
 import lichenstage.authority.Authority
 import lichenstage.cluster.Frame
 import lichenstage.cluster.TaskCounts
@@ -26,7 +27,6 @@
 import lichenstage.state.StateClient
 import org.slf4j.LoggerFactory
 import java.util.BitSet
-import java.util.concurrent.TimeUnit
 import kotlinx.coroutines.Job as CoroutineJob
 
 /** One term of leadership: loads the records, then places jobs and rents machines until the term is over. */
@@ -214,8 +214,8 @@
         }
 
     /** A time of day on this process's steady clock, now at the latest. */
-    private fun steadyUs(timeOfDayUs: Long): Long {
-        val agoUs = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis()) - timeOfDayUs
+    private fun steadyUs(recordedUs: Long): Long {
+        val agoUs = timeOfDayUs() - recordedUs
         return clock.now() - agoUs.coerceAtLeast(0)
     }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -4,6 +4,7 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
+import lichenstage.app.timeOfDayUs
 import lichenstage.authority.Authority
 import lichenstage.jobs.DoneRanges
 import lichenstage.jobs.JobRecord
@@ -12,7 +13,6 @@
 import lichenstage.state.OwnedKeys
 import lichenstage.state.Read
 import lichenstage.state.StateClient
-import java.util.concurrent.TimeUnit
 
 /**
  * Writes what the leader records: done tasks, ends of jobs, pages of the registry.
@@ -97,8 +97,6 @@
         return changes.chunked(txnOps).all { owned.write(guards, it, urgent = false) }
     }
 
-    private fun timeOfDayUs() = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis())
-
     private companion object {
         const val RETRY_MS = 300L
     }
