--- /dev/null
+++ b/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
@@ -0,0 +1,83 @@
+package lichenstage.partition
+
+import lichenstage.app.SECOND
+import lichenstage.cluster.AttemptOrder
+import lichenstage.cluster.JobRequirements
+import lichenstage.cluster.PlacementFrame
+import lichenstage.cluster.PlacementRequest
+import lichenstage.cluster.SaveOrder
+import lichenstage.cluster.Shape
+import lichenstage.cluster.StartOrder
+import lichenstage.cluster.TaskPhase
+
+/** A partition of one zone, its machines and a leader, for tests. */
+abstract class PartitionFixture {
+    protected val facts = JobRequirements(Shape(4.0, 0.0, 1.0), "img")
+    protected var seq = 0L
+    protected var tally = 0L
+
+    protected fun partition() = PartitionCore("z/0", "z", 5, LEASE, 3 * SECOND, 0) { MachineLimits("t", Shape(8.0, 0.0, 64.0)) }
+
+    protected fun report(
+        token: Long,
+        vararg tasks: ReportedTask,
+        session: Long = 1,
+        machine: String = "m",
+    ) = Report(machine, "1.2.3.4:5", "t", "z", false, session, ++tally, token, null, tasks.toList())
+
+    protected fun frame(
+        term: Long = 1,
+        requests: List<PlacementRequest> = emptyList(),
+        starts: List<StartOrder> = emptyList(),
+        stops: List<AttemptOrder> = emptyList(),
+        clears: List<AttemptOrder> = emptyList(),
+    ) = PlacementFrame("z/0", term, ++seq, 0, 0, requests = requests, starts = starts, stops = stops, clears = clears)
+
+    protected fun ask(
+        stamp: Long,
+        count: Int,
+    ) = PlacementRequest(stamp, "j-1", facts, count, null, null, true)
+
+    protected fun PartitionCore.commands(
+        report: Report,
+        now: Long,
+    ) = (report(report, now) as ReportAnswer.Accepted).commands
+
+    /** A partition with a settled machine on which j-1/0 was started as try 1; its direct order is returned. */
+    protected fun started(
+        partition: PartitionCore,
+        now: Long = 1,
+    ): DirectOrder {
+        partition.report(report(0), now)
+        partition.report(report(5), now)
+        partition.leader(frame(requests = listOf(ask(1, 1))), now)
+        partition.leader(frame(starts = listOf(StartOrder(1, "m", 0, 1))), now)
+        return partition.directOrders(now).single()
+    }
+
+    protected fun saveFrame(leewayS: Long = 5) =
+        PlacementFrame("z/0", 1, ++seq, 0, 0, saves = listOf(SaveOrder("m", "j-1/0", 1, leewayS * SECOND)))
+
+    protected fun task(phase: TaskPhase) = ReportedTask("j-1/0", 1, phase, if (phase == TaskPhase.ENDED) "halted" else null)
+
+    /** A partition with j-1/0 running as try 1 on machine m. */
+    protected fun running(): PartitionCore {
+        val partition = partition()
+        partition.ordered(started(partition), OrderOutcome.Answered(true, report(5, task(TaskPhase.RUNNING))), 2)
+        return partition
+    }
+
+    protected fun offered(
+        partition: PartitionCore,
+        now: Long,
+    ) = partition
+        .frame(now)!!
+        .offers
+        .last()
+        .held
+        .map { it.machine }
+
+    companion object {
+        const val LEASE = 20 * SECOND
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
@@ -0,0 +1,201 @@
+package lichenstage.partition
+
+import lichenstage.app.SECOND
+import lichenstage.cluster.AttemptOrder
+import lichenstage.cluster.Shape
+import lichenstage.cluster.StartOrder
+import lichenstage.cluster.TaskPhase
+import net.jqwik.api.Example
+import org.junit.platform.commons.util.Preconditions.condition
+
+/** Commands to workers: when they go out, are repeated, and when nothing of a start can be under way any more. */
+class PartitionOrdersTest : PartitionFixture() {
+    /** Guards against cancelled tasks that run on while starts of a burst take all connections. */
+    @Example
+    fun `where connections are few, what must stop goes before what may start`() {
+        val partition = partition()
+        for (name in listOf("m1", "m2")) partition.report(report(5, machine = name), 1)
+        partition.report(report(5, ReportedTask("j-9/0", 9, TaskPhase.RUNNING, null), machine = "m3"), 2)
+        partition.directOrders(2)
+        partition.leader(frame(requests = listOf(ask(1, 4))), 3)
+        val starts = listOf("m1", "m2").mapIndexed { i, name -> StartOrder(1, name, i, 10L + i) }
+        partition.leader(frame(starts = starts, stops = listOf(AttemptOrder("m3", "j-9/0", 9))), 4)
+        condition(partition.directOrders(5, most = 0).isEmpty()) { "sent without a connection" }
+        condition(partition.directOrders(5, most = 1).map { it.machine } == listOf("m3")) { "the stop was not first" }
+        condition(partition.directOrders(6, most = 9).map { it.machine } == listOf("m1", "m2")) { "the starts did not follow" }
+    }
+
+    @Example
+    fun `what ended other than done is forgotten only when no repeat of its start can come any more`() {
+        for (cause in listOf("done", "error")) {
+            val partition = partition()
+            val order = started(partition)
+            val ended = ReportedTask("j-1/0", 1, TaskPhase.ENDED, cause)
+            partition.ordered(order, OrderOutcome.Answered(true, report(5, ended)), 2)
+            partition.leader(frame(clears = listOf(AttemptOrder("m", "j-1/0", 1))), 3)
+            val soon = partition.commands(report(5, ended), 9 * SECOND)
+            condition(soon.any { it is Command.Clear } == (cause == "done")) { "$cause: $soon" }
+            val late = partition.commands(report(5, ended), 11 * LEASE)
+            condition(late.any { it is Command.Clear }) { "$cause: $late" }
+        }
+    }
+
+    @Example
+    fun `no clear while a report answer with the start may still land`() {
+        val partition = partition()
+        val order = started(partition)
+        val ended = ReportedTask("j-1/0", 1, TaskPhase.ENDED, "done")
+        condition(partition.commands(report(5), 10).single() is Command.Start) { "the answer is the sure path" }
+        partition.ordered(order, OrderOutcome.Answered(true, report(5, ended)), 11)
+        partition.leader(frame(clears = listOf(AttemptOrder("m", "j-1/0", 1))), 12)
+        condition(partition.commands(report(5, ended), SECOND).isEmpty()) { "cleared too early" }
+        condition(partition.commands(report(5, ended), 7 * SECOND).single() is Command.Clear) { "not cleared" }
+    }
+
+    @Example
+    fun `a task that is to save is stopped with leeway once, and again only when the first stop must have been lost`() {
+        val partition = running()
+        partition.leader(saveFrame(), SECOND)
+        val order = partition.directOrders(SECOND).single()
+        condition(order.commands == listOf(Command.Stop("j-1/0", 1, 5.0))) { "$order" }
+        partition.ordered(order, OrderOutcome.NotSent, SECOND)
+        partition.leader(saveFrame(), 3 * SECOND)
+        condition(partition.commands(report(5, task(TaskPhase.RUNNING)), 4 * SECOND).isEmpty()) { "a second stop may end the saving" }
+        val again = partition.commands(report(5, task(TaskPhase.RUNNING)), 8 * SECOND)
+        condition(again == listOf(Command.Stop("j-1/0", 1, 5.0))) { "$again" }
+        condition(partition.commands(report(5, task(TaskPhase.SAVING)), 20 * SECOND).isEmpty()) { "stopped while it saves" }
+        condition(partition.commands(report(5, task(TaskPhase.ENDED)), 21 * SECOND).isEmpty()) { "stopped after its end" }
+    }
+
+    @Example
+    fun `a saving task whose job is cancelled is ended by a second stop`() {
+        val partition = running()
+        partition.leader(saveFrame(), SECOND)
+        partition.directOrders(SECOND)
+        partition.report(report(5, task(TaskPhase.SAVING)), 2 * SECOND)
+        partition.leader(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2 * SECOND)
+        val commands = partition.commands(report(5, task(TaskPhase.SAVING)), 3 * SECOND)
+        condition(commands == listOf(Command.Stop("j-1/0", 1, 0.0))) { "$commands" }
+    }
+
+    @Example
+    fun `a task that is to save and of which nothing is heard stays counted until its machine's lease has run out`() {
+        val partition = running()
+        partition.leader(saveFrame(), SECOND)
+        partition.ordered(partition.directOrders(SECOND).single(), OrderOutcome.Unclear, 4 * SECOND)
+        condition(partition.directOrders(5 * SECOND).isEmpty()) { "ordered although it does not answer" }
+
+        fun listed(now: Long) =
+            partition
+                .frame(now)
+                ?.machines
+                ?.single()
+                ?.tasks
+                .orEmpty()
+        condition(listed(5 * SECOND).single().phase == TaskPhase.RUNNING) { "taken for gone" }
+        partition.tick(2 * LEASE)
+        condition(
+            partition
+                .frame(2 * LEASE)!!
+                .machines
+                .single()
+                .lost,
+        ) { "not lost after its lease" }
+    }
+
+    @Example
+    fun `a machine that does not heed an order is not offered until it answers one, however often it reports`() {
+        val partition = partition()
+        val order = started(partition)
+        partition.ordered(order, OrderOutcome.Unclear, 3 * SECOND)
+        partition.report(report(5), 4 * SECOND)
+        partition.leader(frame(requests = listOf(ask(2, 1))), 4 * SECOND)
+        condition(offered(partition, 4 * SECOND).isEmpty()) { "offered although nothing reaches it" }
+        val probe = partition.probes(5 * SECOND).single()
+        partition.probed(probe, report(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), 5 * SECOND)
+        partition.leader(frame(requests = listOf(ask(3, 1))), 5 * SECOND)
+        condition(offered(partition, 5 * SECOND) == listOf("m")) { "not offered although it heeds again" }
+    }
+
+    @Example
+    fun `a machine whose lease ran out although it was answered has to heed an order first`() {
+        val partition = partition()
+        started(partition)
+        partition.report(report(5, session = 2), 20 * SECOND)
+        partition.leader(frame(requests = listOf(ask(2, 1))), 20 * SECOND)
+        condition(offered(partition, 20 * SECOND).isEmpty()) { "offered" }
+        condition(partition.probes(20 * SECOND).single().session == 2L) { "not asked" }
+    }
+
+    @Example
+    fun `a start that is no longer wanted and that nobody got never happened`() {
+        val partition = partition()
+        val order = started(partition)
+        partition.leader(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
+        condition(
+            partition
+                .frame(2)!!
+                .machines
+                .single()
+                .tasks.size == 1,
+        ) { "forgotten with an order under way" }
+        partition.ordered(order, OrderOutcome.NotSent, 3)
+        condition(
+            partition
+                .frame(SECOND)!!
+                .machines
+                .single()
+                .tasks
+                .isEmpty(),
+        ) { "kept" }
+    }
+
+    @Example
+    fun `a start of which nothing came back does not take its room for ever once it is not wanted`() {
+        val partition = partition()
+        val order = started(partition)
+        partition.ordered(order, OrderOutcome.Unclear, SECOND)
+        partition.leader(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), SECOND)
+
+        fun tasks(now: Long): Int {
+            partition.report(report(5), now)
+            partition.tick(now)
+            return partition
+                .frame(now)
+                ?.machines
+                ?.singleOrNull()
+                ?.tasks
+                ?.size ?: -1
+        }
+        condition((1L..9).all { tasks(it * LEASE) != 0 }) { "forgotten while a copy may be under way" }
+        condition(tasks(11 * LEASE) == 0) { "kept for ever" }
+    }
+
+    @Example
+    fun `a part stops what it knows to be over and takes no more of it, whatever its leader says`() {
+        val over = HashSet<String>()
+        val partition =
+            PartitionCore("z/0", "z", 5, LEASE, 3 * SECOND, 0, over = {
+                job,
+                _,
+                ->
+                job in over
+            }) { MachineLimits("t", Shape(8.0, 0.0, 64.0)) }
+        started(partition)
+        partition.leader(frame(requests = listOf(ask(2, 1))), SECOND)
+        partition.commands(report(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), SECOND)
+        over += "j-1"
+        partition.leader(frame(requests = listOf(ask(3, 1)), starts = listOf(StartOrder(2, "m", 1, 2))), 2 * SECOND)
+        condition(
+            partition
+                .frame(2 * SECOND)!!
+                .offers
+                .last()
+                .held
+                .isEmpty(),
+        ) { "offered for a job that is over" }
+        partition.tick(3 * SECOND)
+        val commands = partition.commands(report(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), 3 * SECOND)
+        condition(commands == listOf(Command.Stop("j-1/0", 1, 0.0))) { "not just stopped: $commands" }
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -0,0 +1,93 @@
+package lichenstage.placement
+
+import lichenstage.app.SECOND
+import lichenstage.app.Team
+import lichenstage.cluster.HeldSlots
+import lichenstage.cluster.MachineState
+import lichenstage.cluster.Offer
+import lichenstage.cluster.PartitionAssignment
+import lichenstage.cluster.PartitionFrame
+import lichenstage.cluster.PlacementFrame
+import lichenstage.cluster.Shape
+import lichenstage.cluster.TaskState
+import lichenstage.jobs.JobSpec
+import lichenstage.jobs.Priority
+import org.junit.platform.commons.util.Preconditions.condition
+
+/** A leader, the partitions that it hears, and what it asks of the outside, for tests. */
+abstract class LeaderFixture {
+    protected val effects = ArrayList<LeaderEffect>()
+    protected val teams = mapOf("red" to Team("red", 0.0, 8.0, 0.0, Double.POSITIVE_INFINITY))
+    protected var version = 0L
+    protected val assignment = PartitionAssignment(listOf("y", "z"), emptyMap())
+
+    protected fun leader() =
+        LeaderCore(7, 100, assignment, teams, 20 * SECOND, Timers(), ServiceObjectives(emptyList()), { Shape(16.0, 0.0, 64.0) }, 10) {
+            effects +=
+                it
+        }
+
+    protected fun spec(
+        id: String,
+        tasks: Int = 2,
+        same: Boolean = false,
+        spread: Boolean = false,
+    ) = JobSpec(id, "c", "red", Priority.HIGH, tasks, Shape(4.0, 0.0, 1.0), null, null, same, spread, true, "i", 1.0, SECOND, 0, 0, null, 0)
+
+    protected fun job(
+        id: String,
+        stamp: Long = 1,
+        tasks: Int = 2,
+        same: Boolean = false,
+        spread: Boolean = false,
+    ) = Job(spec(id, tasks, same, spread), stamp, 0)
+
+    protected fun view(
+        name: String,
+        vararg tasks: TaskState,
+        settled: Boolean = true,
+        lost: Boolean = false,
+    ) = MachineState(name, "1.2.3.4:5", "t", false, settled, false, false, lost, null, tasks.toList())
+
+    protected fun partition(
+        zone: String,
+        seq: Long,
+        vararg views: MachineState,
+        offers: List<Offer> = emptyList(),
+        term: Long = 3,
+        age: Long = SECOND,
+        whole: Boolean = true,
+    ) = PartitionFrame("$zone/0", term, age, 7, seq, seq, 0, ++version, whole, views.toList(), offers)
+
+    protected fun sent(zone: String) = effects.filterIsInstance<LeaderEffect.Send>().filter { it.partition == "$zone/0" }.map { it.frame }
+
+    protected fun lastAsk(): PlacementFrame = sent("z").last { it.requests.isNotEmpty() }
+
+    protected fun starts() = effects.filterIsInstance<LeaderEffect.Send>().flatMap { it.frame.starts }
+
+    protected fun offer(
+        frame: PlacementFrame,
+        machine: String,
+        count: Int,
+    ) = frame.requests.map {
+        Offer(it.stamp, listOf(HeldSlots(machine, count, count, false)))
+    }
+
+    protected fun inherited(vararg names: String) = names.map { InheritedMachine(it, "z/0", "t", null) }
+
+    /** Brings all tasks of a job, two where none is given, on m1 in partition z. */
+    protected fun placed(job: Job = job("j-1")): LeaderCore {
+        val leader = leader()
+        leader.registered(mapOf("m1" to "z/0"))
+        leader.jobAdded(job)
+        leader.frame(partition("y", 0), SECOND)
+        leader.frame(partition("z", 0, view("m1")), SECOND)
+        leader.tick(SECOND)
+        val ask = lastAsk()
+        leader.frame(partition("y", sent("y").last().seq, offers = ask.requests.map { Offer(it.stamp, emptyList()) }), SECOND)
+        leader.frame(partition("z", ask.seq, offers = offer(ask, "m1", job.spec.tasks)), SECOND)
+        leader.tick(SECOND)
+        condition(starts().map { it.index }.toSet() == (0 until job.spec.tasks).toSet()) { "${starts()}" }
+        return leader
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -0,0 +1,210 @@
+package lichenstage.placement
+
+import lichenstage.app.Objective
+import lichenstage.app.ObjectiveKind
+import lichenstage.app.SECOND
+import lichenstage.cluster.HeldSlots
+import lichenstage.cluster.Shape
+import lichenstage.cluster.TaskPhase
+import lichenstage.cluster.TaskState
+import net.jqwik.api.Example
+import org.junit.platform.commons.util.Preconditions.condition
+
+/** What the leader asks for, starts, gives up and has recorded. */
+class LeaderRequestsTest : LeaderFixture() {
+    /** The order goes out with the next frame, the progress counts once the task is seen stopped, and the task is queued again. */
+    @Example
+    fun `tasks with checkpoints on a machine with a notice are ordered to save, and go on elsewhere`() {
+        val spec = spec("j-1", tasks = 1).copy(estimateUs = 100 * SECOND, checkpointUs = 20 * SECOND, saveUs = 4 * SECOND)
+        val job = Job(spec, 101, 0)
+        val leader = placed(job)
+        val attempt = starts().single().attempt
+        val seq = sent("z").last().seq
+
+        fun shown(
+            phase: TaskPhase,
+            recallS: Long?,
+            nowS: Long,
+        ) {
+            val cause = if (phase == TaskPhase.ENDED) "halted" else null
+            val machine = view("m1", TaskState("j-1/0", attempt, phase, cause)).copy(recallUs = recallS?.let { it * SECOND })
+            leader.frame(partition("z", seq, machine), nowS * SECOND)
+            leader.tick(nowS * SECOND)
+        }
+        shown(TaskPhase.RUNNING, null, 2)
+        shown(TaskPhase.RUNNING, 9, 40)
+        leader.tick(41 * SECOND)
+        condition(sent("z").flatMap { it.saves }.map { it.attempt } == listOf(attempt)) { "${sent("z").last()}" }
+        shown(TaskPhase.ENDED, 4, 45)
+        condition(job.totalSavedUs in 37 * SECOND..39 * SECOND) { "${job.totalSavedUs}" }
+        condition(leader.attemptsOn("m1").isEmpty() && job.pending.size == 1) { "not queued again" }
+    }
+
+    @Example
+    fun `a start is given up only when its part has seen it and does not list it`() {
+        val leader = placed()
+        val seq = sent("z").last { it.starts.isNotEmpty() }.seq
+        leader.frame(partition("z", seq - 1, view("m1")), 2 * SECOND)
+        condition(leader.attemptsOn("m1").size == 2) { "given up by a frame from before it" }
+        leader.frame(
+            partition("z", seq, view("m1", TaskState("j-1/${starts()[0].index}", starts()[0].attempt, TaskPhase.PENDING))),
+            2 * SECOND,
+        )
+        condition(leader.attemptsOn("m1").map { it.index } == listOf(starts()[0].index)) { "${leader.attemptsOn("m1").map { it.task }}" }
+    }
+
+    @Example
+    fun `under a new owner nothing is given up before the worker has shown the new token`() {
+        val leader = placed()
+        leader.frame(partition("z", 0, view("m1", settled = false), term = 4), 3 * SECOND)
+        condition(leader.attemptsOn("m1").size == 2) { "given up too early" }
+        leader.frame(partition("z", 0, view("m1"), term = 4), 4 * SECOND)
+        condition(leader.attemptsOn("m1").isEmpty()) { "kept" }
+    }
+
+    @Example
+    fun `limits count what is started`() {
+        val leader = placed()
+        leader.jobAdded(job("j-2"))
+        effects.clear()
+        leader.tick(5 * SECOND)
+        condition(sent("z").none { it.requests.isNotEmpty() }) { "asked beyond the limit of 8 cores" }
+    }
+
+    @Example
+    fun `done is written before it is cleared, and the job is over only with the record`() {
+        val leader = placed()
+        val ended = starts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.ENDED, "done") }
+        val seq = sent("z").last().seq
+        leader.frame(partition("z", seq, view("m1", *ended.toTypedArray())), 2 * SECOND)
+        effects.clear()
+        leader.tick(2 * SECOND)
+        val end = effects.filterIsInstance<LeaderEffect.Finish>().single()
+        condition(sent("z").all { it.clears.isEmpty() }) { "cleared before the record was written" }
+        leader.finished(end.job, 3 * SECOND)
+        leader.tick(4 * SECOND)
+        condition(sent("z").last().clears.size == 2 && "j-1" !in leader.jobs) { "not cleared" }
+    }
+
+    @Example
+    fun `what runs of a cancelled job is stopped and stays counted until it is gone`() {
+        val leader = placed()
+        val running = starts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.RUNNING) }.toTypedArray()
+        leader.frame(partition("z", sent("z").last().seq, view("m1", *running)), 2 * SECOND)
+        leader.jobClosed("j-1")
+        leader.jobAdded(job("j-2"))
+        effects.clear()
+        leader.tick(3 * SECOND)
+        condition(sent("z").last().stops.size == 2) { "not stopped" }
+        condition(sent("z").none { it.requests.isNotEmpty() }) { "its cores were given away" }
+        leader.frame(partition("z", sent("z").last().seq, view("m1").copy(gone = running.map { it.attempt })), 4 * SECOND)
+        leader.tick(4 * SECOND)
+        condition(lastAsk().requests.single().job == "j-2") { "its cores were not freed" }
+    }
+
+    @Example
+    fun `attempts rise from leader to leader`() {
+        placed()
+        condition(starts().all { it.attempt > (6L shl 32) + 0xffff_ffffL }) { "${starts()}" }
+    }
+
+    @Example
+    fun `one zone jobs keep to the zone they are in and spread jobs to half`() {
+        val offers =
+            mapOf(
+                "y/0" to listOf(HeldSlots("a", 4, 4, false)),
+                "z/0" to listOf(HeldSlots("b", 3, 3, false)),
+                "z/1" to listOf(HeldSlots("c", 6, 6, false)),
+            )
+        val zoneOf = { partition: String -> partition.substringBefore('/') }
+        val spread = OfferSelection.roomiest(offers, 9, zoneOf) { 5 }
+        condition(spread.count { zoneOf(it.partition) == "z" } == 5 && spread.size == 9) { "$spread" }
+        condition(OfferSelection.bestZone(offers, zoneOf) == "z") { "not the larger offer" }
+    }
+
+    @Example
+    fun `a job that waits for others asks for nothing and holds nothing until all of them are recorded as done`() {
+        val leader = leader()
+        leader.inherited(inherited("m1"))
+        val waiting = Job(spec("j-2").copy(needs = listOf("j-1")), 101, 0)
+        leader.jobAdded(waiting)
+        leader.frame(partition("z", 0, view("m1")), SECOND)
+        leader.tick(2 * SECOND)
+        condition(sent("z").none { it.requests.isNotEmpty() }) { "asked before all that it needs was done" }
+        leader.jobAdded(job("j-3", stamp = 102))
+        leader.tick(3 * SECOND)
+        condition(lastAsk().requests.single().job == "j-3") { "the other job is held up" }
+        leader.frame(partition("z", 1, view("m1"), offers = offer(lastAsk(), "m1", 2)), 3 * SECOND)
+        leader.tick(4 * SECOND)
+        leader.jobReady(waiting, 4 * SECOND)
+        leader.tick(5 * SECOND)
+        condition(waiting.placeable && waiting.readyUs == 4 * SECOND) { "not let go" }
+        leader.jobReady(waiting, 9 * SECOND)
+        condition(waiting.readyUs == 4 * SECOND) { "ready twice" }
+    }
+
+    @Example
+    fun `room with the image is asked for before any room, but not before what is in more of a hurry`() {
+        val serviceObjectives = ServiceObjectives(listOf(Objective(ObjectiveKind.WAIT, "quick", 2 * SECOND)))
+        val leader =
+            LeaderCore(
+                7,
+                100,
+                assignment,
+                mapOf(
+                    "red" to teams.getValue("red").copy(coresMax = 99.0),
+                ),
+                20 * SECOND,
+                Timers(),
+                serviceObjectives,
+                {
+                    Shape(16.0, 0.0, 64.0)
+                },
+                10,
+                { SECOND },
+            ) { effects += it }
+        for ((id, kind) in listOf("j-1" to "quick", "j-2" to "quick", "j-3" to "c")) {
+            leader.jobAdded(Job(spec(id).copy(kind = kind), 1, 0))
+        }
+        leader.frame(partition("z", 0, view("m1")), 5 * SECOND)
+        leader.tick(5 * SECOND)
+        val requests = lastAsk().requests.sortedBy { it.stamp }
+        condition(requests.map { it.imageOnly } == listOf(true, true, false, false, true, false)) { "$requests" }
+        condition(requests.takeLast(2).all { it.job == "j-3" }) { "$requests" }
+    }
+
+    @Example
+    fun `a promise that can't be kept any more does not come first`() {
+        val serviceObjectives =
+            ServiceObjectives(
+                listOf(
+                    Objective(ObjectiveKind.WAIT, "c", 15 * SECOND),
+                    Objective(
+                        ObjectiveKind.FINISHED,
+                        "c",
+                        90 * SECOND,
+                    ),
+                ),
+            )
+        val job = job("j-1")
+        val start = StartObjective(15 * SECOND, byTask = true)
+        val finish = StartObjective(89 * SECOND, byTask = false)
+        condition(serviceObjectives.startObjectives(job, SECOND, 0) == listOf(start, finish)) {
+            "${serviceObjectives.startObjectives(job, SECOND, 0)}"
+        }
+        condition(serviceObjectives.startObjectives(job, SECOND, 20 * SECOND) == listOf(finish)) {
+            "${serviceObjectives.startObjectives(
+                job,
+                SECOND,
+                20 * SECOND,
+            )}"
+        }
+        condition(serviceObjectives.startObjectives(job, SECOND, 100 * SECOND).isEmpty()) {
+            "${serviceObjectives.startObjectives(
+                job,
+                SECOND,
+                100 * SECOND,
+            )}"
+        }
+    }
+}
