--- a/src/main/kotlin/lichenstage/fleet/DemandEstimate.kt
+++ b/src/main/kotlin/lichenstage/fleet/DemandEstimate.kt
@@ -48,7 +48,7 @@
         }
     }
 
-    /** On the type on which its tasks are cheapest. */
+    /** The type on which tasks of the job are cheapest; null where none fits. */
     private fun cheapest(
         spec: JobSpec,
         machineTypes: Map<String, MachineType>,
--- a/src/main/kotlin/lichenstage/fleet/FleetCore.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetCore.kt
@@ -161,11 +161,9 @@
         machineTypes.keys.joinToString { typeName ->
             val have = machines.values.filter { it.typeName == typeName }
             val here = wanted.filter { it.typeName == typeName }
+            val needed = need(typeName, now)
             "$typeName: ${have.size} rented, ${have.count { it.spot }} of them cheap, ${have.count { it.upOnce }} up, " +
-                "${have.count { it.upOnce && it.tasks == 0 }} idle, ${have.count { it.draining }} draining; needed ${need(
-                    typeName,
-                    now,
-                )}: " +
+                "${have.count { it.upOnce && it.tasks == 0 }} idle, ${have.count { it.draining }} draining; needed $needed: " +
                 "expected %.0f, in use %.0f, waiting for %.0f s".format(
                     forecast.machines(typeName, policy.fill, now),
                     here.sumOf { it.busy },
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -52,8 +52,9 @@
     private fun nextBatch(now: Long): List<CompletionDelta> {
         val deltas = ArrayList<CompletionDelta>()
         var writes = 0
-        val due = unrecorded.filter { (job, sinceUs) -> now - sinceUs >= flushUs && !job.complete }.keys
-        for (job in due) {
+        // The oldest come first, and this is asked after every message: what is not due yet is not looked at.
+        val due = unrecorded.entries.takeWhile { now - it.value >= flushUs }.map { it.key }
+        for (job in due.filter { !it.complete }) {
             if (writes >= batch) break
             val delta = delta(job)
             if (delta.chunks.isEmpty()) {
--- a/src/main/kotlin/lichenstage/placement/MachineAudit.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineAudit.kt
@@ -23,19 +23,23 @@
             var unaccounted = false
             for (task in machine.tasks) {
                 val job = jobs[task.job]
-                val order = AttemptOrder(machine.name, task.task, task.attempt)
                 if (task.phase == TaskPhase.ENDED) {
-                    if (!mustBeKept(task, job)) clears += order
+                    if (!mustBeKept(task, job)) clears += order(machine, task)
                 } else {
                     val counted = counts(task, machine.name, job)
                     if (!counted) unaccounted = true
-                    if (!counted || !isWanted(job)) stops += order
+                    if (!counted || !isWanted(job)) stops += order(machine, task)
                 }
             }
             // Nothing is ordered of a worker that has not shown the token.
             return if (machine.settled) MachineAudit(stops, clears, unaccounted) else MachineAudit(emptyList(), emptyList(), unaccounted)
         }
 
+        private fun order(
+            machine: MachineState,
+            task: TaskState,
+        ) = AttemptOrder(machine.name, task.task, task.attempt)
+
         private fun isWanted(job: Job?) = job != null && job.phase != JobPhase.CLOSED
 
         /** Its end is done and not recorded yet (invariant 9). */
