--- a/src/test/kotlin/lichenstage/app/BoundedLogTest.kt
+++ b/src/test/kotlin/lichenstage/app/BoundedLogTest.kt
@@ -1,7 +1,7 @@
 package lichenstage.app
 
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
 
 class BoundedLogTest {
     @Example
@@ -10,9 +10,9 @@
         val written = ArrayList<String>()
         val log = BoundedLog({ now }, mostLines = 3, periodUs = SECOND) { written += it }
         repeat(5) { n -> log.info { "line $n" } }
-        condition(written == listOf("line 0", "line 1", "line 2")) { "$written" }
+        assertEquals(listOf("line 0", "line 1", "line 2"), written) { "$written" }
         now = SECOND + 1
         log.info { "later" }
-        condition(written.drop(3) == listOf("2 lines were left out", "later")) { "$written" }
+        assertEquals(listOf("2 lines were left out", "later"), written.drop(3)) { "$written" }
     }
 }
--- a/src/test/kotlin/lichenstage/app/CommandLineParserTest.kt
+++ b/src/test/kotlin/lichenstage/app/CommandLineParserTest.kt
@@ -1,7 +1,8 @@
 package lichenstage.app
 
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 class CommandLineParserTest {
     private val parser =
@@ -16,11 +17,11 @@
     @Example
     fun `options and operands are read in any order`() {
         val arguments = parse("--check", "here", "--config", "a.json", "--count=7")
-        condition(arguments.has("check") && !arguments.has("help"), "only --check was given")
-        condition(arguments.text("config") == "a.json", "${arguments.text("config")}")
-        condition(arguments.whole("count") == 7L, "${arguments.whole("count")}")
-        condition(arguments.operands == listOf("here"), "${arguments.operands}")
-        condition(parse("-h").has("help"), "the short name")
+        assertTrue(arguments.has("check") && !arguments.has("help"), "only --check was given")
+        assertEquals("a.json", arguments.text("config"), "${arguments.text("config")}")
+        assertEquals(7L, arguments.whole("count"), "${arguments.whole("count")}")
+        assertEquals(listOf("here"), arguments.operands, "${arguments.operands}")
+        assertTrue(parse("-h").has("help"), "the short name")
     }
 
     @Example
@@ -33,15 +34,15 @@
                 listOf("--config", "a", "--config", "b"),
                 listOf("here", "there"),
             )
-        for (args in wrong) condition(isRefused { parser.parse(args) }, "$args")
-        condition(isRefused { parse("--count", "many").whole("count") }, "a count that is no number")
+        for (args in wrong) assertTrue(isRefused { parser.parse(args) }, "$args")
+        assertTrue(isRefused { parse("--count", "many").whole("count") }, "a count that is no number")
     }
 
     @Example
     fun `the help names every option`() {
         val help = parser.help()
         for (option in listOf("tool [NAME]", "--config", "FILE", "--count", "--check", "-h", "Only looks.")) {
-            condition(option in help, help)
+            assertTrue(option in help, help)
         }
     }
 
--- a/src/test/kotlin/lichenstage/app/EventBatchingTest.kt
+++ b/src/test/kotlin/lichenstage/app/EventBatchingTest.kt
@@ -2,7 +2,7 @@
 
 import io.netty.channel.SelectStrategy
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertTrue
 
 class EventBatchingTest {
     private var now = 0L
@@ -17,12 +17,12 @@
 
     @Example
     fun `the loop pauses only while it is woken often, and never with work of its own`() {
-        condition(next() == SelectStrategy.SELECT && paused == 0L) { "paused at the first wait" }
+        assertTrue(next() == SelectStrategy.SELECT && paused == 0L) { "paused at the first wait" }
         now += 100 * MILLI
-        condition(next() == SelectStrategy.SELECT && paused == 0L) { "paused for what came alone" }
+        assertTrue(next() == SelectStrategy.SELECT && paused == 0L) { "paused for what came alone" }
         now += 5 * MILLI
-        condition(next() == SelectStrategy.SELECT && paused == 20 * MILLI) { "did not pause while much comes" }
+        assertTrue(next() == SelectStrategy.SELECT && paused == 20 * MILLI) { "did not pause while much comes" }
         now += MILLI
-        condition(next(hasTasks = true) == 3 && paused == 20 * MILLI) { "paused with tasks waiting" }
+        assertTrue(next(hasTasks = true) == 3 && paused == 20 * MILLI) { "paused with tasks waiting" }
     }
 }
--- a/src/test/kotlin/lichenstage/app/JsonHttpTest.kt
+++ b/src/test/kotlin/lichenstage/app/JsonHttpTest.kt
@@ -12,7 +12,8 @@
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withContext
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
 
 class JsonHttpTest {
     /** The one connection is busy; a request that waits for it is given up, then the connection is free again. */
@@ -36,10 +37,10 @@
             val http = JsonHttp(vertx, Address("127.0.0.1", port), connections = 1, queue = 10)
             val first = async { http.call(HttpMethod.GET, "/held", null, LONG_MS) }
             val request = held.await()
-            repeat(3) { condition(http.call(HttpMethod.GET, "/given-up", null, 20) == null) { "answered without a connection" } }
+            repeat(3) { assertNull(http.call(HttpMethod.GET, "/given-up", null, 20)) { "answered without a connection" } }
             request.response().end("{}")
-            condition(first.await() == JsonAnswer(200, JsonObject())) { "the first was not answered" }
-            condition(http.call(HttpMethod.GET, "/next", null, LONG_MS) == JsonAnswer(200, JsonObject())) { "the connection is lost" }
+            assertEquals(JsonAnswer(200, JsonObject()), first.await()) { "the first was not answered" }
+            assertEquals(JsonAnswer(200, JsonObject()), http.call(HttpMethod.GET, "/next", null, LONG_MS)) { "the connection is lost" }
         }
 
     private companion object {
--- a/src/test/kotlin/lichenstage/app/MailboxTest.kt
+++ b/src/test/kotlin/lichenstage/app/MailboxTest.kt
@@ -5,7 +5,7 @@
 import kotlinx.coroutines.Job
 import kotlinx.coroutines.cancel
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertTrue
 
 class MailboxTest {
     /** Guards against a process that ends because a cut delivered at once what it had held back. */
@@ -23,6 +23,6 @@
             }, capacity = 4) { away.add(it) }
         mailbox.tell(0)
         scope.cancel()
-        condition(handled == listOf(0, 1, 2, 3, 4) && away == (5..10).toList()) { "handled $handled, turned away $away" }
+        assertTrue(handled == listOf(0, 1, 2, 3, 4) && away == (5..10).toList()) { "handled $handled, turned away $away" }
     }
 }
--- a/src/test/kotlin/lichenstage/app/SettingsTest.kt
+++ b/src/test/kotlin/lichenstage/app/SettingsTest.kt
@@ -2,7 +2,9 @@
 
 import io.vertx.core.json.JsonObject
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
 
 class SettingsTest {
     private val text =
@@ -26,32 +28,32 @@
     @Example
     fun `the platform's file is read`() {
         val settings = Settings.parse(text)
-        condition(settings.workerLeaseUs == 17_500_000L && settings.cancelUs == 47_000_000L) { "$settings" }
-        condition(settings.teams.getValue("red").coresMax == Double.POSITIVE_INFINITY) { "a limit of 0 means none" }
-        condition(settings.peers.single().address == Address("10.0.0.2", 8081)) { "$settings" }
+        assertTrue(settings.workerLeaseUs == 17_500_000L && settings.cancelUs == 47_000_000L) { "$settings" }
+        assertEquals(Double.POSITIVE_INFINITY, settings.teams.getValue("red").coresMax) { "a limit of 0 means none" }
+        assertEquals(Address("10.0.0.2", 8081), settings.peers.single().address) { "$settings" }
     }
 
     /** The start that makes the class archive has settings of its own: a field that they lack ends it, and each later start is slow. */
     @Example
     fun `the settings of the warm-up start can be used`() {
         val complaint = complaint { Settings.parse(warmUpSettings(servePort = 8080, clusterPort = 8081, servicesPort = 8082)) }
-        condition(complaint == null) { "$complaint" }
+        assertNull(complaint) { "$complaint" }
     }
 
     @Example
     fun `what is wrong is named with its path and value`() {
         fun changed(change: (JsonObject) -> Unit) = complaint { Settings.parse(JsonObject(text).apply(change).encode()) }
-        condition(
-            changed { it.getJsonObject("settings").getJsonObject("workers").put("lease_s", "soon") } ==
-                "settings.workers.lease_s: a number of at least 0.001 is needed, found soon",
+        assertEquals(
+            "settings.workers.lease_s: a number of at least 0.001 is needed, found soon",
+            changed { it.getJsonObject("settings").getJsonObject("workers").put("lease_s", "soon") },
         ) { "lease_s" }
-        condition(changed { it.put("serve_on", "here") } == "serve_on: an address HOST:PORT is needed, found here") { "serve_on" }
-        condition(changed { it.remove("label") } == "label: a text is needed, found null") { "label" }
-        condition(
-            changed { it.getJsonArray("seeds").getJsonObject(0).put("addr", 5) } ==
-                "seeds[0].addr: a text is needed, found 5",
+        assertEquals("serve_on: an address HOST:PORT is needed, found here", changed { it.put("serve_on", "here") }) { "serve_on" }
+        assertEquals("label: a text is needed, found null", changed { it.remove("label") }) { "label" }
+        assertEquals(
+            "seeds[0].addr: a text is needed, found 5",
+            changed { it.getJsonArray("seeds").getJsonObject(0).put("addr", 5) },
         ) { "seeds" }
-        condition(complaint { Settings.parse("[1]") } == "not a JSON object") { "an array" }
+        assertEquals("not a JSON object", complaint { Settings.parse("[1]") }) { "an array" }
     }
 
     @Example
@@ -60,35 +62,35 @@
             Settings.parse(JsonObject(text).also { it.getJsonObject("settings").getJsonObject("state").put("next", next) }.encode())
         val today = with(null)
         val small = with(JsonObject().put("value_kb", 2.0).put("txn_ops", 4).put("write_rps", 70.0))
-        condition(
+        assertTrue(
             small.valueBytes == 2048 && small.txnOps == 4 && small.stateWriteRps == 70.0 && small.stateRps == today.stateRps,
         ) { "$small" }
-        condition(with(JsonObject().put("txn_ops", 99)) == today) { "a larger limit to come does not hold yet" }
+        assertEquals(today, with(JsonObject().put("txn_ops", 99))) { "a larger limit to come does not hold yet" }
         for (wrong in listOf<Any>("x", 0, -1)) {
             val complaint = complaint { with(JsonObject().put("txn_ops", wrong)) }
-            condition(complaint == "settings.state.next.txn_ops: a number of at least 2.0 is needed, found $wrong") { "$complaint" }
+            assertEquals("settings.state.next.txn_ops: a number of at least 2.0 is needed, found $wrong", complaint) { "$complaint" }
         }
     }
 
     @Example
     fun `operators' settings are HCL and checked`() {
         val operator = Operator.parse("placement {\n  alpha_ms = 500\n}\nfleet {\n  settle_s = 7\n}\n")
-        condition(operator.timers.alphaUs == 500 * MILLI && operator.timers.betaUs == 300 * MILLI) { "$operator" }
+        assertTrue(operator.timers.alphaUs == 500 * MILLI && operator.timers.betaUs == 300 * MILLI) { "$operator" }
         val policy = operator.fleet(lichenstage.fleet.FleetPolicy())
-        condition(policy.settleUs == 7 * SECOND) { "$policy" }
+        assertEquals(7 * SECOND, policy.settleUs) { "$policy" }
         val unknown = complaint { Operator.parse("placement {\n  alpha = \"x\"\n}") }
-        condition(unknown == "placement.alpha: unknown key, found x") { "$unknown" }
-        condition(
+        assertEquals("placement.alpha: unknown key, found x", unknown) { "$unknown" }
+        assertTrue(
             complaint { Operator.parse("fleet {\n  backlog_s = 0\n}") }!!.startsWith("fleet.backlog_s: a whole number from 1"),
         ) { "range" }
-        condition(
+        assertTrue(
             complaint { Operator.parse("fleet {\n  settle_s = \"soon\"\n}") }!!.startsWith("fleet.settle_s: a whole number"),
         ) { "settle" }
     }
 
     @Example
     fun `drains are off without their block, and budgets are checked`() {
-        condition(Operator.parse("fleet {\n}\n").drains == null) { "on by themselves" }
+        assertNull(Operator.parse("fleet {\n}\n").drains) { "on by themselves" }
         val policy =
             Operator
                 .parse(
@@ -108,16 +110,17 @@
                     }
                     """,
                 ).drains!!
-        condition(policy.default.jobs == 3 && policy.replacementFailures == 2) { "$policy" }
+        assertTrue(policy.default.jobs == 3 && policy.replacementFailures == 2) { "$policy" }
         val red = policy.of("red")
-        condition(red.share == 0.2 && red.jobs == null && red.neverClasses == setOf("invoice-draft")) { "$red" }
-        condition(23 in red.hours!! && 5 in red.hours!! && 6 !in red.hours!!) { "${red.hours}" }
-        condition(
+        assertTrue(red.share == 0.2 && red.jobs == null && red.neverClasses == setOf("invoice-draft")) { "$red" }
+        assertTrue(23 in red.hours!! && 5 in red.hours!! && 6 !in red.hours!!) { "${red.hours}" }
+        assertEquals(
+            1,
             Operator
                 .parse("drains {\n}\n")
                 .drains
                 ?.default
-                ?.jobs == 1,
+                ?.jobs,
         ) { "the default" }
         val wrong =
             mapOf(
@@ -127,8 +130,8 @@
                     "drains.default.hours: hours of the day as \"FROM-TO\" are needed, found late",
                 "drains {\n  speed = 1\n}" to "drains.speed: unknown key, found 1.0",
             )
-        for ((file, what) in wrong) condition(complaint { Operator.parse(file) } == what) { "${complaint { Operator.parse(file) }}" }
+        for ((file, what) in wrong) assertEquals(what, complaint { Operator.parse(file) }) { "${complaint { Operator.parse(file) }}" }
         val stranger = Operator.parse("drains {\n  teams {\n    blue {\n      jobs = 1\n    }\n  }\n}")
-        condition(complaint { stranger.check(Settings.parse(text)) } == "drains.teams.blue: unknown team") { "unknown team" }
+        assertEquals("drains.teams.blue: unknown team", complaint { stranger.check(Settings.parse(text)) }) { "unknown team" }
     }
 }
--- a/src/test/kotlin/lichenstage/app/SocketsTest.kt
+++ b/src/test/kotlin/lichenstage/app/SocketsTest.kt
@@ -3,7 +3,7 @@
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
 import net.jqwik.api.constraints.IntRange
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertTrue
 
 class SocketsTest {
     /** A fleet that connects as fast as it can: workers' connections above the budget are closed with their answers. */
@@ -17,11 +17,11 @@
             sockets.opened()
             if (sockets.crowded()) sockets.closed()
             val taken = FIXED + sockets.served + sockets.forOrders()
-            condition(taken <= most - (most - FIXED) / 16) { "$taken of $most with ${sockets.served} served" }
-            condition(sockets.forOrders() > 0) { "no orders at all" }
+            assertTrue(taken <= most - (most - FIXED) / 16) { "$taken of $most with ${sockets.served} served" }
+            assertTrue(sockets.forOrders() > 0) { "no orders at all" }
         }
         val room = (most - FIXED) * 3 / 4
-        condition(sockets.served >= minOf(workers, room)) { "${sockets.served} served of $workers with $most sockets" }
+        assertTrue(sockets.served >= minOf(workers, room)) { "${sockets.served} served of $workers with $most sockets" }
     }
 
     private companion object {
--- a/src/test/kotlin/lichenstage/authority/LeaseLifeTest.kt
+++ b/src/test/kotlin/lichenstage/authority/LeaseLifeTest.kt
@@ -8,15 +8,16 @@
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
 import net.jqwik.api.constraints.IntRange
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 class LeaseLifeTest {
     @Example
     fun `a process with enough of a core has the short lease`() {
-        condition(LeaseLife.of(26 * SECOND, 1.0) == 4 * SECOND, "a whole core")
-        condition(LeaseLife.of(26 * SECOND, 0.255) == 4 * SECOND, "a quarter")
-        condition(LeaseLife.of(17 * SECOND, 0.136) == 4 * SECOND, "an eighth")
-        condition(LeaseLife.of(8 * SECOND, 1.0) == 2 * SECOND, "short leases of workers")
+        assertEquals(4 * SECOND, LeaseLife.of(26 * SECOND, 1.0), "a whole core")
+        assertEquals(4 * SECOND, LeaseLife.of(26 * SECOND, 0.255), "a quarter")
+        assertEquals(4 * SECOND, LeaseLife.of(17 * SECOND, 0.136), "an eighth")
+        assertEquals(2 * SECOND, LeaseLife.of(8 * SECOND, 1.0), "short leases of workers")
     }
 
     /** Half a second of processor time at a stretch, while it is cold, must not cost it the lease. */
@@ -24,7 +25,7 @@
     fun `on a small machine the lease outlasts a stall`() {
         for (share in listOf(0.08, 0.1)) {
             val life = LeaseLife.of(26 * SECOND, share)
-            condition(life >= SECOND / 2 / share, "$share of a core: $life")
+            assertTrue(life >= SECOND / 2 / share, "$share of a core: $life")
         }
     }
 
@@ -34,8 +35,8 @@
         @ForAll @IntRange(min = 1, max = 1000) shareThousandths: Int,
     ) {
         val life = LeaseLife.of(workerLeaseS * SECOND, shareThousandths / 1000.0)
-        condition(life >= 2 * SECOND, "$life")
-        condition(life <= maxOf(2 * SECOND, workerLeaseS * SECOND / 3), "$life of $workerLeaseS s")
+        assertTrue(life >= 2 * SECOND, "$life")
+        assertTrue(life <= maxOf(2 * SECOND, workerLeaseS * SECOND / 3), "$life of $workerLeaseS s")
     }
 
     /** All come back within a second: whoever is first leaves the partitions of the others to them, but not for ever. */
@@ -44,17 +45,17 @@
         val order = AcquisitionOrder(Settings.parse(warmUpSettings(8080, 8081, 8082)))
 
         fun patience(homeIsWell: Boolean) = order.patienceUs(leadership = false, held = 1, home = "b", everOwned = true, homeIsWell)
-        condition(patience(homeIsWell = false) < SECOND, "its controller is gone: ${patience(false)}")
-        condition(patience(homeIsWell = true) in 4 * SECOND..8 * SECOND, "its controller is well: ${patience(true)}")
+        assertTrue(patience(homeIsWell = false) < SECOND, "its controller is gone: ${patience(false)}")
+        assertTrue(patience(homeIsWell = true) in 4 * SECOND..8 * SECOND, "its controller is well: ${patience(true)}")
         val own = order.patienceUs(leadership = false, held = 1, home = "a", everOwned = true, homeIsWell = false)
-        condition(own == 0L, "its own partition: $own")
+        assertEquals(0L, own, "its own partition: $own")
     }
 
     @Example
     fun `who runs late leaves keys to others for a bounded time`() {
-        condition(AcquisitionOrder.lagPatienceUs(0) == 0L, "in time")
-        condition(AcquisitionOrder.lagPatienceUs(200 * MILLI) == 0L, "a little late")
-        condition(AcquisitionOrder.lagPatienceUs(SECOND) in 500 * MILLI..SECOND, "late")
-        condition(AcquisitionOrder.lagPatienceUs(60 * SECOND) == 2 * SECOND, "very late")
+        assertEquals(0L, AcquisitionOrder.lagPatienceUs(0), "in time")
+        assertEquals(0L, AcquisitionOrder.lagPatienceUs(200 * MILLI), "a little late")
+        assertTrue(AcquisitionOrder.lagPatienceUs(SECOND) in 500 * MILLI..SECOND, "late")
+        assertEquals(2 * SECOND, AcquisitionOrder.lagPatienceUs(60 * SECOND), "very late")
     }
 }
--- a/src/test/kotlin/lichenstage/authority/LocalLeaseTest.kt
+++ b/src/test/kotlin/lichenstage/authority/LocalLeaseTest.kt
@@ -7,7 +7,8 @@
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
 import net.jqwik.api.constraints.IntRange
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
 
 class LocalLeaseTest {
     /** The service's clock runs up to 0.05% off, and it hears of a renewal some time after it was sent. */
@@ -21,8 +22,8 @@
         val lease = LocalLease(incarnation).apply { granted(1, 0) }
         val rate = 1.0 + drift / 10_000.0
         val endsThere = delayMs * MILLI + (incarnation * rate).toLong()
-        condition(!lease.valid(endsThere)) { "still valid when the lease of $lifeMs ms had ended" }
-        if (lifeMs > 1_000) condition(lease.valid(incarnation / 2)) { "given up at half its life" }
+        assertFalse(lease.valid(endsThere)) { "still valid when the lease of $lifeMs ms had ended" }
+        if (lifeMs > 1_000) assertTrue(lease.valid(incarnation / 2)) { "given up at half its life" }
     }
 
     @Example
@@ -30,7 +31,7 @@
         val lease = LocalLease(5 * SECOND).apply { granted(1, 0) }
         lease.renewed(3 * SECOND)
         lease.renewed(2 * SECOND)
-        condition(lease.valid(7 * SECOND) && !lease.valid(8 * SECOND)) { "the later renewal does not count" }
+        assertTrue(lease.valid(7 * SECOND) && !lease.valid(8 * SECOND)) { "the later renewal does not count" }
     }
 
     @Example
@@ -38,9 +39,9 @@
         val lease = LocalLease(5 * SECOND).apply { granted(1, 0) }
         lease.ended()
         lease.renewed(SECOND)
-        condition(!lease.valid(SECOND) && lease.id == null) { "a late answer brought it back" }
+        assertTrue(!lease.valid(SECOND) && lease.id == null) { "a late answer brought it back" }
         lease.granted(2, SECOND)
-        condition(lease.valid(2 * SECOND) && lease.id == 2L) { "not granted" }
+        assertTrue(lease.valid(2 * SECOND) && lease.id == 2L) { "not granted" }
     }
 
     @Example
@@ -56,23 +57,25 @@
             lease.extendedByPledges(collectedPledges.pledgedUntilUs(), askedUs + MILLI)
         }
         hear("a", 4 * SECOND)
-        condition(!lease.valid(5 * SECOND)) { "one of two is not enough" }
+        assertFalse(lease.valid(5 * SECOND)) { "one of two is not enough" }
         hear("b", 4 * SECOND)
-        condition(lease.valid(5 * SECOND) && !lease.valid(6 * SECOND)) { "both are bound for 2 s" }
+        assertTrue(lease.valid(5 * SECOND) && !lease.valid(6 * SECOND)) { "both are bound for 2 s" }
         hear("a", 5 * SECOND)
         hear("b", 5 * SECOND)
         hear("a", 6 * SECOND)
-        condition(lease.valid(6 * SECOND) && !lease.valid(7 * SECOND)) { "b is silent since 5 s" }
+        assertTrue(lease.valid(6 * SECOND) && !lease.valid(7 * SECOND)) { "b is silent since 5 s" }
         hear("a", 8 * SECOND)
         hear("b", 8 * SECOND)
-        condition(!lease.valid(8 * SECOND)) { "after a gap somebody else may hold the keys" }
+        assertFalse(lease.valid(8 * SECOND)) { "after a gap somebody else may hold the keys" }
     }
 
     @Example
     fun `who has promised takes nothing until every asker has stopped counting on it, and neither does a new process`() {
         val ownPledge = OwnPledge(0)
-        condition(!ownPledge.free(CollectedPledges.PLEDGE_US) && ownPledge.free(3 * SECOND)) { "the process before it may have promised" }
+        assertTrue(
+            !ownPledge.free(CollectedPledges.PLEDGE_US) && ownPledge.free(3 * SECOND),
+        ) { "the process before it may have promised" }
         ownPledge.pledge(10 * SECOND)
-        condition(!ownPledge.free(10 * SECOND + withDrift(CollectedPledges.PLEDGE_US)) && ownPledge.free(13 * SECOND)) { "not bound" }
+        assertTrue(!ownPledge.free(10 * SECOND + withDrift(CollectedPledges.PLEDGE_US)) && ownPledge.free(13 * SECOND)) { "not bound" }
     }
 }
--- a/src/test/kotlin/lichenstage/authority/OwnershipKeysTest.kt
+++ b/src/test/kotlin/lichenstage/authority/OwnershipKeysTest.kt
@@ -3,7 +3,8 @@
 import io.vertx.core.json.JsonObject
 import lichenstage.state.Entry
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 /** The keys of ownership as a watch and a scan bring them. */
 class OwnershipKeysTest {
@@ -20,18 +21,18 @@
     @Example
     fun `a key that was put and deleted while nothing was heard is gone`() {
         keys.change(listOf(held(5)), listOf(deleted(7)))
-        condition(KEY !in keys) { "${keys.holder(KEY)}" }
+        assertTrue(KEY !in keys) { "${keys.holder(KEY)}" }
         keys.change(listOf(held(8), held(10, "n1")), listOf(deleted(9)))
-        condition(keys.holder(KEY)?.label == "n1") { "${keys.holder(KEY)}" }
+        assertEquals("n1", keys.holder(KEY)?.label) { "${keys.holder(KEY)}" }
     }
 
     @Example
     fun `a scan does not take back what has changed since it began`() {
         keys.change(listOf(held(5)), emptyList())
         keys.reset(emptyList(), 4)
-        condition(keys.holder(KEY)?.stamp == 5L) { "forgotten: ${keys.holder(KEY)}" }
+        assertEquals(5L, keys.holder(KEY)?.stamp) { "forgotten: ${keys.holder(KEY)}" }
         keys.reset(emptyList(), 6)
-        condition(KEY !in keys && keys.holder(KEY) == null) { "kept: ${keys.holder(KEY)}" }
+        assertTrue(KEY !in keys && keys.holder(KEY) == null) { "kept: ${keys.holder(KEY)}" }
     }
 
     private companion object {
--- a/src/test/kotlin/lichenstage/authority/TokenReservationTest.kt
+++ b/src/test/kotlin/lichenstage/authority/TokenReservationTest.kt
@@ -8,7 +8,9 @@
 import lichenstage.state.Read
 import lichenstage.state.Store
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
 
 /** Tokens are taken from the counter of all terms, for as long as the partition is owned. */
 class TokenReservationTest {
@@ -48,21 +50,21 @@
     @Example
     fun `they lie above all terms, the counter goes past them, and the write holds only under the ownership`() {
         val state = OneAnswer(Committed.Yes(50))
-        condition(reserve(state) == 10L..13L) { "${keys.lastTerm()}" }
-        condition(state.guards.single() == mapOf(OwnershipKeys.TERMS to 41L, KEY to 40L)) { "${state.guards}" }
+        assertEquals(10L..13L, reserve(state)) { "${keys.lastTerm()}" }
+        assertEquals(mapOf(OwnershipKeys.TERMS to 41L, KEY to 40L), state.guards.single()) { "${state.guards}" }
         val written = state.changes.single() as Change.Put
-        condition(written.key == OwnershipKeys.TERMS && written.value == TermCounter(13, listOf(KEY)).encode()) { "$written" }
-        condition(written.lease == null) { "the counter would go with the lease" }
+        assertTrue(written.key == OwnershipKeys.TERMS && written.value == TermCounter(13, listOf(KEY)).encode()) { "$written" }
+        assertNull(written.lease) { "the counter would go with the lease" }
         // Whoever owns the partition next, in whichever version, takes the term after the counter.
-        condition(keys.nextTerm(KEY).term == 14L) { "${keys.nextTerm(KEY).term}" }
-        condition(reserve(OneAnswer(Committed.Yes(51))) == 14L..17L) { "the second lot" }
+        assertEquals(14L, keys.nextTerm(KEY).term) { "${keys.nextTerm(KEY).term}" }
+        assertEquals(14L..17L, reserve(OneAnswer(Committed.Yes(51)))) { "the second lot" }
     }
 
     @Example
     fun `what was refused or is not known to have been written reserves nothing`() {
         for (outcome in listOf(Committed.Refused(), Committed.NotExecuted, Committed.Unknown, Committed.NoLease)) {
-            condition(reserve(OneAnswer(outcome)) == null) { "$outcome" }
-            condition(keys.lastTerm() == 9L) { "$outcome: ${keys.lastTerm()}" }
+            assertNull(reserve(OneAnswer(outcome))) { "$outcome" }
+            assertEquals(9L, keys.lastTerm()) { "$outcome: ${keys.lastTerm()}" }
         }
     }
 
--- a/src/test/kotlin/lichenstage/ci/KnownRedTest.kt
+++ b/src/test/kotlin/lichenstage/ci/KnownRedTest.kt
@@ -1,7 +1,8 @@
 package lichenstage.ci
 
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 /** Only what is listed may fail, and what is listed must. */
 class KnownRedTest {
@@ -16,10 +17,10 @@
     ) = KnownRed.parse(text).verdict(TestResults(setOf(red, green) - failed, failed), missing)
 
     @Example
-    fun `a listed test that fails is passed over`() = condition(verdict(list).isEmpty()) { "${verdict(list)}" }
+    fun `a listed test that fails is passed over`() = assertTrue(verdict(list).isEmpty()) { "${verdict(list)}" }
 
     @Example
-    fun `nothing listed and nothing failed is well`() = condition(verdict("\n", failed = emptySet()).isEmpty()) { "not well" }
+    fun `nothing listed and nothing failed is well`() = assertTrue(verdict("\n", failed = emptySet()).isEmpty()) { "not well" }
 
     @Example
     fun `what else fails, a listed test that passes, an unknown one, a fourth line and a malformed one are told, a line each`() {
@@ -35,6 +36,6 @@
                     "KNOWN-RED.txt: not of the form CLASS#TEST | cause | issue: a.GreenTest#passes | | 3",
                 verdict(list, missing = listOf("a.LostTest")) to "did not run: a.LostTest",
             )
-        for ((told, expected) in cases) condition(told == listOf(expected)) { "$told, not $expected" }
+        for ((told, expected) in cases) assertEquals(listOf(expected), told) { "$told, not $expected" }
     }
 }
--- a/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
@@ -6,7 +6,7 @@
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
 import net.jqwik.api.Provide
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
 
 class FrameCodecTest {
     @Property(tries = 200, seed = "815")
@@ -14,7 +14,7 @@
         @ForAll("frames") frame: Frame,
     ) {
         val read = FrameCodec.decode(FrameCodec.encode(frame))
-        condition(read == frame) { "$frame became $read" }
+        assertEquals(frame, read) { "$frame became $read" }
     }
 
     @Provide
--- a/src/test/kotlin/lichenstage/cluster/PartitionAssignmentTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PartitionAssignmentTest.kt
@@ -4,7 +4,9 @@
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
 import net.jqwik.api.constraints.IntRange
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
 
 class PartitionAssignmentTest {
     @Property(tries = 100, seed = "4")
@@ -17,17 +19,17 @@
         val controllers = (0 until count).associate { "n$it" to "z${(it + shift) % (zoneCount + 1)}" }
         val one = PartitionAssignment(zones, controllers)
         val other = PartitionAssignment(zones.reversed(), controllers.entries.reversed().associate { it.key to it.value })
-        condition(one.partitions == other.partitions) { "${one.partitions} and ${other.partitions}" }
+        assertEquals(other.partitions, one.partitions) { "${one.partitions} and ${other.partitions}" }
         for (zone in zones) {
             val homes = one.partitions.filter { one.zone(it) == zone }.map(one::home)
             val here = controllers.filterValues { it == zone }.keys
-            condition(if (here.isEmpty()) homes == listOf(null) else homes.toSet() == here) { "$zone: $homes, not $here" }
+            assertTrue(if (here.isEmpty()) homes == listOf(null) else homes.toSet() == here) { "$zone: $homes, not $here" }
             for (n in 0 until 50) {
                 val partition = one.partitionOf("vm-$n", zone)
-                condition(partition == other.partitionOf("vm-$n", zone) && one.zone(partition!!) == zone) { "vm-$n: $partition" }
+                assertTrue(partition == other.partitionOf("vm-$n", zone) && one.zone(partition!!) == zone) { "vm-$n: $partition" }
             }
         }
-        condition(one.partitionOf("vm-1", "nowhere") == null) { "a part in no zone" }
+        assertNull(one.partitionOf("vm-1", "nowhere")) { "a part in no zone" }
     }
 
     @Example
@@ -35,7 +37,7 @@
         val assignment = PartitionAssignment(listOf("z"), mapOf("a" to "z", "b" to "z", "c" to "z"))
         for (stride in 1..6) {
             val sizes = (0 until 300).groupingBy { assignment.partitionOf("vm-%06d".format(it * stride), "z") }.eachCount()
-            condition(sizes.size == 3 && sizes.values.all { it in 70..130 }) { "$stride: $sizes" }
+            assertTrue(sizes.size == 3 && sizes.values.all { it in 70..130 }) { "$stride: $sizes" }
         }
     }
 }
--- a/src/test/kotlin/lichenstage/cluster/PingPunctualityTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PingPunctualityTest.kt
@@ -4,7 +4,9 @@
 import lichenstage.app.MILLI
 import lichenstage.app.SECOND
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
 
 class PingPunctualityTest {
     private val pings = PingPunctuality(8 * SECOND, 700 * MILLI)
@@ -13,33 +15,33 @@
     fun `pings at their pace are punctual, after the window`() {
         var now = 0L
         repeat(5) { pings.pinged(now.also { now += 720 * MILLI }) }
-        condition(!pings.isPunctual(now), "too few so far")
+        assertFalse(pings.isPunctual(now), "too few so far")
         repeat(10) { pings.pinged(now.also { now += 720 * MILLI }) }
-        condition(pings.isPunctual(now), "a window of them")
-        condition(!pings.isPunctual(now + 5 * SECOND), "silence")
+        assertTrue(pings.isPunctual(now), "a window of them")
+        assertFalse(pings.isPunctual(now + 5 * SECOND), "silence")
     }
 
     @Example
     fun `a sender that stalls is not punctual`() {
         for (i in 0L..20) pings.pinged(i * 1500 * MILLI)
-        condition(!pings.isPunctual(20 * 1500 * MILLI), "half of them")
+        assertFalse(pings.isPunctual(20 * 1500 * MILLI), "half of them")
     }
 
     @Example
     fun `a receiver that stalls does not blame the sender`() {
         // Handled in bunches, but all of them.
         for (i in 0L..20) pings.pinged((i * 700 * MILLI / (2 * SECOND) + 1) * 2 * SECOND)
-        condition(pings.isPunctual(16 * SECOND), "all have come")
+        assertTrue(pings.isPunctual(16 * SECOND), "all have come")
     }
 
     @Example
     fun `the lag of an event loop rises at once and fades`() {
         val lag = LoopLag()
         lag.ran(dueUs = 0, now = 3 * SECOND)
-        condition(lag.us == 3 * SECOND, "${lag.us}")
+        assertEquals(3 * SECOND, lag.us, "${lag.us}")
         repeat(10) { lag.ran(it * SECOND, it * SECOND) }
-        condition(lag.us in SECOND / 2..3 * SECOND / 2, "${lag.us}")
+        assertTrue(lag.us in SECOND / 2..3 * SECOND / 2, "${lag.us}")
         repeat(100) { lag.ran(it * SECOND, it * SECOND) }
-        condition(lag.us < 10 * MILLI, "${lag.us}")
+        assertTrue(lag.us < 10 * MILLI, "${lag.us}")
     }
 }
--- a/src/test/kotlin/lichenstage/cluster/PlacementScoreTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PlacementScoreTest.kt
@@ -5,7 +5,8 @@
 import net.jqwik.api.Property
 import net.jqwik.api.constraints.IntRange
 import net.jqwik.api.constraints.Size
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 class PlacementScoreTest {
     private fun held(
@@ -22,20 +23,20 @@
         val rooms = drawn.map { Math.floorMod(it, 17) }
         val offers = rooms.mapIndexed { i, room -> held("m$i", room, i % 3 == 0) }
         val taken = PlacementScore.take(offers, count)
-        condition(taken.sumOf { it.count } == minOf(count, rooms.sum())) { "$rooms $count: $taken" }
-        condition(taken.all { it.count in 1..offers.first { o -> o.machine == it.machine }.count }) { "$rooms $count: $taken" }
+        assertEquals(minOf(count, rooms.sum()), taken.sumOf { it.count }) { "$rooms $count: $taken" }
+        assertTrue(taken.all { it.count in 1..offers.first { o -> o.machine == it.machine }.count }) { "$rooms $count: $taken" }
     }
 
     @Example
     fun `small requests leave whole machines whole`() {
         val taken = PlacementScore.take(listOf(held("whole", 16), held("broken", 5)), 3)
-        condition(taken.map { it.machine } == listOf("broken")) { "$taken" }
+        assertEquals(listOf("broken"), taken.map { it.machine }) { "$taken" }
     }
 
     @Example
     fun `what a request can use decides first, the image next`() {
         val offers = listOf(held("whole", 16), held("warm", 3, hasImage = true), held("warm whole", 16, hasImage = true))
-        condition(PlacementScore.take(offers, 8).map { it.machine } == listOf("warm whole")) { "${PlacementScore.take(offers, 8)}" }
-        condition(PlacementScore.take(offers, 2).map { it.machine } == listOf("warm")) { "${PlacementScore.take(offers, 2)}" }
+        assertEquals(listOf("warm whole"), PlacementScore.take(offers, 8).map { it.machine }) { "${PlacementScore.take(offers, 8)}" }
+        assertEquals(listOf("warm"), PlacementScore.take(offers, 2).map { it.machine }) { "${PlacementScore.take(offers, 2)}" }
     }
 }
--- a/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
@@ -9,7 +9,8 @@
 import lichenstage.jobs.JobSpec
 import lichenstage.placement.Registry
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.BitSet
 import java.util.HexFormat
 
@@ -51,10 +52,10 @@
                     codec.encodeToByteArray(PlacementFrame.serializer(), frame),
                 )
             val expected = ProductionLeaderFrame("z/0", 1, 2, 3, 4, stops = listOf(stop), closed = setOf("m"))
-            condition(read == expected) { "$read" }
+            assertEquals(expected, read) { "$read" }
         }
         val names = listOf(plain, saving).map { String(FrameCodec.encode(it), Charsets.ISO_8859_1).contains("saves") }
-        condition(names == listOf(false, true)) { "$names" }
+        assertEquals(listOf(false, true), names) { "$names" }
     }
 
     private val samples = JsonObject(javaClass.getResource("/production.json")!!.readText())
@@ -65,25 +66,25 @@
         for (name in frames.fieldNames()) {
             val bytes = HexFormat.of().parseHex(frames.getString(name))
             val frame = FrameCodec.decode(bytes)
-            condition(frame::class.simpleName == name) { "$name is read as $frame" }
-            condition(FrameCodec.encode(frame).contentEquals(bytes)) { "$name is written otherwise" }
+            assertEquals(name, frame::class.simpleName) { "$name is read as $frame" }
+            assertTrue(FrameCodec.encode(frame).contentEquals(bytes)) { "$name is written otherwise" }
         }
         val kinds =
             Frame::class.java.permittedSubclasses
                 ?.map { it.simpleName }
                 ?.toSet()
-        condition(frames.fieldNames() == kinds) { "frames that production does not know, or no sample: $kinds" }
+        assertEquals(kinds, frames.fieldNames()) { "frames that production does not know, or no sample: $kinds" }
     }
 
     @Example
     fun `records are read, and those of jobs that need no others are written as production writes them`() {
         val records = samples.getJsonObject("records")
         val spec = JobRecord.decode(records.getJsonObject("j"))
-        condition(JobRecord.encode(spec) == records.getJsonObject("j") && spec.needs.isEmpty()) { "$spec" }
+        assertTrue(JobRecord.encode(spec) == records.getJsonObject("j") && spec.needs.isEmpty()) { "$spec" }
         val done = BitSet().also { DoneRanges.decode(records.getJsonObject("d"), 0, it) }
-        condition(DoneRanges.encode(done, 0) == records.getJsonObject("d") && done.cardinality() == 6) { "$done" }
+        assertTrue(DoneRanges.encode(done, 0) == records.getJsonObject("d") && done.cardinality() == 6) { "$done" }
         val machines = Registry.decode(records.getJsonObject("m"))
-        condition(Registry.encode(machines) == records.getJsonObject("m")) { "$machines" }
+        assertEquals(records.getJsonObject("m"), Registry.encode(machines)) { "$machines" }
     }
 
     /** All that production reads of a record is there, in the form in which it reads it; what is new beside it is passed over. */
@@ -93,11 +94,13 @@
         val plain = JobRecord.decode(records.getJsonObject("j"))
         val spec: JobSpec = plain.copy(needs = listOf("j-7"))
         val written = JsonObject(JobRecord.encode(spec).encode())
-        condition(
+        assertTrue(
             records.getJsonObject("j").fieldNames().all { written.getValue(it) == records.getJsonObject("j").getValue(it) },
         ) { "$written" }
-        condition(JobRecord.decode(written) == spec) { "what it needs is lost" }
+        assertEquals(spec, JobRecord.decode(written)) { "what it needs is lost" }
         val over = JsonObject(JobRecord.over("done", 12, 5).encode())
-        condition(records.getJsonObject("x").fieldNames().all { over.getValue(it) == records.getJsonObject("x").getValue(it) }) { "$over" }
+        assertTrue(
+            records.getJsonObject("x").fieldNames().all { over.getValue(it) == records.getJsonObject("x").getValue(it) },
+        ) { "$over" }
     }
 }
--- a/src/test/kotlin/lichenstage/drain/DrainCoreTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainCoreTest.kt
@@ -6,7 +6,10 @@
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
 /** What drains do next, step by step. */
@@ -64,8 +67,8 @@
                 if (core.stage(name) == Stage.EMPTIED) cluster.conditions[name] = MachineCondition.GONE else cluster.tasks[name]?.clear()
             }
         }
-        condition(order == listOf("m4", "m3", "m2", "m1")) { "$order" }
-        condition(core.go().none { it is DrainAct.Interrupt }) { "interrupted" }
+        assertEquals(listOf("m4", "m3", "m2", "m1"), order) { "$order" }
+        assertTrue(core.go().none { it is DrainAct.Interrupt }) { "interrupted" }
     }
 
     @Example
@@ -76,10 +79,10 @@
         core.go()
         nowUs += 3 * SECOND
         val next = core.step(nowUs, 12)!!
-        condition(TaskId("j-1", 0) in next.interruptions && core.state.interruptions.isEmpty()) { "$next" }
-        condition(core.step(nowUs, 12) == null) { "a step while one is being recorded" }
-        condition(core.recorded(false).isEmpty() && core.state.interruptions.isEmpty()) { "done without a record" }
-        condition(core.go().interrupted() == listOf(TaskId("j-1", 0))) { "not tried again" }
+        assertTrue(TaskId("j-1", 0) in next.interruptions && core.state.interruptions.isEmpty()) { "$next" }
+        assertNull(core.step(nowUs, 12)) { "a step while one is being recorded" }
+        assertTrue(core.recorded(false).isEmpty() && core.state.interruptions.isEmpty()) { "done without a record" }
+        assertEquals(listOf(TaskId("j-1", 0)), core.go().interrupted()) { "not tried again" }
     }
 
     @Example
@@ -92,14 +95,14 @@
         cluster.machine("m3", failed)
         cluster.stop(failed.task)
         core.lost(Interruption(failed.task, failed.attempt, "red", InterruptionCause.FAILURE, nowUs))
-        repeat(3) { condition(core.go().interrupted().isEmpty()) { "beside a job that failed" } }
+        repeat(3) { assertTrue(core.go().interrupted().isEmpty()) { "beside a job that failed" } }
         cluster.restart("m3", failed, 2)
         core.go()
         val first = core.go().interrupted()
-        condition(first.size == 1) { "$first" }
+        assertEquals(1, first.size) { "$first" }
         cluster.stop(first.single())
-        repeat(3) { condition(core.go().interrupted().isEmpty()) { "a second job" } }
-        condition(core.state.interruptions.keys == first.toSet()) { "${core.state.interruptions}" }
+        repeat(3) { assertTrue(core.go().interrupted().isEmpty()) { "a second job" } }
+        assertEquals(first.toSet(), core.state.interruptions.keys) { "${core.state.interruptions}" }
     }
 
     /** A zone of some hundred machines loses thousands of tasks at once, more than were remembered, and more than can be recorded. */
@@ -111,12 +114,12 @@
         val failed = List(2_500) { task(2 + it) }
         failed.forEach { cluster.waiting += it.task }
         failed.forEach { core.lost(Interruption(it.task, it.attempt, "red", InterruptionCause.FAILURE, nowUs)) }
-        repeat(3) { condition(core.go().interrupted().isEmpty()) { "beside all of them" } }
+        repeat(3) { assertTrue(core.go().interrupted().isEmpty()) { "beside all of them" } }
         cluster.waiting.retainAll(setOf(failed.last().task))
-        repeat(5) { condition(core.go().interrupted().isEmpty()) { "beside the last of them" } }
+        repeat(5) { assertTrue(core.go().interrupted().isEmpty()) { "beside the last of them" } }
         cluster.waiting.clear()
         val first = (1..3).flatMap { core.go().interrupted() }
-        condition(first.toSet() == setOf(TaskId("j-1", 0))) { "$first once all run again" }
+        assertEquals(setOf(TaskId("j-1", 0)), first.toSet()) { "$first once all run again" }
     }
 
     @Example
@@ -136,7 +139,7 @@
         val recorded = next.copy(interruptions = mapOf(announced to row(announced)).toPersistentMap())
         val core = core(state = recorded)
         core.asked(listOf(drain(atMost = 2)), emptyList())
-        condition(core.go().interrupted() == listOf(announced)) { "not stopped again, or another one besides" }
+        assertEquals(listOf(announced), core.go().interrupted()) { "not stopped again, or another one besides" }
     }
 
     private fun row(task: TaskId) = Interruption(task, 1, "red", InterruptionCause.DRAIN, nowUs)
@@ -148,14 +151,14 @@
         before.asked(listOf(drain(atMost = 4)), machines("m1", "m2", "m3", "m4"))
         before.go()
         val first = before.go().interrupted()
-        condition(first.size == 2) { "$first" }
+        assertEquals(2, first.size) { "$first" }
         first.forEach(cluster::stop)
         val tighter = core(DrainPolicy(DisruptionBudget(jobs = 1)), before.state)
         tighter.asked(listOf(drain(atMost = 4)), emptyList())
-        repeat(3) { condition(tighter.go().interrupted().isEmpty()) { "beside two" } }
+        repeat(3) { assertTrue(tighter.go().interrupted().isEmpty()) { "beside two" } }
         val looser = core(DrainPolicy(DisruptionBudget(jobs = 3)), tighter.state)
         looser.asked(listOf(drain(atMost = 4)), emptyList())
-        condition(looser.go().interrupted().size == 1) { "not one more" }
+        assertEquals(1, looser.go().interrupted().size) { "not one more" }
     }
 
     @Example
@@ -164,10 +167,10 @@
         val budget = DisruptionBudget(jobs = 5, hours = Hours(22, 6), neverClasses = setOf("invoices"))
         val core = core(DrainPolicy(budget))
         core.asked(listOf(drain()), machines("m1"))
-        repeat(3) { condition(core.go(hour = 23).interrupted().isEmpty()) { "interrupted" } }
+        repeat(3) { assertTrue(core.go(hour = 23).interrupted().isEmpty()) { "interrupted" } }
         cluster.tasks.getValue("m1") += task(3)
-        condition(core.go(hour = 12).interrupted().isEmpty()) { "out of hours" }
-        condition(core.go(hour = 23).interrupted() == listOf(TaskId("j-3", 0))) { "not within hours" }
+        assertTrue(core.go(hour = 12).interrupted().isEmpty()) { "out of hours" }
+        assertEquals(listOf(TaskId("j-3", 0)), core.go(hour = 23).interrupted()) { "not within hours" }
     }
 
     @Example
@@ -178,12 +181,12 @@
         core.asked(listOf(drain()), machines("m1"))
         core.go()
         val first = core.go().interrupted()
-        condition(first.size == 2) { "$first" }
+        assertEquals(2, first.size) { "$first" }
         first.forEach(cluster::stop)
-        condition(core.go().interrupted().isEmpty()) { "a third of ten" }
+        assertTrue(core.go().interrupted().isEmpty()) { "a third of ten" }
         val small = FakeCluster.task(9)
-        condition(
-            !BudgetCheck(DrainPolicy(DisruptionBudget(share = 0.25)), mapOf("red" to 3), 0, emptyList()).take(small),
+        assertFalse(
+            BudgetCheck(DrainPolicy(DisruptionBudget(share = 0.25)), mapOf("red" to 3), 0, emptyList()).take(small),
         ) { "one of three" }
     }
 
@@ -192,23 +195,23 @@
         cluster.machine("m1", task(1))
         val core = core()
         core.asked(listOf(drain(replace = true)), machines("m1"))
-        condition(core.go() == listOf(DrainAct.HireLike(DrainKey("d", "m1")))) { "no machine asked for" }
-        repeat(5) { condition(core.go().isEmpty() && core.cordoned.isEmpty()) { "asked twice, or cordoned" } }
+        assertEquals(listOf(DrainAct.HireLike(DrainKey("d", "m1"))), core.go()) { "no machine asked for" }
+        repeat(5) { assertTrue(core.go().isEmpty() && core.cordoned.isEmpty()) { "asked twice, or cordoned" } }
         core.hired(DrainKey("d", "m1"), "n1")
         core.go()
-        condition(core.onProbation == setOf("n1") && core.spare == setOf("n1")) { "${core.onProbation}" }
+        assertTrue(core.onProbation == setOf("n1") && core.spare == setOf("n1")) { "${core.onProbation}" }
         cluster.machine("n1")
         core.go()
-        condition(core.cordoned.isEmpty()) { "cordoned before the other has started anything" }
+        assertTrue(core.cordoned.isEmpty()) { "cordoned before the other has started anything" }
         cluster.tasks.getValue("n1") += task(2)
         core.go()
-        condition(core.cordoned == setOf("m1") && core.onProbation.isEmpty()) { "${core.cordoned}" }
-        condition(core.go().interrupted() == listOf(TaskId("j-1", 0))) { "not emptied" }
+        assertTrue(core.cordoned == setOf("m1") && core.onProbation.isEmpty()) { "${core.cordoned}" }
+        assertEquals(listOf(TaskId("j-1", 0)), core.go().interrupted()) { "not emptied" }
         cluster.stop(TaskId("j-1", 0))
-        condition(DrainAct.GiveBack("m1") in core.go()) { "not given back" }
+        assertTrue(DrainAct.GiveBack("m1") in core.go()) { "not given back" }
         cluster.conditions["m1"] = MachineCondition.GONE
         core.go()
-        condition(core.stage("m1") == Stage.REPLACED) { "${core.stage("m1")}" }
+        assertEquals(Stage.REPLACED, core.stage("m1")) { "${core.stage("m1")}" }
     }
 
     @Example
@@ -226,14 +229,14 @@
                     cluster.machine("n${asked.size}")
                     cluster.faulty += "n${asked.size}"
                 }
-                if (act is DrainAct.GiveBack) condition(act.machine.startsWith("n")) { "$act" }
+                if (act is DrainAct.GiveBack) assertTrue(act.machine.startsWith("n")) { "$act" }
                 if (act is DrainAct.Pause && pause == null) pause = act
             }
             pause?.let { core.asked(listOf(drain(replace = true, status = DrainStatus.PAUSED)), emptyList()) }
         }
-        condition(asked.size == 3 && asked[2] - asked[1] > asked[1] - asked[0]) { "asked at $asked" }
-        condition(pause?.reason?.contains("n3") == true) { "$pause" }
-        condition(core.cordoned.isEmpty() && core.onProbation.isEmpty()) { "goes on although it is paused" }
+        assertTrue(asked.size == 3 && asked[2] - asked[1] > asked[1] - asked[0]) { "asked at $asked" }
+        assertEquals(true, pause?.reason?.contains("n3")) { "$pause" }
+        assertTrue(core.cordoned.isEmpty() && core.onProbation.isEmpty()) { "goes on although it is paused" }
     }
 
     @Example
@@ -242,11 +245,11 @@
         val core = core()
         core.asked(listOf(drain(replace = true)), machines("m1"))
         core.go()
-        repeat(150) { condition(core.go().isEmpty()) { "did something without a machine" } }
+        repeat(150) { assertTrue(core.go().isEmpty()) { "did something without a machine" } }
         core.hired(DrainKey("d", "m1"), "n1")
         core.go()
         val acts = (1..150).flatMap { core.go() }
-        condition(acts.first() == DrainAct.GiveBack("n1") && acts.count { it is DrainAct.HireLike } == 1) { "$acts" }
+        assertTrue(acts.first() == DrainAct.GiveBack("n1") && acts.count { it is DrainAct.HireLike } == 1) { "$acts" }
     }
 
     @Example
@@ -259,13 +262,13 @@
             machines("m1", drain = "early") + machines("m1", "m2", drain = "late"),
         )
         core.go()
-        condition(core.stage("m1", "early") == Stage.CORDONED && core.stage("m1", "late") == Stage.WAITING) { "${core.state.machines}" }
-        condition(core.stage("m2", "late") == Stage.CORDONED) { "the second drain waits for nothing" }
+        assertTrue(core.stage("m1", "early") == Stage.CORDONED && core.stage("m1", "late") == Stage.WAITING) { "${core.state.machines}" }
+        assertEquals(Stage.CORDONED, core.stage("m2", "late")) { "the second drain waits for nothing" }
         core.go()
         cluster.conditions["m1"] = MachineCondition.GONE
         core.go()
-        condition(core.stage("m1", "early") == Stage.GONE && core.stage("m1", "late") == Stage.GONE) { "${core.state.machines}" }
-        condition(core.go().none { it is DrainAct.Finish }) { "asked to finish twice" }
+        assertTrue(core.stage("m1", "early") == Stage.GONE && core.stage("m1", "late") == Stage.GONE) { "${core.state.machines}" }
+        assertTrue(core.go().none { it is DrainAct.Finish }) { "asked to finish twice" }
     }
 
     @Example
@@ -276,7 +279,7 @@
         core.go()
         cluster.conditions["m1"] = MachineCondition.LOST
         val acts = (1..5).flatMap { core.go() }
-        condition(core.stage("m1") == Stage.FAILED && acts == listOf(DrainAct.Finish("d"))) { "$acts" }
+        assertTrue(core.stage("m1") == Stage.FAILED && acts == listOf(DrainAct.Finish("d"))) { "$acts" }
     }
 
     @Example
@@ -285,7 +288,7 @@
         cluster.complete = false
         val core = core()
         core.asked(listOf(drain()), machines("m1"))
-        condition(core.step(nowUs, 0) == null) { "a step of a leader that knows too little" }
+        assertNull(core.step(nowUs, 0)) { "a step of a leader that knows too little" }
     }
 
     /** Whatever runs where, never more is interrupted than all budgets allow together. */
@@ -320,7 +323,7 @@
             val red =
                 core.state.interruptions.values
                     .filter { it.team == "red" }
-            condition(red.map { it.task.job }.distinct().size <= policy.default.jobs!!) { "seed $seed: $red" }
+            assertTrue(red.map { it.task.job }.distinct().size <= policy.default.jobs!!) { "seed $seed: $red" }
             val blue =
                 core.state.interruptions.values
                     .count { it.team == "blue" }
@@ -328,7 +331,7 @@
                 cluster.tasks.values
                     .flatten()
                     .count { it.team == "blue" } + cluster.waiting.count { it.job.endsWith("blue") }
-            condition(blue <= policy.of("blue").share!! * all + 1e-9) { "seed $seed: $blue of $all" }
+            assertTrue(blue <= policy.of("blue").share!! * all + 1e-9) { "seed $seed: $blue of $all" }
             cluster.waiting.toList().filter { random.nextInt(4) == 0 }.forEach { back ->
                 cluster.restart(
                     "m${random.nextInt(6)}",
--- a/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
@@ -11,7 +11,8 @@
 import lichenstage.state.OwnedKeys
 import lichenstage.state.Scan
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 /** The driver of drains against a model of the state service. */
 @OptIn(ExperimentalCoroutinesApi::class)
@@ -107,16 +108,16 @@
         ask("d", "m1")
         val driver = driver()
         driver.run(2)
-        condition(stages("d") == mapOf("m1" to Stage.CORDONED) && driver.cordoned == setOf("m1")) { "${stages("d")}" }
-        condition(hands.givenBack.isEmpty()) { "given back before all know that it is cordoned" }
+        assertTrue(stages("d") == mapOf("m1" to Stage.CORDONED) && driver.cordoned == setOf("m1")) { "${stages("d")}" }
+        assertTrue(hands.givenBack.isEmpty()) { "given back before all know that it is cordoned" }
         driver.run(3)
-        condition(stages("d") == mapOf("m1" to Stage.EMPTIED) && "m1" in hands.givenBack) { "${stages("d")} ${hands.givenBack}" }
+        assertTrue(stages("d") == mapOf("m1" to Stage.EMPTIED) && "m1" in hands.givenBack) { "${stages("d")} ${hands.givenBack}" }
         cluster.conditions["m1"] = MachineCondition.GONE
         driver.run(6)
-        condition(stages("d").getValue("m1") == Stage.GONE && status("d") == "FINISHED") { "${stages("d")} ${status("d")}" }
+        assertTrue(stages("d").getValue("m1") == Stage.GONE && status("d") == "FINISHED") { "${stages("d")} ${status("d")}" }
         val revision = store.revision
         driver.run(10)
-        condition(store.revision == revision) { "writes although nothing changes" }
+        assertEquals(revision, store.revision) { "writes although nothing changes" }
     }
 
     @Example
@@ -129,11 +130,11 @@
         store.refusing = true
         cluster.conditions["m1"] = MachineCondition.GONE
         driver.run(5)
-        condition(stages("d") == before && driver.cordoned == setOf("m1")) { "${stages("d")}" }
+        assertTrue(stages("d") == before && driver.cordoned == setOf("m1")) { "${stages("d")}" }
         store.refusing = false
         store.apply(emptyMap(), listOf(Change.Put("c/leader", JsonObject().put("label", "another"))))
         driver.run(5)
-        condition(stages("d") == before && status("d") == "RUNNING") { "${stages("d")} ${status("d")}" }
+        assertTrue(stages("d") == before && status("d") == "RUNNING") { "${stages("d")} ${status("d")}" }
     }
 
     @Example
@@ -143,7 +144,7 @@
         ask("whole", "m2")
         store.apply(emptyMap(), listOf(Change.Put(DrainRecords.DRAINS + "broken", JsonObject().put("form", 9))))
         driver().run(4)
-        condition(
+        assertTrue(
             stages("broken").getValue("m1") == Stage.WAITING && stages("whole").getValue("m2") == Stage.CORDONED,
         ) { "${stages("whole")}" }
     }
@@ -154,7 +155,7 @@
         ask("d", "m1")
         store.apply(emptyMap(), listOf(Change.Put(DrainRecords.INTERRUPTIONS + "0", JsonObject().put("form", 9))))
         driver().run(6)
-        condition(stages("d").getValue("m1") == Stage.WAITING) { "${stages("d")}" }
+        assertEquals(Stage.WAITING, stages("d").getValue("m1")) { "${stages("d")}" }
     }
 
     @Example
@@ -163,14 +164,14 @@
         ask("d", "m1")
         val first = driver()
         first.run(4)
-        condition(first.cordoned == setOf("m1")) { "not cordoned" }
+        assertEquals(setOf("m1"), first.cordoned) { "not cordoned" }
         val second = driver()
         second.run(4)
-        condition(second.cordoned == setOf("m1")) { "a new leader has forgotten it" }
+        assertEquals(setOf("m1"), second.cordoned) { "a new leader has forgotten it" }
         val entry = store.entries.getValue(DrainRecords.DRAINS + "d")
         val paused = records.decodeDrain(entry).copy(status = DrainStatus.PAUSED)
         store.apply(emptyMap(), listOf(Change.Put(entry.key, records.encode(paused))))
         second.run(4)
-        condition(second.cordoned.isEmpty()) { "still cordoned" }
+        assertTrue(second.cordoned.isEmpty()) { "still cordoned" }
     }
 }
--- a/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
@@ -17,7 +17,9 @@
 import lichenstage.state.Read
 import lichenstage.state.Scan
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
 
 /** What operators ask for on the command line. */
 class DrainOperationsTest {
@@ -93,37 +95,37 @@
                 request(name = "a/b") to "a/b: a name of letters, digits and dashes is needed",
                 request(DrainSelection(zone = "y")) to "--zone y: jobs are bound to it, and no machine would be left: --replace is needed",
             )
-        for ((request, why) in refusals) condition(start(request) == DrainAnswer.Refused(why)) { "${start(request)}, not $why" }
-        condition(store.revision == before + 1) { "something was written" }
-        condition(start(request(DrainSelection(zone = "y"), replace = true)) is DrainAnswer.Shown) { "refused with --replace" }
+        for ((request, why) in refusals) assertEquals(DrainAnswer.Refused(why), start(request)) { "${start(request)}, not $why" }
+        assertEquals(before + 1, store.revision) { "something was written" }
+        assertTrue(start(request(DrainSelection(zone = "y"), replace = true)) is DrainAnswer.Shown) { "refused with --replace" }
     }
 
     @Example
     fun `machines are selected by name, type, zone, kind and the order of hiring`() {
         fun planned(selection: DrainSelection) = (start(request(selection, dryRun = true)) as DrainAnswer.Planned).machines.map { it.name }
         val before = store.revision
-        condition(planned(DrainSelection(setOf("vm-007"))) == listOf("vm-007")) { "by name" }
-        condition(planned(DrainSelection(typeName = "g", zone = "y")).size == 50) { "by type and zone" }
-        condition(planned(DrainSelection(spot = true)).size == 100 && planned(DrainSelection(spot = false)).size == 200) { "by kind" }
-        condition(planned(DrainSelection(hiredUpTo = "vm-010")).last() == "vm-010") { "by order" }
-        condition(store.revision == before) { "a dry run writes" }
+        assertEquals(listOf("vm-007"), planned(DrainSelection(setOf("vm-007")))) { "by name" }
+        assertEquals(50, planned(DrainSelection(typeName = "g", zone = "y")).size) { "by type and zone" }
+        assertTrue(planned(DrainSelection(spot = true)).size == 100 && planned(DrainSelection(spot = false)).size == 200) { "by kind" }
+        assertEquals("vm-010", planned(DrainSelection(hiredUpTo = "vm-010")).last()) { "by order" }
+        assertEquals(before, store.revision) { "a dry run writes" }
         val text = DrainReport.planned(start(request(DrainSelection(hiredUpTo = "vm-003"), dryRun = true)) as DrainAnswer.Planned)
-        condition(text.lines().size == 3 && text.lines().last() == "step 2: vm-003 (h, z)") { text }
+        assertTrue(text.lines().size == 3 && text.lines().last() == "step 2: vm-003 (h, z)") { text }
     }
 
     @Example
     fun `a drain that was asked for half is asked for again under its name, and is there once`() {
         store.answered = 1
-        condition(start(request()) == DrainAnswer.Unavailable) { "told as done" }
-        condition(store.entries.keys.none { it.startsWith(DrainRecords.DRAINS) }) { "there without its machines" }
+        assertEquals(DrainAnswer.Unavailable, start(request())) { "told as done" }
+        assertTrue(store.entries.keys.none { it.startsWith(DrainRecords.DRAINS) }) { "there without its machines" }
         store.answered = Int.MAX_VALUE
         val shown = start(request()) as DrainAnswer.Shown
-        condition(shown.reports.single().stages == mapOf(Stage.WAITING to 150)) { "${shown.reports.single().stages}" }
+        assertEquals(mapOf(Stage.WAITING to 150), shown.reports.single().stages) { "${shown.reports.single().stages}" }
         val revision = store.revision
-        condition(start(request()) is DrainAnswer.Shown && store.revision == revision) { "a repeat writes" }
-        condition(start(request(atMost = 7)) is DrainAnswer.Refused) { "another drain under the same name" }
+        assertTrue(start(request()) is DrainAnswer.Shown && store.revision == revision) { "a repeat writes" }
+        assertTrue(start(request(atMost = 7)) is DrainAnswer.Refused) { "another drain under the same name" }
         store.away = true
-        condition(start(request()) == DrainAnswer.Unavailable) { "decided without the state service" }
+        assertEquals(DrainAnswer.Unavailable, start(request())) { "decided without the state service" }
     }
 
     @Example
@@ -138,17 +140,15 @@
                 ?.single()
                 ?.drain
                 ?.status
-        condition(status(change(DrainStatus.PAUSED)) == DrainStatus.PAUSED) { "not paused" }
-        condition(status(change(DrainStatus.RUNNING)) == DrainStatus.RUNNING) { "not resumed" }
-        condition(status(change(DrainStatus.CANCELLED)) == DrainStatus.CANCELLED) { "not cancelled" }
-        condition(change(DrainStatus.RUNNING) == DrainAnswer.Refused("spring: it is cancelled")) { "resumed after its end" }
-        condition(
-            runBlocking {
+        assertEquals(DrainStatus.PAUSED, status(change(DrainStatus.PAUSED))) { "not paused" }
+        assertEquals(DrainStatus.RUNNING, status(change(DrainStatus.RUNNING))) { "not resumed" }
+        assertEquals(DrainStatus.CANCELLED, status(change(DrainStatus.CANCELLED))) { "not cancelled" }
+        assertEquals(DrainAnswer.Refused("spring: it is cancelled"), change(DrainStatus.RUNNING)) { "resumed after its end" }
+        assertEquals(DrainAnswer.Refused("autumn: there is no such drain"), runBlocking {
                 operations.change("autumn", DrainStatus.PAUSED)
-            } == DrainAnswer.Refused("autumn: there is no such drain"),
-        ) { "unknown" }
+            }) { "unknown" }
         val json = (runBlocking { operations.show(null) } as DrainAnswer.Shown).reports.single().json()
-        condition(json.getString("status") == "cancelled" && json.getJsonObject("stages").getInteger("waiting") == 150) { json.encode() }
+        assertTrue(json.getString("status") == "cancelled" && json.getJsonObject("stages").getInteger("waiting") == 150) { json.encode() }
     }
 
     @Example
@@ -156,11 +156,11 @@
         val drain = Drain("d", false, 1, DrainStatus.RUNNING, null, 0, 100 * SECOND)
         val rows = (1..10).map { DrainedMachine("m$it", "d", if (it <= 2) Stage.GONE else Stage.WAITING, 0) }
         val state = DrainState().let { it.copy(machines = it.machines.putAll(rows.associateBy { row -> row.key })) }
-        condition(!DrainReport.of(drain, state, 10 * SECOND).isLate) { "5 s a machine leave time" }
-        condition(DrainReport.of(drain, state, 40 * SECOND).isLate) { "20 s a machine do not" }
-        condition(DrainReport.of(drain, state, 40 * SECOND).text().contains("it can't be kept")) {
+        assertFalse(DrainReport.of(drain, state, 10 * SECOND).isLate) { "5 s a machine leave time" }
+        assertTrue(DrainReport.of(drain, state, 40 * SECOND).isLate) { "20 s a machine do not" }
+        assertTrue(DrainReport.of(drain, state, 40 * SECOND).text().contains("it can't be kept")) {
             DrainReport.of(drain, state, 40 * SECOND).text()
         }
-        condition(JsonObject(DrainReport.of(drain, state, 40 * SECOND).json().encode()).getBoolean("late")) { "not in JSON" }
+        assertTrue(JsonObject(DrainReport.of(drain, state, 40 * SECOND).json().encode()).getBoolean("late")) { "not in JSON" }
     }
 }
--- a/src/test/kotlin/lichenstage/drain/DrainRecordsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainRecordsTest.kt
@@ -7,7 +7,8 @@
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
 class DrainRecordsTest {
@@ -51,9 +52,9 @@
                 },
                 entries.filter { it.key.startsWith(DrainRecords.INTERRUPTIONS) },
             )
-        condition(read == state) { "seed $seed" }
+        assertEquals(state, read) { "seed $seed" }
         val machines = pages.filterKeys { it.startsWith(DrainRecords.MACHINES) }
-        condition(
+        assertTrue(
             machines.values.all { it.encode().length <= valueBytes },
         ) { "seed $seed: ${machines.values.maxOf { it.encode().length }}" }
     }
@@ -63,13 +64,13 @@
         val records = DrainRecords(8_192)
         val state = state(Random(5))
         val pages = records.encodeState(state)
-        condition(DrainRecords.changes(pages, pages).isEmpty()) { "written again" }
+        assertTrue(DrainRecords.changes(pages, pages).isEmpty()) { "written again" }
         val one = state.machines.values.first()
         val moved = records.encodeState(state.copy(machines = state.machines.put(one.key, one.copy(stage = Stage.WAITING, sinceUs = 7))))
-        condition(DrainRecords.changes(pages, moved).size == 1) { "${DrainRecords.changes(pages, moved).size} pages for one machine" }
-        condition(DrainRecords.changes(emptyMap(), records.encodeState(DrainState())).isEmpty()) { "empty pages are written" }
+        assertEquals(1, DrainRecords.changes(pages, moved).size) { "${DrainRecords.changes(pages, moved).size} pages for one machine" }
+        assertTrue(DrainRecords.changes(emptyMap(), records.encodeState(DrainState())).isEmpty()) { "empty pages are written" }
         val cleared = DrainRecords.changes(pages, records.encodeState(state.copy(interruptions = DrainState().interruptions)))
-        condition(cleared.all { (it as Change.Put).value.getJsonArray("rows").isEmpty }) { "$cleared" }
+        assertTrue(cleared.all { (it as Change.Put).value.getJsonArray("rows").isEmpty }) { "$cleared" }
     }
 
     @Example
@@ -77,13 +78,13 @@
         val records = DrainRecords(8_192)
         val drain = Drain("d", true, 3, DrainStatus.PAUSED, "why", 5, 9)
         val entry = Entry(DrainRecords.DRAINS + "d", records.encode(drain), 1)
-        condition(records.decodeDrain(entry) == drain) { "${records.decodeDrain(entry)}" }
+        assertEquals(drain, records.decodeDrain(entry)) { "${records.decodeDrain(entry)}" }
         for (wrong in listOf(JsonObject(), records.encode(drain).put("form", 2), records.encode(drain).put("status", "DANCING"))) {
             val complaint = runCatching { records.decodeDrain(Entry(entry.key, wrong, 1)) }.exceptionOrNull()
-            condition(complaint is UnreadableRecord && complaint.message!!.startsWith(entry.key)) { "$wrong: $complaint" }
+            assertTrue(complaint is UnreadableRecord && complaint.message!!.startsWith(entry.key)) { "$wrong: $complaint" }
         }
         val page =
             runCatching { records.decodeMachines(Entry(DrainRecords.MACHINES + "d/0", JsonObject().put("form", 1).put("rows", "x"), 1)) }
-        condition(page.exceptionOrNull() is UnreadableRecord) { "$page" }
+        assertTrue(page.exceptionOrNull() is UnreadableRecord) { "$page" }
     }
 }
--- a/src/test/kotlin/lichenstage/drain/DrainTracingTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainTracingTest.kt
@@ -4,7 +4,8 @@
 import io.opentelemetry.sdk.trace.SdkTracerProvider
 import io.opentelemetry.sdk.trace.export.SimpleSpanProcessor
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 class DrainTracingTest {
     private val exporter = InMemorySpanExporter.create()
@@ -21,20 +22,23 @@
         tracing.act(DrainAct.HireLike(DrainKey("d", "m1")))
         tracing.act(DrainAct.Interrupt(listOf(FakeCluster.task(1))))
         tracing.act(DrainAct.GiveBack("m1"))
-        condition(
-            exporter.finishedSpanItems.map { it.name } == listOf("hire", "interrupt", "give back"),
+        assertEquals(
+            listOf("hire", "interrupt", "give back"),
+            exporter.finishedSpanItems.map { it.name },
         ) { "${exporter.finishedSpanItems}" }
         tracing.act(DrainAct.Finish("d"))
         val drain = exporter.finishedSpanItems.last()
-        condition(drain.name == "drain" && drain.events.map { it.name } == listOf("hire")) { "$drain" }
+        assertTrue(drain.name == "drain" && drain.events.map { it.name } == listOf("hire")) { "$drain" }
     }
 
     @Example
     fun `spans of drains that never end are bounded, and without a tracer there are none`() {
         val tracing = DrainTracing(tracer)
         repeat(100) { tracing.act(DrainAct.HireLike(DrainKey("d$it", "m"))) }
-        condition(exporter.finishedSpanItems.count { it.name == "drain" } >= 68) { "all kept open" }
+        assertTrue(exporter.finishedSpanItems.count { it.name == "drain" } >= 68) { "all kept open" }
         DrainTracing().act(DrainAct.Finish("x"))
-        condition(exporter.finishedSpanItems.none { it.name == "drain" && it.attributes.toString().contains("drain=\"x\"") }) { "traced" }
+        assertTrue(
+            exporter.finishedSpanItems.none { it.name == "drain" && it.attributes.toString().contains("drain=\"x\"") },
+        ) { "traced" }
     }
 }
--- a/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
@@ -3,7 +3,10 @@
 import lichenstage.app.SECOND
 import lichenstage.cluster.Shape
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNotEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
 
 class FleetCoreTest {
     private fun fleet(forecast: DemandForecast = DemandForecast(0)) =
@@ -28,18 +31,18 @@
         fleet.observe(demand(4.0), { null }, SECOND)
         val first = fleet.rentNow(SECOND)!!
         fleet.hired(first, Hired.Unclear, SECOND)
-        condition(fleet.rentNow(2 * SECOND) == first) { "another request was made" }
+        assertEquals(first, fleet.rentNow(2 * SECOND)) { "another request was made" }
         fleet.hired(first, Hired.Machines(listOf("vm-1")), 2 * SECOND)
         val second = fleet.rentNow(3 * SECOND)!!
-        condition(second.name != first.name) { "the name was used again" }
+        assertNotEquals(first.name, second.name) { "the name was used again" }
     }
 
     @Example
     fun `nothing is rented before the list was read once`() {
         val fleet = FleetCore(3, FleetPolicy(), DemandForecast(0))
         fleet.observe(demand(4.0), { null }, SECOND)
-        condition(fleet.next(SECOND) == CloudCall.ListAll) { "the list comes first" }
-        condition(fleet.next(2 * SECOND) == null) { "rented without knowing what there is" }
+        assertEquals(CloudCall.ListAll, fleet.next(SECOND)) { "the list comes first" }
+        assertNull(fleet.next(2 * SECOND)) { "rented without knowing what there is" }
     }
 
     @Example
@@ -52,7 +55,7 @@
             kinds += hire.spot
             fleet.hired(hire, Hired.NoCapacity, SECOND)
         }
-        condition(kinds == listOf(true, true, false)) { "$kinds" }
+        assertEquals(listOf(true, true, false), kinds) { "$kinds" }
     }
 
     /** As work that waits now they were counted beside what is expected of their classes, and a tenth more was paid for nothing. */
@@ -61,20 +64,20 @@
         val foreseen = Demand("t", true, 4.0, 4.0 * 45 * SECOND, null, foreseenInUs = 45 * SECOND)
         val idle = fleet()
         idle.observe(listOf(foreseen), { null }, SECOND)
-        condition(idle.rentNow(SECOND)?.count == 2) { "4 machines are 2 in each of two zones" }
+        assertEquals(2, idle.rentNow(SECOND)?.count) { "4 machines are 2 in each of two zones" }
         val forecast = DemandForecast(0)
         val fleet = fleet(forecast)
         for (s in 1L..200L step 10) forecast.arrived(JobArrival("t", s * SECOND, 5.0, 20 * SECOND, urgent = false))
         repeat(14) { fleet.known("m$it", "t", "z", true, 0, 200 * SECOND) }
         fleet.observe(listOf(foreseen), { seen(1) }, 200 * SECOND)
-        condition(fleet.next(202 * SECOND) !is CloudCall.Rent) { "rented beside the 10 that are expected" }
+        assertTrue(fleet.next(202 * SECOND) !is CloudCall.Rent) { "rented beside the 10 that are expected" }
     }
 
     @Example
     fun `jobs that may not run on cheap machines get dear ones`() {
         val fleet = fleet()
         fleet.observe(listOf(Demand("t", false, 4.0, 400.0 * SECOND, null)), { null }, SECOND)
-        condition(fleet.rentNow(SECOND)?.spot == false) { "rented a cheap one" }
+        assertEquals(false, fleet.rentNow(SECOND)?.spot) { "rented a cheap one" }
     }
 
     @Example
@@ -88,8 +91,8 @@
         now += 60 * SECOND
         look()
         look()
-        condition(fleet.cordoned() == setOf("a", "b", "c")) { "${fleet.cordoned()}" }
-        condition(fleet.next(now) == CloudCall.GiveBack(listOf("b", "c"))) { "${fleet.next(now)}" }
+        assertEquals(setOf("a", "b", "c"), fleet.cordoned()) { "${fleet.cordoned()}" }
+        assertEquals(CloudCall.GiveBack(listOf("b", "c")), fleet.next(now)) { "${fleet.next(now)}" }
     }
 
     @Example
@@ -104,13 +107,13 @@
         ) = forecast.arrived(JobArrival("t", now, 5.0, 20 * SECOND, urgent))
         for (s in 1L..300L step 10) come(s * SECOND, urgent = false)
         val calm = forecast.machines("t", 0.85, 300 * SECOND)
-        condition(calm in 9.0..15.0) { "5 machines for 20 s every 10 s are 10 on average: $calm" }
+        assertTrue(calm in 9.0..15.0) { "5 machines for 20 s every 10 s are 10 on average: $calm" }
         for (s in 1L..300L step 10) come(300 * SECOND + s * SECOND, urgent = true)
         val urgent = forecast.machines("t", 0.85, 600 * SECOND)
-        condition(urgent in 14.0..20.0) { "and 7 is their spread: $urgent" }
+        assertTrue(urgent in 14.0..20.0) { "and 7 is their spread: $urgent" }
         for (s in 0L..50L step 10) fleet.observe(emptyList(), { seen(0) }, (600 + s) * SECOND)
-        condition(fleet.cordoned().size in 8..30) { "${fleet.cordoned()}" }
-        condition(forecast.machines("t", 0.85, 900 * SECOND) == 0.0) { "nothing comes any more" }
+        assertTrue(fleet.cordoned().size in 8..30) { "${fleet.cordoned()}" }
+        assertEquals(0.0, forecast.machines("t", 0.85, 900 * SECOND)) { "nothing comes any more" }
     }
 
     /** On the upgrade days each new leader kept hundreds of idle machines for the 100 s in which its forecast learns. */
@@ -126,9 +129,9 @@
         ) = fleet.observe(listOf(Demand("t", true, busy, 0.0, null, busy, 0.0)), { seen(1) }, began + afterS * SECOND)
         look(1, 20.0)
         look(2, 8.0)
-        condition(fleet.cordoned().isEmpty()) { "drained at once" }
+        assertTrue(fleet.cordoned().isEmpty()) { "drained at once" }
         look(40, 8.0)
-        condition(fleet.cordoned().size == 15) { "20 were in use, 25 are to be kept: ${fleet.cordoned().size} of 40 drain" }
+        assertEquals(15, fleet.cordoned().size) { "20 were in use, 25 are to be kept: ${fleet.cordoned().size} of 40 drain" }
     }
 
     @Example
@@ -138,7 +141,7 @@
             val names = List(count) { "m$it" }
             names.forEach { fleet.known(it, "t", "z", false, 0, 0) }
             fleet.observe(demand(9.0), { MachineStatus(up = true, silent = true, lost = false, tasks = 1, faulty = false) }, 100 * SECOND)
-            condition(fleet.cordoned().isNotEmpty() == (count == 1)) { "$count silent: ${fleet.cordoned()}" }
+            assertEquals((count == 1), fleet.cordoned().isNotEmpty()) { "$count silent: ${fleet.cordoned()}" }
         }
     }
 }
--- a/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
@@ -11,7 +11,8 @@
 import net.jqwik.api.Property
 import net.jqwik.api.Provide
 import net.jqwik.api.constraints.IntRange
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.BitSet
 import java.util.Random
 
@@ -35,9 +36,9 @@
     @Example
     fun `a submission as the protocol shows it is read, unknown fields and all`() {
         val spec = JobCodec.submission(submission(), 7)
-        condition(spec.id == "j-000412" && spec.tasks == 16 && spec.shape == Shape(8.0, 1.0, 64.0)) { "$spec" }
-        condition(spec.deadlineUs == 900_000_000L && spec.estimateUs == 240_000_000L && spec.submittedUs == 7L) { "$spec" }
-        condition(spec.allowedTypes == listOf("g8") && spec.zone == null && spec.sameZone && spec.spot) { "$spec" }
+        assertTrue(spec.id == "j-000412" && spec.tasks == 16 && spec.shape == Shape(8.0, 1.0, 64.0)) { "$spec" }
+        assertTrue(spec.deadlineUs == 900_000_000L && spec.estimateUs == 240_000_000L && spec.submittedUs == 7L) { "$spec" }
+        assertTrue(spec.allowedTypes == listOf("g8") && spec.zone == null && spec.sameZone && spec.spot) { "$spec" }
     }
 
     /** What does not fit is left for a later record; what fits is never less than before, nor more than is done. */
@@ -51,10 +52,10 @@
         for (i in 0 until DoneRanges.CHUNK) if (random.nextInt(100) < percent) done.set(i)
         val fitting = DoneRanges.fitting(done, 0, 2048)
         val text = DoneRanges.encode(fitting, 0).encode()
-        condition(text.length <= 2048) { "$percent percent take ${text.length}" }
+        assertTrue(text.length <= 2048) { "$percent percent take ${text.length}" }
         val read = BitSet().also { DoneRanges.decode(JsonObject(text), 0, it) }
-        condition(read == fitting && (fitting.clone() as BitSet).apply { andNot(done) }.isEmpty) { "not what is done" }
-        condition(fitting.cardinality() * 2 > done.cardinality() || percent < 3) { "${fitting.cardinality()} of ${done.cardinality()}" }
+        assertTrue(read == fitting && (fitting.clone() as BitSet).apply { andNot(done) }.isEmpty) { "not what is done" }
+        assertTrue(fitting.cardinality() * 2 > done.cardinality() || percent < 3) { "${fitting.cardinality()} of ${done.cardinality()}" }
     }
 
     @Example
@@ -62,7 +63,7 @@
         val json = submission()
         listOf("builds", "yard", "due_s").forEach { json.remove(it) }
         val spec = JobCodec.submission(json, 0)
-        condition(spec.allowedTypes == null && spec.zone == null && spec.deadlineUs == null) { "$spec" }
+        assertTrue(spec.allowedTypes == null && spec.zone == null && spec.deadlineUs == null) { "$spec" }
     }
 
     @Property(tries = 300, seed = "4711")
@@ -70,7 +71,7 @@
         @ForAll("wrong") wrong: Pair<String, Any?>,
     ) {
         val json = submission().put(wrong.first, wrong.second)
-        condition(refusedField(json) == wrong.first) { "${wrong.first} = ${wrong.second}: ${refusedField(json)}" }
+        assertEquals(wrong.first, refusedField(json)) { "${wrong.first} = ${wrong.second}: ${refusedField(json)}" }
     }
 
     @Provide
@@ -102,7 +103,7 @@
         @ForAll("specs") spec: JobSpec,
     ) {
         val read = JobRecord.decode(JsonObject(JobRecord.encode(spec).encode()))
-        condition(read == spec) { "$spec became $read" }
+        assertEquals(spec, read) { "$spec became $read" }
     }
 
     @Provide
@@ -145,9 +146,9 @@
         val read = BitSet()
         for (chunk in 0 until DoneRanges.chunks(tasks)) {
             val text = DoneRanges.encode(done, chunk).encode()
-            condition(text.length < 4 * 1024) { "chunk $chunk of $tasks takes ${text.length}" }
+            assertTrue(text.length < 4 * 1024) { "chunk $chunk of $tasks takes ${text.length}" }
             DoneRanges.decode(JsonObject(text), chunk, read)
         }
-        condition(read == done) { "$tasks tasks, seed $seed" }
+        assertEquals(done, read) { "$tasks tasks, seed $seed" }
     }
 }
--- a/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
@@ -5,7 +5,8 @@
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
 class JobReplicaTest {
@@ -61,7 +62,7 @@
             }
             if (!asker.current(now)) return@repeat
             val lacking = told.filter { (job, at) -> at < now - BOUND && !asker.over(job, 0) }
-            condition(lacking.isEmpty()) { "seed $seed step $step: not known: ${lacking.take(3)}" }
+            assertTrue(lacking.isEmpty()) { "seed $seed step $step: not known: ${lacking.take(3)}" }
         }
     }
 
@@ -73,33 +74,33 @@
             val now = second * SECOND
             asker.answered("a", a.handOver(asker.question("a", now)!!)!!)
             if (second <= 30) asker.answered("b", b.handOver(asker.question("b", now)!!)!!)
-            condition(asker.current(now) == now <= 30 * SECOND + BOUND) { "after $second s" }
+            assertTrue(asker.current(now) == now <= 30 * SECOND + BOUND) { "after $second s" }
         }
     }
 
     @Example
     fun `a task is not taken for over because its job is newer than what was read`() {
         val replica = replica(1).apply { loaded(mapOf("j-1" to 5L), 10, 100) }
-        condition(!replica.over("j-1", 50) && !replica.over("j-2", 200) && replica.over("j-2", 50)) {
+        assertTrue(!replica.over("j-1", 50) && !replica.over("j-2", 200) && replica.over("j-2", 50)) {
             "only what a later read does not find is over"
         }
         replica.changed(mapOf("j-2" to 11L), mapOf("j-1" to 12L), 12, 300)
-        condition(replica.over("j-1", 400) && !replica.over("j-2", 200)) { "the watch says otherwise" }
+        assertTrue(replica.over("j-1", 400) && !replica.over("j-2", 200)) { "the watch says otherwise" }
     }
 
     @Example
     fun `a single controller is as stale as its last read`() {
         val alone = replica(1)
-        condition(!alone.current(0)) { "current before anything was read" }
+        assertFalse(alone.current(0)) { "current before anything was read" }
         alone.loaded(emptyMap(), 1, SECOND)
-        condition(alone.current(SECOND + BOUND) && !alone.current(2 * SECOND + BOUND)) { "not as of its read" }
+        assertTrue(alone.current(SECOND + BOUND) && !alone.current(2 * SECOND + BOUND)) { "not as of its read" }
     }
 
     @Example
     fun `the bound leaves a lease and some room within the time of a cancellation`() {
         for ((cancelS, leaseS) in listOf(46L to 26L, 47L to 17L, 60L to 15L)) {
             val bound = JobReplica.bound(cancelS * SECOND, leaseS * SECOND)
-            condition(
+            assertTrue(
                 bound > 10 * SECOND && bound + leaseS * SECOND * 1.0005 + 2 * SECOND < cancelS * SECOND,
             ) { "$cancelS, $leaseS: $bound" }
         }
--- a/src/test/kotlin/lichenstage/jobs/JobsActorTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobsActorTest.kt
@@ -27,7 +27,8 @@
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
 /**
@@ -214,7 +215,7 @@
                 launch { User(n, random, actors, store, broken) { verb, text -> ask(verb, text) }.live() }
             }
         }
-        condition(broken.isEmpty()) { "seed $seed: ${broken.take(4)}" }
+        assertTrue(broken.isEmpty()) { "seed $seed: ${broken.take(4)}" }
     }
 
     /**
@@ -287,7 +288,7 @@
         if (over["j-1"] == "cancelled") {
             (2..4).forEach { if (over["j-$it"] != "cancelled") broken += "j-$it is ${over["j-$it"]} though j-1 is cancelled" }
         }
-        condition(broken.isEmpty()) { "seed $seed: ${broken.take(4)}" }
+        assertTrue(broken.isEmpty()) { "seed $seed: ${broken.take(4)}" }
     }
 
     @Example
@@ -309,7 +310,7 @@
             fun refused(
                 reply: Reply,
                 status: Int,
-            ) = condition(
+            ) = assertTrue(
                 reply.status == status && reply.body.getString("field") == "waits_on",
             ) { "$status: ${reply.status} ${reply.body}" }
             refused(submitted(1, JsonArray(listOf("j-99"))), 422)
@@ -319,12 +320,12 @@
             refused(submitted(1, JsonArray((1..47).map { "j-1$it" })), 400)
             for ((n, empty) in listOf(null, JsonArray()).withIndex()) {
                 val reply = submitted(10 + n, empty)
-                condition(reply.status in 200..201) { "${reply.status} ${reply.body}" }
+                assertTrue(reply.status in 200..201) { "${reply.status} ${reply.body}" }
             }
             store.finish("j-10")
             val reply = submitted(20, JsonArray(listOf("j-10", "j-11", "j-11")))
-            condition(reply.status in 200..201) { "${reply.status} ${reply.body}" }
-            condition(JobRecord.needs(store.entries.getValue("j/j-20").value) == listOf("j-10", "j-11")) { "named twice" }
+            assertTrue(reply.status in 200..201) { "${reply.status} ${reply.body}" }
+            assertEquals(listOf("j-10", "j-11"), JobRecord.needs(store.entries.getValue("j/j-20").value)) { "named twice" }
         }
 
     @Example
@@ -356,9 +357,9 @@
                     }
             for ((change, expected) in refusals) {
                 val reply = settled(UserVerb.SUBMIT, submission(1, 2, "red", 5.0).apply(change).encode())
-                condition(reply.status to reply.body.getString("field") == expected) { "$expected: ${reply.status} ${reply.body}" }
+                assertTrue(reply.status to reply.body.getString("field") == expected) { "$expected: ${reply.status} ${reply.body}" }
             }
-            condition(settled(UserVerb.SHOW, "j-1").status == 404 && settled(UserVerb.CANCEL, "j-1").status == 404) { "not unknown" }
+            assertTrue(settled(UserVerb.SHOW, "j-1").status == 404 && settled(UserVerb.CANCEL, "j-1").status == 404) { "not unknown" }
         }
 
     private fun ((JsonObject) -> Any?).unit(): JsonObject.() -> Unit = { this@unit(this) }
--- a/src/test/kotlin/lichenstage/jobs/OpenRecordCheckTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/OpenRecordCheckTest.kt
@@ -8,7 +8,8 @@
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 /** Thousands of polls are answered by few requests, each as the state service has it. */
 class OpenRecordCheckTest {
@@ -33,13 +34,13 @@
     @Example
     fun `a thousand polls take a few requests`() {
         val answers = ask(1000, emptySet(), 0)
-        condition(answers.all { it == RecordState.OPEN }) { "not all open" }
-        condition(requests <= 8) { "$requests requests" }
+        assertTrue(answers.all { it == RecordState.OPEN }) { "not all open" }
+        assertTrue(requests <= 8) { "$requests requests" }
     }
 
     @Example
     fun `more than can wait are turned away at once`() {
-        condition(ask(1500, emptySet(), 0).count { it == RecordState.UNKNOWN } == 500) { "held back" }
+        assertEquals(500, ask(1500, emptySet(), 0).count { it == RecordState.UNKNOWN }) { "held back" }
     }
 
     @Property(tries = 100, seed = "2212")
@@ -50,8 +51,8 @@
         val gone = drawn.map { Math.floorMod(it, 60) }.toSet()
         val answers = ask(60, gone, if (all) 60 else 1)
         answers.forEachIndexed { i, answer ->
-            condition((answer == RecordState.OPEN) <= (i !in gone)) { "$i of $gone: $answer" }
-            if (all) condition(answer == if (i in gone) RecordState.GONE else RecordState.OPEN) { "$i of $gone: $answer" }
+            assertTrue((answer == RecordState.OPEN) <= (i !in gone)) { "$i of $gone: $answer" }
+            if (all) assertTrue(answer == if (i in gone) RecordState.GONE else RecordState.OPEN) { "$i of $gone: $answer" }
         }
     }
 }
--- a/src/test/kotlin/lichenstage/jobs/PipelinesTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/PipelinesTest.kt
@@ -3,7 +3,9 @@
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
 class PipelinesTest {
@@ -19,11 +21,11 @@
             listOf("j-1" to emptyList(), "j-2" to listOf("j-1"), "j-3" to listOf("j-2")).map { (job, needs) ->
                 pipelines.readiness(job, needs)
             }
-        condition(readiness() == listOf(Readiness.READY, Readiness.WAITING, Readiness.WAITING)) { "${readiness()}" }
+        assertEquals(listOf(Readiness.READY, Readiness.WAITING, Readiness.WAITING), readiness()) { "${readiness()}" }
         pipelines.ended("j-1")
-        condition(readiness().drop(1) == listOf(Readiness.UNKNOWN, Readiness.UNKNOWN)) { "${readiness()}" }
+        assertEquals(listOf(Readiness.UNKNOWN, Readiness.UNKNOWN), readiness().drop(1)) { "${readiness()}" }
         pipelines.resolved("j-1", Outcome(done = false, atUs = null))
-        condition(readiness().drop(1) == listOf(Readiness.CANCELLED, Readiness.CANCELLED)) { "${readiness()}" }
+        assertEquals(listOf(Readiness.CANCELLED, Readiness.CANCELLED), readiness().drop(1)) { "${readiness()}" }
     }
 
     /** Found by the simulated world: a job that was submitted right after an outage was called pending although its chain was cancelled. */
@@ -32,12 +34,12 @@
         val pipelines = Pipelines()
         pipelines.opened("j-1", emptyList())
         pipelines.opened("j-2", listOf("j-1"))
-        condition(pipelines.readiness("j-3", listOf("j-2")) == Readiness.WAITING) { "it can wait" }
+        assertEquals(Readiness.WAITING, pipelines.readiness("j-3", listOf("j-2"))) { "it can wait" }
         pipelines.ended("j-2")
-        condition(pipelines.readiness("j-3", listOf("j-2")) == Readiness.UNKNOWN) { "${pipelines.readiness("j-3", listOf("j-2"))}" }
+        assertEquals(Readiness.UNKNOWN, pipelines.readiness("j-3", listOf("j-2"))) { "${pipelines.readiness("j-3", listOf("j-2"))}" }
         pipelines.opened("j-3", listOf("j-2"))
         pipelines.resolved("j-2", Outcome(done = false, atUs = null))
-        condition(pipelines.readiness("j-3", listOf("j-2")) == Readiness.CANCELLED) { "${pipelines.readiness("j-3", listOf("j-2"))}" }
+        assertEquals(Readiness.CANCELLED, pipelines.readiness("j-3", listOf("j-2"))) { "${pipelines.readiness("j-3", listOf("j-2"))}" }
     }
 
     /** Jobs that need any that came before; ends become known, and how they ended, in any order. A simple model says what follows. */
@@ -78,7 +80,7 @@
 
                 else -> {
                     for (job in pipelines.toResolve(random.nextInt(3))) {
-                        condition(job in ended) { "asks how $job ended, which is open" }
+                        assertTrue(job in ended) { "asks how $job ended, which is open" }
                         resolved += job
                         pipelines.resolved(job, Outcome(ended.getValue(job), step.toLong()))
                     }
@@ -89,16 +91,16 @@
             // Once orphaned, always: what it needs may be recorded as cancelled later without being looked up.
             orphans += open.filter(::cancelledBefore)
             orphans.retainAll(open)
-            condition(pipelines.orphans(1000).toSet() == orphans) { "seed $seed step $step: ${pipelines.orphans(1000)}, not $orphans" }
+            assertEquals(orphans, pipelines.orphans(1000).toSet()) { "seed $seed step $step: ${pipelines.orphans(1000)}, not $orphans" }
             for (job in open) {
                 val ready = needs.getValue(job).all { it in resolved && ended[it] == true }
-                condition((pipelines.readyAt(needs.getValue(job)) != null) == ready) { "seed $seed step $step: $job" }
+                assertEquals(ready, (pipelines.readyAt(needs.getValue(job)) != null)) { "seed $seed step $step: $job" }
             }
         }
         while (pipelines.toResolve(10).isNotEmpty()) {
             pipelines.toResolve(10).forEach { pipelines.resolved(it, Outcome(ended.getValue(it), 0)) }
         }
-        open.forEach { job -> condition(needs.getValue(job).all { it in open || it in ended }) { "lost" } }
+        open.forEach { job -> assertTrue(needs.getValue(job).all { it in open || it in ended }) { "lost" } }
     }
 
     @Example
@@ -107,11 +109,11 @@
         repeat(5000) { pipelines.opened("j-$it", if (it == 0) emptyList() else listOf("j-${it - 1}")) }
         repeat(5000) { pipelines.opened("j-1$it-f", listOf("j-0")) }
         pipelines.ended("j-0")
-        condition(pipelines.toResolve(10) == listOf("j-0")) { "${pipelines.toResolve(10)}" }
+        assertEquals(listOf("j-0"), pipelines.toResolve(10)) { "${pipelines.toResolve(10)}" }
         pipelines.resolved("j-0", Outcome(done = false, atUs = null))
-        condition(pipelines.orphans(20_000).size == 9999) { "${pipelines.orphans(20_000).size}" }
+        assertEquals(9999, pipelines.orphans(20_000).size) { "${pipelines.orphans(20_000).size}" }
         pipelines.ended("j-1")
-        condition(pipelines.orphans(20_000).size == 9998) { "an end changes others" }
+        assertEquals(9998, pipelines.orphans(20_000).size) { "an end changes others" }
     }
 
     @Example
@@ -119,8 +121,8 @@
         val pipelines = Pipelines()
         pipelines.opened("j-3", listOf("j-1", "j-2"))
         pipelines.resolved("j-1", Outcome(done = true, atUs = 70))
-        condition(pipelines.readyAt(listOf("j-1", "j-2")) == null) { "one is not done" }
+        assertNull(pipelines.readyAt(listOf("j-1", "j-2"))) { "one is not done" }
         pipelines.resolved("j-2", Outcome(done = true, atUs = null))
-        condition(pipelines.readyAt(listOf("j-1", "j-2")) == 70L && pipelines.readyAt(emptyList()) == 0L) { "when" }
+        assertTrue(pipelines.readyAt(listOf("j-1", "j-2")) == 70L && pipelines.readyAt(emptyList()) == 0L) { "when" }
     }
 }
--- a/src/test/kotlin/lichenstage/partition/ConnectionPoolTest.kt
+++ b/src/test/kotlin/lichenstage/partition/ConnectionPoolTest.kt
@@ -4,7 +4,9 @@
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
 import net.jqwik.api.constraints.IntRange
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
 
 class ConnectionPoolTest {
     private val closed = ArrayList<Int>()
@@ -13,16 +15,16 @@
 
     @Example
     fun `a connection is kept for its address, and the one that was used longest ago gives way`() {
-        condition(lines.take("a") == null) { "from nowhere" }
+        assertNull(lines.take("a")) { "from nowhere" }
         lines.give("a", 1, 10)
         lines.take("b")
         lines.give("b", 2, 20)
-        condition(lines.take("a") == 1 && closed.isEmpty()) { "not kept" }
+        assertTrue(lines.take("a") == 1 && closed.isEmpty()) { "not kept" }
         lines.give("a", 1, 30)
         lines.take("c")
         lines.take("d")
-        condition(closed == listOf(2)) { "closed $closed" }
-        condition(lines.free == 1) { "free ${lines.free}" }
+        assertEquals(listOf(2), closed) { "closed $closed" }
+        assertEquals(1, lines.free) { "free ${lines.free}" }
     }
 
     @Example
@@ -31,13 +33,13 @@
         lines.take("a")
         lines.give("a", 1, 10)
         lines.give("a", 2, 11)
-        condition(closed == listOf(1)) { "twice" }
+        assertEquals(listOf(1), closed) { "twice" }
         lines.lost("a", 1)
-        condition(lines.open == 1) { "the other one was lost" }
+        assertEquals(1, lines.open) { "the other one was lost" }
         lines.sweep(11)
-        condition(lines.open == 1) { "swept too early" }
+        assertEquals(1, lines.open) { "swept too early" }
         lines.sweep(12)
-        condition(lines.open == 0 && closed == listOf(1, 2)) { "not swept" }
+        assertTrue(lines.open == 0 && closed == listOf(1, 2)) { "not swept" }
     }
 
     /** As the controller uses it: no more in use than are free. Whatever comes, no more are open than there may be. */
@@ -59,7 +61,7 @@
                 val (at, connection) = inUse.removeAt(step % inUse.size)
                 lines.give(at, connection.takeIf { step % 3 > 0 }, now.toLong())
             }
-            condition(lines.open <= most && lines.busy == inUse.size) { "${lines.open} of $most open" }
+            assertTrue(lines.open <= most && lines.busy == inUse.size) { "${lines.open} of $most open" }
         }
         inUse.forEach { (at, _) -> lines.give(at, null, 0) }
         lines.sweep(Long.MAX_VALUE)
--- a/src/test/kotlin/lichenstage/partition/FencingTokensTest.kt
+++ b/src/test/kotlin/lichenstage/partition/FencingTokensTest.kt
@@ -4,7 +4,9 @@
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
 /** Tokens of one owner: each is used once, in rising order, and only what was reserved. */
@@ -27,8 +29,8 @@
                 reserved += first..counter
             }
             val token = tokens.next() ?: return@repeat
-            condition(token > last && token in reserved) { "$token after $last, of $reserved" }
-            condition(tokens.isOurs(token) && tokens.isOurs(term) && !tokens.isOurs(token + 1)) { "$token" }
+            assertTrue(token > last && token in reserved) { "$token after $last, of $reserved" }
+            assertTrue(tokens.isOurs(token) && tokens.isOurs(term) && !tokens.isOurs(token + 1)) { "$token" }
             last = token
         }
     }
@@ -36,23 +38,23 @@
     @Example
     fun `tokens that are not above all others are of no use, and an empty reserve says so`() {
         val tokens = FencingTokens(10, 0)
-        condition(tokens.next() == null && tokens.isLow) { "a token from nowhere" }
+        assertTrue(tokens.next() == null && tokens.isLow) { "a token from nowhere" }
         tokens.add(5L..10L)
-        condition(tokens.next() == null) { "an old token" }
+        assertNull(tokens.next()) { "an old token" }
         tokens.add(11L..40L)
-        condition(!tokens.isLow && tokens.next() == 11L) { "not taken up" }
+        assertTrue(!tokens.isLow && tokens.next() == 11L) { "not taken up" }
         tokens.add(30L..90L)
-        condition((12L..40L).all { tokens.next() == it } && tokens.next() == null) { "tokens were given twice" }
+        assertTrue((12L..40L).all { tokens.next() == it } && tokens.next() == null) { "tokens were given twice" }
     }
 
     @Example
     fun `a reserve that is low is filled up, not in the first seconds unless a token is lacking, and no more than every other second`() {
         val tokens = FencingTokens(10, acquiredUs = SECOND)
-        condition(!tokens.reservationDue(4 * SECOND, isLacking = false)) { "while keys change hands" }
-        condition(tokens.reservationDue(4 * SECOND, isLacking = true)) { "not although one is lacking" }
-        condition(!tokens.reservationDue(5 * SECOND, isLacking = true)) { "at once again" }
-        condition(tokens.reservationDue(6 * SECOND, isLacking = false)) { "not again" }
+        assertFalse(tokens.reservationDue(4 * SECOND, isLacking = false)) { "while keys change hands" }
+        assertTrue(tokens.reservationDue(4 * SECOND, isLacking = true)) { "not although one is lacking" }
+        assertFalse(tokens.reservationDue(5 * SECOND, isLacking = true)) { "at once again" }
+        assertTrue(tokens.reservationDue(6 * SECOND, isLacking = false)) { "not again" }
         tokens.add(11L..40L)
-        condition(!tokens.reservationDue(60 * SECOND, isLacking = false)) { "though there are enough" }
+        assertFalse(tokens.reservationDue(60 * SECOND, isLacking = false)) { "though there are enough" }
     }
 }
--- a/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
@@ -11,7 +11,8 @@
 import lichenstage.world.SimulatedJob
 import lichenstage.world.SimulatedWorker
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
 /**
@@ -119,9 +120,9 @@
     fun `a start that was held does not land after its job's cancellation has had its time`() {
         for (landsAfterUs in listOf(CANCEL_US + SECOND, 600 * SECOND)) {
             val world = cancelledWithHeldStart(landsAfterUs)
-            condition(world.checker.broken.isEmpty()) { "${world.checker.broken}" }
-            condition(world.checker.lateStarts == 0) { "it started a task of a cancelled job" }
-            condition(world.worker.session == 2L) { "without a newer token the session must end: ${world.worker.session}" }
+            assertTrue(world.checker.broken.isEmpty()) { "${world.checker.broken}" }
+            assertEquals(0, world.checker.lateStarts) { "it started a task of a cancelled job" }
+            assertEquals(2L, world.worker.session) { "without a newer token the session must end: ${world.worker.session}" }
         }
     }
 
@@ -129,11 +130,11 @@
     fun `with a newer token at hand it does not land from seconds after its order was given up, and the machine keeps its lease`() {
         for (landsAfterUs in listOf(6 * SECOND, CANCEL_US + SECOND, 600 * SECOND)) {
             val world = cancelledWithHeldStart(landsAfterUs) { partition.reserved(TOKEN + 1..TOKEN + 9) }
-            condition(world.checker.broken.isEmpty()) { "${world.checker.broken}" }
-            condition(world.checker.lateStarts == 0) { "it started a task of a cancelled job" }
-            condition(world.worker.session == 1L) { "the machine has lost its lease" }
-            condition(world.partition.unansweredStarts().none()) { "the start is kept" }
-            condition(world.tokens == setOf(TOKEN, TOKEN + 1)) { "${world.tokens}: one newer token is enough" }
+            assertTrue(world.checker.broken.isEmpty()) { "${world.checker.broken}" }
+            assertEquals(0, world.checker.lateStarts) { "it started a task of a cancelled job" }
+            assertEquals(1L, world.worker.session) { "the machine has lost its lease" }
+            assertTrue(world.partition.unansweredStarts().none()) { "the start is kept" }
+            assertEquals(setOf(TOKEN, TOKEN + 1), world.tokens) { "${world.tokens}: one newer token is enough" }
         }
     }
 
@@ -148,9 +149,9 @@
         val probes = world.probes
         world.cancel()
         world.runUntil(50 * SECOND)
-        condition(world.tokens == setOf(TOKEN)) { "${world.tokens}" }
-        condition(world.probes == probes) { "${world.probes - probes} probes" }
-        condition(world.checker.broken.isEmpty() && world.worker.session == 1L) { "${world.checker.broken}" }
+        assertEquals(setOf(TOKEN), world.tokens) { "${world.tokens}" }
+        assertEquals(probes, world.probes) { "${world.probes - probes} probes" }
+        assertTrue(world.checker.broken.isEmpty() && world.worker.session == 1L) { "${world.checker.broken}" }
     }
 
     @Example
@@ -162,8 +163,8 @@
         world.runUntil(10 * SECOND)
         world.giveUp()
         world.runUntil(14 * SECOND)
-        condition(world.checker.running("j-1") == 1) { "not started" }
-        condition(world.tokens == setOf(TOKEN)) { "${world.tokens}" }
+        assertEquals(1, world.checker.running("j-1")) { "not started" }
+        assertEquals(setOf(TOKEN), world.tokens) { "${world.tokens}" }
     }
 
     private companion object {
--- a/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
@@ -6,7 +6,9 @@
 import lichenstage.cluster.StartOrder
 import lichenstage.cluster.TaskPhase
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
 
 /** The invariants that a partition alone must keep. */
 class PartitionCoreTest : PartitionFixture() {
@@ -15,7 +17,7 @@
         val partition = partition()
         partition.report(report(3), 1)
         partition.leader(frame(requests = listOf(ask(1, 1))), 1)
-        condition(
+        assertTrue(
             partition
                 .frame(2)!!
                 .offers
@@ -25,20 +27,21 @@
         ) { "offered before it was settled" }
         partition.report(report(5), 2)
         partition.leader(frame(requests = listOf(ask(2, 1))), 3)
-        condition(
+        assertEquals(
+            "m",
             partition
                 .frame(4)!!
                 .offers
                 .single()
                 .held
                 .single()
-                .machine == "m",
+                .machine,
         ) { "not offered" }
     }
 
     @Example
     fun `a worker that has seen a higher token is not answered`() {
-        condition(partition().report(report(6), 1) is ReportAnswer.Superseded) { "answered" }
+        assertTrue(partition().report(report(6), 1) is ReportAnswer.Superseded) { "answered" }
     }
 
     @Example
@@ -47,7 +50,7 @@
         partition.report(report(5), 1)
         partition.leader(frame(requests = listOf(ask(9, 2).copy(job = "j-2"), ask(3, 1))), 1)
         val offers = partition.frame(2)!!.offers.associate { it.stamp to it.held.sumOf { held -> held.count } }
-        condition(offers == mapOf(3L to 1, 9L to 1)) { "$offers" }
+        assertEquals(mapOf(3L to 1, 9L to 1), offers) { "$offers" }
     }
 
     /** Counted, not timed: in a backlog dozens of requests come with each frame, and nearly all machines are full. */
@@ -66,11 +69,11 @@
             partition.report(report(5, machine = "free"), 1)
             looks = 0
             partition.report(report(5, *busy, machine = "m7"), 1)
-            condition(looks == 0) { "a report made $looks looks at $machines machines" }
+            assertEquals(0, looks) { "a report made $looks looks at $machines machines" }
             partition.leader(frame(requests = (1L..24L).map { ask(10 + it, 1).copy(job = "j-$it") }), 2)
-            condition(looks in machines..machines + 1 + 24) { "$looks looks at $machines machines" }
+            assertTrue(looks in machines..machines + 1 + 24) { "$looks looks at $machines machines" }
             val held = partition.frame(3)!!.offers.sumOf { offer -> offer.held.sumOf { it.count } }
-            condition(held == 2) { "$held held on the one that is free" }
+            assertEquals(2, held) { "$held held on the one that is free" }
         }
     }
 
@@ -81,8 +84,8 @@
         partition.leader(frame(requests = listOf(ask(1, 1))), 0)
         partition.frame(1)
         partition.leader(frame(starts = listOf(StartOrder(1, "m", 0, 1))), 6 * SECOND)
-        condition(partition.directOrders(6 * SECOND).isEmpty()) { "started on a lapsed hold" }
-        condition(
+        assertTrue(partition.directOrders(6 * SECOND).isEmpty()) { "started on a lapsed hold" }
+        assertTrue(
             partition
                 .frame(6 * SECOND)!!
                 .machines
@@ -100,7 +103,7 @@
         partition.leader(frame(term = 2), 1)
         partition.leader(frame(term = 1, starts = listOf(StartOrder(1, "m", 0, 1))), 2)
         partition.leader(frame(term = 2, starts = listOf(StartOrder(1, "m", 0, 1))), 3)
-        condition(partition.directOrders(3).isEmpty()) { "started" }
+        assertTrue(partition.directOrders(3).isEmpty()) { "started" }
     }
 
     @Example
@@ -109,12 +112,12 @@
         repeat(130) { partition.report(report(5, machine = "m$it"), 1) }
         partition.leader(frame(), 1)
         val first = partition.frame(SECOND)!!
-        condition(!first.whole && first.machines.size == 100 && first.seq == 0L && first.receivedSeq == seq) { "$first" }
+        assertTrue(!first.whole && first.machines.size == 100 && first.seq == 0L && first.receivedSeq == seq) { "$first" }
         partition.leader(PlacementFrame("z/0", 1, ++seq, 5, first.version), SECOND)
         val second = partition.frame(2 * SECOND)!!
-        condition(second.whole && second.machines.size == 30 && second.seq == seq) { "$second" }
+        assertTrue(second.whole && second.machines.size == 30 && second.seq == seq) { "$second" }
         val names = (first.machines + second.machines).map { it.name }.toSet()
-        condition(names.size == 130) { "${names.size} machines" }
+        assertEquals(130, names.size) { "${names.size} machines" }
     }
 
     @Example
@@ -125,14 +128,15 @@
         partition.ordered(order, OrderOutcome.Answered(true, report(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null))), 2)
         partition.frame(2)
         partition.report(late, 3)
-        condition(
+        assertEquals(
+            TaskPhase.RUNNING,
             partition
                 .frame(5 * SECOND)!!
                 .machines
                 .single()
                 .tasks
                 .single()
-                .phase == TaskPhase.RUNNING,
+                .phase,
         ) { "an old list was believed" }
     }
 
@@ -144,8 +148,8 @@
         partition.ordered(order, OrderOutcome.Answered(true, report(5, running)), SECOND)
         val held = report(5, running)
         partition.tick(SECOND + LEASE)
-        condition(
-            !partition
+        assertFalse(
+            partition
                 .frame(SECOND + LEASE)!!
                 .machines
                 .single()
@@ -154,7 +158,7 @@
         partition.tick(3 * SECOND + LEASE)
         partition.report(held, 4 * SECOND + LEASE)
         val view = partition.frame(5 * SECOND + LEASE)!!.machines.single()
-        condition(view.lost && view.tasks.isEmpty()) { "$view" }
+        assertTrue(view.lost && view.tasks.isEmpty()) { "$view" }
     }
 
     @Example
@@ -164,8 +168,8 @@
         partition.probed(Probe("m", "1.2.3.4:5", 5), report(5), late)
         partition.tick(late + LEASE / 2)
         partition.leader(frame(), late + LEASE / 2)
-        condition(
-            !partition
+        assertFalse(
+            partition
                 .frame(late + LEASE / 2)!!
                 .machines
                 .single()
@@ -178,7 +182,7 @@
         val partition = partition()
         partition.report(report(5, ReportedTask("j-77/0", 1, TaskPhase.RUNNING, null)), 1)
         partition.leader(frame(requests = listOf(ask(1, 1))), 2)
-        condition(
+        assertTrue(
             partition
                 .frame(3)!!
                 .offers
@@ -197,14 +201,15 @@
         partition.directOrders(3)
         partition.report(report(5, ReportedTask("j-1/0", 1, TaskPhase.ENDED, "done"), machine = "b"), 4)
         partition.leader(frame(requests = listOf(ask(2, 1))), 5)
-        condition(
+        assertEquals(
+            "b",
             partition
                 .frame(6)!!
                 .offers
                 .last()
                 .held
                 .single()
-                .machine == "b",
+                .machine,
         ) { "a cold machine came first" }
     }
 
@@ -221,7 +226,7 @@
                 .offers
                 .takeLast(2)
                 .map { offer -> offer.held.sumOf { it.count } }
-        condition(counts.sum() == 3 && counts[0] in 1..2) { "$counts" }
+        assertTrue(counts.sum() == 3 && counts[0] in 1..2) { "$counts" }
     }
 
     @Example
@@ -229,12 +234,12 @@
         val partition = partition()
         listOf("a", "b").forEach { partition.report(report(5, machine = it), 1) }
         partition.leader(frame(requests = listOf(ask(1, 3).copy(imageOnly = true))), 2)
-        condition(offered(partition, 2).isEmpty()) { "a cold machine was offered" }
+        assertTrue(offered(partition, 2).isEmpty()) { "a cold machine was offered" }
         partition.leader(frame(requests = listOf(ask(2, 4))), 3)
         partition.leader(frame(starts = listOf(StartOrder(2, "b", 0, 1))), 4)
         partition.directOrders(4)
         partition.leader(frame(requests = listOf(ask(3, 3).copy(imageOnly = true))), 5)
-        condition(offered(partition, 5) == listOf("b")) { "not the machine that fetches the image" }
+        assertEquals(listOf("b"), offered(partition, 5)) { "not the machine that fetches the image" }
     }
 
     @Example
@@ -249,6 +254,6 @@
         }
         partition.leader(frame(requests = listOf(ask(2, 1))), now)
         val offer = partition.frame(now + SECOND)!!.offers.single { it.stamp == 2L }
-        condition(offer.held.isEmpty()) { "offered: ${offer.held}" }
+        assertTrue(offer.held.isEmpty()) { "offered: ${offer.held}" }
     }
 }
--- a/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
@@ -11,7 +11,8 @@
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
 /** What a partition tells of its machines: changes only, from which the leader always knows the whole. */
@@ -107,7 +108,7 @@
             }
             // A word of the leader comes late or never, too.
             if (random.nextInt(3) > 0) word(term, mirror.version)
-            condition(mirror.seq <= mirror.wholeSeq) { "a piece claims ${mirror.seq}, whole frames ${mirror.wholeSeq} (seed $seed)" }
+            assertTrue(mirror.seq <= mirror.wholeSeq) { "a piece claims ${mirror.seq}, whole frames ${mirror.wholeSeq} (seed $seed)" }
         }
         repeat(2 + MACHINES) {
             word(term, mirror.version)
@@ -115,7 +116,7 @@
         }
         for ((name, rows) in tasks) {
             val listed = mirror.machines[name]?.tasks.orEmpty()
-            condition(listed.size == rows.size && listed.all { rows[it.attempt]?.phase == it.phase }) {
+            assertTrue(listed.size == rows.size && listed.all { rows[it.attempt]?.phase == it.phase }) {
                 "$name has ${rows.values}, the leader knows $listed (seed $seed)"
             }
         }
@@ -162,7 +163,7 @@
             var acked = 0L
             while (true) {
                 val frame = told() ?: break
-                condition(frame.machines.size <= 100 * (machines / 400)) { "${frame.machines.size} of $machines machines in one frame" }
+                assertTrue(frame.machines.size <= 100 * (machines / 400)) { "${frame.machines.size} of $machines machines in one frame" }
                 acked = frame.version
                 word(machines.toLong(), acked)
                 if (frame.whole) break
@@ -176,7 +177,9 @@
             tasks.getValue("m7")[one] = tasks.getValue("m7").getValue(one).copy(phase = TaskPhase.ENDED, cause = "done")
             report("m7")
             val news = told()!!
-            condition(news.machines.sumOf { it.tasks.size } == 1 && news.machines.size == 1) { "of $machines machines: ${news.machines}" }
+            assertTrue(
+                news.machines.sumOf { it.tasks.size } == 1 && news.machines.size == 1,
+            ) { "of $machines machines: ${news.machines}" }
         }
     }
 
@@ -192,14 +195,14 @@
         val confirmed = acknowledgeAll()
         word(1, confirmed.version, started = "m1")
         val lost = told()!!
-        condition(lost.whole && lost.seq == seq && lost.machines.single().name == "m1") { "$lost" }
+        assertTrue(lost.whole && lost.seq == seq && lost.machines.single().name == "m1") { "$lost" }
         listOf("m2", "m1").forEach { machine ->
             tasks.getOrPut(machine) { HashMap() }[++attempts] = ReportedTask("j-2/$attempts", attempts, TaskPhase.RUNNING, null)
             report(machine)
         }
         val piece = told()!!
-        condition(!piece.whole && piece.machines.single().name == "m2") { "$piece" }
-        condition(piece.seq <= confirmed.seq) { "claims ${piece.seq} although only ${confirmed.seq} is known to have arrived" }
+        assertTrue(!piece.whole && piece.machines.single().name == "m2") { "$piece" }
+        assertTrue(piece.seq <= confirmed.seq) { "claims ${piece.seq} although only ${confirmed.seq} is known to have arrived" }
         // By pieces the leader comes to a higher version than the lost frame's, which is no word that it has that one.
         word(1, piece.version)
         report("m2")
@@ -208,7 +211,7 @@
         tasks.getValue("m1")[++attempts] = ReportedTask("j-2/$attempts", attempts, TaskPhase.RUNNING, null)
         report("m1")
         val next = told()!!
-        condition(!next.whole && next.seq <= confirmed.seq) { "claims ${next.seq} after a piece was acknowledged" }
+        assertTrue(!next.whole && next.seq <= confirmed.seq) { "claims ${next.seq} after a piece was acknowledged" }
     }
 
     @Example
@@ -224,7 +227,7 @@
             report(machine)
         }
         val piece = told()!!
-        condition(!piece.whole && piece.seq == whole.seq) { "says ${piece.seq}, the leader has ${whole.seq}" }
+        assertTrue(!piece.whole && piece.seq == whole.seq) { "says ${piece.seq}, the leader has ${whole.seq}" }
     }
 
     /** With a hundred machines a frame, whatever their number, no frame of so many was ever whole, and the leader concluded nothing. */
@@ -244,7 +247,7 @@
                     word(1, frame.version)
                     frame.whole
                 }
-            condition(whole == ROUNDS) { "$count machines: $whole of $ROUNDS frames told all" }
+            assertEquals(ROUNDS, whole) { "$count machines: $whole of $ROUNDS frames told all" }
         }
     }
 
@@ -264,7 +267,7 @@
             word(1, frame.version)
             if (frame.whole) break
         }
-        condition(sizes.max() < 4 * 1024 * 1024) { "$sizes" }
+        assertTrue(sizes.max() < 4 * 1024 * 1024) { "$sizes" }
     }
 
     private fun change(machine: String) {
--- a/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
@@ -6,7 +6,10 @@
 import lichenstage.cluster.StartOrder
 import lichenstage.cluster.TaskPhase
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertNotEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 /** Commands to workers: when they go out, are repeated, and when nothing of a start can be under way any more. */
 class PartitionOrdersTest : PartitionFixture() {
@@ -20,9 +23,9 @@
         partition.leader(frame(requests = listOf(ask(1, 4))), 3)
         val starts = listOf("m1", "m2").mapIndexed { i, name -> StartOrder(1, name, i, 10L + i) }
         partition.leader(frame(starts = starts, stops = listOf(AttemptOrder("m3", "j-9/0", 9))), 4)
-        condition(partition.directOrders(5, most = 0).isEmpty()) { "sent without a connection" }
-        condition(partition.directOrders(5, most = 1).map { it.machine } == listOf("m3")) { "the stop was not first" }
-        condition(partition.directOrders(6, most = 9).map { it.machine } == listOf("m1", "m2")) { "the starts did not follow" }
+        assertTrue(partition.directOrders(5, most = 0).isEmpty()) { "sent without a connection" }
+        assertEquals(listOf("m3"), partition.directOrders(5, most = 1).map { it.machine }) { "the stop was not first" }
+        assertEquals(listOf("m1", "m2"), partition.directOrders(6, most = 9).map { it.machine }) { "the starts did not follow" }
     }
 
     @Example
@@ -35,14 +38,14 @@
             partition.leader(frame(clears = listOf(AttemptOrder("m", "j-1/0", 1))), 3)
             for (now in listOf(9 * SECOND, 29 * LEASE, 31 * LEASE, 1000 * LEASE)) {
                 val commands = partition.commands(report(5, ended), now)
-                condition(commands.any { it is Command.Clear } == (cause == "done")) { "$cause at $now: $commands" }
+                assertEquals((cause == "done"), commands.any { it is Command.Clear }) { "$cause at $now: $commands" }
             }
             partition.reserved(6L..9L)
             partition.tick(1001 * LEASE)
             val unshown = partition.commands(report(5, ended), 1001 * LEASE)
-            condition(unshown.any { it is Command.Clear } == (cause == "done")) { "$cause before the newer token was shown: $unshown" }
+            assertEquals((cause == "done"), unshown.any { it is Command.Clear }) { "$cause before the newer token was shown: $unshown" }
             val shown = partition.commands(report(if (cause == "done") 5 else 6, ended), 1001 * LEASE + SECOND)
-            condition(shown.any { it is Command.Clear }) { "$cause: $shown" }
+            assertTrue(shown.any { it is Command.Clear }) { "$cause: $shown" }
         }
     }
 
@@ -55,11 +58,11 @@
         partition.ordered(order, OrderOutcome.Unclear, 3 * SECOND)
         partition.probed(Probe("m", "1.2.3.4:5", 5, 1), report(5, done), 5 * SECOND)
         partition.leader(frame(clears = listOf(AttemptOrder("m", "j-1/0", 1))), 6 * SECOND)
-        condition(partition.commands(report(5, done), 7 * SECOND).isEmpty()) { "cleared while the order may land" }
+        assertTrue(partition.commands(report(5, done), 7 * SECOND).isEmpty()) { "cleared while the order may land" }
         partition.reserved(6L..9L)
         partition.tick(8 * SECOND)
-        condition(partition.commands(report(5, done), 9 * SECOND).isEmpty()) { "cleared before the newer token was shown" }
-        condition(partition.commands(report(6, done), 15 * SECOND).single() is Command.Clear) { "not cleared" }
+        assertTrue(partition.commands(report(5, done), 9 * SECOND).isEmpty()) { "cleared before the newer token was shown" }
+        assertTrue(partition.commands(report(6, done), 15 * SECOND).single() is Command.Clear) { "not cleared" }
     }
 
     @Example
@@ -67,11 +70,11 @@
         val partition = partition()
         val order = started(partition)
         val ended = ReportedTask("j-1/0", 1, TaskPhase.ENDED, "done")
-        condition(partition.commands(report(5), 10).single() is Command.Start) { "the answer is the sure path" }
+        assertTrue(partition.commands(report(5), 10).single() is Command.Start) { "the answer is the sure path" }
         partition.ordered(order, OrderOutcome.Answered(true, report(5, ended)), 11)
         partition.leader(frame(clears = listOf(AttemptOrder("m", "j-1/0", 1))), 12)
-        condition(partition.commands(report(5, ended), SECOND).isEmpty()) { "cleared too early" }
-        condition(partition.commands(report(5, ended), 7 * SECOND).single() is Command.Clear) { "not cleared" }
+        assertTrue(partition.commands(report(5, ended), SECOND).isEmpty()) { "cleared too early" }
+        assertTrue(partition.commands(report(5, ended), 7 * SECOND).single() is Command.Clear) { "not cleared" }
     }
 
     @Example
@@ -79,14 +82,14 @@
         val partition = running()
         partition.leader(saveFrame(), SECOND)
         val order = partition.directOrders(SECOND).single()
-        condition(order.commands == listOf(Command.Stop("j-1/0", 1, 5.0))) { "$order" }
+        assertEquals(listOf(Command.Stop("j-1/0", 1, 5.0)), order.commands) { "$order" }
         partition.ordered(order, OrderOutcome.NotSent, SECOND)
         partition.leader(saveFrame(), 3 * SECOND)
-        condition(partition.commands(report(5, task(TaskPhase.RUNNING)), 4 * SECOND).isEmpty()) { "a second stop may end the saving" }
+        assertTrue(partition.commands(report(5, task(TaskPhase.RUNNING)), 4 * SECOND).isEmpty()) { "a second stop may end the saving" }
         val again = partition.commands(report(5, task(TaskPhase.RUNNING)), 8 * SECOND)
-        condition(again == listOf(Command.Stop("j-1/0", 1, 5.0))) { "$again" }
-        condition(partition.commands(report(5, task(TaskPhase.SAVING)), 20 * SECOND).isEmpty()) { "stopped while it saves" }
-        condition(partition.commands(report(5, task(TaskPhase.ENDED)), 21 * SECOND).isEmpty()) { "stopped after its end" }
+        assertEquals(listOf(Command.Stop("j-1/0", 1, 5.0)), again) { "$again" }
+        assertTrue(partition.commands(report(5, task(TaskPhase.SAVING)), 20 * SECOND).isEmpty()) { "stopped while it saves" }
+        assertTrue(partition.commands(report(5, task(TaskPhase.ENDED)), 21 * SECOND).isEmpty()) { "stopped after its end" }
     }
 
     @Example
@@ -97,7 +100,7 @@
         partition.report(report(5, task(TaskPhase.SAVING)), 2 * SECOND)
         partition.leader(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2 * SECOND)
         val commands = partition.commands(report(5, task(TaskPhase.SAVING)), 3 * SECOND)
-        condition(commands == listOf(Command.Stop("j-1/0", 1, 0.0))) { "$commands" }
+        assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "$commands" }
     }
 
     @Example
@@ -105,7 +108,7 @@
         val partition = running()
         partition.leader(saveFrame(), SECOND)
         partition.ordered(partition.directOrders(SECOND).single(), OrderOutcome.Unclear, 4 * SECOND)
-        condition(partition.directOrders(5 * SECOND).isEmpty()) { "ordered although it does not answer" }
+        assertTrue(partition.directOrders(5 * SECOND).isEmpty()) { "ordered although it does not answer" }
 
         fun listed(now: Long) =
             partition
@@ -114,9 +117,9 @@
                 ?.single()
                 ?.tasks
                 .orEmpty()
-        condition(listed(5 * SECOND).single().phase == TaskPhase.RUNNING) { "taken for gone" }
+        assertEquals(TaskPhase.RUNNING, listed(5 * SECOND).single().phase) { "taken for gone" }
         partition.tick(2 * LEASE)
-        condition(
+        assertTrue(
             partition
                 .frame(2 * LEASE)!!
                 .machines
@@ -132,11 +135,11 @@
         partition.ordered(order, OrderOutcome.Unclear, 3 * SECOND)
         partition.report(report(5), 4 * SECOND)
         partition.leader(frame(requests = listOf(ask(2, 1))), 4 * SECOND)
-        condition(offered(partition, 4 * SECOND).isEmpty()) { "offered although nothing reaches it" }
+        assertTrue(offered(partition, 4 * SECOND).isEmpty()) { "offered although nothing reaches it" }
         val probe = partition.probes(5 * SECOND).single()
         partition.probed(probe, report(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), 5 * SECOND)
         partition.leader(frame(requests = listOf(ask(3, 1))), 5 * SECOND)
-        condition(offered(partition, 5 * SECOND) == listOf("m")) { "not offered although it heeds again" }
+        assertEquals(listOf("m"), offered(partition, 5 * SECOND)) { "not offered although it heeds again" }
     }
 
     @Example
@@ -145,8 +148,8 @@
         started(partition)
         partition.report(report(5, session = 2), 20 * SECOND)
         partition.leader(frame(requests = listOf(ask(2, 1))), 20 * SECOND)
-        condition(offered(partition, 20 * SECOND).isEmpty()) { "offered" }
-        condition(partition.probes(20 * SECOND).single().session == 2L) { "not asked" }
+        assertTrue(offered(partition, 20 * SECOND).isEmpty()) { "offered" }
+        assertEquals(2L, partition.probes(20 * SECOND).single().session) { "not asked" }
     }
 
     @Example
@@ -154,15 +157,16 @@
         val partition = partition()
         val order = started(partition)
         partition.leader(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
-        condition(
+        assertEquals(
+            1,
             partition
                 .frame(2)!!
                 .machines
                 .single()
-                .tasks.size == 1,
+                .tasks.size,
         ) { "forgotten with an order under way" }
         partition.ordered(order, OrderOutcome.NotSent, 3)
-        condition(
+        assertTrue(
             partition
                 .frame(SECOND)!!
                 .machines
@@ -192,11 +196,11 @@
                 ?.tasks
                 ?.size ?: -1
         }
-        condition((1L..50).all { tasks(it * LEASE) != 0 }) { "forgotten while it may land" }
+        assertTrue((1L..50).all { tasks(it * LEASE) != 0 }) { "forgotten while it may land" }
         partition.reserved(6L..9L)
-        condition(tasks(51 * LEASE) != 0) { "forgotten before the newer token was shown" }
-        condition(tasks(51 * LEASE + SECOND) != 0) { "forgotten before the newer token was shown" }
-        condition(tasks(51 * LEASE + 2 * SECOND, token = 6) == 0) { "kept for ever" }
+        assertNotEquals(0, tasks(51 * LEASE)) { "forgotten before the newer token was shown" }
+        assertNotEquals(0, tasks(51 * LEASE + SECOND)) { "forgotten before the newer token was shown" }
+        assertEquals(0, tasks(51 * LEASE + 2 * SECOND, token = 6)) { "kept for ever" }
     }
 
     @Example
@@ -217,14 +221,14 @@
             partition.leader(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
             partition.ordered(order, answer, SECOND)
             partition.report(report(5), SECOND)
-            condition(!gone(partition, SECOND)) { "$answer" }
-            condition(partition.unansweredStarts().count() == 1) { "$answer" }
+            assertFalse(gone(partition, SECOND)) { "$answer" }
+            assertEquals(1, partition.unansweredStarts().count()) { "$answer" }
         }
         val refused = partition()
         val order = started(refused)
         refused.leader(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
         refused.ordered(order, OrderOutcome.Answered(false, report(5, session = 2)), SECOND)
-        condition(gone(refused, SECOND)) { "refused for its session, and kept" }
+        assertTrue(gone(refused, SECOND)) { "refused for its session, and kept" }
     }
 
     /** A partition that has sent the start of j-1/0 in the answer to a report, and in no other way; returns that report. */
@@ -234,7 +238,7 @@
         partition.leader(frame(requests = listOf(ask(1, 1))), 1)
         partition.leader(frame(starts = listOf(StartOrder(1, "m", 0, 1))), 1)
         val answered = report(5)
-        condition(partition.commands(answered, SECOND).single() is Command.Start) { "no start in the answer" }
+        assertTrue(partition.commands(answered, SECOND).single() is Command.Start) { "no start in the answer" }
         partition.leader(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), SECOND)
         return answered
     }
@@ -254,16 +258,16 @@
         val partition = partition()
         val answered = startedByAnswer(partition)
         partition.tick(10 * SECOND)
-        condition(!gone(partition, 10 * SECOND)) { "given up because time has passed" }
+        assertFalse(gone(partition, 10 * SECOND)) { "given up because time has passed" }
         partition.report(answered, 11 * SECOND)
         partition.tick(11 * SECOND)
-        condition(!gone(partition, 11 * SECOND)) { "given up for a copy of the report that was answered" }
+        assertFalse(gone(partition, 11 * SECOND)) { "given up for a copy of the report that was answered" }
         val order = DirectOrder("m", "1.2.3.4:5", 5, 1, emptyList())
         partition.ordered(order, OrderOutcome.Answered(true, report(5)), 12 * SECOND)
         partition.tick(12 * SECOND)
-        condition(!gone(partition, 12 * SECOND)) { "given up for an answer to an order, which may be older than the report's answer" }
+        assertFalse(gone(partition, 12 * SECOND)) { "given up for an answer to an order, which may be older than the report's answer" }
         partition.report(report(5), 13 * SECOND)
-        condition(gone(partition, 13 * SECOND)) { "kept although a later report does not list it" }
+        assertTrue(gone(partition, 13 * SECOND)) { "kept although a later report does not list it" }
     }
 
     @Example
@@ -272,7 +276,7 @@
         startedByAnswer(partition)
         partition.tick(10 * SECOND)
         val commands = partition.commands(report(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), 11 * SECOND)
-        condition(commands == listOf(Command.Stop("j-1/0", 1, 0.0))) { "$commands" }
+        assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "$commands" }
     }
 
     @Example
@@ -285,7 +289,7 @@
         partition.commands(report(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), SECOND)
         ends.end("j-1")
         partition.leader(frame(requests = listOf(ask(3, 1)), starts = listOf(StartOrder(2, "m", 1, 2))), 2 * SECOND)
-        condition(
+        assertTrue(
             partition
                 .frame(2 * SECOND)!!
                 .offers
@@ -295,6 +299,6 @@
         ) { "offered for a job that is over" }
         partition.tick(3 * SECOND)
         val commands = partition.commands(report(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), 3 * SECOND)
-        condition(commands == listOf(Command.Stop("j-1/0", 1, 0.0))) { "not just stopped: $commands" }
+        assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "not just stopped: $commands" }
     }
 }
--- a/src/test/kotlin/lichenstage/partition/WorkerCodecTest.kt
+++ b/src/test/kotlin/lichenstage/partition/WorkerCodecTest.kt
@@ -7,7 +7,9 @@
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
 /** The words of the worker protocol, written and read. */
@@ -31,12 +33,12 @@
         val token = random.nextLong() and Long.MAX_VALUE
         val session = random.nextInt(1000).toLong().takeIf { random.nextBoolean() }
         val json = JsonObject(WorkerCodec.orders(token, commands, session))
-        condition(json.getLong("warrant") == token) { "$json" }
-        condition(json.fieldNames().contains("tenure") == (session != null)) { "$json" }
-        condition(json.getLong("tenure") == session) { "$json" }
+        assertEquals(token, json.getLong("warrant")) { "$json" }
+        assertEquals(session != null, json.fieldNames().contains("tenure")) { "$json" }
+        assertEquals(session, json.getLong("tenure") as Long?) { "$json" }
         val rows = json.getJsonArray("orders").map { it as JsonObject }
-        condition(rows.size == commands.size) { "$json" }
-        rows.zip(commands).forEach { (row, command) -> condition(isSame(row, command)) { "$row for $command" } }
+        assertEquals(commands.size, rows.size) { "$json" }
+        rows.zip(commands).forEach { (row, command) -> assertTrue(isSame(row, command)) { "$row for $command" } }
     }
 
     private fun isSame(
@@ -60,7 +62,7 @@
                 ),
             )
         val tasks = listOf(ReportedTask("j-1/3", 4, TaskPhase.FETCHING, null), ReportedTask("j-1/4", 5, TaskPhase.ENDED, "done"))
-        condition(report == Report("vm-1", "10.0.0.1:9", "g8", "a", true, 2, 7, 0, 3 * SECOND / 2, tasks)) { "$report" }
+        assertEquals(Report("vm-1", "10.0.0.1:9", "g8", "a", true, 2, 7, 0, 3 * SECOND / 2, tasks), report) { "$report" }
     }
 
     @Example
@@ -77,6 +79,6 @@
                 """{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":1,"tally":1,"parts":{}}""",
                 """{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":1,"tally":1,"parts":[{"part":"j-1/1"}]}""",
             )
-        for (text in wrong) condition(WorkerCodec.report(Buffer.buffer(text)) == null) { text }
+        for (text in wrong) assertNull(WorkerCodec.report(Buffer.buffer(text))) { text }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/CheckpointStopsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CheckpointStopsTest.kt
@@ -6,7 +6,8 @@
 import lichenstage.cluster.TaskPhase
 import lichenstage.jobs.Priority
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 class CheckpointStopsTest {
     private val stops = CheckpointStops(RunTimeEstimates())
@@ -48,29 +49,29 @@
         val unsaved = running(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)
 
         fun drained(nowS: Long) = stops.orders("m", listOf(long, unsaved), isDrained = true, nowS * SECOND)
-        condition(drained(40).isEmpty()) { "stopped beside the budget of its team" }
+        assertTrue(drained(40).isEmpty()) { "stopped beside the budget of its team" }
         stops.request(listOf(unsaved))
-        condition("m" in stops.concerned) { "nobody would ask" }
-        condition(drained(41) == listOf(SaveOrder("m", "j-1/1", 11, 0))) { "${drained(44)}" }
-        condition(unsaved.saveOrderedUs == 0L) { "its progress would count as saved" }
+        assertTrue("m" in stops.concerned) { "nobody would ask" }
+        assertEquals(listOf(SaveOrder("m", "j-1/1", 11, 0)), drained(41)) { "${drained(44)}" }
+        assertEquals(0L, unsaved.saveOrderedUs) { "its progress would count as saved" }
         stops.request(listOf(long))
-        condition(drained(42).map { it.attempt } == listOf(10L) && long.saveOrderedUs > 0) { "not stopped with time to save" }
+        assertTrue(drained(42).map { it.attempt } == listOf(10L) && long.saveOrderedUs > 0) { "not stopped with time to save" }
         stops.ended(unsaved)
         stops.ended(long)
-        condition(drained(60).isEmpty() && "m" !in stops.concerned) { "ordered after its end" }
+        assertTrue(drained(60).isEmpty() && "m" !in stops.concerned) { "ordered after its end" }
     }
 
     @Example
     fun `after a notice a task runs on for as long as it can still save, and the order is repeated`() {
         val attempt = running(job(runS = 60), sinceS = 1)
         notice(leftS = 20, nowS = 10)
-        condition(orders(15, attempt).isEmpty()) { "stopped with 15 s left" }
+        assertTrue(orders(15, attempt).isEmpty()) { "stopped with 15 s left" }
         val order = SaveOrder("m", "j-1/0", 10, 5 * SECOND)
-        condition(orders(21, attempt) == listOf(order)) { "not stopped with 9 s left" }
-        condition(orders(22, attempt).isEmpty()) { "repeated at once" }
-        condition(orders(24, attempt) == listOf(order)) { "not repeated" }
+        assertEquals(listOf(order), orders(21, attempt)) { "not stopped with 9 s left" }
+        assertTrue(orders(22, attempt).isEmpty()) { "repeated at once" }
+        assertEquals(listOf(order), orders(24, attempt)) { "not repeated" }
         attempt.phase = TaskPhase.SAVING
-        condition(orders(25, attempt).isEmpty()) { "stopped while it saves" }
+        assertTrue(orders(25, attempt).isEmpty()) { "stopped while it saves" }
     }
 
     @Example
@@ -78,26 +79,26 @@
         val attempt = running(job(runS = 60), sinceS = 1)
         notice(leftS = 20, nowS = 10)
         notice(leftS = 20, nowS = 14)
-        condition(orders(21, attempt).isNotEmpty()) { "the notice was taken for a later one" }
+        assertTrue(orders(21, attempt).isNotEmpty()) { "the notice was taken for a later one" }
     }
 
     @Example
     fun `a task that ends by itself before, one that can't save and one with no time to save are left alone`() {
         notice(leftS = 20, nowS = 10)
-        condition(orders(21, running(job(runS = 24), sinceS = 1)).isEmpty()) { "it ends in 4 s" }
-        condition(orders(21, running(job(runS = 60, checkpointS = 0), sinceS = 1)).isEmpty()) { "it can't save" }
-        condition(orders(26, running(job(runS = 60), sinceS = 1)).isEmpty()) { "4 s are too few for 4 s of saving" }
+        assertTrue(orders(21, running(job(runS = 24), sinceS = 1)).isEmpty()) { "it ends in 4 s" }
+        assertTrue(orders(21, running(job(runS = 60, checkpointS = 0), sinceS = 1)).isEmpty()) { "it can't save" }
+        assertTrue(orders(26, running(job(runS = 60), sinceS = 1)).isEmpty()) { "4 s are too few for 4 s of saving" }
         val fetching = running(job(runS = 60), sinceS = 1).apply { phase = TaskPhase.FETCHING }
-        condition(orders(21, fetching).isEmpty()) { "it has nothing to save" }
+        assertTrue(orders(21, fetching).isEmpty()) { "it has nothing to save" }
     }
 
     @Example
     fun `a draining machine is emptied only where nothing but long tasks that can save is left`() {
         val long = running(job(runS = 120), sinceS = 1)
-        condition(orders(20, long).isEmpty()) { "its start would not count" }
-        condition(orders(40, long, running(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)).isEmpty()) { "the other holds it" }
-        condition(orders(40, long, running(job(runS = 50), sinceS = 1, index = 1)).isEmpty()) { "the other ends soon" }
-        condition(orders(40, long).map { it.attempt } == listOf(10L)) { "not moved" }
+        assertTrue(orders(20, long).isEmpty()) { "its start would not count" }
+        assertTrue(orders(40, long, running(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)).isEmpty()) { "the other holds it" }
+        assertTrue(orders(40, long, running(job(runS = 50), sinceS = 1, index = 1)).isEmpty()) { "the other ends soon" }
+        assertEquals(listOf(10L), orders(40, long).map { it.attempt }) { "not moved" }
     }
 
     @Example
@@ -106,11 +107,11 @@
         job.savedProgress(0, 30 * SECOND)
         job.savedProgress(0, 20 * SECOND)
         job.savedProgress(1, 5 * SECOND)
-        condition(job.totalSavedUs == 35 * SECOND) { "${job.totalSavedUs}" }
-        condition(running(job, sinceS = 10).progressUs(15 * SECOND) == 35 * SECOND) { "an attempt goes on from there" }
+        assertEquals(35 * SECOND, job.totalSavedUs) { "${job.totalSavedUs}" }
+        assertEquals(35 * SECOND, running(job, sinceS = 10).progressUs(15 * SECOND)) { "an attempt goes on from there" }
         job.did(0)
-        condition(job.totalSavedUs == 5 * SECOND) { "${job.totalSavedUs}" }
+        assertEquals(5 * SECOND, job.totalSavedUs) { "${job.totalSavedUs}" }
         job.savedProgress(0, 50 * SECOND)
-        condition(job.totalSavedUs == 5 * SECOND) { "what is done has nothing saved" }
+        assertEquals(5 * SECOND, job.totalSavedUs) { "what is done has nothing saved" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
+++ b/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
@@ -5,7 +5,9 @@
 import lichenstage.app.SECOND
 import lichenstage.jobs.Priority
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertSame
+import org.junit.jupiter.api.Assertions.assertTrue
 
 /** Who comes first, and that nobody waits for ever. */
 class JobQueueTest {
@@ -51,8 +53,8 @@
     @Example
     fun `the largest job of the least class begins within four minutes under lasting overload`() {
         val began = largestBeginsAfter(120 * SECOND)
-        condition(began != null && began < 240 * SECOND) { "began after $began" }
-        condition(largestBeginsAfter(Long.MAX_VALUE / 4) == null) { "it would have begun without ageing" }
+        assertTrue(began != null && began < 240 * SECOND) { "began after $began" }
+        assertNull(largestBeginsAfter(Long.MAX_VALUE / 4)) { "it would have begun without ageing" }
     }
 
     @Example
@@ -61,6 +63,6 @@
         val old = job(1, "slow", 5, -200 * SECOND, Priority.LOW)
         val fresh = List(5) { job(2 + it, "quick", 5, 0) }
         (fresh + old).forEach(queue::added)
-        condition(queue.order(fresh + old, { 1.0 }, 0).first() === old) { "not first" }
+        assertSame(old, queue.order(fresh + old, { 1.0 }, 0).first()) { "not first" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
@@ -8,7 +8,9 @@
 import lichenstage.cluster.TaskPhase
 import lichenstage.cluster.TaskState
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
 
 /** What the leader alone must keep. */
 class LeaderCoreTest : LeaderFixture() {
@@ -19,10 +21,10 @@
         leader.jobAdded(job("j-1", stamp = 50))
         leader.frame(partition("z", 0, view("m1")), SECOND)
         leader.tick(2 * SECOND)
-        condition(sent("z").none { it.requests.isNotEmpty() }) { "asked while m2 was not accounted for" }
+        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "asked while m2 was not accounted for" }
         leader.frame(partition("z", 0, view("m1"), view("m2")), 3 * SECOND)
         leader.tick(3 * SECOND)
-        condition(lastAsk().requests.single().job == "j-1") { "not asked" }
+        assertEquals("j-1", lastAsk().requests.single().job) { "not asked" }
     }
 
     @Example
@@ -32,7 +34,7 @@
         leader.jobAdded(job("j-2", stamp = 101))
         leader.frame(partition("z", 0, view("m1")), SECOND)
         leader.tick(2 * SECOND)
-        condition(sent("z").none { it.requests.isNotEmpty() }) { "16 unheard cores leave nothing of a limit of 8" }
+        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "16 unheard cores leave nothing of a limit of 8" }
     }
 
     @Example
@@ -41,9 +43,9 @@
         leader.inherited(inherited("m1"))
         leader.jobAdded(job("j-1"))
         leader.frame(partition("z", 0, age = 21 * SECOND), SECOND)
-        condition(!leader.complete && leader.blockers() == listOf("m1")) { "${leader.complete} ${leader.blockers()}" }
+        assertTrue(!leader.complete && leader.blockers() == listOf("m1")) { "${leader.complete} ${leader.blockers()}" }
         leader.frame(partition("z", 0, age = 23 * SECOND), 3 * SECOND)
-        condition(leader.complete) { "still waiting" }
+        assertTrue(leader.complete) { "still waiting" }
     }
 
     @Example
@@ -52,9 +54,9 @@
         leader.inherited(inherited("m1"))
         leader.jobAdded(job("j-1"))
         leader.frame(partition("z", 0, view("m1", settled = false), age = 60 * SECOND), SECOND)
-        condition(!leader.complete) { "an answer may have renewed its lease" }
+        assertFalse(leader.complete) { "an answer may have renewed its lease" }
         leader.frame(partition("z", 0, view("m1", settled = false, lost = true), age = 61 * SECOND), 2 * SECOND)
-        condition(leader.complete) { "still waiting" }
+        assertTrue(leader.complete) { "still waiting" }
     }
 
     @Example
@@ -63,9 +65,9 @@
         leader.inherited(inherited("m1", "m2"))
         leader.jobAdded(job("j-1"))
         leader.frame(partition("z", 0, view("m1"), age = 60 * SECOND, whole = false), SECOND)
-        condition(!leader.complete) { "m2 may be in the next piece" }
+        assertFalse(leader.complete) { "m2 may be in the next piece" }
         leader.frame(partition("z", 0, age = 60 * SECOND), 2 * SECOND)
-        condition(leader.complete) { "still waiting" }
+        assertTrue(leader.complete) { "still waiting" }
     }
 
     @Example
@@ -74,7 +76,7 @@
         leader.frame(partition("z", 0, view("m1"), view("m2", settled = false), view("m3")), SECOND)
         leader.machineGone("m3")
         leader.frame(partition("z", 0, view("m3")), 2 * SECOND)
-        condition(leader.unregistered().map { it.machine.name } == listOf("m1")) { "${leader.unregistered()}" }
+        assertEquals(listOf("m1"), leader.unregistered().map { it.machine.name }) { "${leader.unregistered()}" }
     }
 
     @Example
@@ -84,10 +86,10 @@
         leader.jobAdded(job("j-1"))
         val ghost = view("ghost", TaskState("j-1/0", 3, TaskPhase.RUNNING))
         leader.frame(partition("z", 0, ghost, view("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING))), SECOND)
-        condition(leader.attemptsOn("ghost").isEmpty()) { "adopted" }
-        condition(leader.attemptsOn("m1").single().number == 4L) { "the real one is not known" }
+        assertTrue(leader.attemptsOn("ghost").isEmpty()) { "adopted" }
+        assertEquals(4L, leader.attemptsOn("m1").single().number) { "the real one is not known" }
         leader.tick(SECOND)
-        condition(sent("z").flatMap { it.stops }.none { it.machine == "m1" }) { "the real one was stopped" }
+        assertTrue(sent("z").flatMap { it.stops }.none { it.machine == "m1" }) { "the real one was stopped" }
     }
 
     /** Found by an own day of concurrent faults: a machine was given back a second before the leader ended, and was still in the record. */
@@ -100,14 +102,14 @@
             leader.jobAdded(job("j-1"))
             val views = listOf(view("back", TaskState("j-1/0", 3, TaskPhase.RUNNING)), view("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING)))
             leader.frame(partition("z", 0, *(if (newerFirst) views.reversed() else views).toTypedArray()), SECOND)
-            condition(leader.attemptsOn("back").isEmpty()) { "the older is still counted" }
-            condition(leader.attemptsOn("m1").single().number == 4L) { "the newer is not known" }
+            assertTrue(leader.attemptsOn("back").isEmpty()) { "the older is still counted" }
+            assertEquals(4L, leader.attemptsOn("m1").single().number) { "the newer is not known" }
             leader.tick(SECOND)
-            condition(sent("z").flatMap { it.stops }.map { it.machine } == listOf("back")) { "${sent("z").flatMap { it.stops }}" }
+            assertEquals(listOf("back"), sent("z").flatMap { it.stops }.map { it.machine }) { "${sent("z").flatMap { it.stops }}" }
             leader.frame(partition("z", 0, view("back", lost = true)), 2 * SECOND)
             leader.tick(2 * SECOND)
             leader.tick(3 * SECOND)
-            condition(lastAsk().requests.single().count == 1) { "more than the other task is asked for: ${lastAsk().requests}" }
+            assertEquals(1, lastAsk().requests.single().count) { "more than the other task is asked for: ${lastAsk().requests}" }
         }
     }
 
@@ -117,7 +119,7 @@
         leader.inherited(inherited("m1"))
         leader.jobAdded(job("j-1"))
         leader.frame(partition("z", 0, view("m1"), view("ghost", settled = false)), SECOND)
-        condition(leader.complete) { "waiting for a machine that is gone" }
+        assertTrue(leader.complete) { "waiting for a machine that is gone" }
     }
 
     @Example
@@ -127,7 +129,7 @@
         leader.jobAdded(job("j-1"))
         leader.frame(partition("z", 0, view("m1", TaskState("j-1/0", 3, TaskPhase.RUNNING))), SECOND)
         leader.tick(2 * SECOND)
-        condition(lastAsk().requests.single().count == 1) { "${lastAsk().requests}" }
+        assertEquals(1, lastAsk().requests.single().count) { "${lastAsk().requests}" }
     }
 
     @Example
@@ -137,7 +139,7 @@
         leader.jobAdded(job("j-2"))
         leader.frame(partition("z", 0, view("m1", TaskState("j-9/0", 3, TaskPhase.RUNNING))), SECOND)
         leader.tick(SECOND)
-        condition(sent("z").none { it.requests.isNotEmpty() }) { "a stranger's cores were given away" }
+        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "a stranger's cores were given away" }
     }
 
     /** Counted, not timed: [looks] are questions for a machine's size, of which whoever goes through all machines asks one each. */
@@ -157,15 +159,15 @@
                 val last = piece.last() == names.last()
                 leader.frame(partition("z", 0, *piece.map { view(it) }.toTypedArray(), whole = last), SECOND)
             }
-            condition(leader.complete && looks == 0) { "$looks looks at $machines machines in a takeover" }
+            assertTrue(leader.complete && looks == 0) { "$looks looks at $machines machines in a takeover" }
             leader.tick(SECOND)
             val before = looks
-            condition(before <= machines + 10) { "$before looks at $machines machines in the first turn" }
+            assertTrue(before <= machines + 10) { "$before looks at $machines machines in the first turn" }
             repeat(20) {
                 leader.frame(partition("z", 0, view("m$it")), SECOND + it * 10_000)
                 leader.tick(SECOND + it * 10_000)
             }
-            condition(looks == before) { "${looks - before} looks at $machines machines for 20 frames of one" }
+            assertEquals(before, looks) { "${looks - before} looks at $machines machines for 20 frames of one" }
         }
     }
 
@@ -175,8 +177,8 @@
         val team = mapOf("red" to Team("red", 12.0, 99.0, 0.0, 9.0))
         val jobs = listOf(Job(spec("j-1"), 1, 30), Job(spec("j-2"), 2, 10), Job(spec("j-3"), 3, 20))
         val within = serviceObjectives.guaranteed(jobs, team).map { it.spec.id }
-        condition(within == listOf("j-2")) { "8 of 12 cores are j-2's, with j-3 it would be 16: $within" }
-        condition(serviceObjectives.startObjectives(jobs[1], SECOND, 0, guaranteed = true).first().startByUs == 10 + 5 * SECOND) {
+        assertEquals(listOf("j-2"), within) { "8 of 12 cores are j-2's, with j-3 it would be 16: $within" }
+        assertEquals(10 + 5 * SECOND, serviceObjectives.startObjectives(jobs[1], SECOND, 0, guaranteed = true).first().startByUs) {
             "no promise of it"
         }
     }
--- a/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -12,7 +12,7 @@
 import lichenstage.cluster.TaskState
 import lichenstage.jobs.JobSpec
 import lichenstage.jobs.Priority
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
 
 /** A leader, the partitions that it hears, and what it asks of the outside, for tests. */
 abstract class LeaderFixture {
@@ -87,7 +87,7 @@
         leader.frame(partition("y", sent("y").last().seq, offers = ask.requests.map { Offer(it.stamp, emptyList()) }), SECOND)
         leader.frame(partition("z", ask.seq, offers = offer(ask, "m1", job.spec.tasks)), SECOND)
         leader.tick(SECOND)
-        condition(starts().map { it.index }.toSet() == (0 until job.spec.tasks).toSet()) { "${starts()}" }
+        assertEquals((0 until job.spec.tasks).toSet(), starts().map { it.index }.toSet()) { "${starts()}" }
         return leader
     }
 }
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -8,7 +8,8 @@
 import lichenstage.cluster.TaskPhase
 import lichenstage.cluster.TaskState
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 /** What the leader asks for, starts, gives up and has recorded. */
 class LeaderRequestsTest : LeaderFixture() {
@@ -34,10 +35,10 @@
         shown(TaskPhase.RUNNING, null, 2)
         shown(TaskPhase.RUNNING, 9, 40)
         leader.tick(41 * SECOND)
-        condition(sent("z").flatMap { it.saves }.map { it.attempt } == listOf(attempt)) { "${sent("z").last()}" }
+        assertEquals(listOf(attempt), sent("z").flatMap { it.saves }.map { it.attempt }) { "${sent("z").last()}" }
         shown(TaskPhase.ENDED, 4, 45)
-        condition(job.totalSavedUs in 37 * SECOND..39 * SECOND) { "${job.totalSavedUs}" }
-        condition(leader.attemptsOn("m1").isEmpty() && job.pending.size == 1) { "not queued again" }
+        assertTrue(job.totalSavedUs in 37 * SECOND..39 * SECOND) { "${job.totalSavedUs}" }
+        assertTrue(leader.attemptsOn("m1").isEmpty() && job.pending.size == 1) { "not queued again" }
     }
 
     @Example
@@ -45,12 +46,12 @@
         val leader = placed()
         val seq = sent("z").last { it.starts.isNotEmpty() }.seq
         leader.frame(partition("z", seq - 1, view("m1")), 2 * SECOND)
-        condition(leader.attemptsOn("m1").size == 2) { "given up by a frame from before it" }
+        assertEquals(2, leader.attemptsOn("m1").size) { "given up by a frame from before it" }
         leader.frame(
             partition("z", seq, view("m1", TaskState("j-1/${starts()[0].index}", starts()[0].attempt, TaskPhase.PENDING))),
             2 * SECOND,
         )
-        condition(leader.attemptsOn("m1").map { it.index } == listOf(starts()[0].index)) { "${leader.attemptsOn("m1").map { it.task }}" }
+        assertEquals(listOf(starts()[0].index), leader.attemptsOn("m1").map { it.index }) { "${leader.attemptsOn("m1").map { it.task }}" }
     }
 
     /** A version before this one says in pieces what it told in whole frames that were lost. */
@@ -61,9 +62,9 @@
         leader.frame(partition("z", seq, view("m2"), whole = false), 2 * SECOND)
         leader.frame(partition("z", seq, view("m1"), whole = false), 3 * SECOND)
         leader.tick(4 * SECOND)
-        condition(leader.attemptsOn("m1").size == 2) { "given up by a frame that leaves out machines" }
+        assertEquals(2, leader.attemptsOn("m1").size) { "given up by a frame that leaves out machines" }
         leader.frame(partition("z", seq, view("m1")), 5 * SECOND)
-        condition(leader.attemptsOn("m1").isEmpty()) { "kept although all is told" }
+        assertTrue(leader.attemptsOn("m1").isEmpty()) { "kept although all is told" }
     }
 
     @Example
@@ -78,11 +79,14 @@
             val other = TaskState("j-1/0", attempt - 1, TaskPhase.RUNNING)
             val rows = if (refusedFirst) arrayOf(refused, other) else arrayOf(other, refused)
             leader.frame(partition("z", seq, view("m1", *rows)), 2 * SECOND)
-            condition(leader.attemptsOn("m1").map { it.number } == listOf(attempt - 1)) { "${leader.attemptsOn("m1").map { it.number }}" }
+            assertEquals(
+                listOf(attempt - 1),
+                leader.attemptsOn("m1").map { it.number },
+            ) { "${leader.attemptsOn("m1").map { it.number }}" }
             leader.tick(60 * SECOND)
-            condition(sent("z").none { frame -> frame.stops.any { it.attempt == attempt - 1 } }) { "the one that runs is stopped" }
+            assertTrue(sent("z").none { frame -> frame.stops.any { it.attempt == attempt - 1 } }) { "the one that runs is stopped" }
             leader.frame(partition("z", seq, view("m1", refused, other.copy(phase = TaskPhase.ENDED, cause = "done"))), 61 * SECOND)
-            condition(job.complete) { "its end does not count" }
+            assertTrue(job.complete) { "its end does not count" }
         }
     }
 
@@ -91,18 +95,18 @@
         val leader = leader()
         leader.jobAdded(job("j-1", tasks = 1))
         leader.frame(partition("z", 0, view("m1", TaskState("j-1/0", 9, TaskPhase.RUNNING))), SECOND)
-        condition(leader.attemptsOn("m1").isEmpty()) { "believed of a machine without record" }
+        assertTrue(leader.attemptsOn("m1").isEmpty()) { "believed of a machine without record" }
         leader.registered(mapOf("m1" to "z/0"))
-        condition(leader.attemptsOn("m1").map { it.number } == listOf(9L)) { "not looked at again" }
+        assertEquals(listOf(9L), leader.attemptsOn("m1").map { it.number }) { "not looked at again" }
     }
 
     @Example
     fun `under a new owner nothing is given up before the worker has shown the new token`() {
         val leader = placed()
         leader.frame(partition("z", 0, view("m1", settled = false), term = 4), 3 * SECOND)
-        condition(leader.attemptsOn("m1").size == 2) { "given up too early" }
+        assertEquals(2, leader.attemptsOn("m1").size) { "given up too early" }
         leader.frame(partition("z", 0, view("m1"), term = 4), 4 * SECOND)
-        condition(leader.attemptsOn("m1").isEmpty()) { "kept" }
+        assertTrue(leader.attemptsOn("m1").isEmpty()) { "kept" }
     }
 
     @Example
@@ -111,7 +115,7 @@
         leader.jobAdded(job("j-2"))
         effects.clear()
         leader.tick(5 * SECOND)
-        condition(sent("z").none { it.requests.isNotEmpty() }) { "asked beyond the limit of 8 cores" }
+        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "asked beyond the limit of 8 cores" }
     }
 
     @Example
@@ -123,10 +127,10 @@
         effects.clear()
         leader.tick(2 * SECOND)
         val end = effects.filterIsInstance<LeaderEffect.Finish>().single()
-        condition(sent("z").all { it.clears.isEmpty() }) { "cleared before the record was written" }
+        assertTrue(sent("z").all { it.clears.isEmpty() }) { "cleared before the record was written" }
         leader.finished(end.job, 3 * SECOND)
         leader.tick(4 * SECOND)
-        condition(sent("z").last().clears.size == 2 && "j-1" !in leader.jobs) { "not cleared" }
+        assertTrue(sent("z").last().clears.size == 2 && "j-1" !in leader.jobs) { "not cleared" }
     }
 
     @Example
@@ -138,17 +142,17 @@
         leader.jobAdded(job("j-2"))
         effects.clear()
         leader.tick(3 * SECOND)
-        condition(sent("z").last().stops.size == 2) { "not stopped" }
-        condition(sent("z").none { it.requests.isNotEmpty() }) { "its cores were given away" }
+        assertEquals(2, sent("z").last().stops.size) { "not stopped" }
+        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "its cores were given away" }
         leader.frame(partition("z", sent("z").last().seq, view("m1").copy(gone = running.map { it.attempt })), 4 * SECOND)
         leader.tick(4 * SECOND)
-        condition(lastAsk().requests.single().job == "j-2") { "its cores were not freed" }
+        assertEquals("j-2", lastAsk().requests.single().job) { "its cores were not freed" }
     }
 
     @Example
     fun `attempts rise from leader to leader`() {
         placed()
-        condition(starts().all { it.attempt > (6L shl 32) + 0xffff_ffffL }) { "${starts()}" }
+        assertTrue(starts().all { it.attempt > (6L shl 32) + 0xffff_ffffL }) { "${starts()}" }
     }
 
     @Example
@@ -161,8 +165,8 @@
             )
         val zoneOf = { partition: String -> partition.substringBefore('/') }
         val spread = OfferSelection.roomiest(offers, 9, zoneOf) { 5 }
-        condition(spread.count { zoneOf(it.partition) == "z" } == 5 && spread.size == 9) { "$spread" }
-        condition(OfferSelection.bestZone(offers, zoneOf) == "z") { "not the larger offer" }
+        assertTrue(spread.count { zoneOf(it.partition) == "z" } == 5 && spread.size == 9) { "$spread" }
+        assertEquals("z", OfferSelection.bestZone(offers, zoneOf)) { "not the larger offer" }
     }
 
     @Example
@@ -173,17 +177,17 @@
         leader.jobAdded(waiting)
         leader.frame(partition("z", 0, view("m1")), SECOND)
         leader.tick(2 * SECOND)
-        condition(sent("z").none { it.requests.isNotEmpty() }) { "asked before all that it needs was done" }
+        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "asked before all that it needs was done" }
         leader.jobAdded(job("j-3", stamp = 102))
         leader.tick(3 * SECOND)
-        condition(lastAsk().requests.single().job == "j-3") { "the other job is held up" }
+        assertEquals("j-3", lastAsk().requests.single().job) { "the other job is held up" }
         leader.frame(partition("z", 1, view("m1"), offers = offer(lastAsk(), "m1", 2)), 3 * SECOND)
         leader.tick(4 * SECOND)
         leader.jobReady(waiting, 4 * SECOND)
         leader.tick(5 * SECOND)
-        condition(waiting.placeable && waiting.readyUs == 4 * SECOND) { "not let go" }
+        assertTrue(waiting.placeable && waiting.readyUs == 4 * SECOND) { "not let go" }
         leader.jobReady(waiting, 9 * SECOND)
-        condition(waiting.readyUs == 4 * SECOND) { "ready twice" }
+        assertEquals(4 * SECOND, waiting.readyUs) { "ready twice" }
     }
 
     @Example
@@ -212,8 +216,8 @@
         leader.frame(partition("z", 0, view("m1")), 5 * SECOND)
         leader.tick(5 * SECOND)
         val requests = lastAsk().requests.sortedBy { it.stamp }
-        condition(requests.map { it.imageOnly } == listOf(true, true, false, false, true, false)) { "$requests" }
-        condition(requests.takeLast(2).all { it.job == "j-3" }) { "$requests" }
+        assertEquals(listOf(true, true, false, false, true, false), requests.map { it.imageOnly }) { "$requests" }
+        assertTrue(requests.takeLast(2).all { it.job == "j-3" }) { "$requests" }
     }
 
     @Example
@@ -232,17 +236,17 @@
         val job = job("j-1")
         val start = StartObjective(15 * SECOND, byTask = true)
         val finish = StartObjective(89 * SECOND, byTask = false)
-        condition(serviceObjectives.startObjectives(job, SECOND, 0) == listOf(start, finish)) {
+        assertEquals(listOf(start, finish), serviceObjectives.startObjectives(job, SECOND, 0)) {
             "${serviceObjectives.startObjectives(job, SECOND, 0)}"
         }
-        condition(serviceObjectives.startObjectives(job, SECOND, 20 * SECOND) == listOf(finish)) {
+        assertEquals(listOf(finish), serviceObjectives.startObjectives(job, SECOND, 20 * SECOND)) {
             "${serviceObjectives.startObjectives(
                 job,
                 SECOND,
                 20 * SECOND,
             )}"
         }
-        condition(serviceObjectives.startObjectives(job, SECOND, 100 * SECOND).isEmpty()) {
+        assertTrue(serviceObjectives.startObjectives(job, SECOND, 100 * SECOND).isEmpty()) {
             "${serviceObjectives.startObjectives(
                 job,
                 SECOND,
--- a/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
@@ -6,7 +6,8 @@
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
 import net.jqwik.api.constraints.IntRange
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
 class ObjectiveOrderTest {
@@ -28,7 +29,7 @@
     @Example
     fun `where all can be kept the earliest due comes first whatever its priority`() {
         val order = ObjectiveOrder.order(listOf(waiting(1, 5.0, 100), waiting(2, 5.0, 50, priority = Priority.LOW)), 1.0, 0)
-        condition(ids(order) == listOf("j-2", "j-1")) { "${ids(order)}" }
+        assertEquals(listOf("j-2", "j-1"), ids(order)) { "${ids(order)}" }
     }
 
     @Example
@@ -41,7 +42,7 @@
                 waiting(4, 5.0, 60, priority = Priority.STANDARD),
                 waiting(5, 9.0, 65, priority = Priority.STANDARD),
             )
-        condition(ids(ObjectiveOrder.order(rows, 1.0, 0)) == listOf("j-2", "j-3", "j-1", "j-5", "j-4")) {
+        assertEquals(listOf("j-2", "j-3", "j-1", "j-5", "j-4"), ids(ObjectiveOrder.order(rows, 1.0, 0))) {
             "${ids(ObjectiveOrder.order(rows, 1.0, 0))}"
         }
     }
@@ -50,13 +51,16 @@
     fun `where starts are counted by tasks a large job does not give way for its size`() {
         val large = QueuedJob(Job(spec(1, Priority.HIGH), 1, 0), 60.0, listOf(ObjectiveStep(70, 6.0)), SECOND)
         val small = QueuedJob(Job(spec(2, Priority.HIGH), 2, 0), 20.0, listOf(ObjectiveStep(75, 1.0)), SECOND)
-        condition(ids(ObjectiveOrder.order(listOf(large, small), 1.0, 0)) == listOf("j-1", "j-2")) { "the large one gave way" }
+        assertEquals(listOf("j-1", "j-2"), ids(ObjectiveOrder.order(listOf(large, small), 1.0, 0))) { "the large one gave way" }
     }
 
     @Example
     fun `a job that gives way is kept to its next promise`() {
         val rows = listOf(waiting(1, 60.0, 70, 200), waiting(2, 20.0, 75), waiting(3, 30.0, 300))
-        condition(ids(ObjectiveOrder.order(rows, 1.0, 0)) == listOf("j-2", "j-1", "j-3")) { "${ids(ObjectiveOrder.order(rows, 1.0, 0))}" }
+        assertEquals(
+            listOf("j-2", "j-1", "j-3"),
+            ids(ObjectiveOrder.order(rows, 1.0, 0)),
+        ) { "${ids(ObjectiveOrder.order(rows, 1.0, 0))}" }
     }
 
     @Property(tries = 200, seed = "31")
@@ -71,15 +75,15 @@
                 waiting(it, random.nextDouble() * 200, *due, priority = Priority.entries[random.nextInt(4)])
             }
         val order = ObjectiveOrder.order(rows, 1.0, random.nextInt(500).toLong())
-        condition(order.toSet() == rows.map { it.job }.toSet() && order.size == count) { "seed $seed" }
+        assertTrue(order.toSet() == rows.map { it.job }.toSet() && order.size == count) { "seed $seed" }
     }
 
     @Example
     fun `run times are learned by class and fade in from the estimate`() {
         val times = RunTimeEstimates()
         val spec = spec(1, Priority.HIGH, tasks = 1)
-        condition(times.expectedUs(spec) == 10 * SECOND) { "${times.expectedUs(spec)}" }
+        assertEquals(10 * SECOND, times.expectedUs(spec)) { "${times.expectedUs(spec)}" }
         repeat(20) { times.learned(spec, 20 * SECOND) }
-        condition(times.expectedUs(spec) in 16 * SECOND..20 * SECOND) { "${times.expectedUs(spec)}" }
+        assertTrue(times.expectedUs(spec) in 16 * SECOND..20 * SECOND) { "${times.expectedUs(spec)}" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
@@ -3,7 +3,8 @@
 import lichenstage.app.SECOND
 import lichenstage.jobs.Priority
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNotNull
 
 class PipelineDeadlinesTest {
     private val serviceObjectives = ServiceObjectives(emptyList())
@@ -27,16 +28,16 @@
         waiters[thumbs] = listOf(last)
         waiters[drafts] = listOf(last)
         val plan = pipelineDeadlines.Plan()
-        condition(plan.of(last) == InheritedUrgency(null, Priority.HIGH)) { "${plan.of(last)}" }
-        condition(plan.of(drafts) == InheritedUrgency((200 - 8 - 4) * SECOND, Priority.HIGH)) { "${plan.of(drafts)}" }
-        condition(plan.of(first) == InheritedUrgency((200 - 8 - 4 - 60 - 4) * SECOND, Priority.HIGH)) { "${plan.of(first)}" }
+        assertEquals(InheritedUrgency(null, Priority.HIGH), plan.of(last)) { "${plan.of(last)}" }
+        assertEquals(InheritedUrgency((200 - 8 - 4) * SECOND, Priority.HIGH), plan.of(drafts)) { "${plan.of(drafts)}" }
+        assertEquals(InheritedUrgency((200 - 8 - 4 - 60 - 4) * SECOND, Priority.HIGH), plan.of(first)) { "${plan.of(first)}" }
     }
 
     @Example
     fun `deep chains are walked without recursion, and each job once`() {
         val jobs = List(20_000) { job(it, 1, dueS = if (it == 19_999) 100 else null) }
         jobs.zipWithNext { a, b -> waiters[a] = listOf(b) }
-        condition(pipelineDeadlines.Plan().of(jobs[0]).dueUs != null) { "the last deadline is lost" }
+        assertNotNull(pipelineDeadlines.Plan().of(jobs[0]).dueUs) { "the last deadline is lost" }
     }
 
     @Example
@@ -50,6 +51,6 @@
             it.open()
             queue.added(it)
         }
-        condition(queue.order(listOf(other, first), { 2.0 }, SECOND) == listOf(first, other)) { "not planned backwards" }
+        assertEquals(listOf(first, other), queue.order(listOf(other, first), { 2.0 }, SECOND)) { "not planned backwards" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
@@ -6,7 +6,8 @@
 import lichenstage.fleet.MachineType
 import lichenstage.jobs.Priority
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 class ReadinessForecastTest {
     private val jobs = HashMap<String, Job>()
@@ -36,8 +37,8 @@
         val thumbs = job(2, 25, 1)
         job(3, 60, 1)
         val last = job(4, 8, 2, 3)
-        condition(readyInS(thumbs) == 1 + 10 + 4L) { "${readyInS(thumbs)}" }
-        condition(readyInS(last) == 15 + 1 + 60 + 4L) { "${readyInS(last)}" }
+        assertEquals(1 + 10 + 4L, readyInS(thumbs)) { "${readyInS(thumbs)}" }
+        assertEquals(15 + 1 + 60 + 4L, readyInS(last)) { "${readyInS(last)}" }
     }
 
     @Example
@@ -45,17 +46,17 @@
         val first = job(1, 10)
         val next = job(2, 5, 1, 77)
         while (first.next() >= 0) first.placedUs = 20 * SECOND
-        condition(readyInS(next, nowS = 25) == 1 + 10 - 5 + 4L) { "${readyInS(next, nowS = 25)}" }
-        condition(readyInS(next, nowS = 99) == 4L) { "an overdue end is expected now" }
+        assertEquals(1 + 10 - 5 + 4L, readyInS(next, nowS = 25)) { "${readyInS(next, nowS = 25)}" }
+        assertEquals(4L, readyInS(next, nowS = 99)) { "an overdue end is expected now" }
         first.phase = JobPhase.CLOSED
-        condition(readyInS(next, nowS = 99) == 0L) { "${readyInS(next, nowS = 99)}" }
+        assertEquals(0L, readyInS(next, nowS = 99)) { "${readyInS(next, nowS = 99)}" }
     }
 
     @Example
     fun `deep chains are walked without recursion`() {
         job(0, 1)
         repeat(20_000) { job(it + 1, 1, it) }
-        condition(readyInS(jobs.getValue("j-20000")) > 100_000) { "the chain was cut short" }
+        assertTrue(readyInS(jobs.getValue("j-20000")) > 100_000) { "the chain was cut short" }
     }
 
     /** Neither as work due now nor first when it is ready: a machine needs a boot time. */
@@ -70,8 +71,8 @@
                 readyInS *
                     SECOND
             }
-        condition(asked(60).isEmpty()) { "asks a minute before" }
+        assertTrue(asked(60).isEmpty()) { "asks a minute before" }
         val soon = asked(40).single()
-        condition(soon.busy == 0.0 && soon.foreseenInUs == 45 * SECOND && soon.dueUs == null) { "$soon" }
+        assertTrue(soon.busy == 0.0 && soon.foreseenInUs == 45 * SECOND && soon.dueUs == null) { "$soon" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/RegistryTest.kt
+++ b/src/test/kotlin/lichenstage/placement/RegistryTest.kt
@@ -4,7 +4,8 @@
 import lichenstage.state.Entry
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 class RegistryTest {
     /** Written under 8 KiB, read under 2: in whatever order writes fail, every machine is in the record all the time. */
@@ -26,20 +27,18 @@
             val pages = registry.due(4)
             if (!ok) registry.notWritten(pages)
             for (page in pages.takeIf { ok }.orEmpty()) {
-                condition(Registry.encode(page.machines).encode().length <= 2048) { "a page over the limit" }
+                assertTrue(Registry.encode(page.machines).encode().length <= 2048) { "a page over the limit" }
                 store[page.key] = Entry(page.key, Registry.encode(page.machines), 1)
             }
             val there = store.values.flatMap { Registry.decode(it.value) }.mapTo(HashSet()) { it.name }
-            condition(machines.all { it.name in there || it.name in gone }) { "left out for a moment" }
+            assertTrue(machines.all { it.name in there || it.name in gone }) { "left out for a moment" }
         }
-        condition(!registry.behind && store.values.all { it.value.encode().length <= 2048 }) { "not split" }
+        assertTrue(!registry.behind && store.values.all { it.value.encode().length <= 2048 }) { "not split" }
         val next = Registry(2048)
-        condition(
-            store.values
+        assertEquals(machines.map { it.name }.toSet() - gone.toSet(), store.values
                 .flatMap(next::load)
                 .map { it.name }
-                .toSet() == machines.map { it.name }.toSet() - gone.toSet(),
-        ) { "lost" }
+                .toSet()) { "lost" }
     }
 
     private fun machine(number: Int) = Registered("vm-${1000000 + number}", "type", "zone", number % 2 == 0, "10.200.100.50:9000")
@@ -63,7 +62,7 @@
                     is Change.Put -> store[change.key] = Entry(change.key, change.value, 1)
                     is Change.Delete -> store.remove(change.key)
                 }
-                if (change is Change.Put) condition(change.value.encode().length <= 8192) { "a page over the limit" }
+                if (change is Change.Put) assertTrue(change.value.encode().length <= 8192) { "a page over the limit" }
             }
         }
         for (step in steps) {
@@ -79,7 +78,7 @@
         repeat(30) { write(ok = true) }
         val next = Registry(8192)
         val read = store.values.flatMap(next::load)
-        condition(read.toSet() == there.map(::machine).toSet()) { "$read, not $there" }
-        condition(changes <= steps.size + 30) { "$changes changes for ${steps.size} steps" }
+        assertEquals(there.map(::machine).toSet(), read.toSet()) { "$read, not $there" }
+        assertTrue(changes <= steps.size + 30) { "$changes changes for ${steps.size} steps" }
     }
 }
--- a/src/test/kotlin/lichenstage/state/OwnedKeysTest.kt
+++ b/src/test/kotlin/lichenstage/state/OwnedKeysTest.kt
@@ -4,7 +4,7 @@
 import kotlinx.coroutines.runBlocking
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
 class OwnedKeysTest {
@@ -49,7 +49,7 @@
         fun check(step: Int) =
             known.forEach { (key, least) ->
                 val value = store.entries[key]?.value?.getInteger("n") ?: -1
-                condition(value >= least) { "seed $seed step $step: $key is back at $value from $least" }
+                assertTrue(value >= least) { "seed $seed step $step: $key is back at $value from $least" }
             }
         var written = 0
         repeat(120) { step ->
@@ -62,6 +62,6 @@
         }
         store.applyLate()
         check(120)
-        condition(written > 10) { "seed $seed: only $written writes came through" }
+        assertTrue(written > 10) { "seed $seed: only $written writes came through" }
     }
 }
--- a/src/test/kotlin/lichenstage/state/RateBudgetTest.kt
+++ b/src/test/kotlin/lichenstage/state/RateBudgetTest.kt
@@ -3,7 +3,8 @@
 import lichenstage.app.Clock
 import lichenstage.app.SECOND
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 class RateBudgetTest {
     private var now = 0L
@@ -11,23 +12,23 @@
     @Example
     fun `bulk work waits for what is urgent, and all together keep to the rate`() {
         val budget = RateBudget(Clock { now }) { 10.0 }
-        condition(budget.wait(5, urgent = false) == 0L) { "half a second's worth is saved up" }
-        condition(budget.wait(1, urgent = false) > 0) { "taken from nothing" }
-        condition(budget.wait(2, urgent = true) in 200L..210L) { "urgent work runs into debt and waits for that alone" }
+        assertEquals(0L, budget.wait(5, urgent = false)) { "half a second's worth is saved up" }
+        assertTrue(budget.wait(1, urgent = false) > 0) { "taken from nothing" }
+        assertTrue(budget.wait(2, urgent = true) in 200L..210L) { "urgent work runs into debt and waits for that alone" }
         now += SECOND / 10
-        condition(budget.wait(1, urgent = false) in 200L..210L) { "bulk work before the debt is paid" }
+        assertTrue(budget.wait(1, urgent = false) in 200L..210L) { "bulk work before the debt is paid" }
         var taken = 0
         repeat(100) {
             now += SECOND / 10
             if (budget.wait(1, urgent = false) == 0L) taken++
         }
-        condition(taken in 95..105) { "$taken in 10 s at 10 a second" }
+        assertTrue(taken in 95..105) { "$taken in 10 s at 10 a second" }
     }
 
     @Example
     fun `what is larger than can be saved up is not held back for ever`() {
         val budget = RateBudget(Clock { now }) { 10.0 }
-        condition(budget.wait(48, urgent = false) == 0L) { "held back" }
-        condition(budget.wait(1, urgent = false) > 4000) { "the debt is not paid" }
+        assertEquals(0L, budget.wait(48, urgent = false)) { "held back" }
+        assertTrue(budget.wait(1, urgent = false) > 4000) { "the debt is not paid" }
     }
 }
--- a/src/test/kotlin/lichenstage/world/ConcurrentFaultsTest.kt
+++ b/src/test/kotlin/lichenstage/world/ConcurrentFaultsTest.kt
@@ -3,7 +3,8 @@
 import lichenstage.app.MILLI
 import lichenstage.app.SECOND
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 /**
  * Concurrent faults, one test for each pair of the operators' list that the simulated cluster can bring about (docs/operations.md
@@ -23,7 +24,7 @@
         }
         if (guard == null) return
         val seen = (1L..MOST_SEEDS).any { seed -> play(seed, guard, profile, script).checker.broken.any { it.startsWith(rule) } }
-        condition(seen) { "without its guard $guard nothing broke $rule" }
+        assertTrue(seen) { "without its guard $guard nothing broke $rule" }
     }
 
     private fun play(
@@ -122,13 +123,13 @@
             world.script(SECOND) { repeat(4) { submitUneven(it) } }
             world.every(20, 60, 10) { crash(maxOf(leader, 0), 2 * SECOND) }
             world.run(FAULTS_US, CALM_US)
-            condition(
+            assertTrue(
                 world.checker.broken.isEmpty() && world.openJobs.isEmpty(),
             ) { "seed $seed: ${world.checker.broken} ${world.openJobs}" }
             return world.checker.reruns
         }
-        (1L..SEEDS).forEach { condition(reruns(it, Mutation.NONE) == 0) { "seed $it: done tasks ran again" } }
-        condition((1L..MOST_SEEDS).any { reruns(it, Mutation.RANGES_LOST) > 0 }) { "not seen without the ranges" }
+        (1L..SEEDS).forEach { assertEquals(0, reruns(it, Mutation.NONE)) { "seed $it: done tasks ran again" } }
+        assertTrue((1L..MOST_SEEDS).any { reruns(it, Mutation.RANGES_LOST) > 0 }) { "not seen without the ranges" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/world/DrainFaultsTest.kt
+++ b/src/test/kotlin/lichenstage/world/DrainFaultsTest.kt
@@ -7,7 +7,8 @@
 import lichenstage.drain.DrainStatus
 import lichenstage.drain.Stage
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 /**
  * Drains of machines full of long tasks under concurrent faults. The checker counts from the workers' side which jobs of a team are
@@ -50,16 +51,16 @@
         var interruptions = 0
         for (seed in seeds) {
             val world = play(seed, policy = policy, withoutDrains = withoutDrains, script = script)
-            condition(world.checker.broken.isEmpty()) { "seed $seed: ${world.checker.broken.take(3)}" }
+            assertTrue(world.checker.broken.isEmpty()) { "seed $seed: ${world.checker.broken.take(3)}" }
             world.check(seed)
             interruptions += world.checker.interruptions
         }
-        condition(interruptions > 0 || policy.default.jobs == 0) { "nothing was interrupted in any world" }
+        assertTrue(interruptions > 0 || policy.default.jobs == 0) { "nothing was interrupted in any world" }
     }
 
     private fun SimulatedCluster.isOver(seed: Long) {
-        condition(drain("all").status == DrainStatus.FINISHED) { "seed $seed: ${drain("all").status} ${stages("all")}" }
-        condition(openJobs.isEmpty()) { "seed $seed: never finished: $openJobs" }
+        assertEquals(DrainStatus.FINISHED, drain("all").status) { "seed $seed: ${drain("all").status} ${stages("all")}" }
+        assertTrue(openJobs.isEmpty()) { "seed $seed: never finished: $openJobs" }
     }
 
     @Example
@@ -134,8 +135,8 @@
             DrainPolicy(DisruptionBudget(jobs = 0)),
             script = { script(30 * SECOND) { drainAll("all", atMost = 12, replace = false) } },
         ) { seed ->
-            condition(checker.interruptions == 0) { "seed $seed: ${checker.interruptions} interrupted" }
-            condition(drain("all").status == DrainStatus.FINISHED) { "seed $seed: ${stages("all")}" }
+            assertEquals(0, checker.interruptions) { "seed $seed: ${checker.interruptions} interrupted" }
+            assertEquals(DrainStatus.FINISHED, drain("all").status) { "seed $seed: ${stages("all")}" }
         }
 
     @Example
@@ -146,7 +147,7 @@
             script(60 * SECOND) { crash(maxOf(leader, 0), SECOND) }
         }) { seed ->
             isOver(seed)
-            condition(drain("second").status == DrainStatus.FINISHED) { "seed $seed: ${stages("second")}" }
+            assertEquals(DrainStatus.FINISHED, drain("second").status) { "seed $seed: ${stages("second")}" }
         }
 
     @Example
@@ -155,11 +156,11 @@
             script(30 * SECOND) { drainAll("all", atMost = 2, replace = false) }
             script(50 * SECOND) { setDrain("all", DrainStatus.PAUSED) }
             script(52 * SECOND) { pausedAt = checker.interruptions }
-            script(80 * SECOND) { condition(checker.interruptions <= pausedAt + 2) { "goes on: ${checker.interruptions} of $pausedAt" } }
+            script(80 * SECOND) { assertTrue(checker.interruptions <= pausedAt + 2) { "goes on: ${checker.interruptions} of $pausedAt" } }
             script(81 * SECOND) { setDrain("all", DrainStatus.CANCELLED) }
         }) { seed ->
-            condition((stages("all")[Stage.WAITING] ?: 0) > 0) { "seed $seed: ${stages("all")}" }
-            condition(openJobs.isEmpty()) { "seed $seed: never finished: $openJobs" }
+            assertTrue((stages("all")[Stage.WAITING] ?: 0) > 0) { "seed $seed: ${stages("all")}" }
+            assertTrue(openJobs.isEmpty()) { "seed $seed: never finished: $openJobs" }
         }
 
     private var pausedAt = 0
@@ -175,7 +176,7 @@
                         repeat(12) { n -> script((36 + 7L * n) * SECOND) { crash(maxOf(leader, 0), 300 * MILLI) } }
                     }.checker.broken.any { it.startsWith("over_budget") }
                 }
-            condition(seen) { "$guard: no world went over its budget" }
+            assertTrue(seen) { "$guard: no world went over its budget" }
         }
     }
 
--- a/src/test/kotlin/lichenstage/world/LateOrdersSimulationTest.kt
+++ b/src/test/kotlin/lichenstage/world/LateOrdersSimulationTest.kt
@@ -3,7 +3,8 @@
 import lichenstage.app.MILLI
 import lichenstage.app.SECOND
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 /** Direct orders that are carried out up to ten minutes late, under all other faults. The long form is `SeedSweepKt late-orders`. */
 class LateOrdersSimulationTest {
@@ -15,7 +16,7 @@
             world.requireRulesHeld(seed)
             fences += world.orderEvents.fencesOfStarts
         }
-        condition(fences > 0) { "no machine needed a newer token" }
+        assertTrue(fences > 0) { "no machine needed a newer token" }
     }
 
     /** Jobs are cancelled a second after they came, so that some starts are held when nobody wants them any more. */
@@ -39,15 +40,15 @@
             world.requireRulesHeld(seed)
             val events = world.orderEvents
             unanswered += events.unanswered
-            condition(world.checker.lost == 0) { "seed $seed: ${world.checker.lost} tasks lost, $events" }
-            condition(events.fencesOfStarts + events.fencesOfClears <= events.unanswered + MOST_CLEARS) { "seed $seed: $events" }
+            assertEquals(0, world.checker.lost) { "seed $seed: ${world.checker.lost} tasks lost, $events" }
+            assertTrue(events.fencesOfStarts + events.fencesOfClears <= events.unanswered + MOST_CLEARS) { "seed $seed: $events" }
         }
-        condition(unanswered > 100) { "only $unanswered orders were held" }
+        assertTrue(unanswered > 100) { "only $unanswered orders were held" }
     }
 
     @Example
     fun `without newer tokens a start of a cancelled job lands late`() =
-        condition(CANCELLED_SEEDS.any { seed -> cancelledSoon(seed, Mutation.UNFENCED).brokeCancellation() }) {
+        assertTrue(CANCELLED_SEEDS.any { seed -> cancelledSoon(seed, Mutation.UNFENCED).brokeCancellation() }) {
             "nothing broke ran_cancelled"
         }
 
@@ -78,12 +79,12 @@
             world.requireRulesHeld(seed)
             withheld += world.orderEvents.withheld
         }
-        condition(withheld > 0) { "no report was withheld" }
+        assertTrue(withheld > 0) { "no report was withheld" }
     }
 
     @Example
     fun `without that a start of a cancelled job lands late`() =
-        condition(OUTAGE_SEEDS.any { seed -> outageBeforeTokens(seed, Mutation.ANSWERED_UNFENCED).brokeCancellation() }) {
+        assertTrue(OUTAGE_SEEDS.any { seed -> outageBeforeTokens(seed, Mutation.ANSWERED_UNFENCED).brokeCancellation() }) {
             "nothing broke ran_cancelled"
         }
 
--- a/src/test/kotlin/lichenstage/world/PipelineFaultsTest.kt
+++ b/src/test/kotlin/lichenstage/world/PipelineFaultsTest.kt
@@ -3,7 +3,7 @@
 import lichenstage.app.MILLI
 import lichenstage.app.SECOND
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertTrue
 
 /**
  * Pipelines (chains, fans, diamonds) under concurrent faults: no task starts before all that its job needs is done (`too_early`), and
@@ -79,10 +79,12 @@
         for (scenario in scenarios) {
             for (seed in 1L..SEEDS) {
                 val world = play(scenario, seed)
-                condition(world.checker.broken.isEmpty()) { "${scenario.name}, seed $seed: ${world.checker.broken.take(3)}" }
-                condition(world.openJobs.isEmpty()) { "${scenario.name}, seed $seed: never over: ${world.openJobs}\n${world.describe()}" }
+                assertTrue(world.checker.broken.isEmpty()) { "${scenario.name}, seed $seed: ${world.checker.broken.take(3)}" }
+                assertTrue(
+                    world.openJobs.isEmpty(),
+                ) { "${scenario.name}, seed $seed: never over: ${world.openJobs}\n${world.describe()}" }
                 val last = (LAST_PIPELINE until LAST_PIPELINE + PIPELINE).map { "j-$it" }
-                condition(world.done.containsAll(last)) { "${scenario.name}, seed $seed: done ${world.done}" }
+                assertTrue(world.done.containsAll(last)) { "${scenario.name}, seed $seed: done ${world.done}" }
             }
         }
     }
@@ -102,7 +104,7 @@
                 scenarios.any { scenario ->
                     (1L..MOST_SEEDS).any { seed -> play(scenario, seed, mutation).checker.broken.any { it.startsWith(rule) } }
                 }
-            condition(seen) { "without its guard $mutation nothing broke $rule" }
+            assertTrue(seen) { "without its guard $mutation nothing broke $rule" }
         }
     }
 
--- a/src/test/kotlin/lichenstage/world/RefusedLeaderTest.kt
+++ b/src/test/kotlin/lichenstage/world/RefusedLeaderTest.kt
@@ -3,7 +3,8 @@
 import lichenstage.app.MILLI
 import lichenstage.app.SECOND
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
 
 /**
  * The state service refuses the leader alone, another controller confirms a cancellation, and then nobody is answered for longer than a
@@ -51,7 +52,7 @@
         val world = SimulatedCluster(seed, mutation)
         repeat(6) { n -> world.script(2 * SECOND) { submitLong(n, 400 * SECOND) } }
         world.script(40 * SECOND) {
-            condition(running("j-0") == 2) { "${variant.name}, seed $seed: j-0 does not run" }
+            assertEquals(2, running("j-0")) { "${variant.name}, seed $seed: j-0 does not run" }
             refuse(leader, 14 * SECOND)
         }
         world.script(40 * SECOND + 700 * MILLI) {
@@ -72,7 +73,7 @@
         for (variant in variants) {
             for (seed in 1L..SEEDS) {
                 val world = play(variant, seed)
-                condition(world.checker.broken.isEmpty()) { "${variant.name}, seed $seed: ${world.checker.broken.take(3)}" }
+                assertTrue(world.checker.broken.isEmpty()) { "${variant.name}, seed $seed: ${world.checker.broken.take(3)}" }
             }
         }
     }
@@ -81,7 +82,7 @@
     fun `what was not cancelled runs on through the outage`() {
         for (seed in 1L..SEEDS) {
             val world = play(variants.first(), seed)
-            condition(world.checker.lost == 0) { "seed $seed: ${world.checker.lost} tasks were killed by their lease" }
+            assertEquals(0, world.checker.lost) { "seed $seed: ${world.checker.lost} tasks were killed by their lease" }
         }
     }
 
@@ -95,7 +96,7 @@
             )
         for ((mutation, variant) in needed) {
             val seen = (1L..SEEDS).any { seed -> play(variant, seed, mutation).checker.broken.any { it.startsWith("ran_cancelled") } }
-            condition(seen) { "without its guard $mutation no gap broke ran_cancelled" }
+            assertTrue(seen) { "without its guard $mutation no gap broke ran_cancelled" }
         }
     }
 
