--- a/src/test/kotlin/lichenstage/world/SimulatedClusterTest.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedClusterTest.kt
@@ -1,7 +1,7 @@
 package lichenstage.world
 
 import net.jqwik.api.Example
-import org.junit.platform.commons.util.Preconditions.condition
+import org.junit.jupiter.api.Assertions.assertTrue
 
 /** Several controllers' decisions under seeded troubles keep every rule, and all work gets done in the end. */
 class SimulatedClusterTest {
@@ -30,9 +30,9 @@
     fun rulesHoldOnManyMachines() {
         val world = SimulatedCluster(1, profile = ClusterProfile.LARGE)
         world.run(FAULTS_US, CALM_US)
-        condition(world.checker.broken.isEmpty()) { "${world.checker.broken.take(3)}" }
-        condition(world.checker.starts > 3_000) { "only ${world.checker.starts} starts" }
-        condition(world.openJobs.isEmpty()) { "never finished: ${world.openJobs}" }
+        assertTrue(world.checker.broken.isEmpty()) { "${world.checker.broken.take(3)}" }
+        assertTrue(world.checker.starts > 3_000) { "only ${world.checker.starts} starts" }
+        assertTrue(world.openJobs.isEmpty()) { "never finished: ${world.openJobs}" }
     }
 
     /** A check that can't fail is none: each way of building the service wrongly must be noticed in some world. */
@@ -57,7 +57,7 @@
                         .checker.broken
                         .any { it.startsWith(rule) }
                 }
-            condition(seen) { "$mutation: no world broke $rule" }
+            assertTrue(seen) { "$mutation: no world broke $rule" }
         }
     }
 
