--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -7,6 +7,8 @@
 import kotlinx.coroutines.launch
 import lichenstage.authority.Authority
 import lichenstage.authority.View
+import lichenstage.cloud.CloudClient
+import lichenstage.cloud.MachineCatalog
 import lichenstage.cluster.CompletionSyncReply
 import lichenstage.cluster.CompletionSyncRequest
 import lichenstage.cluster.ForwardedReply
@@ -14,17 +16,21 @@
 import lichenstage.cluster.Frame
 import lichenstage.cluster.Hello
 import lichenstage.cluster.JobsEnded
+import lichenstage.cluster.MoratoriumGrant
+import lichenstage.cluster.MoratoriumRequest
 import lichenstage.cluster.PartitionFrame
 import lichenstage.cluster.PeerLinks
 import lichenstage.cluster.Ping
 import lichenstage.cluster.PlacementFrame
-import lichenstage.cluster.Pledge
-import lichenstage.cluster.PledgeRequest
 import lichenstage.cluster.RelayedFrame
 import lichenstage.cluster.RequestForwarder
 import lichenstage.cluster.TaskCounts
-import lichenstage.fleet.Catalog
-import lichenstage.fleet.CloudClient
+import lichenstage.common.Clock
+import lichenstage.common.ConnectionBudget
+import lichenstage.common.Metrics
+import lichenstage.common.SECOND
+import lichenstage.common.timeOfDayUs
+import lichenstage.config.Settings
 import lichenstage.fleet.FleetPolicy
 import lichenstage.jobs.JobReplica
 import lichenstage.jobs.JobReplicaSync
@@ -39,14 +45,14 @@
 import lichenstage.placement.LeaderActor
 import lichenstage.placement.LeaderMessage
 import lichenstage.placement.LeaderOptions
-import lichenstage.state.StateClient
+import lichenstage.state.KeyValueStoreClient
 import org.slf4j.LoggerFactory
 
 /** Wires the actors of one process together. */
 class Controller(
     vertx: Vertx,
     private val settings: Settings,
-    private val operator: Operator,
+    private val operator: OperatorSettings,
     private val scope: CoroutineScope,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.app")
@@ -54,14 +60,14 @@
     private val controllers = settings.peers.size + 1
     private val metrics = Metrics()
     private val sockets =
-        Sockets(
+        ConnectionBudget(
             settings.maxSockets,
-            StateClient.SOCKETS + CloudClient.SOCKETS + settings.peers.size * PEER_SOCKETS + SPARE_SOCKETS,
+            KeyValueStoreClient.SOCKETS + CloudClient.SOCKETS + settings.peers.size * PEER_SOCKETS + SPARE_SOCKETS,
         )
     private val state =
-        StateClient(vertx, settings.state, clock, controllers, settings.stateRps, settings.stateWriteRps, ::writeShare)
+        KeyValueStoreClient(vertx, settings.state, clock, controllers, settings.stateRps, settings.stateWriteRps, ::writeShare)
     private val cloud = CloudClient(vertx, settings.cloud)
-    private val catalog = Catalog(cloud, state, scope)
+    private val catalog = MachineCatalog(cloud, state, scope)
     private val authority: Authority =
         Authority(settings, state, clock, scope, { to, frame -> links.send(to, frame) }, { links.isWell(it) }, ::viewChanged)
     private val links: PeerLinks =
@@ -235,8 +241,8 @@
             is PartitionFrame -> leader?.tell(LeaderMessage.FromPartition(frame))
             is ForwardedRequest -> answer(from, frame)
             is ForwardedReply -> forwarder.answered(frame)
-            is PledgeRequest -> authority.asked(from, frame)
-            is Pledge -> authority.answered(from, frame)
+            is MoratoriumRequest -> authority.asked(from, frame)
+            is MoratoriumGrant -> authority.answered(from, frame)
             is CompletionSyncRequest -> replicaSync.asked(from, frame)
             is CompletionSyncReply -> replicaSync.answered(from, frame)
             is JobsEnded -> replicaSync.told(frame)
--- a/src/main/kotlin/lichenstage/app/EventBatching.kt
+++ b/src/main/kotlin/lichenstage/app/EventBatching.kt
@@ -8,6 +8,8 @@
 import io.vertx.core.VertxOptions
 import io.vertx.core.impl.transports.NioTransport
 import io.vertx.core.transport.Transport
+import lichenstage.common.Clock
+import lichenstage.common.MILLI
 import java.nio.channels.spi.SelectorProvider
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.locks.LockSupport
--- a/src/main/kotlin/lichenstage/app/HttpApi.kt
+++ b/src/main/kotlin/lichenstage/app/HttpApi.kt
@@ -7,6 +7,13 @@
 import io.vertx.core.http.HttpServerRequest
 import io.vertx.core.json.JsonObject
 import lichenstage.cluster.UserVerb
+import lichenstage.common.Address
+import lichenstage.common.Caller
+import lichenstage.common.Clock
+import lichenstage.common.ConnectionBudget
+import lichenstage.common.LruMap
+import lichenstage.common.Metrics
+import lichenstage.common.exitOnFailure
 import lichenstage.jobs.JobsActor
 import lichenstage.jobs.JobsMessage
 import lichenstage.jobs.Reply
@@ -24,7 +31,7 @@
     private val partition: PartitionActor,
     private val metrics: Metrics,
     private val clock: Clock,
-    private val sockets: Sockets,
+    private val sockets: ConnectionBudget,
     private val healthy: () -> Boolean,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.app")
@@ -143,12 +150,12 @@
         request: HttpServerRequest,
         body: Buffer,
     ) {
-        val report = WorkerCodec.report(body)
-        if (report == null) {
+        val heartbeat = WorkerCodec.heartbeat(body)
+        if (heartbeat == null) {
             log.info("a report that can't be read from {}", request.remoteAddress())
             return fail(request, 400, "not a report")
         }
-        partition.tell(PartitionMessage.WorkerReport(report) { answer -> answer(request, answer) })
+        partition.tell(PartitionMessage.HeartbeatReceived(heartbeat) { answer -> answer(request, answer) })
     }
 
     private fun answer(
@@ -166,9 +173,9 @@
     /** Most answers carry no commands: those of a token are encoded once. */
     private fun accepted(answer: WorkerAnswer.Accept): Buffer =
         if (answer.commands.isEmpty()) {
-            emptyAnswers.getOrPut(answer.token) { WorkerCodec.orders(answer.token, emptyList()) }
+            emptyAnswers.getOrPut(answer.fencingToken) { WorkerCodec.orders(answer.fencingToken, emptyList()) }
         } else {
-            WorkerCodec.orders(answer.token, answer.commands)
+            WorkerCodec.orders(answer.fencingToken, answer.commands)
         }
 
     private fun health(request: HttpServerRequest) =
--- a/src/main/kotlin/lichenstage/app/Main.kt
+++ b/src/main/kotlin/lichenstage/app/Main.kt
@@ -6,6 +6,9 @@
 import kotlinx.coroutines.CoroutineExceptionHandler
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.SupervisorJob
+import lichenstage.common.exitOnFailure
+import lichenstage.config.Settings
+import lichenstage.config.SettingsError
 import lichenstage.drain.DrainCommand
 import java.io.File
 import java.io.IOException
@@ -90,10 +93,17 @@
     checkOnly: Boolean,
 ): Int {
     val settings: Settings
-    val operator: Operator
+    val operator: OperatorSettings
     try {
         settings = readFile(settingsPath, Settings::parse)
-        operator = if (operatorPath == null) Operator() else readFile(operatorPath) { Operator.parse(it).apply { check(settings) } }
+        operator =
+            if (operatorPath ==
+                null
+            ) {
+                OperatorSettings()
+            } else {
+                readFile(operatorPath) { OperatorSettings.parse(it).apply { check(settings) } }
+            }
     } catch (e: SettingsError) {
         return refused(e.message)
     }
@@ -118,7 +128,7 @@
 /** Starts the service on its one event loop. */
 fun serve(
     settings: Settings,
-    operator: Operator = Operator(),
+    operator: OperatorSettings = OperatorSettings(),
 ) {
     // Everything is addressed by numbers: no resolver threads, no file cache.
     System.setProperty("vertx.disableDnsResolver", "true")
--- a/src/main/kotlin/lichenstage/app/Operator.kt
+++ b/src/main/kotlin/lichenstage/app/OperatorSettings.kt
@@ -2,6 +2,10 @@
 
 import com.bertramlabs.plugins.hcl4j.HCLParser
 import com.bertramlabs.plugins.hcl4j.HCLParserException
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
+import lichenstage.config.Settings
+import lichenstage.config.SettingsError
 import lichenstage.drain.DisruptionBudget
 import lichenstage.drain.DrainPolicy
 import lichenstage.drain.Hours
@@ -9,7 +13,7 @@
 import lichenstage.placement.Timers
 
 /** What operators may set beyond the platform's file. Without a file, everything has its default. */
-data class Operator(
+data class OperatorSettings(
     val timers: Timers = Timers(),
     val fleet: (FleetPolicy) -> FleetPolicy = { it },
     /** Null where drains are not switched on. */
@@ -23,7 +27,7 @@
 
     companion object {
         /** Reads HCL; unknown keys and values out of range are refused with their path. */
-        fun parse(text: String): Operator {
+        fun parse(text: String): OperatorSettings {
             val root =
                 try {
                     @Suppress("UNCHECKED_CAST")
@@ -56,7 +60,7 @@
                     fill = fill ?: policy.fill,
                 )
             }
-            return Operator(timers, policy, drains)
+            return OperatorSettings(timers, policy, drains)
         }
 
         private fun drains(block: Block): DrainPolicy {
--- a/src/main/kotlin/lichenstage/app/WarmUp.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUp.kt
@@ -2,16 +2,19 @@
 
 import io.vertx.core.buffer.Buffer
 import lichenstage.cluster.FrameCodec
-import lichenstage.cluster.PartitionAssignment
 import lichenstage.cluster.PartitionFrame
 import lichenstage.cluster.PlacementFrame
-import lichenstage.cluster.Shape
+import lichenstage.common.SECOND
+import lichenstage.config.Settings
+import lichenstage.config.Team
 import lichenstage.jobs.JobRecord
-import lichenstage.jobs.JobSpec
-import lichenstage.jobs.Priority
-import lichenstage.partition.MachineLimits
+import lichenstage.model.JobSpec
+import lichenstage.model.MachineLimits
+import lichenstage.model.PartitionAssignment
+import lichenstage.model.Priority
+import lichenstage.model.Shape
+import lichenstage.partition.HeartbeatDecision
 import lichenstage.partition.PartitionCore
-import lichenstage.partition.ReportAnswer
 import lichenstage.partition.WorkerCodec
 import lichenstage.placement.Job
 import lichenstage.placement.LeaderCore
@@ -124,9 +127,9 @@
     val partition = PartitionCore("z/0", "z", 2, 20 * SECOND, SECOND, 0) { MachineLimits("b", shape) }
     for (now in 1L..6L) {
         val tasks = if (now < 5) "" else """{"part":"j-1/0","try":4294967297,"status":"ended","cause":"done"}"""
-        val report = warmUpReport(port = 1, now.toInt(), tasks)
-        (partition.report(WorkerCodec.report(Buffer.buffer(report))!!, now * SECOND) as ReportAnswer.Accepted)
-            .let { WorkerCodec.orders(it.token, it.commands) }
+        val heartbeat = warmUpReport(port = 1, now.toInt(), tasks)
+        (partition.heartbeat(WorkerCodec.heartbeat(Buffer.buffer(heartbeat))!!, now * SECOND) as HeartbeatDecision.Accepted)
+            .let { WorkerCodec.orders(it.fencingToken, it.commands) }
         leader.tick(now * SECOND)
         sent.forEach { partition.leader(it, now * SECOND) }
         sent.clear()
--- a/src/main/kotlin/lichenstage/authority/AcquisitionOrder.kt
+++ b/src/main/kotlin/lichenstage/authority/AcquisitionOrder.kt
@@ -1,8 +1,8 @@
 package lichenstage.authority
 
-import lichenstage.app.MILLI
-import lichenstage.app.SECOND
-import lichenstage.app.Settings
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
+import lichenstage.config.Settings
 
 /**
  * How long a controller waits before it takes a key that nobody holds. A partition's own controller takes it at once; others wait a
--- a/src/main/kotlin/lichenstage/authority/Authority.kt
+++ b/src/main/kotlin/lichenstage/authority/Authority.kt
@@ -4,21 +4,21 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import lichenstage.app.Clock
-import lichenstage.app.LoopLag
-import lichenstage.app.MILLI
-import lichenstage.app.SECOND
-import lichenstage.app.Settings
-import lichenstage.app.timeOfDayUs
 import lichenstage.cluster.Frame
-import lichenstage.cluster.Pledge
-import lichenstage.cluster.PledgeRequest
+import lichenstage.cluster.MoratoriumGrant
+import lichenstage.cluster.MoratoriumRequest
+import lichenstage.common.Clock
+import lichenstage.common.EventLoopLag
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
+import lichenstage.common.timeOfDayUs
+import lichenstage.config.Settings
 import lichenstage.state.Change
-import lichenstage.state.Committed
 import lichenstage.state.Entry
-import lichenstage.state.Renewal
-import lichenstage.state.StateClient
-import lichenstage.state.Watched
+import lichenstage.state.KeyValueStoreClient
+import lichenstage.state.LeaseRenewal
+import lichenstage.state.TransactionResult
+import lichenstage.state.WatchResult
 import org.slf4j.LoggerFactory
 
 /** Who leads and who owns which partition, as last seen. */
@@ -32,12 +32,12 @@
  *
  * Every ownership takes a new term from one counter in the same guarded transaction (invariant 1), and the lease is
  * counted from the sending of the last renewal that succeeded, less drift and a margin (invariant 2). While the state
- * service is away from all, it goes on for as long as all other controllers pledge to take nothing ([CollectedPledges]), else it pauses;
+ * service is away from all, it goes on for as long as all other controllers pledge to take nothing ([PeerMoratoriums]), else it pauses;
  * where the service comes back with the lease alive, nobody else can have held the keys.
  */
 class Authority(
     private val settings: Settings,
-    private val state: StateClient,
+    private val state: KeyValueStoreClient,
     private val clock: Clock,
     private val scope: CoroutineScope,
     private val send: (String, Frame) -> Unit,
@@ -48,22 +48,22 @@
     private val log = LoggerFactory.getLogger("lichenstage.authority")
     private val lifeUs = LeaseLife.of(settings)
     private val renewalUs = minOf(lifeUs / 5, LONGEST_RENEWAL_US)
-    private val lag = LoopLag()
+    private val lag = EventLoopLag()
     private val lease = LocalLease(lifeUs)
     private var renewedUs = Long.MIN_VALUE / 2
     private val incarnation = timeOfDayUs()
     private val others = settings.peers.map { it.label }.toSet()
 
     /** Where the seeds leave somebody out, nobody can pledge for all. */
-    private val collectedPledges = CollectedPledges(if (settings.count == others.size + 1) others else emptySet())
-    private val ownPledge = OwnPledge(clock.now())
+    private val collectedPledges = PeerMoratoriums(if (settings.count == others.size + 1) others else emptySet())
+    private val ownPledge = LocalMoratorium(clock.now())
 
     /** A try to take a key had no answer at this time: it may still succeed. */
     private var unclearUs = Long.MIN_VALUE / 2
     private val assignment = settings.assignment
     private val partitionKeys = assignment.partitions.map { PARTITION + it }
     private val keys = OwnershipKeys()
-    private val tokenReservation = TokenReservation(state, keys)
+    private val tokenReservation = FencingTokenReservation(state, keys)
     private val acquisitionOrder = AcquisitionOrder(settings)
     private val missingSinceUs = HashMap<String, Long>()
     private val takenUs = HashMap<String, Long>()
@@ -129,7 +129,7 @@
         while (true) {
             delay(PLEDGE_REQUEST_MS)
             if (stateAnswers() || !entitled()) continue
-            val question = PledgeRequest(incarnation, clock.now())
+            val question = MoratoriumRequest(incarnation, clock.now())
             others.forEach { send(it, question) }
         }
     }
@@ -137,18 +137,18 @@
     /** Another controller asks for a pledge; it is given only where this one can neither have nor take its keys. */
     fun asked(
         from: String,
-        question: PledgeRequest,
+        question: MoratoriumRequest,
     ) {
         val now = clock.now()
         if ((stateAnswers() && !unanswered) || acquiring || now - unclearUs < UNCLEAR_US) return
         ownPledge.pledge(now)
-        send(from, Pledge(question.incarnation, question.askedUs))
+        send(from, MoratoriumGrant(question.incarnation, question.askedUs))
     }
 
     /** Another controller's pledge. */
     fun answered(
         from: String,
-        answer: Pledge,
+        answer: MoratoriumGrant,
     ) {
         if (answer.incarnation != incarnation) return
         collectedPledges.pledged(from, answer.askedUs)
@@ -173,18 +173,18 @@
                 delay(300)
             } else {
                 when (state.renew(held)) {
-                    Renewal.RENEWED -> {
+                    LeaseRenewal.RENEWED -> {
                         extended { lease.renewed(sentUs) }
                     }
 
-                    Renewal.ENDED -> {
+                    LeaseRenewal.EXPIRED -> {
                         log.info("process lease {} has ended", held)
                         lease.ended()
                         changed(view())
                         continue
                     }
 
-                    Renewal.UNKNOWN -> {
+                    LeaseRenewal.INDETERMINATE -> {
                         unanswered = true
                         log.info("process lease {} not renewed", held)
                     }
@@ -222,23 +222,23 @@
         var since = from
         while (true) {
             when (val seen = state.changes(PREFIX, since, WATCH_MS)) {
-                is Watched.Events -> {
+                is WatchResult.Events -> {
                     since = seen.revision
                     take(seen)
                 }
 
-                Watched.TooOld -> {
+                WatchResult.Compacted -> {
                     return
                 }
 
-                Watched.Unavailable -> {
+                WatchResult.Unavailable -> {
                     delay(UNAVAILABLE_MS)
                 }
             }
         }
     }
 
-    private suspend fun take(events: Watched.Events) {
+    private suspend fun take(events: WatchResult.Events) {
         keys.change(events.puts, events.deletes)
         if (events.puts.isEmpty() && events.deletes.isEmpty()) return
         changed(view())
@@ -269,7 +269,7 @@
         givenUp += held.stamp
         changed(view())
         while (keys.stamp(key) == held.stamp) {
-            if (state.txn(mapOf(key to held.stamp), listOf(Change.Delete(key))) is Committed.Yes) {
+            if (state.txn(mapOf(key to held.stamp), listOf(Change.Delete(key))) is TransactionResult.Committed) {
                 if (keys.stamp(key) == held.stamp) keys.remove(key, held.stamp + 1)
             } else {
                 delay(300)
@@ -328,7 +328,7 @@
             val guards = mapOf(OwnershipKeys.TERMS to (keys.stamp(OwnershipKeys.TERMS) ?: 0L), key to 0L)
             val changes = listOf(Change.Put(OwnershipKeys.TERMS, counter.encode()), Change.Put(key, value, held))
             val outcome = state.txn(guards, changes)
-            if (outcome is Committed.Yes) {
+            if (outcome is TransactionResult.Committed) {
                 log.info("took {} under term {}", key, counter.term)
                 keys.put(Entry(OwnershipKeys.TERMS, counter.encode(), outcome.revision))
                 keys.put(Entry(key, value, outcome.revision))
@@ -337,7 +337,7 @@
                 changed(view())
             } else {
                 missingSinceUs[key] = clock.now()
-                if (outcome is Committed.Unknown) unclearUs = clock.now()
+                if (outcome is TransactionResult.Indeterminate) unclearUs = clock.now()
             }
         } finally {
             acquiring = false
--- a/src/main/kotlin/lichenstage/authority/TokenReservation.kt
+++ b/src/main/kotlin/lichenstage/authority/FencingTokenReservation.kt
@@ -1,16 +1,16 @@
 package lichenstage.authority
 
 import lichenstage.state.Change
-import lichenstage.state.Committed
 import lichenstage.state.Entry
-import lichenstage.state.Store
+import lichenstage.state.KeyValueStore
+import lichenstage.state.TransactionResult
 
 /**
  * Reserves tokens for the owner of a partition, from the counter of all terms: no one else is given them, and every later owner's term
  * is above them, whichever version it is of. The write is guarded by the ownership, so that it can't succeed after it.
  */
-internal class TokenReservation(
-    private val state: Store,
+internal class FencingTokenReservation(
+    private val state: KeyValueStore,
     private val keys: OwnershipKeys,
 ) {
     private var underWay = false
@@ -29,7 +29,7 @@
             val value = counter.encode()
             val guards = mapOf(OwnershipKeys.TERMS to stamp, key to held.stamp)
             val outcome = state.txn(guards, listOf(Change.Put(OwnershipKeys.TERMS, value)))
-            if (outcome !is Committed.Yes) return null
+            if (outcome !is TransactionResult.Committed) return null
             keys.put(Entry(OwnershipKeys.TERMS, value, outcome.revision))
             return counter.term - count + 1..counter.term
         } finally {
--- a/src/main/kotlin/lichenstage/authority/LeaseLife.kt
+++ b/src/main/kotlin/lichenstage/authority/LeaseLife.kt
@@ -1,7 +1,7 @@
 package lichenstage.authority
 
-import lichenstage.app.SECOND
-import lichenstage.app.Settings
+import lichenstage.common.SECOND
+import lichenstage.config.Settings
 
 /**
  * How long a process's lease lasts. Short, since nobody takes over from a dead process before it has ended; but longer than a live one
--- a/src/main/kotlin/lichenstage/authority/LocalLease.kt
+++ b/src/main/kotlin/lichenstage/authority/LocalLease.kt
@@ -1,7 +1,7 @@
 package lichenstage.authority
 
-import lichenstage.app.MILLI
-import lichenstage.app.withDrift
+import lichenstage.common.MILLI
+import lichenstage.common.withDrift
 
 /**
  * A lease of the state service as its holder may count on it (invariant 2): from the sending of the last renewal that
--- a/src/main/kotlin/lichenstage/authority/OwnershipKeys.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipKeys.kt
@@ -2,7 +2,7 @@
 
 import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
-import lichenstage.app.JsonHttp.Companion.parsed
+import lichenstage.common.JsonHttp.Companion.parsed
 import lichenstage.state.Entry
 
 /** Who holds a key, under which term and process lease; [stamp] is the key's revision. */
--- a/src/main/kotlin/lichenstage/authority/CollectedPledges.kt
+++ b/src/main/kotlin/lichenstage/authority/PeerMoratoriums.kt
@@ -1,7 +1,7 @@
 package lichenstage.authority
 
-import lichenstage.app.SECOND
-import lichenstage.app.withDrift
+import lichenstage.common.SECOND
+import lichenstage.common.withDrift
 
 /**
  * What the other controllers have promised while the state service answers nobody: to take no key for a moment.
@@ -10,7 +10,7 @@
  * authority may go on through an outage for as long as all others are heard. Guards against workers whose leases run out, with all
  * that they run, because no controller dared to answer them.
  */
-class CollectedPledges(
+class PeerMoratoriums(
     private val others: Set<String>,
 ) {
     private val untilUs = HashMap<String, Long>()
@@ -32,14 +32,14 @@
 }
 
 /** The other side: this process takes no key while it is bound, nor while a process before it may have been. */
-class OwnPledge(
+class LocalMoratorium(
     startedUs: Long,
 ) {
-    private var pledgedUntilUs = startedUs + withDrift(CollectedPledges.PLEDGE_US) + MARGIN_US
+    private var pledgedUntilUs = startedUs + withDrift(PeerMoratoriums.PLEDGE_US) + MARGIN_US
 
     /** Pledges to take no key for a moment. */
     fun pledge(now: Long) {
-        pledgedUntilUs = maxOf(pledgedUntilUs, now + withDrift(CollectedPledges.PLEDGE_US) + MARGIN_US)
+        pledgedUntilUs = maxOf(pledgedUntilUs, now + withDrift(PeerMoratoriums.PLEDGE_US) + MARGIN_US)
     }
 
     /** No pledge stands in the way of taking a key. */
--- a/src/main/kotlin/lichenstage/fleet/Cloud.kt
+++ b/src/main/kotlin/lichenstage/cloud/CloudClient.kt
@@ -1,67 +1,15 @@
-package lichenstage.fleet
+package lichenstage.cloud
 
 import io.vertx.core.Vertx
 import io.vertx.core.http.HttpMethod
 import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
-import lichenstage.app.Address
-import lichenstage.app.JsonHttp
-import lichenstage.app.JsonHttp.Companion.parsed
-import lichenstage.app.SECOND
-import lichenstage.cluster.Shape
-
-/** A machine type with its prices. */
-data class MachineType(
-    val name: String,
-    val capacity: Shape,
-    val price: Double,
-    val spotPrice: Double,
-    val bootUs: Long,
-    val cacheGb: Double,
-    val fetchGbPerS: Double,
-    val zones: List<String>,
-) {
-    /** How long a machine fetches an image while it fetches no other. */
-    fun fetchUs(gb: Double) = (gb / fetchGbPerS * SECOND).toLong()
-}
-
-/** A machine in the cloud's list, which lags. */
-data class ListedMachine(
-    val name: String,
-    val typeName: String,
-    val zone: String,
-    val spot: Boolean,
-    val status: String,
-    val ageUs: Long,
-)
-
-/** A request for machines under a name that is never used for another. */
-data class Hire(
-    val name: String,
-    val typeName: String,
-    val zone: String,
-    val spot: Boolean,
-    val count: Int,
-)
-
-/** The cloud's answer to a hire. */
-sealed interface Hired {
-    /** So many machines were rented, perhaps fewer than asked for. */
-    data class Machines(
-        val names: List<String>,
-    ) : Hired
-
-    data object NoCapacity : Hired
-
-    /** Nobody knows whether machines were rented: it is repeated under the same name. */
-    data object Unclear : Hired
-}
-
-/** A page of the cloud's list; [more] where it is not the last. */
-data class MachinePage(
-    val machines: List<ListedMachine>,
-    val more: Boolean,
-)
+import lichenstage.common.Address
+import lichenstage.common.JsonHttp
+import lichenstage.common.JsonHttp.Companion.parsed
+import lichenstage.common.SECOND
+import lichenstage.model.MachineType
+import lichenstage.model.Shape
 
 /** Speaks to the cloud. */
 class CloudClient(
@@ -90,7 +38,7 @@
         )
 
     /** Rents machines under the hire's name. */
-    suspend fun hire(hire: Hire): Hired {
+    suspend fun hire(hire: ProvisionRequest): ProvisionResult {
         val request =
             JsonObject()
                 .put("hire", hire.name)
@@ -98,12 +46,24 @@
                 .put("yard", hire.zone)
                 .put("loaners", hire.spot)
                 .put("number", hire.count)
-        val (status, body) = call(HttpMethod.POST, "/hosts", request) ?: return Hired.Unclear
+        val (status, body) = call(HttpMethod.POST, "/hosts", request) ?: return ProvisionResult.Indeterminate
         return when {
-            status == 200 -> parsed { Hired.Machines(body.getJsonArray("holdfasts").map { it as String }) } ?: Hired.Unclear
-            status == 503 && body.getString("error") == "no capacity" -> Hired.NoCapacity
-            status == 400 -> Hired.NoCapacity
-            else -> Hired.Unclear
+            status == 200 -> {
+                parsed { ProvisionResult.Provisioned(body.getJsonArray("holdfasts").map { it as String }) }
+                    ?: ProvisionResult.Indeterminate
+            }
+
+            status == 503 && body.getString("error") == "no capacity" -> {
+                ProvisionResult.NoCapacity
+            }
+
+            status == 400 -> {
+                ProvisionResult.NoCapacity
+            }
+
+            else -> {
+                ProvisionResult.Indeterminate
+            }
         }
     }
 
--- a/src/main/kotlin/lichenstage/fleet/Catalog.kt
+++ b/src/main/kotlin/lichenstage/cloud/MachineCatalog.kt
@@ -1,4 +1,4 @@
-package lichenstage.fleet
+package lichenstage.cloud
 
 import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
@@ -6,19 +6,20 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.isActive
 import kotlinx.coroutines.launch
-import lichenstage.cluster.Shape
-import lichenstage.partition.MachineLimits
+import lichenstage.model.MachineLimits
+import lichenstage.model.MachineType
+import lichenstage.model.Shape
 import lichenstage.state.Change
-import lichenstage.state.Read
-import lichenstage.state.StateClient
+import lichenstage.state.KeyValueStoreClient
+import lichenstage.state.ReadResult
 
 /**
  * The machine types. Until they have been read once, nothing can be decided about a job's size; so they are kept in the state
  * service too, for a controller that starts while the cloud is in trouble.
  */
-class Catalog(
+class MachineCatalog(
     private val cloud: CloudClient,
-    private val state: StateClient,
+    private val state: KeyValueStoreClient,
     private val scope: CoroutineScope,
 ) {
     var machineTypes: Map<String, MachineType> = emptyMap()
@@ -50,12 +51,12 @@
     private fun sizes(of: Map<String, MachineType>) = of.values.map { it.copy(spotPrice = 0.0) }.toSet()
 
     private suspend fun keep() {
-        if ((state.get(KEY) as? Read.Found)?.let { sizes(decode(it.entry.value)) } == sizes(machineTypes)) return
+        if ((state.get(KEY) as? ReadResult.Found)?.let { sizes(decode(it.entry.value)) } == sizes(machineTypes)) return
         state.txn(emptyMap(), listOf(Change.Put(KEY, encode(machineTypes.values))))
     }
 
     private suspend fun recall() {
-        val kept = (state.get(KEY) as? Read.Found)?.let { decode(it.entry.value) } ?: return
+        val kept = (state.get(KEY) as? ReadResult.Found)?.let { decode(it.entry.value) } ?: return
         if (!known) machineTypes = kept
     }
 
--- a/src/main/kotlin/lichenstage/cluster/PeerLinks.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerLinks.kt
@@ -12,12 +12,12 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.isActive
 import kotlinx.coroutines.launch
-import lichenstage.app.Clock
-import lichenstage.app.MILLI
-import lichenstage.app.Peer
-import lichenstage.app.SECOND
-import lichenstage.app.Settings
-import lichenstage.app.timeOfDayUs
+import lichenstage.common.Clock
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
+import lichenstage.common.timeOfDayUs
+import lichenstage.config.Peer
+import lichenstage.config.Settings
 import org.slf4j.LoggerFactory
 
 /** One outgoing connection to each of the other controllers, and the server that takes theirs. */
--- a/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
@@ -7,6 +7,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
+import lichenstage.model.JobRequirements
 
 /**
  * A placement request: [count] tasks of one shape. [stamp] orders the requests at every partition. [imageOnly]: it is for room on machines
--- a/src/main/kotlin/lichenstage/cluster/PledgeFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PledgeFrames.kt
@@ -6,7 +6,7 @@
 /** Asks the receiver to take no key for a moment. [incarnation] and [askedUs] are the asker's, and come back with the answer. */
 @Serializable
 @SerialName("lichenstage.cluster.Bind")
-data class PledgeRequest(
+data class MoratoriumRequest(
     @SerialName("life")
     val incarnation: Long,
     val askedUs: Long,
@@ -15,7 +15,7 @@
 /** The sender takes no key for a moment from when it got the request on. */
 @Serializable
 @SerialName("lichenstage.cluster.Bound")
-data class Pledge(
+data class MoratoriumGrant(
     @SerialName("life")
     val incarnation: Long,
     val askedUs: Long,
--- a/src/main/kotlin/lichenstage/cluster/RequestForwarder.kt
+++ b/src/main/kotlin/lichenstage/cluster/RequestForwarder.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.withTimeoutOrNull
-import lichenstage.app.timeOfDayUs
+import lichenstage.common.timeOfDayUs
 import org.agrona.collections.Long2ObjectHashMap
 
 /** Has another controller answer a user's request, as the paper's intermediate agents do. */
--- a/src/main/kotlin/lichenstage/app/BoundedLog.kt
+++ b/src/main/kotlin/lichenstage/common/BoundedLog.kt
@@ -1,4 +1,4 @@
-package lichenstage.app
+package lichenstage.common
 
 import org.slf4j.LoggerFactory
 
--- a/src/main/kotlin/lichenstage/app/Clock.kt
+++ b/src/main/kotlin/lichenstage/common/Clock.kt
@@ -1,4 +1,4 @@
-package lichenstage.app
+package lichenstage.common
 
 import java.util.concurrent.TimeUnit
 
--- a/src/main/kotlin/lichenstage/app/Sockets.kt
+++ b/src/main/kotlin/lichenstage/common/ConnectionBudget.kt
@@ -1,4 +1,4 @@
-package lichenstage.app
+package lichenstage.common
 
 import org.slf4j.LoggerFactory
 
@@ -11,7 +11,7 @@
  * many are served; and where even those that are served come close to the end, reports are answered on connections that are
  * closed with the answer. (Seen in the load check: 3,186 sockets with 1,600 workers on one controller.)
  */
-class Sockets(
+class ConnectionBudget(
     private val most: Int,
     private val fixed: Int,
 ) {
--- a/src/main/kotlin/lichenstage/app/LoopLag.kt
+++ b/src/main/kotlin/lichenstage/common/EventLoopLag.kt
@@ -1,10 +1,10 @@
-package lichenstage.app
+package lichenstage.common
 
 /**
  * How late the event loop has run its timers lately: by this much an answer of this process is late too. The worst of the last moments
  * counts and fades.
  */
-class LoopLag {
+class EventLoopLag {
     /** The present lag; 0 where timers run in time. */
     var us = 0L
         private set
--- a/src/main/kotlin/lichenstage/app/JsonHttp.kt
+++ b/src/main/kotlin/lichenstage/common/JsonHttp.kt
@@ -1,4 +1,4 @@
-package lichenstage.app
+package lichenstage.common
 
 import io.vertx.core.Vertx
 import io.vertx.core.http.HttpClient
--- a/src/main/kotlin/lichenstage/app/LruMap.kt
+++ b/src/main/kotlin/lichenstage/common/LruMap.kt
@@ -1,4 +1,4 @@
-package lichenstage.app
+package lichenstage.common
 
 /** A map of at most [most] entries, which drops the one that was used longest ago. */
 class LruMap<K, V>(
--- a/src/main/kotlin/lichenstage/app/Metrics.kt
+++ b/src/main/kotlin/lichenstage/common/Metrics.kt
@@ -1,4 +1,4 @@
-package lichenstage.app
+package lichenstage.common
 
 import io.micrometer.core.instrument.Counter
 import io.micrometer.core.instrument.Gauge
--- a/src/main/kotlin/lichenstage/app/Settings.kt
+++ b/src/main/kotlin/lichenstage/config/Settings.kt
@@ -1,16 +1,10 @@
-package lichenstage.app
+package lichenstage.config
 
 import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
-import lichenstage.cluster.PartitionAssignment
-
-/** Where a host can be reached: numbers only, since no name look-up exists on the machines. */
-data class Address(
-    val host: String,
-    val port: Int,
-) {
-    override fun toString() = "$host:$port"
-}
+import lichenstage.common.Address
+import lichenstage.common.parseAddress
+import lichenstage.model.PartitionAssignment
 
 /** Another controller. */
 data class Peer(
@@ -52,7 +46,7 @@
     val workerLeaseUs: Long,
     /** Within this time of a confirmed cancellation no task of the job may be left. */
     val cancelUs: Long,
-    val reportUs: Long,
+    val heartbeatIntervalUs: Long,
     val stateRps: Double,
     val stateWriteRps: Double,
     val txnOps: Int,
@@ -98,7 +92,7 @@
                 teams = settings.list("teams").map(::team).associateBy { it.name },
                 workerLeaseUs = workers.micros("lease_s"),
                 cancelUs = workers.micros("cancel_s"),
-                reportUs = workers.micros("report_s"),
+                heartbeatIntervalUs = workers.micros("report_s"),
                 stateRps = limit("rps", 1.0),
                 stateWriteRps = limit("write_rps", 1.0),
                 txnOps = limit("txn_ops", 2.0).toInt(),
@@ -195,10 +189,3 @@
         return array.map { it as? String ?: fail(field, "a list of texts is needed") }
     }
 }
-
-/** HOST:PORT, or null where it is neither. */
-fun parseAddress(text: String): Address? {
-    val host = text.substringBeforeLast(':', "")
-    val port = text.substringAfterLast(':').toIntOrNull()
-    return if (host.isEmpty() || port == null || port !in 1..65535) null else Address(host, port)
-}
--- a/src/main/kotlin/lichenstage/drain/DrainCommand.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCommand.kt
@@ -7,14 +7,14 @@
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withContext
 import lichenstage.app.BadArguments
-import lichenstage.app.Clock
 import lichenstage.app.CommandLineParser
 import lichenstage.app.ParsedArguments
-import lichenstage.app.SECOND
-import lichenstage.app.Settings
-import lichenstage.app.SettingsError
-import lichenstage.app.timeOfDayUs
-import lichenstage.state.StateClient
+import lichenstage.common.Clock
+import lichenstage.common.SECOND
+import lichenstage.common.timeOfDayUs
+import lichenstage.config.Settings
+import lichenstage.config.SettingsError
+import lichenstage.state.KeyValueStoreClient
 
 /** `lichenstage drain start|status|pause|resume|cancel`. */
 class DrainCommand(
@@ -97,7 +97,7 @@
             return runBlocking {
                 withContext(vertx.dispatcher()) {
                     val state =
-                        StateClient(
+                        KeyValueStoreClient(
                             vertx,
                             settings.state,
                             Clock.steady,
--- a/src/main/kotlin/lichenstage/drain/DrainDriver.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainDriver.kt
@@ -4,14 +4,14 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import lichenstage.app.MILLI
-import lichenstage.app.SECOND
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
 import lichenstage.state.Change
-import lichenstage.state.Committed
 import lichenstage.state.Entry
-import lichenstage.state.OwnedKeys
+import lichenstage.state.KeyValueStore
 import lichenstage.state.Scan
-import lichenstage.state.Store
+import lichenstage.state.SingleWriterKeys
+import lichenstage.state.TransactionResult
 import org.slf4j.LoggerFactory
 import java.time.Instant
 import java.time.ZoneOffset
@@ -19,7 +19,7 @@
 /** What the driver of drains is told by what it has set going. */
 sealed interface DrainMessage {
     /** All records, read whole; null where they could not be. */
-    data class Read(
+    data class ReadResult(
         val entries: List<Entry>?,
     ) : DrainMessage
 
@@ -50,8 +50,8 @@
 
 /** Where the driver reads and writes: [scan] is null where the state service does not answer. */
 class DrainStore(
-    val store: Store,
-    val owned: OwnedKeys,
+    val store: KeyValueStore,
+    val owned: SingleWriterKeys,
     /** The revision of the leadership's key: nothing is written but under it. */
     val leaderGuard: Map<String, Long>,
     val txnOps: Int,
@@ -119,7 +119,7 @@
         reading = true
         readUs = now
         scope.launch {
-            tell(DrainMessage.Read(access.scan(DrainRecords.PREFIX)?.entries))
+            tell(DrainMessage.ReadResult(access.scan(DrainRecords.PREFIX)?.entries))
         }
     }
 
@@ -162,14 +162,14 @@
         val change = Change.Put(key, records.encode(drain.copy(status = status, reason = reason)))
         scope.launch {
             val outcome = access.store.txn(guards, listOf(change), urgent = false)
-            tell(DrainMessage.Ended(name, outcome is Committed.Yes))
+            tell(DrainMessage.Ended(name, outcome is TransactionResult.Committed))
         }
     }
 
     /** What was set going has an outcome. */
     fun handle(message: DrainMessage) {
         when (message) {
-            is DrainMessage.Read -> {
+            is DrainMessage.ReadResult -> {
                 reading = false
                 message.entries?.let(::take)
             }
--- a/src/main/kotlin/lichenstage/drain/DrainOperations.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainOperations.kt
@@ -1,15 +1,15 @@
 package lichenstage.drain
 
-import lichenstage.app.Settings
+import lichenstage.config.Settings
 import lichenstage.jobs.JobRecord
 import lichenstage.placement.Registered
 import lichenstage.placement.Registry
 import lichenstage.state.Change
-import lichenstage.state.Committed
 import lichenstage.state.Entry
-import lichenstage.state.Read
+import lichenstage.state.KeyValueStore
+import lichenstage.state.ReadResult
 import lichenstage.state.Scan
-import lichenstage.state.Store
+import lichenstage.state.TransactionResult
 
 /** Which of the recorded machines are meant; a field that is null does not choose. */
 data class DrainSelection(
@@ -64,7 +64,7 @@
  * makes no difference which controllers are up.
  */
 class DrainOperations(
-    private val store: Store,
+    private val store: KeyValueStore,
     private val scan: suspend (String) -> Scan?,
     private val records: DrainRecords,
     private val settings: Settings,
@@ -76,9 +76,9 @@
             if (!NAME.matches(request.name)) throw CantBeDone("${request.name}: a name of letters, digits and dashes is needed")
             if (request.atMost < 1) throw CantBeDone("--at-most ${request.atMost}: at least 1 is needed")
             when (val known = store.get(DrainRecords.DRAINS + request.name)) {
-                is Read.Found -> repeated(request, known.entry)
-                Read.Missing -> begun(request)
-                Read.Unavailable -> throw NoAnswer()
+                is ReadResult.Found -> repeated(request, known.entry)
+                ReadResult.NotFound -> begun(request)
+                ReadResult.Unavailable -> throw NoAnswer()
             }
         }
 
@@ -126,7 +126,7 @@
         guards: Map<String, Long>,
         changes: List<Change>,
     ) {
-        if (store.txn(guards, changes) !is Committed.Yes) throw NoAnswer()
+        if (store.txn(guards, changes) !is TransactionResult.Committed) throw NoAnswer()
     }
 
     private fun refusal(
@@ -197,9 +197,9 @@
     ): DrainAnswer =
         answering {
             when (val read = store.get(DrainRecords.DRAINS + name)) {
-                is Read.Found -> changed(read.entry, status)
-                Read.Missing -> throw CantBeDone("$name: there is no such drain")
-                Read.Unavailable -> throw NoAnswer()
+                is ReadResult.Found -> changed(read.entry, status)
+                ReadResult.NotFound -> throw CantBeDone("$name: there is no such drain")
+                ReadResult.Unavailable -> throw NoAnswer()
             }
         }
 
--- a/src/main/kotlin/lichenstage/drain/DrainPlan.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainPlan.kt
@@ -1,6 +1,6 @@
 package lichenstage.drain
 
-import lichenstage.app.SECOND
+import lichenstage.common.SECOND
 
 /** What a plan proposes: a state to be recorded, and what may be done once it is. */
 data class DrainProposal(
--- a/src/main/kotlin/lichenstage/drain/DrainReport.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainReport.kt
@@ -2,7 +2,7 @@
 
 import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
-import lichenstage.app.SECOND
+import lichenstage.common.SECOND
 import java.time.Instant
 
 /** How a drain stands, for people and programs. */
--- a/src/main/kotlin/lichenstage/fleet/DemandEstimate.kt
+++ b/src/main/kotlin/lichenstage/fleet/DemandEstimate.kt
@@ -1,7 +1,8 @@
 package lichenstage.fleet
 
-import lichenstage.cluster.Shape
-import lichenstage.jobs.JobSpec
+import lichenstage.model.JobSpec
+import lichenstage.model.MachineType
+import lichenstage.model.Shape
 import lichenstage.placement.Job
 import lichenstage.placement.JobPhase
 
--- a/src/main/kotlin/lichenstage/fleet/DemandForecast.kt
+++ b/src/main/kotlin/lichenstage/fleet/DemandForecast.kt
@@ -1,6 +1,6 @@
 package lichenstage.fleet
 
-import lichenstage.app.SECOND
+import lichenstage.common.SECOND
 import kotlin.math.exp
 import kotlin.math.sqrt
 
--- a/src/main/kotlin/lichenstage/fleet/FleetCore.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetCore.kt
@@ -1,6 +1,10 @@
 package lichenstage.fleet
 
-import lichenstage.app.SECOND
+import lichenstage.cloud.ListedMachine
+import lichenstage.cloud.ProvisionRequest
+import lichenstage.cloud.ProvisionResult
+import lichenstage.common.SECOND
+import lichenstage.model.MachineType
 import kotlin.math.ceil
 
 /**
@@ -30,7 +34,7 @@
     private val gone = HashSet<String>()
     private val refusedUntilUs = HashMap<String, Long>()
     private val refusals = HashMap<String, Int>()
-    private var unclear: Hire? = null
+    private var unclear: ProvisionRequest? = null
     private var hires = 0L
     private var listedUs = Long.MIN_VALUE / 2
     private var wanted = emptyList<Demand>()
@@ -42,7 +46,7 @@
     /** The most machines of a type that were in use at once in this term. */
     private val mostUsed = HashMap<String, Double>()
     private var listedOnce = false
-    private val requests = LinkedHashMap<String, RequestedHire>()
+    private val requests = LinkedHashMap<String, ReplacementRequest>()
 
     /** The request that a hire is for, by the hire's name. */
     private val requestOf = HashMap<String, String>()
@@ -142,17 +146,17 @@
         }
 
     /** A machine is wanted whatever the demand; it is asked for until it is there. */
-    fun request(hire: RequestedHire) {
+    fun request(hire: ReplacementRequest) {
         requests[hire.id] = hire
     }
 
     /** What a hire was requested for, or null. */
-    fun requestOf(hire: Hire): String? = requestOf[hire.name]
+    fun requestOf(hire: ProvisionRequest): String? = requestOf[hire.name]
 
-    private fun requested(now: Long): Hire? {
+    private fun requested(now: Long): ProvisionRequest? {
         val request =
             requests.values.firstOrNull { (refusedUntilUs[place(it.typeName, it.zone, it.spot)] ?: Long.MIN_VALUE) <= now } ?: return null
-        val hire = Hire("h$term-${++hires}", request.typeName, request.zone, request.spot, 1)
+        val hire = ProvisionRequest("h$term-${++hires}", request.typeName, request.zone, request.spot, 1)
         requestOf[hire.name] = request.id
         unclear = hire
         return hire
@@ -222,22 +226,22 @@
 
     /** The next call to make, or null. */
     fun next(now: Long): CloudCall? {
-        unclear?.let { return CloudCall.Rent(it) }
+        unclear?.let { return CloudCall.Provision(it) }
         val back = machines.filterValues { it.giveBack }.keys.take(MOST_RETURNS)
         if (back.isNotEmpty() && now - returnedUs >= RETURN_US) {
             returnedUs = now
-            return CloudCall.GiveBack(back)
+            return CloudCall.Terminate(back)
         }
         if (now - listedUs > LIST_US) {
             listedUs = now
             return CloudCall.ListAll
         }
-        requested(now)?.let { return CloudCall.Rent(it) }
+        requested(now)?.let { return CloudCall.Provision(it) }
         // A leader that has just begun does not know what the one before it rented.
-        return if (listedOnce) rent(now)?.let { CloudCall.Rent(it) } else null
+        return if (listedOnce) rent(now)?.let { CloudCall.Provision(it) } else null
     }
 
-    private fun rent(now: Long): Hire? {
+    private fun rent(now: Long): ProvisionRequest? {
         for (machineType in machineTypes.values) {
             val have = counted().filter { it.typeName == machineType.name }
             val short = need(machineType.name, now) - have.size
@@ -253,7 +257,7 @@
         have: List<Rented>,
         short: Int,
         now: Long,
-    ): Hire? {
+    ): ProvisionRequest? {
         val typeName = machineType.name
         val onlyOrdinary = ceil(wanted.filter { it.typeName == typeName && !it.spot }.sumOf { it.machines } - 1e-9).toInt()
         val ordinaryFirst = have.count { !it.spot } < onlyOrdinary || typeName !in spotWelcome
@@ -267,13 +271,13 @@
         spot: Boolean,
         short: Int,
         now: Long,
-    ): Hire? {
+    ): ProvisionRequest? {
         val zone =
             machineType.zones
                 .filter { (refusedUntilUs[place(machineType.name, it, spot)] ?: Long.MIN_VALUE) <= now }
                 .minByOrNull { zone -> have.count { it.zone == zone } } ?: return null
         val count = ceil(short.toDouble() / machineType.zones.size).toInt().coerceIn(1, MOST_HIRED)
-        return Hire("h$term-${++hires}", machineType.name, zone, spot, count).also { unclear = it }
+        return ProvisionRequest("h$term-${++hires}", machineType.name, zone, spot, count).also { unclear = it }
     }
 
     /** A cheap machine in place of a dear one, where there is work that may run on it: the surplus drains the dear one. */
@@ -281,13 +285,13 @@
         machineType: MachineType,
         have: List<Rented>,
         now: Long,
-    ): Hire? {
+    ): ProvisionRequest? {
         if (machineType.spotPrice >= machineType.price || now - swappedUs < SWAP_US) return null
         if (have.none { !it.spot && !it.draining } || machineType.name !in spotWelcome) return null
         val zone =
             machineType.zones.firstOrNull { (refusedUntilUs[place(machineType.name, it, true)] ?: Long.MIN_VALUE) <= now } ?: return null
         swappedUs = now
-        return Hire("h$term-${++hires}", machineType.name, zone, true, 1).also { unclear = it }
+        return ProvisionRequest("h$term-${++hires}", machineType.name, zone, true, 1).also { unclear = it }
     }
 
     private fun place(
@@ -298,13 +302,13 @@
 
     /** The outcome of a hire; returns the names of the machines that came with it. */
     fun hired(
-        hire: Hire,
-        outcome: Hired,
+        hire: ProvisionRequest,
+        outcome: ProvisionResult,
         now: Long,
     ): List<String> {
         val place = place(hire.typeName, hire.zone, hire.spot)
         when (outcome) {
-            is Hired.Machines -> {
+            is ProvisionResult.Provisioned -> {
                 unclear = null
                 outcome.names.forEach { known(it, hire.typeName, hire.zone, hire.spot, 0, now) }
                 if (outcome.names.size < hire.count) refuse(place, now) else refusals.remove(place)
@@ -312,12 +316,12 @@
                 return outcome.names
             }
 
-            Hired.NoCapacity -> {
+            ProvisionResult.NoCapacity -> {
                 unclear = null
                 refuse(place, now)
             }
 
-            Hired.Unclear -> {
+            ProvisionResult.Indeterminate -> {
                 Unit
             }
         }
--- a/src/main/kotlin/lichenstage/fleet/FleetTypes.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetTypes.kt
@@ -1,6 +1,7 @@
 package lichenstage.fleet
 
-import lichenstage.app.SECOND
+import lichenstage.cloud.ProvisionRequest
+import lichenstage.common.SECOND
 
 /**
  * What a job still asks of machines of type [typeName]: at most [machines] at once, [workUs] of machine time, until [dueUs];
@@ -28,7 +29,7 @@
 )
 
 /** A machine that is asked for by name of its type, zone and kind, beside what demand asks for. [id] is the asker's. */
-data class RequestedHire(
+data class ReplacementRequest(
     val id: String,
     val typeName: String,
     val zone: String,
@@ -38,12 +39,12 @@
 /** The next thing to ask of the cloud. */
 sealed interface CloudCall {
     /** Rent machines. */
-    data class Rent(
-        val hire: Hire,
+    data class Provision(
+        val hire: ProvisionRequest,
     ) : CloudCall
 
     /** Return machines. */
-    data class GiveBack(
+    data class Terminate(
         val names: List<String>,
     ) : CloudCall
 
--- a/src/main/kotlin/lichenstage/jobs/JobLookup.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobLookup.kt
@@ -1,17 +1,17 @@
 package lichenstage.jobs
 
 import io.vertx.core.json.JsonObject
-import lichenstage.app.Clock
-import lichenstage.app.SECOND
-import lichenstage.app.timeOfDayUs
+import lichenstage.common.Clock
+import lichenstage.common.SECOND
+import lichenstage.common.timeOfDayUs
 import lichenstage.state.Change
-import lichenstage.state.Committed
-import lichenstage.state.Read
-import lichenstage.state.Store
+import lichenstage.state.KeyValueStore
+import lichenstage.state.ReadResult
+import lichenstage.state.TransactionResult
 
 /** Answers where a job stands, and cancels jobs. */
 class JobLookup(
-    private val state: Store,
+    private val state: KeyValueStore,
     private val memory: JobMemory,
     private val replica: JobReplica,
     private val pipelines: Pipelines,
@@ -46,17 +46,17 @@
             }
         }
         return when (val read = state.get(JobRecord.OPEN + id, READ_TIMEOUT_MS)) {
-            is Read.Found -> {
+            is ReadResult.Found -> {
                 val needed = JobRecord.needs(read.entry.value)
                 memory.rememberOpen(id, read.entry.stamp, needed)
                 open(id, needed)
             }
 
-            Read.Unavailable -> {
+            ReadResult.Unavailable -> {
                 Reply.stateUnavailable()
             }
 
-            Read.Missing -> {
+            ReadResult.NotFound -> {
                 findOver(id)
             }
         }
@@ -64,17 +64,17 @@
 
     private suspend fun findOver(id: String): Reply =
         when (val over = state.get(JobRecord.FINISHED + id, READ_TIMEOUT_MS)) {
-            is Read.Found -> {
+            is ReadResult.Found -> {
                 memory.rememberOver(id, over.entry.value)
                 replica.learned(id, over.entry.stamp)
                 Reply.ofOver(id, over.entry.value)
             }
 
-            Read.Missing -> {
+            ReadResult.NotFound -> {
                 Reply.unknownJob()
             }
 
-            Read.Unavailable -> {
+            ReadResult.Unavailable -> {
                 Reply.stateUnavailable()
             }
         }
@@ -103,9 +103,9 @@
         repeat(MOST_TRIES) {
             memory.over(id)?.let { return Reply.ofOver(id, it) }
             when (val read = state.get(JobRecord.OPEN + id, READ_TIMEOUT_MS)) {
-                is Read.Found -> recordCancelled(id, read.entry.stamp)?.let { return it }
-                Read.Missing -> return find(id)
-                Read.Unavailable -> return Reply.stateUnavailable()
+                is ReadResult.Found -> recordCancelled(id, read.entry.stamp)?.let { return it }
+                ReadResult.NotFound -> return find(id)
+                ReadResult.Unavailable -> return Reply.stateUnavailable()
             }
         }
         return Reply.later("undecided")
@@ -119,17 +119,17 @@
         val record = overNow("cancelled", memory.progress(id).done)
         val changes = listOf(Change.Delete(JobRecord.OPEN + id), Change.Put(JobRecord.FINISHED + id, record))
         return when (val outcome = state.txn(mapOf(JobRecord.OPEN + id to stamp), changes)) {
-            is Committed.Yes -> {
+            is TransactionResult.Committed -> {
                 memory.rememberOver(id, record)
                 cancelled(id, outcome.revision)
                 Reply.ofOver(id, record)
             }
 
-            is Committed.Refused -> {
+            is TransactionResult.Conflict -> {
                 null
             }
 
-            Committed.NoLease, Committed.NotExecuted, Committed.Unknown -> {
+            TransactionResult.LeaseExpired, TransactionResult.Rejected, TransactionResult.Indeterminate -> {
                 Reply.stateUnavailable()
             }
         }
--- a/src/main/kotlin/lichenstage/jobs/JobMemory.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobMemory.kt
@@ -1,8 +1,8 @@
 package lichenstage.jobs
 
 import io.vertx.core.json.JsonObject
-import lichenstage.app.LruMap
 import lichenstage.cluster.TaskCounts
+import lichenstage.common.LruMap
 
 /** What the user API remembers of jobs: records of ends, which never change, and facts of open records that the replica may lack. */
 class JobMemory(
@@ -31,7 +31,7 @@
     fun stamp(id: String): Long? = stamps[id] ?: replica.stamp(id)
 
     /** What the job needs, as far as that is known. */
-    fun needs(id: String): List<String> = needs[id] ?: pipelines.needsOf(id)
+    fun needs(id: String): List<String> = needs[id] ?: pipelines.dependenciesOf(id)
 
     /** The job's record was seen open at revision [stamp]. */
     fun rememberOpen(
--- /dev/null
+++ b/src/main/kotlin/lichenstage/jobs/JobRecord.kt
@@ -0,0 +1,74 @@
+package lichenstage.jobs
+
+import io.vertx.core.json.JsonArray
+import io.vertx.core.json.JsonObject
+import lichenstage.model.JobSpec
+import lichenstage.model.Priority
+import lichenstage.model.Shape
+
+/** The record of a job in the state service. */
+object JobRecord {
+    const val OPEN = "j/"
+    const val FINISHED = "x/"
+    const val DONE = "d/"
+    private const val NEEDS = "needs"
+
+    /** The record of a job that is over. [atUs] is the time of day, from which the times of the jobs that need it count. */
+    fun over(
+        status: String,
+        tasks: Int,
+        atUs: Long,
+    ): JsonObject = JsonObject().put("status", status).put("tasks", tasks).put("at", atUs)
+
+    /** The record of an open job. */
+    fun encode(spec: JobSpec): JsonObject =
+        JsonObject()
+            .put("id", spec.id)
+            .put("kind", spec.kind)
+            .put("team", spec.team)
+            .put("priority", spec.priority.name)
+            .put("tasks", spec.tasks)
+            .put("cores", spec.shape.cores)
+            .put("cards", spec.shape.cards)
+            .put("mem", spec.shape.memGb)
+            .put("builds", spec.allowedTypes?.let { JsonArray(it) })
+            .put("zone", spec.zone)
+            .put("same", spec.sameZone)
+            .put("spread", spec.spread)
+            .put("spot", spec.spot)
+            .put("image", spec.image)
+            .put("imageGb", spec.imageGb)
+            .put("estimate", spec.estimateUs)
+            .put("checkpoint", spec.checkpointUs)
+            .put("save", spec.saveUs)
+            .put("deadline", spec.deadlineUs)
+            .put("at", spec.submittedUs)
+            .apply { if (spec.needs.isNotEmpty()) put(NEEDS, JsonArray(spec.needs)) }
+
+    /** What an open record says of the jobs that it needs. */
+    fun needs(json: JsonObject): List<String> = json.getJsonArray(NEEDS)?.map { it as String } ?: emptyList()
+
+    /** The job of an open record. */
+    fun decode(json: JsonObject): JobSpec =
+        JobSpec(
+            id = json.getString("id"),
+            kind = json.getString("kind"),
+            team = json.getString("team"),
+            priority = Priority.valueOf(json.getString("priority")),
+            tasks = json.getInteger("tasks"),
+            shape = Shape(json.getDouble("cores"), json.getDouble("cards"), json.getDouble("mem")),
+            allowedTypes = json.getJsonArray("builds")?.map { it as String },
+            zone = json.getString("zone"),
+            sameZone = json.getBoolean("same"),
+            spread = json.getBoolean("spread"),
+            spot = json.getBoolean("spot"),
+            image = json.getString("image"),
+            imageGb = json.getDouble("imageGb"),
+            estimateUs = json.getLong("estimate"),
+            checkpointUs = json.getLong("checkpoint"),
+            saveUs = json.getLong("save"),
+            deadlineUs = json.getLong("deadline"),
+            submittedUs = json.getLong("at"),
+            needs = needs(json),
+        )
+}
--- a/src/main/kotlin/lichenstage/jobs/JobReplica.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplica.kt
@@ -1,9 +1,9 @@
 package lichenstage.jobs
 
-import lichenstage.app.SECOND
-import lichenstage.app.withDrift
 import lichenstage.cluster.CompletionSyncReply
 import lichenstage.cluster.CompletionSyncRequest
+import lichenstage.common.SECOND
+import lichenstage.common.withDrift
 
 /**
  * This process's copy of the keys of the open jobs, and how stale it may be (invariant 15).
--- a/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
@@ -4,23 +4,23 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import lichenstage.app.BoundedLog
-import lichenstage.app.Clock
-import lichenstage.app.SECOND
 import lichenstage.cluster.CompletionSyncReply
 import lichenstage.cluster.CompletionSyncRequest
 import lichenstage.cluster.Frame
 import lichenstage.cluster.JobsEnded
-import lichenstage.state.Read
-import lichenstage.state.StateClient
-import lichenstage.state.Watched
+import lichenstage.common.BoundedLog
+import lichenstage.common.Clock
+import lichenstage.common.SECOND
+import lichenstage.state.KeyValueStoreClient
+import lichenstage.state.ReadResult
+import lichenstage.state.WatchResult
 
 /** Keeps the [JobReplica] of this process up to date: by a watch, and by the other controllers while the state service is away. */
 class JobReplicaSync(
     private val replica: JobReplica,
     private val pipelines: Pipelines,
     private val others: List<String>,
-    private val state: StateClient,
+    private val state: KeyValueStoreClient,
     private val clock: Clock,
     private val scope: CoroutineScope,
     private val send: (String, Frame) -> Unit,
@@ -69,17 +69,17 @@
         while (true) {
             val sentUs = clock.now()
             when (val seen = state.changes(JobRecord.OPEN, replica.revision, WAIT_MS)) {
-                is Watched.Events -> {
+                is WatchResult.Events -> {
                     val put = seen.puts.associate { id(it.key) to it.stamp }
                     seen.puts.forEach { pipelines.opened(id(it.key), JobRecord.needs(it.value)) }
                     news(replica.changed(put, seen.deletes.associate { id(it.key) to it.stamp }, seen.revision, sentUs))
                 }
 
-                Watched.TooOld -> {
+                WatchResult.Compacted -> {
                     return
                 }
 
-                Watched.Unavailable -> {
+                WatchResult.Unavailable -> {
                     delay(RETRY_MS)
                 }
             }
@@ -91,7 +91,7 @@
     /** How a job that others need has ended stands in its record; until that can be read, they wait. */
     private suspend fun resolve(job: String) {
         val read = state.get(JobRecord.FINISHED + job)
-        if (read is Read.Found) finished(job, read.entry.value)
+        if (read is ReadResult.Found) finished(job, read.entry.value)
     }
 
     /** The record of a job that is over. */
--- a/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
@@ -1,18 +1,19 @@
 package lichenstage.jobs
 
 import io.vertx.core.json.JsonObject
-import lichenstage.app.Team
-import lichenstage.app.timeOfDayUs
+import lichenstage.common.timeOfDayUs
+import lichenstage.config.Team
 import lichenstage.fleet.DemandEstimate
-import lichenstage.fleet.MachineType
+import lichenstage.model.JobSpec
+import lichenstage.model.MachineType
 import lichenstage.state.Change
-import lichenstage.state.Committed
-import lichenstage.state.Read
-import lichenstage.state.Store
+import lichenstage.state.KeyValueStore
+import lichenstage.state.ReadResult
+import lichenstage.state.TransactionResult
 
 /** Takes submissions: reads them, refuses what can never run, and writes the record of what is accepted. */
 class JobSubmission(
-    private val state: Store,
+    private val state: KeyValueStore,
     private val memory: JobMemory,
     private val lookup: JobLookup,
     private val pipelines: Pipelines,
@@ -81,17 +82,17 @@
         val record = if (inVain) JobLookup.overNow("cancelled", 0) else JobRecord.encode(spec)
         val change = Change.Put(if (inVain) over else open, record)
         return when (val outcome = state.txn(guards, listOf(change), SUBMIT_TIMEOUT_MS)) {
-            is Committed.Yes -> {
+            is TransactionResult.Committed -> {
                 if (inVain) memory.rememberOver(spec.id, record) else memory.rememberOpen(spec.id, outcome.revision, spec.needs)
                 Reply.accepted(spec.id, if (inVain) "cancelled" else "pending")
             }
 
-            is Committed.Refused -> {
+            is TransactionResult.Conflict -> {
                 val reply = lookup.known(spec.id) { Reply.later("undecided") }
                 reply.takeIf { spec.needs.isEmpty() || it.status == Reply.OK }
             }
 
-            Committed.NoLease, Committed.NotExecuted, Committed.Unknown -> {
+            TransactionResult.LeaseExpired, TransactionResult.Rejected, TransactionResult.Indeterminate -> {
                 Reply.stateUnavailable()
             }
         }
@@ -121,17 +122,17 @@
         memory.over(id)?.let { return ended(it) }
         if (!fresh) memory.stamp(id)?.let { return Standing.Open(it) }
         return when (val read = state.get(JobRecord.OPEN + id, JobLookup.READ_TIMEOUT_MS)) {
-            is Read.Found -> Standing.Open(read.entry.stamp)
-            Read.Unavailable -> Standing.Unclear
-            Read.Missing -> standingOver(id)
+            is ReadResult.Found -> Standing.Open(read.entry.stamp)
+            ReadResult.Unavailable -> Standing.Unclear
+            ReadResult.NotFound -> standingOver(id)
         }
     }
 
     private suspend fun standingOver(id: String): Standing =
         when (val over = state.get(JobRecord.FINISHED + id, JobLookup.READ_TIMEOUT_MS)) {
-            is Read.Found -> ended(over.entry.value)
-            Read.Missing -> Standing.NeverAccepted
-            Read.Unavailable -> Standing.Unclear
+            is ReadResult.Found -> ended(over.entry.value)
+            ReadResult.NotFound -> Standing.NeverAccepted
+            ReadResult.Unavailable -> Standing.Unclear
         }
 
     private fun ended(record: JsonObject) = if (record.getString("status") == "done") Standing.Done else Standing.Cancelled
--- a/src/main/kotlin/lichenstage/jobs/JobsActor.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsActor.kt
@@ -4,14 +4,14 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withTimeoutOrNull
-import lichenstage.app.Clock
-import lichenstage.app.Mailbox
-import lichenstage.app.Team
 import lichenstage.cluster.RequestForwarder
 import lichenstage.cluster.TaskCounts
 import lichenstage.cluster.UserVerb
-import lichenstage.fleet.MachineType
-import lichenstage.state.Store
+import lichenstage.common.Clock
+import lichenstage.common.Mailbox
+import lichenstage.config.Team
+import lichenstage.model.MachineType
+import lichenstage.state.KeyValueStore
 
 /** What the user API is told. */
 sealed interface JobsMessage {
@@ -34,7 +34,7 @@
  * what can't change any more is remembered.
  */
 class JobsActor(
-    state: Store,
+    state: KeyValueStore,
     machineTypes: () -> Map<String, MachineType>,
     teams: Map<String, Team>,
     private val stateAnswers: () -> Boolean,
--- a/src/main/kotlin/lichenstage/jobs/OpenRecordCheck.kt
+++ b/src/main/kotlin/lichenstage/jobs/OpenRecordCheck.kt
@@ -4,7 +4,7 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import lichenstage.state.Committed
+import lichenstage.state.TransactionResult
 
 /** What the state service says of an open record that was seen before. It never changes but for its end. */
 enum class RecordState { OPEN, GONE, UNKNOWN }
@@ -19,7 +19,7 @@
     private val most: Int,
     private val scope: CoroutineScope,
     private val gather: suspend () -> Unit = { delay(GATHER_MS) },
-    private val compare: suspend (Map<String, Long>) -> Committed,
+    private val compare: suspend (Map<String, Long>) -> TransactionResult,
 ) {
     private class Question(
         val key: String,
@@ -57,19 +57,19 @@
         repeat(MOST_TRIES) {
             if (open.isEmpty()) return
             when (val outcome = compare(open.associate { it.key to it.stamp })) {
-                is Committed.Yes -> {
+                is TransactionResult.Committed -> {
                     open.forEach { it.answer.complete(RecordState.OPEN) }
                     return
                 }
 
-                is Committed.Refused -> {
+                is TransactionResult.Conflict -> {
                     val failed = outcome.failed.toHashSet()
                     val (gone, rest) = open.partition { it.key in failed }
                     gone.forEach { it.answer.complete(RecordState.GONE) }
                     open = rest
                 }
 
-                Committed.NoLease, Committed.NotExecuted, Committed.Unknown -> {
+                TransactionResult.LeaseExpired, TransactionResult.Rejected, TransactionResult.Indeterminate -> {
                     open.forEach { it.answer.complete(RecordState.UNKNOWN) }
                     return
                 }
--- a/src/main/kotlin/lichenstage/jobs/Pipelines.kt
+++ b/src/main/kotlin/lichenstage/jobs/Pipelines.kt
@@ -124,10 +124,10 @@
     }
 
     /** The jobs that this one needs, where its record is known. */
-    fun needsOf(job: String): List<String> = needs[job].orEmpty()
+    fun dependenciesOf(job: String): List<String> = needs[job].orEmpty()
 
     /** The jobs that wait for this one directly. */
-    fun waitersOf(job: String): Collection<String> = neededBy[job].orEmpty()
+    fun dependentsOf(job: String): Collection<String> = neededBy[job].orEmpty()
 
     /** Jobs of which it is to be found out how they ended. */
     fun toResolve(most: Int): List<String> = unresolved.take(most)
--- a/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
+++ b/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
@@ -1,5 +1,7 @@
 package lichenstage.jobs
 
+import lichenstage.model.JobSpec
+
 /** A [field] of a submission that is too large, and why. */
 data class TooLarge(
     val field: String,
--- a/src/main/kotlin/lichenstage/cluster/PartitionAssignment.kt
+++ b/src/main/kotlin/lichenstage/model/PartitionAssignment.kt
@@ -1,4 +1,4 @@
-package lichenstage.cluster
+package lichenstage.model
 
 /**
  * How the machines are partitioned: a zone has one partition for each controller in it, and one where it has none.
--- a/src/main/kotlin/lichenstage/cluster/Shapes.kt
+++ b/src/main/kotlin/lichenstage/model/Shape.kt
@@ -1,6 +1,6 @@
 @file:OptIn(ExperimentalSerializationApi::class)
 
-package lichenstage.cluster
+package lichenstage.model
 
 import kotlinx.serialization.ExperimentalSerializationApi
 import kotlinx.serialization.Serializable
--- a/src/main/kotlin/lichenstage/partition/Attempt.kt
+++ b/src/main/kotlin/lichenstage/partition/Attempt.kt
@@ -1,8 +1,8 @@
 package lichenstage.partition
 
-import lichenstage.app.SECOND
 import lichenstage.cluster.TaskPhase
 import lichenstage.cluster.TaskState
+import lichenstage.common.SECOND
 
 /** One try of one task on a machine, from the leader's order until it has been cleared. Its number is unique (invariant 7). */
 class Attempt(
@@ -63,11 +63,11 @@
 
     private fun underWay(now: Long) = inFlight > 0 || now - answeredUs <= ANSWER_LIFE_US
 
-    /** A machine that is commanded under [token], or has shown it, may carry out a direct order with this start that is under way. */
-    fun canLandUnder(token: Long) = orderedToken > 0 && token <= orderedToken
+    /** A machine that is commanded under [fencingToken], or has shown it, may carry out a direct order with this start that is under way. */
+    fun canLandUnder(fencingToken: Long) = orderedToken > 0 && fencingToken <= orderedToken
 
     /**
-     * The start, which no list has shown, has not happened and can't happen any more (invariants 6 and 18). [reportedSequence]: the latest
+     * The start, which no list has shown, has not happened and can't happen any more (invariants 6 and 18). [heartbeatSequence]: the latest
      * report that the machine has sent by itself in this session. A worker has one report in flight, so a later report than the one that
      * was answered with the start shows by not listing it that the answer was not taken; that time has passed shows nothing, since the
      * machine may run the task unheard. A direct order without an answer has not happened where the machine has shown a newer token than
@@ -75,13 +75,13 @@
      * after its job was cancelled (seen by users: 73 s).
      */
     fun neverHappened(
-        reportedSequence: Long,
+        heartbeatSequence: Long,
         shownToken: Long,
-    ) = !present && inFlight == 0 && (answeredSequence < 0 || answeredSequence < reportedSequence) &&
+    ) = !present && inFlight == 0 && (answeredSequence < 0 || answeredSequence < heartbeatSequence) &&
         !(unclear && canLandUnder(shownToken))
 
-    /** Once cleared, a repeat of its start would do harm under [token]: one that is done and whose order was answered only exits again. */
-    private fun isRepeatHarmful(token: Long) = canLandUnder(token) && (cause != DONE || unclear)
+    /** Once cleared, a repeat of its start would do harm under [fencingToken]: one that is done and whose order was answered only exits again. */
+    private fun isRepeatHarmful(fencingToken: Long) = canLandUnder(fencingToken) && (cause != DONE || unclear)
 
     /**
      * Whether the worker may forget this attempt (invariant 6). A repeat of an order that was carried out can come late, and would start
@@ -93,8 +93,8 @@
         shownToken: Long,
     ) = !underWay(now) && !isRepeatHarmful(shownToken)
 
-    /** It waits to be cleared, and a machine that is commanded under [token] needs a newer one before it can be. */
-    fun clearNeedsFence(token: Long) = phase == TaskPhase.ENDED && clearWanted && isRepeatHarmful(token)
+    /** It waits to be cleared, and a machine that is commanded under [fencingToken] needs a newer one before it can be. */
+    fun clearNeedsFence(fencingToken: Long) = phase == TaskPhase.ENDED && clearWanted && isRepeatHarmful(fencingToken)
 
     /** What the leader is to be told of it. */
     fun view() = TaskState(task, number, phase, cause)
--- a/src/main/kotlin/lichenstage/partition/ChangeLog.kt
+++ b/src/main/kotlin/lichenstage/partition/ChangeLog.kt
@@ -1,9 +1,9 @@
 package lichenstage.partition
 
 import it.unimi.dsi.fastutil.longs.Long2LongLinkedOpenHashMap
-import lichenstage.app.MILLI
 import lichenstage.cluster.Offer
 import lichenstage.cluster.PartitionFrame
+import lichenstage.common.MILLI
 
 /** The changes of a partition's machines that its leader has not acknowledged, and the frames that tell of them. */
 internal class ChangeLog(
--- a/src/main/kotlin/lichenstage/partition/FencingTokens.kt
+++ b/src/main/kotlin/lichenstage/partition/FencingTokens.kt
@@ -1,6 +1,6 @@
 package lichenstage.partition
 
-import lichenstage.app.SECOND
+import lichenstage.common.SECOND
 
 /**
  * The tokens under which a partition's owner commands its machines: its [term], and above it tokens that the state service has reserved
@@ -37,9 +37,9 @@
     }
 
     /** Takes up tokens that were reserved; those that are not above all others are of no use. */
-    fun add(tokens: LongRange) {
+    fun add(fencingTokens: LongRange) {
         val last = reserved.lastOrNull()?.last ?: highest
-        if (!tokens.isEmpty() && tokens.first > last) reserved.addLast(tokens)
+        if (!fencingTokens.isEmpty() && fencingTokens.first > last) reserved.addLast(fencingTokens)
     }
 
     /** A token above all that were handed out; null where none is left. */
@@ -51,7 +51,7 @@
     }
 
     /** A machine of this partition that shows the token has it from this owner. */
-    fun isOurs(token: Long) = token in term..highest
+    fun isOurs(fencingToken: Long) = fencingToken in term..highest
 
     private companion object {
         const val LOW = 16L
--- a/src/main/kotlin/lichenstage/partition/ReportIntake.kt
+++ b/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
@@ -1,10 +1,10 @@
 package lichenstage.partition
 
-import lichenstage.cluster.JobRequirements
+import lichenstage.model.JobRequirements
 
 /** Takes over what workers' reports say, as far as it may be believed (invariant 3). */
-internal class ReportIntake(
-    private val tokens: FencingTokens,
+internal class HeartbeatProcessor(
+    private val fencingTokens: FencingTokens,
     private val changes: ChangeLog,
     private val events: (OrderEvent) -> Unit,
     private val requirementsOf: (String) -> JobRequirements?,
@@ -12,24 +12,24 @@
     /** False where the report is no news: an older one, or a late copy, of which nothing is believed. */
     fun take(
         machine: Machine,
-        report: Report,
+        heartbeat: Heartbeat,
         now: Long,
     ): Boolean {
-        if (!isNews(machine, report)) return false
+        if (!isNews(machine, heartbeat)) return false
         machine.heardUs = now
-        var changed = machine.lost || machine.address != report.address || (machine.recallUs == null) != (report.recallUs == null)
-        if (report.session > machine.session) {
-            newSession(machine, report.session, now)
+        var changed = machine.lost || machine.address != heartbeat.address || (machine.recallUs == null) != (heartbeat.recallUs == null)
+        if (heartbeat.agentEpoch > machine.agentEpoch) {
+            newAgentEpoch(machine, heartbeat.agentEpoch, now)
             changed = true
         }
-        machine.sequence = report.sequence
+        machine.sequence = heartbeat.sequence
         machine.lost = false
-        machine.address = report.address
-        machine.recallUs = report.recallUs
-        if (tokens.isOurs(report.token)) {
+        machine.address = heartbeat.address
+        machine.recallUs = heartbeat.recallUs
+        if (fencingTokens.isOurs(heartbeat.fencingToken)) {
             if (!machine.settled) changed = true
-            machine.shownToken = maxOf(machine.shownToken, report.token)
-            if (takeTasks(machine, report, now)) changed = true
+            machine.shownToken = maxOf(machine.shownToken, heartbeat.fencingToken)
+            if (takeTasks(machine, heartbeat, now)) changed = true
         }
         if (changed) changes.touch(machine)
         return true
@@ -37,21 +37,21 @@
 
     private fun isNews(
         machine: Machine,
-        report: Report,
+        heartbeat: Heartbeat,
     ): Boolean {
-        if (report.session != machine.session) return report.session > machine.session
+        if (heartbeat.agentEpoch != machine.agentEpoch) return heartbeat.agentEpoch > machine.agentEpoch
         // A report of a session that has run out is a late one: what it lists is gone.
-        return report.sequence > machine.sequence && !machine.lost
+        return heartbeat.sequence > machine.sequence && !machine.lost
     }
 
     /** The worker has killed and forgotten all tasks of the earlier session; orders with it are refused. */
-    private fun newSession(
+    private fun newAgentEpoch(
         machine: Machine,
-        session: Long,
+        agentEpoch: Long,
         now: Long,
     ) {
-        machine.begin(session)
-        machine.sessionSeenUs = now
+        machine.begin(agentEpoch)
+        machine.agentEpochSeenUs = now
         // Its lease ran out although it was answered, so it may not hear us: it has to heed an order first.
         machine.unresponsive = true
     }
@@ -59,12 +59,12 @@
     /** Takes over the task list of a worker that has shown this owner's token; true where it changes something. */
     private fun takeTasks(
         machine: Machine,
-        report: Report,
+        heartbeat: Heartbeat,
         now: Long,
     ): Boolean {
         var changed = false
-        for (row in report.tasks) if (takeTask(machine, row, report.sequence, now)) changed = true
-        if (machine.drop { it.present && it.listedIn != report.sequence }) changed = true
+        for (row in heartbeat.tasks) if (takeTask(machine, row, heartbeat.sequence, now)) changed = true
+        if (machine.drop { it.present && it.listedIn != heartbeat.sequence }) changed = true
         if (changed) machine.changed()
         return changed
     }
@@ -88,7 +88,7 @@
         if (attempt.phase == row.phase && attempt.cause == row.cause) return changed
         // It took up a start: so it hears us.
         if (!attempt.present) machine.unresponsive = false
-        if (attempt.isUnwantedStart) events(OrderEvent.LandedLate(machine.name, machine.session, attempt.task, attempt.number))
+        if (attempt.isUnwantedStart) events(OrderEvent.LandedLate(machine.name, machine.agentEpoch, attempt.task, attempt.number))
         attempt.phase = row.phase
         attempt.cause = row.cause
         attempt.version = changes.nextVersion
--- a/src/main/kotlin/lichenstage/partition/HoldTable.kt
+++ b/src/main/kotlin/lichenstage/partition/HoldTable.kt
@@ -1,12 +1,13 @@
 package lichenstage.partition
 
-import lichenstage.app.SECOND
 import lichenstage.cluster.HeldSlots
-import lichenstage.cluster.JobRequirements
 import lichenstage.cluster.Offer
 import lichenstage.cluster.PlacementRequest
 import lichenstage.cluster.PlacementScore
-import lichenstage.cluster.Shape
+import lichenstage.common.SECOND
+import lichenstage.model.JobRequirements
+import lichenstage.model.MachineLimits
+import lichenstage.model.Shape
 import org.agrona.collections.Long2ObjectHashMap
 
 /** Room that is held for requests, granted in the order of their stamps, until it is used, released or has lapsed. */
--- a/src/main/kotlin/lichenstage/partition/Machine.kt
+++ b/src/main/kotlin/lichenstage/partition/Machine.kt
@@ -2,21 +2,21 @@
 
 import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap
 import it.unimi.dsi.fastutil.longs.LongArrayList
-import lichenstage.cluster.JobRequirements
 import lichenstage.cluster.MachineState
-import lichenstage.cluster.Shape
 import lichenstage.cluster.TaskPhase
+import lichenstage.model.JobRequirements
+import lichenstage.model.Shape
 
 /** A machine of this partition, as its worker's reports describe it. */
 class Machine(
     val name: String,
-    report: Report,
+    heartbeat: Heartbeat,
     cacheGb: Double,
 ) {
-    var address = report.address
-    val typeName = report.typeName
-    val spot = report.spot
-    var session = report.session
+    var address = heartbeat.address
+    val typeName = heartbeat.typeName
+    val spot = heartbeat.spot
+    var agentEpoch = heartbeat.agentEpoch
     var sequence = -1L
     var recallUs: Long? = null
     var heardUs = 0L
@@ -25,10 +25,10 @@
      * When a report of its own came last. One that only answers orders reaches no controller with its reports, so that nothing renews
      * its lease: what was placed there would be lost with it.
      */
-    var reportedUs = 0L
+    var heartbeatUs = 0L
 
     /** The latest report of its own in this session; the answers to orders have numbers between those of reports. */
-    var reportedSequence = -1L
+    var heartbeatSequence = -1L
 
     /** When a 200 was last written to it: its lease can't run longer than from here. */
     var answeredUs = 0L
@@ -37,10 +37,10 @@
      * When this session was first heard of. Its lease runs from its beginning, whether or not a report of it was ever
      * answered: without this a machine known only from direct orders was held for lost while it ran tasks.
      */
-    var sessionSeenUs = 0L
+    var agentEpochSeenUs = 0L
 
     /** The token under which it is commanded: that of the partition's term, or a newer one that puts earlier orders out of force. */
-    var token = 0L
+    var fencingToken = 0L
 
     /** The highest token of this owner that it has shown; 0 where none. Whatever was sent under a lower one it refuses. */
     var shownToken = 0L
@@ -129,9 +129,9 @@
     ) = holds.add(shape, count)
 
     /** A new session begins with an empty machine; its cache may be empty too. */
-    fun begin(newSession: Long) {
-        session = newSession
-        reportedSequence = -1
+    fun begin(newAgentEpoch: Long) {
+        agentEpoch = newAgentEpoch
+        heartbeatSequence = -1
         drop { true }
         images.clear()
         changed()
--- a/src/main/kotlin/lichenstage/partition/OrderEvent.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderEvent.kt
@@ -19,18 +19,18 @@
         val order: DirectOrder,
     ) : OrderEvent
 
-    /** From now on the machine is commanded under [token]. */
+    /** From now on the machine is commanded under [fencingToken]. */
     data class Fenced(
         val machine: String,
-        val session: Long,
-        val token: Long,
+        val agentEpoch: Long,
+        val fencingToken: Long,
         val reason: FenceReason,
     ) : OrderEvent
 
     /** It is proven that a start that is not wanted never happened. */
     data class NeverHappened(
         val machine: String,
-        val session: Long,
+        val agentEpoch: Long,
         val task: String,
         val attempt: Long,
         val shownToken: Long,
@@ -39,7 +39,7 @@
     /** A start has landed after it was no longer wanted. */
     data class LandedLate(
         val machine: String,
-        val session: Long,
+        val agentEpoch: Long,
         val task: String,
         val attempt: Long,
     ) : OrderEvent
@@ -65,7 +65,7 @@
     /** A report was not answered, so that the machine's lease ends in time: a start of this job may land under its token. */
     data class AnswerWithheld(
         val machine: String,
-        val session: Long,
+        val agentEpoch: Long,
         val job: String,
     ) : OrderEvent
 }
--- a/src/main/kotlin/lichenstage/partition/OrderFences.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderFences.kt
@@ -1,6 +1,6 @@
 package lichenstage.partition
 
-import lichenstage.app.SECOND
+import lichenstage.common.SECOND
 import lichenstage.jobs.JobEnds
 
 /**
@@ -12,7 +12,7 @@
  * machine end early enough for its lease to run out before a cancellation has had its time.
  */
 internal class OrderFences(
-    private val tokens: FencingTokens,
+    private val fencingTokens: FencingTokens,
     private val jobEnds: JobEnds,
     private val events: (OrderEvent) -> Unit,
 ) {
@@ -39,7 +39,7 @@
     /** Forgets starts that are no longer wanted and that never happened. True where there was one. */
     fun dropUnsent(machine: Machine): Boolean {
         if (machine !in unwanted) return false
-        val over = machine.attempts.values.filter { it.stopWanted && it.neverHappened(machine.reportedSequence, machine.shownToken) }
+        val over = machine.attempts.values.filter { it.stopWanted && it.neverHappened(machine.heartbeatSequence, machine.shownToken) }
         over.filter { it.unclear }.forEach { events(neverHappened(machine, it)) }
         if (over.isNotEmpty()) machine.drop { it in over }
         if (machine.attempts.values.none { it.isUnwantedStart }) unwanted -= machine
@@ -49,7 +49,7 @@
     private fun neverHappened(
         machine: Machine,
         attempt: Attempt,
-    ) = OrderEvent.NeverHappened(machine.name, machine.session, attempt.task, attempt.number, machine.shownToken)
+    ) = OrderEvent.NeverHappened(machine.name, machine.agentEpoch, attempt.task, attempt.number, machine.shownToken)
 
     /** Notes that the job of a start that no list has shown is still open, where that is known. */
     fun noteOpenJob(attempt: Attempt) {
@@ -75,23 +75,23 @@
         reason: FenceReason,
     ) {
         if (machines.isEmpty()) return
-        val token = tokens.next()
-        if (token == null) {
+        val fencingToken = fencingTokens.next()
+        if (fencingToken == null) {
             lacksTokens = true
             return
         }
         for (machine in machines) {
-            machine.token = token
-            events(OrderEvent.Fenced(machine.name, machine.session, token, reason))
+            machine.fencingToken = fencingToken
+            events(OrderEvent.Fenced(machine.name, machine.agentEpoch, fencingToken, reason))
         }
     }
 
     private fun mustRefuseStarts(machine: Machine) =
-        machine.attempts.values.any { it.isUnwantedStart && it.unclear && it.inFlight == 0 && it.canLandUnder(machine.token) }
+        machine.attempts.values.any { it.isUnwantedStart && it.unclear && it.inFlight == 0 && it.canLandUnder(machine.fencingToken) }
 
     /** Not while an order is under way, which would be refused as well: what waits to be cleared can wait for another round. */
     private fun mustRefuseRepeats(machine: Machine) =
-        machine.takesOrders && machine.attempts.values.any { it.clearNeedsFence(machine.token) }
+        machine.takesOrders && machine.attempts.values.any { it.clearNeedsFence(machine.fencingToken) }
 
     /**
      * An answer may renew the machine's lease. Not where it would do so under a token under which a start may land of a job that a user
@@ -103,7 +103,7 @@
     ): Boolean {
         if (machine !in unwanted) return true
         val overdue = machine.attempts.values.firstOrNull { isOverdue(it, machine, now) } ?: return true
-        events(OrderEvent.AnswerWithheld(machine.name, machine.session, overdue.job))
+        events(OrderEvent.AnswerWithheld(machine.name, machine.agentEpoch, overdue.job))
         return false
     }
 
@@ -111,7 +111,7 @@
         attempt: Attempt,
         machine: Machine,
         now: Long,
-    ) = attempt.isUnwantedStart && (attempt.unclear || attempt.inFlight > 0) && attempt.canLandUnder(machine.token) &&
+    ) = attempt.isUnwantedStart && (attempt.unclear || attempt.inFlight > 0) && attempt.canLandUnder(machine.fencingToken) &&
         now - attempt.openAsOfUs > jobEnds.answerBoundUs && jobEnds.over(attempt.job, attempt.knownUs)
 
     private companion object {
--- a/src/main/kotlin/lichenstage/partition/OrderJournal.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderJournal.kt
@@ -1,9 +1,9 @@
 package lichenstage.partition
 
 import io.micrometer.core.instrument.Counter
-import lichenstage.app.BoundedLog
-import lichenstage.app.Clock
-import lichenstage.app.Metrics
+import lichenstage.common.BoundedLog
+import lichenstage.common.Clock
+import lichenstage.common.Metrics
 
 /**
  * Writes down what happens to orders, a line each and at most so many in a time, and counts it: a reader of these lines alone can tell
@@ -44,20 +44,22 @@
         when (event) {
             is OrderEvent.Unanswered -> {
                 val order = event.order
-                "machine=${order.machine} session=${order.session} token=${order.token} order without an answer: ${commands(order)}"
+                "machine=${order.machine} session=${order.agentEpoch} token=${order.fencingToken} order without an answer: ${commands(
+                    order,
+                )}"
             }
 
             is OrderEvent.Fenced -> {
-                "machine=${event.machine} session=${event.session} token=${event.token} newer token: ${event.reason.name.lowercase()}"
+                "machine=${event.machine} session=${event.agentEpoch} token=${event.fencingToken} newer token: ${event.reason.name.lowercase()}"
             }
 
             is OrderEvent.NeverHappened -> {
-                "machine=${event.machine} session=${event.session} token=${event.shownToken} task=${event.task} " +
+                "machine=${event.machine} session=${event.agentEpoch} token=${event.shownToken} task=${event.task} " +
                     "attempt=${event.attempt} start never happened"
             }
 
             is OrderEvent.LandedLate -> {
-                "machine=${event.machine} session=${event.session} task=${event.task} attempt=${event.attempt} " +
+                "machine=${event.machine} session=${event.agentEpoch} task=${event.task} attempt=${event.attempt} " +
                     "start first listed when it was not wanted any more"
             }
 
@@ -70,7 +72,7 @@
             }
 
             is OrderEvent.AnswerWithheld -> {
-                "machine=${event.machine} session=${event.session} job=${event.job} report not answered: a start may still land"
+                "machine=${event.machine} session=${event.agentEpoch} job=${event.job} report not answered: a start may still land"
             }
         }
 
--- a/src/main/kotlin/lichenstage/partition/OrderQueue.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderQueue.kt
@@ -1,7 +1,7 @@
 package lichenstage.partition
 
-import lichenstage.app.SECOND
 import lichenstage.cluster.TaskPhase
+import lichenstage.common.SECOND
 
 /** The commands that workers should execute, and which machines are due for a direct order. */
 internal class OrderQueue {
@@ -107,11 +107,11 @@
         val commands = commands(machine, now).take(MAX_COMMANDS)
         sent(machine, commands, now) {
             it.orderedUs = now
-            it.orderedToken = machine.token
+            it.orderedToken = machine.fencingToken
             it.inFlight++
         }
         machine.ordersInFlight = true
-        return DirectOrder(machine.name, machine.address, machine.token, machine.session, commands)
+        return DirectOrder(machine.name, machine.address, machine.fencingToken, machine.agentEpoch, commands)
     }
 
     private fun isUrgent(
@@ -131,7 +131,7 @@
         outcome: OrderOutcome,
     ) {
         machine.ordersInFlight = false
-        if (machine.session != order.session) return
+        if (machine.agentEpoch != order.agentEpoch) return
         for (command in order.commands) {
             if (command !is Command.Start) continue
             val attempt = machine.attempts.get(command.attempt) ?: continue
--- a/src/main/kotlin/lichenstage/partition/OrderTypes.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderTypes.kt
@@ -1,44 +1,35 @@
 package lichenstage.partition
 
-import lichenstage.cluster.Shape
-
-/** What a machine of a type offers. */
-data class MachineLimits(
-    val name: String,
-    val capacity: Shape,
-    val cacheGb: Double = Double.POSITIVE_INFINITY,
-)
-
 /** What to do with a report. */
-sealed interface ReportAnswer {
-    /** It is answered under [token], with [commands]. */
+sealed interface HeartbeatDecision {
+    /** It is answered under [fencingToken], with [commands]. */
     data class Accepted(
-        val token: Long,
+        val fencingToken: Long,
         val commands: List<Command>,
-    ) : ReportAnswer
+    ) : HeartbeatDecision
 
     /** The worker has seen a higher token: somebody newer owns this partition. */
-    data object Superseded : ReportAnswer
+    data object Superseded : HeartbeatDecision
 
     /** An answer would renew the lease of a machine on which a start of a cancelled job may still land. */
-    data object Withheld : ReportAnswer
+    data object Withheld : HeartbeatDecision
 }
 
-/** A direct order to send under [token]. */
+/** A direct order to send under [fencingToken]. */
 data class DirectOrder(
     val machine: String,
     val address: String,
-    val token: Long,
-    val session: Long,
+    val fencingToken: Long,
+    val agentEpoch: Long,
     val commands: List<Command>,
 )
 
-/** Asks a machine to show [token]. [session]: the one it is known by, or 0. */
+/** Asks a machine to show [fencingToken]. [agentEpoch]: the one it is known by, or 0. */
 data class Probe(
     val machine: String,
     val address: String,
-    val token: Long,
-    val session: Long = 0,
+    val fencingToken: Long,
+    val agentEpoch: Long = 0,
 )
 
 /** What became of a direct order. */
@@ -46,15 +37,15 @@
     /** 200 or 409, with the worker's report. */
     data class Answered(
         val executed: Boolean,
-        val report: Report?,
+        val heartbeat: Heartbeat?,
     ) : OrderOutcome {
         /** It comes from the order's machine, with a token and a session that fit its status. */
         fun fits(order: DirectOrder): Boolean {
-            if (report == null || report.machine != order.machine) return false
+            if (heartbeat == null || heartbeat.machine != order.machine) return false
             return if (executed) {
-                report.session == order.session && report.token >= order.token
+                heartbeat.agentEpoch == order.agentEpoch && heartbeat.fencingToken >= order.fencingToken
             } else {
-                report.session > order.session || report.token > order.token
+                heartbeat.agentEpoch > order.agentEpoch || heartbeat.fencingToken > order.fencingToken
             }
         }
     }
--- a/src/main/kotlin/lichenstage/partition/PartitionActor.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionActor.kt
@@ -4,20 +4,21 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.isActive
 import kotlinx.coroutines.launch
-import lichenstage.app.Clock
-import lichenstage.app.Mailbox
-import lichenstage.app.Settings
 import lichenstage.authority.Authority
 import lichenstage.cluster.PartitionFrame
 import lichenstage.cluster.PlacementFrame
+import lichenstage.common.Clock
+import lichenstage.common.Mailbox
+import lichenstage.config.Settings
 import lichenstage.jobs.JobReplica
+import lichenstage.model.MachineLimits
 import org.slf4j.LoggerFactory
 
 /** The answer to a worker, decided at the moment it is written. */
 sealed interface WorkerAnswer {
     /** 200 with the token and commands. */
     data class Accept(
-        val token: Long,
+        val fencingToken: Long,
         val commands: List<Command>,
     ) : WorkerAnswer
 
@@ -32,8 +33,8 @@
 /** What the actor of partitions is told. */
 sealed interface PartitionMessage {
     /** A worker's report, to be answered. */
-    data class WorkerReport(
-        val report: Report,
+    data class HeartbeatReceived(
+        val heartbeat: Heartbeat,
         val answer: (WorkerAnswer) -> Unit,
     ) : PartitionMessage
 
@@ -55,14 +56,14 @@
         val partition: String,
         val term: Long,
         val probe: Probe,
-        val report: Report?,
+        val heartbeat: Heartbeat?,
     ) : PartitionMessage
 
     /** Tokens were reserved for the partition's owner. */
     data class TokensReserved(
         val partition: String,
         val term: Long,
-        val tokens: LongRange,
+        val fencingTokens: LongRange,
     ) : PartitionMessage
 
     data object Tick : PartitionMessage
@@ -101,14 +102,14 @@
 
     /** Reports and frames come again. */
     private fun shed(message: PartitionMessage): Boolean {
-        if (message is PartitionMessage.WorkerReport) message.answer(WorkerAnswer.Unavailable)
-        return message is PartitionMessage.WorkerReport || message is PartitionMessage.FromLeader || message is PartitionMessage.Tick
+        if (message is PartitionMessage.HeartbeatReceived) message.answer(WorkerAnswer.Unavailable)
+        return message is PartitionMessage.HeartbeatReceived || message is PartitionMessage.FromLeader || message is PartitionMessage.Tick
     }
 
     private fun handle(message: PartitionMessage) {
         val now = clock.now()
         when (message) {
-            is PartitionMessage.WorkerReport -> {
+            is PartitionMessage.HeartbeatReceived -> {
                 workerReport(message, now)
             }
 
@@ -129,13 +130,13 @@
 
             is PartitionMessage.Probed -> {
                 current(message.partition, message.term)?.let {
-                    it.probed(message.probe, message.report, now)
+                    it.probed(message.probe, message.heartbeat, now)
                     pump(it, now)
                 }
             }
 
             is PartitionMessage.TokensReserved -> {
-                current(message.partition, message.term)?.reserved(message.tokens)
+                current(message.partition, message.term)?.reserved(message.fencingTokens)
             }
 
             PartitionMessage.Tick -> {
@@ -190,7 +191,7 @@
                         assignment.zone(id)!!,
                         mine.term,
                         settings.workerLeaseUs,
-                        settings.reportUs,
+                        settings.heartbeatIntervalUs,
                         now,
                         jobEnds = replica,
                         events = { journal.add(id, mine.term, it) },
@@ -208,8 +209,8 @@
     ) {
         if (!partition.tokenReservationDue(now)) return
         scope.launch {
-            val tokens = authority.reserveTokens(partition.id, TOKENS, partition.lacksTokens) ?: return@launch
-            mailbox.tell(PartitionMessage.TokensReserved(partition.id, partition.term, tokens))
+            val fencingTokens = authority.reserveTokens(partition.id, TOKENS, partition.lacksTokens) ?: return@launch
+            mailbox.tell(PartitionMessage.TokensReserved(partition.id, partition.term, fencingTokens))
         }
     }
 
@@ -218,11 +219,11 @@
     val oldestUnansweredUs get() = partitions.values.mapNotNull { core -> core.unansweredStarts().minOfOrNull { it.orderedUs } }.minOrNull()
 
     private fun workerReport(
-        message: PartitionMessage.WorkerReport,
+        message: PartitionMessage.HeartbeatReceived,
         now: Long,
     ) {
-        val report = message.report
-        val id = assignment.partitionOf(report.machine, report.zone)
+        val heartbeat = message.heartbeat
+        val id = assignment.partitionOf(heartbeat.machine, heartbeat.zone)
         if (id == null) {
             message.answer(WorkerAnswer.Unavailable)
             return
@@ -230,9 +231,9 @@
         if (partitions[id] == null) refresh(now)
         val partition = partitions[id]
         if (partition != null && entitled(partition)) {
-            when (val outcome = partition.report(report, now)) {
-                is ReportAnswer.Accepted -> message.answer(WorkerAnswer.Accept(outcome.token, outcome.commands))
-                ReportAnswer.Superseded, ReportAnswer.Withheld -> message.answer(WorkerAnswer.Unavailable)
+            when (val outcome = partition.heartbeat(heartbeat, now)) {
+                is HeartbeatDecision.Accepted -> message.answer(WorkerAnswer.Accept(outcome.fencingToken, outcome.commands))
+                HeartbeatDecision.Superseded, HeartbeatDecision.Withheld -> message.answer(WorkerAnswer.Unavailable)
             }
             pump(partition, now)
         } else {
--- a/src/main/kotlin/lichenstage/partition/PartitionCore.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionCore.kt
@@ -1,17 +1,18 @@
 package lichenstage.partition
 
-import lichenstage.app.LruMap
-import lichenstage.app.SECOND
-import lichenstage.app.withDrift
 import lichenstage.cluster.AttemptOrder
-import lichenstage.cluster.JobRequirements
 import lichenstage.cluster.PartitionFrame
 import lichenstage.cluster.PlacementFrame
 import lichenstage.cluster.PlacementRequest
 import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.StartOrder
 import lichenstage.cluster.TaskPhase
+import lichenstage.common.LruMap
+import lichenstage.common.SECOND
+import lichenstage.common.withDrift
 import lichenstage.jobs.JobEnds
+import lichenstage.model.JobRequirements
+import lichenstage.model.MachineLimits
 
 /**
  * A partition: machines of one zone under one ownership term, which is the token of its machines until an order has to be put out of
@@ -27,7 +28,7 @@
     /** The term of its ownership. */
     val term: Long,
     private val leaseUs: Long,
-    private val reportUs: Long,
+    private val heartbeatIntervalUs: Long,
     private val acquiredUs: Long,
     private val jobEnds: JobEnds = JobEnds.NONE,
     machinesInFrame: Int = ChangeLog.MACHINES_IN_FRAME,
@@ -38,11 +39,11 @@
     private val requirements = LruMap<String, JobRequirements>(REMEMBERED_JOBS)
     private val requirementsOf: (String) -> JobRequirements? = { requirements[it] }
     private val changes = ChangeLog(id, term, acquiredUs, machinesInFrame) { machines.size }
-    private val tokens = FencingTokens(term, acquiredUs)
-    private val intake = ReportIntake(tokens, changes, events, requirementsOf)
+    private val fencingTokens = FencingTokens(term, acquiredUs)
+    private val intake = HeartbeatProcessor(fencingTokens, changes, events, requirementsOf)
     private val holds = HoldTable(zone, limitsOf, requirementsOf) { machines[it] }
     private val orders = OrderQueue()
-    private val fences = OrderFences(tokens, jobEnds, events)
+    private val fences = OrderFences(fencingTokens, jobEnds, events)
     private val probes = ProbeSchedule(term)
     private var cordoned: Set<String> = emptySet()
     private var sweptUs = Long.MIN_VALUE / 2
@@ -51,36 +52,39 @@
     val machineCount get() = machines.size
 
     /** A report that came at this node. */
-    fun report(
-        report: Report,
+    fun heartbeat(
+        heartbeat: Heartbeat,
         now: Long,
-    ): ReportAnswer {
-        if (report.token > tokens.highest) return ReportAnswer.Superseded
-        val machine = machines.getOrPut(report.machine) { newMachine(report, now) }
-        if (intake.take(machine, report, now)) {
-            probes.known(report.machine, report.address)
+    ): HeartbeatDecision {
+        if (heartbeat.fencingToken > fencingTokens.highest) return HeartbeatDecision.Superseded
+        val machine = machines.getOrPut(heartbeat.machine) { newMachine(heartbeat, now) }
+        if (intake.take(machine, heartbeat, now)) {
+            probes.known(heartbeat.machine, heartbeat.address)
             machine.ordersBlocked = false
-            machine.reportedUs = now
+            machine.heartbeatUs = now
             if (machine.attempts.isNotEmpty()) orders.add(machine)
         }
-        if (!fences.mayAnswer(machine, now)) return ReportAnswer.Withheld
+        if (!fences.mayAnswer(machine, now)) return HeartbeatDecision.Withheld
         // Even where it is no news: an answer to an order may have overtaken it, and the worker counts its lease from it.
-        if (report.session == machine.session) {
+        if (heartbeat.agentEpoch == machine.agentEpoch) {
             machine.answeredUs = now
-            machine.reportedSequence = maxOf(machine.reportedSequence, report.sequence)
+            machine.heartbeatSequence = maxOf(machine.heartbeatSequence, heartbeat.sequence)
             dropUnsent(machine)
         }
-        val heeded = machine.settled && report.session == machine.session && !machine.lost
-        return ReportAnswer.Accepted(machine.token, if (heeded) orders.inAnswer(machine, report.sequence, now) else emptyList())
+        val heeded = machine.settled && heartbeat.agentEpoch == machine.agentEpoch && !machine.lost
+        return HeartbeatDecision.Accepted(
+            machine.fencingToken,
+            if (heeded) orders.inAnswer(machine, heartbeat.sequence, now) else emptyList(),
+        )
     }
 
     private fun newMachine(
-        report: Report,
+        heartbeat: Heartbeat,
         now: Long,
-    ) = Machine(report.machine, report, limitsOf(report.typeName)?.cacheGb ?: Double.POSITIVE_INFINITY).also {
-        it.sessionSeenUs = now
+    ) = Machine(heartbeat.machine, heartbeat, limitsOf(heartbeat.typeName)?.cacheGb ?: Double.POSITIVE_INFINITY).also {
+        it.agentEpochSeenUs = now
         // One that was forgotten comes back with what it was last shown.
-        it.token = if (tokens.isOurs(report.token)) report.token else term
+        it.fencingToken = if (fencingTokens.isOurs(heartbeat.fencingToken)) heartbeat.fencingToken else term
         changes.touch(it)
     }
 
@@ -99,14 +103,18 @@
     /** What a probe brought: the worker's report, or nothing. */
     fun probed(
         probe: Probe,
-        report: Report?,
+        heartbeat: Heartbeat?,
         now: Long,
     ) {
         probes.over(probe)
-        if (report == null || report.machine != probe.machine || report.zone != zone || report.token > tokens.highest) return
-        val machine = machines.getOrPut(report.machine) { newMachine(report, now) }
+        if (heartbeat == null || heartbeat.machine != probe.machine || heartbeat.zone != zone ||
+            heartbeat.fencingToken > fencingTokens.highest
+        ) {
+            return
+        }
+        val machine = machines.getOrPut(heartbeat.machine) { newMachine(heartbeat, now) }
         heard(machine)
-        intake.take(machine, report, now)
+        intake.take(machine, heartbeat, now)
     }
 
     /** The machine answered an order. */
@@ -131,7 +139,7 @@
         when (proven) {
             is OrderOutcome.Answered -> {
                 heard(machine)
-                proven.report?.let { intake.take(machine, it, now) }
+                proven.heartbeat?.let { intake.take(machine, it, now) }
                 if (!proven.executed) machine.ordersBlocked = true
             }
 
@@ -256,7 +264,7 @@
         val usable =
             machines.values.asSequence().filter { machine ->
                 usable(machine) && machine.name !in cordoned &&
-                    now - maxOf(machine.reportedUs, acquiredUs) <= reportUs * REPORTS_OVERDUE_HALVES / 2
+                    now - maxOf(machine.heartbeatUs, acquiredUs) <= heartbeatIntervalUs * REPORTS_OVERDUE_HALVES / 2
             }
         holds.grantAll(frame.requests, usable, now) { jobEnds.over(it, now) }.forEach(changes::offer)
     }
@@ -275,7 +283,7 @@
         machine: Machine,
         now: Long,
     ) {
-        val since = maxOf(machine.answeredUs, machine.sessionSeenUs, acquiredUs)
+        val since = maxOf(machine.answeredUs, machine.agentEpochSeenUs, acquiredUs)
         if (!machine.lost && now - since > withDrift(leaseUs) + SILENCE_MARGIN_US) {
             machine.lost = true
             machine.drop { true }
@@ -283,7 +291,7 @@
             changes.touch(machine)
         }
         // Counted from the takeover at the earliest: a worker needs time to find its new owner.
-        val silent = now - maxOf(machine.heardUs, acquiredUs) > reportUs * SILENT_REPORTS + SILENCE_MARGIN_US
+        val silent = now - maxOf(machine.heardUs, acquiredUs) > heartbeatIntervalUs * SILENT_REPORTS + SILENCE_MARGIN_US
         if (silent != machine.silent) {
             machine.silent = silent
             changes.touch(machine)
@@ -325,10 +333,10 @@
     val lacksTokens get() = fences.lacksTokens
 
     /** True where newer tokens should be reserved for this owner now. */
-    fun tokenReservationDue(now: Long) = tokens.reservationDue(now, lacksTokens)
+    fun tokenReservationDue(now: Long) = fencingTokens.reservationDue(now, lacksTokens)
 
     /** These tokens are this owner's alone, above all that were ever given out. */
-    fun reserved(range: LongRange) = tokens.add(range)
+    fun reserved(range: LongRange) = fencingTokens.add(range)
 
     /** Starts whose direct order got no answer and may still land. */
     fun unansweredStarts(): Sequence<Attempt> =
--- a/src/main/kotlin/lichenstage/partition/ProbeSchedule.kt
+++ b/src/main/kotlin/lichenstage/partition/ProbeSchedule.kt
@@ -1,6 +1,6 @@
 package lichenstage.partition
 
-import lichenstage.app.MILLI
+import lichenstage.common.MILLI
 
 /**
  * Machines to be asked at once whether they know their owner's token, or whether they hear us. A new owner need not wait
@@ -44,7 +44,7 @@
             if ((machine != null && machine.settled && !machine.unresponsive) || !isDue(name, now)) continue
             underWay += name
             probedUs[name] = now
-            due += Probe(name, machine?.address ?: address, machine?.token ?: term, machine?.session ?: 0)
+            due += Probe(name, machine?.address ?: address, machine?.fencingToken ?: term, machine?.agentEpoch ?: 0)
         }
         return due
     }
--- a/src/main/kotlin/lichenstage/partition/WorkerClient.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerClient.kt
@@ -11,10 +11,10 @@
 import io.vertx.kotlin.coroutines.coAwait
 import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.withTimeoutOrNull
-import lichenstage.app.Address
-import lichenstage.app.Clock
-import lichenstage.app.SECOND
-import lichenstage.app.parseAddress
+import lichenstage.common.Address
+import lichenstage.common.Clock
+import lichenstage.common.SECOND
+import lichenstage.common.parseAddress
 
 /** Sends direct orders to workers, over connections of which [most] may be open. */
 class WorkerClient(
@@ -41,23 +41,23 @@
     /** Sends a direct order and waits for its outcome. */
     suspend fun send(order: DirectOrder): OrderOutcome {
         val address = parseAddress(order.address) ?: return OrderOutcome.NotSent
-        return post(address, order.token, order.session, order.commands)
+        return post(address, order.fencingToken, order.agentEpoch, order.commands)
     }
 
     /** Has the worker show its report under the probe's token; null where it can't be had. */
-    suspend fun probe(probe: Probe): Report? {
+    suspend fun probe(probe: Probe): Heartbeat? {
         val address = parseAddress(probe.address) ?: return null
         // An empty order for a session that isn't the worker's is refused with a report that names the session.
-        val first = post(address, probe.token, probe.session, emptyList()) as? OrderOutcome.Answered ?: return null
-        if (first.executed) return first.report
-        val session = first.report?.session ?: return null
-        return (post(address, probe.token, session, emptyList()) as? OrderOutcome.Answered)?.takeIf { it.executed }?.report
+        val first = post(address, probe.fencingToken, probe.agentEpoch, emptyList()) as? OrderOutcome.Answered ?: return null
+        if (first.executed) return first.heartbeat
+        val agentEpoch = first.heartbeat?.agentEpoch ?: return null
+        return (post(address, probe.fencingToken, agentEpoch, emptyList()) as? OrderOutcome.Answered)?.takeIf { it.executed }?.heartbeat
     }
 
     private suspend fun post(
         address: Address,
-        token: Long,
-        session: Long,
+        fencingToken: Long,
+        agentEpoch: Long,
         commands: List<Command>,
     ): OrderOutcome {
         var sent = false
@@ -66,13 +66,13 @@
             exchange(address) { connection ->
                 val request = connection.request(REQUEST).coAwait()
                 sent = true
-                val response = request.send(WorkerCodec.orders(token, commands, session)).coAwait()
+                val response = request.send(WorkerCodec.orders(fencingToken, commands, agentEpoch)).coAwait()
                 Answer(response.statusCode(), response.body().coAwait())
             }
         return when (answer?.status) {
-            200 -> OrderOutcome.Answered(true, WorkerCodec.report(answer.body))
+            200 -> OrderOutcome.Answered(true, WorkerCodec.heartbeat(answer.body))
 
-            409, 400 -> OrderOutcome.Answered(false, WorkerCodec.report(answer.body))
+            409, 400 -> OrderOutcome.Answered(false, WorkerCodec.heartbeat(answer.body))
 
             // A connection attempt that was given up does not complete later; all else may still arrive.
             null -> if (sent) OrderOutcome.Unclear else OrderOutcome.NotSent
--- a/src/main/kotlin/lichenstage/partition/WorkerCodec.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerCodec.kt
@@ -5,8 +5,8 @@
 import com.fasterxml.jackson.core.JsonParser
 import com.fasterxml.jackson.core.JsonToken
 import io.vertx.core.buffer.Buffer
-import lichenstage.app.SECOND
 import lichenstage.cluster.TaskPhase
+import lichenstage.common.SECOND
 import java.io.ByteArrayOutputStream
 import java.io.IOException
 
@@ -15,7 +15,7 @@
     private val json = JsonFactory()
 
     /** The report in [body], or null where anything needed is missing or of the wrong kind. Read once, with no tree in between. */
-    fun report(body: Buffer): Report? =
+    fun heartbeat(body: Buffer): Heartbeat? =
         try {
             json.createParser(body.bytes).use { parser ->
                 if (parser.nextToken() == JsonToken.START_OBJECT) Draft().read(parser) else null
@@ -33,13 +33,13 @@
         private var typeName: String? = null
         private var zone: String? = null
         private var spot = false
-        private var session = -1L
+        private var agentEpoch = -1L
         private var sequence = -1L
-        private var token = 0L
+        private var fencingToken = 0L
         private var recallUs: Long? = null
         private var tasks: MutableList<ReportedTask> = ArrayList()
 
-        fun read(parser: JsonParser): Report {
+        fun read(parser: JsonParser): Heartbeat {
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 val name = parser.currentName()
                 val value = parser.nextToken()
@@ -49,16 +49,16 @@
                     "build" -> typeName = text(parser)
                     "yard" -> zone = text(parser)
                     "loaners" -> spot = value == JsonToken.VALUE_TRUE
-                    "tenure" -> session = parser.longValue
+                    "tenure" -> agentEpoch = parser.longValue
                     "tally" -> sequence = parser.longValue
-                    "warrant" -> if (value != JsonToken.VALUE_NULL) token = parser.longValue
+                    "warrant" -> if (value != JsonToken.VALUE_NULL) fencingToken = parser.longValue
                     "recall_s" -> if (value != JsonToken.VALUE_NULL) recallUs = (parser.doubleValue * SECOND).toLong()
                     "parts" -> if (value != JsonToken.VALUE_NULL) tasks(parser)
                     else -> parser.skipChildren()
                 }
             }
-            require(session >= 0 && sequence >= 0)
-            return Report(machine!!, address!!, typeName!!, zone!!, spot, session, sequence, token, recallUs, tasks)
+            require(agentEpoch >= 0 && sequence >= 0)
+            return Heartbeat(machine!!, address!!, typeName!!, zone!!, spot, agentEpoch, sequence, fencingToken, recallUs, tasks)
         }
 
         private fun text(parser: JsonParser): String {
@@ -104,15 +104,15 @@
 
     /** The body of an answer to a report or, with a session, of a direct order. Written once, with no tree in between. */
     fun orders(
-        token: Long,
+        fencingToken: Long,
         commands: List<Command>,
-        session: Long? = null,
+        agentEpoch: Long? = null,
     ): Buffer {
         val bytes = ByteArrayOutputStream(EMPTY_ORDERS_BYTES + commands.size * COMMAND_BYTES)
         json.createGenerator(bytes).use { generator ->
             generator.writeStartObject()
-            generator.writeNumberField("warrant", token)
-            if (session != null) generator.writeNumberField("tenure", session)
+            generator.writeNumberField("warrant", fencingToken)
+            if (agentEpoch != null) generator.writeNumberField("tenure", agentEpoch)
             generator.writeArrayFieldStart("orders")
             commands.forEach { write(it, generator) }
             generator.writeEndArray()
--- a/src/main/kotlin/lichenstage/partition/WorkerMessages.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerMessages.kt
@@ -11,15 +11,15 @@
 )
 
 /** A worker's report, in standard terms. */
-data class Report(
+data class Heartbeat(
     val machine: String,
     val address: String,
     val typeName: String,
     val zone: String,
     val spot: Boolean,
-    val session: Long,
+    val agentEpoch: Long,
     val sequence: Long,
-    val token: Long,
+    val fencingToken: Long,
     val recallUs: Long?,
     val tasks: List<ReportedTask>,
 )
--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -1,9 +1,9 @@
 package lichenstage.placement
 
-import lichenstage.app.SECOND
 import lichenstage.cluster.MachineState
 import lichenstage.cluster.TaskPhase
 import lichenstage.cluster.TaskState
+import lichenstage.common.SECOND
 import org.slf4j.LoggerFactory
 
 /** What an [AttemptTracker] has found out. */
@@ -190,7 +190,7 @@
         if (attempt.partitionTerm >= partition.term && attempt.seq > partition.seq) return false
         return when (MachineKnowledge.of(attempt.machine, partition, leaseUs)) {
             MachineKnowledge.UNKNOWN -> false
-            MachineKnowledge.LEASE_OVER -> true
+            MachineKnowledge.LEASE_EXPIRED -> true
             MachineKnowledge.LISTED -> !isListed(attempt, partition)
         }
     }
--- a/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
@@ -1,9 +1,9 @@
 package lichenstage.placement
 
-import lichenstage.app.SECOND
 import lichenstage.cluster.MachineState
 import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.TaskPhase
+import lichenstage.common.SECOND
 
 /**
  * Decides which running tasks are stopped with time to save their progress, because their machine goes away.
--- a/src/main/kotlin/lichenstage/placement/Takeover.kt
+++ b/src/main/kotlin/lichenstage/placement/FailoverRecovery.kt
@@ -1,10 +1,10 @@
 package lichenstage.placement
 
-import lichenstage.app.SECOND
-import lichenstage.cluster.Shape
+import lichenstage.common.SECOND
+import lichenstage.model.Shape
 
 /** A machine that was registered before a leader's term. */
-data class InheritedMachine(
+data class RecoveredMachine(
     val name: String,
     val partition: String,
     val typeName: String,
@@ -15,16 +15,16 @@
  * The machines that may hold tasks of an earlier leader: what was registered when this term began. Until each is accounted for,
  * anything may run on it (invariant 5). A machine without a record is never waited for: a late copy of a report may name one.
  */
-class Takeover(
+class FailoverRecovery(
     private val leaseUs: Long,
     private val partitionOf: (String) -> PartitionState?,
 ) {
-    private val awaited = HashMap<String, InheritedMachine>()
+    private val awaited = HashMap<String, RecoveredMachine>()
 
     val complete get() = awaited.isEmpty()
 
     /** The machine has to be accounted for. */
-    fun await(machine: InheritedMachine) {
+    fun await(machine: RecoveredMachine) {
         awaited[machine.name] = machine
     }
 
@@ -44,7 +44,7 @@
      * One that its partition has heard counts only once it has shown the token or its lease has run out since its last answer; one
      * that was never heard, once the partition is older than a lease.
      */
-    private fun accounted(machine: InheritedMachine): Boolean {
+    private fun accounted(machine: RecoveredMachine): Boolean {
         val partition = partitionOf(machine.partition) ?: return false
         return MachineKnowledge.of(machine.name, partition, leaseUs) != MachineKnowledge.UNKNOWN
     }
--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -3,20 +3,20 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import lichenstage.app.Settings
+import lichenstage.cloud.CloudClient
+import lichenstage.cloud.ListedMachine
+import lichenstage.cloud.MachineCatalog
+import lichenstage.config.Settings
 import lichenstage.drain.DrainDriver
 import lichenstage.drain.DrainKey
-import lichenstage.fleet.Catalog
 import lichenstage.fleet.CloudCall
-import lichenstage.fleet.CloudClient
 import lichenstage.fleet.DemandEstimate
 import lichenstage.fleet.DemandForecast
 import lichenstage.fleet.FleetCore
 import lichenstage.fleet.FleetPolicy
-import lichenstage.fleet.ListedMachine
 import lichenstage.fleet.MachineStatus
-import lichenstage.fleet.RequestedHire
-import lichenstage.jobs.JobSpec
+import lichenstage.fleet.ReplacementRequest
+import lichenstage.model.JobSpec
 import org.slf4j.LoggerFactory
 
 /** Shows the fleet's decisions what the leader knows of jobs and machines, and carries them out at the cloud, one call at a time. */
@@ -24,7 +24,7 @@
     private val settings: Settings,
     private val core: LeaderCore,
     private val cloud: CloudClient,
-    private val catalog: Catalog,
+    private val catalog: MachineCatalog,
     private val objectives: ServiceObjectives,
     policy: FleetPolicy,
     now: Long,
@@ -100,7 +100,7 @@
         val zone = core.zoneOf(key.machine) ?: return
         val id = "${key.drain} ${key.machine}"
         requested[id] = key
-        fleet.request(RequestedHire(id, machine.typeName, zone, machine.spot))
+        fleet.request(ReplacementRequest(id, machine.typeName, zone, machine.spot))
     }
 
     fun giveBack(machine: String) = fleet.fence(listOf(machine))
@@ -156,8 +156,8 @@
         calledUs = now
         scope.launch {
             when (call) {
-                is CloudCall.Rent -> tell(LeaderMessage.HireAnswered(call.hire, cloud.hire(call.hire)))
-                is CloudCall.GiveBack -> tell(LeaderMessage.Returned(call.names, cloud.giveBack(call.names)))
+                is CloudCall.Provision -> tell(LeaderMessage.ProvisionAnswered(call.hire, cloud.hire(call.hire)))
+                is CloudCall.Terminate -> tell(LeaderMessage.TerminateAnswered(call.names, cloud.giveBack(call.names)))
                 CloudCall.ListAll -> tell(LeaderMessage.ListAnswered(listAll()))
             }
         }
@@ -174,7 +174,7 @@
     }
 
     fun hired(
-        message: LeaderMessage.HireAnswered,
+        message: LeaderMessage.ProvisionAnswered,
         now: Long,
     ) {
         calling = false
@@ -185,7 +185,7 @@
     }
 
     /** True where the machines are gone. */
-    fun returned(message: LeaderMessage.Returned): Boolean {
+    fun returned(message: LeaderMessage.TerminateAnswered): Boolean {
         calling = false
         if (!message.ok) return false
         log.info("returned {}", message.names)
@@ -205,7 +205,7 @@
         /** How long the image of a job takes on the slowest of the machine types that it may run on. */
         fun fetchUs(
             spec: JobSpec,
-            catalog: Catalog,
+            catalog: MachineCatalog,
         ) = DemandEstimate.fitting(spec, catalog.machineTypes).maxOfOrNull { it.fetchUs(spec.imageGb) } ?: 0
 
         private const val OBSERVE_US = 500_000L
--- a/src/main/kotlin/lichenstage/placement/Job.kt
+++ b/src/main/kotlin/lichenstage/placement/Job.kt
@@ -4,7 +4,7 @@
 import it.unimi.dsi.fastutil.ints.Int2ObjectLinkedOpenHashMap
 import it.unimi.dsi.fastutil.ints.IntArrayList
 import lichenstage.cluster.TaskPhase
-import lichenstage.jobs.JobSpec
+import lichenstage.model.JobSpec
 import java.util.BitSet
 
 /** One try of a task, from the sending of its start until it is known that nothing of it is left (invariant 6). */
--- a/src/main/kotlin/lichenstage/placement/JobQueue.kt
+++ b/src/main/kotlin/lichenstage/placement/JobQueue.kt
@@ -1,8 +1,8 @@
 package lichenstage.placement
 
-import lichenstage.app.MILLI
-import lichenstage.app.SECOND
-import lichenstage.app.Team
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
+import lichenstage.config.Team
 
 /**
  * The order in which waiting jobs are placed: that of [ObjectiveOrder], and beside it the ones that have waited long.
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -7,13 +7,15 @@
 import kotlinx.coroutines.isActive
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.plus
-import lichenstage.app.Clock
-import lichenstage.app.Mailbox
-import lichenstage.app.Settings
-import lichenstage.app.timeOfDayUs
 import lichenstage.authority.Authority
+import lichenstage.cloud.CloudClient
+import lichenstage.cloud.MachineCatalog
 import lichenstage.cluster.Frame
 import lichenstage.cluster.TaskCounts
+import lichenstage.common.Clock
+import lichenstage.common.Mailbox
+import lichenstage.common.timeOfDayUs
+import lichenstage.config.Settings
 import lichenstage.drain.DrainDriver
 import lichenstage.drain.DrainHands
 import lichenstage.drain.DrainKey
@@ -22,17 +24,15 @@
 import lichenstage.drain.DrainStore
 import lichenstage.drain.DrainTracing
 import lichenstage.drain.RunningTask
-import lichenstage.fleet.Catalog
-import lichenstage.fleet.CloudClient
 import lichenstage.fleet.FleetPolicy
 import lichenstage.jobs.DoneRanges
 import lichenstage.jobs.JobRecord
 import lichenstage.jobs.JobReplicaSync
 import lichenstage.jobs.Pipelines
-import lichenstage.state.Committed
 import lichenstage.state.Entry
-import lichenstage.state.OwnedKeys
-import lichenstage.state.StateClient
+import lichenstage.state.KeyValueStoreClient
+import lichenstage.state.SingleWriterKeys
+import lichenstage.state.TransactionResult
 import org.slf4j.LoggerFactory
 import java.util.BitSet
 import kotlinx.coroutines.Job as CoroutineJob
@@ -49,9 +49,9 @@
 class LeaderActor(
     private val settings: Settings,
     private val authority: Authority,
-    state: StateClient,
+    state: KeyValueStoreClient,
     cloud: CloudClient,
-    private val catalog: Catalog,
+    private val catalog: MachineCatalog,
     private val clock: Clock,
     replicaSync: JobReplicaSync,
     pipelines: Pipelines,
@@ -78,12 +78,12 @@
             { catalog.machineTypes[it]?.capacity },
             settings.txnOps,
             { FleetDriver.fetchUs(it, catalog) },
-            pipelines::waitersOf,
+            pipelines::dependentsOf,
             settings.valueBytes,
             ::carryOut,
         )
     private val mailbox = Mailbox("leader", scope, ::handle, shed = { it is LeaderMessage.FromPartition || it is LeaderMessage.Tick })
-    private val owned = OwnedKeys(state)
+    private val owned = SingleWriterKeys(state)
     private val writer = LeaderRecordWriter(state, owned, stamp, settings.txnOps, scope, replicaSync::finished, mailbox::tell)
     private val registry = RegistryDriver(settings, core, writer)
     private val fleet =
@@ -105,7 +105,7 @@
 
     private fun drainDriver(
         policy: DrainPolicy,
-        state: StateClient,
+        state: KeyValueStoreClient,
         stamp: Long,
     ): DrainDriver {
         val view = LeaderDrainView(core, clock::now)
@@ -141,8 +141,8 @@
         when (message) {
             is LeaderMessage.Loaded -> load(message, now)
             is LeaderMessage.FromPartition -> if (loaded) core.frame(message.frame, now)
-            is LeaderMessage.HireAnswered -> fleet.hired(message, now)
-            is LeaderMessage.Returned -> if (fleet.returned(message)) returned(message.names)
+            is LeaderMessage.ProvisionAnswered -> fleet.hired(message, now)
+            is LeaderMessage.TerminateAnswered -> if (fleet.returned(message)) returned(message.names)
             is LeaderMessage.ListAnswered -> fleet.listed(message, now)
             is LeaderMessage.PagesWritten -> registry.written(message)
             is LeaderMessage.JobMessage -> jobMessage(message, now)
@@ -287,7 +287,7 @@
         now: Long,
     ) {
         val job = message.job
-        if (message.outcome is Committed.Yes) {
+        if (message.outcome is TransactionResult.Committed) {
             core.finished(job, now)
             writer.deleteRanges(job)
         } else {
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -1,17 +1,17 @@
 package lichenstage.placement
 
-import lichenstage.app.MILLI
-import lichenstage.app.SECOND
-import lichenstage.app.Team
-import lichenstage.cluster.JobRequirements
 import lichenstage.cluster.MachineState
-import lichenstage.cluster.PartitionAssignment
 import lichenstage.cluster.PartitionFrame
 import lichenstage.cluster.SaveOrder
-import lichenstage.cluster.Shape
 import lichenstage.cluster.StartOrder
 import lichenstage.cluster.TaskPhase
-import lichenstage.jobs.JobSpec
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
+import lichenstage.config.Team
+import lichenstage.model.JobRequirements
+import lichenstage.model.JobSpec
+import lichenstage.model.PartitionAssignment
+import lichenstage.model.Shape
 import org.slf4j.LoggerFactory
 
 /**
@@ -33,7 +33,7 @@
     private val capacityOf: (String) -> Shape?,
     batch: Int,
     fetchUs: (JobSpec) -> Long = { 0 },
-    waitersOf: (String) -> Collection<String> = { emptyList() },
+    dependentsOf: (String) -> Collection<String> = { emptyList() },
     valueBytes: Int = Int.MAX_VALUE,
     private val emit: (LeaderEffect) -> Unit,
 ) {
@@ -46,13 +46,13 @@
     val partitions = HashMap<String, PartitionState>()
 
     private val directory = MachineDirectory()
-    private val takeover = Takeover(leaseUs) { partitions[it] }
+    private val takeover = FailoverRecovery(leaseUs) { partitions[it] }
     private val unaccounted = UnaccountedUse(takeover, capacityOf)
     private val attempts = RunningAttempts(teams)
 
     /** How long tasks really run, as completions show. */
     val runTimes = RunTimeEstimates()
-    private val pipelineDeadlines = PipelineDeadlines(objectives, runTimes) { job -> waitersOf(job.spec.id).mapNotNull { jobs[it] } }
+    private val pipelineDeadlines = PipelineDeadlines(objectives, runTimes) { job -> dependentsOf(job.spec.id).mapNotNull { jobs[it] } }
     private val readiness = ReadinessForecast(runTimes, fetchUs) { jobs[it] }
     private val queue = JobQueue(objectives, teams, runTimes, pipelineDeadlines = pipelineDeadlines)
     private val zones = ZoneRules(assignment)
@@ -135,7 +135,7 @@
     fun failedJobsOn(machine: String): Set<String> = tracker.failedJobs[machine].orEmpty()
 
     /** The machines that were registered before this term. */
-    fun inherited(machines: Collection<InheritedMachine>) {
+    fun inherited(machines: Collection<RecoveredMachine>) {
         directory.register(machines.associate { it.name to it.partition })
         machines.forEach {
             takeover.await(it)
@@ -434,7 +434,7 @@
         partition: String,
         machine: MachineState,
     ) {
-        val audit = MachineAudit.of(machine, jobs)
+        val audit = MachineReconciliation.of(machine, jobs)
         unaccounted.set(machine.name, machine.typeName, audit.unaccounted && isRegistered(machine.name))
         outbox.set(partition, machine.name, audit.stops, audit.clears)
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderMessage.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderMessage.kt
@@ -1,12 +1,12 @@
 package lichenstage.placement
 
+import lichenstage.cloud.ListedMachine
+import lichenstage.cloud.ProvisionRequest
+import lichenstage.cloud.ProvisionResult
 import lichenstage.cluster.PartitionFrame
 import lichenstage.drain.DrainMessage
-import lichenstage.fleet.Hire
-import lichenstage.fleet.Hired
-import lichenstage.fleet.ListedMachine
-import lichenstage.state.Committed
 import lichenstage.state.Entry
+import lichenstage.state.TransactionResult
 
 /** What the leader's actor is told, by others and by what it has set going itself. */
 sealed interface LeaderMessage {
@@ -58,7 +58,7 @@
     /** What became of the transaction that records a job as done; [stillOpen] unless its record is known to be gone. */
     data class Finished(
         val job: Job,
-        val outcome: Committed,
+        val outcome: TransactionResult,
         val stillOpen: Boolean,
     ) : JobMessage
 
@@ -69,13 +69,13 @@
     ) : LeaderMessage
 
     /** The cloud's answer to a hire. */
-    data class HireAnswered(
-        val hire: Hire,
-        val outcome: Hired,
+    data class ProvisionAnswered(
+        val hire: ProvisionRequest,
+        val outcome: ProvisionResult,
     ) : LeaderMessage
 
     /** The cloud's answer to a return of machines. */
-    data class Returned(
+    data class TerminateAnswered(
         val names: List<String>,
         val ok: Boolean,
     ) : LeaderMessage
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordReader.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordReader.kt
@@ -2,12 +2,12 @@
 
 import kotlinx.coroutines.delay
 import lichenstage.jobs.JobRecord
-import lichenstage.state.StateClient
-import lichenstage.state.Watched
+import lichenstage.state.KeyValueStoreClient
+import lichenstage.state.WatchResult
 
 /** Reads the records that a term of leadership begins with, and follows the open jobs from there. */
 internal class LeaderRecordReader(
-    private val state: StateClient,
+    private val state: KeyValueStoreClient,
     private val tell: (LeaderMessage) -> Unit,
 ) {
     /** Runs until it is cancelled. */
@@ -24,20 +24,20 @@
         var since = from
         while (true) {
             when (val seen = state.changes(JobRecord.OPEN, since, WATCH_MS)) {
-                is Watched.Events -> {
+                is WatchResult.Events -> {
                     since = seen.revision
                     // A job that was put and deleted in one batch is gone: within a prefix, the delete is the newer.
                     val removed = seen.deletes.map { it.key }
                     if (seen.puts.isNotEmpty() || removed.isNotEmpty()) tell(LeaderMessage.Changed(seen.puts, removed))
                 }
 
-                Watched.TooOld -> {
+                WatchResult.Compacted -> {
                     val again = retry { state.scan(JobRecord.OPEN) }
                     since = again.revision
                     tell(LeaderMessage.Reloaded(again.entries))
                 }
 
-                Watched.Unavailable -> {
+                WatchResult.Unavailable -> {
                     delay(UNAVAILABLE_MS)
                 }
             }
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -4,25 +4,25 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import lichenstage.app.timeOfDayUs
 import lichenstage.authority.Authority
+import lichenstage.common.timeOfDayUs
 import lichenstage.jobs.DoneRanges
 import lichenstage.jobs.JobRecord
 import lichenstage.state.Change
-import lichenstage.state.Committed
-import lichenstage.state.OwnedKeys
-import lichenstage.state.Read
-import lichenstage.state.StateClient
+import lichenstage.state.KeyValueStoreClient
+import lichenstage.state.ReadResult
+import lichenstage.state.SingleWriterKeys
+import lichenstage.state.TransactionResult
 
 /**
  * Writes what the leader records: done tasks, ends of jobs, pages of the registry.
  *
  * Guarded by the leadership: a late transaction of an earlier leader changes nothing, and ranges of a job that ended
- * meanwhile are deleted. A late one of this leader is kept from changing anything by [OwnedKeys].
+ * meanwhile are deleted. A late one of this leader is kept from changing anything by [SingleWriterKeys].
  */
 internal class LeaderRecordWriter(
-    private val state: StateClient,
-    private val owned: OwnedKeys,
+    private val state: KeyValueStoreClient,
+    private val owned: SingleWriterKeys,
     /** The revision of the leadership's key. */
     private val leaderStamp: Long,
     private val txnOps: Int,
@@ -48,8 +48,8 @@
             val guards = mapOf(Authority.LEADER to leaderStamp, JobRecord.OPEN + id to job.stamp)
             val record = JobRecord.over("done", job.spec.tasks, timeOfDayUs())
             val outcome = state.txn(guards, listOf(Change.Delete(JobRecord.OPEN + id), Change.Put(JobRecord.FINISHED + id, record)))
-            val stillOpen = outcome !is Committed.Refused || state.get(JobRecord.OPEN + id) !is Read.Missing
-            if (outcome is Committed.Yes) finished(id, record) else delay(RETRY_MS)
+            val stillOpen = outcome !is TransactionResult.Conflict || state.get(JobRecord.OPEN + id) !is ReadResult.NotFound
+            if (outcome is TransactionResult.Committed) finished(id, record) else delay(RETRY_MS)
             tell(LeaderMessage.Finished(job, outcome, stillOpen))
         }
     }
@@ -71,7 +71,7 @@
                 val id = it.spec.id
                 listOf(Change.Delete(JobRecord.OPEN + id), Change.Put(JobRecord.FINISHED + id, JobRecord.over("cancelled", 0, atUs)))
             }
-        return state.txn(guards, changes, urgent = false) is Committed.Yes
+        return state.txn(guards, changes, urgent = false) is TransactionResult.Committed
     }
 
     fun writePages(pages: List<RegistryPage>) {
--- a/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
-import lichenstage.app.SECOND
-import lichenstage.app.withDrift
+import lichenstage.common.SECOND
+import lichenstage.common.withDrift
 
 /** What the leader may conclude of the tasks on a machine (invariant 3). */
 internal enum class MachineKnowledge {
@@ -12,7 +12,7 @@
     LISTED,
 
     /** By time: its lease has run out, and its worker has killed all tasks. */
-    LEASE_OVER,
+    LEASE_EXPIRED,
     ;
 
     companion object {
@@ -29,8 +29,8 @@
         ): MachineKnowledge {
             val view = partition.machines[machine]
             return when {
-                view == null -> if (partition.ageUs > withDrift(leaseUs) + UNHEARD_MARGIN_US) LEASE_OVER else UNKNOWN
-                view.lost -> LEASE_OVER
+                view == null -> if (partition.ageUs > withDrift(leaseUs) + UNHEARD_MARGIN_US) LEASE_EXPIRED else UNKNOWN
+                view.lost -> LEASE_EXPIRED
                 view.settled -> LISTED
                 else -> UNKNOWN
             }
--- a/src/main/kotlin/lichenstage/placement/MachineAudit.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
@@ -6,7 +6,7 @@
 import lichenstage.cluster.TaskState
 
 /** What a machine still has to stop and to clear, and whether something runs there that counts for no team. */
-internal class MachineAudit(
+internal class MachineReconciliation(
     val stops: List<AttemptOrder>,
     val clears: List<AttemptOrder>,
     val unaccounted: Boolean,
@@ -16,8 +16,8 @@
         fun of(
             machine: MachineState,
             jobs: Map<String, Job>,
-        ): MachineAudit {
-            if (machine.lost) return MachineAudit(emptyList(), emptyList(), unaccounted = false)
+        ): MachineReconciliation {
+            if (machine.lost) return MachineReconciliation(emptyList(), emptyList(), unaccounted = false)
             val stops = ArrayList<AttemptOrder>()
             val clears = ArrayList<AttemptOrder>()
             var unaccounted = false
@@ -32,7 +32,15 @@
                 }
             }
             // Nothing is ordered of a worker that has not shown the token.
-            return if (machine.settled) MachineAudit(stops, clears, unaccounted) else MachineAudit(emptyList(), emptyList(), unaccounted)
+            return if (machine.settled) {
+                MachineReconciliation(
+                    stops,
+                    clears,
+                    unaccounted,
+                )
+            } else {
+                MachineReconciliation(emptyList(), emptyList(), unaccounted)
+            }
         }
 
         private fun order(
--- a/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
+++ b/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
@@ -1,6 +1,6 @@
 package lichenstage.placement
 
-import lichenstage.jobs.Priority
+import lichenstage.model.Priority
 import java.util.PriorityQueue
 
 /** A promise as the plan sees it: when its work must be done, and what keeping it counts, in jobs of its class. */
--- a/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
@@ -1,12 +1,12 @@
 package lichenstage.placement
 
-import lichenstage.app.MILLI
 import lichenstage.cluster.AttemptOrder
-import lichenstage.cluster.JobRequirements
 import lichenstage.cluster.PlacementFrame
 import lichenstage.cluster.PlacementRequest
 import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.StartOrder
+import lichenstage.common.MILLI
+import lichenstage.model.JobRequirements
 
 /** What the leader knows that goes along with its frames. */
 internal interface OutboxSource {
--- a/src/main/kotlin/lichenstage/placement/PartitionSync.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionSync.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
-import lichenstage.app.MILLI
-import lichenstage.app.SECOND
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
 
 /** What each partition has been told beside requests and orders: the jobs and machines that were there, and which get no tasks. */
 class PartitionSync {
--- a/src/main/kotlin/lichenstage/placement/PipelineDeadlines.kt
+++ b/src/main/kotlin/lichenstage/placement/PipelineDeadlines.kt
@@ -1,6 +1,6 @@
 package lichenstage.placement
 
-import lichenstage.jobs.Priority
+import lichenstage.model.Priority
 
 /** What a job has from those that wait for it. [dueUs]: when it should be complete for their sake. */
 data class InheritedUrgency(
@@ -15,12 +15,12 @@
 class PipelineDeadlines(
     private val serviceObjectives: ServiceObjectives,
     private val runTimes: RunTimeEstimates,
-    private val waitersOf: (Job) -> List<Job>,
+    private val dependentsOf: (Job) -> List<Job>,
 ) {
     /** For one plan: what many share is worked out once. */
     inner class Plan {
         // Jobs wait only for such as were accepted before, so that the chains have an end.
-        private val fold = GraphFold({ job -> waitersOf(job).filter { it.phase == JobPhase.OPEN } }, ::from)
+        private val fold = GraphFold({ job -> dependentsOf(job).filter { it.phase == JobPhase.OPEN } }, ::from)
 
         /** What the job has from those that wait for it, directly or through others. */
         fun of(job: Job): InheritedUrgency = fold.of(job)
--- a/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
+++ b/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
-import lichenstage.app.SECOND
-import lichenstage.jobs.JobSpec
+import lichenstage.common.SECOND
+import lichenstage.model.JobSpec
 
 /**
  * Expects when jobs that wait for others will be ready: at the end of the longest chain of what they need, by expected run times.
--- a/src/main/kotlin/lichenstage/placement/RegistryDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/RegistryDriver.kt
@@ -1,6 +1,6 @@
 package lichenstage.placement
 
-import lichenstage.app.Settings
+import lichenstage.config.Settings
 import lichenstage.state.Entry
 import org.slf4j.LoggerFactory
 
@@ -36,7 +36,7 @@
             log.error("machine {} is recorded in {}, which is no zone of this deployment", machine.name, machine.zone)
             return false
         }
-        core.inherited(listOf(InheritedMachine(machine.name, partition, machine.typeName, machine.address)))
+        core.inherited(listOf(RecoveredMachine(machine.name, partition, machine.typeName, machine.address)))
         return true
     }
 
--- a/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
@@ -1,9 +1,9 @@
 package lichenstage.placement
 
-import lichenstage.app.SECOND
 import lichenstage.cluster.PlacementRequest
-import lichenstage.cluster.Shape
-import lichenstage.jobs.JobSpec
+import lichenstage.common.SECOND
+import lichenstage.model.JobSpec
+import lichenstage.model.Shape
 
 /** A request that is broadcast, and the job that it is for. */
 data class JobRequest(
--- a/src/main/kotlin/lichenstage/placement/RequestRounds.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRounds.kt
@@ -2,9 +2,9 @@
 
 import lichenstage.cluster.HeldSlots
 import lichenstage.cluster.Offer
-import lichenstage.cluster.PartitionAssignment
-import lichenstage.cluster.Shape
 import lichenstage.cluster.StartOrder
+import lichenstage.model.PartitionAssignment
+import lichenstage.model.Shape
 
 /** What the leader knows that a round of requests depends on. */
 internal interface RoundSource {
--- a/src/main/kotlin/lichenstage/placement/RunTimeEstimates.kt
+++ b/src/main/kotlin/lichenstage/placement/RunTimeEstimates.kt
@@ -1,6 +1,6 @@
 package lichenstage.placement
 
-import lichenstage.jobs.JobSpec
+import lichenstage.model.JobSpec
 import kotlin.math.exp
 import kotlin.math.ln
 
--- a/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
+++ b/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
-import lichenstage.app.Team
-import lichenstage.cluster.Shape
+import lichenstage.config.Team
+import lichenstage.model.Shape
 
 /** Every attempt that may be running, and what the teams use by them (invariant 11). */
 class RunningAttempts(
--- a/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
+++ b/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
@@ -1,8 +1,8 @@
 package lichenstage.placement
 
-import lichenstage.app.Objective
-import lichenstage.app.ObjectiveKind
-import lichenstage.app.Team
+import lichenstage.config.Objective
+import lichenstage.config.ObjectiveKind
+import lichenstage.config.Team
 
 /** A time by which all of a job's tasks should have started. [byTask]: starts are counted task by task, not job by job. */
 data class StartObjective(
--- a/src/main/kotlin/lichenstage/placement/TaskOrders.kt
+++ b/src/main/kotlin/lichenstage/placement/TaskOrders.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
-import lichenstage.app.SECOND
 import lichenstage.cluster.AttemptOrder
+import lichenstage.common.SECOND
 
 /** Stops and clears that go out together. */
 data class DueOrders(
--- a/src/main/kotlin/lichenstage/placement/Timers.kt
+++ b/src/main/kotlin/lichenstage/placement/Timers.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
-import lichenstage.app.MILLI
-import lichenstage.app.SECOND
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
 
 /**
  * What can be tuned in placement.
--- a/src/main/kotlin/lichenstage/placement/UnaccountedUse.kt
+++ b/src/main/kotlin/lichenstage/placement/UnaccountedUse.kt
@@ -1,13 +1,13 @@
 package lichenstage.placement
 
-import lichenstage.cluster.Shape
+import lichenstage.model.Shape
 
 /**
  * What may be in use by nobody knows whom: on machines that run something whose job has no record, or that should not be there, and
  * on those of which nothing is known yet. Each machine counts at its full size against every team's limit (invariant 5).
  */
 internal class UnaccountedUse(
-    private val takeover: Takeover,
+    private val takeover: FailoverRecovery,
     private val capacityOf: (String) -> Shape?,
 ) {
     /** Machines with the names of their types. */
--- a/src/main/kotlin/lichenstage/placement/ZoneRules.kt
+++ b/src/main/kotlin/lichenstage/placement/ZoneRules.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
 import lichenstage.cluster.HeldSlots
-import lichenstage.cluster.PartitionAssignment
+import lichenstage.model.PartitionAssignment
 
 /** In which zones tasks of a job may be placed, given the job's other tasks: one-zone and spread jobs. */
 internal class ZoneRules(
--- a/src/main/kotlin/lichenstage/state/StateClient.kt
+++ b/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
@@ -5,11 +5,11 @@
 import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
 import kotlinx.coroutines.delay
-import lichenstage.app.Address
-import lichenstage.app.Clock
-import lichenstage.app.JsonHttp
-import lichenstage.app.JsonHttp.Companion.parsed
-import lichenstage.app.SECOND
+import lichenstage.common.Address
+import lichenstage.common.Clock
+import lichenstage.common.JsonHttp
+import lichenstage.common.JsonHttp.Companion.parsed
+import lichenstage.common.SECOND
 
 /** A key with its value and the revision of its last change. */
 data class Entry(
@@ -36,71 +36,71 @@
 }
 
 /** What became of a transaction. */
-sealed interface Committed {
+sealed interface TransactionResult {
     /** It was applied, at this revision. */
-    data class Yes(
+    data class Committed(
         val revision: Long,
-    ) : Committed
+    ) : TransactionResult
 
     /** A condition did not hold; [failed] names keys of which that is known. */
-    data class Refused(
+    data class Conflict(
         val failed: List<String> = emptyList(),
-    ) : Committed
+    ) : TransactionResult
 
     /** The lease of a put has ended. */
-    data object NoLease : Committed
+    data object LeaseExpired : TransactionResult
 
     /** The service has said that it did nothing. */
-    data object NotExecuted : Committed
+    data object Rejected : TransactionResult
 
     /** Nobody knows: it may still be applied later, so every transaction carries its own guards. */
-    data object Unknown : Committed
+    data object Indeterminate : TransactionResult
 }
 
 /** An answer of a read: there, not there, or not to be had. */
-sealed interface Read {
+sealed interface ReadResult {
     /** The key with its value. */
     data class Found(
         val entry: Entry,
-    ) : Read
+    ) : ReadResult
 
-    data object Missing : Read
+    data object NotFound : ReadResult
 
-    data object Unavailable : Read
+    data object Unavailable : ReadResult
 }
 
 /** What a watch brought. */
-sealed interface Watched {
+sealed interface WatchResult {
     /** What has changed up to a revision. */
     data class Events(
         val revision: Long,
         val puts: List<Entry>,
         val deletes: List<Entry>,
-    ) : Watched
+    ) : WatchResult
 
-    data object TooOld : Watched
+    data object Compacted : WatchResult
 
-    data object Unavailable : Watched
+    data object Unavailable : WatchResult
 }
 
 /** What became of the renewal of a lease. */
-enum class Renewal {
+enum class LeaseRenewal {
     RENEWED,
 
     /** There is no such lease any more. */
-    ENDED,
+    EXPIRED,
 
     /** No answer, or one that decides nothing. */
-    UNKNOWN,
+    INDETERMINATE,
 }
 
 /** What the decisions about records need of the state service; a model of it stands in where they are tested. */
-interface Store {
+interface KeyValueStore {
     /** Reads one key. */
     suspend fun get(
         key: String,
         timeoutMs: Long = 1500,
-    ): Read
+    ): ReadResult
 
     /** Bulk work ([urgent] false) takes what leases, users' requests and the ends of jobs leave. */
     suspend fun txn(
@@ -108,7 +108,7 @@
         changes: List<Change>,
         timeoutMs: Long = 2000,
         urgent: Boolean = true,
-    ): Committed
+    ): TransactionResult
 }
 
 /** The scan of a prefix, whole, with the revision from which a watch goes on. */
@@ -123,7 +123,7 @@
  * The service's limits hold for all controllers together: each keeps to a share of them, [writeShare] of the changes (the leader
  * needs more than the others) and an equal part of the requests.
  */
-class StateClient(
+class KeyValueStoreClient(
     vertx: Vertx,
     address: Address,
     clock: Clock,
@@ -131,7 +131,7 @@
     rps: Double,
     writeRps: Double,
     writeShare: () -> Double,
-) : Store {
+) : KeyValueStore {
     private val http = JsonHttp(vertx, address, connections = REQUESTS, queue = 2000)
 
     /** Watches stay open for long: they have connections of their own, and so have leases, so that nothing holds up a renewal. */
@@ -143,13 +143,13 @@
     override suspend fun get(
         key: String,
         timeoutMs: Long,
-    ): Read {
+    ): ReadResult {
         reads.take()
-        val (status, body) = http.call(HttpMethod.GET, "/kv/$key", null, timeoutMs) ?: return Read.Unavailable
+        val (status, body) = http.call(HttpMethod.GET, "/kv/$key", null, timeoutMs) ?: return ReadResult.Unavailable
         return when {
-            status == 200 -> parsed { entry(body) }?.let { Read.Found(it) } ?: Read.Unavailable
-            status == 404 && body.containsKey("ledger_rev") -> Read.Missing
-            else -> Read.Unavailable
+            status == 200 -> parsed { entry(body) }?.let { ReadResult.Found(it) } ?: ReadResult.Unavailable
+            status == 404 && body.containsKey("ledger_rev") -> ReadResult.NotFound
+            else -> ReadResult.Unavailable
         }
     }
 
@@ -174,20 +174,20 @@
         changes: List<Change>,
         timeoutMs: Long,
         urgent: Boolean,
-    ): Committed {
+    ): TransactionResult {
         reads.take(urgent = urgent)
         if (changes.isNotEmpty()) writes.take(changes.size, urgent)
         val request =
             JsonObject()
                 .put("guards", JsonArray(guards.map { (key, stamp) -> JsonObject().put("k", key).put("stamp", stamp) }))
                 .put("then", JsonArray(changes.map(::encode)))
-        val (status, body) = http.call(HttpMethod.POST, "/txn", request, timeoutMs) ?: return Committed.Unknown
+        val (status, body) = http.call(HttpMethod.POST, "/txn", request, timeoutMs) ?: return TransactionResult.Indeterminate
         return when (status) {
-            200 -> Committed.Yes(body.getLong("ledger_rev") ?: 0)
-            409 -> Committed.Refused(parsed { body.getJsonArray("failed").map { it as String } } ?: emptyList())
-            400 -> if (body.getString("error") == "no such lease") Committed.NoLease else Committed.Refused()
-            429, 503 -> Committed.NotExecuted
-            else -> Committed.Unknown
+            200 -> TransactionResult.Committed(body.getLong("ledger_rev") ?: 0)
+            409 -> TransactionResult.Conflict(parsed { body.getJsonArray("failed").map { it as String } } ?: emptyList())
+            400 -> if (body.getString("error") == "no such lease") TransactionResult.LeaseExpired else TransactionResult.Conflict()
+            429, 503 -> TransactionResult.Rejected
+            else -> TransactionResult.Indeterminate
         }
     }
 
@@ -198,12 +198,12 @@
     }
 
     /** Renews a lease. */
-    suspend fun renew(lease: Long): Renewal {
+    suspend fun renew(lease: Long): LeaseRenewal {
         val answer = leases.call(HttpMethod.POST, "/leases/$lease/renew", JsonObject(), 1200)
         return when (answer?.status) {
-            200 -> Renewal.RENEWED
-            404 -> Renewal.ENDED
-            else -> Renewal.UNKNOWN
+            200 -> LeaseRenewal.RENEWED
+            404 -> LeaseRenewal.EXPIRED
+            else -> LeaseRenewal.INDETERMINATE
         }
     }
 
@@ -216,18 +216,18 @@
         prefix: String,
         since: Long,
         waitMs: Long,
-    ): Watched {
+    ): WatchResult {
         reads.take()
         val path = "/changes?prefix=$prefix&since=$since&wait_ms=$waitMs"
-        val (status, body) = watches.call(HttpMethod.GET, path, null, waitMs + 3000) ?: return Watched.Unavailable
-        if (status == 410) return Watched.TooOld
-        if (status != 200) return Watched.Unavailable
-        return parsed { events(body) } ?: Watched.Unavailable
+        val (status, body) = watches.call(HttpMethod.GET, path, null, waitMs + 3000) ?: return WatchResult.Unavailable
+        if (status == 410) return WatchResult.Compacted
+        if (status != 200) return WatchResult.Unavailable
+        return parsed { events(body) } ?: WatchResult.Unavailable
     }
 
-    private fun events(body: JsonObject): Watched.Events {
+    private fun events(body: JsonObject): WatchResult.Events {
         val (puts, deletes) = body.getJsonArray("events").map { it as JsonObject }.partition { it.getString("put") != null }
-        return Watched.Events(
+        return WatchResult.Events(
             body.getLong("ledger_rev"),
             puts.map { Entry(it.getString("put"), it.getJsonObject("value"), it.getLong("stamp")) },
             deletes.map { Entry(it.getString("delete"), JsonObject(), it.getLong("stamp")) },
--- a/src/main/kotlin/lichenstage/state/OwnedKeys.kt
+++ b/src/main/kotlin/lichenstage/state/SingleWriterKeys.kt
@@ -8,8 +8,8 @@
  * that the workers have forgotten. So each write is guarded by the revision of what it replaces, and once the outcome of one is not
  * known, what it has written is read again before the next: after that the late one is refused, or it makes the next one be.
  */
-class OwnedKeys(
-    private val state: Store,
+class SingleWriterKeys(
+    private val state: KeyValueStore,
 ) {
     /** The revision of each key that is there. */
     private val stamps = HashMap<String, Long>()
@@ -27,19 +27,19 @@
         val keys = changes.map { it.key }
         for (key in keys) if (key in unsure && !reread(key)) return false
         val outcome = state.txn(guards + keys.associateWith { stamps[it] ?: 0L }, changes, urgent = urgent)
-        if (outcome is Committed.Yes) {
+        if (outcome is TransactionResult.Committed) {
             changes.forEach { if (it is Change.Put) stamps[it.key] = outcome.revision else stamps.remove(it.key) }
-        } else if (outcome !is Committed.NotExecuted) {
+        } else if (outcome !is TransactionResult.Rejected) {
             unsure += keys
         }
-        return outcome is Committed.Yes
+        return outcome is TransactionResult.Committed
     }
 
     private suspend fun reread(key: String): Boolean {
         when (val found = state.get(key)) {
-            is Read.Found -> stamps[key] = found.entry.stamp
-            Read.Missing -> stamps.remove(key)
-            Read.Unavailable -> return false
+            is ReadResult.Found -> stamps[key] = found.entry.stamp
+            ReadResult.NotFound -> stamps.remove(key)
+            ReadResult.Unavailable -> return false
         }
         unsure -= key
         return true
--- a/src/test/kotlin/lichenstage/app/EventBatchingTest.kt
+++ b/src/test/kotlin/lichenstage/app/EventBatchingTest.kt
@@ -1,6 +1,7 @@
 package lichenstage.app
 
 import io.netty.channel.SelectStrategy
+import lichenstage.common.MILLI
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertTrue
 
--- a/src/test/kotlin/lichenstage/authority/TokenReservationTest.kt
+++ b/src/test/kotlin/lichenstage/authority/FencingTokenReservationTest.kt
@@ -3,35 +3,35 @@
 import io.vertx.core.json.JsonObject
 import kotlinx.coroutines.runBlocking
 import lichenstage.state.Change
-import lichenstage.state.Committed
 import lichenstage.state.Entry
-import lichenstage.state.Read
-import lichenstage.state.Store
+import lichenstage.state.KeyValueStore
+import lichenstage.state.ReadResult
+import lichenstage.state.TransactionResult
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 
 /** Tokens are taken from the counter of all terms, for as long as the partition is owned. */
-class TokenReservationTest {
+class FencingTokenReservationTest {
     /** A state service with one answer, which notes what it was asked for. */
     private class OneAnswer(
-        private val outcome: Committed,
-    ) : Store {
+        private val outcome: TransactionResult,
+    ) : KeyValueStore {
         val guards = ArrayList<Map<String, Long>>()
         val changes = ArrayList<Change>()
 
         override suspend fun get(
             key: String,
             timeoutMs: Long,
-        ): Read = Read.Unavailable
+        ): ReadResult = ReadResult.Unavailable
 
         override suspend fun txn(
             guards: Map<String, Long>,
             changes: List<Change>,
             timeoutMs: Long,
             urgent: Boolean,
-        ): Committed {
+        ): TransactionResult {
             this.guards += guards
             this.changes += changes
             return outcome
@@ -45,11 +45,11 @@
             put(Entry(KEY, JsonObject().put("label", "n0").put("term", 7L).put("lease", 1L), 40))
         }
 
-    private fun reserve(state: Store) = runBlocking { TokenReservation(state, keys).reserve(KEY, held, 4) }
+    private fun reserve(state: KeyValueStore) = runBlocking { FencingTokenReservation(state, keys).reserve(KEY, held, 4) }
 
     @Example
     fun `they lie above all terms, the counter goes past them, and the write holds only under the ownership`() {
-        val state = OneAnswer(Committed.Yes(50))
+        val state = OneAnswer(TransactionResult.Committed(50))
         assertEquals(10L..13L, reserve(state)) { "${keys.lastTerm()}" }
         assertEquals(mapOf(OwnershipKeys.TERMS to 41L, KEY to 40L), state.guards.single()) { "${state.guards}" }
         val written = state.changes.single() as Change.Put
@@ -57,12 +57,17 @@
         assertNull(written.lease) { "the counter would go with the lease" }
         // Whoever owns the partition next, in whichever version, takes the term after the counter.
         assertEquals(14L, keys.nextTerm(KEY).term) { "${keys.nextTerm(KEY).term}" }
-        assertEquals(14L..17L, reserve(OneAnswer(Committed.Yes(51)))) { "the second lot" }
+        assertEquals(14L..17L, reserve(OneAnswer(TransactionResult.Committed(51)))) { "the second lot" }
     }
 
     @Example
     fun `what was refused or is not known to have been written reserves nothing`() {
-        for (outcome in listOf(Committed.Refused(), Committed.NotExecuted, Committed.Unknown, Committed.NoLease)) {
+        for (outcome in listOf(
+            TransactionResult.Conflict(),
+            TransactionResult.Rejected,
+            TransactionResult.Indeterminate,
+            TransactionResult.LeaseExpired,
+        )) {
             assertNull(reserve(OneAnswer(outcome))) { "$outcome" }
             assertEquals(9L, keys.lastTerm()) { "$outcome: ${keys.lastTerm()}" }
         }
--- a/src/test/kotlin/lichenstage/authority/LeaseLifeTest.kt
+++ b/src/test/kotlin/lichenstage/authority/LeaseLifeTest.kt
@@ -1,9 +1,9 @@
 package lichenstage.authority
 
-import lichenstage.app.MILLI
-import lichenstage.app.SECOND
-import lichenstage.app.Settings
 import lichenstage.app.warmUpSettings
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
+import lichenstage.config.Settings
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
--- a/src/test/kotlin/lichenstage/authority/LocalLeaseTest.kt
+++ b/src/test/kotlin/lichenstage/authority/LocalLeaseTest.kt
@@ -1,8 +1,8 @@
 package lichenstage.authority
 
-import lichenstage.app.MILLI
-import lichenstage.app.SECOND
-import lichenstage.app.withDrift
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
+import lichenstage.common.withDrift
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
@@ -47,7 +47,7 @@
     @Example
     fun `a pact needs everybody, carries on without a gap, and ends with the first who is silent`() {
         val lease = LocalLease(5 * SECOND).apply { granted(1, 0) }
-        val collectedPledges = CollectedPledges(setOf("a", "b"))
+        val collectedPledges = PeerMoratoriums(setOf("a", "b"))
 
         fun hear(
             from: String,
@@ -71,11 +71,11 @@
 
     @Example
     fun `who has promised takes nothing until every asker has stopped counting on it, and neither does a new process`() {
-        val ownPledge = OwnPledge(0)
+        val ownPledge = LocalMoratorium(0)
         assertTrue(
-            !ownPledge.free(CollectedPledges.PLEDGE_US) && ownPledge.free(3 * SECOND),
+            !ownPledge.free(PeerMoratoriums.PLEDGE_US) && ownPledge.free(3 * SECOND),
         ) { "the process before it may have promised" }
         ownPledge.pledge(10 * SECOND)
-        assertTrue(!ownPledge.free(10 * SECOND + withDrift(CollectedPledges.PLEDGE_US)) && ownPledge.free(13 * SECOND)) { "not bound" }
+        assertTrue(!ownPledge.free(10 * SECOND + withDrift(PeerMoratoriums.PLEDGE_US)) && ownPledge.free(13 * SECOND)) { "not bound" }
     }
 }
--- a/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
@@ -1,5 +1,7 @@
 package lichenstage.cluster
 
+import lichenstage.model.JobRequirements
+import lichenstage.model.Shape
 import net.jqwik.api.Arbitraries
 import net.jqwik.api.Arbitrary
 import net.jqwik.api.Combinators
@@ -74,8 +76,8 @@
             Arbitraries.of(
                 Hello("x"),
                 Ping(true),
-                PledgeRequest(1, 2),
-                Pledge(3, 4),
+                MoratoriumRequest(1, 2),
+                MoratoriumGrant(3, 4),
                 CompletionSyncRequest(1, 2, 3, 4, 5),
                 CompletionSyncReply(1, 2, 3, 4, 6, listOf("j-1", "j-2"), true),
                 JobsEnded(listOf("j-1")),
--- a/src/test/kotlin/lichenstage/cluster/PingPunctualityTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PingPunctualityTest.kt
@@ -1,8 +1,8 @@
 package lichenstage.cluster
 
-import lichenstage.app.LoopLag
-import lichenstage.app.MILLI
-import lichenstage.app.SECOND
+import lichenstage.common.EventLoopLag
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -36,7 +36,7 @@
 
     @Example
     fun `the lag of an event loop rises at once and fades`() {
-        val lag = LoopLag()
+        val lag = EventLoopLag()
         lag.ran(dueUs = 0, now = 3 * SECOND)
         assertEquals(3 * SECOND, lag.us, "${lag.us}")
         repeat(10) { lag.ran(it * SECOND, it * SECOND) }
--- a/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
@@ -6,7 +6,7 @@
 import kotlinx.serialization.cbor.Cbor
 import lichenstage.jobs.DoneRanges
 import lichenstage.jobs.JobRecord
-import lichenstage.jobs.JobSpec
+import lichenstage.model.JobSpec
 import lichenstage.placement.Registry
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/lichenstage/app/SocketsTest.kt
+++ b/src/test/kotlin/lichenstage/common/ConnectionBudgetTest.kt
@@ -1,18 +1,18 @@
-package lichenstage.app
+package lichenstage.common
 
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
 import net.jqwik.api.constraints.IntRange
 import org.junit.jupiter.api.Assertions.assertTrue
 
-class SocketsTest {
+class ConnectionBudgetTest {
     /** A fleet that connects as fast as it can: workers' connections above the budget are closed with their answers. */
     @Property(tries = 200, seed = "20261202")
     fun `however many come, the fixed part and some for users stay free`(
         @ForAll @IntRange(min = 300, max = 40_000) most: Int,
         @ForAll @IntRange(min = 1, max = 6000) workers: Int,
     ) {
-        val sockets = Sockets(most, FIXED)
+        val sockets = ConnectionBudget(most, FIXED)
         repeat(workers) {
             sockets.opened()
             if (sockets.crowded()) sockets.closed()
--- a/src/test/kotlin/lichenstage/app/MailboxTest.kt
+++ b/src/test/kotlin/lichenstage/common/MailboxTest.kt
@@ -1,4 +1,4 @@
-package lichenstage.app
+package lichenstage.common
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.Dispatchers
--- a/src/test/kotlin/lichenstage/app/SettingsTest.kt
+++ b/src/test/kotlin/lichenstage/config/SettingsTest.kt
@@ -1,6 +1,11 @@
-package lichenstage.app
+package lichenstage.config
 
 import io.vertx.core.json.JsonObject
+import lichenstage.app.OperatorSettings
+import lichenstage.app.warmUpSettings
+import lichenstage.common.Address
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
@@ -74,25 +79,25 @@
 
     @Example
     fun `operators' settings are HCL and checked`() {
-        val operator = Operator.parse("placement {\n  alpha_ms = 500\n}\nfleet {\n  settle_s = 7\n}\n")
+        val operator = OperatorSettings.parse("placement {\n  alpha_ms = 500\n}\nfleet {\n  settle_s = 7\n}\n")
         assertTrue(operator.timers.alphaUs == 500 * MILLI && operator.timers.betaUs == 300 * MILLI) { "$operator" }
         val policy = operator.fleet(lichenstage.fleet.FleetPolicy())
         assertEquals(7 * SECOND, policy.settleUs) { "$policy" }
-        val unknown = complaint { Operator.parse("placement {\n  alpha = \"x\"\n}") }
+        val unknown = complaint { OperatorSettings.parse("placement {\n  alpha = \"x\"\n}") }
         assertEquals("placement.alpha: unknown key, found x", unknown) { "$unknown" }
         assertTrue(
-            complaint { Operator.parse("fleet {\n  backlog_s = 0\n}") }!!.startsWith("fleet.backlog_s: a whole number from 1"),
+            complaint { OperatorSettings.parse("fleet {\n  backlog_s = 0\n}") }!!.startsWith("fleet.backlog_s: a whole number from 1"),
         ) { "range" }
         assertTrue(
-            complaint { Operator.parse("fleet {\n  settle_s = \"soon\"\n}") }!!.startsWith("fleet.settle_s: a whole number"),
+            complaint { OperatorSettings.parse("fleet {\n  settle_s = \"soon\"\n}") }!!.startsWith("fleet.settle_s: a whole number"),
         ) { "settle" }
     }
 
     @Example
     fun `drains are off without their block, and budgets are checked`() {
-        assertNull(Operator.parse("fleet {\n}\n").drains) { "on by themselves" }
+        assertNull(OperatorSettings.parse("fleet {\n}\n").drains) { "on by themselves" }
         val policy =
-            Operator
+            OperatorSettings
                 .parse(
                     """
                     drains {
@@ -116,7 +121,7 @@
         assertTrue(23 in red.hours!! && 5 in red.hours!! && 6 !in red.hours!!) { "${red.hours}" }
         assertEquals(
             1,
-            Operator
+            OperatorSettings
                 .parse("drains {\n}\n")
                 .drains
                 ?.default
@@ -130,8 +135,15 @@
                     "drains.default.hours: hours of the day as \"FROM-TO\" are needed, found late",
                 "drains {\n  speed = 1\n}" to "drains.speed: unknown key, found 1.0",
             )
-        for ((file, what) in wrong) assertEquals(what, complaint { Operator.parse(file) }) { "${complaint { Operator.parse(file) }}" }
-        val stranger = Operator.parse("drains {\n  teams {\n    blue {\n      jobs = 1\n    }\n  }\n}")
+        for ((file, what) in wrong) {
+            assertEquals(
+                what,
+                complaint {
+                    OperatorSettings.parse(file)
+                },
+            ) { "${complaint { OperatorSettings.parse(file) }}" }
+        }
+        val stranger = OperatorSettings.parse("drains {\n  teams {\n    blue {\n      jobs = 1\n    }\n  }\n}")
         assertEquals("drains.teams.blue: unknown team", complaint { stranger.check(Settings.parse(text)) }) { "unknown team" }
     }
 }
--- a/src/test/kotlin/lichenstage/drain/DrainCoreTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainCoreTest.kt
@@ -1,7 +1,7 @@
 package lichenstage.drain
 
 import kotlinx.collections.immutable.toPersistentMap
-import lichenstage.app.SECOND
+import lichenstage.common.SECOND
 import lichenstage.drain.FakeCluster.Companion.task
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
--- a/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
@@ -4,12 +4,12 @@
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.test.TestScope
 import kotlinx.coroutines.test.advanceUntilIdle
-import lichenstage.app.SECOND
+import lichenstage.common.SECOND
 import lichenstage.state.Change
-import lichenstage.state.Committed
 import lichenstage.state.MemoryStore
-import lichenstage.state.OwnedKeys
 import lichenstage.state.Scan
+import lichenstage.state.SingleWriterKeys
+import lichenstage.state.TransactionResult
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -30,7 +30,7 @@
             changes: List<Change>,
             timeoutMs: Long,
             urgent: Boolean,
-        ) = if (refusing) Committed.NotExecuted else apply(guards, changes)
+        ) = if (refusing) TransactionResult.Rejected else apply(guards, changes)
 
         fun scan(prefix: String) = Scan(entries.values.filter { it.key.startsWith(prefix) }.sortedBy { it.key }, revision)
     }
@@ -66,7 +66,7 @@
 
     private fun driver(): DrainDriver {
         val guard = mapOf("c/leader" to store.entries.getValue("c/leader").stamp)
-        val access = DrainStore(store, OwnedKeys(store), guard, 4) { store.scan(it) }
+        val access = DrainStore(store, SingleWriterKeys(store), guard, 4) { store.scan(it) }
         lateinit var driver: DrainDriver
         driver = DrainDriver(DrainPolicy(), cluster, records, access, hands, DrainTracing(), scope, { now }) { driver.handle(it) }
         return driver
--- a/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
@@ -2,20 +2,20 @@
 
 import io.vertx.core.json.JsonObject
 import kotlinx.coroutines.runBlocking
-import lichenstage.app.SECOND
-import lichenstage.app.Settings
 import lichenstage.app.warmUpSettings
-import lichenstage.cluster.Shape
+import lichenstage.common.SECOND
+import lichenstage.config.Settings
 import lichenstage.jobs.JobRecord
-import lichenstage.jobs.JobSpec
-import lichenstage.jobs.Priority
+import lichenstage.model.JobSpec
+import lichenstage.model.Priority
+import lichenstage.model.Shape
 import lichenstage.placement.Registered
 import lichenstage.placement.Registry
 import lichenstage.state.Change
-import lichenstage.state.Committed
 import lichenstage.state.MemoryStore
-import lichenstage.state.Read
+import lichenstage.state.ReadResult
 import lichenstage.state.Scan
+import lichenstage.state.TransactionResult
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -32,14 +32,14 @@
         override suspend fun get(
             key: String,
             timeoutMs: Long,
-        ) = if (away) Read.Unavailable else read(key)
+        ) = if (away) ReadResult.Unavailable else read(key)
 
         override suspend fun txn(
             guards: Map<String, Long>,
             changes: List<Change>,
             timeoutMs: Long,
             urgent: Boolean,
-        ) = if (away || answered-- <= 0) Committed.NotExecuted else apply(guards, changes)
+        ) = if (away || answered-- <= 0) TransactionResult.Rejected else apply(guards, changes)
 
         fun scan(prefix: String): Scan? =
             if (away) null else Scan(entries.values.filter { it.key.startsWith(prefix) }.sortedBy { it.key }, revision)
@@ -144,9 +144,12 @@
         assertEquals(DrainStatus.RUNNING, status(change(DrainStatus.RUNNING))) { "not resumed" }
         assertEquals(DrainStatus.CANCELLED, status(change(DrainStatus.CANCELLED))) { "not cancelled" }
         assertEquals(DrainAnswer.Refused("spring: it is cancelled"), change(DrainStatus.RUNNING)) { "resumed after its end" }
-        assertEquals(DrainAnswer.Refused("autumn: there is no such drain"), runBlocking {
+        assertEquals(
+            DrainAnswer.Refused("autumn: there is no such drain"),
+            runBlocking {
                 operations.change("autumn", DrainStatus.PAUSED)
-            }) { "unknown" }
+            },
+        ) { "unknown" }
         val json = (runBlocking { operations.show(null) } as DrainAnswer.Shown).reports.single().json()
         assertTrue(json.getString("status") == "cancelled" && json.getJsonObject("stages").getInteger("waiting") == 150) { json.encode() }
     }
--- a/src/test/kotlin/lichenstage/drain/FakeCluster.kt
+++ b/src/test/kotlin/lichenstage/drain/FakeCluster.kt
@@ -1,6 +1,6 @@
 package lichenstage.drain
 
-import lichenstage.app.SECOND
+import lichenstage.common.SECOND
 
 /** A cluster as drains see it, set by hand. */
 internal class FakeCluster : DrainView {
--- a/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
@@ -1,7 +1,10 @@
 package lichenstage.fleet
 
-import lichenstage.app.SECOND
-import lichenstage.cluster.Shape
+import lichenstage.cloud.ProvisionRequest
+import lichenstage.cloud.ProvisionResult
+import lichenstage.common.SECOND
+import lichenstage.model.MachineType
+import lichenstage.model.Shape
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotEquals
@@ -18,7 +21,7 @@
 
     private fun demand(machines: Double) = listOf(Demand("t", true, machines, machines * 100 * SECOND, 60 * SECOND))
 
-    private fun FleetCore.rentNow(now: Long): Hire? = (next(now) as? CloudCall.Rent)?.hire
+    private fun FleetCore.rentNow(now: Long): ProvisionRequest? = (next(now) as? CloudCall.Provision)?.hire
 
     private fun seen(
         tasks: Int,
@@ -30,9 +33,9 @@
         val fleet = fleet()
         fleet.observe(demand(4.0), { null }, SECOND)
         val first = fleet.rentNow(SECOND)!!
-        fleet.hired(first, Hired.Unclear, SECOND)
+        fleet.hired(first, ProvisionResult.Indeterminate, SECOND)
         assertEquals(first, fleet.rentNow(2 * SECOND)) { "another request was made" }
-        fleet.hired(first, Hired.Machines(listOf("vm-1")), 2 * SECOND)
+        fleet.hired(first, ProvisionResult.Provisioned(listOf("vm-1")), 2 * SECOND)
         val second = fleet.rentNow(3 * SECOND)!!
         assertNotEquals(first.name, second.name) { "the name was used again" }
     }
@@ -53,7 +56,7 @@
         repeat(3) {
             val hire = fleet.rentNow(SECOND)!!
             kinds += hire.spot
-            fleet.hired(hire, Hired.NoCapacity, SECOND)
+            fleet.hired(hire, ProvisionResult.NoCapacity, SECOND)
         }
         assertEquals(listOf(true, true, false), kinds) { "$kinds" }
     }
@@ -70,7 +73,7 @@
         for (s in 1L..200L step 10) forecast.arrived(JobArrival("t", s * SECOND, 5.0, 20 * SECOND, urgent = false))
         repeat(14) { fleet.known("m$it", "t", "z", true, 0, 200 * SECOND) }
         fleet.observe(listOf(foreseen), { seen(1) }, 200 * SECOND)
-        assertTrue(fleet.next(202 * SECOND) !is CloudCall.Rent) { "rented beside the 10 that are expected" }
+        assertTrue(fleet.next(202 * SECOND) !is CloudCall.Provision) { "rented beside the 10 that are expected" }
     }
 
     @Example
@@ -92,7 +95,7 @@
         look()
         look()
         assertEquals(setOf("a", "b", "c"), fleet.cordoned()) { "${fleet.cordoned()}" }
-        assertEquals(CloudCall.GiveBack(listOf("b", "c")), fleet.next(now)) { "${fleet.next(now)}" }
+        assertEquals(CloudCall.Terminate(listOf("b", "c")), fleet.next(now)) { "${fleet.next(now)}" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
@@ -2,7 +2,9 @@
 
 import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
-import lichenstage.cluster.Shape
+import lichenstage.model.JobSpec
+import lichenstage.model.Priority
+import lichenstage.model.Shape
 import net.jqwik.api.Arbitraries
 import net.jqwik.api.Arbitrary
 import net.jqwik.api.Combinators
--- a/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
@@ -1,7 +1,7 @@
 package lichenstage.jobs
 
-import lichenstage.app.SECOND
 import lichenstage.cluster.CompletionSyncReply
+import lichenstage.common.SECOND
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
--- a/src/test/kotlin/lichenstage/jobs/JobsActorTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobsActorTest.kt
@@ -11,19 +11,19 @@
 import kotlinx.coroutines.test.TestCoroutineScheduler
 import kotlinx.coroutines.test.runTest
 import kotlinx.coroutines.withTimeoutOrNull
-import lichenstage.app.Clock
-import lichenstage.app.MILLI
-import lichenstage.app.Team
 import lichenstage.cluster.RequestForwarder
-import lichenstage.cluster.Shape
 import lichenstage.cluster.UserVerb
-import lichenstage.fleet.MachineType
+import lichenstage.common.Clock
+import lichenstage.common.MILLI
+import lichenstage.config.Team
+import lichenstage.model.MachineType
+import lichenstage.model.Shape
 import lichenstage.standin.submission
 import lichenstage.state.Change
-import lichenstage.state.Committed
+import lichenstage.state.KeyValueStore
 import lichenstage.state.MemoryStore
-import lichenstage.state.Read
-import lichenstage.state.Store
+import lichenstage.state.ReadResult
+import lichenstage.state.TransactionResult
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
@@ -44,9 +44,9 @@
         override suspend fun get(
             key: String,
             timeoutMs: Long,
-        ): Read {
+        ): ReadResult {
             delay(1 + random.nextLong(80))
-            if (random.nextInt(12) == 0) return Read.Unavailable
+            if (random.nextInt(12) == 0) return ReadResult.Unavailable
             return read(key)
         }
 
@@ -55,13 +55,30 @@
             changes: List<Change>,
             timeoutMs: Long,
             urgent: Boolean,
-        ): Committed {
+        ): TransactionResult {
             delay(1 + random.nextLong(80))
             return when (random.nextInt(10)) {
-                0 -> Committed.NotExecuted
-                1 -> Committed.Unknown.also { apply(guards, changes) }
-                2 -> Committed.Unknown.also { scope.launch { delay(2000 + random.nextLong(10_000)).also { apply(guards, changes) } } }
-                else -> apply(guards, changes)
+                0 -> {
+                    TransactionResult.Rejected
+                }
+
+                1 -> {
+                    TransactionResult.Indeterminate.also { apply(guards, changes) }
+                }
+
+                2 -> {
+                    TransactionResult.Indeterminate.also {
+                        scope.launch {
+                            delay(
+                                2000 + random.nextLong(10_000),
+                            ).also { apply(guards, changes) }
+                        }
+                    }
+                }
+
+                else -> {
+                    apply(guards, changes)
+                }
             }
         }
 
@@ -70,12 +87,15 @@
             val open = entries["j/$id"] ?: return false
             if (JobRecord.needs(open.value).any { entries["x/$it"]?.value?.getString("status") != "done" }) return false
             val record = JsonObject().put("status", "done").put("tasks", 2)
-            return apply(mapOf("j/$id" to open.stamp), listOf(Change.Delete("j/$id"), Change.Put("x/$id", record))) is Committed.Yes
+            return apply(
+                mapOf("j/$id" to open.stamp),
+                listOf(Change.Delete("j/$id"), Change.Put("x/$id", record)),
+            ) is TransactionResult.Committed
         }
     }
 
     private fun actor(
-        store: Store,
+        store: KeyValueStore,
         scope: CoroutineScope,
     ): JobsActor {
         val machineTypes = mapOf("t" to MachineType("t", Shape(8.0, 0.0, 64.0), 1.0, 0.3, 1, 50.0, 1.0, listOf("a")))
--- a/src/test/kotlin/lichenstage/jobs/OpenRecordCheckTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/OpenRecordCheckTest.kt
@@ -4,7 +4,7 @@
 import kotlinx.coroutines.awaitAll
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.yield
-import lichenstage.state.Committed
+import lichenstage.state.TransactionResult
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
@@ -26,7 +26,7 @@
                 OpenRecordCheck(192, this, gather = { yield() }) { guards ->
                     requests++
                     val failed = guards.keys.filter { it.removePrefix("j/").toInt() in gone }
-                    if (failed.isEmpty()) Committed.Yes(1) else Committed.Refused(failed.take(named))
+                    if (failed.isEmpty()) TransactionResult.Committed(1) else TransactionResult.Conflict(failed.take(named))
                 }
             List(count) { async { check.ask("j/$it", 7) } }.awaitAll()
         }
--- a/src/test/kotlin/lichenstage/cluster/PartitionAssignmentTest.kt
+++ b/src/test/kotlin/lichenstage/model/PartitionAssignmentTest.kt
@@ -1,4 +1,4 @@
-package lichenstage.cluster
+package lichenstage.model
 
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
--- a/src/test/kotlin/lichenstage/partition/FencingTokensTest.kt
+++ b/src/test/kotlin/lichenstage/partition/FencingTokensTest.kt
@@ -1,6 +1,6 @@
 package lichenstage.partition
 
-import lichenstage.app.SECOND
+import lichenstage.common.SECOND
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
@@ -17,7 +17,7 @@
     ) {
         val random = Random(seed)
         val term = 1L + random.nextInt(100)
-        val tokens = FencingTokens(term, 0)
+        val fencingTokens = FencingTokens(term, 0)
         val reserved = HashSet<Long>()
         var counter = term
         var last = term
@@ -25,36 +25,38 @@
             if (random.nextBoolean()) {
                 val first = counter + 1 + random.nextInt(5)
                 counter = first + random.nextInt(4)
-                tokens.add(first..counter)
+                fencingTokens.add(first..counter)
                 reserved += first..counter
             }
-            val token = tokens.next() ?: return@repeat
-            assertTrue(token > last && token in reserved) { "$token after $last, of $reserved" }
-            assertTrue(tokens.isOurs(token) && tokens.isOurs(term) && !tokens.isOurs(token + 1)) { "$token" }
-            last = token
+            val fencingToken = fencingTokens.next() ?: return@repeat
+            assertTrue(fencingToken > last && fencingToken in reserved) { "$fencingToken after $last, of $reserved" }
+            assertTrue(
+                fencingTokens.isOurs(fencingToken) && fencingTokens.isOurs(term) && !fencingTokens.isOurs(fencingToken + 1),
+            ) { "$fencingToken" }
+            last = fencingToken
         }
     }
 
     @Example
     fun `tokens that are not above all others are of no use, and an empty reserve says so`() {
-        val tokens = FencingTokens(10, 0)
-        assertTrue(tokens.next() == null && tokens.isLow) { "a token from nowhere" }
-        tokens.add(5L..10L)
-        assertNull(tokens.next()) { "an old token" }
-        tokens.add(11L..40L)
-        assertTrue(!tokens.isLow && tokens.next() == 11L) { "not taken up" }
-        tokens.add(30L..90L)
-        assertTrue((12L..40L).all { tokens.next() == it } && tokens.next() == null) { "tokens were given twice" }
+        val fencingTokens = FencingTokens(10, 0)
+        assertTrue(fencingTokens.next() == null && fencingTokens.isLow) { "a token from nowhere" }
+        fencingTokens.add(5L..10L)
+        assertNull(fencingTokens.next()) { "an old token" }
+        fencingTokens.add(11L..40L)
+        assertTrue(!fencingTokens.isLow && fencingTokens.next() == 11L) { "not taken up" }
+        fencingTokens.add(30L..90L)
+        assertTrue((12L..40L).all { fencingTokens.next() == it } && fencingTokens.next() == null) { "tokens were given twice" }
     }
 
     @Example
     fun `a reserve that is low is filled up, not in the first seconds unless a token is lacking, and no more than every other second`() {
-        val tokens = FencingTokens(10, acquiredUs = SECOND)
-        assertFalse(tokens.reservationDue(4 * SECOND, isLacking = false)) { "while keys change hands" }
-        assertTrue(tokens.reservationDue(4 * SECOND, isLacking = true)) { "not although one is lacking" }
-        assertFalse(tokens.reservationDue(5 * SECOND, isLacking = true)) { "at once again" }
-        assertTrue(tokens.reservationDue(6 * SECOND, isLacking = false)) { "not again" }
-        tokens.add(11L..40L)
-        assertFalse(tokens.reservationDue(60 * SECOND, isLacking = false)) { "though there are enough" }
+        val fencingTokens = FencingTokens(10, acquiredUs = SECOND)
+        assertFalse(fencingTokens.reservationDue(4 * SECOND, isLacking = false)) { "while keys change hands" }
+        assertTrue(fencingTokens.reservationDue(4 * SECOND, isLacking = true)) { "not although one is lacking" }
+        assertFalse(fencingTokens.reservationDue(5 * SECOND, isLacking = true)) { "at once again" }
+        assertTrue(fencingTokens.reservationDue(6 * SECOND, isLacking = false)) { "not again" }
+        fencingTokens.add(11L..40L)
+        assertFalse(fencingTokens.reservationDue(60 * SECOND, isLacking = false)) { "though there are enough" }
     }
 }
--- a/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
@@ -1,12 +1,13 @@
 package lichenstage.partition
 
-import lichenstage.app.MILLI
-import lichenstage.app.SECOND
-import lichenstage.cluster.JobRequirements
 import lichenstage.cluster.PlacementFrame
 import lichenstage.cluster.PlacementRequest
-import lichenstage.cluster.Shape
 import lichenstage.cluster.StartOrder
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
+import lichenstage.model.JobRequirements
+import lichenstage.model.MachineLimits
+import lichenstage.model.Shape
 import lichenstage.world.RuleChecker
 import lichenstage.world.SimulatedJob
 import lichenstage.world.SimulatedWorker
@@ -37,7 +38,7 @@
             private set
 
         /** What went out under which token, of answers and direct orders. */
-        val tokens = HashSet<Long>()
+        val fencingTokens = HashSet<Long>()
 
         /** Orders that were sent and that nobody has answered. */
         private val unanswered = ArrayList<DirectOrder>()
@@ -51,21 +52,21 @@
             while (now < untilUs) {
                 now += STEP_US
                 worker.step(now)
-                if (now >= reportDueUs) report()
+                if (now >= reportDueUs) heartbeat()
                 partition.tick(now)
                 partition.probes(now).forEach { probe ->
                     probes++
-                    partition.probed(probe, worker.orders(probe.token, worker.session, emptyList(), now).report, now)
+                    partition.probed(probe, worker.orders(probe.fencingToken, worker.agentEpoch, emptyList(), now).heartbeat, now)
                 }
             }
         }
 
-        private fun report() {
+        private fun heartbeat() {
             reportDueUs = now + 3 * SECOND
-            val report = worker.report()
-            val answer = partition.report(report, now) as? ReportAnswer.Accepted ?: return
-            tokens += answer.token
-            worker.answered(answer.token, answer.commands, report.session, now, now)
+            val heartbeat = worker.heartbeat()
+            val answer = partition.heartbeat(heartbeat, now) as? HeartbeatDecision.Accepted ?: return
+            fencingTokens += answer.fencingToken
+            worker.answered(answer.fencingToken, answer.commands, heartbeat.agentEpoch, now, now)
         }
 
         /** The start of j-1/0 goes out as a direct order, which is held on its way. */
@@ -95,7 +96,7 @@
         }
 
         /** The held order is carried out where token and session allow it. */
-        fun land(order: DirectOrder) = worker.orders(order.token, order.session, order.commands, now)
+        fun land(order: DirectOrder) = worker.orders(order.fencingToken, order.agentEpoch, order.commands, now)
     }
 
     /** The job is cancelled between the start's direct order, which is held, and the next report. */
@@ -122,7 +123,7 @@
             val world = cancelledWithHeldStart(landsAfterUs)
             assertTrue(world.checker.broken.isEmpty()) { "${world.checker.broken}" }
             assertEquals(0, world.checker.lateStarts) { "it started a task of a cancelled job" }
-            assertEquals(2L, world.worker.session) { "without a newer token the session must end: ${world.worker.session}" }
+            assertEquals(2L, world.worker.agentEpoch) { "without a newer token the session must end: ${world.worker.agentEpoch}" }
         }
     }
 
@@ -132,9 +133,9 @@
             val world = cancelledWithHeldStart(landsAfterUs) { partition.reserved(TOKEN + 1..TOKEN + 9) }
             assertTrue(world.checker.broken.isEmpty()) { "${world.checker.broken}" }
             assertEquals(0, world.checker.lateStarts) { "it started a task of a cancelled job" }
-            assertEquals(1L, world.worker.session) { "the machine has lost its lease" }
+            assertEquals(1L, world.worker.agentEpoch) { "the machine has lost its lease" }
             assertTrue(world.partition.unansweredStarts().none()) { "the start is kept" }
-            assertEquals(setOf(TOKEN, TOKEN + 1), world.tokens) { "${world.tokens}: one newer token is enough" }
+            assertEquals(setOf(TOKEN, TOKEN + 1), world.fencingTokens) { "${world.fencingTokens}: one newer token is enough" }
         }
     }
 
@@ -149,9 +150,9 @@
         val probes = world.probes
         world.cancel()
         world.runUntil(50 * SECOND)
-        assertEquals(setOf(TOKEN), world.tokens) { "${world.tokens}" }
+        assertEquals(setOf(TOKEN), world.fencingTokens) { "${world.fencingTokens}" }
         assertEquals(probes, world.probes) { "${world.probes - probes} probes" }
-        assertTrue(world.checker.broken.isEmpty() && world.worker.session == 1L) { "${world.checker.broken}" }
+        assertTrue(world.checker.broken.isEmpty() && world.worker.agentEpoch == 1L) { "${world.checker.broken}" }
     }
 
     @Example
@@ -164,7 +165,7 @@
         world.giveUp()
         world.runUntil(14 * SECOND)
         assertEquals(1, world.checker.running("j-1")) { "not started" }
-        assertEquals(setOf(TOKEN), world.tokens) { "${world.tokens}" }
+        assertEquals(setOf(TOKEN), world.fencingTokens) { "${world.fencingTokens}" }
     }
 
     private companion object {
