--- a/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
@@ -1,10 +1,11 @@
 package lichenstage.partition
 
-import lichenstage.app.SECOND
 import lichenstage.cluster.PlacementFrame
-import lichenstage.cluster.Shape
 import lichenstage.cluster.StartOrder
 import lichenstage.cluster.TaskPhase
+import lichenstage.common.SECOND
+import lichenstage.model.MachineLimits
+import lichenstage.model.Shape
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -15,7 +16,7 @@
     @Example
     fun `a machine is offered only after its worker has shown the token`() {
         val partition = partition()
-        partition.report(report(3), 1)
+        partition.heartbeat(heartbeat(3), 1)
         partition.leader(frame(requests = listOf(ask(1, 1))), 1)
         assertTrue(
             partition
@@ -25,7 +26,7 @@
                 .held
                 .isEmpty(),
         ) { "offered before it was settled" }
-        partition.report(report(5), 2)
+        partition.heartbeat(heartbeat(5), 2)
         partition.leader(frame(requests = listOf(ask(2, 1))), 3)
         assertEquals(
             "m",
@@ -41,13 +42,13 @@
 
     @Example
     fun `a worker that has seen a higher token is not answered`() {
-        assertTrue(partition().report(report(6), 1) is ReportAnswer.Superseded) { "answered" }
+        assertTrue(partition().heartbeat(heartbeat(6), 1) is HeartbeatDecision.Superseded) { "answered" }
     }
 
     @Example
     fun `requests in one frame are granted in the order of their stamps`() {
         val partition = partition()
-        partition.report(report(5), 1)
+        partition.heartbeat(heartbeat(5), 1)
         partition.leader(frame(requests = listOf(ask(9, 2).copy(job = "j-2"), ask(3, 1))), 1)
         val offers = partition.frame(2)!!.offers.associate { it.stamp to it.held.sumOf { held -> held.count } }
         assertEquals(mapOf(3L to 1, 9L to 1), offers) { "$offers" }
@@ -65,10 +66,10 @@
                 }
             partition.leader(frame(requests = listOf(ask(1, 0))), 1)
             val busy = listOf(1L, 2L).map { ReportedTask("j-1/$it", it, TaskPhase.RUNNING, null) }.toTypedArray()
-            repeat(machines) { partition.report(report(5, *busy, machine = "m$it"), 1) }
-            partition.report(report(5, machine = "free"), 1)
+            repeat(machines) { partition.heartbeat(heartbeat(5, *busy, machine = "m$it"), 1) }
+            partition.heartbeat(heartbeat(5, machine = "free"), 1)
             looks = 0
-            partition.report(report(5, *busy, machine = "m7"), 1)
+            partition.heartbeat(heartbeat(5, *busy, machine = "m7"), 1)
             assertEquals(0, looks) { "a report made $looks looks at $machines machines" }
             partition.leader(frame(requests = (1L..24L).map { ask(10 + it, 1).copy(job = "j-$it") }), 2)
             assertTrue(looks in machines..machines + 1 + 24) { "$looks looks at $machines machines" }
@@ -80,7 +81,7 @@
     @Example
     fun `holds lapse and a start on a lapsed one is refused and told`() {
         val partition = partition()
-        partition.report(report(5), 0)
+        partition.heartbeat(heartbeat(5), 0)
         partition.leader(frame(requests = listOf(ask(1, 1))), 0)
         partition.frame(1)
         partition.leader(frame(starts = listOf(StartOrder(1, "m", 0, 1))), 6 * SECOND)
@@ -98,7 +99,7 @@
     @Example
     fun `a newer leader's word drops the holds of the one before, whose starts are refused`() {
         val partition = partition()
-        partition.report(report(5), 0)
+        partition.heartbeat(heartbeat(5), 0)
         partition.leader(frame(term = 1, requests = listOf(ask(1, 1))), 0)
         partition.leader(frame(term = 2), 1)
         partition.leader(frame(term = 1, starts = listOf(StartOrder(1, "m", 0, 1))), 2)
@@ -109,7 +110,7 @@
     @Example
     fun `a first exchange comes in pieces, and nothing is concluded before the last`() {
         val partition = partition()
-        repeat(130) { partition.report(report(5, machine = "m$it"), 1) }
+        repeat(130) { partition.heartbeat(heartbeat(5, machine = "m$it"), 1) }
         partition.leader(frame(), 1)
         val first = partition.frame(SECOND)!!
         assertTrue(!first.whole && first.machines.size == 100 && first.seq == 0L && first.receivedSeq == seq) { "$first" }
@@ -123,11 +124,11 @@
     @Example
     fun `late and repeated reports change nothing`() {
         val partition = partition()
-        val late = report(5)
+        val late = heartbeat(5)
         val order = started(partition)
-        partition.ordered(order, OrderOutcome.Answered(true, report(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null))), 2)
+        partition.ordered(order, OrderOutcome.Answered(true, heartbeat(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null))), 2)
         partition.frame(2)
-        partition.report(late, 3)
+        partition.heartbeat(late, 3)
         assertEquals(
             TaskPhase.RUNNING,
             partition
@@ -145,8 +146,8 @@
         val partition = partition()
         val order = started(partition, now = SECOND)
         val running = ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)
-        partition.ordered(order, OrderOutcome.Answered(true, report(5, running)), SECOND)
-        val held = report(5, running)
+        partition.ordered(order, OrderOutcome.Answered(true, heartbeat(5, running)), SECOND)
+        val held = heartbeat(5, running)
         partition.tick(SECOND + LEASE)
         assertFalse(
             partition
@@ -156,7 +157,7 @@
                 .lost,
         ) { "lost too early" }
         partition.tick(3 * SECOND + LEASE)
-        partition.report(held, 4 * SECOND + LEASE)
+        partition.heartbeat(held, 4 * SECOND + LEASE)
         val view = partition.frame(5 * SECOND + LEASE)!!.machines.single()
         assertTrue(view.lost && view.tasks.isEmpty()) { "$view" }
     }
@@ -165,7 +166,7 @@
     fun `a machine known from a probe alone is not lost before its lease can have run out`() {
         val partition = partition()
         val late = 100 * SECOND
-        partition.probed(Probe("m", "1.2.3.4:5", 5), report(5), late)
+        partition.probed(Probe("m", "1.2.3.4:5", 5), heartbeat(5), late)
         partition.tick(late + LEASE / 2)
         partition.leader(frame(), late + LEASE / 2)
         assertFalse(
@@ -180,7 +181,7 @@
     @Example
     fun `a machine with something of unknown size on it is full`() {
         val partition = partition()
-        partition.report(report(5, ReportedTask("j-77/0", 1, TaskPhase.RUNNING, null)), 1)
+        partition.heartbeat(heartbeat(5, ReportedTask("j-77/0", 1, TaskPhase.RUNNING, null)), 1)
         partition.leader(frame(requests = listOf(ask(1, 1))), 2)
         assertTrue(
             partition
@@ -195,11 +196,11 @@
     @Example
     fun `among equally roomy machines the one with the image is offered first`() {
         val partition = partition()
-        listOf("a", "b", "c").forEach { partition.report(report(5, machine = it), 1) }
+        listOf("a", "b", "c").forEach { partition.heartbeat(heartbeat(5, machine = it), 1) }
         partition.leader(frame(requests = listOf(ask(1, 3))), 2)
         partition.leader(frame(starts = listOf(StartOrder(1, "b", 0, 1))), 3)
         partition.directOrders(3)
-        partition.report(report(5, ReportedTask("j-1/0", 1, TaskPhase.ENDED, "done"), machine = "b"), 4)
+        partition.heartbeat(heartbeat(5, ReportedTask("j-1/0", 1, TaskPhase.ENDED, "done"), machine = "b"), 4)
         partition.leader(frame(requests = listOf(ask(2, 1))), 5)
         assertEquals(
             "b",
@@ -216,7 +217,7 @@
     @Example
     fun `of a job that asks twice the later request is for what the first has not got`() {
         val partition = partition()
-        listOf("a", "b").forEach { partition.report(report(5, machine = it), 1) }
+        listOf("a", "b").forEach { partition.heartbeat(heartbeat(5, machine = it), 1) }
         partition.leader(frame(requests = listOf(ask(1, 4))), 2)
         partition.leader(frame(starts = listOf(StartOrder(1, "b", 0, 1))), 3)
         partition.leader(frame(requests = listOf(ask(2, 3).copy(imageOnly = true), ask(3, 3))), 4)
@@ -232,7 +233,7 @@
     @Example
     fun `a request that waits for warm room gets no other`() {
         val partition = partition()
-        listOf("a", "b").forEach { partition.report(report(5, machine = it), 1) }
+        listOf("a", "b").forEach { partition.heartbeat(heartbeat(5, machine = it), 1) }
         partition.leader(frame(requests = listOf(ask(1, 3).copy(imageOnly = true))), 2)
         assertTrue(offered(partition, 2).isEmpty()) { "a cold machine was offered" }
         partition.leader(frame(requests = listOf(ask(2, 4))), 3)
@@ -250,7 +251,7 @@
         while (now < 12 * SECOND) {
             now += SECOND
             // As a mute machine does: what it is asked it answers, and its own reports reach nobody.
-            partition.probed(Probe("m", "1.2.3.4:5", 5, 1), report(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), now)
+            partition.probed(Probe("m", "1.2.3.4:5", 5, 1), heartbeat(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), now)
         }
         partition.leader(frame(requests = listOf(ask(2, 1))), now)
         val offer = partition.frame(now + SECOND)!!.offers.single { it.stamp == 2L }
--- a/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
@@ -1,13 +1,14 @@
 package lichenstage.partition
 
-import lichenstage.app.SECOND
 import lichenstage.cluster.FrameCodec
 import lichenstage.cluster.MachineState
 import lichenstage.cluster.PartitionFrame
 import lichenstage.cluster.PlacementFrame
-import lichenstage.cluster.Shape
 import lichenstage.cluster.StartOrder
 import lichenstage.cluster.TaskPhase
+import lichenstage.common.SECOND
+import lichenstage.model.MachineLimits
+import lichenstage.model.Shape
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
@@ -37,9 +38,9 @@
     private var seq = 0L
     private var attempts = 0L
 
-    private fun report(machine: String) {
+    private fun heartbeat(machine: String) {
         val rows = tasks.getOrPut(machine) { HashMap() }.values.toList()
-        partition.report(Report(machine, "1.2.3.4:5", "t", "z", false, 1, ++tally, 5, null, rows), now)
+        partition.heartbeat(Heartbeat(machine, "1.2.3.4:5", "t", "z", false, 1, ++tally, 5, null, rows), now)
     }
 
     private fun word(
@@ -143,7 +144,7 @@
                 rows.remove(one)
             }
         }
-        report(machine)
+        heartbeat(machine)
     }
 
     private fun Set<Long>.randomOrNull(random: Random) = if (isEmpty()) null else elementAt(random.nextInt(size))
@@ -157,7 +158,7 @@
                     tasks.getOrPut("m$m") { HashMap() }[++attempts] =
                         ReportedTask("j-1/$attempts", attempts, TaskPhase.RUNNING, null)
                 }
-                report("m$m")
+                heartbeat("m$m")
             }
             word(machines.toLong(), 0)
             var acked = 0L
@@ -175,7 +176,7 @@
                     .first { it.phase == TaskPhase.RUNNING }
                     .attempt
             tasks.getValue("m7")[one] = tasks.getValue("m7").getValue(one).copy(phase = TaskPhase.ENDED, cause = "done")
-            report("m7")
+            heartbeat("m7")
             val news = told()!!
             assertTrue(
                 news.machines.sumOf { it.tasks.size } == 1 && news.machines.size == 1,
@@ -190,7 +191,7 @@
     @Example
     fun `a piece does not claim what only a whole frame that was lost has told`() {
         setting = Setting(machinesInFrame = 1)
-        listOf("m1", "m2").forEach(::report)
+        listOf("m1", "m2").forEach(::heartbeat)
         word(1, 0)
         val confirmed = acknowledgeAll()
         word(1, confirmed.version, started = "m1")
@@ -198,18 +199,18 @@
         assertTrue(lost.whole && lost.seq == seq && lost.machines.single().name == "m1") { "$lost" }
         listOf("m2", "m1").forEach { machine ->
             tasks.getOrPut(machine) { HashMap() }[++attempts] = ReportedTask("j-2/$attempts", attempts, TaskPhase.RUNNING, null)
-            report(machine)
+            heartbeat(machine)
         }
         val piece = told()!!
         assertTrue(!piece.whole && piece.machines.single().name == "m2") { "$piece" }
         assertTrue(piece.seq <= confirmed.seq) { "claims ${piece.seq} although only ${confirmed.seq} is known to have arrived" }
         // By pieces the leader comes to a higher version than the lost frame's, which is no word that it has that one.
         word(1, piece.version)
-        report("m2")
+        heartbeat("m2")
         tasks.getValue("m2")[++attempts] = ReportedTask("j-2/$attempts", attempts, TaskPhase.RUNNING, null)
-        report("m2")
+        heartbeat("m2")
         tasks.getValue("m1")[++attempts] = ReportedTask("j-2/$attempts", attempts, TaskPhase.RUNNING, null)
-        report("m1")
+        heartbeat("m1")
         val next = told()!!
         assertTrue(!next.whole && next.seq <= confirmed.seq) { "claims ${next.seq} after a piece was acknowledged" }
     }
@@ -217,14 +218,14 @@
     @Example
     fun `once a whole frame is acknowledged the pieces after it say what it has told`() {
         setting = Setting(machinesInFrame = 1)
-        listOf("m1", "m2").forEach(::report)
+        listOf("m1", "m2").forEach(::heartbeat)
         word(1, 0)
         acknowledgeAll()
         val whole = told()!!
         word(1, whole.version)
         listOf("m2", "m1").forEach { machine ->
             tasks.getOrPut(machine) { HashMap() }[++attempts] = ReportedTask("j-2/$attempts", attempts, TaskPhase.RUNNING, null)
-            report(machine)
+            heartbeat(machine)
         }
         val piece = told()!!
         assertTrue(!piece.whole && piece.seq == whole.seq) { "says ${piece.seq}, the leader has ${whole.seq}" }
@@ -236,7 +237,7 @@
         for (count in listOf(4_000, 6_000)) {
             setting = Setting()
             val machines = List(count) { "m$it" }
-            machines.forEach(::report)
+            machines.forEach(::heartbeat)
             word(1, 0)
             acknowledgeAll()
             var next = 0
@@ -257,7 +258,7 @@
         for (machine in machines) {
             val rows = tasks.getOrPut(machine) { HashMap() }
             repeat(60) { rows[++attempts] = ReportedTask("j-000001/$attempts", attempts, TaskPhase.RUNNING, null) }
-            report(machine)
+            heartbeat(machine)
         }
         word(1, 0)
         val sizes = ArrayList<Int>()
@@ -272,7 +273,7 @@
 
     private fun change(machine: String) {
         tasks.getOrPut(machine) { HashMap() }[++attempts] = ReportedTask("j-3/$attempts", attempts, TaskPhase.RUNNING, null)
-        report(machine)
+        heartbeat(machine)
         tasks.getValue(machine).clear()
     }
 
--- a/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
@@ -1,14 +1,15 @@
 package lichenstage.partition
 
-import lichenstage.app.SECOND
 import lichenstage.cluster.AttemptOrder
-import lichenstage.cluster.JobRequirements
 import lichenstage.cluster.PlacementFrame
 import lichenstage.cluster.PlacementRequest
 import lichenstage.cluster.SaveOrder
-import lichenstage.cluster.Shape
 import lichenstage.cluster.StartOrder
 import lichenstage.cluster.TaskPhase
+import lichenstage.common.SECOND
+import lichenstage.model.JobRequirements
+import lichenstage.model.MachineLimits
+import lichenstage.model.Shape
 
 /** A partition of one zone, its machines and a leader, for tests. */
 abstract class PartitionFixture {
@@ -18,12 +19,12 @@
 
     protected fun partition() = PartitionCore("z/0", "z", 5, LEASE, 3 * SECOND, 0) { MachineLimits("t", Shape(8.0, 0.0, 64.0)) }
 
-    protected fun report(
-        token: Long,
+    protected fun heartbeat(
+        fencingToken: Long,
         vararg tasks: ReportedTask,
-        session: Long = 1,
+        agentEpoch: Long = 1,
         machine: String = "m",
-    ) = Report(machine, "1.2.3.4:5", "t", "z", false, session, ++tally, token, null, tasks.toList())
+    ) = Heartbeat(machine, "1.2.3.4:5", "t", "z", false, agentEpoch, ++tally, fencingToken, null, tasks.toList())
 
     protected fun frame(
         term: Long = 1,
@@ -39,17 +40,17 @@
     ) = PlacementRequest(stamp, "j-1", facts, count, null, null, true)
 
     protected fun PartitionCore.commands(
-        report: Report,
+        heartbeat: Heartbeat,
         now: Long,
-    ) = (report(report, now) as ReportAnswer.Accepted).commands
+    ) = (heartbeat(heartbeat, now) as HeartbeatDecision.Accepted).commands
 
     /** A partition with a settled machine on which j-1/0 was started as try 1; its direct order is returned. */
     protected fun started(
         partition: PartitionCore,
         now: Long = 1,
     ): DirectOrder {
-        partition.report(report(0), now)
-        partition.report(report(5), now)
+        partition.heartbeat(heartbeat(0), now)
+        partition.heartbeat(heartbeat(5), now)
         partition.leader(frame(requests = listOf(ask(1, 1))), now)
         partition.leader(frame(starts = listOf(StartOrder(1, "m", 0, 1))), now)
         return partition.directOrders(now).single()
@@ -63,7 +64,7 @@
     /** A partition with j-1/0 running as try 1 on machine m. */
     protected fun running(): PartitionCore {
         val partition = partition()
-        partition.ordered(started(partition), OrderOutcome.Answered(true, report(5, task(TaskPhase.RUNNING))), 2)
+        partition.ordered(started(partition), OrderOutcome.Answered(true, heartbeat(5, task(TaskPhase.RUNNING))), 2)
         return partition
     }
 
--- a/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
@@ -1,10 +1,11 @@
 package lichenstage.partition
 
-import lichenstage.app.SECOND
 import lichenstage.cluster.AttemptOrder
-import lichenstage.cluster.Shape
 import lichenstage.cluster.StartOrder
 import lichenstage.cluster.TaskPhase
+import lichenstage.common.SECOND
+import lichenstage.model.MachineLimits
+import lichenstage.model.Shape
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -17,8 +18,8 @@
     @Example
     fun `where connections are few, what must stop goes before what may start`() {
         val partition = partition()
-        for (name in listOf("m1", "m2")) partition.report(report(5, machine = name), 1)
-        partition.report(report(5, ReportedTask("j-9/0", 9, TaskPhase.RUNNING, null), machine = "m3"), 2)
+        for (name in listOf("m1", "m2")) partition.heartbeat(heartbeat(5, machine = name), 1)
+        partition.heartbeat(heartbeat(5, ReportedTask("j-9/0", 9, TaskPhase.RUNNING, null), machine = "m3"), 2)
         partition.directOrders(2)
         partition.leader(frame(requests = listOf(ask(1, 4))), 3)
         val starts = listOf("m1", "m2").mapIndexed { i, name -> StartOrder(1, name, i, 10L + i) }
@@ -34,17 +35,17 @@
             val partition = partition()
             val order = started(partition)
             val ended = ReportedTask("j-1/0", 1, TaskPhase.ENDED, cause)
-            partition.ordered(order, OrderOutcome.Answered(true, report(5, ended)), 2)
+            partition.ordered(order, OrderOutcome.Answered(true, heartbeat(5, ended)), 2)
             partition.leader(frame(clears = listOf(AttemptOrder("m", "j-1/0", 1))), 3)
             for (now in listOf(9 * SECOND, 29 * LEASE, 31 * LEASE, 1000 * LEASE)) {
-                val commands = partition.commands(report(5, ended), now)
+                val commands = partition.commands(heartbeat(5, ended), now)
                 assertEquals((cause == "done"), commands.any { it is Command.Clear }) { "$cause at $now: $commands" }
             }
             partition.reserved(6L..9L)
             partition.tick(1001 * LEASE)
-            val unshown = partition.commands(report(5, ended), 1001 * LEASE)
+            val unshown = partition.commands(heartbeat(5, ended), 1001 * LEASE)
             assertEquals((cause == "done"), unshown.any { it is Command.Clear }) { "$cause before the newer token was shown: $unshown" }
-            val shown = partition.commands(report(if (cause == "done") 5 else 6, ended), 1001 * LEASE + SECOND)
+            val shown = partition.commands(heartbeat(if (cause == "done") 5 else 6, ended), 1001 * LEASE + SECOND)
             assertTrue(shown.any { it is Command.Clear }) { "$cause: $shown" }
         }
     }
@@ -56,13 +57,13 @@
         val order = started(partition)
         val done = ReportedTask("j-1/0", 1, TaskPhase.ENDED, "done")
         partition.ordered(order, OrderOutcome.Unclear, 3 * SECOND)
-        partition.probed(Probe("m", "1.2.3.4:5", 5, 1), report(5, done), 5 * SECOND)
+        partition.probed(Probe("m", "1.2.3.4:5", 5, 1), heartbeat(5, done), 5 * SECOND)
         partition.leader(frame(clears = listOf(AttemptOrder("m", "j-1/0", 1))), 6 * SECOND)
-        assertTrue(partition.commands(report(5, done), 7 * SECOND).isEmpty()) { "cleared while the order may land" }
+        assertTrue(partition.commands(heartbeat(5, done), 7 * SECOND).isEmpty()) { "cleared while the order may land" }
         partition.reserved(6L..9L)
         partition.tick(8 * SECOND)
-        assertTrue(partition.commands(report(5, done), 9 * SECOND).isEmpty()) { "cleared before the newer token was shown" }
-        assertTrue(partition.commands(report(6, done), 15 * SECOND).single() is Command.Clear) { "not cleared" }
+        assertTrue(partition.commands(heartbeat(5, done), 9 * SECOND).isEmpty()) { "cleared before the newer token was shown" }
+        assertTrue(partition.commands(heartbeat(6, done), 15 * SECOND).single() is Command.Clear) { "not cleared" }
     }
 
     @Example
@@ -70,11 +71,11 @@
         val partition = partition()
         val order = started(partition)
         val ended = ReportedTask("j-1/0", 1, TaskPhase.ENDED, "done")
-        assertTrue(partition.commands(report(5), 10).single() is Command.Start) { "the answer is the sure path" }
-        partition.ordered(order, OrderOutcome.Answered(true, report(5, ended)), 11)
+        assertTrue(partition.commands(heartbeat(5), 10).single() is Command.Start) { "the answer is the sure path" }
+        partition.ordered(order, OrderOutcome.Answered(true, heartbeat(5, ended)), 11)
         partition.leader(frame(clears = listOf(AttemptOrder("m", "j-1/0", 1))), 12)
-        assertTrue(partition.commands(report(5, ended), SECOND).isEmpty()) { "cleared too early" }
-        assertTrue(partition.commands(report(5, ended), 7 * SECOND).single() is Command.Clear) { "not cleared" }
+        assertTrue(partition.commands(heartbeat(5, ended), SECOND).isEmpty()) { "cleared too early" }
+        assertTrue(partition.commands(heartbeat(5, ended), 7 * SECOND).single() is Command.Clear) { "not cleared" }
     }
 
     @Example
@@ -85,11 +86,11 @@
         assertEquals(listOf(Command.Stop("j-1/0", 1, 5.0)), order.commands) { "$order" }
         partition.ordered(order, OrderOutcome.NotSent, SECOND)
         partition.leader(saveFrame(), 3 * SECOND)
-        assertTrue(partition.commands(report(5, task(TaskPhase.RUNNING)), 4 * SECOND).isEmpty()) { "a second stop may end the saving" }
-        val again = partition.commands(report(5, task(TaskPhase.RUNNING)), 8 * SECOND)
+        assertTrue(partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 4 * SECOND).isEmpty()) { "a second stop may end the saving" }
+        val again = partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 8 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 5.0)), again) { "$again" }
-        assertTrue(partition.commands(report(5, task(TaskPhase.SAVING)), 20 * SECOND).isEmpty()) { "stopped while it saves" }
-        assertTrue(partition.commands(report(5, task(TaskPhase.ENDED)), 21 * SECOND).isEmpty()) { "stopped after its end" }
+        assertTrue(partition.commands(heartbeat(5, task(TaskPhase.SAVING)), 20 * SECOND).isEmpty()) { "stopped while it saves" }
+        assertTrue(partition.commands(heartbeat(5, task(TaskPhase.ENDED)), 21 * SECOND).isEmpty()) { "stopped after its end" }
     }
 
     @Example
@@ -97,9 +98,9 @@
         val partition = running()
         partition.leader(saveFrame(), SECOND)
         partition.directOrders(SECOND)
-        partition.report(report(5, task(TaskPhase.SAVING)), 2 * SECOND)
+        partition.heartbeat(heartbeat(5, task(TaskPhase.SAVING)), 2 * SECOND)
         partition.leader(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2 * SECOND)
-        val commands = partition.commands(report(5, task(TaskPhase.SAVING)), 3 * SECOND)
+        val commands = partition.commands(heartbeat(5, task(TaskPhase.SAVING)), 3 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "$commands" }
     }
 
@@ -133,11 +134,11 @@
         val partition = partition()
         val order = started(partition)
         partition.ordered(order, OrderOutcome.Unclear, 3 * SECOND)
-        partition.report(report(5), 4 * SECOND)
+        partition.heartbeat(heartbeat(5), 4 * SECOND)
         partition.leader(frame(requests = listOf(ask(2, 1))), 4 * SECOND)
         assertTrue(offered(partition, 4 * SECOND).isEmpty()) { "offered although nothing reaches it" }
         val probe = partition.probes(5 * SECOND).single()
-        partition.probed(probe, report(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), 5 * SECOND)
+        partition.probed(probe, heartbeat(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), 5 * SECOND)
         partition.leader(frame(requests = listOf(ask(3, 1))), 5 * SECOND)
         assertEquals(listOf("m"), offered(partition, 5 * SECOND)) { "not offered although it heeds again" }
     }
@@ -146,10 +147,10 @@
     fun `a machine whose lease ran out although it was answered has to heed an order first`() {
         val partition = partition()
         started(partition)
-        partition.report(report(5, session = 2), 20 * SECOND)
+        partition.heartbeat(heartbeat(5, agentEpoch = 2), 20 * SECOND)
         partition.leader(frame(requests = listOf(ask(2, 1))), 20 * SECOND)
         assertTrue(offered(partition, 20 * SECOND).isEmpty()) { "offered" }
-        assertEquals(2L, partition.probes(20 * SECOND).single().session) { "not asked" }
+        assertEquals(2L, partition.probes(20 * SECOND).single().agentEpoch) { "not asked" }
     }
 
     @Example
@@ -185,9 +186,9 @@
 
         fun tasks(
             now: Long,
-            token: Long = 5,
+            fencingToken: Long = 5,
         ): Int {
-            partition.report(report(token), now)
+            partition.heartbeat(heartbeat(fencingToken), now)
             partition.tick(now)
             return partition
                 .frame(now)
@@ -200,7 +201,7 @@
         partition.reserved(6L..9L)
         assertNotEquals(0, tasks(51 * LEASE)) { "forgotten before the newer token was shown" }
         assertNotEquals(0, tasks(51 * LEASE + SECOND)) { "forgotten before the newer token was shown" }
-        assertEquals(0, tasks(51 * LEASE + 2 * SECOND, token = 6)) { "kept for ever" }
+        assertEquals(0, tasks(51 * LEASE + 2 * SECOND, fencingToken = 6)) { "kept for ever" }
     }
 
     @Example
@@ -209,35 +210,35 @@
             listOf(
                 OrderOutcome.Answered(true, null),
                 OrderOutcome.Answered(false, null),
-                OrderOutcome.Answered(true, report(5, machine = "other")),
-                OrderOutcome.Answered(true, report(5, session = 0)),
-                OrderOutcome.Answered(true, report(4)),
-                OrderOutcome.Answered(false, report(4)),
-                OrderOutcome.Answered(false, report(5)),
+                OrderOutcome.Answered(true, heartbeat(5, machine = "other")),
+                OrderOutcome.Answered(true, heartbeat(5, agentEpoch = 0)),
+                OrderOutcome.Answered(true, heartbeat(4)),
+                OrderOutcome.Answered(false, heartbeat(4)),
+                OrderOutcome.Answered(false, heartbeat(5)),
             )
         for (answer in worthless) {
             val partition = partition()
             val order = started(partition)
             partition.leader(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
             partition.ordered(order, answer, SECOND)
-            partition.report(report(5), SECOND)
+            partition.heartbeat(heartbeat(5), SECOND)
             assertFalse(gone(partition, SECOND)) { "$answer" }
             assertEquals(1, partition.unansweredStarts().count()) { "$answer" }
         }
         val refused = partition()
         val order = started(refused)
         refused.leader(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
-        refused.ordered(order, OrderOutcome.Answered(false, report(5, session = 2)), SECOND)
+        refused.ordered(order, OrderOutcome.Answered(false, heartbeat(5, agentEpoch = 2)), SECOND)
         assertTrue(gone(refused, SECOND)) { "refused for its session, and kept" }
     }
 
     /** A partition that has sent the start of j-1/0 in the answer to a report, and in no other way; returns that report. */
-    private fun startedByAnswer(partition: PartitionCore): Report {
-        partition.report(report(0), 1)
-        partition.report(report(5), 1)
+    private fun startedByAnswer(partition: PartitionCore): Heartbeat {
+        partition.heartbeat(heartbeat(0), 1)
+        partition.heartbeat(heartbeat(5), 1)
         partition.leader(frame(requests = listOf(ask(1, 1))), 1)
         partition.leader(frame(starts = listOf(StartOrder(1, "m", 0, 1))), 1)
-        val answered = report(5)
+        val answered = heartbeat(5)
         assertTrue(partition.commands(answered, SECOND).single() is Command.Start) { "no start in the answer" }
         partition.leader(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), SECOND)
         return answered
@@ -259,14 +260,14 @@
         val answered = startedByAnswer(partition)
         partition.tick(10 * SECOND)
         assertFalse(gone(partition, 10 * SECOND)) { "given up because time has passed" }
-        partition.report(answered, 11 * SECOND)
+        partition.heartbeat(answered, 11 * SECOND)
         partition.tick(11 * SECOND)
         assertFalse(gone(partition, 11 * SECOND)) { "given up for a copy of the report that was answered" }
         val order = DirectOrder("m", "1.2.3.4:5", 5, 1, emptyList())
-        partition.ordered(order, OrderOutcome.Answered(true, report(5)), 12 * SECOND)
+        partition.ordered(order, OrderOutcome.Answered(true, heartbeat(5)), 12 * SECOND)
         partition.tick(12 * SECOND)
         assertFalse(gone(partition, 12 * SECOND)) { "given up for an answer to an order, which may be older than the report's answer" }
-        partition.report(report(5), 13 * SECOND)
+        partition.heartbeat(heartbeat(5), 13 * SECOND)
         assertTrue(gone(partition, 13 * SECOND)) { "kept although a later report does not list it" }
     }
 
@@ -275,7 +276,7 @@
         val partition = partition()
         startedByAnswer(partition)
         partition.tick(10 * SECOND)
-        val commands = partition.commands(report(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), 11 * SECOND)
+        val commands = partition.commands(heartbeat(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), 11 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "$commands" }
     }
 
@@ -286,7 +287,7 @@
             PartitionCore("z/0", "z", 5, LEASE, 3 * SECOND, 0, jobEnds = ends) { MachineLimits("t", Shape(8.0, 0.0, 64.0)) }
         started(partition)
         partition.leader(frame(requests = listOf(ask(2, 1))), SECOND)
-        partition.commands(report(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), SECOND)
+        partition.commands(heartbeat(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), SECOND)
         ends.end("j-1")
         partition.leader(frame(requests = listOf(ask(3, 1)), starts = listOf(StartOrder(2, "m", 1, 2))), 2 * SECOND)
         assertTrue(
@@ -298,7 +299,7 @@
                 .isEmpty(),
         ) { "offered for a job that is over" }
         partition.tick(3 * SECOND)
-        val commands = partition.commands(report(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), 3 * SECOND)
+        val commands = partition.commands(heartbeat(5, ReportedTask("j-1/0", 1, TaskPhase.RUNNING, null)), 3 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "not just stopped: $commands" }
     }
 }
--- a/src/test/kotlin/lichenstage/partition/WorkerCodecTest.kt
+++ b/src/test/kotlin/lichenstage/partition/WorkerCodecTest.kt
@@ -2,8 +2,8 @@
 
 import io.vertx.core.buffer.Buffer
 import io.vertx.core.json.JsonObject
-import lichenstage.app.SECOND
 import lichenstage.cluster.TaskPhase
+import lichenstage.common.SECOND
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
@@ -30,12 +30,12 @@
     ) {
         val random = Random(seed)
         val commands = List(random.nextInt(20)) { command(random) }
-        val token = random.nextLong() and Long.MAX_VALUE
-        val session = random.nextInt(1000).toLong().takeIf { random.nextBoolean() }
-        val json = JsonObject(WorkerCodec.orders(token, commands, session))
-        assertEquals(token, json.getLong("warrant")) { "$json" }
-        assertEquals(session != null, json.fieldNames().contains("tenure")) { "$json" }
-        assertEquals(session, json.getLong("tenure") as Long?) { "$json" }
+        val fencingToken = random.nextLong() and Long.MAX_VALUE
+        val agentEpoch = random.nextInt(1000).toLong().takeIf { random.nextBoolean() }
+        val json = JsonObject(WorkerCodec.orders(fencingToken, commands, agentEpoch))
+        assertEquals(fencingToken, json.getLong("warrant")) { "$json" }
+        assertEquals(agentEpoch != null, json.fieldNames().contains("tenure")) { "$json" }
+        assertEquals(agentEpoch, json.getLong("tenure") as Long?) { "$json" }
         val rows = json.getJsonArray("orders").map { it as JsonObject }
         assertEquals(commands.size, rows.size) { "$json" }
         rows.zip(commands).forEach { (row, command) -> assertTrue(isSame(row, command)) { "$row for $command" } }
@@ -53,8 +53,8 @@
 
     @Example
     fun `a report is read, with fields that are not known or left out`() {
-        val report =
-            WorkerCodec.report(
+        val heartbeat =
+            WorkerCodec.heartbeat(
                 Buffer.buffer(
                     """{"holdfast":"vm-1","addr":"10.0.0.1:9","build":"g8","yard":"a","loaners":true,"tenure":2,"tally":7,"new":{"x":[1]},
                        "recall_s":1.5,"parts":[{"part":"j-1/3","try":4,"status":"pulling"},
@@ -62,7 +62,7 @@
                 ),
             )
         val tasks = listOf(ReportedTask("j-1/3", 4, TaskPhase.FETCHING, null), ReportedTask("j-1/4", 5, TaskPhase.ENDED, "done"))
-        assertEquals(Report("vm-1", "10.0.0.1:9", "g8", "a", true, 2, 7, 0, 3 * SECOND / 2, tasks), report) { "$report" }
+        assertEquals(Heartbeat("vm-1", "10.0.0.1:9", "g8", "a", true, 2, 7, 0, 3 * SECOND / 2, tasks), heartbeat) { "$heartbeat" }
     }
 
     @Example
@@ -79,6 +79,6 @@
                 """{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":1,"tally":1,"parts":{}}""",
                 """{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":1,"tally":1,"parts":[{"part":"j-1/1"}]}""",
             )
-        for (text in wrong) assertNull(WorkerCodec.report(Buffer.buffer(text))) { text }
+        for (text in wrong) assertNull(WorkerCodec.heartbeat(Buffer.buffer(text))) { text }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/CheckpointStopsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CheckpointStopsTest.kt
@@ -1,10 +1,10 @@
 package lichenstage.placement
 
-import lichenstage.app.SECOND
 import lichenstage.cluster.MachineState
 import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.TaskPhase
-import lichenstage.jobs.Priority
+import lichenstage.common.SECOND
+import lichenstage.model.Priority
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
+++ b/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
@@ -1,9 +1,9 @@
 package lichenstage.placement
 
-import lichenstage.app.Objective
-import lichenstage.app.ObjectiveKind
-import lichenstage.app.SECOND
-import lichenstage.jobs.Priority
+import lichenstage.common.SECOND
+import lichenstage.config.Objective
+import lichenstage.config.ObjectiveKind
+import lichenstage.model.Priority
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertSame
--- a/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -1,17 +1,17 @@
 package lichenstage.placement
 
-import lichenstage.app.SECOND
-import lichenstage.app.Team
 import lichenstage.cluster.HeldSlots
 import lichenstage.cluster.MachineState
 import lichenstage.cluster.Offer
-import lichenstage.cluster.PartitionAssignment
 import lichenstage.cluster.PartitionFrame
 import lichenstage.cluster.PlacementFrame
-import lichenstage.cluster.Shape
 import lichenstage.cluster.TaskState
-import lichenstage.jobs.JobSpec
-import lichenstage.jobs.Priority
+import lichenstage.common.SECOND
+import lichenstage.config.Team
+import lichenstage.model.JobSpec
+import lichenstage.model.PartitionAssignment
+import lichenstage.model.Priority
+import lichenstage.model.Shape
 import org.junit.jupiter.api.Assertions.assertEquals
 
 /** A leader, the partitions that it hears, and what it asks of the outside, for tests. */
@@ -73,7 +73,7 @@
         Offer(it.stamp, listOf(HeldSlots(machine, count, count, false)))
     }
 
-    protected fun inherited(vararg names: String) = names.map { InheritedMachine(it, "z/0", "t", null) }
+    protected fun inherited(vararg names: String) = names.map { RecoveredMachine(it, "z/0", "t", null) }
 
     /** Brings all tasks of a job, two where none is given, on m1 in partition z. */
     protected fun placed(job: Job = job("j-1")): LeaderCore {
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -1,12 +1,12 @@
 package lichenstage.placement
 
-import lichenstage.app.Objective
-import lichenstage.app.ObjectiveKind
-import lichenstage.app.SECOND
 import lichenstage.cluster.HeldSlots
-import lichenstage.cluster.Shape
 import lichenstage.cluster.TaskPhase
 import lichenstage.cluster.TaskState
+import lichenstage.common.SECOND
+import lichenstage.config.Objective
+import lichenstage.config.ObjectiveKind
+import lichenstage.model.Shape
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
-import lichenstage.app.SECOND
-import lichenstage.jobs.Priority
+import lichenstage.common.SECOND
+import lichenstage.model.Priority
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
--- a/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
@@ -1,10 +1,10 @@
 package lichenstage.placement
 
-import lichenstage.app.SECOND
-import lichenstage.cluster.Shape
+import lichenstage.common.SECOND
 import lichenstage.fleet.DemandEstimate
-import lichenstage.fleet.MachineType
-import lichenstage.jobs.Priority
+import lichenstage.model.MachineType
+import lichenstage.model.Priority
+import lichenstage.model.Shape
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/lichenstage/placement/RegistryTest.kt
+++ b/src/test/kotlin/lichenstage/placement/RegistryTest.kt
@@ -35,10 +35,13 @@
         }
         assertTrue(!registry.behind && store.values.all { it.value.encode().length <= 2048 }) { "not split" }
         val next = Registry(2048)
-        assertEquals(machines.map { it.name }.toSet() - gone.toSet(), store.values
+        assertEquals(
+            machines.map { it.name }.toSet() - gone.toSet(),
+            store.values
                 .flatMap(next::load)
                 .map { it.name }
-                .toSet()) { "lost" }
+                .toSet(),
+        ) { "lost" }
     }
 
     private fun machine(number: Int) = Registered("vm-${1000000 + number}", "type", "zone", number % 2 == 0, "10.200.100.50:9000")
--- a/src/test/kotlin/lichenstage/placement/TestJobs.kt
+++ b/src/test/kotlin/lichenstage/placement/TestJobs.kt
@@ -1,9 +1,9 @@
 package lichenstage.placement
 
-import lichenstage.app.SECOND
-import lichenstage.cluster.Shape
-import lichenstage.jobs.JobSpec
-import lichenstage.jobs.Priority
+import lichenstage.common.SECOND
+import lichenstage.model.JobSpec
+import lichenstage.model.Priority
+import lichenstage.model.Shape
 
 /** A job of one-core tasks, for tests of the order of jobs. */
 internal fun oneCoreSpec(
--- a/src/test/kotlin/lichenstage/standin/WorkerStandIn.kt
+++ b/src/test/kotlin/lichenstage/standin/WorkerStandIn.kt
@@ -40,8 +40,8 @@
     private var server: HttpServer? = null
     private val labels = controllers.keys.toList()
     private var target = labels.first()
-    private var token = 0L
-    private var session = 1L
+    private var fencingToken = 0L
+    private var agentEpoch = 1L
     private var sequence = 0L
     private var answeredMs = System.currentTimeMillis()
     private val tasks = LinkedHashMap<Pair<String, Long>, Task>()
@@ -50,7 +50,7 @@
     private var underWay = false
 
     /** How often its lease ran out, and when a report was last answered. */
-    val expiries get() = session - 1
+    val expiries get() = agentEpoch - 1
     val lastAnsweredMs get() = answeredMs
     val address = "127.0.0.1:$port"
     var up = false
@@ -68,7 +68,17 @@
                     if (heldMs == null) {
                         val valid = isValid(body)
                         if (request.path() == "/orders" && valid) obey(body)
-                        request.response().setStatusCode(if (request.path() == "/orders" && !valid) 409 else 200).end(report().toBuffer())
+                        request
+                            .response()
+                            .setStatusCode(
+                                if (request.path() == "/orders" &&
+                                    !valid
+                                ) {
+                                    409
+                                } else {
+                                    200
+                                },
+                            ).end(heartbeat().toBuffer())
                     } else {
                         vertx.setTimer(heldMs) {
                             onHeldOrder(starts(body))
@@ -81,7 +91,7 @@
         beat()
     }
 
-    private fun isValid(order: JsonObject) = (order.getLong("warrant") ?: 0) >= token && order.getLong("tenure") == session
+    private fun isValid(order: JsonObject) = (order.getLong("warrant") ?: 0) >= fencingToken && order.getLong("tenure") == agentEpoch
 
     private fun starts(order: JsonObject): List<String> =
         (order.getJsonArray("orders") ?: JsonArray())
@@ -100,7 +110,7 @@
         tasks.clear()
     }
 
-    private fun report(): JsonObject {
+    private fun heartbeat(): JsonObject {
         val rows =
             tasks.map { (key, task) ->
                 JsonObject()
@@ -115,9 +125,9 @@
             .put("build", "c4")
             .put("yard", zone)
             .put("loaners", true)
-            .put("tenure", session)
+            .put("tenure", agentEpoch)
             .put("tally", ++sequence)
-            .put("warrant", token)
+            .put("warrant", fencingToken)
             .put("recall_s", null)
             .put("parts", JsonArray(rows))
     }
@@ -147,15 +157,15 @@
         beatMs = sentMs
         if (sentMs - answeredMs > leaseMs) {
             forget()
-            session++
+            agentEpoch++
             sequence = 0
             answeredMs = sentMs
         }
-        val forSession = session
+        val forSession = agentEpoch
         val over = client
         client
             .request(HttpMethod.POST, controllers.getValue(target), "127.0.0.1", "/agent/beat")
-            .compose { it.send(report().toBuffer()) }
+            .compose { it.send(heartbeat().toBuffer()) }
             .compose { response -> response.body().map { response.statusCode() to it } }
             .onComplete { answer ->
                 // Of a connection that was dropped meanwhile nothing is heard.
@@ -163,7 +173,7 @@
                 underWay = false
                 val (status, body) = if (answer.succeeded()) answer.result() else (0 to null)
                 when {
-                    status == 200 && JsonObject(body).getLong("warrant") >= token && forSession == session -> {
+                    status == 200 && JsonObject(body).getLong("warrant") >= fencingToken && forSession == agentEpoch -> {
                         answeredMs = sentMs
                         obey(JsonObject(body))
                         nextBeat(reportMs)
@@ -183,7 +193,7 @@
     }
 
     private fun obey(body: JsonObject) {
-        token = body.getLong("warrant")
+        fencingToken = body.getLong("warrant")
         for (row in body.getJsonArray("orders") ?: JsonArray()) {
             row as JsonObject
             val key = row.getString("part") to row.getLong("try")
--- a/src/test/kotlin/lichenstage/state/MemoryStore.kt
+++ b/src/test/kotlin/lichenstage/state/MemoryStore.kt
@@ -1,19 +1,19 @@
 package lichenstage.state
 
 /** Keys, guards and revisions of the state service as the protocol has them; each test brings its own ways of failing. */
-internal abstract class MemoryStore : Store {
+internal abstract class MemoryStore : KeyValueStore {
     val entries = HashMap<String, Entry>()
     var revision = 0L
         private set
 
-    fun read(key: String): Read = entries[key]?.let { Read.Found(it) } ?: Read.Missing
+    fun read(key: String): ReadResult = entries[key]?.let { ReadResult.Found(it) } ?: ReadResult.NotFound
 
     fun apply(
         guards: Map<String, Long>,
         changes: List<Change>,
-    ): Committed {
+    ): TransactionResult {
         val failed = guards.filter { (key, stamp) -> (entries[key]?.stamp ?: 0) != stamp }.keys
-        if (failed.isNotEmpty()) return Committed.Refused(failed.toList())
+        if (failed.isNotEmpty()) return TransactionResult.Conflict(failed.toList())
         revision++
         for (change in changes) {
             when (change) {
@@ -21,6 +21,6 @@
                 is Change.Delete -> entries.remove(change.key)
             }
         }
-        return Committed.Yes(revision)
+        return TransactionResult.Committed(revision)
     }
 }
--- a/src/test/kotlin/lichenstage/state/RateBudgetTest.kt
+++ b/src/test/kotlin/lichenstage/state/RateBudgetTest.kt
@@ -1,7 +1,7 @@
 package lichenstage.state
 
-import lichenstage.app.Clock
-import lichenstage.app.SECOND
+import lichenstage.common.Clock
+import lichenstage.common.SECOND
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/lichenstage/state/OwnedKeysTest.kt
+++ b/src/test/kotlin/lichenstage/state/SingleWriterKeysTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
-class OwnedKeysTest {
+class SingleWriterKeysTest {
     /** A state service that now and then gives no answer, and carries such a transaction out at once, later, or never. */
     private class LateStore(
         private val random: Random,
@@ -17,19 +17,19 @@
         override suspend fun get(
             key: String,
             timeoutMs: Long,
-        ) = if (random.nextInt(8) == 0) Read.Unavailable else read(key)
+        ) = if (random.nextInt(8) == 0) ReadResult.Unavailable else read(key)
 
         override suspend fun txn(
             guards: Map<String, Long>,
             changes: List<Change>,
             timeoutMs: Long,
             urgent: Boolean,
-        ): Committed {
+        ): TransactionResult {
             if (late.isNotEmpty() && random.nextInt(3) == 0) late.removeAt(random.nextInt(late.size)).let { apply(it.first, it.second) }
             return when (random.nextInt(8)) {
-                0 -> Committed.Unknown.also { apply(guards, changes) }
-                1, 2 -> Committed.Unknown.also { late += guards to changes }
-                3 -> Committed.NotExecuted
+                0 -> TransactionResult.Indeterminate.also { apply(guards, changes) }
+                1, 2 -> TransactionResult.Indeterminate.also { late += guards to changes }
+                3 -> TransactionResult.Rejected
                 else -> apply(guards, changes)
             }
         }
@@ -43,7 +43,7 @@
     ) = runBlocking {
         val random = Random(seed)
         val store = LateStore(random)
-        val owned = OwnedKeys(store)
+        val owned = SingleWriterKeys(store)
         val known = HashMap<String, Int>()
 
         fun check(step: Int) =
--- a/src/test/kotlin/lichenstage/world/DrawnFaults.kt
+++ b/src/test/kotlin/lichenstage/world/DrawnFaults.kt
@@ -1,6 +1,6 @@
 package lichenstage.world
 
-import lichenstage.app.SECOND
+import lichenstage.common.SECOND
 import java.util.Random
 
 /** Brings about faults of any kind in a simulated cluster, as a seed has it. */
--- a/src/test/kotlin/lichenstage/world/RefusedLeaderTest.kt
+++ b/src/test/kotlin/lichenstage/world/RefusedLeaderTest.kt
@@ -1,7 +1,7 @@
 package lichenstage.world
 
-import lichenstage.app.MILLI
-import lichenstage.app.SECOND
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
@@ -1,7 +1,7 @@
 package lichenstage.world
 
-import lichenstage.app.MILLI
-import lichenstage.app.SECOND
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
 import lichenstage.drain.Drain
 import lichenstage.drain.DrainStatus
 import lichenstage.drain.DrainedMachine
--- a/src/test/kotlin/lichenstage/world/SimulatedController.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedController.kt
@@ -1,25 +1,25 @@
 package lichenstage.world
 
-import lichenstage.app.MILLI
-import lichenstage.app.SECOND
-import lichenstage.authority.CollectedPledges
-import lichenstage.authority.OwnPledge
+import lichenstage.authority.LocalMoratorium
+import lichenstage.authority.PeerMoratoriums
 import lichenstage.cluster.CompletionSyncReply
 import lichenstage.cluster.PartitionFrame
 import lichenstage.cluster.PlacementFrame
-import lichenstage.cluster.Shape
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
 import lichenstage.jobs.JobEnds
 import lichenstage.jobs.JobReplica
 import lichenstage.jobs.Outcome
 import lichenstage.jobs.Pipelines
+import lichenstage.model.MachineLimits
+import lichenstage.model.Shape
 import lichenstage.partition.Command
 import lichenstage.partition.DirectOrder
-import lichenstage.partition.MachineLimits
+import lichenstage.partition.Heartbeat
+import lichenstage.partition.HeartbeatDecision
 import lichenstage.partition.OrderOutcome
 import lichenstage.partition.PartitionCore
 import lichenstage.partition.Probe
-import lichenstage.partition.Report
-import lichenstage.partition.ReportAnswer
 import lichenstage.world.SimulationContext.Companion.CANCEL_US
 import lichenstage.world.SimulationContext.Companion.CONTROLLERS
 import lichenstage.world.SimulationContext.Companion.LATEST_US
@@ -58,7 +58,7 @@
     var seen = HashMap<String, Ownership>()
         private set
     private var collectedPledges = noPledges()
-    private var ownPledge = OwnPledge(-10 * SECOND)
+    private var ownPledge = LocalMoratorium(-10 * SECOND)
     var replica = newReplica()
         private set
     var pipelines = Pipelines()
@@ -78,7 +78,7 @@
 
     private fun others() = all().filter { it != this }
 
-    private fun noPledges() = CollectedPledges((0 until CONTROLLERS).filter { it != id }.map(::hostOf).toSet())
+    private fun noPledges() = PeerMoratoriums((0 until CONTROLLERS).filter { it != id }.map(::hostOf).toSet())
 
     private fun newReplica() =
         JobReplica(
@@ -98,7 +98,7 @@
             alive = true
             coveredUs = Long.MIN_VALUE / 2
             collectedPledges = noPledges()
-            ownPledge = OwnPledge(now)
+            ownPledge = LocalMoratorium(now)
             replica = newReplica()
             pipelines = Pipelines()
         }
@@ -178,8 +178,8 @@
         val asker = incarnation
         context.send(host, SimulatedNetwork.STATE, repeats = false) {
             if (state.isOut || state.owners[partition.id]?.term != partition.term) return@send
-            val tokens = state.reserveTokens(context.profile.tokensReserved)
-            context.send(SimulatedNetwork.STATE, host, repeats = false) { if (incarnation == asker) partition.reserved(tokens) }
+            val fencingTokens = state.reserveTokens(context.profile.tokensReserved)
+            context.send(SimulatedNetwork.STATE, host, repeats = false) { if (incarnation == asker) partition.reserved(fencingTokens) }
         }
     }
 
@@ -265,10 +265,10 @@
     }
 
     /** A worker's report has come; null where this process must not answer it. */
-    fun answer(report: Report): ReportAnswer.Accepted? {
-        val id = context.assignment.partitionOf(report.machine, report.zone)!!
+    fun answer(heartbeat: Heartbeat): HeartbeatDecision.Accepted? {
+        val id = context.assignment.partitionOf(heartbeat.machine, heartbeat.zone)!!
         val partition = partitions[id]?.takeIf { alive && answersWorkers } ?: return null
-        val outcome = partition.report(report, now) as? ReportAnswer.Accepted
+        val outcome = partition.heartbeat(heartbeat, now) as? HeartbeatDecision.Accepted
         pump()
         return outcome
     }
@@ -283,10 +283,10 @@
 
     /** A service that has tasks forgotten as soon as its leader says so. */
     private fun clearAtOnce(frame: PlacementFrame) {
-        val token = partitions[frame.partition]?.term ?: return
+        val fencingToken = partitions[frame.partition]?.term ?: return
         for (clear in frame.clears) {
             val worker = machines.named(clear.machine)
-            worker.orders(token, worker.session, listOf(Command.Clear(clear.task, clear.attempt)), now)
+            worker.orders(fencingToken, worker.agentEpoch, listOf(Command.Clear(clear.task, clear.attempt)), now)
         }
     }
 
@@ -316,16 +316,16 @@
         val sender = incarnation
         var answered = false
 
-        fun outcome(report: Report?) {
+        fun outcome(heartbeat: Heartbeat?) {
             if (answered || incarnation != sender) return
             answered = true
-            partition.probed(probe, report, now)
+            partition.probed(probe, heartbeat, now)
             pump()
         }
         context.send(host, worker.name, repeats = false) {
             if (!worker.gone && !worker.hung(now)) {
-                val result = worker.orders(probe.token, worker.session, emptyList(), now)
-                context.send(worker.name, host) { outcome(result.report.takeIf { result.executed }) }
+                val result = worker.orders(probe.fencingToken, worker.agentEpoch, emptyList(), now)
+                context.send(worker.name, host) { outcome(result.heartbeat.takeIf { result.executed }) }
             }
         }
         context.at(3 * SECOND) { outcome(null) }
@@ -363,7 +363,7 @@
     ) {
         if (worker.gone) return
         if (worker.hung(now)) return context.at(worker.hungUntilUs - now + MILLI) { land(worker, order, outcome) }
-        val result = worker.orders(order.token, order.session, order.commands, now)
+        val result = worker.orders(order.fencingToken, order.agentEpoch, order.commands, now)
         context.send(worker.name, host) { outcome(result) }
         // A repeat of what was carried out.
         if (random.nextInt(6) == 0) context.at(random.nextInt(LATEST_US).toLong()) { repeatOrder(worker, order) }
@@ -373,7 +373,7 @@
         worker: SimulatedWorker,
         order: DirectOrder,
     ) {
-        if (!worker.gone && !worker.hung(now)) worker.orders(order.token, order.session, order.commands, now)
+        if (!worker.gone && !worker.hung(now)) worker.orders(order.fencingToken, order.agentEpoch, order.commands, now)
     }
 
     private companion object {
--- a/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
@@ -1,6 +1,6 @@
 package lichenstage.world
 
-import lichenstage.app.SECOND
+import lichenstage.common.SECOND
 import lichenstage.drain.DrainAct
 import lichenstage.drain.DrainCore
 import lichenstage.drain.DrainPolicy
--- a/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
@@ -1,9 +1,9 @@
 package lichenstage.world
 
-import lichenstage.app.MILLI
-import lichenstage.app.SECOND
-import lichenstage.placement.InheritedMachine
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
 import lichenstage.placement.LeaderCore
+import lichenstage.placement.RecoveredMachine
 import java.util.Random
 
 /** What a leader's fleet needs of the simulated cluster. */
@@ -22,7 +22,7 @@
     /** The cloud takes these machines, with all that is on them. */
     fun take(names: Collection<String>)
 
-    fun inheritedMachine(name: String): InheritedMachine
+    fun inheritedMachine(name: String): RecoveredMachine
 
     /** True while the term of the leader goes on. */
     fun leads(leader: LeaderCore): Boolean
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -1,10 +1,10 @@
 package lichenstage.world
 
-import lichenstage.app.SECOND
 import lichenstage.cluster.PartitionFrame
-import lichenstage.cluster.Shape
-import lichenstage.jobs.JobSpec
-import lichenstage.jobs.Priority
+import lichenstage.common.SECOND
+import lichenstage.model.JobSpec
+import lichenstage.model.Priority
+import lichenstage.model.Shape
 import lichenstage.placement.CompletionDelta
 import lichenstage.placement.Job
 import lichenstage.placement.LeaderCore
@@ -112,7 +112,7 @@
             ServiceObjectives(emptyList()),
             { Shape(MACHINE_CORES, 0.0, MACHINE_MEMORY_GB) },
             12,
-            waitersOf = controller.pipelines::waitersOf,
+            dependentsOf = controller.pipelines::dependentsOf,
         ) { carryOut(term, it) }
     }
 
--- a/src/test/kotlin/lichenstage/world/SimulatedMachines.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedMachines.kt
@@ -1,8 +1,8 @@
 package lichenstage.world
 
-import lichenstage.app.MILLI
-import lichenstage.app.SECOND
-import lichenstage.placement.InheritedMachine
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
+import lichenstage.placement.RecoveredMachine
 import lichenstage.world.SimulationContext.Companion.CONTROLLERS
 import lichenstage.world.SimulationContext.Companion.LATEST_US
 import lichenstage.world.SimulationContext.Companion.MACHINE_CORES
@@ -39,7 +39,7 @@
 
     fun partitionOf(worker: SimulatedWorker) = context.assignment.partitionOf(worker.name, worker.zone)!!
 
-    fun inherited(name: String) = InheritedMachine(name, partitionOf(named(name)), "type", "10.0.0.1:9000")
+    fun inherited(name: String) = RecoveredMachine(name, partitionOf(named(name)), "type", "10.0.0.1:9000")
 
     fun boot(zone: String): SimulatedWorker {
         val name = "vm-$zone${workers.size}"
@@ -63,8 +63,8 @@
 
     fun powerOn(worker: SimulatedWorker) {
         target[worker.name] = random.nextInt(CONTROLLERS)
-        context.every(300 * MILLI) { if (!worker.gone && worker.step(context.now)) report(worker) }
-        context.every(2 * SECOND) { report(worker) }
+        context.every(300 * MILLI) { if (!worker.gone && worker.step(context.now)) heartbeat(worker) }
+        context.every(2 * SECOND) { heartbeat(worker) }
     }
 
     /** A machine is hired; now and then one never comes up. */
@@ -92,24 +92,24 @@
         muteUntilUs[worker.name] = context.now + forUs
     }
 
-    private fun report(worker: SimulatedWorker) {
+    private fun heartbeat(worker: SimulatedWorker) {
         if (worker.gone || worker.hung(context.now)) return
         if (context.now < (muteUntilUs[worker.name] ?: 0)) return
         val controller = controllers()[target.getValue(worker.name)]
-        val report = worker.report()
+        val heartbeat = worker.heartbeat()
         val sentUs = context.now
         var answered = false
         if (random.nextInt(25) == 0) {
-            val copy = if (context.mutation == Mutation.COPIES_BELIEVED) report.copy(sequence = Long.MAX_VALUE / 2) else report
+            val copy = if (context.mutation == Mutation.COPIES_BELIEVED) heartbeat.copy(sequence = Long.MAX_VALUE / 2) else heartbeat
             context.at(random.nextInt(LATEST_US).toLong()) { controllers()[random.nextInt(CONTROLLERS)].answer(copy) }
         }
         context.send(worker.name, hostOf(controller.id)) {
-            val answer = controller.answer(report)
+            val answer = controller.answer(heartbeat)
             context.send(hostOf(controller.id), worker.name) {
                 answered = true
                 if (worker.gone) return@send
                 if (answer != null && !worker.hung(context.now)) {
-                    worker.answered(answer.token, answer.commands, report.session, sentUs, context.now)
+                    worker.answered(answer.fencingToken, answer.commands, heartbeat.agentEpoch, sentUs, context.now)
                 } else if (answer == null) {
                     redirect(worker)
                 }
--- a/src/test/kotlin/lichenstage/world/SimulatedNetwork.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedNetwork.kt
@@ -1,6 +1,6 @@
 package lichenstage.world
 
-import lichenstage.app.MILLI
+import lichenstage.common.MILLI
 import java.util.PriorityQueue
 import java.util.Random
 
--- a/src/test/kotlin/lichenstage/world/SimulatedWorker.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedWorker.kt
@@ -1,10 +1,10 @@
 package lichenstage.world
 
-import lichenstage.app.SECOND
 import lichenstage.cluster.TaskPhase
+import lichenstage.common.SECOND
 import lichenstage.partition.Command
+import lichenstage.partition.Heartbeat
 import lichenstage.partition.OrderOutcome
-import lichenstage.partition.Report
 import lichenstage.partition.ReportedTask
 import java.util.Random
 
@@ -35,10 +35,10 @@
     var gone = false
         private set
 
-    var session = 1L
+    var agentEpoch = 1L
         private set
     private var sequence = 0L
-    var token = 0L
+    var fencingToken = 0L
         private set
     private var leaseFromUs = startedUs
     private val tasks = LinkedHashMap<Pair<String, Long>, Task>()
@@ -47,17 +47,17 @@
 
     fun hung(now: Long) = now < hungUntilUs
 
-    fun report(): Report {
+    fun heartbeat(): Heartbeat {
         sequence++
-        return Report(
+        return Heartbeat(
             name,
             "10.0.0.1:9000",
             "type",
             zone,
             false,
-            session,
+            agentEpoch,
             sequence,
-            token,
+            fencingToken,
             null,
             tasks.values.map { ReportedTask("${it.job.id}/${it.index}", it.attempt, it.phase, it.cause) },
         )
@@ -71,8 +71,8 @@
         sentUs: Long,
         now: Long,
     ) {
-        if (forSession != session || answerToken < token || now - sentUs > 4 * SECOND) return
-        token = answerToken
+        if (forSession != agentEpoch || answerToken < fencingToken || now - sentUs > 4 * SECOND) return
+        fencingToken = answerToken
         leaseFromUs = maxOf(leaseFromUs, sentUs)
         commands.forEach { execute(it, now) }
     }
@@ -83,12 +83,12 @@
         commands: List<Command>,
         now: Long,
     ): OrderOutcome.Answered {
-        val valid = orderToken >= token && forSession == session
+        val valid = orderToken >= fencingToken && forSession == agentEpoch
         if (valid) {
-            token = orderToken
+            fencingToken = orderToken
             commands.forEach { execute(it, now) }
         }
-        return OrderOutcome.Answered(valid, report())
+        return OrderOutcome.Answered(valid, heartbeat())
     }
 
     private fun execute(
@@ -177,7 +177,7 @@
         var changed = false
         if (now - leaseFromUs > leaseUs) {
             dropTasks()
-            session++
+            agentEpoch++
             sequence = 0
             leaseFromUs = now
             changed = true
--- a/src/test/kotlin/lichenstage/world/SimulationContext.kt
+++ b/src/test/kotlin/lichenstage/world/SimulationContext.kt
@@ -1,8 +1,8 @@
 package lichenstage.world
 
-import lichenstage.app.SECOND
-import lichenstage.app.Team
-import lichenstage.cluster.PartitionAssignment
+import lichenstage.common.SECOND
+import lichenstage.config.Team
+import lichenstage.model.PartitionAssignment
 import java.util.Random
 
 /** What all parts of a simulated cluster share: a seed's draws, time and messages, the layout, and who watches the rules. */
