--- a/src/test/kotlin/lichenstage/world/SeedSweep.kt
+++ b/src/test/kotlin/lichenstage/world/SeedSweep.kt
@@ -7,6 +7,9 @@
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.atomic.AtomicLong
 
+/** Set to have the hash of each seed's events printed: it stays the same where a change of the code changes no decision. */
+private const val TRACE = "trace"
+
 private const val FAULTS_US = 120_000_000L
 private const val CALM_US = 420_000_000L
 private const val LATE_ORDERS_CALM_US = 780_000_000L
@@ -35,6 +38,7 @@
     for (seed in first until first + count) {
         executor.execute {
             val world = play(seed)
+            if (System.getProperty(TRACE) != null) println("seed $seed: events ${world.eventDigest}")
             if (world.checker.broken.isNotEmpty() || world.openJobs.isNotEmpty()) {
                 failed.incrementAndGet()
                 println("seed $seed: ${world.checker.broken.take(2)} unfinished ${world.openJobs}")
--- a/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
@@ -40,6 +40,9 @@
     }
 
     val now get() = context.now
+
+    /** A hash of all that has happened; see [SimulatedNetwork.eventDigest]. */
+    val eventDigest get() = network.eventDigest
     val checker get() = context.checker
     val orderEvents get() = context.orderEvents
     val done: Set<String> get() = state.done
--- a/src/test/kotlin/lichenstage/world/SimulatedNetwork.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedNetwork.kt
@@ -33,6 +33,10 @@
     var now = 0L
         private set
 
+    /** A hash of the times and numbers of all events so far: equal for two versions of the code whose decisions were the same. */
+    var eventDigest = 0L
+        private set
+
     fun at(
         delayUs: Long,
         run: () -> Unit,
@@ -55,6 +59,7 @@
         while (queue.isNotEmpty() && queue.peek().atUs <= endUs) {
             val event = queue.poll()
             now = event.atUs
+            eventDigest = (eventDigest * DIGEST_FACTOR + event.atUs) * DIGEST_FACTOR + event.order
             event.run()
         }
     }
@@ -134,5 +139,6 @@
         /** The state service's name as a host. */
         const val STATE = "state"
         private const val SLOWEST_US = 3_500_000
+        private const val DIGEST_FACTOR = 1_000_003L
     }
 }
