--- a/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
@@ -18,7 +18,7 @@
 data class PlacementRequest(
     val stamp: Long,
     val job: String,
-    val facts: JobRequirements,
+    val requirements: JobRequirements,
     val count: Int,
     val allowedTypes: List<String>?,
     val zone: String?,
@@ -70,7 +70,7 @@
     @SerialName("ackVersion")
     val ackVersion: Long,
     @SerialName("facts")
-    val facts: Map<String, JobRequirements> = emptyMap(),
+    val requirements: Map<String, JobRequirements> = emptyMap(),
     val addresses: Map<String, String> = emptyMap(),
     @SerialName("asks")
     val requests: List<PlacementRequest> = emptyList(),
--- a/src/main/kotlin/lichenstage/jobs/JobCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobCodec.kt
@@ -36,7 +36,7 @@
                 ?: throw Malformed("urgency", "one of production, high, standard, low is needed")
         return JobSpec(
             id = id,
-            kind = row.text("batchline"),
+            jobClass = row.text("batchline"),
             team = row.text("owner"),
             priority = priority,
             tasks = row.whole("parts", 1, MOST_TASKS),
@@ -48,12 +48,12 @@
             spot = row.flag("loaners"),
             image = row.text("bundle"),
             imageGb = row.amount("image_gb"),
-            estimateUs = row.micros("guess_s"),
-            checkpointUs = row.micros("snapshot_every_s"),
-            saveUs = row.micros("snapshot_s"),
+            estimatedRunTimeUs = row.micros("guess_s"),
+            checkpointIntervalUs = row.micros("snapshot_every_s"),
+            checkpointSaveUs = row.micros("snapshot_s"),
             deadlineUs = if (json.getValue("due_s") == null) null else row.micros("due_s"),
             submittedUs = atUs,
-            needs = row.jobs("waits_on").also { if (id in it) throw Malformed("waits_on", "a job can't wait for itself") },
+            dependencies = row.jobs("waits_on").also { if (id in it) throw Malformed("waits_on", "a job can't wait for itself") },
         )
     }
 
--- a/src/main/kotlin/lichenstage/jobs/JobLookup.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobLookup.kt
@@ -40,14 +40,14 @@
         val stamp = memory.stamp(id)
         if (stamp != null) {
             when (openCheck.ask(JobRecord.OPEN + id, stamp)) {
-                RecordState.OPEN -> return open(id, memory.needs(id))
+                RecordState.OPEN -> return open(id, memory.dependencies(id))
                 RecordState.UNKNOWN -> return Reply.stateUnavailable()
                 RecordState.GONE -> memory.forgetOpen(id)
             }
         }
         return when (val read = state.get(JobRecord.OPEN + id, READ_TIMEOUT_MS)) {
             is ReadResult.Found -> {
-                val needed = JobRecord.needs(read.entry.value)
+                val needed = JobRecord.dependencies(read.entry.value)
                 memory.rememberOpen(id, read.entry.stamp, needed)
                 open(id, needed)
             }
--- a/src/main/kotlin/lichenstage/jobs/JobMemory.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobMemory.kt
@@ -13,7 +13,7 @@
 
     /** Revisions of open records: with them one request asks for many jobs. */
     private val stamps = LruMap<String, Long>(REMEMBERED_OPEN)
-    private val needs = LruMap<String, List<String>>(REMEMBERED_OPEN)
+    private val dependencies = LruMap<String, List<String>>(REMEMBERED_OPEN)
     private var counts = TaskCounts(0, emptyMap())
 
     /** The record of the job's end, where it is known to be over. */
@@ -31,7 +31,7 @@
     fun stamp(id: String): Long? = stamps[id] ?: replica.stamp(id)
 
     /** What the job needs, as far as that is known. */
-    fun needs(id: String): List<String> = needs[id] ?: pipelines.dependenciesOf(id)
+    fun dependencies(id: String): List<String> = dependencies[id] ?: pipelines.dependenciesOf(id)
 
     /** The job's record was seen open at revision [stamp]. */
     fun rememberOpen(
@@ -40,7 +40,7 @@
         needed: List<String>,
     ) {
         stamps[id] = stamp
-        if (needed.isNotEmpty()) needs[id] = needed
+        if (needed.isNotEmpty()) dependencies[id] = needed
     }
 
     /** The open record of the job is gone. */
--- a/src/main/kotlin/lichenstage/jobs/JobRecord.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobRecord.kt
@@ -24,7 +24,7 @@
     fun encode(spec: JobSpec): JsonObject =
         JsonObject()
             .put("id", spec.id)
-            .put("kind", spec.kind)
+            .put("kind", spec.jobClass)
             .put("team", spec.team)
             .put("priority", spec.priority.name)
             .put("tasks", spec.tasks)
@@ -38,21 +38,21 @@
             .put("spot", spec.spot)
             .put("image", spec.image)
             .put("imageGb", spec.imageGb)
-            .put("estimate", spec.estimateUs)
-            .put("checkpoint", spec.checkpointUs)
-            .put("save", spec.saveUs)
+            .put("estimate", spec.estimatedRunTimeUs)
+            .put("checkpoint", spec.checkpointIntervalUs)
+            .put("save", spec.checkpointSaveUs)
             .put("deadline", spec.deadlineUs)
             .put("at", spec.submittedUs)
-            .apply { if (spec.needs.isNotEmpty()) put(NEEDS, JsonArray(spec.needs)) }
+            .apply { if (spec.dependencies.isNotEmpty()) put(NEEDS, JsonArray(spec.dependencies)) }
 
     /** What an open record says of the jobs that it needs. */
-    fun needs(json: JsonObject): List<String> = json.getJsonArray(NEEDS)?.map { it as String } ?: emptyList()
+    fun dependencies(json: JsonObject): List<String> = json.getJsonArray(NEEDS)?.map { it as String } ?: emptyList()
 
     /** The job of an open record. */
     fun decode(json: JsonObject): JobSpec =
         JobSpec(
             id = json.getString("id"),
-            kind = json.getString("kind"),
+            jobClass = json.getString("kind"),
             team = json.getString("team"),
             priority = Priority.valueOf(json.getString("priority")),
             tasks = json.getInteger("tasks"),
@@ -64,11 +64,11 @@
             spot = json.getBoolean("spot"),
             image = json.getString("image"),
             imageGb = json.getDouble("imageGb"),
-            estimateUs = json.getLong("estimate"),
-            checkpointUs = json.getLong("checkpoint"),
-            saveUs = json.getLong("save"),
+            estimatedRunTimeUs = json.getLong("estimate"),
+            checkpointIntervalUs = json.getLong("checkpoint"),
+            checkpointSaveUs = json.getLong("save"),
             deadlineUs = json.getLong("deadline"),
             submittedUs = json.getLong("at"),
-            needs = needs(json),
+            dependencies = dependencies(json),
         )
 }
--- a/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
@@ -65,13 +65,13 @@
             return
         }
         news(replica.loaded(scan.entries.associate { id(it.key) to it.stamp }, scan.revision, scannedUs))
-        scan.entries.forEach { pipelines.opened(id(it.key), JobRecord.needs(it.value)) }
+        scan.entries.forEach { pipelines.opened(id(it.key), JobRecord.dependencies(it.value)) }
         while (true) {
             val sentUs = clock.now()
             when (val seen = state.changes(JobRecord.OPEN, replica.revision, WAIT_MS)) {
                 is WatchResult.Events -> {
                     val put = seen.puts.associate { id(it.key) to it.stamp }
-                    seen.puts.forEach { pipelines.opened(id(it.key), JobRecord.needs(it.value)) }
+                    seen.puts.forEach { pipelines.opened(id(it.key), JobRecord.dependencies(it.value)) }
                     news(replica.changed(put, seen.deletes.associate { id(it.key) to it.stamp }, seen.revision, sentUs))
                 }
 
--- a/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
@@ -59,7 +59,7 @@
      */
     private suspend fun accept(spec: JobSpec): Reply {
         repeat(MOST_TRIES) { attempt ->
-            val standings = spec.needs.associateWith { standing(it, fresh = attempt > 0) }
+            val standings = spec.dependencies.associateWith { standing(it, fresh = attempt > 0) }
             standings.entries.firstOrNull { it.value is Standing.NeverAccepted }?.let { (id, _) ->
                 return lookup.known(spec.id) { Reply.problem(Reply.UNPROCESSABLE, "waits_on", "$id was never accepted") }
             }
@@ -83,13 +83,13 @@
         val change = Change.Put(if (inVain) over else open, record)
         return when (val outcome = state.txn(guards, listOf(change), SUBMIT_TIMEOUT_MS)) {
             is TransactionResult.Committed -> {
-                if (inVain) memory.rememberOver(spec.id, record) else memory.rememberOpen(spec.id, outcome.revision, spec.needs)
+                if (inVain) memory.rememberOver(spec.id, record) else memory.rememberOpen(spec.id, outcome.revision, spec.dependencies)
                 Reply.accepted(spec.id, if (inVain) "cancelled" else "pending")
             }
 
             is TransactionResult.Conflict -> {
                 val reply = lookup.known(spec.id) { Reply.later("undecided") }
-                reply.takeIf { spec.needs.isEmpty() || it.status == Reply.OK }
+                reply.takeIf { spec.dependencies.isEmpty() || it.status == Reply.OK }
             }
 
             TransactionResult.LeaseExpired, TransactionResult.Rejected, TransactionResult.Indeterminate -> {
--- a/src/main/kotlin/lichenstage/jobs/Pipelines.kt
+++ b/src/main/kotlin/lichenstage/jobs/Pipelines.kt
@@ -30,8 +30,8 @@
  * what has changed.
  */
 class Pipelines {
-    private val needs = HashMap<String, List<String>>()
-    private val neededBy = HashMap<String, LinkedHashSet<String>>()
+    private val dependenciesByJob = HashMap<String, List<String>>()
+    private val dependentsByJob = HashMap<String, LinkedHashSet<String>>()
 
     /** Of jobs that others need and that are over. */
     private val outcomes = HashMap<String, Outcome>()
@@ -46,32 +46,32 @@
     /** There is an open record of the job. */
     fun opened(
         job: String,
-        jobNeeds: List<String>,
+        dependencies: List<String>,
     ) {
         if (!open.add(job)) return
         unresolved -= job
-        if (jobNeeds.isEmpty()) return
-        needs[job] = jobNeeds
-        for (need in jobNeeds) {
-            neededBy.getOrPut(need) { LinkedHashSet() } += job
-            if (need !in open && need !in outcomes) unresolved += need
+        if (dependencies.isEmpty()) return
+        dependenciesByJob[job] = dependencies
+        for (dependency in dependencies) {
+            dependentsByJob.getOrPut(dependency) { LinkedHashSet() } += job
+            if (dependency !in open && dependency !in outcomes) unresolved += dependency
         }
-        if (jobNeeds.any { it in orphaned || outcomes[it]?.done == false }) orphan(job)
+        if (dependencies.any { it in orphaned || outcomes[it]?.done == false }) orphan(job)
     }
 
     /** The record of the job is gone. */
     fun ended(job: String) {
         if (!open.remove(job)) return
         orphaned -= job
-        for (need in needs.remove(job).orEmpty()) {
-            val waiters = neededBy[need] ?: continue
-            waiters -= job
-            if (waiters.isNotEmpty()) continue
-            neededBy -= need
-            outcomes -= need
-            unresolved -= need
+        for (dependency in dependenciesByJob.remove(job).orEmpty()) {
+            val dependents = dependentsByJob[dependency] ?: continue
+            dependents -= job
+            if (dependents.isNotEmpty()) continue
+            dependentsByJob -= dependency
+            outcomes -= dependency
+            unresolved -= dependency
         }
-        if (job in neededBy && job !in outcomes) unresolved += job
+        if (job in dependentsByJob && job !in outcomes) unresolved += job
     }
 
     /** It is recorded how the job ended. */
@@ -79,10 +79,10 @@
         job: String,
         outcome: Outcome,
     ) {
-        val waiters = neededBy[job] ?: return
+        val dependents = dependentsByJob[job] ?: return
         if (outcomes.put(job, outcome) != null) return
         unresolved -= job
-        if (!outcome.done) waiters.toList().forEach(::orphan)
+        if (!outcome.done) dependents.toList().forEach(::orphan)
     }
 
     /** With all that need it: theirs can never be done. */
@@ -90,24 +90,24 @@
         val due = ArrayDeque(listOf(first))
         while (due.isNotEmpty()) {
             val job = due.removeLast()
-            if (job in open && orphaned.add(job)) due += neededBy[job].orEmpty()
+            if (job in open && orphaned.add(job)) due += dependentsByJob[job].orEmpty()
         }
     }
 
     /**
-     * Where [job], which needs [jobNeeds], stands. Guards against a user who hears of a waiting job long after what it needs was
+     * Where [job], which needs [dependencies], stands. Guards against a user who hears of a waiting job long after what it needs was
      * cancelled: between the word that a job has ended and the word how, nothing may be said of what waits for it. That holds too
      * where the job itself is not known yet: another controller's word of an end can come before the watch has brought its record.
      * (Found in the simulated cluster: a job submitted right after an outage was called open although its chain was cancelled.)
      */
     fun readiness(
         job: String,
-        jobNeeds: List<String>,
+        dependencies: List<String>,
     ): Readiness =
         when {
-            jobNeeds.isEmpty() || readyAt(jobNeeds) != null -> Readiness.READY
-            job in orphaned || jobNeeds.any { it in orphaned || outcomes[it]?.done == false } -> Readiness.CANCELLED
-            jobNeeds.any { it !in open && it !in outcomes } || reachesUnresolved(jobNeeds) -> Readiness.UNKNOWN
+            dependencies.isEmpty() || readyAt(dependencies) != null -> Readiness.READY
+            job in orphaned || dependencies.any { it in orphaned || outcomes[it]?.done == false } -> Readiness.CANCELLED
+            dependencies.any { it !in open && it !in outcomes } || reachesUnresolved(dependencies) -> Readiness.UNKNOWN
             else -> Readiness.WAITING
         }
 
@@ -118,16 +118,16 @@
         while (due.isNotEmpty()) {
             val job = due.removeLast()
             if (job in unresolved) return true
-            if (seen.add(job)) due += needs[job].orEmpty()
+            if (seen.add(job)) due += dependenciesByJob[job].orEmpty()
         }
         return false
     }
 
     /** The jobs that this one needs, where its record is known. */
-    fun dependenciesOf(job: String): List<String> = needs[job].orEmpty()
+    fun dependenciesOf(job: String): List<String> = dependenciesByJob[job].orEmpty()
 
     /** The jobs that wait for this one directly. */
-    fun dependentsOf(job: String): Collection<String> = neededBy[job].orEmpty()
+    fun dependentsOf(job: String): Collection<String> = dependentsByJob[job].orEmpty()
 
     /** Jobs of which it is to be found out how they ended. */
     fun toResolve(most: Int): List<String> = unresolved.take(most)
@@ -138,11 +138,11 @@
     /** One that the job needs, directly or through others, is cancelled. */
     fun isOrphan(job: String) = job in orphaned
 
-    /** When the last of [jobNeeds] was done, in time of day; null while one isn't. 0 where none says when. */
-    fun readyAt(jobNeeds: List<String>): Long? {
+    /** When the last of [dependencies] was done, in time of day; null while one isn't. 0 where none says when. */
+    fun readyAt(dependencies: List<String>): Long? {
         var last = 0L
-        for (need in jobNeeds) {
-            val outcome = outcomes[need]?.takeIf { it.done } ?: return null
+        for (dependency in dependencies) {
+            val outcome = outcomes[dependency]?.takeIf { it.done } ?: return null
             last = maxOf(last, outcome.atUs ?: 0)
         }
         return last
--- a/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
+++ b/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
@@ -20,14 +20,14 @@
     val guards = txnOps * GUARDS_A_CHANGE
 
     /** Each job that is named may be a condition, beside the two that the job itself is new. */
-    val mostNeeds = guards - OWN_GUARDS
+    val maxDependencies = guards - OWN_GUARDS
 
     /** What is too large, or null. */
     fun refusal(spec: JobSpec): TooLarge? {
-        if (spec.needs.size > mostNeeds) return TooLarge("waits_on", "at most $mostNeeds jobs can be named")
+        if (spec.dependencies.size > maxDependencies) return TooLarge("waits_on", "at most $maxDependencies jobs can be named")
         val bytes = size(spec)
         if (bytes <= valueBytes) return null
-        val field = if (size(spec.copy(needs = emptyList())) <= valueBytes) "waits_on" else "builds"
+        val field = if (size(spec.copy(dependencies = emptyList())) <= valueBytes) "waits_on" else "builds"
         return TooLarge(field, "the record would take $bytes bytes of at most $valueBytes")
     }
 
--- a/src/main/kotlin/lichenstage/partition/HoldTable.kt
+++ b/src/main/kotlin/lichenstage/partition/HoldTable.kt
@@ -38,12 +38,12 @@
     ) {
         val hold = holds.get(stamp) ?: return
         hold.counts.merge(machine.name, -1, Int::plus)
-        machine.hold(hold.request.facts.shape, -1)
+        machine.hold(hold.request.requirements.shape, -1)
     }
 
     fun release(stamp: Long) {
         val hold = holds.remove(stamp) ?: return
-        for ((name, count) in hold.counts) if (count > 0) machineOf(name)?.hold(hold.request.facts.shape, -count)
+        for ((name, count) in hold.counts) if (count > 0) machineOf(name)?.hold(hold.request.requirements.shape, -count)
     }
 
     fun releaseAll() = holds.keys.toList().forEach(::release)
@@ -86,7 +86,7 @@
         requests: List<PlacementRequest>,
         usable: Sequence<Machine>,
     ): List<Machine> {
-        val shapes = requests.map { it.facts.shape }
+        val shapes = requests.map { it.requirements.shape }
         val least = Shape(shapes.minOf { it.cores }, shapes.minOf { it.cards }, shapes.minOf { it.memGb })
         return usable
             .filter { machine ->
@@ -105,7 +105,7 @@
         val held = PlacementScore.take(open.mapNotNull { slots(request, it) }, most)
         if (held.isNotEmpty()) {
             holds[request.stamp] = Hold(request, now, held.associateTo(HashMap()) { it.machine to it.count })
-            held.forEach { machineOf(it.machine)!!.hold(request.facts.shape, it.count) }
+            held.forEach { machineOf(it.machine)!!.hold(request.requirements.shape, it.count) }
         }
         return Offer(request.stamp, held)
     }
@@ -117,10 +117,10 @@
     ): HeldSlots? {
         if (request.allowedTypes != null && machine.typeName !in request.allowedTypes) return null
         if (machine.spot && !request.spot) return null
-        val hasImage = machine.hasImage(request.facts.image)
+        val hasImage = machine.hasImage(request.requirements.image)
         if (request.imageOnly && !hasImage) return null
         val limits = limitsOf(machine.typeName) ?: return null
-        val tasks = machine.room(request.facts.shape, limits.capacity, requirementsOf)
+        val tasks = machine.room(request.requirements.shape, limits.capacity, requirementsOf)
         return if (tasks > 0) HeldSlots(machine.name, tasks, tasks, hasImage) else null
     }
 
--- a/src/main/kotlin/lichenstage/partition/Machine.kt
+++ b/src/main/kotlin/lichenstage/partition/Machine.kt
@@ -75,7 +75,7 @@
     private var usedValid = false
 
     /** A task with this image was placed or found here. */
-    fun uses(facts: JobRequirements) = images.use(facts.image, facts.imageGb)
+    fun uses(requirements: JobRequirements) = images.use(requirements.image, requirements.imageGb)
 
     /** The image is most likely in its cache. */
     fun hasImage(image: String) = image in images
--- a/src/main/kotlin/lichenstage/partition/PartitionCore.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionCore.kt
@@ -169,7 +169,7 @@
         if (changes.isNewLeader(frame.term)) begin(frame.term)
         if (!changes.accepts(frame.term, frame.seq)) return
         changes.received(frame.seq)
-        requirements.putAll(frame.facts)
+        requirements.putAll(frame.requirements)
         probes.known(frame.addresses)
         frame.cordoned?.let { cordoned = it }
         if (frame.ackTerm == term) changes.acknowledge(frame.ackVersion)
@@ -227,7 +227,7 @@
             events(OrderEvent.StartRefused(order.machine, task, order.attempt, refusal))
         } else if (request != null) {
             holds.use(order.stamp, machine)
-            machine.uses(request.facts)
+            machine.uses(request.requirements)
             if (!machine.attempts.containsKey(order.attempt)) {
                 val attempt = Attempt("${request.job}/${order.index}", order.attempt, now)
                 attempt.version = changes.nextVersion
@@ -260,7 +260,7 @@
         frame: PlacementFrame,
         now: Long,
     ) {
-        frame.requests.forEach { requirements[it.job] = it.facts }
+        frame.requests.forEach { requirements[it.job] = it.requirements }
         val usable =
             machines.values.asSequence().filter { machine ->
                 usable(machine) && machine.name !in cordoned &&
--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -209,7 +209,7 @@
 
     /** A task that saves by itself now and then has kept its progress up to the last time. */
     private fun checkpointedUs(attempt: Attempt): Long {
-        val everyUs = attempt.job.spec.checkpointUs
+        val everyUs = attempt.job.spec.checkpointIntervalUs
         if (everyUs <= 0 || attempt.phase != TaskPhase.RUNNING) return 0
         return attempt.progressUs(nowUs) / everyUs * everyUs
     }
--- a/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
@@ -69,8 +69,9 @@
         leftUs: Long,
         now: Long,
     ) = attempts.filter {
-        val saveUs = it.job.spec.saveUs
-        canSave(it) && leftUs in saveUs + LEAST_MARGIN_US..saveUs + NOTICE_MARGIN_US && remainingUs(it, now) + LEAST_MARGIN_US > leftUs
+        val checkpointSaveUs = it.job.spec.checkpointSaveUs
+        canSave(it) && leftUs in checkpointSaveUs + LEAST_MARGIN_US..checkpointSaveUs + NOTICE_MARGIN_US &&
+            remainingUs(it, now) + LEAST_MARGIN_US > leftUs
     }
 
     private fun whileDraining(
@@ -85,9 +86,9 @@
         attempt: Attempt,
         now: Long,
     ) = canSave(attempt) && attempt.runningUs > 0 && now - attempt.runningUs >= LEAST_RUN_US &&
-        remainingUs(attempt, now) > attempt.job.spec.saveUs + MOVE_COST_US
+        remainingUs(attempt, now) > attempt.job.spec.checkpointSaveUs + MOVE_COST_US
 
-    private fun canSave(attempt: Attempt) = attempt.job.spec.checkpointUs > 0 && attempt.phase == TaskPhase.RUNNING
+    private fun canSave(attempt: Attempt) = attempt.job.spec.checkpointIntervalUs > 0 && attempt.phase == TaskPhase.RUNNING
 
     /**
      * How long the attempt is expected to go on. Estimates are often wrong by half: a task that has run for longer than expected goes on
@@ -101,7 +102,14 @@
         return maxOf(runTimes.expectedUs(attempt.job.spec) - progressUs, progressUs / OVERRUN_SHARE)
     }
 
-    private fun leewayUs(attempt: Attempt) = if (attempt.job.spec.checkpointUs > 0) attempt.job.spec.saveUs + LEAST_MARGIN_US else 0
+    private fun leewayUs(attempt: Attempt) =
+        if (attempt.job.spec.checkpointIntervalUs >
+            0
+        ) {
+            attempt.job.spec.checkpointSaveUs + LEAST_MARGIN_US
+        } else {
+            0
+        }
 
     /** Frames get lost, so an order is repeated while the task is still seen running. */
     private fun due(
@@ -111,7 +119,7 @@
         val last = sentUs[attempt.number]
         if (last != null && now - last < REPEAT_US) return false
         sentUs[attempt.number] = now
-        if (attempt.saveOrderedUs == 0L && attempt.job.spec.checkpointUs > 0) attempt.saveOrderedUs = now
+        if (attempt.saveOrderedUs == 0L && attempt.job.spec.checkpointIntervalUs > 0) attempt.saveOrderedUs = now
         return true
     }
 
--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -58,7 +58,7 @@
     fun arrived(job: Job) {
         val runUs = core.runTimes.expectedUs(job.spec)
         DemandEstimate
-            .arrival(job, catalog.machineTypes, runUs) { objectives.startsWithin(job.spec.kind, it.bootUs) }
+            .arrival(job, catalog.machineTypes, runUs) { objectives.startsWithin(job.spec.jobClass, it.bootUs) }
             ?.let(forecast::arrived)
     }
 
--- a/src/main/kotlin/lichenstage/placement/Job.kt
+++ b/src/main/kotlin/lichenstage/placement/Job.kt
@@ -42,7 +42,7 @@
     val arrivedUs: Long,
 ) {
     /** All jobs that it needs are recorded as done. Until then it has nothing to place and counts for nothing. */
-    var ready = spec.needs.isEmpty()
+    var ready = spec.dependencies.isEmpty()
         private set
 
     /** When that was: all its times but the deadline count from here. */
--- a/src/main/kotlin/lichenstage/placement/JobQueue.kt
+++ b/src/main/kotlin/lichenstage/placement/JobQueue.kt
@@ -36,7 +36,7 @@
 
     /** A job has come. */
     fun added(job: Job) {
-        sizes.getOrPut(job.spec.kind) { Mean() }.add(job.spec.tasks)
+        sizes.getOrPut(job.spec.jobClass) { Mean() }.add(job.spec.tasks)
         stale = true
     }
 
@@ -76,7 +76,7 @@
             waiting.map { job ->
                 val others = pipelines.of(job)
                 val runUs = runTimes.expectedUs(job.spec)
-                val share = job.pending.size / sizes.getValue(job.spec.kind).value
+                val share = job.pending.size / sizes.getValue(job.spec.jobClass).value
                 val steps =
                     serviceObjectives
                         .startObjectives(
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -81,7 +81,7 @@
     private inner class OutboxView : OutboxSource {
         override fun partition(id: String) = partitions[id]
 
-        override fun requirementsOfJobs(): Map<String, JobRequirements> = jobs.values.associate { it.spec.id to it.spec.facts }
+        override fun requirementsOfJobs(): Map<String, JobRequirements> = jobs.values.associate { it.spec.id to it.spec.requirements }
 
         override fun addresses(partition: String) = directory.addresses(partition)
 
@@ -407,7 +407,7 @@
         log.info(
             "{} is done: {} of {} tasks, all placed after {} ms, running after {} ms, done after {} ms",
             job.spec.id,
-            job.spec.kind,
+            job.spec.jobClass,
             job.spec.tasks,
             (job.placedUs - job.readyUs).coerceAtLeast(0) / MILLI,
             (job.runningUs - job.readyUs).coerceAtLeast(0) / MILLI,
--- a/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
@@ -47,10 +47,10 @@
             TaskId(spec.id, attempt.index),
             attempt.number,
             spec.team,
-            spec.kind,
+            spec.jobClass,
             running = attempt.phase == TaskPhase.RUNNING,
             remainingUs = core.remainingUs(attempt, now()),
-            lostUs = if (spec.checkpointUs > 0) spec.saveUs else attempt.progressUs(now()),
+            lostUs = if (spec.checkpointIntervalUs > 0) spec.checkpointSaveUs else attempt.progressUs(now()),
         )
     }
 
--- a/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
@@ -100,7 +100,7 @@
                 seq = sequence,
                 ackTerm = partition?.term ?: 0,
                 ackVersion = partition?.version ?: 0,
-                facts = if (inform) source.requirementsOfJobs() else emptyMap(),
+                requirements = if (inform) source.requirementsOfJobs() else emptyMap(),
                 addresses = if (inform) source.addresses(id) else emptyMap(),
                 requests = requests,
                 starts = starts,
--- a/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
+++ b/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
@@ -33,7 +33,7 @@
             if (job.ready) {
                 emptyList()
             } else {
-                job.spec.needs
+                job.spec.dependencies
                     .mapNotNull(jobOf)
                     .filter { it.phase == JobPhase.OPEN }
             }
--- a/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
@@ -81,11 +81,11 @@
         val spec = job.spec
         val zone = zones.requestedZone(job)
         val request =
-            PlacementRequest(++stampCounter, spec.id, spec.facts, demand.tasks, spec.allowedTypes, zone, spec.spot, imageOnly)
+            PlacementRequest(++stampCounter, spec.id, spec.requirements, demand.tasks, spec.allowedTypes, zone, spec.spot, imageOnly)
         return JobRequest(request, job)
     }
 
-    private fun hurried(job: Job) = objectives.startsWithin(job.spec.kind, HURRY_US)
+    private fun hurried(job: Job) = objectives.startsWithin(job.spec.jobClass, HURRY_US)
 
     /** A fetch keeps a machine's room from being used at all: worth avoiding where it isn't short beside the run. */
     private fun gainsByImage(job: Job) = fetchUs(job.spec) * SHORT_FETCH_SHARE > runTimes.expectedUs(job.spec)
--- a/src/main/kotlin/lichenstage/placement/RunTimeEstimates.kt
+++ b/src/main/kotlin/lichenstage/placement/RunTimeEstimates.kt
@@ -21,9 +21,9 @@
         spec: JobSpec,
         ranUs: Long,
     ) {
-        if (spec.estimateUs <= 0 || ranUs <= 0) return
-        val bias = byClass.getOrPut(spec.kind) { Bias() }
-        val ratio = ln(ranUs.toDouble() / spec.estimateUs).coerceIn(-LARGEST, LARGEST)
+        if (spec.estimatedRunTimeUs <= 0 || ranUs <= 0) return
+        val bias = byClass.getOrPut(spec.jobClass) { Bias() }
+        val ratio = ln(ranUs.toDouble() / spec.estimatedRunTimeUs).coerceIn(-LARGEST, LARGEST)
         // One task of a large job says less than one of a small job: all of a job's tasks share its estimate.
         val weight = 1.0 / spec.tasks
         bias.sum = bias.sum * (1 - weight / MEMORY) + ratio * weight
@@ -32,8 +32,8 @@
 
     /** How long a task of the job is expected to run. */
     fun expectedUs(spec: JobSpec): Long {
-        val bias = byClass[spec.kind] ?: return spec.estimateUs
-        return (spec.estimateUs * exp(bias.sum / (bias.weight + PRIOR))).toLong()
+        val bias = byClass[spec.jobClass] ?: return spec.estimatedRunTimeUs
+        return (spec.estimatedRunTimeUs * exp(bias.sum / (bias.weight + PRIOR))).toLong()
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
+++ b/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
@@ -49,7 +49,7 @@
 
     /** The times (steady) by which the job should be complete, the earliest first. */
     fun dueUs(job: Job): List<Long> {
-        val finish = byClass[ObjectiveKind.FINISHED to job.spec.kind].orEmpty()
+        val finish = byClass[ObjectiveKind.FINISHED to job.spec.jobClass].orEmpty()
         return (listOfNotNull(deadlineUs(job)) + finish.map { job.readyUs + it }).sorted()
     }
 
@@ -64,7 +64,7 @@
         guaranteed: Boolean = false,
         forOthersUs: Long? = null,
     ): List<StartObjective> {
-        val waits = byClass[ObjectiveKind.WAIT to job.spec.kind].orEmpty() + listOfNotNull(guaranteeUs?.takeIf { guaranteed })
+        val waits = byClass[ObjectiveKind.WAIT to job.spec.jobClass].orEmpty() + listOfNotNull(guaranteeUs?.takeIf { guaranteed })
         return (
             waits.map { StartObjective(job.readyUs + it, byTask = true) } +
                 (dueUs(job) + listOfNotNull(forOthersUs)).map { StartObjective(it - runUs, byTask = false) }
--- a/src/main/kotlin/lichenstage/placement/WaitingJobs.kt
+++ b/src/main/kotlin/lichenstage/placement/WaitingJobs.kt
@@ -19,7 +19,7 @@
     /** Releases what is ready, with the time of day at which the last job that it needs was recorded, or 0 where none says. */
     fun release(ready: (job: Job, recordedAtUs: Long) -> Unit) {
         waiting.removeIf { job ->
-            val recordedAtUs = pipelines.readyAt(job.spec.needs)
+            val recordedAtUs = pipelines.readyAt(job.spec.dependencies)
             if (recordedAtUs != null) ready(job, recordedAtUs)
             recordedAtUs != null || job.phase == JobPhase.CLOSED
         }
--- a/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
@@ -29,7 +29,7 @@
                 .`as`(::AttemptOrder)
                 .list()
                 .ofMaxSize(4)
-        val facts = JobRequirements(Shape(1.5, 0.0, 7.25), "img")
+        val requirements = JobRequirements(Shape(1.5, 0.0, 7.25), "img")
         val leader =
             Combinators.combine(words, numbers, numbers, orders, orders).`as` { w, a, b, stops, clears ->
                 PlacementFrame(
@@ -38,9 +38,9 @@
                     b,
                     b,
                     a,
-                    mapOf(w to facts),
+                    mapOf(w to requirements),
                     mapOf(w to "1.2.3.4:5"),
-                    listOf(PlacementRequest(a, w, facts, 3, if (a % 2 == 0L) null else listOf(w), null, true)),
+                    listOf(PlacementRequest(a, w, requirements, 3, if (a % 2 == 0L) null else listOf(w), null, true)),
                     listOf(StartOrder(a, w, 3, b)),
                     listOf(a, b),
                     stops,
--- a/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
@@ -80,7 +80,7 @@
     fun `records are read, and those of jobs that need no others are written as production writes them`() {
         val records = samples.getJsonObject("records")
         val spec = JobRecord.decode(records.getJsonObject("j"))
-        assertTrue(JobRecord.encode(spec) == records.getJsonObject("j") && spec.needs.isEmpty()) { "$spec" }
+        assertTrue(JobRecord.encode(spec) == records.getJsonObject("j") && spec.dependencies.isEmpty()) { "$spec" }
         val done = BitSet().also { DoneRanges.decode(records.getJsonObject("d"), 0, it) }
         assertTrue(DoneRanges.encode(done, 0) == records.getJsonObject("d") && done.cardinality() == 6) { "$done" }
         val machines = Registry.decode(records.getJsonObject("m"))
@@ -92,7 +92,7 @@
     fun `what is new in a record leaves all that production reads of it`() {
         val records = samples.getJsonObject("records")
         val plain = JobRecord.decode(records.getJsonObject("j"))
-        val spec: JobSpec = plain.copy(needs = listOf("j-7"))
+        val spec: JobSpec = plain.copy(dependencies = listOf("j-7"))
         val written = JsonObject(JobRecord.encode(spec).encode())
         assertTrue(
             records.getJsonObject("j").fieldNames().all { written.getValue(it) == records.getJsonObject("j").getValue(it) },
--- a/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
@@ -39,7 +39,7 @@
     fun `a submission as the protocol shows it is read, unknown fields and all`() {
         val spec = JobCodec.submission(submission(), 7)
         assertTrue(spec.id == "j-000412" && spec.tasks == 16 && spec.shape == Shape(8.0, 1.0, 64.0)) { "$spec" }
-        assertTrue(spec.deadlineUs == 900_000_000L && spec.estimateUs == 240_000_000L && spec.submittedUs == 7L) { "$spec" }
+        assertTrue(spec.deadlineUs == 900_000_000L && spec.estimatedRunTimeUs == 240_000_000L && spec.submittedUs == 7L) { "$spec" }
         assertTrue(spec.allowedTypes == listOf("g8") && spec.zone == null && spec.sameZone && spec.spot) { "$spec" }
     }
 
--- a/src/test/kotlin/lichenstage/jobs/JobsActorTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobsActorTest.kt
@@ -85,7 +85,7 @@
         /** The leader's word that all tasks are done, which there is only once all that the job needs is recorded as done. */
         fun finish(id: String): Boolean {
             val open = entries["j/$id"] ?: return false
-            if (JobRecord.needs(open.value).any { entries["x/$it"]?.value?.getString("status") != "done" }) return false
+            if (JobRecord.dependencies(open.value).any { entries["x/$it"]?.value?.getString("status") != "done" }) return false
             val record = JsonObject().put("status", "done").put("tasks", 2)
             return apply(
                 mapOf("j/$id" to open.stamp),
@@ -131,7 +131,7 @@
         while (true) {
             delay(if (random.nextInt(40) == 0) 8000 else 50 + random.nextLong(300))
             val open = store.entries.filterKeys { it.startsWith("j/") }.mapKeys { it.key.removePrefix("j/") }
-            open.forEach { (id, entry) -> pipelines.opened(id, JobRecord.needs(entry.value)) }
+            open.forEach { (id, entry) -> pipelines.opened(id, JobRecord.dependencies(entry.value)) }
             replica.loaded(open.mapValues { it.value.stamp }, store.revision, clock.now()).forEach(pipelines::ended)
             for (id in pipelines.toResolve(8)) {
                 val record = store.entries["x/$id"]?.value ?: continue
@@ -253,7 +253,7 @@
         val broken = ArrayList<String>()
         val over = HashMap<String, String>()
         var cancelledMs = Long.MAX_VALUE
-        val needs = mapOf(1 to emptyList(), 2 to listOf(1), 3 to listOf(1), 4 to listOf(2, 3))
+        val dependencies = mapOf(1 to emptyList(), 2 to listOf(1), 3 to listOf(1), 4 to listOf(2, 3))
 
         suspend fun ask(
             verb: UserVerb,
@@ -286,7 +286,7 @@
                 }
             }
             launch { repeat(40) { delay(1000).also { (1..4).forEach { n -> if (random.nextInt(15) == 0) store.finish("j-$n") } } } }
-            for ((n, earlier) in needs) {
+            for ((n, earlier) in dependencies) {
                 val text = submission(n, 2, "red", 5.0).put("waits_on", JsonArray(earlier.map { "j-$it" })).encode()
                 while (true) {
                     val asked = testScheduler.currentTime
@@ -345,7 +345,7 @@
             store.finish("j-10")
             val reply = submitted(20, JsonArray(listOf("j-10", "j-11", "j-11")))
             assertTrue(reply.status in 200..201) { "${reply.status} ${reply.body}" }
-            assertEquals(listOf("j-10", "j-11"), JobRecord.needs(store.entries.getValue("j/j-20").value)) { "named twice" }
+            assertEquals(listOf("j-10", "j-11"), JobRecord.dependencies(store.entries.getValue("j/j-20").value)) { "named twice" }
         }
 
     @Example
--- a/src/test/kotlin/lichenstage/jobs/PipelinesTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/PipelinesTest.kt
@@ -18,8 +18,8 @@
         pipelines.opened("j-3", listOf("j-2"))
 
         fun readiness() =
-            listOf("j-1" to emptyList(), "j-2" to listOf("j-1"), "j-3" to listOf("j-2")).map { (job, needs) ->
-                pipelines.readiness(job, needs)
+            listOf("j-1" to emptyList(), "j-2" to listOf("j-1"), "j-3" to listOf("j-2")).map { (job, dependencies) ->
+                pipelines.readiness(job, dependencies)
             }
         assertEquals(listOf(Readiness.READY, Readiness.WAITING, Readiness.WAITING), readiness()) { "${readiness()}" }
         pipelines.ended("j-1")
@@ -49,23 +49,26 @@
     ) {
         val random = Random(seed)
         val pipelines = Pipelines()
-        val needs = LinkedHashMap<String, List<String>>()
+        val dependencies = LinkedHashMap<String, List<String>>()
         val open = LinkedHashSet<String>()
         val ended = HashMap<String, Boolean>()
         val resolved = HashSet<String>()
         val orphans = LinkedHashSet<String>()
 
         fun cancelledBefore(job: String): Boolean =
-            needs.getValue(job).any { (it in resolved && ended[it] == false) || (it in open && (it in orphans || cancelledBefore(it))) }
+            dependencies.getValue(job).any {
+                (it in resolved && ended[it] == false) ||
+                    (it in open && (it in orphans || cancelledBefore(it)))
+            }
 
         repeat(120) { step ->
             when (random.nextInt(4)) {
                 0, 1 -> {
                     val job = "j-$step"
-                    val all = needs.keys.toList()
-                    needs[job] = List(if (all.isEmpty()) 0 else random.nextInt(4)) { all[random.nextInt(all.size)] }.distinct()
+                    val all = dependencies.keys.toList()
+                    dependencies[job] = List(if (all.isEmpty()) 0 else random.nextInt(4)) { all[random.nextInt(all.size)] }.distinct()
                     open += job
-                    pipelines.opened(job, needs.getValue(job))
+                    pipelines.opened(job, dependencies.getValue(job))
                 }
 
                 2 -> {
@@ -73,7 +76,7 @@
                         val job = open.toList()[random.nextInt(open.size)]
                         open -= job
                         // Only what has all that it needs can be done.
-                        ended[job] = random.nextInt(3) > 0 && needs.getValue(job).all { ended[it] == true }
+                        ended[job] = random.nextInt(3) > 0 && dependencies.getValue(job).all { ended[it] == true }
                         pipelines.ended(job)
                     }
                 }
@@ -87,20 +90,20 @@
                 }
             }
             // What nobody waits for is looked up by nobody, and forgotten.
-            resolved.removeIf { done -> open.none { done in needs.getValue(it) } }
+            resolved.removeIf { done -> open.none { done in dependencies.getValue(it) } }
             // Once orphaned, always: what it needs may be recorded as cancelled later without being looked up.
             orphans += open.filter(::cancelledBefore)
             orphans.retainAll(open)
             assertEquals(orphans, pipelines.orphans(1000).toSet()) { "seed $seed step $step: ${pipelines.orphans(1000)}, not $orphans" }
             for (job in open) {
-                val ready = needs.getValue(job).all { it in resolved && ended[it] == true }
-                assertEquals(ready, (pipelines.readyAt(needs.getValue(job)) != null)) { "seed $seed step $step: $job" }
+                val ready = dependencies.getValue(job).all { it in resolved && ended[it] == true }
+                assertEquals(ready, (pipelines.readyAt(dependencies.getValue(job)) != null)) { "seed $seed step $step: $job" }
             }
         }
         while (pipelines.toResolve(10).isNotEmpty()) {
             pipelines.toResolve(10).forEach { pipelines.resolved(it, Outcome(ended.getValue(it), 0)) }
         }
-        open.forEach { job -> assertTrue(needs.getValue(job).all { it in open || it in ended }) { "lost" } }
+        open.forEach { job -> assertTrue(dependencies.getValue(job).all { it in open || it in ended }) { "lost" } }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
@@ -13,7 +13,7 @@
 
 /** A partition of one zone, its machines and a leader, for tests. */
 abstract class PartitionFixture {
-    protected val facts = JobRequirements(Shape(4.0, 0.0, 1.0), "img")
+    protected val requirements = JobRequirements(Shape(4.0, 0.0, 1.0), "img")
     protected var seq = 0L
     protected var tally = 0L
 
@@ -37,7 +37,7 @@
     protected fun ask(
         stamp: Long,
         count: Int,
-    ) = PlacementRequest(stamp, "j-1", facts, count, null, null, true)
+    ) = PlacementRequest(stamp, "j-1", requirements, count, null, null, true)
 
     protected fun PartitionCore.commands(
         heartbeat: Heartbeat,
--- a/src/test/kotlin/lichenstage/placement/CheckpointStopsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CheckpointStopsTest.kt
@@ -16,7 +16,11 @@
         runS: Long,
         checkpointS: Long = 20,
     ) = Job(
-        oneCoreSpec(1, "c", Priority.STANDARD, 4, runS * SECOND).copy(checkpointUs = checkpointS * SECOND, saveUs = 4 * SECOND),
+        oneCoreSpec(1, "c", Priority.STANDARD, 4, runS * SECOND).copy(
+            checkpointIntervalUs = checkpointS * SECOND,
+            checkpointSaveUs =
+                4 * SECOND,
+        ),
         1,
         0,
     )
--- a/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
+++ b/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
@@ -15,11 +15,11 @@
 
     private fun job(
         number: Int,
-        kind: String,
+        jobClass: String,
         tasks: Int,
         arrivedUs: Long,
         priority: Priority = Priority.HIGH,
-    ) = Job(oneCoreSpec(number, kind, priority, tasks), number.toLong(), arrivedUs).apply { open() }
+    ) = Job(oneCoreSpec(number, jobClass, priority, tasks), number.toLong(), arrivedUs).apply { open() }
 
     /**
      * Twice as much comes as can be done, all of it promised and of higher priority; the largest job of the class without a
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -16,7 +16,13 @@
     /** The order goes out with the next frame, the progress counts once the task is seen stopped, and the task is queued again. */
     @Example
     fun `tasks with checkpoints on a machine with a notice are ordered to save, and go on elsewhere`() {
-        val spec = spec("j-1", tasks = 1).copy(estimateUs = 100 * SECOND, checkpointUs = 20 * SECOND, saveUs = 4 * SECOND)
+        val spec =
+            spec("j-1", tasks = 1).copy(
+                estimatedRunTimeUs = 100 * SECOND,
+                checkpointIntervalUs = 20 * SECOND,
+                checkpointSaveUs =
+                    4 * SECOND,
+            )
         val job = Job(spec, 101, 0)
         val leader = placed(job)
         val attempt = starts().single().attempt
@@ -173,7 +179,7 @@
     fun `a job that waits for others asks for nothing and holds nothing until all of them are recorded as done`() {
         val leader = leader()
         leader.inherited(inherited("m1"))
-        val waiting = Job(spec("j-2").copy(needs = listOf("j-1")), 101, 0)
+        val waiting = Job(spec("j-2").copy(dependencies = listOf("j-1")), 101, 0)
         leader.jobAdded(waiting)
         leader.frame(partition("z", 0, view("m1")), SECOND)
         leader.tick(2 * SECOND)
@@ -210,8 +216,8 @@
                 10,
                 { SECOND },
             ) { effects += it }
-        for ((id, kind) in listOf("j-1" to "quick", "j-2" to "quick", "j-3" to "c")) {
-            leader.jobAdded(Job(spec(id).copy(kind = kind), 1, 0))
+        for ((id, jobClass) in listOf("j-1" to "quick", "j-2" to "quick", "j-3" to "c")) {
+            leader.jobAdded(Job(spec(id).copy(jobClass = jobClass), 1, 0))
         }
         leader.frame(partition("z", 0, view("m1")), 5 * SECOND)
         leader.tick(5 * SECOND)
--- a/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
@@ -15,7 +15,7 @@
         n: Int,
         priority: Priority,
         tasks: Int = 4,
-    ) = oneCoreSpec(n, "c", priority, tasks, estimateUs = 10 * SECOND)
+    ) = oneCoreSpec(n, "c", priority, tasks, estimatedRunTimeUs = 10 * SECOND)
 
     private fun waiting(
         n: Int,
--- a/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
@@ -16,9 +16,9 @@
     private fun job(
         number: Int,
         runS: Long,
-        vararg needs: Int,
+        vararg dependencies: Int,
     ) = Job(
-        oneCoreSpec(number, "c", Priority.LOW, 2, runS * SECOND).copy(needs = needs.map { "j-$it" }),
+        oneCoreSpec(number, "c", Priority.LOW, 2, runS * SECOND).copy(dependencies = dependencies.map { "j-$it" }),
         number.toLong(),
         0,
     ).also {
@@ -67,7 +67,7 @@
         val next = job(2, 50, 1)
 
         fun asked(readyInS: Long) =
-            DemandEstimate.demand(listOf(next), mapOf("t" to machineType), { Double.MAX_VALUE }, { it.estimateUs }, { null }) {
+            DemandEstimate.demand(listOf(next), mapOf("t" to machineType), { Double.MAX_VALUE }, { it.estimatedRunTimeUs }, { null }) {
                 readyInS *
                     SECOND
             }
--- a/src/test/kotlin/lichenstage/placement/TestJobs.kt
+++ b/src/test/kotlin/lichenstage/placement/TestJobs.kt
@@ -8,13 +8,13 @@
 /** A job of one-core tasks, for tests of the order of jobs. */
 internal fun oneCoreSpec(
     number: Int,
-    kind: String,
+    jobClass: String,
     priority: Priority,
     tasks: Int,
-    estimateUs: Long = SECOND,
+    estimatedRunTimeUs: Long = SECOND,
 ) = JobSpec(
     "j-$number",
-    kind,
+    jobClass,
     "red",
     priority,
     tasks,
@@ -26,7 +26,7 @@
     true,
     "i",
     1.0,
-    estimateUs,
+    estimatedRunTimeUs,
     0,
     0,
     null,
--- a/src/test/kotlin/lichenstage/standin/Smoke.kt
+++ b/src/test/kotlin/lichenstage/standin/Smoke.kt
@@ -107,8 +107,8 @@
     private fun stage(
         id: Int,
         tasks: Int,
-        needs: Int,
-    ) = JsonObject(job(id, tasks)).put("waits_on", JsonArray().add("j-$needs")).encode()
+        dependencies: Int,
+    ) = JsonObject(job(id, tasks)).put("waits_on", JsonArray().add("j-$dependencies")).encode()
 
     private fun started(
         task: String,
--- a/src/test/kotlin/lichenstage/world/RuleChecker.kt
+++ b/src/test/kotlin/lichenstage/world/RuleChecker.kt
@@ -76,7 +76,7 @@
         placed(machine, job, now)
         val there = on.getOrPut(job.id) { HashMap() }.getOrPut(index) { ArrayList() }
         if (there.any { it.machine != machine }) broken += "ran_twice: $key on $machine and ${there[0].machine} at $now"
-        val missing = job.needs.filter { !complete(it) }
+        val missing = job.dependencies.filter { !complete(it) }
         if (missing.isNotEmpty()) broken += "too_early: $key started at $now, before $missing were done"
         there += Running(machine, job)
         if (completed[job.id]?.contains(index) == true) reruns++
@@ -139,14 +139,14 @@
 
     /** When a user was first told that a job that this one needs, directly or through others, is cancelled. */
     private fun cancelledBefore(job: SimulatedJob): Long? {
-        val due = ArrayDeque(job.needs)
+        val due = ArrayDeque(job.dependencies)
         val seen = HashSet<String>()
         var first: Long? = null
         while (due.isNotEmpty()) {
             val id = due.removeLast()
             if (!seen.add(id)) continue
             cancelled[id]?.let { first = minOf(first ?: it, it) }
-            due += known[id]?.needs.orEmpty()
+            due += known[id]?.dependencies.orEmpty()
         }
         return first
     }
@@ -238,5 +238,5 @@
     /** Its tasks run for very different times. */
     val uneven: Boolean = false,
     /** Jobs that have to be done before any task of this one starts. */
-    val needs: List<String> = emptyList(),
+    val dependencies: List<String> = emptyList(),
 )
--- a/src/test/kotlin/lichenstage/world/SimulatedController.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedController.kt
@@ -186,7 +186,7 @@
     /** What a watch of the open jobs brings. */
     private fun readJobs() {
         val stamps = state.open.mapValues { it.value.stamp }
-        state.open.values.forEach { pipelines.opened(it.id, it.needs) }
+        state.open.values.forEach { pipelines.opened(it.id, it.dependencies) }
         val ended =
             if (replica.revision < 0) {
                 replica.loaded(stamps, state.lastRevision, now)
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -72,7 +72,7 @@
 
     private fun readied(leader: LeaderCore) =
         leader.jobs.values
-            .filter { !it.ready && (mutation == Mutation.NEEDS_IGNORED || controller.pipelines.readyAt(it.spec.needs) != null) }
+            .filter { !it.ready && (mutation == Mutation.NEEDS_IGNORED || controller.pipelines.readyAt(it.spec.dependencies) != null) }
             .forEach { leader.jobReady(it, now) }
 
     /** Jobs of which one that they need is cancelled are recorded as such. */
@@ -149,7 +149,7 @@
     private fun spec(job: SimulatedJob) =
         JobSpec(
             id = job.id,
-            kind = "class",
+            jobClass = "class",
             team = job.team,
             priority = Priority.STANDARD,
             tasks = job.tasks,
@@ -161,12 +161,12 @@
             spot = false,
             image = "image",
             imageGb = 1.0,
-            estimateUs = job.runUs,
-            checkpointUs = 0,
-            saveUs = 0,
+            estimatedRunTimeUs = job.runUs,
+            checkpointIntervalUs = 0,
+            checkpointSaveUs = 0,
             deadlineUs = null,
             submittedUs = 0,
-            needs = job.needs,
+            dependencies = job.dependencies,
         )
 
     private fun carryOut(
--- a/src/test/kotlin/lichenstage/world/SimulatedStateService.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedStateService.kt
@@ -108,7 +108,7 @@
         context.checker.polled(jobs.getValue(id), PollAnswer.DONE, context.now)
     }
 
-    fun isReady(job: SimulatedJob) = job.needs.all { outcomes[it] == true }
+    fun isReady(job: SimulatedJob) = job.dependencies.all { outcomes[it] == true }
 
     /** How a job ended, as its record says; null while it is open. */
     fun outcome(id: String): Outcome? = outcomes[id]?.let { Outcome(it, null) }
--- a/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
@@ -72,9 +72,9 @@
             }
         val shape = listOf(CHAIN, FAN, DIAMOND)[n / PIPELINE % 3]
         var afterUs = 0L
-        for ((stage, needs) in shape.withIndex()) {
-            val named = needs.map { "j-${n + it}" } + if (stage == 0) earlier else emptyList()
-            val job = SimulatedJob("j-${n + stage}", teamOf(n), 1 + random.nextInt(3), 1.0, 5 * SECOND, 0, needs = named)
+        for ((stage, dependencies) in shape.withIndex()) {
+            val named = dependencies.map { "j-${n + it}" } + if (stage == 0) earlier else emptyList()
+            val job = SimulatedJob("j-${n + stage}", teamOf(n), 1 + random.nextInt(3), 1.0, 5 * SECOND, 0, dependencies = named)
             context.at(afterUs) { submitNeeding(job) }
             // Now and then the last comes only when the others are over.
             afterUs += if (random.nextInt(6) == 0) 30 * SECOND else SECOND / 2 + random.nextInt(1_500_000)
@@ -83,8 +83,8 @@
 
     /** Read first and written after, on the condition that what was read still holds. */
     private fun submitNeeding(job: SimulatedJob) {
-        if (state.isOut || job.needs.any { it !in state.jobs }) return context.at(SECOND) { submitNeeding(job) }
-        val read = job.needs.associateWith { state.outcomes[it] }
+        if (state.isOut || job.dependencies.any { it !in state.jobs }) return context.at(SECOND) { submitNeeding(job) }
+        val read = job.dependencies.associateWith { state.outcomes[it] }
         context.at(MILLI + random.nextInt(80_000)) { writeNeeding(job, read) }
     }
 
@@ -110,7 +110,7 @@
         if (state.jobs.isEmpty()) return
         val controller = controllers[random.nextInt(CONTROLLERS)]
         // Mostly about what waits: of the others little can be said wrongly.
-        val waiting = state.open.values.filter { it.needs.isNotEmpty() }
+        val waiting = state.open.values.filter { it.dependencies.isNotEmpty() }
         val asked = if (waiting.isNotEmpty() && random.nextInt(3) > 0) waiting else state.jobs.values
         val job = asked.elementAt(random.nextInt(asked.size))
         checker.polled(job, if (controller.reachesState) answerOf(controller, job) else null, context.now)
@@ -122,7 +122,7 @@
         job: SimulatedJob,
     ): PollAnswer? {
         state.outcomes[job.id]?.let { done -> return if (done) PollAnswer.DONE else PollAnswer.CANCELLED }
-        return when (controller.pipelines.readiness(job.id, job.needs)) {
+        return when (controller.pipelines.readiness(job.id, job.dependencies)) {
             Readiness.READY -> {
                 PollAnswer.OPEN
             }
@@ -166,7 +166,7 @@
     /** Users call off up to [count] jobs of pipelines that others wait for, preferring those that are about to end. */
     fun cancelPipelines(count: Int) =
         state.open.values
-            .filter { job -> state.open.values.any { job.id in it.needs } }
+            .filter { job -> state.open.values.any { job.id in it.dependencies } }
             .sortedBy { -checker.doneTasks(it.id) }
             .take(count)
             .forEach { cancel(it.id, random.nextInt(CONTROLLERS)) }
