--- a/src/test/kotlin/lichenstage/ci/KnownRedTest.kt
+++ b/src/test/kotlin/lichenstage/ci/KnownRedTest.kt
@@ -34,7 +34,8 @@
                 verdict(list + "a.GreenTest passes") to "KNOWN-RED.txt: not of the form ${KnownRed.FORM}: a.GreenTest passes",
                 verdict(list + "a.GreenTest#passes | c | | 3") to
                     "KNOWN-RED.txt: not of the form ${KnownRed.FORM}: a.GreenTest#passes | c | | 3",
-                verdict(list + "a.GreenTest#passes | c | 3") to "KNOWN-RED.txt: not of the form ${KnownRed.FORM}: a.GreenTest#passes | c | 3",
+                verdict(list + "a.GreenTest#passes | c | 3") to
+                    "KNOWN-RED.txt: not of the form ${KnownRed.FORM}: a.GreenTest#passes | c | 3",
                 verdict("$red | | s | 30", failed = emptySet()) to "KNOWN-RED.txt: not of the form ${KnownRed.FORM}: $red | | s | 30",
                 verdict(list, missing = listOf("a.LostTest")) to "did not run: a.LostTest",
             )
--- a/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
@@ -78,7 +78,10 @@
             Frame::class.java.permittedSubclasses
                 ?.map { it.simpleName }
                 ?.toSet()
-        assertEquals(kinds, frames.fieldNames().mapTo(HashSet(), ::currentName)) { "frames that production does not know, or no sample: $kinds" }
+        assertEquals(
+            kinds,
+            frames.fieldNames().mapTo(HashSet(), ::currentName),
+        ) { "frames that production does not know, or no sample: $kinds" }
     }
 
     @Example
