--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -212,7 +212,7 @@
                 scope,
                 mine.term,
                 mine.stamp,
-                LeaderOptions(operator.fleet(FleetPolicy()), operator.timers, operator.drains),
+                LeaderOptions(operator.fleet(FleetPolicy()), operator.placementSettings, operator.drains),
                 links::send,
             )
     }
--- a/src/main/kotlin/lichenstage/app/OperatorSettings.kt
+++ b/src/main/kotlin/lichenstage/app/OperatorSettings.kt
@@ -10,11 +10,11 @@
 import lichenstage.drain.DrainPolicy
 import lichenstage.drain.Hours
 import lichenstage.fleet.FleetPolicy
-import lichenstage.placement.Timers
+import lichenstage.placement.PlacementSettings
 
 /** What operators may set beyond the platform's file. Without a file, everything has its default. */
 data class OperatorSettings(
-    val timers: Timers = Timers(),
+    val placementSettings: PlacementSettings = PlacementSettings(),
     val fleet: (FleetPolicy) -> FleetPolicy = { it },
     /** Null where drains are not switched on. */
     val drains: DrainPolicy? = null,
@@ -40,27 +40,27 @@
             val fleet = top.section("fleet")
             val drains = if (top.has("drains")) drains(top.section("drains")) else null
             top.finish()
-            val defaults = Timers()
-            val timers =
-                Timers(
+            val defaults = PlacementSettings()
+            val placementSettings =
+                PlacementSettings(
                     alphaUs = placement.whole("alpha_ms", 10, 60_000)?.times(MILLI) ?: defaults.alphaUs,
                     betaUs = placement.whole("beta_ms", 0, 60_000)?.times(MILLI) ?: defaults.betaUs,
-                    askJobs = placement.whole("batch_jobs", 1, 1000)?.toInt() ?: defaults.askJobs,
-                    askTasks = placement.whole("batch_tasks", 1, 10_000)?.toInt() ?: defaults.askTasks,
+                    jobsPerRound = placement.whole("batch_jobs", 1, 1000)?.toInt() ?: defaults.jobsPerRound,
+                    tasksPerRequest = placement.whole("batch_tasks", 1, 10_000)?.toInt() ?: defaults.tasksPerRequest,
                 )
             placement.finish()
             val backlogUs = fleet.whole("backlog_s", 1, 86_400)?.times(SECOND)
-            val settleUs = fleet.whole("settle_s", 0, 86_400)?.times(SECOND)
+            val scaleInDelayUs = fleet.whole("settle_s", 0, 86_400)?.times(SECOND)
             val fill = fleet.whole("fill_percent", 10, 100)?.div(100.0)
             fleet.finish()
             val policy = { policy: FleetPolicy ->
                 policy.copy(
                     backlogUs = backlogUs ?: policy.backlogUs,
-                    settleUs = settleUs ?: policy.settleUs,
+                    scaleInDelayUs = scaleInDelayUs ?: policy.scaleInDelayUs,
                     fill = fill ?: policy.fill,
                 )
             }
-            return OperatorSettings(timers, policy, drains)
+            return OperatorSettings(placementSettings, policy, drains)
         }
 
         private fun drains(block: Block): DrainPolicy {
--- a/src/main/kotlin/lichenstage/app/WarmUp.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUp.kt
@@ -19,8 +19,8 @@
 import lichenstage.placement.Job
 import lichenstage.placement.LeaderCore
 import lichenstage.placement.LeaderEffect
+import lichenstage.placement.PlacementSettings
 import lichenstage.placement.ServiceObjectives
-import lichenstage.placement.Timers
 import java.io.File
 import java.io.IOException
 import java.net.ServerSocket
@@ -113,7 +113,7 @@
             PartitionAssignment(listOf("z"), emptyMap()),
             mapOf("t" to team),
             SECOND,
-            Timers(),
+            PlacementSettings(),
             ServiceObjectives(emptyList()),
             { shape },
             10,
--- a/src/main/kotlin/lichenstage/fleet/FleetCore.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetCore.kt
@@ -127,8 +127,8 @@
                 group.forEach { it.draining = false }
                 continue
             }
-            val settleUs = if (forecast.over(typeName, now)) policy.settleUs / 4 else policy.settleUs
-            if (now - surplusSinceUs.getOrPut(typeName) { now } < settleUs) continue
+            val scaleInDelayUs = if (forecast.over(typeName, now)) policy.scaleInDelayUs / 4 else policy.scaleInDelayUs
+            if (now - surplusSinceUs.getOrPut(typeName) { now } < scaleInDelayUs) continue
             val candidates =
                 group
                     .filter { it.upOnce && now - it.sinceUs > LEAST_US - 10 * SECOND }
@@ -215,7 +215,7 @@
         var most = 0.0
         for (demand in promised.sortedBy { it.dueUs!! }) {
             workUs += demand.workUs
-            val withinUs = maxOf(((demand.dueUs!! - now) * policy.slackUsed).toLong(), policy.leastHorizonUs)
+            val withinUs = maxOf(((demand.dueUs!! - now) * policy.deadlineSlackFraction).toLong(), policy.minHorizonUs)
             most = maxOf(most, workUs / policy.fill / withinUs)
         }
         return most
--- a/src/main/kotlin/lichenstage/fleet/FleetTypes.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetTypes.kt
@@ -54,12 +54,12 @@
 /** How machines are rented and returned. */
 data class FleetPolicy(
     /** Work that is due sooner than this is not helped by renting. */
-    val leastHorizonUs: Long = 40 * SECOND,
+    val minHorizonUs: Long = 40 * SECOND,
     /** The part of the time up to a promise in which its work should be done. */
-    val slackUsed: Double = 0.5,
+    val deadlineSlackFraction: Double = 0.5,
     /** What waits should be begun within this time. */
     val backlogUs: Long = 90 * SECOND,
     /** The part of a machine's time that can be filled. */
     val fill: Double = 1.0,
-    val settleUs: Long = 30 * SECOND,
+    val scaleInDelayUs: Long = 30 * SECOND,
 )
--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -26,7 +26,7 @@
     private val leaseUs: Long,
     private val attempts: RunningAttempts,
     private val runTimes: RunTimeEstimates,
-    private val checkpointStops: CheckpointStops,
+    private val checkpointPreemption: CheckpointPreemption,
     private val isRegistered: (String) -> Boolean,
     private val listener: AttemptListener,
 ) {
@@ -85,7 +85,7 @@
         if (task.cause == DONE) {
             val ranUs = attempt?.takeIf { it.runningUs > 0 }?.progressUs(now)
             if (job.did(task.index)) {
-                if (ranUs != null) runTimes.learned(job.spec, ranUs)
+                if (ranUs != null) runTimes.recordCompletion(job.spec, ranUs)
                 listener.taskDone(job, now)
             }
         } else if (attempt != null) {
@@ -138,7 +138,7 @@
     private fun supplant(attempt: Attempt) {
         log.info("{} try {} on {} was followed by another", attempt.task, attempt.number, attempt.machine)
         attempts.remove(attempt)
-        checkpointStops.ended(attempt)
+        checkpointPreemption.attemptEnded(attempt)
         listener.attemptSupplanted(attempt)
     }
 
@@ -163,7 +163,7 @@
         savedUs: Long,
     ) {
         attempts.remove(attempt)
-        checkpointStops.ended(attempt)
+        checkpointPreemption.attemptEnded(attempt)
         attempt.job.savedProgress(attempt.index, savedUs)
         attempt.job.requeue(attempt.index)
         listener.attemptGone(attempt)
--- a/src/main/kotlin/lichenstage/placement/WaitingJobs.kt
+++ b/src/main/kotlin/lichenstage/placement/BlockedJobs.kt
@@ -3,7 +3,7 @@
 import lichenstage.jobs.Pipelines
 
 /** The leader's jobs that wait for others: released once all that they need is recorded as done, or cancelled with it. */
-internal class WaitingJobs(
+internal class BlockedJobs(
     private val pipelines: Pipelines,
     private val core: LeaderCore,
     /** Jobs that one transaction records as cancelled. */
@@ -26,14 +26,14 @@
     }
 
     /** Jobs to record as cancelled next; none while some are being recorded. */
-    fun toCancel(): List<Job> {
+    fun takeOrphans(): List<Job> {
         if (cancelling) return emptyList()
         val jobs = pipelines.orphans(cancelledAtOnce).mapNotNull { core.jobs[it] }.filter { it.phase == JobPhase.OPEN }
         cancelling = jobs.isNotEmpty()
         return jobs
     }
 
-    fun cancelled() {
+    fun orphansCancelled() {
         cancelling = false
     }
 }
--- a/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
@@ -13,55 +13,61 @@
  * they would run for long, they are moved. A task that is expected to end by itself before is left alone, and so is one that could
  * not finish saving.
  */
-class CheckpointStops(
+class CheckpointPreemption(
     private val runTimes: RunTimeEstimates,
 ) {
     /** When machines with a notice will be taken, at the latest. */
-    private val takenByUs = HashMap<String, Long>()
+    private val reclaimDeadlineUs = HashMap<String, Long>()
     private val sentUs = HashMap<Long, Long>()
 
     /** Attempts that are to be stopped whether or not they can save, by number. */
     private val requested = LinkedHashMap<Long, Attempt>()
 
     /** Machines that have a notice, or on which something is to be stopped. */
-    val concerned: Set<String> get() = if (requested.isEmpty()) takenByUs.keys else takenByUs.keys + requested.values.map { it.machine }
+    val affectedMachines: Set<String> get() =
+        if (requested.isEmpty()) {
+            reclaimDeadlineUs.keys
+        } else {
+            reclaimDeadlineUs.keys +
+                requested.values.map { it.machine }
+        }
 
     /** These are to be stopped, with time to save where they can. */
-    fun request(attempts: Collection<Attempt>) = attempts.forEach { requested[it.number] = it }
+    fun requestStop(attempts: Collection<Attempt>) = attempts.forEach { requested[it.number] = it }
 
     /** A machine as its partition shows it at [now]. The notice may be older than the frame, never younger. */
-    fun seen(
+    fun machineUpdated(
         view: MachineState,
         now: Long,
     ) {
         val leftUs = view.recallUs ?: return
-        takenByUs.merge(view.name, now + leftUs, ::minOf)
+        reclaimDeadlineUs.merge(view.name, now + leftUs, ::minOf)
     }
 
     /** The machine is gone. */
-    fun gone(machine: String) {
-        takenByUs.remove(machine)
+    fun machineTerminated(machine: String) {
+        reclaimDeadlineUs.remove(machine)
     }
 
     /**
      * What is to be ordered now for a machine that goes away, with the [attempts] that may be running there. Where it [isDrained] by an
      * operator, only what was requested is stopped, since that is within the budget of its team.
      */
-    fun orders(
+    fun saveOrders(
         machine: String,
         attempts: Collection<Attempt>,
         isDrained: Boolean,
         now: Long,
     ): List<SaveOrder> {
-        val takenByUs = takenByUs[machine]
+        val reclaimDeadlineUs = reclaimDeadlineUs[machine]
         val stopped =
             when {
-                takenByUs != null -> beforeNotice(attempts, takenByUs - now, now)
+                reclaimDeadlineUs != null -> beforeNotice(attempts, reclaimDeadlineUs - now, now)
                 isDrained -> emptyList()
                 else -> whileDraining(attempts, now)
             }
         val asked = attempts.filter { it.number in requested && it.phase == TaskPhase.RUNNING }
-        return (stopped + asked).distinct().filter { due(it, now) }.map { SaveOrder(machine, it.task, it.number, leewayUs(it)) }
+        return (stopped + asked).distinct().filter { isDue(it, now) }.map { SaveOrder(machine, it.task, it.number, leewayUs(it)) }
     }
 
     private fun beforeNotice(
@@ -112,7 +118,7 @@
         }
 
     /** Frames get lost, so an order is repeated while the task is still seen running. */
-    private fun due(
+    private fun isDue(
         attempt: Attempt,
         now: Long,
     ): Boolean {
@@ -124,7 +130,7 @@
     }
 
     /** The attempt is over. */
-    fun ended(attempt: Attempt) {
+    fun attemptEnded(attempt: Attempt) {
         sentUs.remove(attempt.number)
         requested.remove(attempt.number)
     }
--- a/src/main/kotlin/lichenstage/placement/JobQueue.kt
+++ b/src/main/kotlin/lichenstage/placement/JobQueue.kt
@@ -8,14 +8,14 @@
  * The order in which waiting jobs are placed: that of [ObjectiveOrder], and beside it the ones that have waited long.
  *
  * Guards against starving: what no promise is left for would come last for as long as more is asked than can be done. Every
- * second place goes to the job that has waited longest beyond [agedUs], counted from its record, so that no change of leader
+ * second place goes to the job that has waited longest beyond [agingThresholdUs], counted from its record, so that no change of leader
  * makes it young again.
  */
 class JobQueue(
     private val serviceObjectives: ServiceObjectives,
     private val teams: Map<String, Team>,
     private val runTimes: RunTimeEstimates,
-    private val agedUs: Long = AGED_US,
+    private val agingThresholdUs: Long = AGED_US,
     private val pipelineDeadlines: PipelineDeadlines = PipelineDeadlines(serviceObjectives, runTimes) { emptyList() },
 ) {
     private class Mean {
@@ -35,13 +35,13 @@
     private var stale = true
 
     /** A job has come. */
-    fun added(job: Job) {
+    fun jobAdded(job: Job) {
         sizes.getOrPut(job.spec.jobClass) { Mean() }.add(job.spec.tasks)
         stale = true
     }
 
     /** The next plan is worth making soon. */
-    fun changed() {
+    fun invalidate() {
         stale = true
     }
 
@@ -71,7 +71,7 @@
     ): List<Job> {
         val guaranteed = serviceObjectives.guaranteed(jobs, teams)
         val waiting = jobs.filter { it.phase == JobPhase.OPEN && it.placeable && !it.pending.isEmpty }
-        val pipelines = pipelineDeadlines.Plan()
+        val pipelines = pipelineDeadlines.Snapshot()
         val rows =
             waiting.map { job ->
                 val others = pipelines.of(job)
@@ -85,12 +85,12 @@
                             now,
                             job in guaranteed,
                             others.dueUs,
-                        ).map { ObjectiveStep(it.startByUs + runUs, if (it.byTask) share else 1.0) }
+                        ).map { PlannedObjective(it.startByUs + runUs, if (it.perTask) share else 1.0) }
                 val waitingUs = maxOf(job.pending.size * runUs - job.totalSavedUs, 1)
                 QueuedJob(job, waitingUs * job.spec.shape.cores, steps, runUs, others.priority)
             }
         val ordered = ObjectiveOrder.order(rows, maxOf(cores, 1.0) * FILL, now)
-        val aged = waiting.filter { now - it.readyUs > agedUs }.sortedBy { it.readyUs }
+        val aged = waiting.filter { now - it.readyUs > agingThresholdUs }.sortedBy { it.readyUs }
         return if (aged.isEmpty()) ordered else interleaved(aged, ordered)
     }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -40,7 +40,7 @@
 /** What operators may set of a leader. */
 data class LeaderOptions(
     val fleet: FleetPolicy,
-    val timers: Timers,
+    val placementSettings: PlacementSettings,
     /** Null where drains are not switched on. */
     val drains: DrainPolicy?,
 )
@@ -73,7 +73,7 @@
             settings.assignment,
             settings.teams,
             settings.workerLeaseUs,
-            options.timers,
+            options.placementSettings,
             objectives,
             { catalog.machineTypes[it]?.capacity },
             settings.txnOps,
@@ -89,7 +89,7 @@
     private val fleet =
         FleetDriver(settings, core, cloud, catalog, objectives, options.fleet, clock.now(), scope, { drains }, mailbox::tell)
     private val drains: DrainDriver? = options.drains?.let { drainDriver(it, state, stamp) }
-    private val waiting = WaitingJobs(pipelines, core, maxOf(1, settings.txnOps / 2))
+    private val blockedJobs = BlockedJobs(pipelines, core, maxOf(1, settings.txnOps / 2))
     private var loaded = false
     private var countedUs = Long.MIN_VALUE / 2
 
@@ -176,7 +176,7 @@
             }
 
             is LeaderMessage.OrphansWritten -> {
-                waiting.cancelled()
+                blockedJobs.orphansCancelled()
                 message.jobs.forEach { closed(JobRecord.OPEN + it.spec.id) }
             }
 
@@ -196,7 +196,7 @@
         fleet.step(now)
         drains?.step(now)
         registry.step(fleet::cordoned, now)
-        waiting.toCancel().takeIf { it.isNotEmpty() }?.let(writer::cancel)
+        blockedJobs.takeOrphans().takeIf { it.isNotEmpty() }?.let(writer::cancel)
         if (now - countedUs < COUNT_US) return
         countedUs = now
         val counts = TaskCounts(term, core.counts())
@@ -242,14 +242,14 @@
         if (job.ready) {
             fleet.arrived(job)
         } else {
-            waiting.add(job)
+            blockedJobs.add(job)
             if (loaded) release()
         }
     }
 
     /** Lets jobs go of which all that they need is recorded as done; their times count from the last of these records. */
     private fun release() =
-        waiting.release { job, recordedAtUs ->
+        blockedJobs.release { job, recordedAtUs ->
             core.jobReady(job, if (recordedAtUs == 0L) clock.now() else steadyUs(recordedAtUs))
             fleet.arrived(job)
         }
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -28,7 +28,7 @@
     private val assignment: PartitionAssignment,
     teams: Map<String, Team>,
     leaseUs: Long,
-    timers: Timers,
+    placementSettings: PlacementSettings,
     objectives: ServiceObjectives,
     private val capacityOf: (String) -> Shape?,
     batch: Int,
@@ -55,17 +55,17 @@
     private val pipelineDeadlines = PipelineDeadlines(objectives, runTimes) { job -> dependentsOf(job.spec.id).mapNotNull { jobs[it] } }
     private val readiness = ReadinessForecast(runTimes, fetchUs) { jobs[it] }
     private val queue = JobQueue(objectives, teams, runTimes, pipelineDeadlines = pipelineDeadlines)
-    private val zones = ZoneRules(assignment)
-    private val checkpointStops = CheckpointStops(runTimes)
-    private val recorder = CompletionRecorder(batch, timers.flushUs, valueBytes, emit)
+    private val zones = ZoneConstraints(assignment)
+    private val checkpointPreemption = CheckpointPreemption(runTimes)
+    private val recorder = CompletionRecorder(batch, placementSettings.flushUs, valueBytes, emit)
     private val outbox = PartitionOutbox(term, OutboxView(), emit)
-    private val tracker = AttemptTracker(leaseUs, attempts, runTimes, checkpointStops, directory::isRegistered, TrackedAttempts())
+    private val tracker = AttemptTracker(leaseUs, attempts, runTimes, checkpointPreemption, directory::isRegistered, TrackedAttempts())
     private val rounds =
         RequestRounds(
             term,
             assignment,
-            timers,
-            RequestPlanner(timers, objectives, runTimes, zones, fetchUs),
+            placementSettings,
+            RequestPlanner(placementSettings, objectives, runTimes, zones, fetchUs),
             zones,
             attempts,
             outbox,
@@ -88,10 +88,10 @@
         override fun takesNoTasks(machine: String) = !directory.mayGetTasks(machine)
     }
 
-    private inner class RoundView : RoundSource {
+    private inner class RoundView : RoundContext {
         override fun partition(id: String) = partitions[id]
 
-        override fun placesOn(
+        override fun usableSlots(
             machine: String,
             held: Int,
         ) = when {
@@ -102,7 +102,7 @@
 
         override fun unaccountedUse() = unaccounted.shape()
 
-        override fun reachable(now: Long) = partitions.filterValues { now - it.heardUs < REACHABLE_US }.keys
+        override fun reachablePartitions(now: Long) = partitions.filterValues { now - it.heardUs < REACHABLE_US }.keys
     }
 
     private inner class TrackedAttempts : AttemptListener {
@@ -114,7 +114,7 @@
         }
 
         override fun attemptGone(attempt: Attempt) {
-            rounds.worthAsking()
+            rounds.markChanged()
             if (attempt.runningUs > 0 && attempt.job.phase == JobPhase.OPEN &&
                 !attempt.job.done.get(attempt.index)
             ) {
@@ -149,7 +149,7 @@
     /** The state service holds these names now, each with its partition. */
     fun registered(machines: Map<String, String>) {
         directory.register(machines)
-        rounds.worthAsking()
+        rounds.markChanged()
         machines.forEach { (name, partition) -> takeUp(name, partition) }
     }
 
@@ -193,13 +193,13 @@
     }
 
     /** These attempts are to be stopped, with time to save where they can. */
-    fun interrupt(interrupted: Collection<Attempt>) = checkpointStops.request(interrupted)
+    fun interrupt(interrupted: Collection<Attempt>) = checkpointPreemption.requestStop(interrupted)
 
     /** How long an attempt is expected to go on. */
     fun remainingUs(
         attempt: Attempt,
         now: Long,
-    ) = checkpointStops.remainingUs(attempt, now)
+    ) = checkpointPreemption.remainingUs(attempt, now)
 
     /** The machine is proven gone. */
     fun isRetired(machine: String) = directory.isRetired(machine)
@@ -225,8 +225,8 @@
     fun jobAdded(job: Job) {
         if (jobs.containsKey(job.spec.id)) return
         jobs[job.spec.id] = job
-        queue.added(job)
-        rounds.worthAsking()
+        queue.jobAdded(job)
+        rounds.markChanged()
         // A job accepted within this term can't have been started by an earlier leader.
         val fresh = job.stamp > stamp
         if (job.ready && (complete || fresh)) job.open()
@@ -242,12 +242,12 @@
         if (job.ready || job.phase == JobPhase.CLOSED) return
         job.ready(atUs)
         if (complete || job.stamp > stamp) job.open()
-        queue.changed()
-        rounds.worthAsking()
+        queue.invalidate()
+        rounds.markChanged()
     }
 
     /** When jobs that wait for others are expected to be ready, as of [now]. */
-    fun expectedReadiness(now: Long) = readiness.Plan(now)
+    fun expectedReadiness(now: Long) = readiness.Snapshot(now)
 
     /** The record of the job is gone: cancelled, or done by what an earlier leader wrote. */
     fun jobClosed(id: String) {
@@ -301,7 +301,7 @@
         partition.heardUs = now
         tracker.timePassed(now)
         frame.machines.filter { !directory.isRetired(it.name) }.forEach { changed(PartitionRef(frame.partition, partition), it, now) }
-        frame.offers.forEach { rounds.offered(frame.partition, it, now) }
+        frame.offers.forEach { rounds.addOffer(frame.partition, it, now) }
         checkComplete()
     }
 
@@ -322,8 +322,8 @@
         val machine = delta.after(partition.state.machines[delta.name])
         partition.state.machines[machine.name] = machine
         directory.setAddress(machine.name, machine.address)
-        checkpointStops.seen(machine, now)
-        rounds.worthAsking()
+        checkpointPreemption.machineUpdated(machine, now)
+        rounds.markChanged()
         outbox.touch(partition.id)
         for (task in delta.tasks) jobs[task.job]?.let { tracker.listed(partition, machine, task, it, now) }
         val here = attempts.on(machine.name).asSequence().filter { it.partition == partition.id }
@@ -340,7 +340,7 @@
             outbox.forget(id, name)
         }
         unaccounted.gone(name)
-        checkpointStops.gone(name)
+        checkpointPreemption.machineTerminated(name)
         directory.retire(name)
         takeover.gone(name)
         checkComplete()
@@ -352,7 +352,7 @@
         opened = true
         log.info("every machine is accounted for: {} jobs are open", jobs.size)
         jobs.values.forEach { if (it.ready && !it.placeable) it.open() }
-        rounds.worthAsking()
+        rounds.markChanged()
     }
 
     /** Machines whose return would account for them. */
@@ -381,9 +381,9 @@
     /** Tasks on machines that go away save their progress. */
     private fun orderSaves(now: Long) {
         val saves = HashMap<String, List<SaveOrder>>()
-        for (machine in directory.cordoned + checkpointStops.concerned) {
+        for (machine in directory.cordoned + checkpointPreemption.affectedMachines) {
             val partition = directory.partition(machine) ?: continue
-            val orders = checkpointStops.orders(machine, attempts.on(machine), machine in directory.drained, now)
+            val orders = checkpointPreemption.saveOrders(machine, attempts.on(machine), machine in directory.drained, now)
             if (orders.isNotEmpty()) saves.merge(partition, orders) { before, more -> before + more }
         }
         outbox.setSaves(saves)
--- a/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
+++ b/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue
 
 /** A promise as the plan sees it: when its work must be done, and what keeping it counts, in jobs of its class. */
-data class ObjectiveStep(
+data class PlannedObjective(
     val dueUs: Long,
     val value: Double,
 )
@@ -13,7 +13,7 @@
 class QueuedJob(
     val job: Job,
     val work: Double,
-    val steps: List<ObjectiveStep>,
+    val steps: List<PlannedObjective>,
     val runUs: Long,
     /** Its own, or that of a job that waits for it. */
     val priority: Priority = job.spec.priority,
--- a/src/main/kotlin/lichenstage/placement/OfferSelection.kt
+++ b/src/main/kotlin/lichenstage/placement/OfferSelection.kt
@@ -4,7 +4,7 @@
 import lichenstage.cluster.PlacementScore
 
 /** A held place that may be chosen. */
-data class Placement(
+data class SelectedSlot(
     val partition: String,
     val machine: String,
 )
@@ -16,12 +16,12 @@
      *
      * [zoneRoom] says how many more tasks of the job a zone may get (spread and one-zone jobs).
      */
-    fun roomiest(
+    fun selectRoomiest(
         offers: Map<String, List<HeldSlots>>,
         most: Int,
         zoneOf: (String) -> String,
         zoneRoom: (String) -> Int,
-    ): List<Placement> {
+    ): List<SelectedSlot> {
         val partitionOf = HashMap<String, String>()
         for ((partition, held) in offers) held.forEach { partitionOf[it.machine] = partition }
         val allowed =
@@ -30,7 +30,7 @@
                 .flatMap { (zone, held) -> PlacementScore.take(held.flatten(), minOf(most, zoneRoom(zone))) }
         return PlacementScore
             .take(allowed, most)
-            .flatMap { held -> List(held.count) { Placement(partitionOf.getValue(held.machine), held.machine) } }
+            .flatMap { held -> List(held.count) { SelectedSlot(partitionOf.getValue(held.machine), held.machine) } }
     }
 
     /** For a job whose tasks must share a zone: the zone that offers most. */
--- a/src/main/kotlin/lichenstage/placement/PipelineDeadlines.kt
+++ b/src/main/kotlin/lichenstage/placement/PipelineDeadlines.kt
@@ -3,7 +3,7 @@
 import lichenstage.model.Priority
 
 /** What a job has from those that wait for it. [dueUs]: when it should be complete for their sake. */
-data class InheritedUrgency(
+data class InheritedPriority(
     val dueUs: Long?,
     val priority: Priority,
 )
@@ -18,18 +18,18 @@
     private val dependentsOf: (Job) -> List<Job>,
 ) {
     /** For one plan: what many share is worked out once. */
-    inner class Plan {
+    inner class Snapshot {
         // Jobs wait only for such as were accepted before, so that the chains have an end.
         private val fold = GraphFold({ job -> dependentsOf(job).filter { it.phase == JobPhase.OPEN } }, ::from)
 
         /** What the job has from those that wait for it, directly or through others. */
-        fun of(job: Job): InheritedUrgency = fold.of(job)
+        fun of(job: Job): InheritedPriority = fold.of(job)
 
         private fun from(
             job: Job,
             waiters: List<Job>,
-            known: Map<Job, InheritedUrgency>,
-        ): InheritedUrgency {
+            known: Map<Job, InheritedPriority>,
+        ): InheritedPriority {
             val due =
                 waiters.mapNotNull { waiter ->
                     val own = serviceObjectives.deadlineUs(waiter)
@@ -37,7 +37,7 @@
                     listOfNotNull(own, inherited).minOrNull()?.let { it - runTimes.expectedUs(waiter.spec) - ReadinessForecast.STAGE_US }
                 }
             val priorities = waiters.map { known.getValue(it).priority }
-            return InheritedUrgency(due.minOrNull(), maxOf(job.spec.priority, priorities.maxOrNull() ?: job.spec.priority))
+            return InheritedPriority(due.minOrNull(), maxOf(job.spec.priority, priorities.maxOrNull() ?: job.spec.priority))
         }
     }
 }
--- a/src/main/kotlin/lichenstage/placement/Timers.kt
+++ b/src/main/kotlin/lichenstage/placement/PlacementSettings.kt
@@ -14,12 +14,12 @@
  * @property askJobs requests that are broadcast together
  * @property askTasks tasks that one request asks for
  */
-data class Timers(
+data class PlacementSettings(
     val alphaUs: Long = 2 * SECOND,
     val betaUs: Long = 300 * MILLI,
-    val retryUs: Long = SECOND,
-    val paceUs: Long = 50 * MILLI,
+    val idleRoundIntervalUs: Long = SECOND,
+    val minRoundIntervalUs: Long = 50 * MILLI,
     val flushUs: Long = 2 * SECOND,
-    val askJobs: Int = 24,
-    val askTasks: Int = 64,
+    val jobsPerRound: Int = 24,
+    val tasksPerRequest: Int = 64,
 )
--- a/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
+++ b/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
@@ -14,7 +14,7 @@
     private val jobOf: (String) -> Job?,
 ) {
     /** The state of the jobs at [now]: what several jobs share is worked out once. */
-    inner class Plan(
+    inner class Snapshot(
         private val now: Long,
     ) {
         private val ends =
--- a/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
@@ -13,10 +13,10 @@
 
 /** Makes the requests of a round from the jobs in the order of the queue. */
 internal class RequestPlanner(
-    private val timers: Timers,
+    private val settings: PlacementSettings,
     private val objectives: ServiceObjectives,
     private val runTimes: RunTimeEstimates,
-    private val zones: ZoneRules,
+    private val zones: ZoneConstraints,
     private val fetchUs: (JobSpec) -> Long,
 ) {
     private class Demand(
@@ -35,10 +35,10 @@
         val planned = HashMap<String, Shape>()
         val first = ArrayList<Demand>()
         for (job in jobs) {
-            if (first.size >= timers.askJobs) break
+            if (first.size >= settings.jobsPerRound) break
             val spec = job.spec
             val before = planned[spec.team] ?: RunningAttempts.NONE
-            val count = minOf(job.pending.size, timers.askTasks, allowance(spec, before))
+            val count = minOf(job.pending.size, settings.tasksPerRequest, allowance(spec, before))
             if (count <= 0) continue
             planned[spec.team] = before - spec.shape * -count
             first += Demand(job, count)
--- a/src/main/kotlin/lichenstage/placement/RequestRound.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRound.kt
@@ -15,7 +15,7 @@
         private set
 
     /** Takes an offer; after each, the wait is [betaUs] from now. */
-    fun offered(
+    fun addOffer(
         partition: String,
         stamp: Long,
         held: List<HeldSlots>,
@@ -28,7 +28,7 @@
     }
 
     /** All of these have answered. */
-    fun heardFrom(partitions: Set<String>) = answered.containsAll(partitions)
+    fun allAnswered(partitions: Set<String>) = answered.containsAll(partitions)
 
     /** The offers for a request, by partition. */
     fun of(stamp: Long): Map<String, List<HeldSlots>> = offers[stamp] ?: emptyMap()
--- a/src/main/kotlin/lichenstage/placement/RequestRounds.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRounds.kt
@@ -7,12 +7,12 @@
 import lichenstage.model.Shape
 
 /** What the leader knows that a round of requests depends on. */
-internal interface RoundSource {
+internal interface RoundContext {
     /** Null while nothing was heard of the partition. */
     fun partition(id: String): PartitionState?
 
     /** How many of the [held] places on a machine may be used. */
-    fun placesOn(
+    fun usableSlots(
         machine: String,
         held: Int,
     ): Int
@@ -21,36 +21,36 @@
     fun unaccountedUse(): Shape
 
     /** Partitions that were heard not long ago: once all of them have answered, nobody else is waited for. */
-    fun reachable(now: Long): Set<String>
+    fun reachablePartitions(now: Long): Set<String>
 }
 
 /** One round of requests after the other: broadcast, gather the offers, start tasks on the roomiest, release the rest. */
 internal class RequestRounds(
     private val term: Long,
     private val assignment: PartitionAssignment,
-    private val timers: Timers,
+    private val settings: PlacementSettings,
     private val planner: RequestPlanner,
-    private val zones: ZoneRules,
+    private val zones: ZoneConstraints,
     private val attempts: RunningAttempts,
     private val outbox: PartitionOutbox,
-    private val source: RoundSource,
+    private val context: RoundContext,
 ) {
     private var round: RequestRound? = null
     private var attemptCounter = 0L
-    private var worthAsking = true
+    private var changedSinceRound = true
     private var askedUs = Long.MIN_VALUE / 2
 
     /** Something has changed that a request may gain by. */
-    fun worthAsking() {
-        worthAsking = true
+    fun markChanged() {
+        changedSinceRound = true
     }
 
     /** A partition's offer; one for a round that is over tells nothing. */
-    fun offered(
+    fun addOffer(
         partition: String,
         offer: Offer,
         now: Long,
-    ) = round?.offered(partition, offer.stamp, offer.held, now, timers.betaUs)
+    ) = round?.addOffer(partition, offer.stamp, offer.held, now, settings.betaUs)
 
     /** Time has passed; [waiting] gives the jobs with something to place, in the order of the queue. */
     fun tick(
@@ -58,8 +58,12 @@
         waiting: () -> List<Job>,
     ) {
         val current = round
-        if (current != null && (current.heardFrom(source.reachable(now)) || now >= current.deadlineUs)) decide(current, now)
-        if (round == null && now - askedUs >= if (worthAsking) timers.paceUs else timers.retryUs) ask(waiting, now)
+        if (current != null && (current.allAnswered(context.reachablePartitions(now)) || now >= current.deadlineUs)) decide(current, now)
+        if (round == null &&
+            now - askedUs >= if (changedSinceRound) settings.minRoundIntervalUs else settings.idleRoundIntervalUs
+        ) {
+            ask(waiting, now)
+        }
     }
 
     /** Broadcasts requests for the first jobs in the queue that have something to place. */
@@ -67,13 +71,13 @@
         waiting: () -> List<Job>,
         now: Long,
     ) {
-        worthAsking = false
+        changedSinceRound = false
         askedUs = now
-        val unaccountedUse = source.unaccountedUse()
+        val unaccountedUse = context.unaccountedUse()
         val requests =
             planner.requests(waiting(), now) { spec, planned -> attempts.allowance(spec.team, spec.shape, unaccountedUse, planned) }
         if (requests.isEmpty()) return
-        round = RequestRound(requests, now, timers.alphaUs)
+        round = RequestRound(requests, now, settings.alphaUs)
         val frames = requests.map { it.request }
         assignment.partitions.forEach { outbox.send(it, now, requests = frames) }
     }
@@ -84,7 +88,7 @@
         now: Long,
     ) {
         round = null
-        val unaccountedUse = source.unaccountedUse()
+        val unaccountedUse = context.unaccountedUse()
         val starts = HashMap<String, ArrayList<StartOrder>>()
         val started = ArrayList<Attempt>()
         for (asked in current.requests) {
@@ -102,7 +106,7 @@
             val seq = outbox.send(id, now, starts = here, releases = releases.filter { it !in chosen })
             started.forEach { if (it.partition == id) it.seq = seq }
         }
-        if (started.isNotEmpty()) worthAsking = true
+        if (started.isNotEmpty()) changedSinceRound = true
     }
 
     /** Attempts on the roomiest of what is held for a request. */
@@ -116,11 +120,11 @@
         val most = minOf(asked.request.count, attempts.allowance(job.spec.team, job.spec.shape, unaccountedUse))
         val offers = current.of(asked.request.stamp).mapValues { (_, held) -> held.mapNotNull(::usable) }
         val placed = ArrayList<Attempt>()
-        for (place in OfferSelection.roomiest(offers, most, zones::zoneOf, zones.roomIn(job, offers))) {
+        for (place in OfferSelection.selectRoomiest(offers, most, zones::zoneOf, zones.roomIn(job, offers))) {
             val index = job.next()
             if (index < 0) break
             val attempt = Attempt(job, index, newAttempt(), place.machine, place.partition)
-            attempt.partitionTerm = source.partition(place.partition)!!.term
+            attempt.partitionTerm = context.partition(place.partition)!!.term
             // Not told by any frame so far: its own is sent after this.
             attempt.seq = Long.MAX_VALUE
             attempts.track(attempt)
@@ -131,7 +135,7 @@
     }
 
     private fun usable(held: HeldSlots): HeldSlots? {
-        val places = source.placesOn(held.machine, held.count)
+        val places = context.usableSlots(held.machine, held.count)
         if (places == held.count) return held
         return if (places > 0) held.copy(count = places) else null
     }
--- a/src/main/kotlin/lichenstage/placement/RunTimeEstimates.kt
+++ b/src/main/kotlin/lichenstage/placement/RunTimeEstimates.kt
@@ -17,7 +17,7 @@
     private val byClass = HashMap<String, Bias>()
 
     /** A task of [spec] ran for [ranUs]. */
-    fun learned(
+    fun recordCompletion(
         spec: JobSpec,
         ranUs: Long,
     ) {
--- a/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
+++ b/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
@@ -4,10 +4,10 @@
 import lichenstage.config.ObjectiveKind
 import lichenstage.config.Team
 
-/** A time by which all of a job's tasks should have started. [byTask]: starts are counted task by task, not job by job. */
+/** A time by which all of a job's tasks should have started. [perTask]: starts are counted task by task, not job by job. */
 data class StartObjective(
     val startByUs: Long,
-    val byTask: Boolean,
+    val perTask: Boolean,
 )
 
 /** What users were promised for each class of jobs, as times by which a task must start. */
@@ -66,8 +66,8 @@
     ): List<StartObjective> {
         val waits = byClass[ObjectiveKind.WAIT to job.spec.jobClass].orEmpty() + listOfNotNull(guaranteeUs?.takeIf { guaranteed })
         return (
-            waits.map { StartObjective(job.readyUs + it, byTask = true) } +
-                (dueUs(job) + listOfNotNull(forOthersUs)).map { StartObjective(it - runUs, byTask = false) }
+            waits.map { StartObjective(job.readyUs + it, perTask = true) } +
+                (dueUs(job) + listOfNotNull(forOthersUs)).map { StartObjective(it - runUs, perTask = false) }
         ).filter { it.startByUs + runUs / 4 >= now }
             .map { it.copy(startByUs = maxOf(it.startByUs, now)) }
             .sortedBy { it.startByUs }
--- a/src/main/kotlin/lichenstage/placement/ZoneRules.kt
+++ b/src/main/kotlin/lichenstage/placement/ZoneConstraints.kt
@@ -4,7 +4,7 @@
 import lichenstage.model.PartitionAssignment
 
 /** In which zones tasks of a job may be placed, given the job's other tasks: one-zone and spread jobs. */
-internal class ZoneRules(
+internal class ZoneConstraints(
     private val assignment: PartitionAssignment,
 ) {
     fun zoneOf(partition: String) = assignment.zone(partition) ?: partition
--- a/src/test/kotlin/lichenstage/config/SettingsTest.kt
+++ b/src/test/kotlin/lichenstage/config/SettingsTest.kt
@@ -80,9 +80,9 @@
     @Example
     fun `operators' settings are HCL and checked`() {
         val operator = OperatorSettings.parse("placement {\n  alpha_ms = 500\n}\nfleet {\n  settle_s = 7\n}\n")
-        assertTrue(operator.timers.alphaUs == 500 * MILLI && operator.timers.betaUs == 300 * MILLI) { "$operator" }
+        assertTrue(operator.placementSettings.alphaUs == 500 * MILLI && operator.placementSettings.betaUs == 300 * MILLI) { "$operator" }
         val policy = operator.fleet(lichenstage.fleet.FleetPolicy())
-        assertEquals(7 * SECOND, policy.settleUs) { "$policy" }
+        assertEquals(7 * SECOND, policy.scaleInDelayUs) { "$policy" }
         val unknown = complaint { OperatorSettings.parse("placement {\n  alpha = \"x\"\n}") }
         assertEquals("placement.alpha: unknown key, found x", unknown) { "$unknown" }
         assertTrue(
--- a/src/test/kotlin/lichenstage/placement/CheckpointStopsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-class CheckpointStopsTest {
-    private val stops = CheckpointStops(RunTimeEstimates())
+class CheckpointPreemptionTest {
+    private val stops = CheckpointPreemption(RunTimeEstimates())
 
     private fun job(
         runS: Long,
@@ -37,45 +37,45 @@
     private fun notice(
         leftS: Long,
         nowS: Long,
-    ) = stops.seen(
+    ) = stops.machineUpdated(
         MachineState("m", "1.2.3.4:5", "t", true, true, false, false, false, leftS * SECOND, emptyList()),
         nowS * SECOND,
     )
 
-    private fun orders(
+    private fun saveOrders(
         nowS: Long,
         vararg attempts: Attempt,
-    ) = stops.orders("m", attempts.toList(), isDrained = false, nowS * SECOND)
+    ) = stops.saveOrders("m", attempts.toList(), isDrained = false, nowS * SECOND)
 
     @Example
     fun `on a machine that an operator drains only what was requested is stopped, also where it can't save`() {
         val long = running(job(runS = 120), sinceS = 1)
         val unsaved = running(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)
 
-        fun drained(nowS: Long) = stops.orders("m", listOf(long, unsaved), isDrained = true, nowS * SECOND)
+        fun drained(nowS: Long) = stops.saveOrders("m", listOf(long, unsaved), isDrained = true, nowS * SECOND)
         assertTrue(drained(40).isEmpty()) { "stopped beside the budget of its team" }
-        stops.request(listOf(unsaved))
-        assertTrue("m" in stops.concerned) { "nobody would ask" }
+        stops.requestStop(listOf(unsaved))
+        assertTrue("m" in stops.affectedMachines) { "nobody would ask" }
         assertEquals(listOf(SaveOrder("m", "j-1/1", 11, 0)), drained(41)) { "${drained(44)}" }
         assertEquals(0L, unsaved.saveOrderedUs) { "its progress would count as saved" }
-        stops.request(listOf(long))
+        stops.requestStop(listOf(long))
         assertTrue(drained(42).map { it.attempt } == listOf(10L) && long.saveOrderedUs > 0) { "not stopped with time to save" }
-        stops.ended(unsaved)
-        stops.ended(long)
-        assertTrue(drained(60).isEmpty() && "m" !in stops.concerned) { "ordered after its end" }
+        stops.attemptEnded(unsaved)
+        stops.attemptEnded(long)
+        assertTrue(drained(60).isEmpty() && "m" !in stops.affectedMachines) { "ordered after its end" }
     }
 
     @Example
     fun `after a notice a task runs on for as long as it can still save, and the order is repeated`() {
         val attempt = running(job(runS = 60), sinceS = 1)
         notice(leftS = 20, nowS = 10)
-        assertTrue(orders(15, attempt).isEmpty()) { "stopped with 15 s left" }
+        assertTrue(saveOrders(15, attempt).isEmpty()) { "stopped with 15 s left" }
         val order = SaveOrder("m", "j-1/0", 10, 5 * SECOND)
-        assertEquals(listOf(order), orders(21, attempt)) { "not stopped with 9 s left" }
-        assertTrue(orders(22, attempt).isEmpty()) { "repeated at once" }
-        assertEquals(listOf(order), orders(24, attempt)) { "not repeated" }
+        assertEquals(listOf(order), saveOrders(21, attempt)) { "not stopped with 9 s left" }
+        assertTrue(saveOrders(22, attempt).isEmpty()) { "repeated at once" }
+        assertEquals(listOf(order), saveOrders(24, attempt)) { "not repeated" }
         attempt.phase = TaskPhase.SAVING
-        assertTrue(orders(25, attempt).isEmpty()) { "stopped while it saves" }
+        assertTrue(saveOrders(25, attempt).isEmpty()) { "stopped while it saves" }
     }
 
     @Example
@@ -83,26 +83,28 @@
         val attempt = running(job(runS = 60), sinceS = 1)
         notice(leftS = 20, nowS = 10)
         notice(leftS = 20, nowS = 14)
-        assertTrue(orders(21, attempt).isNotEmpty()) { "the notice was taken for a later one" }
+        assertTrue(saveOrders(21, attempt).isNotEmpty()) { "the notice was taken for a later one" }
     }
 
     @Example
     fun `a task that ends by itself before, one that can't save and one with no time to save are left alone`() {
         notice(leftS = 20, nowS = 10)
-        assertTrue(orders(21, running(job(runS = 24), sinceS = 1)).isEmpty()) { "it ends in 4 s" }
-        assertTrue(orders(21, running(job(runS = 60, checkpointS = 0), sinceS = 1)).isEmpty()) { "it can't save" }
-        assertTrue(orders(26, running(job(runS = 60), sinceS = 1)).isEmpty()) { "4 s are too few for 4 s of saving" }
+        assertTrue(saveOrders(21, running(job(runS = 24), sinceS = 1)).isEmpty()) { "it ends in 4 s" }
+        assertTrue(saveOrders(21, running(job(runS = 60, checkpointS = 0), sinceS = 1)).isEmpty()) { "it can't save" }
+        assertTrue(saveOrders(26, running(job(runS = 60), sinceS = 1)).isEmpty()) { "4 s are too few for 4 s of saving" }
         val fetching = running(job(runS = 60), sinceS = 1).apply { phase = TaskPhase.FETCHING }
-        assertTrue(orders(21, fetching).isEmpty()) { "it has nothing to save" }
+        assertTrue(saveOrders(21, fetching).isEmpty()) { "it has nothing to save" }
     }
 
     @Example
     fun `a draining machine is emptied only where nothing but long tasks that can save is left`() {
         val long = running(job(runS = 120), sinceS = 1)
-        assertTrue(orders(20, long).isEmpty()) { "its start would not count" }
-        assertTrue(orders(40, long, running(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)).isEmpty()) { "the other holds it" }
-        assertTrue(orders(40, long, running(job(runS = 50), sinceS = 1, index = 1)).isEmpty()) { "the other ends soon" }
-        assertEquals(listOf(10L), orders(40, long).map { it.attempt }) { "not moved" }
+        assertTrue(saveOrders(20, long).isEmpty()) { "its start would not count" }
+        assertTrue(
+            saveOrders(40, long, running(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)).isEmpty(),
+        ) { "the other holds it" }
+        assertTrue(saveOrders(40, long, running(job(runS = 50), sinceS = 1, index = 1)).isEmpty()) { "the other ends soon" }
+        assertEquals(listOf(10L), saveOrders(40, long).map { it.attempt }) { "not moved" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
+++ b/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
@@ -30,13 +30,13 @@
         val large = job(0, "slow", 400, 0, Priority.LOW)
         val jobs = LinkedHashMap<Int, Job>()
         jobs[0] = large
-        queue.added(large)
+        queue.jobAdded(large)
         var number = 0
         for (s in 0L..400L) {
             repeat(2) {
                 val next = job(++number, "quick", 20, s * SECOND)
                 jobs[number] = next
-                queue.added(next)
+                queue.jobAdded(next)
             }
             // 20 tasks are placed in a second, for the first jobs in the order.
             var free = 20
@@ -62,7 +62,7 @@
         val queue = JobQueue(serviceObjectives, emptyMap(), RunTimeEstimates())
         val old = job(1, "slow", 5, -200 * SECOND, Priority.LOW)
         val fresh = List(5) { job(2 + it, "quick", 5, 0) }
-        (fresh + old).forEach(queue::added)
+        (fresh + old).forEach(queue::jobAdded)
         assertSame(old, queue.order(fresh + old, { 1.0 }, 0).first()) { "not first" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
@@ -148,7 +148,7 @@
         for (machines in listOf(400, 1600)) {
             var looks = 0
             val leader =
-                LeaderCore(7, 100, assignment, teams, 20 * SECOND, Timers(), ServiceObjectives(emptyList()), {
+                LeaderCore(7, 100, assignment, teams, 20 * SECOND, PlacementSettings(), ServiceObjectives(emptyList()), {
                     looks++
                     Shape(16.0, 0.0, 64.0)
                 }, 10) { effects += it }
--- a/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -22,7 +22,17 @@
     protected val assignment = PartitionAssignment(listOf("y", "z"), emptyMap())
 
     protected fun leader() =
-        LeaderCore(7, 100, assignment, teams, 20 * SECOND, Timers(), ServiceObjectives(emptyList()), { Shape(16.0, 0.0, 64.0) }, 10) {
+        LeaderCore(
+            7,
+            100,
+            assignment,
+            teams,
+            20 * SECOND,
+            PlacementSettings(),
+            ServiceObjectives(emptyList()),
+            { Shape(16.0, 0.0, 64.0) },
+            10,
+        ) {
             effects +=
                 it
         }
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -170,7 +170,7 @@
                 "z/1" to listOf(HeldSlots("c", 6, 6, false)),
             )
         val zoneOf = { partition: String -> partition.substringBefore('/') }
-        val spread = OfferSelection.roomiest(offers, 9, zoneOf) { 5 }
+        val spread = OfferSelection.selectRoomiest(offers, 9, zoneOf) { 5 }
         assertTrue(spread.count { zoneOf(it.partition) == "z" } == 5 && spread.size == 9) { "$spread" }
         assertEquals("z", OfferSelection.bestZone(offers, zoneOf)) { "not the larger offer" }
     }
@@ -208,7 +208,7 @@
                     "red" to teams.getValue("red").copy(coresMax = 99.0),
                 ),
                 20 * SECOND,
-                Timers(),
+                PlacementSettings(),
                 serviceObjectives,
                 {
                     Shape(16.0, 0.0, 64.0)
@@ -240,8 +240,8 @@
                 ),
             )
         val job = job("j-1")
-        val start = StartObjective(15 * SECOND, byTask = true)
-        val finish = StartObjective(89 * SECOND, byTask = false)
+        val start = StartObjective(15 * SECOND, perTask = true)
+        val finish = StartObjective(89 * SECOND, perTask = false)
         assertEquals(listOf(start, finish), serviceObjectives.startObjectives(job, SECOND, 0)) {
             "${serviceObjectives.startObjectives(job, SECOND, 0)}"
         }
--- a/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
@@ -22,7 +22,7 @@
         work: Double,
         vararg due: Long,
         priority: Priority = Priority.HIGH,
-    ) = QueuedJob(Job(spec(n, priority), n.toLong(), 0), work, due.map { ObjectiveStep(it, 1.0) }, n * SECOND)
+    ) = QueuedJob(Job(spec(n, priority), n.toLong(), 0), work, due.map { PlannedObjective(it, 1.0) }, n * SECOND)
 
     private fun ids(jobs: List<Job>) = jobs.map { it.spec.id }
 
@@ -49,8 +49,8 @@
 
     @Example
     fun `where starts are counted by tasks a large job does not give way for its size`() {
-        val large = QueuedJob(Job(spec(1, Priority.HIGH), 1, 0), 60.0, listOf(ObjectiveStep(70, 6.0)), SECOND)
-        val small = QueuedJob(Job(spec(2, Priority.HIGH), 2, 0), 20.0, listOf(ObjectiveStep(75, 1.0)), SECOND)
+        val large = QueuedJob(Job(spec(1, Priority.HIGH), 1, 0), 60.0, listOf(PlannedObjective(70, 6.0)), SECOND)
+        val small = QueuedJob(Job(spec(2, Priority.HIGH), 2, 0), 20.0, listOf(PlannedObjective(75, 1.0)), SECOND)
         assertEquals(listOf("j-1", "j-2"), ids(ObjectiveOrder.order(listOf(large, small), 1.0, 0))) { "the large one gave way" }
     }
 
@@ -83,7 +83,7 @@
         val times = RunTimeEstimates()
         val spec = spec(1, Priority.HIGH, tasks = 1)
         assertEquals(10 * SECOND, times.expectedUs(spec)) { "${times.expectedUs(spec)}" }
-        repeat(20) { times.learned(spec, 20 * SECOND) }
+        repeat(20) { times.recordCompletion(spec, 20 * SECOND) }
         assertTrue(times.expectedUs(spec) in 16 * SECOND..20 * SECOND) { "${times.expectedUs(spec)}" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
@@ -27,17 +27,17 @@
         waiters[first] = listOf(thumbs, drafts)
         waiters[thumbs] = listOf(last)
         waiters[drafts] = listOf(last)
-        val plan = pipelineDeadlines.Plan()
-        assertEquals(InheritedUrgency(null, Priority.HIGH), plan.of(last)) { "${plan.of(last)}" }
-        assertEquals(InheritedUrgency((200 - 8 - 4) * SECOND, Priority.HIGH), plan.of(drafts)) { "${plan.of(drafts)}" }
-        assertEquals(InheritedUrgency((200 - 8 - 4 - 60 - 4) * SECOND, Priority.HIGH), plan.of(first)) { "${plan.of(first)}" }
+        val plan = pipelineDeadlines.Snapshot()
+        assertEquals(InheritedPriority(null, Priority.HIGH), plan.of(last)) { "${plan.of(last)}" }
+        assertEquals(InheritedPriority((200 - 8 - 4) * SECOND, Priority.HIGH), plan.of(drafts)) { "${plan.of(drafts)}" }
+        assertEquals(InheritedPriority((200 - 8 - 4 - 60 - 4) * SECOND, Priority.HIGH), plan.of(first)) { "${plan.of(first)}" }
     }
 
     @Example
     fun `deep chains are walked without recursion, and each job once`() {
         val jobs = List(20_000) { job(it, 1, dueS = if (it == 19_999) 100 else null) }
         jobs.zipWithNext { a, b -> waiters[a] = listOf(b) }
-        assertNotNull(pipelineDeadlines.Plan().of(jobs[0]).dueUs) { "the last deadline is lost" }
+        assertNotNull(pipelineDeadlines.Snapshot().of(jobs[0]).dueUs) { "the last deadline is lost" }
     }
 
     @Example
@@ -49,7 +49,7 @@
         val queue = JobQueue(serviceObjectives, emptyMap(), RunTimeEstimates(), pipelineDeadlines = pipelineDeadlines)
         listOf(other, first).forEach {
             it.open()
-            queue.added(it)
+            queue.jobAdded(it)
         }
         assertEquals(listOf(first, other), queue.order(listOf(other, first), { 2.0 }, SECOND)) { "not planned backwards" }
     }
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -9,8 +9,8 @@
 import lichenstage.placement.Job
 import lichenstage.placement.LeaderCore
 import lichenstage.placement.LeaderEffect
+import lichenstage.placement.PlacementSettings
 import lichenstage.placement.ServiceObjectives
-import lichenstage.placement.Timers
 import lichenstage.world.SimulationContext.Companion.MACHINE_CORES
 import lichenstage.world.SimulationContext.Companion.MACHINE_MEMORY_GB
 import lichenstage.world.SimulationContext.Companion.WORKER_LEASE_US
@@ -108,7 +108,7 @@
             context.assignment,
             limits,
             lease,
-            Timers(),
+            PlacementSettings(),
             ServiceObjectives(emptyList()),
             { Shape(MACHINE_CORES, 0.0, MACHINE_MEMORY_GB) },
             12,
