--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -62,7 +62,7 @@
     private val sockets =
         ConnectionBudget(
             settings.maxSockets,
-            KeyValueStoreClient.SOCKETS + CloudClient.SOCKETS + settings.peers.size * PEER_SOCKETS + SPARE_SOCKETS,
+            KeyValueStoreClient.MAX_CONNECTIONS + CloudClient.SOCKETS + settings.peers.size * PEER_SOCKETS + SPARE_SOCKETS,
         )
     private val state =
         KeyValueStoreClient(vertx, settings.state, clock, controllers, settings.stateRps, settings.stateWriteRps, ::writeShare)
--- a/src/main/kotlin/lichenstage/authority/Authority.kt
+++ b/src/main/kotlin/lichenstage/authority/Authority.kt
@@ -16,7 +16,10 @@
 import lichenstage.state.Change
 import lichenstage.state.Entry
 import lichenstage.state.KeyValueStoreClient
+import lichenstage.state.LeaseGrant
 import lichenstage.state.LeaseRenewal
+import lichenstage.state.Precondition
+import lichenstage.state.ScanResult
 import lichenstage.state.TransactionResult
 import lichenstage.state.WatchResult
 import org.slf4j.LoggerFactory
@@ -165,14 +168,14 @@
             val held = lease.id
             val sentUs = clock.now()
             if (held == null) {
-                val granted = state.grant(lifeUs)
-                if (granted != null) {
-                    extended { lease.granted(granted, sentUs) }
-                    log.info("process lease {} granted", granted)
+                val grant = state.grantLease(lifeUs)
+                if (grant is LeaseGrant.Granted) {
+                    extended { lease.granted(grant.lease, sentUs) }
+                    log.info("process lease {} granted", grant.lease)
                 }
                 delay(300)
             } else {
-                when (state.renew(held)) {
+                when (state.renewLease(held)) {
                     LeaseRenewal.RENEWED -> {
                         extended { lease.renewed(sentUs) }
                     }
@@ -205,7 +208,7 @@
     private suspend fun watch() {
         while (true) {
             val scan = state.scan(PREFIX)
-            if (scan == null) {
+            if (scan !is ScanResult.Complete) {
                 delay(300)
                 continue
             }
@@ -221,7 +224,7 @@
     private suspend fun follow(from: Long) {
         var since = from
         while (true) {
-            when (val seen = state.changes(PREFIX, since, WATCH_MS)) {
+            when (val seen = state.watch(PREFIX, since, WATCH_MS)) {
                 is WatchResult.Events -> {
                     since = seen.revision
                     take(seen)
@@ -251,7 +254,7 @@
      */
     private suspend fun revokePredecessor() {
         val old = keys.holdersInForce.filter { it.label == settings.label }.map { it.lease }
-        for (leaseId in old.distinct()) if (leaseId != lease.id) state.revoke(leaseId)
+        for (leaseId in old.distinct()) if (leaseId != lease.id) state.revokeLease(leaseId)
     }
 
     /**
@@ -269,7 +272,7 @@
         givenUp += held.stamp
         changed(view())
         while (keys.stamp(key) == held.stamp) {
-            if (state.txn(mapOf(key to held.stamp), listOf(Change.Delete(key))) is TransactionResult.Committed) {
+            if (state.commit(listOf(Precondition(key, held.stamp)), listOf(Change.Delete(key))) is TransactionResult.Committed) {
                 if (keys.stamp(key) == held.stamp) keys.remove(key, held.stamp + 1)
             } else {
                 delay(300)
@@ -325,9 +328,10 @@
         try {
             val counter = keys.nextTerm(key)
             val value = JsonObject().put("label", settings.label).put("term", counter.term).put("lease", held)
-            val guards = mapOf(OwnershipKeys.TERMS to (keys.stamp(OwnershipKeys.TERMS) ?: 0L), key to 0L)
+            val preconditions =
+                listOf(Precondition(OwnershipKeys.TERMS, keys.stamp(OwnershipKeys.TERMS) ?: Precondition.ABSENT), Precondition.absent(key))
             val changes = listOf(Change.Put(OwnershipKeys.TERMS, counter.encode()), Change.Put(key, value, held))
-            val outcome = state.txn(guards, changes)
+            val outcome = state.commit(preconditions, changes)
             if (outcome is TransactionResult.Committed) {
                 log.info("took {} under term {}", key, counter.term)
                 keys.put(Entry(OwnershipKeys.TERMS, counter.encode(), outcome.revision))
--- a/src/main/kotlin/lichenstage/authority/FencingTokenReservation.kt
+++ b/src/main/kotlin/lichenstage/authority/FencingTokenReservation.kt
@@ -3,6 +3,7 @@
 import lichenstage.state.Change
 import lichenstage.state.Entry
 import lichenstage.state.KeyValueStore
+import lichenstage.state.Precondition
 import lichenstage.state.TransactionResult
 
 /**
@@ -27,8 +28,8 @@
         try {
             val counter = keys.counterAfter(count)
             val value = counter.encode()
-            val guards = mapOf(OwnershipKeys.TERMS to stamp, key to held.stamp)
-            val outcome = state.txn(guards, listOf(Change.Put(OwnershipKeys.TERMS, value)))
+            val preconditions = listOf(Precondition(OwnershipKeys.TERMS, stamp), Precondition(key, held.stamp))
+            val outcome = state.commit(preconditions, listOf(Change.Put(OwnershipKeys.TERMS, value)))
             if (outcome !is TransactionResult.Committed) return null
             keys.put(Entry(OwnershipKeys.TERMS, value, outcome.revision))
             return counter.term - count + 1..counter.term
--- a/src/main/kotlin/lichenstage/authority/OwnershipKeys.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipKeys.kt
@@ -40,14 +40,14 @@
 
     fun holder(key: String): Holder? = holders[key]
 
-    fun stamp(key: String): Long? = keys[key]?.stamp
+    fun stamp(key: String): Long? = keys[key]?.modRevision
 
     /** All of them as of [revision], read whole. What is known to have changed since stays. */
     fun reset(
         entries: List<Entry>,
         revision: Long,
     ) {
-        keys.values.removeIf { it.stamp <= revision }
+        keys.values.removeIf { it.modRevision <= revision }
         holders.keys.retainAll(keys.keys)
         entries.forEach(::put)
     }
@@ -60,14 +60,14 @@
         puts: List<Entry>,
         deletes: List<Entry>,
     ) {
-        val deletedAt = deletes.groupBy { it.key }.mapValues { (_, rows) -> rows.maxOf { it.stamp } }
-        deletes.forEach { remove(it.key, it.stamp) }
-        puts.filter { it.stamp > (deletedAt[it.key] ?: Long.MIN_VALUE) }.forEach(::put)
+        val deletedAt = deletes.groupBy { it.key }.mapValues { (_, rows) -> rows.maxOf { it.modRevision } }
+        deletes.forEach { remove(it.key, it.modRevision) }
+        puts.filter { it.modRevision > (deletedAt[it.key] ?: Long.MIN_VALUE) }.forEach(::put)
     }
 
     /** The key as of a newer change. */
     fun put(entry: Entry) {
-        if (isOld(entry.key, entry.stamp)) return
+        if (isOld(entry.key, entry.modRevision)) return
         keys[entry.key] = entry
         val holder = if (entry.key == TERMS) null else read(entry)
         if (holder == null) holders.remove(entry.key) else holders[entry.key] = holder
@@ -86,11 +86,11 @@
     private fun isOld(
         key: String,
         stamp: Long,
-    ) = (keys[key]?.stamp ?: 0) >= stamp
+    ) = (keys[key]?.modRevision ?: 0) >= stamp
 
     private fun read(entry: Entry): Holder? =
         parsed {
-            Holder(entry.value.getString("label")!!, entry.value.getLong("term")!!, entry.value.getLong("lease")!!, entry.stamp)
+            Holder(entry.value.getString("label")!!, entry.value.getLong("term")!!, entry.value.getLong("lease")!!, entry.modRevision)
         }
 
     /** The counter that goes with the next ownership of [key]. */
--- a/src/main/kotlin/lichenstage/cloud/MachineCatalog.kt
+++ b/src/main/kotlin/lichenstage/cloud/MachineCatalog.kt
@@ -52,7 +52,7 @@
 
     private suspend fun keep() {
         if ((state.get(KEY) as? ReadResult.Found)?.let { sizes(decode(it.entry.value)) } == sizes(machineTypes)) return
-        state.txn(emptyMap(), listOf(Change.Put(KEY, encode(machineTypes.values))))
+        state.commit(emptyList(), listOf(Change.Put(KEY, encode(machineTypes.values))))
     }
 
     private suspend fun recall() {
--- a/src/main/kotlin/lichenstage/drain/DrainDriver.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainDriver.kt
@@ -9,7 +9,8 @@
 import lichenstage.state.Change
 import lichenstage.state.Entry
 import lichenstage.state.KeyValueStore
-import lichenstage.state.Scan
+import lichenstage.state.Precondition
+import lichenstage.state.ScanResult
 import lichenstage.state.SingleWriterKeys
 import lichenstage.state.TransactionResult
 import org.slf4j.LoggerFactory
@@ -48,14 +49,14 @@
     fun giveBack(machine: String)
 }
 
-/** Where the driver reads and writes: [scan] is null where the state service does not answer. */
+/** Where the driver reads and writes: [scan] reads all keys with a prefix. */
 class DrainStore(
     val store: KeyValueStore,
     val owned: SingleWriterKeys,
     /** The revision of the leadership's key: nothing is written but under it. */
-    val leaderGuard: Map<String, Long>,
+    val leaderGuard: List<Precondition>,
     val txnOps: Int,
-    val scan: suspend (String) -> Scan?,
+    val scan: suspend (String) -> ScanResult,
 )
 
 /** Keeps drains going for one term of leadership: reads what operators ask for, records each step, and has it carried out. */
@@ -119,7 +120,7 @@
         reading = true
         readUs = now
         scope.launch {
-            tell(DrainMessage.ReadResult(access.scan(DrainRecords.PREFIX)?.entries))
+            tell(DrainMessage.ReadResult((access.scan(DrainRecords.PREFIX) as? ScanResult.Complete)?.entries))
         }
     }
 
@@ -158,10 +159,10 @@
         val drain = core?.drains?.firstOrNull { it.name == name } ?: return
         log.info("drain {} is {}{}", name, status.name.lowercase(), reason?.let { ": $it" }.orEmpty())
         val key = DrainRecords.DRAINS + name
-        val guards = access.leaderGuard + (key to (stamps[key] ?: 0L))
+        val guards = access.leaderGuard + Precondition(key, stamps[key] ?: Precondition.ABSENT)
         val change = Change.Put(key, records.encode(drain.copy(status = status, reason = reason)))
         scope.launch {
-            val outcome = access.store.txn(guards, listOf(change), urgent = false)
+            val outcome = access.store.commit(guards, listOf(change), urgent = false)
             tell(DrainMessage.Ended(name, outcome is TransactionResult.Committed))
         }
     }
@@ -198,7 +199,7 @@
         // Pages of a drain that is new here were written by the command: from now on they are this leader's.
         for (drain in news) {
             val own = machines[drain.name].orEmpty()
-            access.owned.read(own)
+            access.owned.load(own)
             recorded = recorded + own.associate { it.key to it.value }
         }
         known.asked(drains, news.flatMap { readable.getValue(it.name) })
@@ -211,7 +212,7 @@
         val pages = entries.filter { it.key.startsWith(DrainRecords.INTERRUPTIONS) }
         // Without them nobody knows what is interrupted, so nothing more is.
         val interruptions = pages.map { page -> readable(page) { records.decodeInterruptions(it) } ?: return }
-        access.owned.read(pages)
+        access.owned.load(pages)
         recorded = pages.associate { it.key to it.value }
         val state =
             DrainState().let { empty ->
@@ -229,7 +230,7 @@
         machines: Map<String, List<DrainedMachine>>,
     ): Drain? {
         val name = entry.key.removePrefix(DrainRecords.DRAINS)
-        stamps[entry.key] = entry.stamp
+        stamps[entry.key] = entry.modRevision
         return if (name in machines) readable(entry) { records.decodeDrain(it) } else null
     }
 
--- a/src/main/kotlin/lichenstage/drain/DrainOperations.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainOperations.kt
@@ -7,8 +7,9 @@
 import lichenstage.state.Change
 import lichenstage.state.Entry
 import lichenstage.state.KeyValueStore
+import lichenstage.state.Precondition
 import lichenstage.state.ReadResult
-import lichenstage.state.Scan
+import lichenstage.state.ScanResult
 import lichenstage.state.TransactionResult
 
 /** Which of the recorded machines are meant; a field that is null does not choose. */
@@ -65,7 +66,7 @@
  */
 class DrainOperations(
     private val store: KeyValueStore,
-    private val scan: suspend (String) -> Scan?,
+    private val scan: suspend (String) -> ScanResult,
     private val records: DrainRecords,
     private val settings: Settings,
     private val timeOfDayUs: () -> Long,
@@ -120,13 +121,13 @@
             DrainAnswer.Unavailable
         }
 
-    private suspend fun read(prefix: String): List<Entry> = scan(prefix)?.entries ?: throw NoAnswer()
+    private suspend fun read(prefix: String): List<Entry> = (scan(prefix) as? ScanResult.Complete)?.entries ?: throw NoAnswer()
 
     private suspend fun commit(
-        guards: Map<String, Long>,
+        preconditions: List<Precondition>,
         changes: List<Change>,
     ) {
-        if (store.txn(guards, changes) !is TransactionResult.Committed) throw NoAnswer()
+        if (store.commit(preconditions, changes) !is TransactionResult.Committed) throw NoAnswer()
     }
 
     private fun refusal(
@@ -157,12 +158,12 @@
         val now = timeOfDayUs()
         val rows = machines.map { DrainedMachine(it.name, request.name, Stage.WAITING, now) }
         val pages = records.encodeMachines(request.name, rows)
-        val stamps = read("${DrainRecords.MACHINES}${request.name}/").associate { it.key to it.stamp }
+        val stamps = read("${DrainRecords.MACHINES}${request.name}/").associate { it.key to it.modRevision }
         val changes = pages.map { Change.Put(it.key, it.value) } + (stamps.keys - pages.keys).map { Change.Delete(it) }
         val drainKey = DrainRecords.DRAINS + request.name
         for (part in changes.chunked(settings.txnOps)) {
-            val guards = part.associate { it.key to (stamps[it.key] ?: 0L) } + (drainKey to 0L)
-            commit(guards, part)
+            val preconditions = part.map { Precondition(it.key, stamps[it.key] ?: Precondition.ABSENT) } + Precondition.absent(drainKey)
+            commit(preconditions, part)
         }
         val drain =
             Drain(
@@ -174,7 +175,7 @@
                 now,
                 request.deadlineUs,
             )
-        commit(mapOf(drainKey to 0L), listOf(Change.Put(drainKey, records.encode(drain))))
+        commit(listOf(Precondition.absent(drainKey)), listOf(Change.Put(drainKey, records.encode(drain))))
         return shown(request.name)
     }
 
@@ -213,7 +214,7 @@
         if (drain.status != status) {
             val reason = if (status == DrainStatus.RUNNING) null else "by an operator"
             val put = Change.Put(entry.key, records.encode(drain.copy(status = status, reason = reason)))
-            commit(mapOf(entry.key to entry.stamp), listOf(put))
+            commit(listOf(Precondition(entry.key, entry.modRevision)), listOf(put))
         }
         return shown(drain.name)
     }
--- a/src/main/kotlin/lichenstage/jobs/JobLookup.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobLookup.kt
@@ -6,6 +6,7 @@
 import lichenstage.common.timeOfDayUs
 import lichenstage.state.Change
 import lichenstage.state.KeyValueStore
+import lichenstage.state.Precondition
 import lichenstage.state.ReadResult
 import lichenstage.state.TransactionResult
 
@@ -48,7 +49,7 @@
         return when (val read = state.get(JobRecord.OPEN + id, READ_TIMEOUT_MS)) {
             is ReadResult.Found -> {
                 val needed = JobRecord.dependencies(read.entry.value)
-                memory.rememberOpen(id, read.entry.stamp, needed)
+                memory.rememberOpen(id, read.entry.modRevision, needed)
                 open(id, needed)
             }
 
@@ -66,7 +67,7 @@
         when (val over = state.get(JobRecord.FINISHED + id, READ_TIMEOUT_MS)) {
             is ReadResult.Found -> {
                 memory.rememberOver(id, over.entry.value)
-                replica.learned(id, over.entry.stamp)
+                replica.learned(id, over.entry.modRevision)
                 Reply.ofOver(id, over.entry.value)
             }
 
@@ -103,7 +104,7 @@
         repeat(MOST_TRIES) {
             memory.over(id)?.let { return Reply.ofOver(id, it) }
             when (val read = state.get(JobRecord.OPEN + id, READ_TIMEOUT_MS)) {
-                is ReadResult.Found -> recordCancelled(id, read.entry.stamp)?.let { return it }
+                is ReadResult.Found -> recordCancelled(id, read.entry.modRevision)?.let { return it }
                 ReadResult.NotFound -> return find(id)
                 ReadResult.Unavailable -> return Reply.stateUnavailable()
             }
@@ -118,7 +119,7 @@
     ): Reply? {
         val record = overNow("cancelled", memory.progress(id).done)
         val changes = listOf(Change.Delete(JobRecord.OPEN + id), Change.Put(JobRecord.FINISHED + id, record))
-        return when (val outcome = state.txn(mapOf(JobRecord.OPEN + id to stamp), changes)) {
+        return when (val outcome = state.commit(listOf(Precondition(JobRecord.OPEN + id, stamp)), changes)) {
             is TransactionResult.Committed -> {
                 memory.rememberOver(id, record)
                 cancelled(id, outcome.revision)
--- a/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
@@ -13,6 +13,7 @@
 import lichenstage.common.SECOND
 import lichenstage.state.KeyValueStoreClient
 import lichenstage.state.ReadResult
+import lichenstage.state.ScanResult
 import lichenstage.state.WatchResult
 
 /** Keeps the [JobReplica] of this process up to date: by a watch, and by the other controllers while the state service is away. */
@@ -60,19 +61,19 @@
     private suspend fun follow() {
         val scannedUs = clock.now()
         val scan = state.scan(JobRecord.OPEN)
-        if (scan == null) {
+        if (scan !is ScanResult.Complete) {
             delay(RETRY_MS)
             return
         }
-        news(replica.loaded(scan.entries.associate { id(it.key) to it.stamp }, scan.revision, scannedUs))
+        news(replica.loaded(scan.entries.associate { id(it.key) to it.modRevision }, scan.revision, scannedUs))
         scan.entries.forEach { pipelines.opened(id(it.key), JobRecord.dependencies(it.value)) }
         while (true) {
             val sentUs = clock.now()
-            when (val seen = state.changes(JobRecord.OPEN, replica.revision, WAIT_MS)) {
+            when (val seen = state.watch(JobRecord.OPEN, replica.revision, WAIT_MS)) {
                 is WatchResult.Events -> {
-                    val put = seen.puts.associate { id(it.key) to it.stamp }
+                    val put = seen.puts.associate { id(it.key) to it.modRevision }
                     seen.puts.forEach { pipelines.opened(id(it.key), JobRecord.dependencies(it.value)) }
-                    news(replica.changed(put, seen.deletes.associate { id(it.key) to it.stamp }, seen.revision, sentUs))
+                    news(replica.changed(put, seen.deletes.associate { id(it.key) to it.modRevision }, seen.revision, sentUs))
                 }
 
                 WatchResult.Compacted -> {
--- a/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
@@ -8,6 +8,7 @@
 import lichenstage.model.MachineType
 import lichenstage.state.Change
 import lichenstage.state.KeyValueStore
+import lichenstage.state.Precondition
 import lichenstage.state.ReadResult
 import lichenstage.state.TransactionResult
 
@@ -81,7 +82,7 @@
         val inVain = Standing.Cancelled in standings.values
         val record = if (inVain) JobLookup.overNow("cancelled", 0) else JobRecord.encode(spec)
         val change = Change.Put(if (inVain) over else open, record)
-        return when (val outcome = state.txn(guards, listOf(change), SUBMIT_TIMEOUT_MS)) {
+        return when (val outcome = state.commit(Precondition.allOf(guards), listOf(change), SUBMIT_TIMEOUT_MS)) {
             is TransactionResult.Committed -> {
                 if (inVain) memory.rememberOver(spec.id, record) else memory.rememberOpen(spec.id, outcome.revision, spec.dependencies)
                 Reply.accepted(spec.id, if (inVain) "cancelled" else "pending")
@@ -122,7 +123,7 @@
         memory.over(id)?.let { return ended(it) }
         if (!fresh) memory.stamp(id)?.let { return Standing.Open(it) }
         return when (val read = state.get(JobRecord.OPEN + id, JobLookup.READ_TIMEOUT_MS)) {
-            is ReadResult.Found -> Standing.Open(read.entry.stamp)
+            is ReadResult.Found -> Standing.Open(read.entry.modRevision)
             ReadResult.Unavailable -> Standing.Unclear
             ReadResult.NotFound -> standingOver(id)
         }
--- a/src/main/kotlin/lichenstage/jobs/JobsActor.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsActor.kt
@@ -12,6 +12,7 @@
 import lichenstage.config.Team
 import lichenstage.model.MachineType
 import lichenstage.state.KeyValueStore
+import lichenstage.state.Precondition
 
 /** What the user API is told. */
 sealed interface JobsMessage {
@@ -47,7 +48,7 @@
     private val scope: CoroutineScope,
 ) {
     private val memory = JobMemory(replica, pipelines)
-    private val openCheck = OpenRecordCheck(limits.guards, scope) { state.txn(it, emptyList(), COMPARE_TIMEOUT_MS) }
+    private val openCheck = OpenRecordCheck(limits.guards, scope) { state.commit(Precondition.allOf(it), emptyList(), COMPARE_TIMEOUT_MS) }
     private val lookup = JobLookup(state, memory, replica, pipelines, openCheck, clock, cancelled)
     private val submission = JobSubmission(state, memory, lookup, pipelines, limits, teams, machineTypes)
     private var open = 0
--- a/src/main/kotlin/lichenstage/jobs/OpenRecordCheck.kt
+++ b/src/main/kotlin/lichenstage/jobs/OpenRecordCheck.kt
@@ -63,7 +63,7 @@
                 }
 
                 is TransactionResult.Conflict -> {
-                    val failed = outcome.failed.toHashSet()
+                    val failed = outcome.failedKeys.toHashSet()
                     val (gone, rest) = open.partition { it.key in failed }
                     gone.forEach { it.answer.complete(RecordState.GONE) }
                     open = rest
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -31,6 +31,7 @@
 import lichenstage.jobs.Pipelines
 import lichenstage.state.Entry
 import lichenstage.state.KeyValueStoreClient
+import lichenstage.state.Precondition
 import lichenstage.state.SingleWriterKeys
 import lichenstage.state.TransactionResult
 import org.slf4j.LoggerFactory
@@ -109,7 +110,7 @@
         stamp: Long,
     ): DrainDriver {
         val view = LeaderDrainView(core, clock::now)
-        val access = DrainStore(state, owned, mapOf(Authority.LEADER to stamp), settings.txnOps, state::scan)
+        val access = DrainStore(state, owned, listOf(Precondition(Authority.LEADER, stamp)), settings.txnOps, state::scan)
         core.taskStopped = { drains?.taskStopped(LeaderDrainView.failure(it, timeOfDayUs())) }
         return DrainDriver(policy, view, DrainRecords(settings.valueBytes), access, hands(view), DrainTracing(), scope, ::timeOfDayUs) {
             mailbox.tell(LeaderMessage.OfDrains(it))
@@ -207,7 +208,7 @@
         message: LeaderMessage.Loaded,
         now: Long,
     ) {
-        owned.read(message.machines + message.done)
+        owned.load(message.machines + message.done)
         registry.load(message.machines).forEach { fleet.known(it, now) }
         // In the order of their submission: the forecast fades what lies back.
         message.jobs.sortedBy { it.value.getLong("at") ?: 0 }.forEach(::added)
@@ -237,7 +238,7 @@
                 return
             }
         if (spec.id in core.jobs) return
-        val job = Job(spec, entry.stamp, steadyUs(spec.submittedUs))
+        val job = Job(spec, entry.modRevision, steadyUs(spec.submittedUs))
         core.jobAdded(job)
         if (job.ready) {
             fleet.arrived(job)
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordReader.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordReader.kt
@@ -3,6 +3,7 @@
 import kotlinx.coroutines.delay
 import lichenstage.jobs.JobRecord
 import lichenstage.state.KeyValueStoreClient
+import lichenstage.state.ScanResult
 import lichenstage.state.WatchResult
 
 /** Reads the records that a term of leadership begins with, and follows the open jobs from there. */
@@ -13,9 +14,9 @@
     /** Runs until it is cancelled. */
     suspend fun run() {
         // The order does not matter, since a task starts only after all is loaded.
-        val machines = retry { state.scan(MACHINES) }
-        val jobs = retry { state.scan(JobRecord.OPEN) }
-        val done = retry { state.scan(JobRecord.DONE) }
+        val machines = scan(MACHINES)
+        val jobs = scan(JobRecord.OPEN)
+        val done = scan(JobRecord.DONE)
         tell(LeaderMessage.Loaded(jobs.entries, done.entries, machines.entries))
         follow(jobs.revision)
     }
@@ -23,7 +24,7 @@
     private suspend fun follow(from: Long) {
         var since = from
         while (true) {
-            when (val seen = state.changes(JobRecord.OPEN, since, WATCH_MS)) {
+            when (val seen = state.watch(JobRecord.OPEN, since, WATCH_MS)) {
                 is WatchResult.Events -> {
                     since = seen.revision
                     // A job that was put and deleted in one batch is gone: within a prefix, the delete is the newer.
@@ -32,7 +33,7 @@
                 }
 
                 WatchResult.Compacted -> {
-                    val again = retry { state.scan(JobRecord.OPEN) }
+                    val again = scan(JobRecord.OPEN)
                     since = again.revision
                     tell(LeaderMessage.Reloaded(again.entries))
                 }
@@ -44,9 +45,11 @@
         }
     }
 
-    private suspend fun <T : Any> retry(read: suspend () -> T?): T {
+    /** Reads all keys with a prefix, as often as it takes. */
+    private suspend fun scan(prefix: String): ScanResult.Complete {
         while (true) {
-            read()?.let { return it }
+            val result = state.scan(prefix)
+            if (result is ScanResult.Complete) return result
             delay(RETRY_MS)
         }
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -10,6 +10,7 @@
 import lichenstage.jobs.JobRecord
 import lichenstage.state.Change
 import lichenstage.state.KeyValueStoreClient
+import lichenstage.state.Precondition
 import lichenstage.state.ReadResult
 import lichenstage.state.SingleWriterKeys
 import lichenstage.state.TransactionResult
@@ -24,12 +25,14 @@
     private val state: KeyValueStoreClient,
     private val owned: SingleWriterKeys,
     /** The revision of the leadership's key. */
-    private val leaderStamp: Long,
+    leaderStamp: Long,
     private val txnOps: Int,
     private val scope: CoroutineScope,
     private val finished: (String, JsonObject) -> Unit,
     private val tell: (LeaderMessage) -> Unit,
 ) {
+    private val leadership = Precondition(Authority.LEADER, leaderStamp)
+
     fun writeRanges(deltas: List<CompletionDelta>) {
         scope.launch {
             val puts =
@@ -45,9 +48,13 @@
     fun finish(job: Job) {
         scope.launch {
             val id = job.spec.id
-            val guards = mapOf(Authority.LEADER to leaderStamp, JobRecord.OPEN + id to job.stamp)
+            val preconditions = listOf(leadership, Precondition(JobRecord.OPEN + id, job.stamp))
             val record = JobRecord.over("done", job.spec.tasks, timeOfDayUs())
-            val outcome = state.txn(guards, listOf(Change.Delete(JobRecord.OPEN + id), Change.Put(JobRecord.FINISHED + id, record)))
+            val outcome =
+                state.commit(
+                    preconditions,
+                    listOf(Change.Delete(JobRecord.OPEN + id), Change.Put(JobRecord.FINISHED + id, record)),
+                )
             val stillOpen = outcome !is TransactionResult.Conflict || state.get(JobRecord.OPEN + id) !is ReadResult.NotFound
             if (outcome is TransactionResult.Committed) finished(id, record) else delay(RETRY_MS)
             tell(LeaderMessage.Finished(job, outcome, stillOpen))
@@ -64,19 +71,19 @@
     }
 
     private suspend fun recordCancelled(jobs: List<Job>): Boolean {
-        val guards = jobs.associate { JobRecord.OPEN + it.spec.id to it.stamp } + (Authority.LEADER to leaderStamp)
+        val preconditions = jobs.map { Precondition(JobRecord.OPEN + it.spec.id, it.stamp) } + leadership
         val atUs = timeOfDayUs()
         val changes =
             jobs.flatMap {
                 val id = it.spec.id
                 listOf(Change.Delete(JobRecord.OPEN + id), Change.Put(JobRecord.FINISHED + id, JobRecord.over("cancelled", 0, atUs)))
             }
-        return state.txn(guards, changes, urgent = false) is TransactionResult.Committed
+        return state.commit(preconditions, changes, urgent = false) is TransactionResult.Committed
     }
 
     fun writePages(pages: List<RegistryPage>) {
         scope.launch {
-            val written = owned.write(mapOf(Authority.LEADER to leaderStamp), pages.map { it.change }, urgent = true)
+            val written = owned.write(listOf(leadership), pages.map { it.change }, urgent = true)
             if (!written) delay(RETRY_MS)
             tell(LeaderMessage.PagesWritten(pages, written))
         }
@@ -93,8 +100,8 @@
     }
 
     private suspend fun writeAll(changes: List<Change>): Boolean {
-        val guards = mapOf(Authority.LEADER to leaderStamp)
-        return changes.chunked(txnOps).all { owned.write(guards, it, urgent = false) }
+        val preconditions = listOf(leadership)
+        return changes.chunked(txnOps).all { owned.write(preconditions, it, urgent = false) }
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
+++ b/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
@@ -2,126 +2,19 @@
 
 import io.vertx.core.Vertx
 import io.vertx.core.http.HttpMethod
-import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
-import kotlinx.coroutines.delay
 import lichenstage.common.Address
 import lichenstage.common.Clock
+import lichenstage.common.HttpStatus
+import lichenstage.common.JsonDecodingException
 import lichenstage.common.JsonHttp
-import lichenstage.common.JsonHttp.Companion.parsed
-import lichenstage.common.SECOND
-
-/** A key with its value and the revision of its last change. */
-data class Entry(
-    val key: String,
-    val value: JsonObject,
-    val stamp: Long,
-)
-
-/** One change within a transaction. */
-sealed interface Change {
-    val key: String
-
-    /** Write a key. */
-    data class Put(
-        override val key: String,
-        val value: JsonObject,
-        val lease: Long? = null,
-    ) : Change
-
-    /** Delete a key. */
-    data class Delete(
-        override val key: String,
-    ) : Change
-}
-
-/** What became of a transaction. */
-sealed interface TransactionResult {
-    /** It was applied, at this revision. */
-    data class Committed(
-        val revision: Long,
-    ) : TransactionResult
-
-    /** A condition did not hold; [failed] names keys of which that is known. */
-    data class Conflict(
-        val failed: List<String> = emptyList(),
-    ) : TransactionResult
-
-    /** The lease of a put has ended. */
-    data object LeaseExpired : TransactionResult
-
-    /** The service has said that it did nothing. */
-    data object Rejected : TransactionResult
-
-    /** Nobody knows: it may still be applied later, so every transaction carries its own guards. */
-    data object Indeterminate : TransactionResult
-}
-
-/** An answer of a read: there, not there, or not to be had. */
-sealed interface ReadResult {
-    /** The key with its value. */
-    data class Found(
-        val entry: Entry,
-    ) : ReadResult
-
-    data object NotFound : ReadResult
-
-    data object Unavailable : ReadResult
-}
-
-/** What a watch brought. */
-sealed interface WatchResult {
-    /** What has changed up to a revision. */
-    data class Events(
-        val revision: Long,
-        val puts: List<Entry>,
-        val deletes: List<Entry>,
-    ) : WatchResult
-
-    data object Compacted : WatchResult
-
-    data object Unavailable : WatchResult
-}
-
-/** What became of the renewal of a lease. */
-enum class LeaseRenewal {
-    RENEWED,
-
-    /** There is no such lease any more. */
-    EXPIRED,
-
-    /** No answer, or one that decides nothing. */
-    INDETERMINATE,
-}
-
-/** What the decisions about records need of the state service; a model of it stands in where they are tested. */
-interface KeyValueStore {
-    /** Reads one key. */
-    suspend fun get(
-        key: String,
-        timeoutMs: Long = 1500,
-    ): ReadResult
-
-    /** Bulk work ([urgent] false) takes what leases, users' requests and the ends of jobs leave. */
-    suspend fun txn(
-        guards: Map<String, Long>,
-        changes: List<Change>,
-        timeoutMs: Long = 2000,
-        urgent: Boolean = true,
-    ): TransactionResult
-}
-
-/** The scan of a prefix, whole, with the revision from which a watch goes on. */
-data class Scan(
-    val entries: List<Entry>,
-    val revision: Long,
-)
+import org.slf4j.LoggerFactory
 
 /**
- * Speaks to the state service. Nothing here decides; unclear outcomes are told as such.
+ * The HTTP client of the state service. It reports outcomes that are not known as such and retries nothing.
  *
- * The service's limits hold for all controllers together: each keeps to a share of them, [writeShare] of the changes (the leader
- * needs more than the others) and an equal part of the requests.
+ * The service's limits hold for all controllers together: each keeps to a share of them, [writeShare] of the [writeRps] changes a second
+ * (the leader needs more than the others) and an equal part of the [rps] requests a second.
  */
 class KeyValueStoreClient(
     vertx: Vertx,
@@ -132,167 +25,153 @@
     writeRps: Double,
     writeShare: () -> Double,
 ) : KeyValueStore {
-    private val http = JsonHttp(vertx, address, connections = REQUESTS, queue = 2000)
+    private val log = LoggerFactory.getLogger("lichenstage.state")
+    private val requests = JsonHttp(vertx, address, connections = REQUEST_CONNECTIONS, queue = REQUEST_QUEUE)
 
     /** Watches stay open for long: they have connections of their own, and so have leases, so that nothing holds up a renewal. */
-    private val watches = JsonHttp(vertx, address, connections = WATCHES, queue = 6)
-    private val leases = JsonHttp(vertx, address, connections = LEASES, queue = 3)
-    private val reads = RateBudget(clock) { rps / controllers }
-    private val writes = RateBudget(clock) { writeRps * writeShare() }
+    private val watches = JsonHttp(vertx, address, connections = WATCH_CONNECTIONS, queue = WATCH_CONNECTIONS)
+    private val leases = JsonHttp(vertx, address, connections = LEASE_CONNECTIONS, queue = LEASE_CONNECTIONS)
+    private val requestLimiter = RequestRateLimiter(clock) { rps / controllers }
+    private val writeLimiter = RequestRateLimiter(clock) { writeRps * writeShare() }
 
     override suspend fun get(
         key: String,
         timeoutMs: Long,
     ): ReadResult {
-        reads.take()
-        val (status, body) = http.call(HttpMethod.GET, "/kv/$key", null, timeoutMs) ?: return ReadResult.Unavailable
+        requestLimiter.acquire()
+        val path = KeyValueStoreCodec.keyPath(key)
+        val (status, body) = requests.call(HttpMethod.GET, path, null, timeoutMs) ?: return ReadResult.Unavailable
         return when {
-            status == 200 -> parsed { entry(body) }?.let { ReadResult.Found(it) } ?: ReadResult.Unavailable
-            status == 404 && body.containsKey("ledger_rev") -> ReadResult.NotFound
+            status == HttpStatus.OK -> decode { ReadResult.Found(KeyValueStoreCodec.decodeEntry(body)) } ?: ReadResult.Unavailable
+            status == HttpStatus.NOT_FOUND && KeyValueStoreCodec.hasRevision(body) -> ReadResult.NotFound
             else -> ReadResult.Unavailable
         }
     }
 
-    /** All keys with a prefix, or null. The revision is that of the first page, so a watch misses nothing. */
-    suspend fun scan(prefix: String): Scan? {
+    /** Reads all keys with a prefix, page by page. The revision is that of the first page, so a watch from there misses nothing. */
+    suspend fun scan(prefix: String): ScanResult {
         val entries = ArrayList<Entry>()
-        var revision = -1L
+        var revision: Long? = null
         while (true) {
-            reads.take(urgent = false)
-            val since = if (entries.isEmpty()) "" else "&since=${entries.last().key}"
-            val (status, body) = http.call(HttpMethod.GET, "/kv?prefix=$prefix$since&most=200", null, 4000) ?: return null
-            if (status != 200) return null
-            val page = parsed { Scan(body.getJsonArray("rows").map { entry(it as JsonObject) }, body.getLong("ledger_rev")) } ?: return null
-            if (revision < 0) revision = page.revision
+            val page = scanPage(prefix, entries.lastOrNull()?.key) ?: return ScanResult.Unavailable
+            val firstRevision = revision ?: page.revision
+            revision = firstRevision
             entries += page.entries
-            if (body.getBoolean("truncated") != true) return Scan(entries, revision)
+            if (!page.truncated) return ScanResult.Complete(entries, firstRevision)
         }
     }
 
-    override suspend fun txn(
-        guards: Map<String, Long>,
+    private suspend fun scanPage(
+        prefix: String,
+        lastKey: String?,
+    ): KeyValueStoreCodec.Page? {
+        requestLimiter.acquire(urgent = false)
+        val path = KeyValueStoreCodec.scanPath(prefix, lastKey)
+        val (status, body) = requests.call(HttpMethod.GET, path, null, SCAN_TIMEOUT_MS) ?: return null
+        return if (status == HttpStatus.OK) decode { KeyValueStoreCodec.decodePage(body) } else null
+    }
+
+    override suspend fun commit(
+        preconditions: List<Precondition>,
         changes: List<Change>,
         timeoutMs: Long,
         urgent: Boolean,
     ): TransactionResult {
-        reads.take(urgent = urgent)
-        if (changes.isNotEmpty()) writes.take(changes.size, urgent)
-        val request =
-            JsonObject()
-                .put("guards", JsonArray(guards.map { (key, stamp) -> JsonObject().put("k", key).put("stamp", stamp) }))
-                .put("then", JsonArray(changes.map(::encode)))
-        val (status, body) = http.call(HttpMethod.POST, "/txn", request, timeoutMs) ?: return TransactionResult.Indeterminate
+        requestLimiter.acquire(urgent = urgent)
+        if (changes.isNotEmpty()) writeLimiter.acquire(changes.size, urgent)
+        val request = KeyValueStoreCodec.encodeTransaction(preconditions, changes)
+        val (status, body) =
+            requests.call(HttpMethod.POST, KeyValueStoreCodec.TRANSACTION_PATH, request, timeoutMs)
+                ?: return TransactionResult.Indeterminate
         return when (status) {
-            200 -> TransactionResult.Committed(body.getLong("ledger_rev") ?: 0)
-            409 -> TransactionResult.Conflict(parsed { body.getJsonArray("failed").map { it as String } } ?: emptyList())
-            400 -> if (body.getString("error") == "no such lease") TransactionResult.LeaseExpired else TransactionResult.Conflict()
-            429, 503 -> TransactionResult.Rejected
-            else -> TransactionResult.Indeterminate
+            HttpStatus.OK -> {
+                TransactionResult.Committed(KeyValueStoreCodec.decodeCommitRevision(body))
+            }
+
+            HttpStatus.CONFLICT -> {
+                TransactionResult.Conflict(decode { KeyValueStoreCodec.decodeFailedKeys(body) } ?: emptyList())
+            }
+
+            HttpStatus.BAD_REQUEST -> {
+                if (KeyValueStoreCodec.isLeaseMissing(body)) TransactionResult.LeaseExpired else TransactionResult.Conflict()
+            }
+
+            HttpStatus.TOO_MANY_REQUESTS, HttpStatus.SERVICE_UNAVAILABLE -> {
+                TransactionResult.Rejected
+            }
+
+            else -> {
+                TransactionResult.Indeterminate
+            }
         }
     }
 
-    /** Grants a lease; null where that failed. */
-    suspend fun grant(lifeUs: Long): Long? {
-        val answer = leases.call(HttpMethod.POST, "/leases", JsonObject().put("life_ms", lifeUs / 1000), 1500)
-        return answer?.takeIf { it.status == 200 }?.body?.getLong("tenancy")
+    /** Asks for a lease that lasts [durationUs] without renewal. */
+    suspend fun grantLease(durationUs: Long): LeaseGrant {
+        val request = KeyValueStoreCodec.encodeLeaseRequest(durationUs)
+        val answer = leases.call(HttpMethod.POST, KeyValueStoreCodec.LEASES_PATH, request, LEASE_TIMEOUT_MS)
+        val lease = answer?.takeIf { it.status == HttpStatus.OK }?.let { KeyValueStoreCodec.decodeLease(it.body) }
+        return if (lease == null) LeaseGrant.Failed else LeaseGrant.Granted(lease)
     }
 
-    /** Renews a lease. */
-    suspend fun renew(lease: Long): LeaseRenewal {
-        val answer = leases.call(HttpMethod.POST, "/leases/$lease/renew", JsonObject(), 1200)
+    /** Renews a lease for its full duration. */
+    suspend fun renewLease(lease: Long): LeaseRenewal {
+        val path = KeyValueStoreCodec.leaseRenewalPath(lease)
+        val answer = leases.call(HttpMethod.POST, path, JsonObject(), LEASE_RENEWAL_TIMEOUT_MS)
         return when (answer?.status) {
-            200 -> LeaseRenewal.RENEWED
-            404 -> LeaseRenewal.EXPIRED
+            HttpStatus.OK -> LeaseRenewal.RENEWED
+            HttpStatus.NOT_FOUND -> LeaseRenewal.EXPIRED
             else -> LeaseRenewal.INDETERMINATE
         }
     }
 
-    /** Ends a lease at once; false where that is not known to have happened. */
-    suspend fun revoke(lease: Long): Boolean =
-        leases.call(HttpMethod.DELETE, "/leases/$lease", null, 1500)?.status.let { it == 200 || it == 404 }
+    /** Ends a lease at once; its keys are deleted with it. */
+    suspend fun revokeLease(lease: Long): LeaseRevocation {
+        val answer = leases.call(HttpMethod.DELETE, KeyValueStoreCodec.leasePath(lease), null, LEASE_TIMEOUT_MS)
+        return when (answer?.status) {
+            HttpStatus.OK, HttpStatus.NOT_FOUND -> LeaseRevocation.REVOKED
+            else -> LeaseRevocation.INDETERMINATE
+        }
+    }
 
-    /** Waits for changes under a prefix after a revision. */
-    suspend fun changes(
+    /** Waits up to [waitMs] milliseconds for changes of keys with a prefix after a revision. */
+    suspend fun watch(
         prefix: String,
-        since: Long,
+        afterRevision: Long,
         waitMs: Long,
     ): WatchResult {
-        reads.take()
-        val path = "/changes?prefix=$prefix&since=$since&wait_ms=$waitMs"
-        val (status, body) = watches.call(HttpMethod.GET, path, null, waitMs + 3000) ?: return WatchResult.Unavailable
-        if (status == 410) return WatchResult.Compacted
-        if (status != 200) return WatchResult.Unavailable
-        return parsed { events(body) } ?: WatchResult.Unavailable
-    }
-
-    private fun events(body: JsonObject): WatchResult.Events {
-        val (puts, deletes) = body.getJsonArray("events").map { it as JsonObject }.partition { it.getString("put") != null }
-        return WatchResult.Events(
-            body.getLong("ledger_rev"),
-            puts.map { Entry(it.getString("put"), it.getJsonObject("value"), it.getLong("stamp")) },
-            deletes.map { Entry(it.getString("delete"), JsonObject(), it.getLong("stamp")) },
-        )
-    }
-
-    private fun entry(row: JsonObject) = Entry(row.getString("k"), row.getJsonObject("value"), row.getLong("stamp"))
-
-    private fun encode(change: Change) =
-        when (change) {
-            is Change.Put -> {
-                JsonObject().put("put", change.key).put("value", change.value).apply { change.lease?.let { put("tenancy", it) } }
-            }
-
-            is Change.Delete -> {
-                JsonObject().put("delete", change.key)
-            }
+        requestLimiter.acquire()
+        val path = KeyValueStoreCodec.watchPath(prefix, afterRevision, waitMs)
+        val (status, body) = watches.call(HttpMethod.GET, path, null, waitMs + WATCH_GRACE_MS) ?: return WatchResult.Unavailable
+        return when (status) {
+            HttpStatus.OK -> decode { KeyValueStoreCodec.decodeEvents(body) } ?: WatchResult.Unavailable
+            HttpStatus.GONE -> WatchResult.Compacted
+            else -> WatchResult.Unavailable
         }
-
-    companion object {
-        private const val REQUESTS = 24
-        private const val WATCHES = 6
-        private const val LEASES = 3
-
-        /** The most connections that this client has. */
-        const val SOCKETS = REQUESTS + WATCHES + LEASES
     }
-}
-
-/**
- * Keeps a process within its share of a rate. What is urgent goes at once and may run into debt, which is then waited for; the
- * rest waits until there is enough left beside it.
- */
-class RateBudget(
-    private val clock: Clock,
-    private val perSecond: () -> Double,
-) {
-    private var tokens = 0.0
-    private var refilledUs = Long.MIN_VALUE
 
-    /** Takes a share of the rate, later where there is none left. */
-    suspend fun take(
-        units: Int = 1,
-        urgent: Boolean = true,
-    ) {
-        while (true) {
-            val waitMs = wait(units, urgent)
-            if (waitMs > 0) delay(waitMs)
-            if (urgent || waitMs == 0L) return
+    /** An answer of another form than the protocol's counts as none. */
+    private inline fun <T : Any> decode(read: () -> T): T? =
+        try {
+            read()
+        } catch (e: JsonDecodingException) {
+            log.info("Answer of the state service could not be decoded: {}", e.message)
+            null
         }
-    }
 
-    /** How long to wait, in milliseconds. What is urgent has been taken with that, the rest only where it is 0. */
-    fun wait(
-        units: Int,
-        urgent: Boolean,
-    ): Long {
-        val rate = perSecond()
-        val now = clock.now()
-        // Half a second's worth may be saved up: bursts are allowed one second's worth over all processes.
-        val most = maxOf(rate / 2, 1.0)
-        tokens = if (refilledUs == Long.MIN_VALUE) most else minOf(most, tokens + (now - refilledUs) * rate / SECOND)
-        refilledUs = now
-        val short = if (urgent) units - tokens else minOf(units.toDouble(), most) - tokens
-        if (urgent || short <= 0) tokens -= units
-        return if (short <= 0) 0 else (short / rate * 1000).toLong() + 1
+    companion object {
+        private const val REQUEST_CONNECTIONS = 24
+        private const val REQUEST_QUEUE = 2000
+        private const val WATCH_CONNECTIONS = 6
+        private const val LEASE_CONNECTIONS = 3
+        private const val SCAN_TIMEOUT_MS = 4000L
+        private const val LEASE_TIMEOUT_MS = 1500L
+        private const val LEASE_RENEWAL_TIMEOUT_MS = 1200L
+
+        /** How much longer than the time that the service waits for changes its answer may take. */
+        private const val WATCH_GRACE_MS = 3000L
+
+        /** The maximum number of connections that this client has open. */
+        const val MAX_CONNECTIONS = REQUEST_CONNECTIONS + WATCH_CONNECTIONS + LEASE_CONNECTIONS
     }
 }
--- /dev/null
+++ b/src/main/kotlin/lichenstage/state/ReadResult.kt
@@ -0,0 +1,43 @@
+package lichenstage.state
+
+/** The outcome of reading one key. */
+sealed interface ReadResult {
+    /** The key exists. */
+    data class Found(
+        val entry: Entry,
+    ) : ReadResult
+
+    /** The key does not exist. */
+    data object NotFound : ReadResult
+
+    /** The service gave no usable answer. */
+    data object Unavailable : ReadResult
+}
+
+/** The outcome of reading all keys with a prefix. */
+sealed interface ScanResult {
+    /** All keys with the prefix; a watch from [revision] on misses no change. */
+    data class Complete(
+        val entries: List<Entry>,
+        val revision: Long,
+    ) : ScanResult
+
+    /** The service gave no usable answer to one of the pages. */
+    data object Unavailable : ScanResult
+}
+
+/** The outcome of one request for the changes of the keys with a prefix. */
+sealed interface WatchResult {
+    /** All changes up to [revision]; the values of [deletes] are empty, and their revision is that of the deletion. */
+    data class Events(
+        val revision: Long,
+        val puts: List<Entry>,
+        val deletes: List<Entry>,
+    ) : WatchResult
+
+    /** The service has discarded the changes since the revision asked for: the keys must be scanned again. */
+    data object Compacted : WatchResult
+
+    /** The service gave no usable answer. */
+    data object Unavailable : WatchResult
+}
--- a/src/main/kotlin/lichenstage/state/SingleWriterKeys.kt
+++ b/src/main/kotlin/lichenstage/state/SingleWriterKeys.kt
@@ -1,47 +1,50 @@
 package lichenstage.state
 
 /**
- * Writes keys that only one process writes, in the order in which it does, whatever becomes of its transactions.
+ * Writes keys that only one process writes, in the order in which it does, whatever becomes of its transactions (invariant 4).
  *
- * A transaction without an answer can be carried out seconds later, after newer ones of the same process. Guarded by its leadership
- * alone it would put back what the newer ones have replaced: a registry page without machines that run tasks by now, or done tasks
- * that the workers have forgotten. So each write is guarded by the revision of what it replaces, and once the outcome of one is not
- * known, what it has written is read again before the next: after that the late one is refused, or it makes the next one be.
+ * A transaction without an answer can be carried out seconds later, after newer ones of the same process. With the leadership as its only
+ * precondition it would put back what the newer ones have replaced: a registry page without machines that run tasks by now, or done tasks
+ * that the workers have forgotten. So the revision of what it replaces is a precondition of each write, and once the outcome of one is not
+ * known, what it has written is read again before the next: after that the late one conflicts, or it makes the next one conflict.
  */
 class SingleWriterKeys(
     private val state: KeyValueStore,
 ) {
-    /** The revision of each key that is there. */
-    private val stamps = HashMap<String, Long>()
-    private val unsure = HashSet<String>()
+    /** The revision of each key that exists. */
+    private val modRevisions = HashMap<String, Long>()
 
-    /** As read before anything was written here. */
-    fun read(entries: List<Entry>) = entries.forEach { stamps[it.key] = it.stamp }
+    /** The keys of writes whose outcome is not known. */
+    private val indeterminate = HashSet<String>()
 
-    /** One transaction, under [guards] besides; true where it is known to be carried out. */
+    /** Takes in the keys as they were read before anything was written here. */
+    fun load(entries: List<Entry>) = entries.forEach { modRevisions[it.key] = it.modRevision }
+
+    /** Writes [changes] in one transaction under [preconditions]; true where it is known to be committed. */
     suspend fun write(
-        guards: Map<String, Long>,
+        preconditions: List<Precondition>,
         changes: List<Change>,
         urgent: Boolean,
     ): Boolean {
         val keys = changes.map { it.key }
-        for (key in keys) if (key in unsure && !reread(key)) return false
-        val outcome = state.txn(guards + keys.associateWith { stamps[it] ?: 0L }, changes, urgent = urgent)
-        if (outcome is TransactionResult.Committed) {
-            changes.forEach { if (it is Change.Put) stamps[it.key] = outcome.revision else stamps.remove(it.key) }
-        } else if (outcome !is TransactionResult.Rejected) {
-            unsure += keys
+        for (key in keys) if (key in indeterminate && !reread(key)) return false
+        val unchanged = keys.map { Precondition(it, modRevisions[it] ?: Precondition.ABSENT) }
+        val result = state.commit(preconditions + unchanged, changes, urgent = urgent)
+        if (result is TransactionResult.Committed) {
+            changes.forEach { if (it is Change.Put) modRevisions[it.key] = result.revision else modRevisions.remove(it.key) }
+        } else if (result !is TransactionResult.Rejected) {
+            indeterminate += keys
         }
-        return outcome is TransactionResult.Committed
+        return result is TransactionResult.Committed
     }
 
     private suspend fun reread(key: String): Boolean {
-        when (val found = state.get(key)) {
-            is ReadResult.Found -> stamps[key] = found.entry.stamp
-            ReadResult.NotFound -> stamps.remove(key)
+        when (val read = state.get(key)) {
+            is ReadResult.Found -> modRevisions[key] = read.entry.modRevision
+            ReadResult.NotFound -> modRevisions.remove(key)
             ReadResult.Unavailable -> return false
         }
-        unsure -= key
+        indeterminate -= key
         return true
     }
 }
--- a/src/test/kotlin/lichenstage/authority/FencingTokenReservationTest.kt
+++ b/src/test/kotlin/lichenstage/authority/FencingTokenReservationTest.kt
@@ -5,6 +5,7 @@
 import lichenstage.state.Change
 import lichenstage.state.Entry
 import lichenstage.state.KeyValueStore
+import lichenstage.state.Precondition
 import lichenstage.state.ReadResult
 import lichenstage.state.TransactionResult
 import net.jqwik.api.Example
@@ -18,7 +19,7 @@
     private class OneAnswer(
         private val outcome: TransactionResult,
     ) : KeyValueStore {
-        val guards = ArrayList<Map<String, Long>>()
+        val preconditions = ArrayList<List<Precondition>>()
         val changes = ArrayList<Change>()
 
         override suspend fun get(
@@ -26,13 +27,13 @@
             timeoutMs: Long,
         ): ReadResult = ReadResult.Unavailable
 
-        override suspend fun txn(
-            guards: Map<String, Long>,
+        override suspend fun commit(
+            preconditions: List<Precondition>,
             changes: List<Change>,
             timeoutMs: Long,
             urgent: Boolean,
         ): TransactionResult {
-            this.guards += guards
+            this.preconditions.add(preconditions)
             this.changes += changes
             return outcome
         }
@@ -51,7 +52,9 @@
     fun `they lie above all terms, the counter goes past them, and the write holds only under the ownership`() {
         val state = OneAnswer(TransactionResult.Committed(50))
         assertEquals(10L..13L, reserve(state)) { "${keys.lastTerm()}" }
-        assertEquals(mapOf(OwnershipKeys.TERMS to 41L, KEY to 40L), state.guards.single()) { "${state.guards}" }
+        assertEquals(listOf(Precondition(OwnershipKeys.TERMS, 41L), Precondition(KEY, 40L)), state.preconditions.single()) {
+            "${state.preconditions}"
+        }
         val written = state.changes.single() as Change.Put
         assertTrue(written.key == OwnershipKeys.TERMS && written.value == TermCounter(13, listOf(KEY)).encode()) { "$written" }
         assertNull(written.lease) { "the counter would go with the lease" }
--- a/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
@@ -7,7 +7,8 @@
 import lichenstage.common.SECOND
 import lichenstage.state.Change
 import lichenstage.state.MemoryStore
-import lichenstage.state.Scan
+import lichenstage.state.Precondition
+import lichenstage.state.ScanResult
 import lichenstage.state.SingleWriterKeys
 import lichenstage.state.TransactionResult
 import net.jqwik.api.Example
@@ -25,14 +26,14 @@
             timeoutMs: Long,
         ) = read(key)
 
-        override suspend fun txn(
-            guards: Map<String, Long>,
+        override suspend fun commit(
+            preconditions: List<Precondition>,
             changes: List<Change>,
             timeoutMs: Long,
             urgent: Boolean,
-        ) = if (refusing) TransactionResult.Rejected else apply(guards, changes)
+        ) = if (refusing) TransactionResult.Rejected else apply(preconditions, changes)
 
-        fun scan(prefix: String) = Scan(entries.values.filter { it.key.startsWith(prefix) }.sortedBy { it.key }, revision)
+        fun scan(prefix: String) = ScanResult.Complete(entries.values.filter { it.key.startsWith(prefix) }.sortedBy { it.key }, revision)
     }
 
     private class Hands : DrainHands {
@@ -61,11 +62,11 @@
     private var now = 0L
 
     init {
-        store.apply(emptyMap(), listOf(Change.Put("c/leader", JsonObject())))
+        store.apply(emptyList(), listOf(Change.Put("c/leader", JsonObject())))
     }
 
     private fun driver(): DrainDriver {
-        val guard = mapOf("c/leader" to store.entries.getValue("c/leader").stamp)
+        val guard = listOf(Precondition("c/leader", store.entries.getValue("c/leader").modRevision))
         val access = DrainStore(store, SingleWriterKeys(store), guard, 4) { store.scan(it) }
         lateinit var driver: DrainDriver
         driver = DrainDriver(DrainPolicy(), cluster, records, access, hands, DrainTracing(), scope, { now }) { driver.handle(it) }
@@ -79,7 +80,7 @@
         val rows = machines.map { DrainedMachine(it, name, Stage.WAITING, 0) }
         val drain = Drain(name, false, 10, DrainStatus.RUNNING, null, 0, null)
         val pages = records.encodeMachines(name, rows).map { Change.Put(it.key, it.value) }
-        store.apply(emptyMap(), pages + Change.Put(DrainRecords.DRAINS + name, records.encode(drain)))
+        store.apply(emptyList(), pages + Change.Put(DrainRecords.DRAINS + name, records.encode(drain)))
     }
 
     private fun DrainDriver.run(seconds: Int) =
@@ -132,7 +133,7 @@
         driver.run(5)
         assertTrue(stages("d") == before && driver.cordoned == setOf("m1")) { "${stages("d")}" }
         store.refusing = false
-        store.apply(emptyMap(), listOf(Change.Put("c/leader", JsonObject().put("label", "another"))))
+        store.apply(emptyList(), listOf(Change.Put("c/leader", JsonObject().put("label", "another"))))
         driver.run(5)
         assertTrue(stages("d") == before && status("d") == "RUNNING") { "${stages("d")} ${status("d")}" }
     }
@@ -142,7 +143,7 @@
         listOf("m1", "m2").forEach { cluster.machine(it, FakeCluster.task(1, remainingS = 5)) }
         ask("broken", "m1")
         ask("whole", "m2")
-        store.apply(emptyMap(), listOf(Change.Put(DrainRecords.DRAINS + "broken", JsonObject().put("form", 9))))
+        store.apply(emptyList(), listOf(Change.Put(DrainRecords.DRAINS + "broken", JsonObject().put("form", 9))))
         driver().run(4)
         assertTrue(
             stages("broken").getValue("m1") == Stage.WAITING && stages("whole").getValue("m2") == Stage.CORDONED,
@@ -153,7 +154,7 @@
     fun `without a readable account of interruptions nothing is drained`() {
         cluster.machine("m1")
         ask("d", "m1")
-        store.apply(emptyMap(), listOf(Change.Put(DrainRecords.INTERRUPTIONS + "0", JsonObject().put("form", 9))))
+        store.apply(emptyList(), listOf(Change.Put(DrainRecords.INTERRUPTIONS + "0", JsonObject().put("form", 9))))
         driver().run(6)
         assertEquals(Stage.WAITING, stages("d").getValue("m1")) { "${stages("d")}" }
     }
@@ -170,7 +171,7 @@
         assertEquals(setOf("m1"), second.cordoned) { "a new leader has forgotten it" }
         val entry = store.entries.getValue(DrainRecords.DRAINS + "d")
         val paused = records.decodeDrain(entry).copy(status = DrainStatus.PAUSED)
-        store.apply(emptyMap(), listOf(Change.Put(entry.key, records.encode(paused))))
+        store.apply(emptyList(), listOf(Change.Put(entry.key, records.encode(paused))))
         second.run(4)
         assertTrue(second.cordoned.isEmpty()) { "still cordoned" }
     }
--- a/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
@@ -13,8 +13,9 @@
 import lichenstage.placement.Registry
 import lichenstage.state.Change
 import lichenstage.state.MemoryStore
+import lichenstage.state.Precondition
 import lichenstage.state.ReadResult
-import lichenstage.state.Scan
+import lichenstage.state.ScanResult
 import lichenstage.state.TransactionResult
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -34,15 +35,22 @@
             timeoutMs: Long,
         ) = if (away) ReadResult.Unavailable else read(key)
 
-        override suspend fun txn(
-            guards: Map<String, Long>,
+        override suspend fun commit(
+            preconditions: List<Precondition>,
             changes: List<Change>,
             timeoutMs: Long,
             urgent: Boolean,
-        ) = if (away || answered-- <= 0) TransactionResult.Rejected else apply(guards, changes)
-
-        fun scan(prefix: String): Scan? =
-            if (away) null else Scan(entries.values.filter { it.key.startsWith(prefix) }.sortedBy { it.key }, revision)
+        ) = if (away || answered-- <= 0) TransactionResult.Rejected else apply(preconditions, changes)
+
+        fun scan(prefix: String): ScanResult =
+            if (away) {
+                ScanResult.Unavailable
+            } else {
+                ScanResult.Complete(
+                    entries.values.filter { it.key.startsWith(prefix) }.sortedBy { it.key },
+                    revision,
+                )
+            }
     }
 
     private val store = Records()
@@ -66,7 +74,7 @@
                     "a:1",
                 )
             }
-        machines.chunked(68).forEachIndexed { i, page -> store.apply(emptyMap(), listOf(Change.Put("m/$i", Registry.encode(page)))) }
+        machines.chunked(68).forEachIndexed { i, page -> store.apply(emptyList(), listOf(Change.Put("m/$i", Registry.encode(page)))) }
     }
 
     private fun request(
@@ -84,7 +92,7 @@
         val before = store.revision
         val bound =
             JobSpec("j-1", "c", "t", Priority.HIGH, 1, Shape(1.0, 0.0, 1.0), null, "y", false, false, true, "i", 1.0, 1, 0, 0, null, 0)
-        store.apply(emptyMap(), listOf(Change.Put("j/j-1", JobRecord.encode(bound))))
+        store.apply(emptyList(), listOf(Change.Put("j/j-1", JobRecord.encode(bound))))
         val refusals =
             mapOf(
                 request(DrainSelection(setOf("vm-001", "vm-999"))) to "--machine vm-999: no such machine is recorded",
--- a/src/test/kotlin/lichenstage/jobs/JobsActorTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobsActorTest.kt
@@ -22,6 +22,7 @@
 import lichenstage.state.Change
 import lichenstage.state.KeyValueStore
 import lichenstage.state.MemoryStore
+import lichenstage.state.Precondition
 import lichenstage.state.ReadResult
 import lichenstage.state.TransactionResult
 import net.jqwik.api.Example
@@ -50,8 +51,8 @@
             return read(key)
         }
 
-        override suspend fun txn(
-            guards: Map<String, Long>,
+        override suspend fun commit(
+            preconditions: List<Precondition>,
             changes: List<Change>,
             timeoutMs: Long,
             urgent: Boolean,
@@ -63,7 +64,7 @@
                 }
 
                 1 -> {
-                    TransactionResult.Indeterminate.also { apply(guards, changes) }
+                    TransactionResult.Indeterminate.also { apply(preconditions, changes) }
                 }
 
                 2 -> {
@@ -71,13 +72,13 @@
                         scope.launch {
                             delay(
                                 2000 + random.nextLong(10_000),
-                            ).also { apply(guards, changes) }
+                            ).also { apply(preconditions, changes) }
                         }
                     }
                 }
 
                 else -> {
-                    apply(guards, changes)
+                    apply(preconditions, changes)
                 }
             }
         }
@@ -88,7 +89,7 @@
             if (JobRecord.dependencies(open.value).any { entries["x/$it"]?.value?.getString("status") != "done" }) return false
             val record = JsonObject().put("status", "done").put("tasks", 2)
             return apply(
-                mapOf("j/$id" to open.stamp),
+                listOf(Precondition("j/$id", open.modRevision)),
                 listOf(Change.Delete("j/$id"), Change.Put("x/$id", record)),
             ) is TransactionResult.Committed
         }
@@ -132,7 +133,7 @@
             delay(if (random.nextInt(40) == 0) 8000 else 50 + random.nextLong(300))
             val open = store.entries.filterKeys { it.startsWith("j/") }.mapKeys { it.key.removePrefix("j/") }
             open.forEach { (id, entry) -> pipelines.opened(id, JobRecord.dependencies(entry.value)) }
-            replica.loaded(open.mapValues { it.value.stamp }, store.revision, clock.now()).forEach(pipelines::ended)
+            replica.loaded(open.mapValues { it.value.modRevision }, store.revision, clock.now()).forEach(pipelines::ended)
             for (id in pipelines.toResolve(8)) {
                 val record = store.entries["x/$id"]?.value ?: continue
                 pipelines.resolved(id, Outcome(record.getString("status") == "done", record.getLong("at")))
--- a/src/test/kotlin/lichenstage/state/MemoryStore.kt
+++ b/src/test/kotlin/lichenstage/state/MemoryStore.kt
@@ -9,11 +9,11 @@
     fun read(key: String): ReadResult = entries[key]?.let { ReadResult.Found(it) } ?: ReadResult.NotFound
 
     fun apply(
-        guards: Map<String, Long>,
+        preconditions: List<Precondition>,
         changes: List<Change>,
     ): TransactionResult {
-        val failed = guards.filter { (key, stamp) -> (entries[key]?.stamp ?: 0) != stamp }.keys
-        if (failed.isNotEmpty()) return TransactionResult.Conflict(failed.toList())
+        val failed = preconditions.filter { (entries[it.key]?.modRevision ?: Precondition.ABSENT) != it.modRevision }.map { it.key }
+        if (failed.isNotEmpty()) return TransactionResult.Conflict(failed)
         revision++
         for (change in changes) {
             when (change) {
--- a/src/test/kotlin/lichenstage/state/SingleWriterKeysTest.kt
+++ b/src/test/kotlin/lichenstage/state/SingleWriterKeysTest.kt
@@ -12,25 +12,25 @@
     private class LateStore(
         private val random: Random,
     ) : MemoryStore() {
-        private val late = ArrayList<Pair<Map<String, Long>, List<Change>>>()
+        private val late = ArrayList<Pair<List<Precondition>, List<Change>>>()
 
         override suspend fun get(
             key: String,
             timeoutMs: Long,
         ) = if (random.nextInt(8) == 0) ReadResult.Unavailable else read(key)
 
-        override suspend fun txn(
-            guards: Map<String, Long>,
+        override suspend fun commit(
+            preconditions: List<Precondition>,
             changes: List<Change>,
             timeoutMs: Long,
             urgent: Boolean,
         ): TransactionResult {
             if (late.isNotEmpty() && random.nextInt(3) == 0) late.removeAt(random.nextInt(late.size)).let { apply(it.first, it.second) }
             return when (random.nextInt(8)) {
-                0 -> TransactionResult.Indeterminate.also { apply(guards, changes) }
-                1, 2 -> TransactionResult.Indeterminate.also { late += guards to changes }
+                0 -> TransactionResult.Indeterminate.also { apply(preconditions, changes) }
+                1, 2 -> TransactionResult.Indeterminate.also { late += preconditions to changes }
                 3 -> TransactionResult.Rejected
-                else -> apply(guards, changes)
+                else -> apply(preconditions, changes)
             }
         }
 
@@ -54,7 +54,7 @@
         var written = 0
         repeat(120) { step ->
             val keys = listOf("m/0", "m/1", "d/j-1/0").shuffled(random).take(1 + random.nextInt(3))
-            if (owned.write(emptyMap(), keys.map { Change.Put(it, JsonObject().put("n", step)) }, urgent = true)) {
+            if (owned.write(emptyList(), keys.map { Change.Put(it, JsonObject().put("n", step)) }, urgent = true)) {
                 written++
                 keys.forEach { known[it] = step }
             }
