--- a/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
@@ -3,8 +3,8 @@
 import io.vertx.core.json.JsonObject
 import lichenstage.common.timeOfDayUs
 import lichenstage.config.Team
-import lichenstage.fleet.DemandEstimate
 import lichenstage.model.JobSpec
+import lichenstage.model.MachineFit
 import lichenstage.model.MachineType
 import lichenstage.state.Change
 import lichenstage.state.KeyValueStore
@@ -48,7 +48,7 @@
         }
         val types = machineTypes()
         if (types.isEmpty()) return Reply.later("machine types are not known yet")
-        if (DemandEstimate.fitting(spec, types).isEmpty()) {
+        if (MachineFit.compatibleTypes(spec, types).isEmpty()) {
             return Reply.problem(Reply.UNPROCESSABLE, "builds", "a task fits no allowed machine type")
         }
         return null
--- /dev/null
+++ b/src/main/kotlin/lichenstage/placement/DemandEstimate.kt
@@ -0,0 +1,97 @@
+package lichenstage.placement
+
+import lichenstage.fleet.Demand
+import lichenstage.fleet.JobArrival
+import lichenstage.model.JobSpec
+import lichenstage.model.MachineFit
+import lichenstage.model.MachineType
+
+/** Translates jobs into demand for machines, which is all that the fleet knows of them. */
+internal object DemandEstimate {
+    /** What the estimate needs to know of jobs beside their own state; all times are steady-clock microseconds. */
+    interface Inputs {
+        /** The most cores that the team may use at once. */
+        fun maxCores(team: String): Double
+
+        /** Expected run time of one task. */
+        fun runUs(spec: JobSpec): Long
+
+        /** When the job should be complete; null where no objective can be met any more. */
+        fun dueUs(job: Job): Long?
+
+        /** Expected time until all dependencies of the job are complete. */
+        fun readyInUs(job: Job): Long
+    }
+
+    /**
+     * The remaining demand of each open job. A job that waits for dependencies counts from when a machine that is provisioned now
+     * would come up too late for it.
+     */
+    fun demand(
+        jobs: Collection<Job>,
+        machineTypes: Map<String, MachineType>,
+        inputs: Inputs,
+    ): List<Demand> {
+        val coresOfTeams = HashMap<String, Double>()
+        return jobs.filter { it.left > 0 && it.phase == JobPhase.OPEN }.mapNotNull { job ->
+            val spec = job.spec
+            val machineType = MachineFit.cheapestType(spec, machineTypes)
+            val leadTimeUs = if (job.ready || machineType == null) 0 else (machineType.bootUs * BOOT_TIME_MARGIN).toLong()
+            val tasks = concurrentTasks(job, inputs.maxCores(spec.team) - (coresOfTeams[spec.team] ?: 0.0))
+            if (machineType == null || tasks <= 0.0 || (!job.ready && inputs.readyInUs(job) > leadTimeUs)) return@mapNotNull null
+            coresOfTeams.merge(spec.team, tasks * spec.shape.cores, Double::plus)
+            remainingDemand(job, machineType, tasks, inputs.runUs(spec)).copy(dueUs = inputs.dueUs(job), foreseenInUs = leadTimeUs)
+        }
+    }
+
+    /** How many tasks of the job may run at once within [availableCores] of its team's quota. */
+    private fun concurrentTasks(
+        job: Job,
+        availableCores: Double,
+    ): Double {
+        val left = job.left.toDouble()
+        val cores = job.spec.shape.cores
+        return if (cores <= 0.0) left else minOf(left, availableCores / cores)
+    }
+
+    private fun remainingDemand(
+        job: Job,
+        machineType: MachineType,
+        concurrentTasks: Double,
+        runUs: Long,
+    ): Demand {
+        val spec = job.spec
+        val perMachine = MachineFit.tasksPerMachine(machineType, spec.shape).toDouble()
+        val machineUsPerTask = (runUs + machineType.fetchUs(spec.imageGb)) / perMachine
+        val waitingTasks = if (job.placeable) job.pending.size else job.left
+        val waitingUs = minOf(waitingTasks.toDouble(), concurrentTasks) * machineUsPerTask
+        return Demand(
+            typeName = machineType.name,
+            spot = spec.spot,
+            machines = concurrentTasks / perMachine,
+            workUs = job.left * machineUsPerTask,
+            dueUs = null,
+            busy = job.alive.size / perMachine,
+            waitingUs = maxOf(waitingUs - job.totalSavedUs / perMachine, 0.0),
+        )
+    }
+
+    /**
+     * The machines that the whole job uses, for the forecast of arrivals; null where no type is compatible. [isUrgent] tells whether the
+     * job must start before a machine of the type could boot.
+     */
+    fun arrival(
+        job: Job,
+        machineTypes: Map<String, MachineType>,
+        runUs: Long,
+        isUrgent: (MachineType) -> Boolean,
+    ): JobArrival? {
+        val spec = job.spec
+        val machineType = MachineFit.cheapestType(spec, machineTypes) ?: return null
+        val machines = spec.tasks.toDouble() / MachineFit.tasksPerMachine(machineType, spec.shape)
+        return JobArrival(machineType.name, job.readyUs, machines, runUs + machineType.fetchUs(spec.imageGb), isUrgent(machineType))
+    }
+
+    /** Machines usually boot within one and a half times the boot time of their type. */
+    private const val BOOT_TIME_MARGIN = 1.5
+}
--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -10,7 +10,6 @@
 import lichenstage.drain.DrainDriver
 import lichenstage.drain.DrainKey
 import lichenstage.fleet.CloudCall
-import lichenstage.fleet.DemandEstimate
 import lichenstage.fleet.DemandForecast
 import lichenstage.fleet.FleetCore
 import lichenstage.fleet.FleetPolicy
@@ -123,17 +122,21 @@
         }
     }
 
-    private fun demand(now: Long) =
-        core.expectedReadiness(now).let { readiness ->
-            DemandEstimate.demand(
-                core.jobs.values,
-                catalog.machineTypes,
-                coresMax = { settings.teams[it]?.coresMax ?: 0.0 },
-                runUs = core.runTimes::expectedUs,
-                dueUs = { nextDueUs(it, now) },
-                readyInUs = { readiness.readyUs(it) - now },
-            )
-        }
+    private fun demand(now: Long) = DemandEstimate.demand(core.jobs.values, catalog.machineTypes, DemandInputs(now))
+
+    private inner class DemandInputs(
+        private val now: Long,
+    ) : DemandEstimate.Inputs {
+        private val readiness = core.expectedReadiness(now)
+
+        override fun maxCores(team: String) = settings.teams[team]?.coresMax ?: 0.0
+
+        override fun runUs(spec: JobSpec) = core.runTimes.expectedUs(spec)
+
+        override fun dueUs(job: Job) = nextDueUs(job, now)
+
+        override fun readyInUs(job: Job) = readiness.readyUs(job) - now
+    }
 
     /** By when the job should be done; of one that waits for others only its deadline is known. */
     private fun nextDueUs(
@@ -201,23 +204,17 @@
         message.rows?.let { fleet.listed(it, now) }
     }
 
-    companion object {
-        /** How long the image of a job takes on the slowest of the machine types that it may run on. */
-        fun fetchUs(
-            spec: JobSpec,
-            catalog: MachineCatalog,
-        ) = DemandEstimate.fitting(spec, catalog.machineTypes).maxOfOrNull { it.fetchUs(spec.imageGb) } ?: 0
-
-        private const val OBSERVE_US = 500_000L
-        private const val ASK_US = 200_000L
-        private const val DESCRIBE_US = 10_000_000L
-        private const val MICROS_A_SECOND = 1_000_000
-        private const val MILLIS_A_SECOND = 1_000
+    private companion object {
+        const val OBSERVE_US = 500_000L
+        const val ASK_US = 200_000L
+        const val DESCRIBE_US = 10_000_000L
+        const val MICROS_A_SECOND = 1_000_000
+        const val MILLIS_A_SECOND = 1_000
 
         /** The part of the cloud's rate that is used: bursts of an earlier leader may still count. */
-        private const val RATE_USED = 0.7
+        const val RATE_USED = 0.7
 
         /** A machine on which tasks of so many jobs failed is faulty. */
-        private const val FAULTY_JOBS = 2
+        const val FAULTY_JOBS = 2
     }
 }
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -29,6 +29,7 @@
 import lichenstage.jobs.JobRecord
 import lichenstage.jobs.JobReplicaSync
 import lichenstage.jobs.Pipelines
+import lichenstage.model.MachineFit
 import lichenstage.state.Entry
 import lichenstage.state.KeyValueStoreClient
 import lichenstage.state.Precondition
@@ -78,7 +79,7 @@
             objectives,
             { catalog.machineTypes[it]?.capacity },
             settings.txnOps,
-            { FleetDriver.fetchUs(it, catalog) },
+            { MachineFit.maxFetchUs(it, catalog.machineTypes) },
             pipelines::dependentsOf,
             settings.valueBytes,
             ::carryOut,
--- a/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
 import lichenstage.common.SECOND
-import lichenstage.fleet.DemandEstimate
+import lichenstage.model.JobSpec
 import lichenstage.model.MachineType
 import lichenstage.model.Priority
 import lichenstage.model.Shape
@@ -66,13 +66,20 @@
         job(1, 100)
         val next = job(2, 50, 1)
 
-        fun asked(readyInS: Long) =
-            DemandEstimate.demand(listOf(next), mapOf("t" to machineType), { Double.MAX_VALUE }, { it.estimatedRunTimeUs }, { null }) {
-                readyInS *
-                    SECOND
-            }
+        fun asked(readyInS: Long) = DemandEstimate.demand(listOf(next), mapOf("t" to machineType), inputs(readyInS))
         assertTrue(asked(60).isEmpty()) { "asks a minute before" }
         val soon = asked(40).single()
         assertTrue(soon.busy == 0.0 && soon.foreseenInUs == 45 * SECOND && soon.dueUs == null) { "$soon" }
     }
+
+    private fun inputs(readyInS: Long) =
+        object : DemandEstimate.Inputs {
+            override fun maxCores(team: String) = Double.MAX_VALUE
+
+            override fun runUs(spec: JobSpec) = spec.estimatedRunTimeUs
+
+            override fun dueUs(job: Job): Long? = null
+
+            override fun readyInUs(job: Job) = readyInS * SECOND
+        }
 }
