--- a/src/main/kotlin/lichenstage/app/Main.kt
+++ b/src/main/kotlin/lichenstage/app/Main.kt
@@ -6,6 +6,9 @@
 import kotlinx.coroutines.CoroutineExceptionHandler
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.SupervisorJob
+import lichenstage.common.BadArguments
+import lichenstage.common.CommandLineParser
+import lichenstage.common.ParsedArguments
 import lichenstage.common.exitOnFailure
 import lichenstage.config.Settings
 import lichenstage.config.SettingsError
--- a/src/main/kotlin/lichenstage/app/CommandLineParser.kt
+++ b/src/main/kotlin/lichenstage/common/CommandLineParser.kt
@@ -1,4 +1,4 @@
-package lichenstage.app
+package lichenstage.common
 
 import org.apache.commons.cli.CommandLine
 import org.apache.commons.cli.DefaultParser
--- a/src/main/kotlin/lichenstage/drain/DrainCommand.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCommand.kt
@@ -6,10 +6,10 @@
 import io.vertx.kotlin.coroutines.dispatcher
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withContext
-import lichenstage.app.BadArguments
-import lichenstage.app.CommandLineParser
-import lichenstage.app.ParsedArguments
+import lichenstage.common.BadArguments
 import lichenstage.common.Clock
+import lichenstage.common.CommandLineParser
+import lichenstage.common.ParsedArguments
 import lichenstage.common.SECOND
 import lichenstage.common.timeOfDayUs
 import lichenstage.config.Settings
--- a/src/test/kotlin/lichenstage/app/CommandLineParserTest.kt
+++ b/src/test/kotlin/lichenstage/common/CommandLineParserTest.kt
@@ -1,4 +1,4 @@
-package lichenstage.app
+package lichenstage.common
 
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/lichenstage/standin/Load.kt
+++ b/src/test/kotlin/lichenstage/standin/Load.kt
@@ -7,8 +7,8 @@
 import io.vertx.core.http.PoolOptions
 import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
-import lichenstage.app.CommandLineParser
-import lichenstage.app.ParsedArguments
+import lichenstage.common.CommandLineParser
+import lichenstage.common.ParsedArguments
 import java.io.File
 import java.nio.file.Files
 import java.nio.file.Path
