--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -100,7 +100,7 @@
             scope,
             { to, frame -> links.send(to, frame) },
             { leader?.tell(LeaderMessage.JobsEnded(it)) },
-            { leader?.tell(LeaderMessage.Resolved) },
+            { leader?.tell(LeaderMessage.DependenciesResolved) },
         )
     private val jobs =
         JobsActor(
@@ -238,7 +238,7 @@
         when (frame) {
             is Hello, is Ping, is RelayedFrame -> Unit
             is PlacementFrame -> partition.tell(PartitionMessage.LeaderFrameReceived(frame))
-            is PartitionFrame -> leader?.tell(LeaderMessage.FromPartition(frame))
+            is PartitionFrame -> leader?.tell(LeaderMessage.PartitionFrameReceived(frame))
             is ForwardedRequest -> answer(from, frame)
             is ForwardedReply -> forwarder.answered(frame)
             is MoratoriumRequest -> authority.asked(from, frame)
--- a/src/main/kotlin/lichenstage/app/WarmUp.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUp.kt
@@ -118,12 +118,12 @@
             { shape },
             10,
         ) {
-            if (it is LeaderEffect.Send) sent += FrameCodec.decode(FrameCodec.encode(it.frame)) as PlacementFrame
+            if (it is LeaderEffect.SendFrame) sent += FrameCodec.decode(FrameCodec.encode(it.frame)) as PlacementFrame
         }
     val spec =
         JobSpec("j-1", "c", "t", Priority.HIGH, 1, shape, null, null, false, false, true, "i", 1.0, SECOND, 0, 0, null, 0)
     leader.jobAdded(Job(JobRecord.decode(JobRecord.encode(spec)), 1, 0))
-    leader.registered(mapOf("m" to "z/0"))
+    leader.machinesRegistered(mapOf("m" to "z/0"))
     val partition = PartitionCore("z/0", "z", 2, 20 * SECOND, SECOND, 0) { MachineLimits("b", shape) }
     for (now in 1L..6L) {
         val tasks = if (now < 5) "" else """{"part":"j-1/0","try":4294967297,"status":"ended","cause":"done"}"""
@@ -135,7 +135,12 @@
         sent.clear()
         partition.nextDirectOrders(now * SECOND)
         partition.tick(now * SECOND)
-        partition.nextFrame(now * SECOND)?.let { leader.frame(FrameCodec.decode(FrameCodec.encode(it)) as PartitionFrame, now * SECOND) }
+        partition.nextFrame(now * SECOND)?.let {
+            leader.partitionFrameReceived(
+                FrameCodec.decode(FrameCodec.encode(it)) as PartitionFrame,
+                now * SECOND,
+            )
+        }
     }
 }
 
--- a/src/main/kotlin/lichenstage/drain/DrainOperations.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainOperations.kt
@@ -2,7 +2,7 @@
 
 import lichenstage.config.Settings
 import lichenstage.jobs.JobRecord
-import lichenstage.placement.Registered
+import lichenstage.placement.RegisteredMachine
 import lichenstage.placement.Registry
 import lichenstage.state.Change
 import lichenstage.state.Entry
@@ -22,7 +22,7 @@
     val hiredUpTo: String? = null,
 ) {
     /** The machine is meant. */
-    operator fun contains(machine: Registered) =
+    operator fun contains(machine: RegisteredMachine) =
         (names.isEmpty() || machine.name in names) && (typeName == null || machine.typeName == typeName) &&
             (zone == null || machine.zone == zone) && (spot == null || machine.spot == spot) &&
             (hiredUpTo == null || machine.name <= hiredUpTo)
@@ -48,7 +48,7 @@
     /** What a drain would do. */
     data class Planned(
         val request: DrainRequest,
-        val machines: List<Registered>,
+        val machines: List<RegisteredMachine>,
     ) : DrainAnswer
 
     /** It can't be done; nothing was written. */
@@ -132,7 +132,7 @@
 
     private fun refusal(
         request: DrainRequest,
-        machines: List<Registered>,
+        machines: List<RegisteredMachine>,
         boundZones: Set<String>,
     ): String? {
         val selection = request.selection
@@ -153,7 +153,7 @@
     /** The machines first: the drain is there once its own record is. */
     private suspend fun write(
         request: DrainRequest,
-        machines: List<Registered>,
+        machines: List<RegisteredMachine>,
     ): DrainAnswer {
         val now = timeOfDayUs()
         val rows = machines.map { DrainedMachine(it.name, request.name, Stage.WAITING, now) }
--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -15,10 +15,10 @@
     )
 
     /** Nothing of the attempt is left. */
-    fun attemptGone(attempt: Attempt)
+    fun attemptEnded(attempt: Attempt)
 
     /** A newer attempt of the task has come to light: what this one's machine still lists is to be stopped. */
-    fun attemptSupplanted(attempt: Attempt)
+    fun attemptSuperseded(attempt: Attempt)
 }
 
 /** Follows attempts by what partitions say of the tasks on their machines. */
@@ -52,8 +52,8 @@
     ) {
         val index = task.index
         if (index !in 0 until job.spec.tasks) return
-        job.listedOn += machine.name
-        val known = job.alive.get(index)
+        job.listedOnMachines += machine.name
+        val known = job.liveAttempts.get(index)
         val mine = known?.takeIf { it.number == task.attempt && it.machine == machine.name }
         when {
             task.phase == TaskPhase.ENDED -> ended(partition, machine, task, job, mine, now)
@@ -84,7 +84,7 @@
     ) {
         if (task.cause == DONE) {
             val ranUs = attempt?.takeIf { it.runningUs > 0 }?.progressUs(now)
-            if (job.did(task.index)) {
+            if (job.markDone(task.index)) {
                 if (ranUs != null) runTimes.recordCompletion(job.spec, ranUs)
                 listener.taskDone(job, now)
             }
@@ -93,21 +93,21 @@
         }
         if (attempt == null) return
         gone(attempt, stoppedProgressUs(attempt))
-        if (task.cause == BUSY) takeUpOther(partition, machine, task, job)
+        if (task.cause == BUSY) recoverConflictingAttempt(partition, machine, task, job)
     }
 
     /**
      * The start was refused since another attempt of the task is on this machine: that one is the real one, and the task goes nowhere
      * else while it is listed, although its number is the lower.
      */
-    private fun takeUpOther(
+    private fun recoverConflictingAttempt(
         partition: PartitionRef,
         machine: MachineState,
         refused: TaskState,
         job: Job,
     ) {
         val other = machine.tasks.firstOrNull { it.task == refused.task && it.phase != TaskPhase.ENDED } ?: return
-        found(partition, machine, other, job, job.alive.get(other.index))
+        found(partition, machine, other, job, job.liveAttempts.get(other.index))
     }
 
     /**
@@ -128,18 +128,18 @@
             attempt.partitionTerm = partition.state.term
             attempt.seq = partition.state.seq
             attempt.phase = task.phase
-            if (known != null) supplant(known)
+            if (known != null) supersede(known)
             attempts.track(attempt)
         } else if (known != null) {
             log.info("{} is on {} with try {} and on {} with try {}", task.task, machine.name, task.attempt, known.machine, known.number)
         }
     }
 
-    private fun supplant(attempt: Attempt) {
+    private fun supersede(attempt: Attempt) {
         log.info("{} try {} on {} was followed by another", attempt.task, attempt.number, attempt.machine)
         attempts.remove(attempt)
         checkpointPreemption.attemptEnded(attempt)
-        listener.attemptSupplanted(attempt)
+        listener.attemptSuperseded(attempt)
     }
 
     private fun failed(
@@ -154,7 +154,7 @@
         job.failures++
         // A job that fails everywhere must not take the places of others over and over.
         val pauseUs = (SECOND shl minOf(job.failures, MOST_DOUBLINGS)).coerceAtMost(MOST_PAUSE_US)
-        job.notBeforeUs = maxOf(job.notBeforeUs, now + pauseUs / 2)
+        job.backoffUntilUs = maxOf(job.backoffUntilUs, now + pauseUs / 2)
     }
 
     /** Nothing of the attempt is left but [savedUs] of progress. */
@@ -164,9 +164,9 @@
     ) {
         attempts.remove(attempt)
         checkpointPreemption.attemptEnded(attempt)
-        attempt.job.savedProgress(attempt.index, savedUs)
+        attempt.job.recordSavedProgress(attempt.index, savedUs)
         attempt.job.requeue(attempt.index)
-        listener.attemptGone(attempt)
+        listener.attemptEnded(attempt)
     }
 
     /** Attempts that were lost with their machine, or never got there. */
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -12,10 +12,10 @@
 ) {
     /** Jobs with tasks that are done but not recorded, with when that began, the oldest first. */
     private val unrecorded = LinkedHashMap<Job, Long>()
-    private var rangesUnderWay = false
+    private var rangesWriteInFlight = false
 
     /** Something of the job is done that is not recorded, since [sinceUs] unless it was known already. */
-    fun note(
+    fun markUnrecorded(
         job: Job,
         sinceUs: Long,
     ) {
@@ -23,7 +23,7 @@
     }
 
     /** The job's end is recorded. */
-    fun over(job: Job) {
+    fun completionRecorded(job: Job) {
         unrecorded.remove(job)
     }
 
@@ -31,21 +31,21 @@
      * Has recorded what is done: the end of a job at once, ranges in one batch after the other, the oldest first. Ranges take
      * what writes the rest leaves, so that the more jobs there are, the longer each waits.
      */
-    fun record(now: Long) {
+    fun writeDue(now: Long) {
         if (unrecorded.isEmpty()) return
-        for (job in unrecorded.keys.filter { it.complete && !it.finishUnderWay }) {
-            job.finishUnderWay = true
-            emit(LeaderEffect.Finish(job))
+        for (job in unrecorded.keys.filter { it.allTasksDone && !it.completionWriteInFlight }) {
+            job.completionWriteInFlight = true
+            emit(LeaderEffect.RecordCompletion(job))
         }
-        if (rangesUnderWay) return
+        if (rangesWriteInFlight) return
         val deltas = nextBatch(now)
         if (deltas.isEmpty()) return
-        rangesUnderWay = true
+        rangesWriteInFlight = true
         deltas.forEach {
             unrecorded.remove(it.job)
-            it.job.rangesUnderWay = true
+            it.job.rangesWriteInFlight = true
         }
-        emit(LeaderEffect.WriteRanges(deltas))
+        emit(LeaderEffect.WriteDoneRanges(deltas))
     }
 
     /** What one transaction holds of the jobs that have waited long enough. */
@@ -54,7 +54,7 @@
         var writes = 0
         // The oldest come first, and this is asked after every message: what is not due yet is not looked at.
         val due = unrecorded.entries.takeWhile { now - it.value >= flushUs }.map { it.key }
-        for (job in due.filter { !it.complete }) {
+        for (job in due.filter { !it.allTasksDone }) {
             if (writes >= batch) break
             val delta = delta(job)
             if (delta.chunks.isEmpty()) {
@@ -70,19 +70,19 @@
     }
 
     private fun delta(job: Job): CompletionDelta {
-        val covers = job.durable.clone() as BitSet
-        val chunks = changedChunks(job).filter { cover(job, it, covers) }
-        return CompletionDelta(job, covers, chunks)
+        val recordedTasks = job.durable.clone() as BitSet
+        val chunks = changedChunks(job).filter { cover(job, it, recordedTasks) }
+        return CompletionDelta(job, recordedTasks, chunks)
     }
 
     /**
-     * Adds to [covers] what a record of the chunk can hold; false where that is nothing new. What is durable stays so: workers have
+     * Adds to [recordedTasks] what a record of the chunk can hold; false where that is nothing new. What is durable stays so: workers have
      * forgotten it.
      */
     private fun cover(
         job: Job,
         chunk: Int,
-        covers: BitSet,
+        recordedTasks: BitSet,
     ): Boolean {
         val fitting = DoneRanges.fitting(job.done, chunk, valueBytes)
         val durable = job.durable.get(chunk * DoneRanges.CHUNK, (chunk + 1) * DoneRanges.CHUNK)
@@ -90,7 +90,7 @@
         if (!lost.isEmpty || fitting == durable) return false
         var next = fitting.nextSetBit(0)
         while (next >= 0) {
-            covers.set(chunk * DoneRanges.CHUNK + next)
+            recordedTasks.set(chunk * DoneRanges.CHUNK + next)
             next = fitting.nextSetBit(next + 1)
         }
         return true
@@ -105,16 +105,16 @@
     }
 
     /** What became of a transaction with done ranges. */
-    fun written(
+    fun rangesWritten(
         deltas: List<CompletionDelta>,
         ok: Boolean,
         now: Long,
     ) {
-        rangesUnderWay = false
-        for ((job, covers) in deltas) {
-            job.rangesUnderWay = false
-            if (ok) job.durable.or(covers)
-            if (job.phase == JobPhase.OPEN && job.done.cardinality() != job.durable.cardinality()) note(job, now)
+        rangesWriteInFlight = false
+        for ((job, recordedTasks) in deltas) {
+            job.rangesWriteInFlight = false
+            if (ok) job.durable.or(recordedTasks)
+            if (job.phase == JobPhase.OPEN && job.done.cardinality() != job.durable.cardinality()) markUnrecorded(job, now)
         }
     }
 }
--- a/src/main/kotlin/lichenstage/placement/DemandEstimate.kt
+++ b/src/main/kotlin/lichenstage/placement/DemandEstimate.kt
@@ -33,7 +33,7 @@
         inputs: Inputs,
     ): List<Demand> {
         val coresOfTeams = HashMap<String, Double>()
-        return jobs.filter { it.left > 0 && it.phase == JobPhase.OPEN }.mapNotNull { job ->
+        return jobs.filter { it.remainingTasks > 0 && it.phase == JobPhase.OPEN }.mapNotNull { job ->
             val spec = job.spec
             val machineType = MachineFit.cheapestType(spec, machineTypes)
             val leadTimeUs = if (job.ready || machineType == null) 0 else (machineType.bootUs * BOOT_TIME_MARGIN).toLong()
@@ -49,7 +49,7 @@
         job: Job,
         availableCores: Double,
     ): Double {
-        val left = job.left.toDouble()
+        val left = job.remainingTasks.toDouble()
         val cores = job.spec.shape.cores
         return if (cores <= 0.0) left else minOf(left, availableCores / cores)
     }
@@ -63,15 +63,15 @@
         val spec = job.spec
         val perMachine = MachineFit.tasksPerMachine(machineType, spec.shape).toDouble()
         val machineUsPerTask = (runUs + machineType.fetchUs(spec.imageGb)) / perMachine
-        val waitingTasks = if (job.placeable) job.pending.size else job.left
+        val waitingTasks = if (job.placeable) job.pending.size else job.remainingTasks
         val waitingUs = minOf(waitingTasks.toDouble(), concurrentTasks) * machineUsPerTask
         return Demand(
             typeName = machineType.name,
             spot = spec.spot,
             machines = concurrentTasks / perMachine,
-            workUs = job.left * machineUsPerTask,
+            workUs = job.remainingTasks * machineUsPerTask,
             dueUs = null,
-            busy = job.alive.size / perMachine,
+            busy = job.liveAttempts.size / perMachine,
             waitingUs = maxOf(waitingUs - job.totalSavedUs / perMachine, 0.0),
         )
     }
--- a/src/main/kotlin/lichenstage/placement/FailoverRecovery.kt
+++ b/src/main/kotlin/lichenstage/placement/FailoverRecovery.kt
@@ -21,7 +21,7 @@
 ) {
     private val awaited = HashMap<String, RecoveredMachine>()
 
-    val complete get() = awaited.isEmpty()
+    val isComplete get() = awaited.isEmpty()
 
     /** The machine has to be accounted for. */
     fun await(machine: RecoveredMachine) {
@@ -29,12 +29,12 @@
     }
 
     /** The machine is proven gone. */
-    fun gone(name: String) {
+    fun machineTerminated(name: String) {
         awaited.remove(name)
     }
 
     /** True where this was the last. */
-    fun check(): Boolean {
+    fun update(): Boolean {
         if (awaited.isEmpty()) return false
         awaited.values.removeIf(::accounted)
         return awaited.isEmpty()
@@ -54,7 +54,7 @@
      * back is the fastest proof that nothing runs on them. A few are given back soon (cheap machines are taken at any time, so
      * that in a large deployment some are always just gone), more of them later; where many are silent, the network is at fault.
      */
-    fun blockers(registered: Int): List<String> {
+    fun machinesToFence(registered: Int): List<String> {
         if (awaited.isEmpty()) return emptyList()
         val afterUs =
             when {
@@ -66,7 +66,7 @@
     }
 
     /** What may be in use on the machines of which nothing is known yet: each counts at its full size. */
-    fun unknown(capacityOf: (String) -> Shape?): Shape {
+    fun unknownUse(capacityOf: (String) -> Shape?): Shape {
         var cores = 0.0
         var cards = 0.0
         for (machine in awaited.values) {
--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -49,7 +49,7 @@
 
     /** A machine that an earlier leader has recorded. */
     fun known(
-        machine: Registered,
+        machine: RegisteredMachine,
         now: Long,
     ) = fleet.known(machine.name, machine.typeName, machine.zone, machine.spot, 0, now)
 
@@ -75,7 +75,7 @@
             val zone = settings.assignment.zone(id) ?: continue
             partition.machines.values.forEach { fleet.known(it.name, it.typeName, zone, it.spot, 0, now) }
         }
-        fleet.fence(core.blockers())
+        fleet.fence(core.machinesToFence())
         drains()?.let { fleet.uncounted = it.uncounted }
         fleet.observe(demand(now), statusOfMachines(), now)
         cordon()
@@ -87,10 +87,10 @@
 
     private fun cordon() {
         val governed = drains()
-        if (governed == null) return core.cordon(fleet.cordoned())
-        core.cordon(fleet.cordoned() + governed.cordoned)
-        core.drained(governed.cordoned)
-        core.putOnProbation(governed.onProbation)
+        if (governed == null) return core.setCordoned(fleet.cordoned())
+        core.setCordoned(fleet.cordoned() + governed.cordoned)
+        core.setDrained(governed.cordoned)
+        core.setOnProbation(governed.onProbation)
     }
 
     /** A machine like this one is wanted, for [key]. */
@@ -150,7 +150,7 @@
 
     private fun call(now: Long) {
         if (calling || now - calledUs < (MICROS_A_SECOND / (settings.cloudRps * RATE_USED)).toLong()) return
-        if (!core.complete && catalog.machineTypes.isEmpty()) return
+        if (!core.failoverComplete && catalog.machineTypes.isEmpty()) return
         // What to call next looks at every machine, so it is not asked anew after every message.
         if (now - askedUs < ASK_US) return
         askedUs = now
--- a/src/main/kotlin/lichenstage/placement/Job.kt
+++ b/src/main/kotlin/lichenstage/placement/Job.kt
@@ -37,22 +37,22 @@
 /** An accepted job as the leader works on it. */
 class Job(
     val spec: JobSpec,
-    val stamp: Long,
+    val createRevision: Long,
     /** When it was submitted, on this process's steady clock. */
-    val arrivedUs: Long,
+    val submittedAtUs: Long,
 ) {
     /** All jobs that it needs are recorded as done. Until then it has nothing to place and counts for nothing. */
     var ready = spec.dependencies.isEmpty()
         private set
 
     /** When that was: all its times but the deadline count from here. */
-    var readyUs = arrivedUs
+    var readyUs = submittedAtUs
         private set
 
     /** All that it needs is recorded as done, since [atUs]. */
-    fun ready(atUs: Long) {
+    fun markReady(atUs: Long) {
         ready = true
-        readyUs = maxOf(atUs, arrivedUs)
+        readyUs = maxOf(atUs, submittedAtUs)
     }
 
     var phase = JobPhase.OPEN
@@ -62,12 +62,12 @@
     val durable = BitSet()
 
     /** A record of its done ranges, or of its end, is being written. */
-    var rangesUnderWay = false
-    var finishUnderWay = false
+    var rangesWriteInFlight = false
+    var completionWriteInFlight = false
 
     /** Machines whose lists have named a task of it. */
-    val listedOn = HashSet<String>()
-    val alive = Int2ObjectLinkedOpenHashMap<Attempt>()
+    val listedOnMachines = HashSet<String>()
+    val liveAttempts = Int2ObjectLinkedOpenHashMap<Attempt>()
 
     /** Tasks that wait for a place; empty until the job may be placed. */
     val pending = IntArrayList()
@@ -76,7 +76,7 @@
     /** When its tasks were last given a place and when one last began to run, for the log. */
     var placedUs = 0L
     var runningUs = 0L
-    var notBeforeUs = Long.MIN_VALUE
+    var backoffUntilUs = Long.MIN_VALUE
     var failures = 0
 
     /** Progress that tasks have saved, as far as this leader knows. */
@@ -90,7 +90,7 @@
     fun savedUs(index: Int) = saved.get(index)
 
     /** The task has saved so much progress. */
-    fun savedProgress(
+    fun recordSavedProgress(
         index: Int,
         progressUs: Long,
     ) {
@@ -100,12 +100,12 @@
 
     private var doneCount = 0
 
-    val complete get() = doneCount >= spec.tasks
+    val allTasksDone get() = doneCount >= spec.tasks
 
-    val left get() = spec.tasks - doneCount
+    val remainingTasks get() = spec.tasks - doneCount
 
     /** False where that was known. */
-    fun did(index: Int): Boolean {
+    fun markDone(index: Int): Boolean {
         if (done.get(index)) return false
         done.set(index)
         totalSavedUs -= saved.remove(index)
@@ -114,17 +114,17 @@
     }
 
     /** What the record of an earlier leader says. */
-    fun recorded(tasks: BitSet) {
+    fun restoreDone(tasks: BitSet) {
         done.or(tasks)
         durable.or(tasks)
         doneCount = done.cardinality()
     }
 
     /** Fills the queue with every task that is neither done nor possibly on a machine. */
-    fun open() {
+    fun enqueueTasks() {
         placeable = true
         pending.clear()
-        for (i in spec.tasks - 1 downTo 0) if (!done.get(i) && !alive.containsKey(i)) pending.add(i)
+        for (i in spec.tasks - 1 downTo 0) if (!done.get(i) && !liveAttempts.containsKey(i)) pending.add(i)
     }
 
     /** The task needs a place again, unless it is done. */
@@ -133,10 +133,10 @@
     }
 
     /** The next task that waits; tasks that were done meanwhile are passed over. */
-    fun next(): Int {
+    fun nextPendingTask(): Int {
         while (!pending.isEmpty) {
             val index = pending.removeInt(pending.size - 1)
-            if (!done.get(index) && !alive.containsKey(index)) return index
+            if (!done.get(index) && !liveAttempts.containsKey(index)) return index
         }
         return -1
     }
--- a/src/main/kotlin/lichenstage/placement/JobQueue.kt
+++ b/src/main/kotlin/lichenstage/placement/JobQueue.kt
@@ -62,7 +62,7 @@
     private fun waits(
         job: Job,
         now: Long,
-    ) = job.phase == JobPhase.OPEN && job.placeable && !job.pending.isEmpty && now >= job.notBeforeUs
+    ) = job.phase == JobPhase.OPEN && job.placeable && !job.pending.isEmpty && now >= job.backoffUntilUs
 
     private fun plan(
         jobs: Collection<Job>,
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -60,7 +60,7 @@
     parent: CoroutineScope,
     /** The term of the leadership, and the revision of its key. */
     val term: Long,
-    stamp: Long,
+    leaderKeyRevision: Long,
     options: LeaderOptions,
     private val send: (String, Frame) -> Unit,
 ) {
@@ -71,7 +71,7 @@
     private val core =
         LeaderCore(
             term,
-            stamp,
+            leaderKeyRevision,
             settings.assignment,
             settings.teams,
             settings.workerLeaseUs,
@@ -84,13 +84,14 @@
             settings.valueBytes,
             ::carryOut,
         )
-    private val mailbox = Mailbox("leader", scope, ::handle, shed = { it is LeaderMessage.FromPartition || it is LeaderMessage.Tick })
+    private val mailbox =
+        Mailbox("leader", scope, ::handle, shed = { it is LeaderMessage.PartitionFrameReceived || it is LeaderMessage.Tick })
     private val owned = SingleWriterKeys(state)
-    private val writer = LeaderRecordWriter(state, owned, stamp, settings.txnOps, scope, replicaSync::finished, mailbox::tell)
+    private val writer = LeaderRecordWriter(state, owned, leaderKeyRevision, settings.txnOps, scope, replicaSync::finished, mailbox::tell)
     private val registry = RegistryDriver(settings, core, writer)
     private val fleet =
         FleetDriver(settings, core, cloud, catalog, objectives, options.fleet, clock.now(), scope, { drains }, mailbox::tell)
-    private val drains: DrainDriver? = options.drains?.let { drainDriver(it, state, stamp) }
+    private val drains: DrainDriver? = options.drains?.let { drainDriver(it, state, leaderKeyRevision) }
     private val blockedJobs = BlockedJobs(pipelines, core, maxOf(1, settings.txnOps / 2))
     private var loaded = false
     private var countedUs = Long.MIN_VALUE / 2
@@ -108,13 +109,13 @@
     private fun drainDriver(
         policy: DrainPolicy,
         state: KeyValueStoreClient,
-        stamp: Long,
+        leaderKeyRevision: Long,
     ): DrainDriver {
         val view = LeaderDrainView(core, clock::now)
-        val access = DrainStore(state, owned, listOf(Precondition(Authority.LEADER, stamp)), settings.txnOps, state::scan)
+        val access = DrainStore(state, owned, listOf(Precondition(Authority.LEADER, leaderKeyRevision)), settings.txnOps, state::scan)
         core.taskStopped = { drains?.taskStopped(LeaderDrainView.failure(it, timeOfDayUs())) }
         return DrainDriver(policy, view, DrainRecords(settings.valueBytes), access, hands(view), DrainTracing(), scope, ::timeOfDayUs) {
-            mailbox.tell(LeaderMessage.OfDrains(it))
+            mailbox.tell(LeaderMessage.DrainEvent(it))
         }
     }
 
@@ -141,14 +142,14 @@
     private fun handle(message: LeaderMessage) {
         val now = clock.now()
         when (message) {
-            is LeaderMessage.Loaded -> load(message, now)
-            is LeaderMessage.FromPartition -> if (loaded) core.frame(message.frame, now)
+            is LeaderMessage.RecordsLoaded -> load(message, now)
+            is LeaderMessage.PartitionFrameReceived -> if (loaded) core.partitionFrameReceived(message.frame, now)
             is LeaderMessage.ProvisionAnswered -> fleet.hired(message, now)
             is LeaderMessage.TerminateAnswered -> if (fleet.returned(message)) returned(message.names)
             is LeaderMessage.ListAnswered -> fleet.listed(message, now)
-            is LeaderMessage.PagesWritten -> registry.written(message)
+            is LeaderMessage.RegistryPagesWritten -> registry.written(message)
             is LeaderMessage.JobMessage -> jobMessage(message, now)
-            is LeaderMessage.OfDrains -> drains?.handle(message.message)
+            is LeaderMessage.DrainEvent -> drains?.handle(message.message)
             LeaderMessage.Tick -> Unit
         }
         // While authority pauses, nothing is decided: no start, no hire, no write.
@@ -160,11 +161,11 @@
         now: Long,
     ) {
         when (message) {
-            is LeaderMessage.Reloaded -> {
+            is LeaderMessage.OpenJobsReloaded -> {
                 reloaded(message.jobs)
             }
 
-            is LeaderMessage.Changed -> {
+            is LeaderMessage.OpenJobsChanged -> {
                 message.added.forEach(::added)
                 message.removed.forEach(::closed)
             }
@@ -173,21 +174,21 @@
                 if (loaded) message.jobs.forEach { closed(JobRecord.OPEN + it) }
             }
 
-            LeaderMessage.Resolved -> {
+            LeaderMessage.DependenciesResolved -> {
                 if (loaded) release()
             }
 
-            is LeaderMessage.OrphansWritten -> {
+            is LeaderMessage.OrphansCancelled -> {
                 blockedJobs.orphansCancelled()
                 message.jobs.forEach { closed(JobRecord.OPEN + it.spec.id) }
             }
 
-            is LeaderMessage.RangesWritten -> {
+            is LeaderMessage.DoneRangesWritten -> {
                 core.rangesWritten(message.deltas, message.ok, now)
                 message.deltas.filter { it.job.phase == JobPhase.CLOSED }.forEach { writer.deleteRanges(it.job) }
             }
 
-            is LeaderMessage.Finished -> {
+            is LeaderMessage.CompletionWritten -> {
                 finished(message, now)
             }
         }
@@ -206,7 +207,7 @@
     }
 
     private fun load(
-        message: LeaderMessage.Loaded,
+        message: LeaderMessage.RecordsLoaded,
         now: Long,
     ) {
         owned.load(message.machines + message.done)
@@ -220,7 +221,7 @@
             if (job == null) {
                 orphanedRanges += entry.key
             } else {
-                job.recorded(BitSet().also { DoneRanges.decode(entry.value, chunk.toInt(), it) })
+                job.restoreDone(BitSet().also { DoneRanges.decode(entry.value, chunk.toInt(), it) })
             }
         }
         loaded = true
@@ -278,28 +279,28 @@
 
     private fun carryOut(effect: LeaderEffect) {
         when (effect) {
-            is LeaderEffect.Send -> authority.owner(effect.partition)?.let { send(it.label, effect.frame) }
-            is LeaderEffect.WriteRanges -> writer.writeRanges(effect.deltas)
-            is LeaderEffect.Finish -> writer.finish(effect.job)
+            is LeaderEffect.SendFrame -> authority.owner(effect.partition)?.let { send(it.label, effect.frame) }
+            is LeaderEffect.WriteDoneRanges -> writer.writeRanges(effect.deltas)
+            is LeaderEffect.RecordCompletion -> writer.finish(effect.job)
         }
     }
 
     private fun finished(
-        message: LeaderMessage.Finished,
+        message: LeaderMessage.CompletionWritten,
         now: Long,
     ) {
         val job = message.job
         if (message.outcome is TransactionResult.Committed) {
-            core.finished(job, now)
+            core.completionRecorded(job, now)
             writer.deleteRanges(job)
         } else {
-            core.notFinished(job)
+            core.completionFailed(job)
             if (!message.stillOpen) closed(JobRecord.OPEN + job.spec.id)
         }
     }
 
     private fun returned(machines: List<String>) {
-        machines.forEach(core::machineGone)
+        machines.forEach(core::machineTerminated)
         registry.removed(machines)
     }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -24,7 +24,7 @@
 class LeaderCore(
     /** The term of the leadership. */
     val term: Long,
-    private val stamp: Long,
+    private val leaderKeyRevision: Long,
     private val assignment: PartitionAssignment,
     teams: Map<String, Team>,
     leaseUs: Long,
@@ -46,8 +46,8 @@
     val partitions = HashMap<String, PartitionState>()
 
     private val directory = MachineDirectory()
-    private val takeover = FailoverRecovery(leaseUs) { partitions[it] }
-    private val unaccounted = UnaccountedUse(takeover, capacityOf)
+    private val failover = FailoverRecovery(leaseUs) { partitions[it] }
+    private val unaccounted = UnaccountedUse(failover, capacityOf)
     private val attempts = RunningAttempts(teams)
 
     /** How long tasks really run, as completions show. */
@@ -102,7 +102,7 @@
 
         override fun unaccountedUse() = unaccounted.shape()
 
-        override fun reachablePartitions(now: Long) = partitions.filterValues { now - it.heardUs < REACHABLE_US }.keys
+        override fun reachablePartitions(now: Long) = partitions.filterValues { now - it.lastFrameUs < REACHABLE_US }.keys
     }
 
     private inner class TrackedAttempts : AttemptListener {
@@ -110,10 +110,10 @@
             job: Job,
             now: Long,
         ) {
-            if (job.phase == JobPhase.OPEN) recorder.note(job, now)
+            if (job.phase == JobPhase.OPEN) recorder.markUnrecorded(job, now)
         }
 
-        override fun attemptGone(attempt: Attempt) {
+        override fun attemptEnded(attempt: Attempt) {
             rounds.markChanged()
             if (attempt.runningUs > 0 && attempt.job.phase == JobPhase.OPEN &&
                 !attempt.job.done.get(attempt.index)
@@ -123,22 +123,22 @@
             forgetIfOver(attempt.job)
         }
 
-        override fun attemptSupplanted(attempt: Attempt) {
-            partitions[attempt.partition]?.machines?.get(attempt.machine)?.let { audit(attempt.partition, it) }
+        override fun attemptSuperseded(attempt: Attempt) {
+            partitions[attempt.partition]?.machines?.get(attempt.machine)?.let { reconcile(attempt.partition, it) }
         }
     }
 
     /** Every registered machine is accounted for, so what isn't known to run doesn't (invariant 5). */
-    val complete get() = takeover.complete
+    val failoverComplete get() = failover.isComplete
 
     /** Jobs whose tasks failed on a machine, by its name: several point at the machine. */
     fun failedJobsOn(machine: String): Set<String> = tracker.failedJobs[machine].orEmpty()
 
     /** The machines that were registered before this term. */
-    fun inherited(machines: Collection<RecoveredMachine>) {
+    fun addRecoveredMachines(machines: Collection<RecoveredMachine>) {
         directory.register(machines.associate { it.name to it.partition })
         machines.forEach {
-            takeover.await(it)
+            failover.await(it)
             it.address?.let { address -> directory.setAddress(it.name, address) }
         }
     }
@@ -147,14 +147,14 @@
     fun isRegistered(machine: String) = directory.isRegistered(machine)
 
     /** The state service holds these names now, each with its partition. */
-    fun registered(machines: Map<String, String>) {
+    fun machinesRegistered(machines: Map<String, String>) {
         directory.register(machines)
         rounds.markChanged()
-        machines.forEach { (name, partition) -> takeUp(name, partition) }
+        machines.forEach { (name, partition) -> recoverAttemptsOn(name, partition) }
     }
 
     /** What a machine ran before it was recorded is looked at again: until then it was not believed. */
-    private fun takeUp(
+    private fun recoverAttemptsOn(
         name: String,
         partition: String,
     ) {
@@ -163,14 +163,14 @@
         for (task in machine.tasks) {
             if (task.phase != TaskPhase.ENDED) jobs[task.job]?.let { tracker.listed(PartitionRef(partition, state), machine, task, it, 0) }
         }
-        if (machine.tasks.isNotEmpty()) audit(partition, machine)
+        if (machine.tasks.isNotEmpty()) reconcile(partition, machine)
     }
 
     /**
      * Machines that the state service does not hold yet, with the partition of each. Only those that have shown their partition's token
      * in this term: a late copy of a report must not bring back a machine that is gone.
      */
-    fun unregistered(): List<PartitionMachine> =
+    fun unregisteredMachines(): List<PartitionMachine> =
         partitions.flatMap { (id, partition) ->
             partition.machines.values
                 .filter { it.settled && !it.lost && !isRegistered(it.name) }
@@ -178,17 +178,17 @@
         }
 
     /** These machines get no more tasks. */
-    fun cordon(machines: Set<String>) {
+    fun setCordoned(machines: Set<String>) {
         directory.cordoned = machines
     }
 
     /** These machines get one task at a time. */
-    fun putOnProbation(machines: Set<String>) {
+    fun setOnProbation(machines: Set<String>) {
         directory.onProbation = machines
     }
 
     /** These are cordoned for drains: only what those stop is stopped there. */
-    fun drained(machines: Set<String>) {
+    fun setDrained(machines: Set<String>) {
         directory.drained = machines
     }
 
@@ -228,10 +228,10 @@
         queue.jobAdded(job)
         rounds.markChanged()
         // A job accepted within this term can't have been started by an earlier leader.
-        val fresh = job.stamp > stamp
-        if (job.ready && (complete || fresh)) job.open()
-        if (!fresh) partitions.forEach { (id, partition) -> adopt(job, PartitionRef(id, partition)) }
-        if (job.complete) recorder.note(job, Long.MIN_VALUE / 2)
+        val fresh = job.createRevision > leaderKeyRevision
+        if (job.ready && (failoverComplete || fresh)) job.enqueueTasks()
+        if (!fresh) partitions.forEach { (id, partition) -> recoverAttemptsOf(job, PartitionRef(id, partition)) }
+        if (job.allTasksDone) recorder.markUnrecorded(job, Long.MIN_VALUE / 2)
     }
 
     /** All that the job needs is recorded as done, since [atUs]. */
@@ -240,8 +240,8 @@
         atUs: Long,
     ) {
         if (job.ready || job.phase == JobPhase.CLOSED) return
-        job.ready(atUs)
-        if (complete || job.stamp > stamp) job.open()
+        job.markReady(atUs)
+        if (failoverComplete || job.createRevision > leaderKeyRevision) job.enqueueTasks()
         queue.invalidate()
         rounds.markChanged()
     }
@@ -259,17 +259,17 @@
 
     private fun close(job: Job) {
         job.phase = JobPhase.CLOSED
-        recorder.over(job)
-        review(job)
+        recorder.completionRecorded(job)
+        reconcileMachinesOf(job)
         forgetIfOver(job)
     }
 
     private fun forgetIfOver(job: Job) {
-        if (job.phase == JobPhase.CLOSED && job.alive.isEmpty()) jobs.remove(job.spec.id)
+        if (job.phase == JobPhase.CLOSED && job.liveAttempts.isEmpty()) jobs.remove(job.spec.id)
     }
 
     /** A job that has come to light after the machines that run it. */
-    private fun adopt(
+    private fun recoverAttemptsOf(
         job: Job,
         partition: PartitionRef,
     ) {
@@ -277,12 +277,12 @@
             val here = machine.tasks.filter { it.job == job.spec.id }
             if (here.isEmpty()) continue
             here.forEach { tracker.listed(partition, machine, it, job, 0) }
-            audit(partition.id, machine)
+            reconcile(partition.id, machine)
         }
     }
 
     /** A frame of a partition's owner. One that is older than what is known tells nothing. */
-    fun frame(
+    fun partitionFrameReceived(
         frame: PartitionFrame,
         now: Long,
     ) {
@@ -298,7 +298,7 @@
             partition.seq = frame.seq
             partition.ageUs = frame.ageUs
         }
-        partition.heardUs = now
+        partition.lastFrameUs = now
         tracker.timePassed(now)
         frame.machines.filter { !directory.isRetired(it.name) }.forEach { changed(PartitionRef(frame.partition, partition), it, now) }
         frame.offers.forEach { rounds.addOffer(frame.partition, it, now) }
@@ -328,41 +328,41 @@
         for (task in delta.tasks) jobs[task.job]?.let { tracker.listed(partition, machine, task, it, now) }
         val here = attempts.on(machine.name).asSequence().filter { it.partition == partition.id }
         tracker.giveUpAbsent(here) { partitions[it] }
-        audit(partition.id, machine)
+        reconcile(partition.id, machine)
     }
 
     /** The machine is proven gone: a return call was answered, and with it all that ran there is gone. */
-    fun machineGone(name: String) {
+    fun machineTerminated(name: String) {
         tracker.lost(attempts.on(name).toList())
         tracker.failedJobs.remove(name)
         partitions.forEach { (id, partition) ->
             partition.machines.remove(name)
             outbox.forget(id, name)
         }
-        unaccounted.gone(name)
+        unaccounted.remove(name)
         checkpointPreemption.machineTerminated(name)
         directory.retire(name)
-        takeover.gone(name)
+        failover.machineTerminated(name)
         checkComplete()
     }
 
     private fun checkComplete() {
-        takeover.check()
-        if (opened || !complete) return
+        failover.update()
+        if (opened || !failoverComplete) return
         opened = true
         log.info("every machine is accounted for: {} jobs are open", jobs.size)
-        jobs.values.forEach { if (it.ready && !it.placeable) it.open() }
+        jobs.values.forEach { if (it.ready && !it.placeable) it.enqueueTasks() }
         rounds.markChanged()
     }
 
     /** Machines whose return would account for them. */
-    fun blockers() = takeover.blockers(directory.size)
+    fun machinesToFence() = failover.machinesToFence(directory.size)
 
     /** Time has passed. */
     fun tick(now: Long) {
         if (now - sweptUs >= SWEEP_US) sweep(now)
         rounds.tick(now) { queue.order(jobs.values, { cores }, now) }
-        recorder.record(now)
+        recorder.writeDue(now)
         assignment.partitions.filter { outbox.isDue(it, now) }.forEach { outbox.send(it, now) }
     }
 
@@ -395,12 +395,12 @@
         ok: Boolean,
         now: Long,
     ) {
-        recorder.written(deltas, ok, now)
-        if (ok) deltas.forEach { if (it.job.phase == JobPhase.OPEN) review(it.job) }
+        recorder.rangesWritten(deltas, ok, now)
+        if (ok) deltas.forEach { if (it.job.phase == JobPhase.OPEN) reconcileMachinesOf(it.job) }
     }
 
     /** It is recorded that the job is done. */
-    fun finished(
+    fun completionRecorded(
         job: Job,
         now: Long,
     ) {
@@ -413,36 +413,36 @@
             (job.runningUs - job.readyUs).coerceAtLeast(0) / MILLI,
             (now - job.readyUs) / MILLI,
         )
-        job.finishUnderWay = false
+        job.completionWriteInFlight = false
         close(job)
     }
 
     /** It could not be recorded that the job is done. */
-    fun notFinished(job: Job) {
-        job.finishUnderWay = false
+    fun completionFailed(job: Job) {
+        job.completionWriteInFlight = false
     }
 
     /** What machines need to do changes with the job. */
-    private fun review(job: Job) {
-        for (machine in job.listedOn) {
-            for ((id, partition) in partitions) partition.machines[machine]?.let { audit(id, it) }
+    private fun reconcileMachinesOf(job: Job) {
+        for (machine in job.listedOnMachines) {
+            for ((id, partition) in partitions) partition.machines[machine]?.let { reconcile(id, it) }
         }
     }
 
     /** Finds what a machine still has to stop and to clear, and whether something runs on it that counts for no team. */
-    private fun audit(
+    private fun reconcile(
         partition: String,
         machine: MachineState,
     ) {
-        val audit = MachineReconciliation.of(machine, jobs)
-        unaccounted.set(machine.name, machine.typeName, audit.unaccounted && isRegistered(machine.name))
-        outbox.set(partition, machine.name, audit.stops, audit.clears)
+        val reconcile = MachineReconciliation.of(machine, jobs)
+        unaccounted.set(machine.name, machine.typeName, reconcile.unaccounted && isRegistered(machine.name))
+        outbox.set(partition, machine.name, reconcile.stops, reconcile.clears)
     }
 
     /** For display: done and running tasks of each open job. */
     fun counts(): Map<String, List<Int>> =
         jobs.values.filter { it.phase != JobPhase.CLOSED }.associate { job ->
-            job.spec.id to listOf(job.spec.tasks - job.left, job.alive.values.count { it.phase != TaskPhase.PENDING })
+            job.spec.id to listOf(job.spec.tasks - job.remainingTasks, job.liveAttempts.values.count { it.phase != TaskPhase.PENDING })
         }
 
     /** Attempts that may be running on a machine. */
--- a/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
@@ -14,7 +14,7 @@
     private val core: LeaderCore,
     private val now: () -> Long,
 ) : DrainView {
-    override val complete get() = core.complete
+    override val complete get() = core.failoverComplete
 
     override fun condition(machine: String): MachineCondition {
         if (core.isRetired(machine)) return MachineCondition.GONE
@@ -57,7 +57,7 @@
     override fun standing(task: TaskId): TaskStanding {
         val job = core.jobs[task.job]
         if (job == null || job.phase == JobPhase.CLOSED || job.done.get(task.index)) return TaskStanding.Over
-        val attempt = job.alive.get(task.index)
+        val attempt = job.liveAttempts.get(task.index)
         val runs = attempt != null && (attempt.phase == TaskPhase.RUNNING || attempt.phase == TaskPhase.SAVING)
         return if (runs) TaskStanding.Running(attempt.number) else TaskStanding.Waiting
     }
@@ -70,7 +70,7 @@
     fun attemptsOf(tasks: Collection<RunningTask>): List<Attempt> =
         tasks.mapNotNull { wanted ->
             core.jobs[wanted.task.job]
-                ?.alive
+                ?.liveAttempts
                 ?.get(wanted.task.index)
                 ?.takeIf { it.number == wanted.attempt }
         }
--- a/src/main/kotlin/lichenstage/placement/LeaderMessage.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderMessage.kt
@@ -14,24 +14,24 @@
     sealed interface JobMessage : LeaderMessage
 
     /** A partition's owner says what has changed. */
-    data class FromPartition(
+    data class PartitionFrameReceived(
         val frame: PartitionFrame,
     ) : LeaderMessage
 
     /** The records with which the term begins: open jobs, done ranges, pages of the registry. */
-    data class Loaded(
+    data class RecordsLoaded(
         val jobs: List<Entry>,
         val done: List<Entry>,
         val machines: List<Entry>,
     ) : LeaderMessage
 
     /** The open jobs as they stand after a watch was lost. */
-    data class Reloaded(
+    data class OpenJobsReloaded(
         val jobs: List<Entry>,
     ) : JobMessage
 
     /** Records of open jobs that the watch has shown, and the keys of those that are gone. */
-    data class Changed(
+    data class OpenJobsChanged(
         val added: List<Entry>,
         val removed: List<String>,
     ) : JobMessage
@@ -42,28 +42,28 @@
     ) : JobMessage
 
     /** It has come to light how jobs ended that others need. */
-    data object Resolved : JobMessage
+    data object DependenciesResolved : JobMessage
 
     /** These are recorded as cancelled, since one that they need is. */
-    data class OrphansWritten(
+    data class OrphansCancelled(
         val jobs: List<Job>,
     ) : JobMessage
 
     /** What became of a transaction with done ranges. */
-    data class RangesWritten(
+    data class DoneRangesWritten(
         val deltas: List<CompletionDelta>,
         val ok: Boolean,
     ) : JobMessage
 
     /** What became of the transaction that records a job as done; [stillOpen] unless its record is known to be gone. */
-    data class Finished(
+    data class CompletionWritten(
         val job: Job,
         val outcome: TransactionResult,
         val stillOpen: Boolean,
     ) : JobMessage
 
     /** What became of a transaction with [pages] of the registry. */
-    data class PagesWritten(
+    data class RegistryPagesWritten(
         val pages: List<RegistryPage>,
         val ok: Boolean,
     ) : LeaderMessage
@@ -86,7 +86,7 @@
     ) : LeaderMessage
 
     /** About drains. */
-    data class OfDrains(
+    data class DrainEvent(
         val message: DrainMessage,
     ) : LeaderMessage
 
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordReader.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordReader.kt
@@ -17,7 +17,7 @@
         val machines = scan(MACHINES)
         val jobs = scan(JobRecord.OPEN)
         val done = scan(JobRecord.DONE)
-        tell(LeaderMessage.Loaded(jobs.entries, done.entries, machines.entries))
+        tell(LeaderMessage.RecordsLoaded(jobs.entries, done.entries, machines.entries))
         follow(jobs.revision)
     }
 
@@ -29,13 +29,13 @@
                     since = seen.revision
                     // A job that was put and deleted in one batch is gone: within a prefix, the delete is the newer.
                     val removed = seen.deletes.map { it.key }
-                    if (seen.puts.isNotEmpty() || removed.isNotEmpty()) tell(LeaderMessage.Changed(seen.puts, removed))
+                    if (seen.puts.isNotEmpty() || removed.isNotEmpty()) tell(LeaderMessage.OpenJobsChanged(seen.puts, removed))
                 }
 
                 WatchResult.Compacted -> {
                     val again = scan(JobRecord.OPEN)
                     since = again.revision
-                    tell(LeaderMessage.Reloaded(again.entries))
+                    tell(LeaderMessage.OpenJobsReloaded(again.entries))
                 }
 
                 WatchResult.Unavailable -> {
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -25,30 +25,30 @@
     private val state: KeyValueStoreClient,
     private val owned: SingleWriterKeys,
     /** The revision of the leadership's key. */
-    leaderStamp: Long,
+    leaderKeyRevision: Long,
     private val txnOps: Int,
     private val scope: CoroutineScope,
     private val finished: (String, JsonObject) -> Unit,
     private val tell: (LeaderMessage) -> Unit,
 ) {
-    private val leadership = Precondition(Authority.LEADER, leaderStamp)
+    private val leadership = Precondition(Authority.LEADER, leaderKeyRevision)
 
     fun writeRanges(deltas: List<CompletionDelta>) {
         scope.launch {
             val puts =
                 deltas.flatMap { row ->
-                    row.chunks.map { Change.Put(DoneRanges.key(row.job.spec.id, it), DoneRanges.encode(row.covers, it)) }
+                    row.chunks.map { Change.Put(DoneRanges.key(row.job.spec.id, it), DoneRanges.encode(row.recordedTasks, it)) }
                 }
             val written = writeAll(puts)
             if (!written) delay(RETRY_MS)
-            tell(LeaderMessage.RangesWritten(deltas, written))
+            tell(LeaderMessage.DoneRangesWritten(deltas, written))
         }
     }
 
     fun finish(job: Job) {
         scope.launch {
             val id = job.spec.id
-            val preconditions = listOf(leadership, Precondition(JobRecord.OPEN + id, job.stamp))
+            val preconditions = listOf(leadership, Precondition(JobRecord.OPEN + id, job.createRevision))
             val record = JobRecord.over("done", job.spec.tasks, timeOfDayUs())
             val outcome =
                 state.commit(
@@ -57,7 +57,7 @@
                 )
             val stillOpen = outcome !is TransactionResult.Conflict || state.get(JobRecord.OPEN + id) !is ReadResult.NotFound
             if (outcome is TransactionResult.Committed) finished(id, record) else delay(RETRY_MS)
-            tell(LeaderMessage.Finished(job, outcome, stillOpen))
+            tell(LeaderMessage.CompletionWritten(job, outcome, stillOpen))
         }
     }
 
@@ -66,12 +66,12 @@
         scope.launch {
             val written = if (recordCancelled(jobs)) jobs else jobs.filter { recordCancelled(listOf(it)) }
             if (written.isEmpty()) delay(RETRY_MS)
-            tell(LeaderMessage.OrphansWritten(written))
+            tell(LeaderMessage.OrphansCancelled(written))
         }
     }
 
     private suspend fun recordCancelled(jobs: List<Job>): Boolean {
-        val preconditions = jobs.map { Precondition(JobRecord.OPEN + it.spec.id, it.stamp) } + leadership
+        val preconditions = jobs.map { Precondition(JobRecord.OPEN + it.spec.id, it.createRevision) } + leadership
         val atUs = timeOfDayUs()
         val changes =
             jobs.flatMap {
@@ -85,13 +85,13 @@
         scope.launch {
             val written = owned.write(listOf(leadership), pages.map { it.change }, urgent = true)
             if (!written) delay(RETRY_MS)
-            tell(LeaderMessage.PagesWritten(pages, written))
+            tell(LeaderMessage.RegistryPagesWritten(pages, written))
         }
     }
 
     /** Done ranges of a job that is over are of no more use. Where some are still being written, it is done after that. */
     fun deleteRanges(job: Job) {
-        if (job.rangesUnderWay || job.durable.isEmpty) return
+        if (job.rangesWriteInFlight || job.durable.isEmpty) return
         delete((0 until DoneRanges.chunks(job.spec.tasks)).map { DoneRanges.key(job.spec.id, it) })
     }
 
--- a/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
@@ -61,7 +61,7 @@
             machine: String,
             job: Job?,
         ): Boolean {
-            val attempt = job?.alive?.get(task.index) ?: return false
+            val attempt = job?.liveAttempts?.get(task.index) ?: return false
             return attempt.number == task.attempt && attempt.machine == machine
         }
     }
--- a/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
+++ b/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
@@ -52,10 +52,12 @@
             late += gone
             planned = planned.filter { it !in gone }
         }
-        val kept = planned.sortedWith(compareBy<QueuedJob> { it.due }.thenBy { it.job.stamp })
+        val kept = planned.sortedWith(compareBy<QueuedJob> { it.due }.thenBy { it.job.createRevision })
         return (
             kept +
-                late.sortedWith(compareByDescending<QueuedJob> { it.priority }.thenByDescending { it.runUs }.thenBy { it.job.stamp })
+                late.sortedWith(
+                    compareByDescending<QueuedJob> { it.priority }.thenByDescending { it.runUs }.thenBy { it.job.createRevision },
+                )
         ).map { it.job }
     }
 
--- a/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
@@ -110,7 +110,7 @@
                 cordoned = sync.cordonDelta(id, partition, now, source::takesNoTasks),
                 saves = saves.remove(id).orEmpty(),
             )
-        emit(LeaderEffect.Send(id, frame))
+        emit(LeaderEffect.SendFrame(id, frame))
         return sequence
     }
 
--- a/src/main/kotlin/lichenstage/placement/PartitionState.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionState.kt
@@ -26,7 +26,7 @@
     var ageUs = 0L
 
     /** When it was last heard. */
-    var heardUs = 0L
+    var lastFrameUs = 0L
 
     /** Its machines by name. */
     val machines = LinkedHashMap<String, MachineState>()
--- a/src/main/kotlin/lichenstage/placement/Registry.kt
+++ b/src/main/kotlin/lichenstage/placement/Registry.kt
@@ -6,7 +6,7 @@
 import lichenstage.state.Entry
 
 /** A machine as the state service holds it. */
-data class Registered(
+data class RegisteredMachine(
     val name: String,
     val typeName: String,
     val zone: String,
@@ -17,7 +17,7 @@
 /** One key of the registry as it is to be written; without machines it is deleted. */
 data class RegistryPage(
     val key: String,
-    val machines: List<Registered>,
+    val machines: List<RegisteredMachine>,
 ) {
     val change get() = if (machines.isEmpty()) Change.Delete(key) else Change.Put(key, Registry.encode(machines))
 }
@@ -30,7 +30,7 @@
     valueBytes: Int,
 ) {
     private val perPage = (valueBytes / MACHINE_BYTES).coerceIn(1, MOST_ON_PAGE)
-    private val pages = HashMap<String, LinkedHashMap<String, Registered>>()
+    private val pages = HashMap<String, LinkedHashMap<String, RegisteredMachine>>()
     private val pageOf = HashMap<String, String>()
     private val dirty = LinkedHashSet<String>()
 
@@ -43,9 +43,9 @@
     operator fun contains(name: String) = pageOf.containsKey(name)
 
     /** Takes over what an earlier leader wrote. */
-    fun load(entry: Entry): List<Registered> {
+    fun load(entry: Entry): List<RegisteredMachine> {
         val machines = decode(entry.value)
-        val page = LinkedHashMap<String, Registered>()
+        val page = LinkedHashMap<String, RegisteredMachine>()
         pages[entry.key] = page
         for (machine in machines) {
             // One that a move has left on two pages stays on the first, or what is left on the other would outlive it.
@@ -68,10 +68,10 @@
     }
 
     /** More is to be written at once. */
-    val behind get() = dirty.isNotEmpty() || shrunk.isNotEmpty()
+    val hasUnwritten get() = dirty.isNotEmpty() || shrunk.isNotEmpty()
 
     /** A machine is to be recorded. */
-    fun add(machine: Registered) {
+    fun add(machine: RegisteredMachine) {
         val key = pages.entries.firstOrNull { it.value.size < perPage }?.key ?: fresh()
         pages.getValue(key)[machine.name] = machine
         pageOf[machine.name] = key
@@ -94,7 +94,7 @@
     }
 
     /** Up to [most] pages that differ from what the state service holds. They count as written unless it is said otherwise. */
-    fun due(most: Int): List<RegistryPage> {
+    fun takeDuePages(most: Int): List<RegistryPage> {
         val first = dirty.filter { it !in shrunk }.take(most)
         val keys = first.ifEmpty { (dirty + shrunk).take(most) }
         dirty -= keys.toSet()
@@ -103,7 +103,7 @@
     }
 
     /** These pages could not be written: they stay due. */
-    fun notWritten(written: List<RegistryPage>) {
+    fun writeFailed(written: List<RegistryPage>) {
         dirty += written.map { it.key }
     }
 
@@ -115,7 +115,7 @@
         private const val MOST_ON_PAGE = 100
 
         /** The value of a page. */
-        fun encode(machines: List<Registered>): JsonObject =
+        fun encode(machines: List<RegisteredMachine>): JsonObject =
             JsonObject().put(
                 "machines",
                 JsonArray(
@@ -131,9 +131,9 @@
             )
 
         /** The machines on a page. */
-        fun decode(value: JsonObject): List<Registered> =
+        fun decode(value: JsonObject): List<RegisteredMachine> =
             value.getJsonArray("machines").map { it as JsonArray }.map {
-                Registered(it.getString(0), it.getString(1), it.getString(2), it.getBoolean(3), it.getString(4))
+                RegisteredMachine(it.getString(0), it.getString(1), it.getString(2), it.getBoolean(3), it.getString(4))
             }
     }
 }
--- a/src/main/kotlin/lichenstage/placement/RegistryDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/RegistryDriver.kt
@@ -24,19 +24,19 @@
     val size get() = registry.size
 
     /** Takes over the pages of an earlier leader; returns the machines of this deployment's zones. */
-    fun load(pages: List<Entry>): List<Registered> {
-        val machines = pages.flatMap(registry::load).filter(::inherit)
+    fun load(pages: List<Entry>): List<RegisteredMachine> {
+        val machines = pages.flatMap(registry::load).filter(::recover)
         registry.split()
         return machines
     }
 
-    private fun inherit(machine: Registered): Boolean {
+    private fun recover(machine: RegisteredMachine): Boolean {
         val partition = settings.assignment.partitionOf(machine.name, machine.zone)
         if (partition == null) {
             log.error("machine {} is recorded in {}, which is no zone of this deployment", machine.name, machine.zone)
             return false
         }
-        core.inherited(listOf(RecoveredMachine(machine.name, partition, machine.typeName, machine.address)))
+        core.addRecoveredMachines(listOf(RecoveredMachine(machine.name, partition, machine.typeName, machine.address)))
         return true
     }
 
@@ -44,25 +44,25 @@
         cordoned: () -> Set<String>,
         now: Long,
     ) {
-        if (writing || now - lookedUs < if (registry.behind) BEHIND_US else LOOK_US) return
+        if (writing || now - lookedUs < if (registry.hasUnwritten) BEHIND_US else LOOK_US) return
         // Also where nothing is due: the search looks at every machine, and this is asked after every message.
         lookedUs = now
         val leaving = cordoned()
-        for ((id, machine) in core.unregistered()) {
+        for ((id, machine) in core.unregisteredMachines()) {
             if (machine.name in leaving || machine.name in registry) continue
-            registry.add(Registered(machine.name, machine.typeName, settings.assignment.zone(id)!!, machine.spot, machine.address))
+            registry.add(RegisteredMachine(machine.name, machine.typeName, settings.assignment.zone(id)!!, machine.spot, machine.address))
         }
-        val pages = registry.due(settings.txnOps)
+        val pages = registry.takeDuePages(settings.txnOps)
         if (pages.isEmpty()) return
         writing = true
         writer.writePages(pages)
     }
 
-    fun written(message: LeaderMessage.PagesWritten) {
+    fun written(message: LeaderMessage.RegistryPagesWritten) {
         writing = false
-        if (!message.ok) return registry.notWritten(message.pages)
+        if (!message.ok) return registry.writeFailed(message.pages)
         val added = message.pages.flatMap { it.machines }.filter { !core.isRegistered(it.name) }
-        core.registered(added.associate { it.name to settings.assignment.partitionOf(it.name, it.zone)!! })
+        core.machinesRegistered(added.associate { it.name to settings.assignment.partitionOf(it.name, it.zone)!! })
     }
 
     fun removed(machines: List<String>) = registry.remove(machines)
--- a/src/main/kotlin/lichenstage/placement/RequestRounds.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRounds.kt
@@ -121,7 +121,7 @@
         val offers = current.of(asked.request.stamp).mapValues { (_, held) -> held.mapNotNull(::usable) }
         val placed = ArrayList<Attempt>()
         for (place in OfferSelection.selectRoomiest(offers, most, zones::zoneOf, zones.roomIn(job, offers))) {
-            val index = job.next()
+            val index = job.nextPendingTask()
             if (index < 0) break
             val attempt = Attempt(job, index, newAttempt(), place.machine, place.partition)
             attempt.partitionTerm = context.partition(place.partition)!!.term
--- a/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
+++ b/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
@@ -19,14 +19,14 @@
 
     /** Counts an attempt from now on. */
     fun track(attempt: Attempt) {
-        attempt.job.alive.put(attempt.index, attempt)
+        attempt.job.liveAttempts.put(attempt.index, attempt)
         byMachine.getOrPut(attempt.machine) { LinkedHashSet() }.add(attempt)
         count(attempt, 1)
     }
 
     /** The attempt counts no more. */
     fun remove(attempt: Attempt) {
-        attempt.job.alive.remove(attempt.index)
+        attempt.job.liveAttempts.remove(attempt.index)
         byMachine[attempt.machine]?.let {
             it.remove(attempt)
             if (it.isEmpty()) byMachine.remove(attempt.machine)
--- a/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
+++ b/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
@@ -45,7 +45,7 @@
     ) = byClass[ObjectiveKind.WAIT to jobClass].orEmpty().any { it < withinUs }
 
     /** The job's own deadline (steady): it counts from the submission, however long the job had to wait for others. */
-    fun deadlineUs(job: Job): Long? = job.spec.deadlineUs?.let { job.arrivedUs + it }
+    fun deadlineUs(job: Job): Long? = job.spec.deadlineUs?.let { job.submittedAtUs + it }
 
     /** The times (steady) by which the job should be complete, the earliest first. */
     fun dueUs(job: Job): List<Long> {
--- a/src/main/kotlin/lichenstage/placement/UnaccountedUse.kt
+++ b/src/main/kotlin/lichenstage/placement/UnaccountedUse.kt
@@ -7,7 +7,7 @@
  * on those of which nothing is known yet. Each machine counts at its full size against every team's limit (invariant 5).
  */
 internal class UnaccountedUse(
-    private val takeover: FailoverRecovery,
+    private val failover: FailoverRecovery,
     private val capacityOf: (String) -> Shape?,
 ) {
     /** Machines with the names of their types. */
@@ -21,12 +21,12 @@
         if (unaccounted) machines[machine] = typeName else machines.remove(machine)
     }
 
-    fun gone(machine: String) {
+    fun remove(machine: String) {
         machines.remove(machine)
     }
 
     fun shape(): Shape {
-        val unknown = takeover.unknown(capacityOf)
+        val unknown = failover.unknownUse(capacityOf)
         var cores = unknown.cores
         var cards = unknown.cards
         for (typeName in machines.values) {
--- a/src/main/kotlin/lichenstage/placement/ZoneConstraints.kt
+++ b/src/main/kotlin/lichenstage/placement/ZoneConstraints.kt
@@ -12,7 +12,7 @@
     /** The only zone for which room is to be asked for, or null. A job whose tasks must share a zone stays in the one it is in. */
     fun requestedZone(job: Job): String? {
         if (job.spec.zone != null || !job.spec.sameZone) return job.spec.zone
-        return job.alive.values
+        return job.liveAttempts.values
             .firstOrNull()
             ?.let { assignment.zone(it.partition) }
     }
@@ -25,7 +25,7 @@
         val spec = job.spec
         if (!spec.sameZone && !spec.spread) return { Int.MAX_VALUE }
         val there =
-            job.alive.values
+            job.liveAttempts.values
                 .groupingBy { zoneOf(it.partition) }
                 .eachCount()
         val most = if (spec.spread) (spec.tasks + 1) / 2 else Int.MAX_VALUE
--- a/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
@@ -9,7 +9,7 @@
 import lichenstage.model.JobSpec
 import lichenstage.model.Priority
 import lichenstage.model.Shape
-import lichenstage.placement.Registered
+import lichenstage.placement.RegisteredMachine
 import lichenstage.placement.Registry
 import lichenstage.state.Change
 import lichenstage.state.MemoryStore
@@ -60,7 +60,7 @@
     init {
         val machines =
             (1..300).map {
-                Registered(
+                RegisteredMachine(
                     "vm-%03d".format(it),
                     if (it % 2 ==
                         0
--- a/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
@@ -110,14 +110,14 @@
     @Example
     fun `progress that was saved counts as done until the task is`() {
         val job = job(runS = 60)
-        job.savedProgress(0, 30 * SECOND)
-        job.savedProgress(0, 20 * SECOND)
-        job.savedProgress(1, 5 * SECOND)
+        job.recordSavedProgress(0, 30 * SECOND)
+        job.recordSavedProgress(0, 20 * SECOND)
+        job.recordSavedProgress(1, 5 * SECOND)
         assertEquals(35 * SECOND, job.totalSavedUs) { "${job.totalSavedUs}" }
         assertEquals(35 * SECOND, running(job, sinceS = 10).progressUs(15 * SECOND)) { "an attempt goes on from there" }
-        job.did(0)
+        job.markDone(0)
         assertEquals(5 * SECOND, job.totalSavedUs) { "${job.totalSavedUs}" }
-        job.savedProgress(0, 50 * SECOND)
+        job.recordSavedProgress(0, 50 * SECOND)
         assertEquals(5 * SECOND, job.totalSavedUs) { "what is done has nothing saved" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
+++ b/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
@@ -17,9 +17,9 @@
         number: Int,
         jobClass: String,
         tasks: Int,
-        arrivedUs: Long,
+        submittedAtUs: Long,
         priority: Priority = Priority.HIGH,
-    ) = Job(oneCoreSpec(number, jobClass, priority, tasks), number.toLong(), arrivedUs).apply { open() }
+    ) = Job(oneCoreSpec(number, jobClass, priority, tasks), number.toLong(), submittedAtUs).apply { enqueueTasks() }
 
     /**
      * Twice as much comes as can be done, all of it promised and of higher priority; the largest job of the class without a
@@ -42,7 +42,7 @@
             var free = 20
             for (job in queue.order(jobs.values, { 20.0 }, s * SECOND)) {
                 if (job === large) return s * SECOND
-                while (free > 0 && job.next() >= 0) free--
+                while (free > 0 && job.nextPendingTask() >= 0) free--
                 if (free == 0) break
             }
             jobs.values.removeIf { it.pending.isEmpty }
--- a/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
@@ -17,12 +17,12 @@
     @Example
     fun `older jobs wait until every registered machine is accounted for, fresh ones do not`() {
         val leader = leader()
-        leader.inherited(inherited("m1", "m2"))
-        leader.jobAdded(job("j-1", stamp = 50))
-        leader.frame(partition("z", 0, view("m1")), SECOND)
+        leader.addRecoveredMachines(recoveredMachines("m1", "m2"))
+        leader.jobAdded(job("j-1", createRevision = 50))
+        leader.partitionFrameReceived(partition("z", 0, view("m1")), SECOND)
         leader.tick(2 * SECOND)
         assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "asked while m2 was not accounted for" }
-        leader.frame(partition("z", 0, view("m1"), view("m2")), 3 * SECOND)
+        leader.partitionFrameReceived(partition("z", 0, view("m1"), view("m2")), 3 * SECOND)
         leader.tick(3 * SECOND)
         assertEquals("j-1", lastAsk().requests.single().job) { "not asked" }
     }
@@ -30,9 +30,9 @@
     @Example
     fun `while a machine is unheard it counts at its full size against a limited team`() {
         val leader = leader()
-        leader.inherited(inherited("m1", "m2"))
-        leader.jobAdded(job("j-2", stamp = 101))
-        leader.frame(partition("z", 0, view("m1")), SECOND)
+        leader.addRecoveredMachines(recoveredMachines("m1", "m2"))
+        leader.jobAdded(job("j-2", createRevision = 101))
+        leader.partitionFrameReceived(partition("z", 0, view("m1")), SECOND)
         leader.tick(2 * SECOND)
         assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "16 unheard cores leave nothing of a limit of 8" }
     }
@@ -40,52 +40,54 @@
     @Example
     fun `an unheard machine is accounted for by its lease, and blocks only so long`() {
         val leader = leader()
-        leader.inherited(inherited("m1"))
+        leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.jobAdded(job("j-1"))
-        leader.frame(partition("z", 0, age = 21 * SECOND), SECOND)
-        assertTrue(!leader.complete && leader.blockers() == listOf("m1")) { "${leader.complete} ${leader.blockers()}" }
-        leader.frame(partition("z", 0, age = 23 * SECOND), 3 * SECOND)
-        assertTrue(leader.complete) { "still waiting" }
+        leader.partitionFrameReceived(partition("z", 0, age = 21 * SECOND), SECOND)
+        assertTrue(!leader.failoverComplete && leader.machinesToFence() == listOf("m1")) {
+            "${leader.failoverComplete} ${leader.machinesToFence()}"
+        }
+        leader.partitionFrameReceived(partition("z", 0, age = 23 * SECOND), 3 * SECOND)
+        assertTrue(leader.failoverComplete) { "still waiting" }
     }
 
     @Example
     fun `a machine that was answered but has not shown the token is not accounted for by time`() {
         val leader = leader()
-        leader.inherited(inherited("m1"))
+        leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.jobAdded(job("j-1"))
-        leader.frame(partition("z", 0, view("m1", settled = false), age = 60 * SECOND), SECOND)
-        assertFalse(leader.complete) { "an answer may have renewed its lease" }
-        leader.frame(partition("z", 0, view("m1", settled = false, lost = true), age = 61 * SECOND), 2 * SECOND)
-        assertTrue(leader.complete) { "still waiting" }
+        leader.partitionFrameReceived(partition("z", 0, view("m1", settled = false), age = 60 * SECOND), SECOND)
+        assertFalse(leader.failoverComplete) { "an answer may have renewed its lease" }
+        leader.partitionFrameReceived(partition("z", 0, view("m1", settled = false, lost = true), age = 61 * SECOND), 2 * SECOND)
+        assertTrue(leader.failoverComplete) { "still waiting" }
     }
 
     @Example
     fun `nothing is concluded from a frame that leaves machines out`() {
         val leader = leader()
-        leader.inherited(inherited("m1", "m2"))
+        leader.addRecoveredMachines(recoveredMachines("m1", "m2"))
         leader.jobAdded(job("j-1"))
-        leader.frame(partition("z", 0, view("m1"), age = 60 * SECOND, whole = false), SECOND)
-        assertFalse(leader.complete) { "m2 may be in the next piece" }
-        leader.frame(partition("z", 0, age = 60 * SECOND), 2 * SECOND)
-        assertTrue(leader.complete) { "still waiting" }
+        leader.partitionFrameReceived(partition("z", 0, view("m1"), age = 60 * SECOND, whole = false), SECOND)
+        assertFalse(leader.failoverComplete) { "m2 may be in the next piece" }
+        leader.partitionFrameReceived(partition("z", 0, age = 60 * SECOND), 2 * SECOND)
+        assertTrue(leader.failoverComplete) { "still waiting" }
     }
 
     @Example
     fun `only a machine that has shown the token is recorded, and one that was returned never again`() {
         val leader = leader()
-        leader.frame(partition("z", 0, view("m1"), view("m2", settled = false), view("m3")), SECOND)
-        leader.machineGone("m3")
-        leader.frame(partition("z", 0, view("m3")), 2 * SECOND)
-        assertEquals(listOf("m1"), leader.unregistered().map { it.machine.name }) { "${leader.unregistered()}" }
+        leader.partitionFrameReceived(partition("z", 0, view("m1"), view("m2", settled = false), view("m3")), SECOND)
+        leader.machineTerminated("m3")
+        leader.partitionFrameReceived(partition("z", 0, view("m3")), 2 * SECOND)
+        assertEquals(listOf("m1"), leader.unregisteredMachines().map { it.machine.name }) { "${leader.unregisteredMachines()}" }
     }
 
     @Example
     fun `tasks of a machine that was returned are not taken for those that run elsewhere`() {
         val leader = leader()
-        leader.inherited(inherited("m1"))
+        leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.jobAdded(job("j-1"))
         val ghost = view("ghost", TaskState("j-1/0", 3, TaskPhase.RUNNING))
-        leader.frame(partition("z", 0, ghost, view("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING))), SECOND)
+        leader.partitionFrameReceived(partition("z", 0, ghost, view("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING))), SECOND)
         assertTrue(leader.attemptsOn("ghost").isEmpty()) { "adopted" }
         assertEquals(4L, leader.attemptsOn("m1").single().number) { "the real one is not known" }
         leader.tick(SECOND)
@@ -98,15 +100,15 @@
         for (newerFirst in listOf(false, true)) {
             effects.clear()
             val leader = leader()
-            leader.inherited(inherited("back", "m1"))
+            leader.addRecoveredMachines(recoveredMachines("back", "m1"))
             leader.jobAdded(job("j-1"))
             val views = listOf(view("back", TaskState("j-1/0", 3, TaskPhase.RUNNING)), view("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING)))
-            leader.frame(partition("z", 0, *(if (newerFirst) views.reversed() else views).toTypedArray()), SECOND)
+            leader.partitionFrameReceived(partition("z", 0, *(if (newerFirst) views.reversed() else views).toTypedArray()), SECOND)
             assertTrue(leader.attemptsOn("back").isEmpty()) { "the older is still counted" }
             assertEquals(4L, leader.attemptsOn("m1").single().number) { "the newer is not known" }
             leader.tick(SECOND)
             assertEquals(listOf("back"), sent("z").flatMap { it.stops }.map { it.machine }) { "${sent("z").flatMap { it.stops }}" }
-            leader.frame(partition("z", 0, view("back", lost = true)), 2 * SECOND)
+            leader.partitionFrameReceived(partition("z", 0, view("back", lost = true)), 2 * SECOND)
             leader.tick(2 * SECOND)
             leader.tick(3 * SECOND)
             assertEquals(1, lastAsk().requests.single().count) { "more than the other task is asked for: ${lastAsk().requests}" }
@@ -116,18 +118,18 @@
     @Example
     fun `a late copy that names a machine without record keeps nobody waiting`() {
         val leader = leader()
-        leader.inherited(inherited("m1"))
+        leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.jobAdded(job("j-1"))
-        leader.frame(partition("z", 0, view("m1"), view("ghost", settled = false)), SECOND)
-        assertTrue(leader.complete) { "waiting for a machine that is gone" }
+        leader.partitionFrameReceived(partition("z", 0, view("m1"), view("ghost", settled = false)), SECOND)
+        assertTrue(leader.failoverComplete) { "waiting for a machine that is gone" }
     }
 
     @Example
     fun `tasks found running are adopted and not started again`() {
         val leader = leader()
-        leader.inherited(inherited("m1"))
+        leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.jobAdded(job("j-1"))
-        leader.frame(partition("z", 0, view("m1", TaskState("j-1/0", 3, TaskPhase.RUNNING))), SECOND)
+        leader.partitionFrameReceived(partition("z", 0, view("m1", TaskState("j-1/0", 3, TaskPhase.RUNNING))), SECOND)
         leader.tick(2 * SECOND)
         assertEquals(1, lastAsk().requests.single().count) { "${lastAsk().requests}" }
     }
@@ -135,9 +137,9 @@
     @Example
     fun `tasks whose job has no record count at the size of their machine`() {
         val leader = leader()
-        leader.inherited(inherited("m1"))
+        leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.jobAdded(job("j-2"))
-        leader.frame(partition("z", 0, view("m1", TaskState("j-9/0", 3, TaskPhase.RUNNING))), SECOND)
+        leader.partitionFrameReceived(partition("z", 0, view("m1", TaskState("j-9/0", 3, TaskPhase.RUNNING))), SECOND)
         leader.tick(SECOND)
         assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "a stranger's cores were given away" }
     }
@@ -153,18 +155,18 @@
                     Shape(16.0, 0.0, 64.0)
                 }, 10) { effects += it }
             val names = List(machines) { "m$it" }
-            leader.inherited(inherited(*names.toTypedArray()))
+            leader.addRecoveredMachines(recoveredMachines(*names.toTypedArray()))
             leader.jobAdded(job("j-1"))
             for (piece in names.chunked(100)) {
                 val last = piece.last() == names.last()
-                leader.frame(partition("z", 0, *piece.map { view(it) }.toTypedArray(), whole = last), SECOND)
+                leader.partitionFrameReceived(partition("z", 0, *piece.map { view(it) }.toTypedArray(), whole = last), SECOND)
             }
-            assertTrue(leader.complete && looks == 0) { "$looks looks at $machines machines in a takeover" }
+            assertTrue(leader.failoverComplete && looks == 0) { "$looks looks at $machines machines in a takeover" }
             leader.tick(SECOND)
             val before = looks
             assertTrue(before <= machines + 10) { "$before looks at $machines machines in the first turn" }
             repeat(20) {
-                leader.frame(partition("z", 0, view("m$it")), SECOND + it * 10_000)
+                leader.partitionFrameReceived(partition("z", 0, view("m$it")), SECOND + it * 10_000)
                 leader.tick(SECOND + it * 10_000)
             }
             assertEquals(before, looks) { "${looks - before} looks at $machines machines for 20 frames of one" }
--- a/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -46,11 +46,11 @@
 
     protected fun job(
         id: String,
-        stamp: Long = 1,
+        createRevision: Long = 1,
         tasks: Int = 2,
         same: Boolean = false,
         spread: Boolean = false,
-    ) = Job(spec(id, tasks, same, spread), stamp, 0)
+    ) = Job(spec(id, tasks, same, spread), createRevision, 0)
 
     protected fun view(
         name: String,
@@ -69,11 +69,12 @@
         whole: Boolean = true,
     ) = PartitionFrame("$zone/0", term, age, 7, seq, seq, 0, ++version, whole, views.toList(), offers)
 
-    protected fun sent(zone: String) = effects.filterIsInstance<LeaderEffect.Send>().filter { it.partition == "$zone/0" }.map { it.frame }
+    protected fun sent(zone: String) =
+        effects.filterIsInstance<LeaderEffect.SendFrame>().filter { it.partition == "$zone/0" }.map { it.frame }
 
     protected fun lastAsk(): PlacementFrame = sent("z").last { it.requests.isNotEmpty() }
 
-    protected fun starts() = effects.filterIsInstance<LeaderEffect.Send>().flatMap { it.frame.starts }
+    protected fun starts() = effects.filterIsInstance<LeaderEffect.SendFrame>().flatMap { it.frame.starts }
 
     protected fun offer(
         frame: PlacementFrame,
@@ -83,19 +84,22 @@
         Offer(it.stamp, listOf(HeldSlots(machine, count, count, false)))
     }
 
-    protected fun inherited(vararg names: String) = names.map { RecoveredMachine(it, "z/0", "t", null) }
+    protected fun recoveredMachines(vararg names: String) = names.map { RecoveredMachine(it, "z/0", "t", null) }
 
     /** Brings all tasks of a job, two where none is given, on m1 in partition z. */
     protected fun placed(job: Job = job("j-1")): LeaderCore {
         val leader = leader()
-        leader.registered(mapOf("m1" to "z/0"))
+        leader.machinesRegistered(mapOf("m1" to "z/0"))
         leader.jobAdded(job)
-        leader.frame(partition("y", 0), SECOND)
-        leader.frame(partition("z", 0, view("m1")), SECOND)
+        leader.partitionFrameReceived(partition("y", 0), SECOND)
+        leader.partitionFrameReceived(partition("z", 0, view("m1")), SECOND)
         leader.tick(SECOND)
         val ask = lastAsk()
-        leader.frame(partition("y", sent("y").last().seq, offers = ask.requests.map { Offer(it.stamp, emptyList()) }), SECOND)
-        leader.frame(partition("z", ask.seq, offers = offer(ask, "m1", job.spec.tasks)), SECOND)
+        leader.partitionFrameReceived(
+            partition("y", sent("y").last().seq, offers = ask.requests.map { Offer(it.stamp, emptyList()) }),
+            SECOND,
+        )
+        leader.partitionFrameReceived(partition("z", ask.seq, offers = offer(ask, "m1", job.spec.tasks)), SECOND)
         leader.tick(SECOND)
         assertEquals((0 until job.spec.tasks).toSet(), starts().map { it.index }.toSet()) { "${starts()}" }
         return leader
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -35,7 +35,7 @@
         ) {
             val cause = if (phase == TaskPhase.ENDED) "halted" else null
             val machine = view("m1", TaskState("j-1/0", attempt, phase, cause)).copy(recallUs = recallS?.let { it * SECOND })
-            leader.frame(partition("z", seq, machine), nowS * SECOND)
+            leader.partitionFrameReceived(partition("z", seq, machine), nowS * SECOND)
             leader.tick(nowS * SECOND)
         }
         shown(TaskPhase.RUNNING, null, 2)
@@ -51,9 +51,9 @@
     fun `a start is given up only when its part has seen it and does not list it`() {
         val leader = placed()
         val seq = sent("z").last { it.starts.isNotEmpty() }.seq
-        leader.frame(partition("z", seq - 1, view("m1")), 2 * SECOND)
+        leader.partitionFrameReceived(partition("z", seq - 1, view("m1")), 2 * SECOND)
         assertEquals(2, leader.attemptsOn("m1").size) { "given up by a frame from before it" }
-        leader.frame(
+        leader.partitionFrameReceived(
             partition("z", seq, view("m1", TaskState("j-1/${starts()[0].index}", starts()[0].attempt, TaskPhase.PENDING))),
             2 * SECOND,
         )
@@ -65,11 +65,11 @@
     fun `a piece of a frame gives up no start, whatever it claims`() {
         val leader = placed()
         val seq = sent("z").last { it.starts.isNotEmpty() }.seq
-        leader.frame(partition("z", seq, view("m2"), whole = false), 2 * SECOND)
-        leader.frame(partition("z", seq, view("m1"), whole = false), 3 * SECOND)
+        leader.partitionFrameReceived(partition("z", seq, view("m2"), whole = false), 2 * SECOND)
+        leader.partitionFrameReceived(partition("z", seq, view("m1"), whole = false), 3 * SECOND)
         leader.tick(4 * SECOND)
         assertEquals(2, leader.attemptsOn("m1").size) { "given up by a frame that leaves out machines" }
-        leader.frame(partition("z", seq, view("m1")), 5 * SECOND)
+        leader.partitionFrameReceived(partition("z", seq, view("m1")), 5 * SECOND)
         assertTrue(leader.attemptsOn("m1").isEmpty()) { "kept although all is told" }
     }
 
@@ -84,15 +84,18 @@
             val refused = TaskState("j-1/0", attempt, TaskPhase.ENDED, "busy")
             val other = TaskState("j-1/0", attempt - 1, TaskPhase.RUNNING)
             val rows = if (refusedFirst) arrayOf(refused, other) else arrayOf(other, refused)
-            leader.frame(partition("z", seq, view("m1", *rows)), 2 * SECOND)
+            leader.partitionFrameReceived(partition("z", seq, view("m1", *rows)), 2 * SECOND)
             assertEquals(
                 listOf(attempt - 1),
                 leader.attemptsOn("m1").map { it.number },
             ) { "${leader.attemptsOn("m1").map { it.number }}" }
             leader.tick(60 * SECOND)
             assertTrue(sent("z").none { frame -> frame.stops.any { it.attempt == attempt - 1 } }) { "the one that runs is stopped" }
-            leader.frame(partition("z", seq, view("m1", refused, other.copy(phase = TaskPhase.ENDED, cause = "done"))), 61 * SECOND)
-            assertTrue(job.complete) { "its end does not count" }
+            leader.partitionFrameReceived(
+                partition("z", seq, view("m1", refused, other.copy(phase = TaskPhase.ENDED, cause = "done"))),
+                61 * SECOND,
+            )
+            assertTrue(job.allTasksDone) { "its end does not count" }
         }
     }
 
@@ -100,18 +103,18 @@
     fun `a task on a machine that is recorded only later is taken up then`() {
         val leader = leader()
         leader.jobAdded(job("j-1", tasks = 1))
-        leader.frame(partition("z", 0, view("m1", TaskState("j-1/0", 9, TaskPhase.RUNNING))), SECOND)
+        leader.partitionFrameReceived(partition("z", 0, view("m1", TaskState("j-1/0", 9, TaskPhase.RUNNING))), SECOND)
         assertTrue(leader.attemptsOn("m1").isEmpty()) { "believed of a machine without record" }
-        leader.registered(mapOf("m1" to "z/0"))
+        leader.machinesRegistered(mapOf("m1" to "z/0"))
         assertEquals(listOf(9L), leader.attemptsOn("m1").map { it.number }) { "not looked at again" }
     }
 
     @Example
     fun `under a new owner nothing is given up before the worker has shown the new token`() {
         val leader = placed()
-        leader.frame(partition("z", 0, view("m1", settled = false), term = 4), 3 * SECOND)
+        leader.partitionFrameReceived(partition("z", 0, view("m1", settled = false), term = 4), 3 * SECOND)
         assertEquals(2, leader.attemptsOn("m1").size) { "given up too early" }
-        leader.frame(partition("z", 0, view("m1"), term = 4), 4 * SECOND)
+        leader.partitionFrameReceived(partition("z", 0, view("m1"), term = 4), 4 * SECOND)
         assertTrue(leader.attemptsOn("m1").isEmpty()) { "kept" }
     }
 
@@ -129,12 +132,12 @@
         val leader = placed()
         val ended = starts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.ENDED, "done") }
         val seq = sent("z").last().seq
-        leader.frame(partition("z", seq, view("m1", *ended.toTypedArray())), 2 * SECOND)
+        leader.partitionFrameReceived(partition("z", seq, view("m1", *ended.toTypedArray())), 2 * SECOND)
         effects.clear()
         leader.tick(2 * SECOND)
-        val end = effects.filterIsInstance<LeaderEffect.Finish>().single()
+        val end = effects.filterIsInstance<LeaderEffect.RecordCompletion>().single()
         assertTrue(sent("z").all { it.clears.isEmpty() }) { "cleared before the record was written" }
-        leader.finished(end.job, 3 * SECOND)
+        leader.completionRecorded(end.job, 3 * SECOND)
         leader.tick(4 * SECOND)
         assertTrue(sent("z").last().clears.size == 2 && "j-1" !in leader.jobs) { "not cleared" }
     }
@@ -143,14 +146,14 @@
     fun `what runs of a cancelled job is stopped and stays counted until it is gone`() {
         val leader = placed()
         val running = starts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.RUNNING) }.toTypedArray()
-        leader.frame(partition("z", sent("z").last().seq, view("m1", *running)), 2 * SECOND)
+        leader.partitionFrameReceived(partition("z", sent("z").last().seq, view("m1", *running)), 2 * SECOND)
         leader.jobClosed("j-1")
         leader.jobAdded(job("j-2"))
         effects.clear()
         leader.tick(3 * SECOND)
         assertEquals(2, sent("z").last().stops.size) { "not stopped" }
         assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "its cores were given away" }
-        leader.frame(partition("z", sent("z").last().seq, view("m1").copy(gone = running.map { it.attempt })), 4 * SECOND)
+        leader.partitionFrameReceived(partition("z", sent("z").last().seq, view("m1").copy(gone = running.map { it.attempt })), 4 * SECOND)
         leader.tick(4 * SECOND)
         assertEquals("j-2", lastAsk().requests.single().job) { "its cores were not freed" }
     }
@@ -178,16 +181,16 @@
     @Example
     fun `a job that waits for others asks for nothing and holds nothing until all of them are recorded as done`() {
         val leader = leader()
-        leader.inherited(inherited("m1"))
+        leader.addRecoveredMachines(recoveredMachines("m1"))
         val waiting = Job(spec("j-2").copy(dependencies = listOf("j-1")), 101, 0)
         leader.jobAdded(waiting)
-        leader.frame(partition("z", 0, view("m1")), SECOND)
+        leader.partitionFrameReceived(partition("z", 0, view("m1")), SECOND)
         leader.tick(2 * SECOND)
         assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "asked before all that it needs was done" }
-        leader.jobAdded(job("j-3", stamp = 102))
+        leader.jobAdded(job("j-3", createRevision = 102))
         leader.tick(3 * SECOND)
         assertEquals("j-3", lastAsk().requests.single().job) { "the other job is held up" }
-        leader.frame(partition("z", 1, view("m1"), offers = offer(lastAsk(), "m1", 2)), 3 * SECOND)
+        leader.partitionFrameReceived(partition("z", 1, view("m1"), offers = offer(lastAsk(), "m1", 2)), 3 * SECOND)
         leader.tick(4 * SECOND)
         leader.jobReady(waiting, 4 * SECOND)
         leader.tick(5 * SECOND)
@@ -219,7 +222,7 @@
         for ((id, jobClass) in listOf("j-1" to "quick", "j-2" to "quick", "j-3" to "c")) {
             leader.jobAdded(Job(spec(id).copy(jobClass = jobClass), 1, 0))
         }
-        leader.frame(partition("z", 0, view("m1")), 5 * SECOND)
+        leader.partitionFrameReceived(partition("z", 0, view("m1")), 5 * SECOND)
         leader.tick(5 * SECOND)
         val requests = lastAsk().requests.sortedBy { it.stamp }
         assertEquals(listOf(true, true, false, false, true, false), requests.map { it.imageOnly }) { "$requests" }
--- a/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
@@ -48,7 +48,7 @@
         val other = job(3, 10, dueS = 400, priority = Priority.HIGH)
         val queue = JobQueue(serviceObjectives, emptyMap(), RunTimeEstimates(), pipelineDeadlines = pipelineDeadlines)
         listOf(other, first).forEach {
-            it.open()
+            it.enqueueTasks()
             queue.jobAdded(it)
         }
         assertEquals(listOf(first, other), queue.order(listOf(other, first), { 2.0 }, SECOND)) { "not planned backwards" }
--- a/src/test/kotlin/lichenstage/placement/RegistryTest.kt
+++ b/src/test/kotlin/lichenstage/placement/RegistryTest.kt
@@ -17,15 +17,15 @@
         val machines = (0 until 200).map(::machine)
         machines.forEach(before::add)
         val store = HashMap<String, Entry>()
-        while (before.behind) before.due(12).forEach { store[it.key] = Entry(it.key, Registry.encode(it.machines), 1) }
+        while (before.hasUnwritten) before.takeDuePages(12).forEach { store[it.key] = Entry(it.key, Registry.encode(it.machines), 1) }
         val registry = Registry(2048)
         store.values.toList().forEach(registry::load)
         registry.split()
         val gone = machines.take(3).map { it.name }
         registry.remove(gone)
         for (ok in outcomes + List(60) { true }) {
-            val pages = registry.due(4)
-            if (!ok) registry.notWritten(pages)
+            val pages = registry.takeDuePages(4)
+            if (!ok) registry.writeFailed(pages)
             for (page in pages.takeIf { ok }.orEmpty()) {
                 assertTrue(Registry.encode(page.machines).encode().length <= 2048) { "a page over the limit" }
                 store[page.key] = Entry(page.key, Registry.encode(page.machines), 1)
@@ -33,7 +33,7 @@
             val there = store.values.flatMap { Registry.decode(it.value) }.mapTo(HashSet()) { it.name }
             assertTrue(machines.all { it.name in there || it.name in gone }) { "left out for a moment" }
         }
-        assertTrue(!registry.behind && store.values.all { it.value.encode().length <= 2048 }) { "not split" }
+        assertTrue(!registry.hasUnwritten && store.values.all { it.value.encode().length <= 2048 }) { "not split" }
         val next = Registry(2048)
         assertEquals(
             machines.map { it.name }.toSet() - gone.toSet(),
@@ -44,7 +44,7 @@
         ) { "lost" }
     }
 
-    private fun machine(number: Int) = Registered("vm-${1000000 + number}", "type", "zone", number % 2 == 0, "10.200.100.50:9000")
+    private fun machine(number: Int) = RegisteredMachine("vm-${1000000 + number}", "type", "zone", number % 2 == 0, "10.200.100.50:9000")
 
     /** Machines come and go and writes fail; what a new leader reads is what was there at the last write that succeeded. */
     @Property(tries = 100, seed = "77")
@@ -57,8 +57,8 @@
         var changes = 0
 
         fun write(ok: Boolean) {
-            val pages = registry.due(12)
-            if (!ok) return registry.notWritten(pages)
+            val pages = registry.takeDuePages(12)
+            if (!ok) return registry.writeFailed(pages)
             for (change in pages.map { it.change }) {
                 changes++
                 when (change) {
--- a/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
@@ -58,8 +58,8 @@
         steppedUs = context.now
         core.asked(state.drains.values.toList(), state.drainedMachines)
         fleet.cordoned = core.cordoned
-        leader.drained(core.cordoned)
-        leader.putOnProbation(core.onProbation)
+        leader.setDrained(core.cordoned)
+        leader.setOnProbation(core.onProbation)
         val next = core.step(context.now, hour = 0) ?: return
         if (next == core.state) return core.recorded(ok = true).forEach(::carryOut)
         state.drainWrites++
--- a/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
@@ -74,12 +74,12 @@
     }
 
     private fun register() {
-        val due = leader.unregistered().map { it.machine.name }.filter { it !in draining }
+        val due = leader.unregisteredMachines().map { it.machine.name }.filter { it !in draining }
         if (registering || due.isEmpty()) return
         registering = true
         site.write({ registry.add(due) }) { ok ->
             registering = false
-            if (ok) leader.registered(due.associateWith { site.inheritedMachine(it).partition })
+            if (ok) leader.machinesRegistered(due.associateWith { site.inheritedMachine(it).partition })
         }
     }
 
@@ -87,7 +87,7 @@
         if (!keepsMachines && random.nextInt(DRAIN_ONE_IN) == 0) {
             registry.all().takeIf { it.isNotEmpty() }?.let { draining += it[random.nextInt(it.size)] }
         }
-        leader.cordon(draining + cordoned)
+        leader.setCordoned(draining + cordoned)
     }
 
     private fun giveBack() {
@@ -96,7 +96,7 @@
         val silent = views.filter { it.silent }.map { it.name }
         val lost = views.filter { it.lost }.map { it.name }
         val empty = draining.filter { leader.attemptsOn(it).isEmpty() }
-        val due = (lost + empty + wanted + leader.blockers() + if (silent.size <= MOST_SILENT) silent else emptyList()).distinct()
+        val due = (lost + empty + wanted + leader.machinesToFence() + if (silent.size <= MOST_SILENT) silent else emptyList()).distinct()
         if (due.isEmpty()) return
         returning = true
         var answered = false
@@ -115,7 +115,7 @@
     private fun returned(names: List<String>) {
         returning = false
         if (!site.leads(leader)) return
-        names.forEach(leader::machineGone)
+        names.forEach(leader::machineTerminated)
         draining -= names.toSet()
         wanted -= names.toSet()
         site.write({ registry.remove(names) }) { }
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -43,7 +43,7 @@
     fun jobClosed(job: String) = leader?.jobClosed(job) ?: Unit
 
     fun frame(frame: PartitionFrame) {
-        leader?.frame(frame, now)
+        leader?.partitionFrameReceived(frame, now)
         if (controller.entitled) leader?.tick(now)
     }
 
@@ -89,7 +89,7 @@
     private fun begin(term: Long): LeaderCore {
         val begun = leaderCore(term)
         orphansBusy = false
-        if (mutation != Mutation.REGISTRY_LOST) begun.inherited(machines.registry.all().map(machines::inherited))
+        if (mutation != Mutation.REGISTRY_LOST) begun.addRecoveredMachines(machines.registry.all().map(machines::inherited))
         leader = begun
         fleet = SimulatedFleet(begun, machines.registry, site(term), context.random, context.profile.keepsMachines)
         val policy = context.profile.drainPolicy.takeIf { controller.id !in context.profile.withoutDrains }
@@ -142,7 +142,7 @@
         seenJobs += job.id
         if (mutation == Mutation.JOB_FORGOTTEN && job.id == "j-3") return
         val added = Job(spec(job), job.stamp, now)
-        if (mutation != Mutation.RANGES_LOST) added.recorded(state.durable.getValue(job.id))
+        if (mutation != Mutation.RANGES_LOST) added.restoreDone(state.durable.getValue(job.id))
         leader.jobAdded(added)
     }
 
@@ -174,19 +174,19 @@
         effect: LeaderEffect,
     ) {
         when (effect) {
-            is LeaderEffect.Send -> {
+            is LeaderEffect.SendFrame -> {
                 val to = controllers()[state.owners[effect.partition]?.controller ?: return]
                 val receiver = to.incarnation
                 context.send(host, hostOf(to.id)) { if (to.incarnation == receiver) to.deliver(effect.frame) }
             }
 
-            is LeaderEffect.WriteRanges -> {
+            is LeaderEffect.WriteDoneRanges -> {
                 write(term, { effect.deltas.forEach(::recorded) }) { leader, ok -> leader.rangesWritten(effect.deltas, ok, now) }
             }
 
-            is LeaderEffect.Finish -> {
+            is LeaderEffect.RecordCompletion -> {
                 write(term, { state.finish(effect.job.spec.id) }) { leader, ok ->
-                    if (ok) leader.finished(effect.job, now) else leader.notFinished(effect.job)
+                    if (ok) leader.completionRecorded(effect.job, now) else leader.completionFailed(effect.job)
                 }
             }
         }
@@ -216,8 +216,8 @@
 
     private fun recorded(delta: CompletionDelta) {
         val id = delta.job.spec.id
-        state.durable.getValue(id).or(delta.covers)
-        val tooEarly = mutation == Mutation.DONE_TOO_EARLY && delta.covers.cardinality() * 3 > state.jobs.getValue(id).tasks
+        state.durable.getValue(id).or(delta.recordedTasks)
+        val tooEarly = mutation == Mutation.DONE_TOO_EARLY && delta.recordedTasks.cardinality() * 3 > state.jobs.getValue(id).tasks
         if (tooEarly) state.finish(id)
     }
 
