--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -39,6 +39,7 @@
 import lichenstage.jobs.Pipelines
 import lichenstage.jobs.RecordLimits
 import lichenstage.partition.OrderJournal
+import lichenstage.partition.OwnedPartitions
 import lichenstage.partition.PartitionActor
 import lichenstage.partition.PartitionMessage
 import lichenstage.partition.WorkerClient
@@ -118,14 +119,11 @@
         )
     private val partition =
         PartitionActor(
-            settings,
-            authority,
+            OwnedPartitions(settings, authority, replica, OrderJournal(metrics, clock), clock, catalog::limits),
             clock,
             scope,
             WorkerClient(vertx, clock, metrics.counter("orders"), sockets::forOrders),
-            catalog::limits,
-            replica,
-            OrderJournal(metrics, clock),
+            authority,
             ::toLeader,
         )
     private val api = HttpApi(vertx, settings.listen, jobs, partition, metrics, clock, sockets, ::healthy)
@@ -139,8 +137,8 @@
         metrics.gauge("leading") { if (leader != null) 1 else 0 }
         metrics.gauge("open_jobs") { leader?.openJobs ?: 0 }
         metrics.gauge("machines") { partition.machineCount }
-        metrics.gauge("starts_unanswered") { partition.unansweredStarts }
-        metrics.gauge("oldest_unanswered_start_s") { partition.oldestUnansweredUs?.let { (clock.now() - it) / SECOND } ?: 0 }
+        metrics.gauge("starts_unanswered") { partition.indeterminateStartCount }
+        metrics.gauge("oldest_unanswered_start_s") { partition.oldestIndeterminateStartUs?.let { (clock.now() - it) / SECOND } ?: 0 }
         metrics.gauge("served_connections") { sockets.served }
         metrics.gauge("heap_bytes") { Runtime.getRuntime().let { it.totalMemory() - it.freeMemory() } }
         links.start()
--- a/src/main/kotlin/lichenstage/app/HttpApi.kt
+++ b/src/main/kotlin/lichenstage/app/HttpApi.kt
@@ -18,6 +18,7 @@
 import lichenstage.jobs.JobsMessage
 import lichenstage.jobs.Reply
 import lichenstage.partition.HeartbeatReply
+import lichenstage.partition.InvalidHeartbeatException
 import lichenstage.partition.PartitionActor
 import lichenstage.partition.PartitionMessage
 import lichenstage.partition.WorkerCodec
@@ -150,11 +151,13 @@
         request: HttpServerRequest,
         body: Buffer,
     ) {
-        val heartbeat = WorkerCodec.heartbeat(body)
-        if (heartbeat == null) {
-            log.info("a report that can't be read from {}", request.remoteAddress())
-            return fail(request, 400, "not a report")
-        }
+        val heartbeat =
+            try {
+                WorkerCodec.decodeHeartbeat(body)
+            } catch (e: InvalidHeartbeatException) {
+                log.info("Heartbeat rejected remote={} field={} expected={}", request.remoteAddress(), e.field, e.expected)
+                return fail(request, 400, "not a report")
+            }
         partition.tell(PartitionMessage.HeartbeatReceived(heartbeat) { answer -> answer(request, answer) })
     }
 
@@ -173,9 +176,9 @@
     /** Most answers carry no commands: those of a token are encoded once. */
     private fun accepted(answer: HeartbeatReply.Accepted): Buffer =
         if (answer.commands.isEmpty()) {
-            emptyAnswers.getOrPut(answer.fencingToken) { WorkerCodec.orders(answer.fencingToken, emptyList()) }
+            emptyAnswers.getOrPut(answer.fencingToken) { WorkerCodec.encodeCommands(answer.fencingToken, emptyList()) }
         } else {
-            WorkerCodec.orders(answer.fencingToken, answer.commands)
+            WorkerCodec.encodeCommands(answer.fencingToken, answer.commands)
         }
 
     private fun health(request: HttpServerRequest) =
--- a/src/main/kotlin/lichenstage/app/WarmUp.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUp.kt
@@ -15,6 +15,7 @@
 import lichenstage.model.Shape
 import lichenstage.partition.HeartbeatOutcome
 import lichenstage.partition.PartitionCore
+import lichenstage.partition.PartitionParameters
 import lichenstage.partition.WorkerCodec
 import lichenstage.placement.Job
 import lichenstage.placement.LeaderCore
@@ -124,12 +125,12 @@
         JobSpec("j-1", "c", "t", Priority.HIGH, 1, shape, null, null, false, false, true, "i", 1.0, SECOND, 0, 0, null, 0)
     leader.jobAdded(Job(JobRecord.decode(JobRecord.encode(spec)), 1, 0))
     leader.machinesRegistered(mapOf("m" to "z/0"))
-    val partition = PartitionCore("z/0", "z", 2, 20 * SECOND, SECOND, 0) { MachineLimits("b", shape) }
+    val partition = PartitionCore(PartitionParameters("z/0", "z", 2, 20 * SECOND, SECOND, 0)) { MachineLimits("b", shape) }
     for (now in 1L..6L) {
         val tasks = if (now < 5) "" else """{"part":"j-1/0","try":4294967297,"status":"ended","cause":"done"}"""
         val heartbeat = warmUpReport(port = 1, now.toInt(), tasks)
-        (partition.onHeartbeat(WorkerCodec.heartbeat(Buffer.buffer(heartbeat))!!, now * SECOND) as HeartbeatOutcome.Accepted)
-            .let { WorkerCodec.orders(it.fencingToken, it.commands) }
+        (partition.onHeartbeat(WorkerCodec.decodeHeartbeat(Buffer.buffer(heartbeat)), now * SECOND) as HeartbeatOutcome.Accepted)
+            .let { WorkerCodec.encodeCommands(it.fencingToken, it.commands) }
         leader.tick(now * SECOND)
         sent.forEach { partition.onLeaderFrame(it, now * SECOND) }
         sent.clear()
--- a/src/main/kotlin/lichenstage/partition/ChangeLog.kt
+++ b/src/main/kotlin/lichenstage/partition/ChangeLog.kt
@@ -5,14 +5,14 @@
 import lichenstage.cluster.PartitionFrame
 import lichenstage.common.MILLI
 
-/** The changes of a partition's machines that its leader has not acknowledged, and the frames that tell of them. */
+/**
+ * The changes of a partition's machines that its leader has not acknowledged, and the frames that carry them (invariant 17).
+ *
+ * Each change gets the next version of the partition. A frame is *whole* where it carries everything that is unacknowledged; only then
+ * may the leader conclude anything from what a frame leaves out.
+ */
 internal class ChangeLog(
-    private val partition: String,
-    private val term: Long,
-    private val acquiredUs: Long,
-    private val maxMachinesPerFrame: Int,
-    /** How many machines the partition has. */
-    private val machineCount: () -> Int,
+    private val parameters: PartitionParameters,
 ) {
     /** In the order of the changes. */
     private val unacknowledged = LinkedHashSet<Machine>()
@@ -21,56 +21,59 @@
     private var acknowledged = 0L
     private var leaderTerm = 0L
 
-    /** The last of the leader's frames that was taken. */
+    /** The last frame of the leader that was received. */
     private var receivedSeq = 0L
 
-    /** The frame of the leader up to which it is known to know all that came of its frames. */
+    /** The frame of the leader up to which it is known to have all that its frames have caused. */
     private var confirmedSeq = 0L
 
-    /** Whole frames that are not acknowledged: the leader's frame up to which each told all, by the version that is its alone. */
+    /** Whole frames that are not acknowledged: the leader's frame up to which each is complete, by the frame's own version. */
     private val unconfirmed = Long2LongLinkedOpenHashMap()
-    private var dirty = true
-    private var sentUs = Long.MIN_VALUE / 2
+    private var isFrameWanted = true
+    private var lastSentUs = Long.MIN_VALUE / 2
 
     /** The version that the next change gets. */
     val nextVersion get() = version + 1
 
-    /** What changed of the machine has got the version that it gets here. */
-    fun touch(machine: Machine) {
-        machine.touched(++version)
+    /** Records a change of [machine] under [nextVersion]. */
+    fun record(machine: Machine) {
+        machine.markChanged(++version)
         unacknowledged.remove(machine)
         unacknowledged.add(machine)
-        dirty = true
+        isFrameWanted = true
     }
 
-    fun forget(machine: Machine) {
+    /** Drops a machine that the partition has removed. */
+    fun remove(machine: Machine) {
         unacknowledged -= machine
     }
 
-    /** There is something to tell soon. */
-    fun markDirty() {
-        dirty = true
+    /** Has a frame sent soon, whether or not a machine has changed. */
+    fun requestFrame() {
+        isFrameWanted = true
     }
 
-    fun offer(offer: Offer) {
+    /** Adds an offer to the next frame. */
+    fun add(offer: Offer) {
         offers += offer
     }
 
-    /** A leader's frame; false where it is an older one, which is not obeyed (invariant 8). */
-    fun accepts(
+    /** Whether a frame of the leader is newer than those received; an older one is not obeyed (invariant 8). */
+    fun isNewer(
         frameTerm: Long,
         seq: Long,
     ): Boolean = frameTerm > leaderTerm || (frameTerm == leaderTerm && seq > receivedSeq)
 
-    /** True where the frame's leader is a new one. */
+    /** Whether a frame with this term comes from a new leader. */
     fun isNewLeader(frameTerm: Long) = frameTerm > leaderTerm
 
-    fun received(seq: Long) {
+    /** Records that the leader's frame [seq] was received. */
+    fun markReceived(seq: Long) {
         receivedSeq = seq
     }
 
-    /** A new leader knows nothing yet: it is told everything. */
-    fun begin(
+    /** Begins the term of a new leader: it knows nothing yet and is sent everything. */
+    fun startLeaderTerm(
         newLeaderTerm: Long,
         machines: Collection<Machine>,
     ) {
@@ -83,12 +86,13 @@
         unacknowledged.clear()
         unacknowledged += machines.sortedBy { it.version }
         machines.forEach {
-            it.changed()
-            it.unknown()
+            it.invalidateUsage()
+            it.resetAcknowledged()
         }
-        dirty = true
+        isFrameWanted = true
     }
 
+    /** The leader has acknowledged all versions up to [upTo]. */
     fun acknowledge(upTo: Long) {
         confirm(upTo)
         acknowledged = maxOf(acknowledged, upTo)
@@ -96,14 +100,14 @@
         while (iterator.hasNext()) {
             val machine = iterator.next()
             if (machine.version > acknowledged) return
-            machine.acknowledged()
+            machine.markAcknowledged()
             iterator.remove()
         }
     }
 
     /**
-     * The leader has this very version. Only where that is a whole frame's own version does it say that the frame has arrived: it may
-     * have come to a higher one by pieces, which leave out machines that have changed again.
+     * The leader has this very version. Only where that is a whole frame's own version does it prove that the frame has arrived: the leader
+     * may have come to a higher version by partial frames, which leave out machines that have changed again.
      */
     private fun confirm(acknowledgedVersion: Long) {
         if (!unconfirmed.containsKey(acknowledgedVersion)) return
@@ -111,53 +115,64 @@
         while (!unconfirmed.isEmpty() && unconfirmed.firstLongKey() <= acknowledgedVersion) unconfirmed.removeFirstLong()
     }
 
-    /** A whole frame has a version that no piece can end with, so that its acknowledgement is told from theirs. */
-    private fun beginWhole() {
-        val known = receivedSeq == confirmedSeq || (unconfirmed.containsKey(version) && unconfirmed.get(version) == receivedSeq)
-        if (known) return
+    /** Gives a whole frame a version that no partial frame can end with, so that their acknowledgements can be told apart. */
+    private fun startWholeFrame() {
+        val isConfirmed = receivedSeq == confirmedSeq
+        val isVersionShared = unconfirmed.containsKey(version) && unconfirmed.get(version) == receivedSeq
+        if (isConfirmed || isVersionShared) return
         unconfirmed.put(++version, receivedSeq)
         if (unconfirmed.size > MAX_UNCONFIRMED) unconfirmed.removeFirstLong()
     }
 
-    /** The next frame for the leader, or null while there is nothing to say. Offers go at once, the rest in batches. */
-    fun next(now: Long): PartitionFrame? {
+    /**
+     * The next frame for the leader, or null while none is due. Offers are sent at once, everything else in batches.
+     *
+     * @param machineCount the number of machines in the partition
+     */
+    fun nextFrame(
+        now: Long,
+        machineCount: Int,
+    ): PartitionFrame? {
         if (leaderTerm == 0L || !isDue(now)) return null
-        sentUs = now
-        val told = firstUnacknowledged()
-        val whole = told.size == unacknowledged.size
-        dirty = !whole
-        if (whole) beginWhole()
-        val frame =
-            PartitionFrame(
-                partition = partition,
-                term = term,
-                ageUs = now - acquiredUs,
-                leaderTerm = leaderTerm,
-                // While a piece is missing, nothing may be concluded from what is not listed, also where an earlier frame was whole:
-                // it may have been lost. (A task whose start that frame alone had told of was taken for never started.)
-                seq = if (whole) receivedSeq else confirmedSeq,
-                receivedSeq = receivedSeq,
-                since = acknowledged,
-                version = if (whole) version else told.last().version,
-                whole = whole,
-                machines = told.map { it.view() },
-                offers = ArrayList(offers),
-            )
-        offers.clear()
-        return frame
+        lastSentUs = now
+        val included = firstUnacknowledged(machineCount)
+        val whole = included.size == unacknowledged.size
+        isFrameWanted = !whole
+        if (whole) startWholeFrame()
+        return frame(now, included, whole).also { offers.clear() }
     }
 
+    private fun frame(
+        now: Long,
+        included: List<Machine>,
+        whole: Boolean,
+    ) = PartitionFrame(
+        partition = parameters.id,
+        term = parameters.term,
+        ageUs = now - parameters.acquiredUs,
+        leaderTerm = leaderTerm,
+        // While changes are left out, nothing may be concluded from what is not listed, also where an earlier frame was whole: it may
+        // have been lost. (A task whose start that frame alone had carried was taken for never started.)
+        seq = if (whole) receivedSeq else confirmedSeq,
+        receivedSeq = receivedSeq,
+        since = acknowledged,
+        version = if (whole) version else included.last().version,
+        whole = whole,
+        machines = included.map { it.toMachineState() },
+        offers = ArrayList(offers),
+    )
+
     /**
-     * What the next frame tells of. The more machines there are, the more of them change until the leader's answer: a frame of fixed size
-     * would never tell all of a large partition, and only a frame that does lets the leader conclude anything from what is not listed
-     * (invariant 17). At 4,000 machines of which a tenth changes until the answer, frames of a hundred never did.
+     * The machines that the next frame carries. The more machines there are, the more of them change until the leader's answer: frames of
+     * a fixed size would never be whole in a large partition, and only a whole frame lets the leader conclude anything from what is not
+     * listed (invariant 17). At 4,000 machines of which a tenth changes until the answer, frames of a hundred never were.
      */
-    private fun firstUnacknowledged(): List<Machine> {
-        val most = maxMachinesPerFrame * ((machineCount() + MACHINES_PER_SHARE - 1) / MACHINES_PER_SHARE).coerceAtLeast(1)
+    private fun firstUnacknowledged(machineCount: Int): List<Machine> {
+        val shares = ((machineCount + MACHINES_PER_SHARE - 1) / MACHINES_PER_SHARE).coerceAtLeast(1)
         var attempts = 0
         return unacknowledged
             .asSequence()
-            .take(most)
+            .take(parameters.maxMachinesPerFrame * shares)
             .takeWhile { machine ->
                 val isFirst = attempts == 0
                 attempts += machine.attempts.size
@@ -166,20 +181,24 @@
     }
 
     private fun isDue(now: Long): Boolean {
-        val waitedUs = now - sentUs
-        if (!dirty) return waitedUs >= HEARTBEAT_US
-        return waitedUs >= BATCH_US || offers.isNotEmpty()
+        val elapsedUs = now - lastSentUs
+        if (!isFrameWanted) return elapsedUs >= IDLE_INTERVAL_US
+        return elapsedUs >= BATCH_INTERVAL_US || offers.isNotEmpty()
     }
 
     companion object {
-        /** Machines of which one frame tells at the most, for each [MACHINES_PER_SHARE] machines that there are or part of that. */
+        /** The machines that one frame carries at most, for each [MACHINES_PER_SHARE] machines of the partition or part of that. */
         const val MAX_MACHINES_PER_FRAME = 100
         private const val MACHINES_PER_SHARE = 400
 
         /** At some 50 bytes each they leave a frame well below the size that is read, and a small process can hold it twice. */
         private const val MAX_ATTEMPTS_PER_FRAME = 30_000
-        private const val HEARTBEAT_US = 800 * MILLI
         private const val MAX_UNCONFIRMED = 64
-        private const val BATCH_US = 100 * MILLI
+
+        /** How often a frame is sent while nothing changes. */
+        private const val IDLE_INTERVAL_US = 800 * MILLI
+
+        /** The shortest time between frames without offers. */
+        private const val BATCH_INTERVAL_US = 100 * MILLI
     }
 }
--- a/src/main/kotlin/lichenstage/partition/ConnectionPool.kt
+++ b/src/main/kotlin/lichenstage/partition/ConnectionPool.kt
@@ -1,65 +1,75 @@
 package lichenstage.partition
 
 /**
- * Connections that may be kept for orders: at most [most] at a time, the ones that are in use among them. One that is idle is closed
- * where another address needs its place, the one that was used longest ago first.
+ * A pool of connections to workers, at most one idle connection for each address.
  *
- * Plain code; [C] is a connection and [close] ends it. A place is taken before a connection is tried, so that attempts count too.
+ * Connections in use and idle ones together never exceed [maxConnections]; where another address needs a place, the idle connection that
+ * was used longest ago is closed. A place is taken before a connection is attempted, so that attempts count too.
+ *
+ * @param A the type of an address
+ * @param C the type of a connection
+ * @property maxConnections the limit, which may change over time
+ * @property close closes a connection
  */
 class ConnectionPool<A : Any, C : Any>(
-    private val most: () -> Int,
+    private val maxConnections: () -> Int,
     private val close: (C) -> Unit,
 ) {
-    private class Idle<C>(
+    private class IdleConnection<C>(
         val connection: C,
         val sinceUs: Long,
     )
 
-    private val idle = LinkedHashMap<A, Idle<C>>()
+    private val idle = LinkedHashMap<A, IdleConnection<C>>()
 
-    /** Places that are taken: connections in use or being made. */
-    var busy = 0
+    /** Number of places that are taken: connections in use or being made. */
+    var inUse = 0
         private set
 
-    val open get() = busy + idle.size
+    /** Number of connections in use, being made, or idle. */
+    val open get() = inUse + idle.size
 
-    /** How many more may be in use at once. */
-    val free get() = (most() - busy).coerceAtLeast(0)
+    /** How many more connections may be used at once. */
+    val available get() = (maxConnections() - inUse).coerceAtLeast(0)
 
-    /** Takes a place; the connection that is kept for [address], or null where one has to be made. */
-    fun take(address: A): C? {
-        busy++
-        val kept = idle.remove(address)
-        while (open > most() && idle.isNotEmpty()) closeEldest()
-        return kept?.connection
+    /** Takes a place and returns the idle connection to [address], or null where the caller has to make one. */
+    fun acquire(address: A): C? {
+        inUse++
+        val pooled = idle.remove(address)
+        closeExcess()
+        return pooled?.connection
     }
 
-    /** Gives the place back, with the connection where it can be used again. */
-    fun give(
+    /** Returns a place, with its [connection] where that can be used again. */
+    fun release(
         address: A,
         connection: C?,
         now: Long,
     ) {
-        busy--
+        inUse--
         if (connection == null) return
         idle.remove(address)?.let { close(it.connection) }
-        idle[address] = Idle(connection, now)
-        while (open > most() && idle.isNotEmpty()) closeEldest()
+        idle[address] = IdleConnection(connection, now)
+        closeExcess()
     }
 
-    /** The other end has closed it. */
-    fun lost(
+    /** Forgets an idle connection that the other end has closed. */
+    fun onClosedByPeer(
         address: A,
         connection: C,
     ) {
         if (idle[address]?.connection === connection) idle.remove(address)
     }
 
-    /** Closes what was not used since [beforeUs]. */
-    fun sweep(beforeUs: Long) {
+    /** Closes the connections that have been idle since before [beforeUs]. */
+    fun closeIdleSince(beforeUs: Long) {
         while (idle.isNotEmpty() && idle.values.first().sinceUs < beforeUs) closeEldest()
     }
 
+    private fun closeExcess() {
+        while (open > maxConnections() && idle.isNotEmpty()) closeEldest()
+    }
+
     private fun closeEldest() {
         val eldest = idle.entries.first()
         idle.remove(eldest.key)
--- a/src/main/kotlin/lichenstage/partition/FencingTokens.kt
+++ b/src/main/kotlin/lichenstage/partition/FencingTokens.kt
@@ -3,9 +3,14 @@
 import lichenstage.common.SECOND
 
 /**
- * The tokens under which a partition's owner commands its machines: its [term], and above it tokens that the state service has reserved
- * for it alone, from the counter of all terms. A machine that has shown a higher token refuses all that was sent to it under a lower
- * one, however late that comes. Each later owner's term is higher than all of them.
+ * The fencing tokens under which the owner of a partition commands its machines: its [term], and above it tokens that the key-value store
+ * has reserved for this owner alone from the counter of all terms.
+ *
+ * A machine that has shown a token refuses everything that was sent to it under a lower one, however late it arrives. The term of each
+ * later owner is higher than all of them (invariant 6).
+ *
+ * @property term the term of the ownership
+ * @property acquiredUs when the partition was acquired
  */
 internal class FencingTokens(
     private val term: Long,
@@ -20,23 +25,23 @@
 
     private val remaining get() = reserved.sumOf { it.last - it.first + 1 }
 
-    /** More should be reserved, long before the last is needed: the state service may be away then. */
-    val isLow get() = remaining < LOW
+    /** More tokens should be reserved. This is long before the last one is needed, since the key-value store may be away by then. */
+    val isLow get() = remaining < LOW_WATERMARK
 
     /**
-     * True where tokens should be reserved now; again after a while, since a reservation may come to nothing. Not in the first seconds of
-     * an ownership, in which keys change hands, unless one [isLacking].
+     * Whether tokens should be reserved now; a true answer counts as an attempt. Attempts are repeated after a while, since a reservation
+     * may fail. There are none in the first seconds of an ownership, in which ownership keys are written, unless one [isLacking].
      */
     fun reservationDue(
         now: Long,
         isLacking: Boolean,
     ): Boolean {
-        if (!isLow || now - lastRequestedUs < RETRY_INTERVAL_US || (!isLacking && now - acquiredUs < SETTLING_US)) return false
+        if (!isLow || now - lastRequestedUs < RETRY_INTERVAL_US || (!isLacking && now - acquiredUs < HANDOVER_US)) return false
         lastRequestedUs = now
         return true
     }
 
-    /** Takes up tokens that were reserved; those that are not above all others are of no use. */
+    /** Adds reserved tokens; a range that is not above all others is ignored. */
     fun add(fencingTokens: LongRange) {
         val last = reserved.lastOrNull()?.last ?: highest
         if (!fencingTokens.isEmpty() && fencingTokens.first > last) reserved.addLast(fencingTokens)
@@ -50,12 +55,14 @@
         return highest
     }
 
-    /** A machine of this partition that shows the token has it from this owner. */
+    /** Whether a machine of this partition that shows [fencingToken] has it from this owner. */
     fun isOwnersToken(fencingToken: Long) = fencingToken in term..highest
 
     private companion object {
-        const val LOW = 16L
+        const val LOW_WATERMARK = 16L
         const val RETRY_INTERVAL_US = 2 * SECOND
-        const val SETTLING_US = 4 * SECOND
+
+        /** After a failover the key-value store is busy with the keys that change owners. */
+        const val HANDOVER_US = 4 * SECOND
     }
 }
--- a/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
+++ b/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
@@ -2,24 +2,24 @@
 
 import lichenstage.model.JobRequirements
 
-/** Takes over what workers' reports say, as far as it may be believed (invariant 3). */
+/** Applies the content of heartbeats to the partition's view of its machines, as far as it may be believed (invariant 3). */
 internal class HeartbeatProcessor(
     private val fencingTokens: FencingTokens,
     private val changes: ChangeLog,
     private val events: (OrderEvent) -> Unit,
     private val requirementsOf: (String) -> JobRequirements?,
 ) {
-    /** False where the report is no news: an older one, or a late copy, of which nothing is believed. */
+    /** Applies [heartbeat]; false where it is an older one or a late copy, of which nothing is believed. */
     fun apply(
         machine: Machine,
         heartbeat: Heartbeat,
         now: Long,
     ): Boolean {
-        if (!isNews(machine, heartbeat)) return false
+        if (!isNewer(machine, heartbeat)) return false
         machine.lastMessageUs = now
         var changed = machine.lost || machine.address != heartbeat.address || (machine.recallUs == null) != (heartbeat.recallUs == null)
         if (heartbeat.agentEpoch > machine.agentEpoch) {
-            newAgentEpoch(machine, heartbeat.agentEpoch, now)
+            startAgentEpoch(machine, heartbeat.agentEpoch, now)
             changed = true
         }
         machine.sequence = heartbeat.sequence
@@ -29,69 +29,74 @@
         if (fencingTokens.isOwnersToken(heartbeat.fencingToken)) {
             if (!machine.tokenConfirmed) changed = true
             machine.observedFencingToken = maxOf(machine.observedFencingToken, heartbeat.fencingToken)
-            if (takeTasks(machine, heartbeat, now)) changed = true
+            if (applyTasks(machine, heartbeat, now)) changed = true
         }
-        if (changed) changes.touch(machine)
+        if (changed) changes.record(machine)
         return true
     }
 
-    private fun isNews(
+    private fun isNewer(
         machine: Machine,
         heartbeat: Heartbeat,
     ): Boolean {
         if (heartbeat.agentEpoch != machine.agentEpoch) return heartbeat.agentEpoch > machine.agentEpoch
-        // A report of a session that has run out is a late one: what it lists is gone.
+        // A heartbeat of an epoch whose lease has expired is a late one: the tasks that it lists are gone.
         return heartbeat.sequence > machine.sequence && !machine.lost
     }
 
-    /** The worker has killed and forgotten all tasks of the earlier session; orders with it are refused. */
-    private fun newAgentEpoch(
+    /** The worker has killed and forgotten all tasks of the earlier epoch, and refuses orders that carry it. */
+    private fun startAgentEpoch(
         machine: Machine,
         agentEpoch: Long,
         now: Long,
     ) {
-        machine.begin(agentEpoch)
+        machine.startAgentEpoch(agentEpoch)
         machine.agentEpochFirstSeenUs = now
-        // Its lease ran out although it was answered, so it may not hear us: it has to heed an order first.
+        // The lease expired although its heartbeats were answered, so answers may not reach it: it has to answer an order first.
         machine.unresponsive = true
     }
 
-    /** Takes over the task list of a worker that has shown this owner's token; true where it changes something. */
-    private fun takeTasks(
+    /** Applies the task list of a worker that has shown this owner's token; true where that changes something. */
+    private fun applyTasks(
         machine: Machine,
         heartbeat: Heartbeat,
         now: Long,
     ): Boolean {
         var changed = false
-        for (row in heartbeat.tasks) if (takeTask(machine, row, heartbeat.sequence, now)) changed = true
-        if (machine.drop { it.isListed && it.lastListedSequence != heartbeat.sequence }) changed = true
-        if (changed) machine.changed()
+        for (report in heartbeat.tasks) if (applyTask(machine, report, heartbeat.sequence, now)) changed = true
+        if (machine.removeAttempts { it.isListed && it.lastListedSequence != heartbeat.sequence }) changed = true
+        if (changed) machine.invalidateUsage()
         return changed
     }
 
-    private fun takeTask(
+    private fun applyTask(
         machine: Machine,
-        row: TaskReport,
+        report: TaskReport,
         sequence: Long,
         now: Long,
     ): Boolean {
-        var attempt = machine.attempts.get(row.attempt)
-        var changed = false
-        if (attempt == null) {
-            attempt = WorkerAttempt(row.task, row.attempt, now)
-            attempt.version = changes.nextVersion
-            machine.attempts.put(row.attempt, attempt)
-            requirementsOf(attempt.job)?.let { machine.uses(it) }
-            changed = true
-        }
+        val known = machine.attempts.get(report.attempt)
+        val attempt = known ?: addAttempt(machine, report, now)
         attempt.lastListedSequence = sequence
-        if (attempt.phase == row.phase && attempt.cause == row.cause) return changed
-        // It took up a start: so it hears us.
+        if (attempt.phase == report.phase && attempt.cause == report.cause) return known == null
+        // The worker has executed a start: commands reach it.
         if (!attempt.isListed) machine.unresponsive = false
         if (attempt.isUnwantedStart) events(OrderEvent.LateStart(machine.name, machine.agentEpoch, attempt.task, attempt.number))
-        attempt.phase = row.phase
-        attempt.cause = row.cause
+        attempt.phase = report.phase
+        attempt.cause = report.cause
         attempt.version = changes.nextVersion
         return true
     }
+
+    private fun addAttempt(
+        machine: Machine,
+        report: TaskReport,
+        now: Long,
+    ): WorkerAttempt {
+        val attempt = WorkerAttempt(report.task, report.attempt, now)
+        attempt.version = changes.nextVersion
+        machine.attempts.put(report.attempt, attempt)
+        requirementsOf(attempt.job)?.let(machine::recordImageUse)
+        return attempt
+    }
 }
--- a/src/main/kotlin/lichenstage/partition/HoldTable.kt
+++ b/src/main/kotlin/lichenstage/partition/HoldTable.kt
@@ -10,13 +10,14 @@
 import lichenstage.model.Shape
 import org.agrona.collections.Long2ObjectHashMap
 
-/** Room that is held for requests, granted in the order of their stamps, until it is used, released or has lapsed. */
+/** Capacity that is held for placement requests, granted in the order of their stamps, until it is used, released or has expired. */
 internal class HoldTable(
     private val zone: String,
     private val limitsOf: (String) -> MachineLimits?,
     private val requirementsOf: (String) -> JobRequirements?,
     private val machineOf: (String) -> Machine?,
 ) {
+    /** The tasks for which [request] holds capacity, by machine. */
     private class Hold(
         val request: PlacementRequest,
         val grantedUs: Long,
@@ -25,14 +26,14 @@
 
     private val holds = Long2ObjectHashMap<Hold>()
 
-    /** The request that holds room on the machine under this stamp; null where nothing is held any more. */
+    /** The request that holds capacity on [machine] under [stamp]; null where nothing is held any more. */
     fun find(
         stamp: Long,
         machine: String,
     ): PlacementRequest? = holds.get(stamp)?.takeIf { (it.counts[machine] ?: 0) > 0 }?.request
 
-    /** One task takes its room. */
-    fun use(
+    /** Uses the capacity of one task. */
+    fun consume(
         stamp: Long,
         machine: Machine,
     ) {
@@ -41,6 +42,7 @@
         machine.hold(hold.request.requirements.shape, -1)
     }
 
+    /** Releases what is still held under [stamp]. */
     fun release(stamp: Long) {
         val hold = holds.remove(stamp) ?: return
         for ((name, count) in hold.counts) if (count > 0) machineOf(name)?.hold(hold.request.requirements.shape, -count)
@@ -48,7 +50,8 @@
 
     fun releaseAll() = holds.keys.toList().forEach(::release)
 
-    fun lapse(now: Long) {
+    /** Releases the holds that have expired. */
+    fun expire(now: Long) {
         if (holds.isEmpty()) return
         holds.values
             .filter { now - it.grantedUs > HOLD_LIFETIME_US }
@@ -57,52 +60,56 @@
     }
 
     /**
-     * An offer for each request, in the order of the stamps. Of a job that asks twice, the later request is for what the first has
-     * not got.
+     * An offer for each request, in the order of their stamps. Where a job has several requests, the later ones are for what the earlier
+     * ones were not granted.
+     *
+     * @param usable the machines that take tasks
+     * @param isJobOver whether a job is known to be over, which its leader may not know yet; it is granted nothing
      */
     fun grantAll(
         requests: List<PlacementRequest>,
         usable: Sequence<Machine>,
         now: Long,
-        over: (String) -> Boolean,
+        isJobOver: (String) -> Boolean,
     ): List<Offer> {
         if (requests.isEmpty()) return emptyList()
-        val got = HashMap<String, Int>()
-        val open = open(requests, usable)
+        val granted = HashMap<String, Int>()
+        val candidates = candidates(requests, usable)
         return requests.sortedBy { it.stamp }.map { request ->
-            val most = request.count - (got[request.job] ?: 0)
-            // Not for what its leader may not know yet to be over.
-            val offer = if (over(request.job)) Offer(request.stamp, emptyList()) else grant(request, most, open, now)
-            got.merge(request.job, offer.held.sumOf { it.count }, Int::plus)
+            val maxTasks = request.count - (granted[request.job] ?: 0)
+            val offer = if (isJobOver(request.job)) emptyOffer(request) else grant(request, maxTasks, candidates, now)
+            granted.merge(request.job, offer.held.sumOf { it.count }, Int::plus)
             offer
         }
     }
 
+    private fun emptyOffer(request: PlacementRequest) = Offer(request.stamp, emptyList())
+
     /**
-     * Machines with room for the smallest of the requests. Where there is a backlog nearly all are full, and dozens of requests that
-     * each look at every machine would cost more than all else that a partition does.
+     * The machines with capacity for the smallest of the requests. In a backlog nearly all are full, and dozens of requests that each look
+     * at every machine would cost more than everything else that a partition does.
      */
-    private fun open(
+    private fun candidates(
         requests: List<PlacementRequest>,
         usable: Sequence<Machine>,
     ): List<Machine> {
         val shapes = requests.map { it.requirements.shape }
-        val least = Shape(shapes.minOf { it.cores }, shapes.minOf { it.cards }, shapes.minOf { it.memGb })
+        val smallest = Shape(shapes.minOf { it.cores }, shapes.minOf { it.cards }, shapes.minOf { it.memGb })
         return usable
             .filter { machine ->
-                limitsOf(machine.typeName)?.let { machine.room(least, it.capacity, requirementsOf) > 0 } == true
+                limitsOf(machine.typeName)?.let { machine.freeSlots(smallest, it.capacity, requirementsOf) > 0 } == true
             }.toList()
     }
 
-    /** Holds room for as many tasks of the request as fit, up to [most], on the roomiest of the [open] machines. */
+    /** Holds capacity for as many tasks of the request as fit, up to [maxTasks], on the roomiest of the [candidates] (worst fit). */
     private fun grant(
         request: PlacementRequest,
-        most: Int,
-        open: List<Machine>,
+        maxTasks: Int,
+        candidates: List<Machine>,
         now: Long,
     ): Offer {
-        if (request.zone != null && request.zone != zone) return Offer(request.stamp, emptyList())
-        val held = PlacementScore.take(open.mapNotNull { slots(request, it) }, most)
+        if (request.zone != null && request.zone != zone) return emptyOffer(request)
+        val held = PlacementScore.take(candidates.mapNotNull { slots(request, it) }, maxTasks)
         if (held.isNotEmpty()) {
             holds[request.stamp] = Hold(request, now, held.associateTo(HashMap()) { it.machine to it.count })
             held.forEach { machineOf(it.machine)!!.hold(request.requirements.shape, it.count) }
@@ -110,7 +117,7 @@
         return Offer(request.stamp, held)
     }
 
-    /** What a machine has for a request, or null. */
+    /** What a machine has for a request; null where it has nothing. */
     private fun slots(
         request: PlacementRequest,
         machine: Machine,
@@ -120,7 +127,7 @@
         val hasImage = machine.hasImage(request.requirements.image)
         if (request.imageOnly && !hasImage) return null
         val limits = limitsOf(machine.typeName) ?: return null
-        val tasks = machine.room(request.requirements.shape, limits.capacity, requirementsOf)
+        val tasks = machine.freeSlots(request.requirements.shape, limits.capacity, requirementsOf)
         return if (tasks > 0) HeldSlots(machine.name, tasks, tasks, hasImage) else null
     }
 
--- a/src/main/kotlin/lichenstage/partition/Machine.kt
+++ b/src/main/kotlin/lichenstage/partition/Machine.kt
@@ -7,8 +7,12 @@
 import lichenstage.model.JobRequirements
 import lichenstage.model.Shape
 
-/** A machine of this partition, as its worker's reports describe it. */
-class Machine(
+/**
+ * A machine of a partition, as its worker's heartbeats describe it. All times are in microseconds of the controller's clock.
+ *
+ * @property name the machine's name
+ */
+internal class Machine(
     val name: String,
     heartbeat: Heartbeat,
     cacheGb: Double,
@@ -17,97 +21,110 @@
     val typeName = heartbeat.typeName
     val spot = heartbeat.spot
     var agentEpoch = heartbeat.agentEpoch
+
+    /** The sequence number of the last message that was applied, a heartbeat of its own or the answer to an order. */
     var sequence = -1L
+
+    /** How long until the cloud takes the spot instance back; null while there is no notice. */
     var recallUs: Long? = null
+
+    /** When a message of the worker was last applied. */
     var lastMessageUs = 0L
 
     /**
-     * When a report of its own came last. One that only answers orders reaches no controller with its reports, so that nothing renews
-     * its lease: what was placed there would be lost with it.
+     * When the worker last sent a heartbeat by itself. While it only answers orders, its heartbeats reach no controller and nothing renews
+     * its lease: tasks that were placed there would be lost with it (invariant 12).
      */
     var lastHeartbeatUs = 0L
 
-    /** The latest report of its own in this session; the answers to orders have numbers between those of reports. */
+    /** The latest heartbeat of its own in this agent epoch; the answers to orders have numbers between those of heartbeats. */
     var heartbeatSequence = -1L
 
-    /** When a 200 was last written to it: its lease can't run longer than from here. */
+    /** When a heartbeat was last answered with 200: its lease can't last longer than from here. */
     var lastAnsweredUs = 0L
 
     /**
-     * When this session was first heard of. Its lease runs from its beginning, whether or not a report of it was ever
-     * answered: without this a machine known only from direct orders was held for lost while it ran tasks.
+     * When this agent epoch was first seen. Its lease runs from the beginning of the epoch, whether or not a heartbeat was ever answered:
+     * without this, a machine known only from direct orders was considered lost while it ran tasks.
      */
     var agentEpochFirstSeenUs = 0L
 
-    /** The token under which it is commanded: that of the partition's term, or a newer one that puts earlier orders out of force. */
+    /** The token under which it is commanded: the partition's term, or a newer one that fences off earlier orders. */
     var fencingToken = 0L
 
-    /** The highest token of this owner that it has shown; 0 where none. Whatever was sent under a lower one it refuses. */
+    /** The highest token of this owner that it has shown; 0 where none. It refuses everything sent under a lower one. */
     var observedFencingToken = 0L
 
     /** The worker has shown a token of this owner: its task list is the truth (invariant 3). */
     val tokenConfirmed get() = observedFencingToken > 0
+
+    /** Several of its heartbeats are overdue. */
     var silent = false
+
+    /** Its lease has expired: nothing runs on it any more. */
     var lost = false
 
-    /** An order got no answer since it last heeded one: hearing it does not prove that it hears us, so its room is not offered. */
+    /** An order was not answered since it last answered one: a heartbeat does not prove that commands reach it (invariant 12). */
     var unresponsive = false
 
-    /** Of the partition's versions, the one that last changed what the leader sees, and the one that the leader has acknowledged. */
+    /** The version of the [ChangeLog] that last changed what the leader sees of it. */
     var version = 0L
         private set
-    private var acked = 0L
 
-    /** Attempts that it listed and lists no more, until the leader knows. */
-    private val gone = LongArrayList()
+    /** The version up to which the leader has acknowledged it. */
+    private var acknowledgedVersion = 0L
+
+    /** Attempts that it no longer lists, until the leader has acknowledged that. */
+    private val removedAttempts = LongArrayList()
     val attempts = Long2ObjectLinkedOpenHashMap<WorkerAttempt>()
     var orderInFlight = false
 
-    /** After an order without an answer the report answers are the path, until a report has come. */
+    /** After an order without an answer, commands only go in answers to heartbeats until a heartbeat has come. */
     var ordersBlocked = false
 
     /** A direct order may be sent to it now. */
     val acceptsOrders get() = tokenConfirmed && !lost && !unresponsive && !orderInFlight && !ordersBlocked
 
-    private val images = Images(cacheGb)
-    private val holds = Holds()
-    private var used: Shape? = null
-    private var usedValid = false
+    private val images = ImageCache(cacheGb)
+    private val held = HeldCapacity()
 
-    /** A task with this image was placed or found here. */
-    fun uses(requirements: JobRequirements) = images.use(requirements.image, requirements.imageGb)
+    /** What its tasks use; null where it has to be counted again. */
+    private var usage: Shape? = null
 
-    /** The image is most likely in its cache. */
+    /** Records that a task of these requirements was placed or found here. */
+    fun recordImageUse(requirements: JobRequirements) = images.recordUse(requirements.image, requirements.imageGb)
+
+    /** Whether the image is most likely in its cache. */
     fun hasImage(image: String) = image in images
 
-    /** What its tasks take has to be counted anew. */
-    fun changed() {
-        usedValid = false
+    /** Has what its tasks use counted again. */
+    fun invalidateUsage() {
+        usage = null
     }
 
-    /** Something of it has changed, as of this version. */
-    fun touched(newVersion: Long) {
+    /** Records that what the leader sees of it has changed as of [newVersion]. */
+    fun markChanged(newVersion: Long) {
         version = newVersion
     }
 
-    /** Takes attempts off its list; true where there were any. */
-    fun drop(over: (WorkerAttempt) -> Boolean): Boolean =
-        attempts.values.removeIf { attempt -> over(attempt).also { if (it) gone.add(attempt.number) } }
+    /** Removes the attempts that [isOver] holds for; true where there were any. */
+    fun removeAttempts(isOver: (WorkerAttempt) -> Boolean): Boolean =
+        attempts.values.removeIf { attempt -> isOver(attempt).also { if (it) removedAttempts.add(attempt.number) } }
 
-    /** The leader has heard all of this version. */
-    fun acknowledged() {
-        acked = version
-        gone.clear()
+    /** The leader has acknowledged all of the current version. */
+    fun markAcknowledged() {
+        acknowledgedVersion = version
+        removedAttempts.clear()
     }
 
-    /** A new leader knows nothing of it. */
-    fun unknown() {
-        acked = 0
-        gone.clear()
+    /** A new leader knows nothing of the machine. */
+    fun resetAcknowledged() {
+        acknowledgedVersion = 0
+        removedAttempts.clear()
     }
 
-    /** What the leader is to be told. */
-    fun view() =
+    /** The changes since the leader's last acknowledgement, as a frame carries them. */
+    fun toMachineState() =
         MachineState(
             name,
             address,
@@ -118,95 +135,47 @@
             silent,
             lost,
             recallUs,
-            attempts.values.filter { it.version > acked }.map { it.view() },
-            gone.toList(),
+            attempts.values.filter { it.version > acknowledgedVersion }.map { it.toTaskState() },
+            removedAttempts.toList(),
         )
 
-    /** Holds room for [count] tasks more, or fewer where it is negative. */
+    /** Holds capacity for [count] more tasks, or fewer where it is negative. */
     fun hold(
         shape: Shape,
         count: Int,
-    ) = holds.add(shape, count)
+    ) = held.add(shape, count)
 
-    /** A new session begins with an empty machine; its cache may be empty too. */
-    fun begin(newAgentEpoch: Long) {
+    /** A new agent epoch begins with an empty machine; its cache may be empty too. */
+    fun startAgentEpoch(newAgentEpoch: Long) {
         agentEpoch = newAgentEpoch
         heartbeatSequence = -1
-        drop { true }
+        removeAttempts { true }
         images.clear()
-        changed()
+        invalidateUsage()
     }
 
-    /** How many more tasks of [shape] it takes; none where something on it is of unknown size. */
-    fun room(
+    /** How many more tasks of [shape] it takes; none where the size of a task on it is unknown. */
+    fun freeSlots(
         shape: Shape,
         capacity: Shape,
-        factsOf: (String) -> JobRequirements?,
+        requirementsOf: (String) -> JobRequirements?,
     ): Int {
-        if (!usedValid) {
-            used = count(factsOf)
-            // What is of unknown size may become known without a word of this machine.
-            usedValid = used != null
-        }
-        val taken = used ?: return 0
-        return (capacity - taken - holds.total).fits(shape)
+        // Not kept where a task's size is unknown, since that may become known without a message of this machine.
+        val used = usage ?: countUsage(requirementsOf).also { usage = it } ?: return 0
+        return (capacity - used - held.total).fits(shape)
     }
 
-    private fun count(factsOf: (String) -> JobRequirements?): Shape? {
+    private fun countUsage(requirementsOf: (String) -> JobRequirements?): Shape? {
         var cores = 0.0
         var cards = 0.0
-        var mem = 0.0
+        var memGb = 0.0
         for (attempt in attempts.values) {
             if (attempt.phase == TaskPhase.ENDED) continue
-            val shape = factsOf(attempt.job)?.shape ?: return null
+            val shape = requirementsOf(attempt.job)?.shape ?: return null
             cores += shape.cores
             cards += shape.cards
-            mem += shape.memGb
+            memGb += shape.memGb
         }
-        return Shape(cores, cards, mem)
-    }
-}
-
-/** Room of a machine that is held for requests. */
-private class Holds {
-    private var count = 0
-    var total = NONE
-        private set
-
-    fun add(
-        shape: Shape,
-        tasks: Int,
-    ) {
-        count += tasks
-        // Back to nothing exactly: the rounding of many shares must not add up.
-        total = if (count == 0) NONE else total - shape * -tasks
-    }
-
-    private companion object {
-        val NONE = Shape(0.0, 0.0, 0.0)
-    }
-}
-
-/** Images that were used on a machine, the latest last: most likely still in its cache. */
-private class Images(
-    private val cacheGb: Double,
-) {
-    private val sizes = LinkedHashMap<String, Double>()
-    private var total = 0.0
-
-    operator fun contains(image: String) = sizes.containsKey(image)
-
-    fun use(
-        image: String,
-        gb: Double,
-    ) {
-        total += gb - (sizes.remove(image) ?: 0.0)
-        sizes[image] = gb
-        while (total > cacheGb && sizes.size > 1) total -= sizes.remove(sizes.keys.first())!!
-    }
-
-    fun clear() {
-        sizes.clear()
-        total = 0.0
+        return Shape(cores, cards, memGb)
     }
 }
--- a/src/main/kotlin/lichenstage/partition/OrderEvent.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderEvent.kt
@@ -1,20 +1,29 @@
 package lichenstage.partition
 
-/** Why a machine was given a newer token. */
+/** Why a machine was given a newer fencing token. */
 enum class FenceReason {
-    /** A start that is not wanted may still land. */
+    /** A start that is not wanted may still be executed. */
     UNWANTED_START,
 
-    /** Tasks that have ended can't be cleared while a repeat of their start may land. */
+    /** Tasks that have ended can't be cleared while a repeat of their start may be executed. */
     CLEARS,
 }
 
 /** Why a partition has refused a start of its leader. */
-enum class StartRefusal { JOB_ENDED, HOLD_EXPIRED, MACHINE_UNUSABLE }
+enum class StartRefusal {
+    /** The job is known to be over. */
+    JOB_ENDED,
 
-/** What an operator needs to see of orders to workers when a rule was broken. */
+    /** No capacity is held for the start any more. */
+    HOLD_EXPIRED,
+
+    /** The machine takes no tasks at present. */
+    MACHINE_UNUSABLE,
+}
+
+/** What operators need to know of orders to workers when a rule was broken; [OrderJournal] logs and counts it. */
 sealed interface OrderEvent {
-    /** A direct order got no answer: it may be carried out late. */
+    /** A direct order got no answer: it may be executed late. */
     data class Unanswered(
         val order: DirectOrder,
     ) : OrderEvent
@@ -27,7 +36,7 @@
         val reason: FenceReason,
     ) : OrderEvent
 
-    /** It is proven that a start that is not wanted never happened. */
+    /** It is proven that an unwanted start whose outcome was indeterminate has not been executed and can't be any more. */
     data class StartDisproven(
         val machine: String,
         val agentEpoch: Long,
@@ -36,7 +45,7 @@
         val observedFencingToken: Long,
     ) : OrderEvent
 
-    /** A start has landed after it was no longer wanted. */
+    /** A heartbeat first listed a start after it was no longer wanted. */
     data class LateStart(
         val machine: String,
         val agentEpoch: Long,
@@ -44,7 +53,7 @@
         val attempt: Long,
     ) : OrderEvent
 
-    /** A start of the leader was refused. */
+    /** A start of the leader was refused; [task] is empty where its hold is not known any more. */
     data class StartRefused(
         val machine: String,
         val task: String,
@@ -52,17 +61,17 @@
         val refusal: StartRefusal,
     ) : OrderEvent
 
-    /** A job is known to be over: [stops] of its tasks are stopped, and the starts of [underWay] are not known to have landed. */
+    /** A job is known to be over: [stops] of its tasks are stopped, and [unlistedStarts] of its starts no heartbeat has listed. */
     data class JobEnded(
         val job: String,
         val stops: Int,
-        val underWay: Int,
+        val unlistedStarts: Int,
     ) : OrderEvent {
-        /** The same job's tasks counted together. */
-        operator fun plus(other: JobEnded) = JobEnded(job, stops + other.stops, underWay + other.underWay)
+        /** The counts of both, for the same job. */
+        operator fun plus(other: JobEnded) = JobEnded(job, stops + other.stops, unlistedStarts + other.unlistedStarts)
     }
 
-    /** A report was not answered, so that the machine's lease ends in time: a start of this job may land under its token. */
+    /** A heartbeat was not answered, so that the machine's lease expires in time: a start of [job] may be executed under its token. */
     data class AnswerWithheld(
         val machine: String,
         val agentEpoch: Long,
--- a/src/main/kotlin/lichenstage/partition/OrderFencing.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderFencing.kt
@@ -4,77 +4,81 @@
 import lichenstage.jobs.JobEnds
 
 /**
- * Ends the life of direct orders that got no answer (invariant 6): by a proof, never by a span of time.
+ * Fences off direct orders whose outcome is indeterminate (invariant 6): by a proof, never because time has passed.
  *
- * An order is carried out for as long as the worker's token and session match, perhaps minutes late. Where a start that is not wanted
- * may still land, its machine is given a newer token: every answer and order to it carries that one from then on, so the machine either
- * shows it and refuses all that was sent before, or is not renewed and ends its session. Where no token is at hand, answers to that
- * machine end early enough for its lease to run out before a cancellation has had its time.
+ * A worker executes an order for as long as its fencing token and agent epoch match, perhaps minutes late. Where a start that is not
+ * wanted may still be executed, its machine is given a newer token. Every answer and order to it carries that one from then on, so the
+ * machine either shows it and refuses everything sent before, or its lease is not renewed and its agent epoch ends. Where no token is at
+ * hand, answers to that machine end early enough for its lease to expire before a cancellation has had its time.
  */
 internal class OrderFencing(
     private val fencingTokens: FencingTokens,
+    private val changes: ChangeLog,
     private val jobEnds: JobEnds,
     private val events: (OrderEvent) -> Unit,
 ) {
-    /** Machines with starts that are not wanted and may still land. */
-    private val unwanted = LinkedHashSet<Machine>()
-    private var clearsUs = Long.MIN_VALUE / 2
+    /** Machines with starts that are not wanted and may still be executed. */
+    private val machinesWithUnwantedStarts = LinkedHashSet<Machine>()
+    private var lastClearFencingUs = Long.MIN_VALUE / 2
 
-    /** A newer token is wanted now, and none is left. */
+    /** A newer token is needed now, and none is left. */
     var lacksTokens = false
         private set
 
-    /** A start on the machine is not wanted any more, and no list has shown it. */
+    /** A start on [machine] is no longer wanted, and no heartbeat has listed it. */
     fun addUnwantedStart(machine: Machine) {
-        unwanted += machine
+        machinesWithUnwantedStarts += machine
     }
 
-    /** Machines with starts that are not wanted and may still land. */
-    fun unwanted(): List<Machine> = unwanted.toList()
-
-    fun forget(machine: Machine) {
-        unwanted -= machine
+    /** Drops a machine that the partition has removed. */
+    fun remove(machine: Machine) {
+        machinesWithUnwantedStarts -= machine
     }
 
-    /** Forgets starts that are no longer wanted and that never happened. True where there was one. */
-    fun removeDisprovenStarts(machine: Machine): Boolean {
-        if (machine !in unwanted) return false
-        val over =
+    /** Removes the unwanted starts of all machines that are proven not to have been executed. */
+    fun removeDisprovenStarts() = machinesWithUnwantedStarts.toList().forEach(::removeDisprovenStarts)
+
+    /** Removes the unwanted starts of [machine] that are proven not to have been executed. */
+    fun removeDisprovenStarts(machine: Machine) {
+        if (machine !in machinesWithUnwantedStarts) return
+        val disproven =
             machine.attempts.values.filter {
-                it.stopRequested &&
-                    it.provenNotStarted(machine.heartbeatSequence, machine.observedFencingToken)
+                it.stopRequested && it.provenNotStarted(machine.heartbeatSequence, machine.observedFencingToken)
             }
-        over.filter { it.isStartIndeterminate }.forEach { events(provenNotStarted(machine, it)) }
-        if (over.isNotEmpty()) machine.drop { it in over }
-        if (machine.attempts.values.none { it.isUnwantedStart }) unwanted -= machine
-        return over.isNotEmpty()
+        disproven.filter { it.isStartIndeterminate }.forEach { events(startDisproven(machine, it)) }
+        if (disproven.isNotEmpty()) machine.removeAttempts { it in disproven }
+        if (machine.attempts.values.none { it.isUnwantedStart }) machinesWithUnwantedStarts -= machine
+        if (disproven.isNotEmpty()) {
+            machine.invalidateUsage()
+            changes.record(machine)
+        }
     }
 
-    private fun provenNotStarted(
+    private fun startDisproven(
         machine: Machine,
         attempt: WorkerAttempt,
     ) = OrderEvent.StartDisproven(machine.name, machine.agentEpoch, attempt.task, attempt.number, machine.observedFencingToken)
 
-    /** Notes that the job of a start that no list has shown is still open, where that is known. */
+    /** Notes as of when the job of a start that no heartbeat has listed is still open, where that is known. */
     fun noteOpenJob(attempt: WorkerAttempt) {
         if (attempt.isListed) return
         jobEnds.openAsOfUs(attempt.job)?.let { attempt.openAsOfUs = it }
     }
 
     /** Gives newer tokens to those of [machines] that need one now. */
-    fun raise(
+    fun raiseTokens(
         machines: Collection<Machine>,
         now: Long,
     ) {
         lacksTokens = false
-        raise(unwanted.filter(::mustRefuseStarts), FenceReason.UNWANTED_START)
-        if (now - clearsUs < CLEAR_FENCING_INTERVAL_US) return
-        clearsUs = now
-        raise(machines.filter(::mustRefuseRepeats), FenceReason.CLEARS)
+        raiseToken(machinesWithUnwantedStarts.filter(::mustRefuseStarts), FenceReason.UNWANTED_START)
+        if (now - lastClearFencingUs < CLEAR_FENCING_INTERVAL_US) return
+        lastClearFencingUs = now
+        raiseToken(machines.filter(::mustRefuseRepeats), FenceReason.CLEARS)
     }
 
-    /** One token for all of them. */
-    private fun raise(
+    /** One token serves all of [machines]. */
+    private fun raiseToken(
         machines: List<Machine>,
         reason: FenceReason,
     ) {
@@ -92,23 +96,22 @@
 
     private fun mustRefuseStarts(machine: Machine) =
         machine.attempts.values.any {
-            it.isUnwantedStart && it.isStartIndeterminate && it.startsInFlight == 0 &&
-                it.canExecuteUnder(machine.fencingToken)
+            it.isUnwantedStart && it.isStartIndeterminate && it.startsInFlight == 0 && it.canExecuteUnder(machine.fencingToken)
         }
 
-    /** Not while an order is under way, which would be refused as well: what waits to be cleared can wait for another round. */
+    /** Not while an order is in flight, which would be refused as well: what waits to be cleared can wait for another round. */
     private fun mustRefuseRepeats(machine: Machine) =
         machine.acceptsOrders && machine.attempts.values.any { it.needsTokenToClear(machine.fencingToken) }
 
     /**
-     * An answer may renew the machine's lease. Not where it would do so under a token under which a start may land of a job that a user
-     * may have been told is cancelled for so long that the lease could outlast what a cancellation is given.
+     * Whether a heartbeat of [machine] may be answered, which renews its lease. Not where the machine's token lets it execute a start whose
+     * job a user may have been told is cancelled, for so long that the lease could outlast the time that a cancellation is given.
      */
     fun mayRenewLease(
         machine: Machine,
         now: Long,
     ): Boolean {
-        if (machine !in unwanted) return true
+        if (machine !in machinesWithUnwantedStarts) return true
         val overdue = machine.attempts.values.firstOrNull { isOverdue(it, machine, now) } ?: return true
         events(OrderEvent.AnswerWithheld(machine.name, machine.agentEpoch, overdue.job))
         return false
@@ -118,9 +121,11 @@
         attempt: WorkerAttempt,
         machine: Machine,
         now: Long,
-    ) = attempt.isUnwantedStart && (attempt.isStartIndeterminate || attempt.startsInFlight > 0) &&
-        attempt.canExecuteUnder(machine.fencingToken) &&
-        now - attempt.openAsOfUs > jobEnds.answerBoundUs && jobEnds.over(attempt.job, attempt.firstSeenUs)
+    ): Boolean {
+        val mayExecute = attempt.isStartIndeterminate || attempt.startsInFlight > 0
+        return attempt.isUnwantedStart && mayExecute && attempt.canExecuteUnder(machine.fencingToken) &&
+            now - attempt.openAsOfUs > jobEnds.answerBoundUs && jobEnds.over(attempt.job, attempt.firstSeenUs)
+    }
 
     private companion object {
         /** How often machines get a newer token for the sake of what waits to be cleared. */
--- a/src/main/kotlin/lichenstage/partition/OrderQueue.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderQueue.kt
@@ -7,29 +7,31 @@
 internal class OrderQueue {
     private val due = LinkedHashSet<Machine>()
 
+    /** Something may have to be sent to [machine]. */
     fun add(machine: Machine) {
         due += machine
     }
 
-    fun forget(machine: Machine) {
+    /** Drops a machine that the partition has removed. */
+    fun remove(machine: Machine) {
         due -= machine
     }
 
-    /** What the answer to the report [sequence] takes along. */
+    /** The commands for the answer to the heartbeat with number [sequence], recorded as sent. */
     fun commandsForAnswer(
         machine: Machine,
         sequence: Long,
         now: Long,
     ): List<Command> {
         val commands = commands(machine, now).take(MAX_COMMANDS)
-        sent(machine, commands, now) {
+        markSent(machine, commands, now) {
             it.startAnsweredUs = now
             it.startAnsweredSequence = maxOf(it.startAnsweredSequence, sequence)
         }
         return commands
     }
 
-    /** All that the worker should do now. Each may be repeated; clears only go where no start can land after them. */
+    /** All that the worker should do now. Each may be repeated; clears are only sent where no start can be executed after them. */
     private fun commands(
         machine: Machine,
         now: Long,
@@ -51,20 +53,15 @@
             }
 
             attempt.phase == TaskPhase.ENDED -> {
-                if (attempt.clearRequested &&
-                    attempt.isClearable(now, machine.observedFencingToken)
-                ) {
-                    Command.Clear(attempt.task, attempt.number)
-                } else {
-                    null
-                }
+                val isDue = attempt.clearRequested && attempt.isClearable(now, machine.observedFencingToken)
+                if (isDue) Command.Clear(attempt.task, attempt.number) else null
             }
 
             attempt.stopRequested -> {
                 Command.Stop(attempt.task, attempt.number, 0.0)
             }
 
-            attempt.checkpointStopDue(now) -> {
+            attempt.isCheckpointStopDue(now) -> {
                 Command.Stop(attempt.task, attempt.number, attempt.checkpointLeewayUs!! / SECOND.toDouble())
             }
 
@@ -73,33 +70,33 @@
             }
         }
 
-    /** Notes what goes out to a machine now; [started] also notes the way that a start takes. */
-    private fun sent(
+    /** Records that [commands] are sent now; [startSent] records the way that a start takes. */
+    private fun markSent(
         machine: Machine,
         commands: List<Command>,
         now: Long,
-        started: (WorkerAttempt) -> Unit,
+        startSent: (WorkerAttempt) -> Unit,
     ) {
         for (command in commands) {
             val attempt = machine.attempts.get(command.attempt) ?: continue
             if (command is Command.Stop && !attempt.stopRequested) attempt.checkpointStopSentUs = now
-            if (command is Command.Start) started(attempt)
+            if (command is Command.Start) startSent(attempt)
         }
     }
 
     /**
-     * Direct orders for what shouldn't wait for a report: one at a time for each machine, [most] in all, as there are connections.
-     * The rest stays due; where it has to wait, what must stop comes before what may start.
+     * The direct orders for what shouldn't wait for a heartbeat: one at a time for each machine, and at most [limit] in all, as there are
+     * connections. The rest stays due; where some have to wait, stops go before starts.
      */
-    fun direct(
+    fun nextDirectOrders(
         now: Long,
-        most: Int,
+        limit: Int,
     ): List<DirectOrder> {
-        if (due.isEmpty() || most <= 0) return emptyList()
+        if (due.isEmpty() || limit <= 0) return emptyList()
         val orders = ArrayList<DirectOrder>()
-        val inOrder = if (due.size > most) due.sortedBy { !isStopDue(it, now) } else due.toList()
-        for (machine in inOrder) {
-            if (orders.size >= most) break
+        val candidates = if (due.size > limit) due.sortedBy { !isStopDue(it, now) } else due.toList()
+        for (machine in candidates) {
+            if (orders.size >= limit) break
             due -= machine
             if (machine.acceptsOrders && isUrgent(machine, now)) orders += order(machine, now)
         }
@@ -111,7 +108,7 @@
         now: Long,
     ): DirectOrder {
         val commands = commands(machine, now).take(MAX_COMMANDS)
-        sent(machine, commands, now) {
+        markSent(machine, commands, now) {
             it.startOrderedUs = now
             it.startOrderToken = machine.fencingToken
             it.startsInFlight++
@@ -128,9 +125,11 @@
     private fun isStopDue(
         machine: Machine,
         now: Long,
-    ) = machine.attempts.values.any { it.checkpointStopDue(now) || (it.isListed && it.stopRequested && it.phase != TaskPhase.ENDED) }
+    ) = machine.attempts.values.any {
+        it.isCheckpointStopDue(now) || (it.isListed && it.stopRequested && it.phase != TaskPhase.ENDED)
+    }
 
-    /** A direct order is no more under way; a start whose order got no answer may still land. */
+    /** A direct order is no longer in flight. A start whose order got no answer may still be executed. */
     fun complete(
         machine: Machine,
         order: DirectOrder,
--- a/src/main/kotlin/lichenstage/partition/WorkerAttempt.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerAttempt.kt
@@ -1,14 +1,22 @@
 package lichenstage.partition
 
+import lichenstage.cluster.TaskEndCause
 import lichenstage.cluster.TaskPhase
 import lichenstage.cluster.TaskState
 import lichenstage.common.SECOND
 
-/** One try of one task on a machine, from the leader's order until it has been cleared. Its number is unique (invariant 7). */
-class WorkerAttempt(
+/**
+ * One attempt to run a task on a machine, as the partition follows it from the leader's start until the worker has cleared it.
+ *
+ * All times are in microseconds of the controller's clock.
+ *
+ * @property task the task, as `JOB/INDEX`
+ * @property number the attempt's number, unique across all leaders (invariant 7)
+ * @property firstSeenUs when this partition first knew of the attempt
+ */
+internal class WorkerAttempt(
     val task: String,
     val number: Long,
-    /** When this partition first knew of it. */
     val firstSeenUs: Long,
 ) {
     val job = task.substringBefore('/')
@@ -17,91 +25,102 @@
     var stopRequested = false
     var clearRequested = false
 
-    /** The leader wants it stopped with so much time to save; null where it is to run on. */
+    /** How long the task gets to save a checkpoint before it is stopped; null where no checkpoint stop is requested. */
     var checkpointLeewayUs: Long? = null
 
-    /** When the stop that lets it save was last sent. */
-    var checkpointStopSentUs = Long.MIN_VALUE / 2
+    /** When the checkpoint stop was last sent. */
+    var checkpointStopSentUs = NEVER_US
 
-    /** Of the partition's versions, the one that last changed what the leader sees of it. */
+    /** The version of the partition's [ChangeLog] that last changed what the leader sees of the attempt. */
     var version = 0L
 
-    /** The report that listed it last. */
+    /** The sequence number of the last heartbeat that listed it. */
     var lastListedSequence = -1L
 
-    /** Direct orders with this start that have not been answered yet. */
+    /** Number of direct orders that carry this start and have not completed yet. */
     var startsInFlight = 0
 
-    /** A direct order with this start got no answer: it may still be carried out, until the machine refuses its token. */
+    /** A direct order with this start got no answer: it may still be executed, until the machine refuses its fencing token. */
     var isStartIndeterminate = false
 
-    /** When a report answer last carried this start; workers drop answers after 4 s. */
-    var startAnsweredUs = Long.MIN_VALUE / 2
+    /** When the answer to a heartbeat last carried this start. */
+    var startAnsweredUs = NEVER_US
 
-    /** The last report whose answer carried this start; negative where none did. */
+    /** The sequence number of the last heartbeat whose answer carried this start; negative where none did. */
     var startAnsweredSequence = -1L
 
     /** When a direct order last carried this start. */
-    var startOrderedUs = Long.MIN_VALUE / 2
+    var startOrderedUs = NEVER_US
 
-    /** The token of that order, 0 where there was none: unlike an answer, an order may be repeated, or carried out late. */
+    /** The fencing token of that order; 0 where there was none. Unlike an answer, an order may be repeated or executed late. */
     var startOrderToken = 0L
 
-    /** As of when its job was last known to be open: a user who was told of the job's end was told later. */
-    var openAsOfUs = Long.MIN_VALUE / 2
+    /** As of when its job was last known to be open: no user was told of the job's end before that. */
+    var openAsOfUs = NEVER_US
 
+    /** The worker has listed the attempt. */
     val isListed get() = phase != TaskPhase.PENDING
 
-    /** Its start is not wanted any more, and no list has shown it. */
+    /** Its start is no longer wanted, and no heartbeat has listed it. */
     val isUnwantedStart get() = !isListed && stopRequested
 
     /**
-     * The stop that lets it save is to be sent. Not again before the answer that carried it would have been dropped: a second stop
-     * might end the saving.
+     * Whether the checkpoint stop is to be sent now. It is not repeated before the answer that carried it would have been dropped by the
+     * worker, since a second stop may interrupt the saving.
      */
-    fun checkpointStopDue(now: Long) =
+    fun isCheckpointStopDue(now: Long) =
         checkpointLeewayUs != null && !stopRequested && phase == TaskPhase.RUNNING && now - checkpointStopSentUs > ANSWER_VALIDITY_US
 
-    private fun underWay(now: Long) = startsInFlight > 0 || now - startAnsweredUs <= ANSWER_VALIDITY_US
+    private fun isStartInFlight(now: Long) = startsInFlight > 0 || now - startAnsweredUs <= ANSWER_VALIDITY_US
 
-    /** A machine that is commanded under [fencingToken], or has shown it, may carry out a direct order with this start that is under way. */
+    /** Whether a machine that is commanded under [fencingToken], or has shown it, may still execute a direct order with this start. */
     fun canExecuteUnder(fencingToken: Long) = startOrderToken > 0 && fencingToken <= startOrderToken
 
     /**
-     * The start, which no list has shown, has not happened and can't happen any more (invariants 6 and 18). [heartbeatSequence]: the latest
-     * report that the machine has sent by itself in this session. A worker has one report in flight, so a later report than the one that
-     * was answered with the start shows by not listing it that the answer was not taken; that time has passed shows nothing, since the
-     * machine may run the task unheard. A direct order without an answer has not happened where the machine has shown a newer token than
-     * the order's, [observedFencingToken], and does not list the start: from then on it refuses the order. Guards against a start that lands minutes
+     * Whether the start, which no heartbeat has listed, is proven not to have been executed, now or later (invariants 6 and 18).
+     *
+     * A worker has one heartbeat in flight. A later heartbeat than the one that was answered with the start therefore proves, by not
+     * listing the attempt, that the answer was not executed. Elapsed time proves nothing, since the machine may run the task while it
+     * can't be reached. A direct order without an answer has not been executed where the machine has shown a newer fencing token than
+     * the order's and does not list the attempt: from then on it refuses the order. Guards against a start that is executed minutes
      * after its job was cancelled (seen by users: 73 s).
+     *
+     * @param heartbeatSequence the latest heartbeat that the machine has sent by itself in this agent epoch
+     * @param observedFencingToken the highest fencing token that the machine has shown
      */
     fun provenNotStarted(
         heartbeatSequence: Long,
         observedFencingToken: Long,
-    ) = !isListed && startsInFlight == 0 && (startAnsweredSequence < 0 || startAnsweredSequence < heartbeatSequence) &&
-        !(isStartIndeterminate && canExecuteUnder(observedFencingToken))
+    ): Boolean {
+        if (isListed || startsInFlight > 0) return false
+        val isAnswerRuledOut = startAnsweredSequence < 0 || startAnsweredSequence < heartbeatSequence
+        val isOrderRuledOut = !isStartIndeterminate || !canExecuteUnder(observedFencingToken)
+        return isAnswerRuledOut && isOrderRuledOut
+    }
 
-    /** Once cleared, a repeat of its start would do harm under [fencingToken]: one that is done and whose order was answered only exits again. */
-    private fun isRepeatHarmful(fencingToken: Long) = canExecuteUnder(fencingToken) && (cause != DONE || isStartIndeterminate)
+    /** Whether a repeat of the start under [fencingToken] would do harm after a clear: a task that is done only exits once more. */
+    private fun isRepeatHarmful(fencingToken: Long) = canExecuteUnder(fencingToken) && (cause != TaskEndCause.DONE || isStartIndeterminate)
 
     /**
-     * Whether the worker may forget this attempt (invariant 6). A repeat of an order that was carried out can come late, and would start
-     * it again: one that is done only exits once more, any other would run while its task is elsewhere. Those are kept until the machine
-     * has shown a newer token than the order's, as is one that is done but whose order got no answer.
+     * Whether the worker may forget this attempt (invariant 6). A late repeat of an executed order would start the task again: one that is
+     * done only exits once more, any other would run while the task is elsewhere. Those are kept until the machine has shown a newer token
+     * than the order's, as is one that is done but whose order got no answer.
      */
     fun isClearable(
         now: Long,
         observedFencingToken: Long,
-    ) = !underWay(now) && !isRepeatHarmful(observedFencingToken)
+    ) = !isStartInFlight(now) && !isRepeatHarmful(observedFencingToken)
 
-    /** It waits to be cleared, and a machine that is commanded under [fencingToken] needs a newer one before it can be. */
+    /** Whether it waits to be cleared but the machine, commanded under [fencingToken], needs a newer token first. */
     fun needsTokenToClear(fencingToken: Long) = phase == TaskPhase.ENDED && clearRequested && isRepeatHarmful(fencingToken)
 
-    /** What the leader is to be told of it. */
-    fun view() = TaskState(task, number, phase, cause)
+    /** The attempt as the leader is told of it. */
+    fun toTaskState() = TaskState(task, number, phase, cause)
 
     private companion object {
+        const val NEVER_US = Long.MIN_VALUE / 2
+
+        /** Workers drop answers to heartbeats that are older than 4 s. */
         const val ANSWER_VALIDITY_US = 5 * SECOND
-        const val DONE = "done"
     }
 }
--- a/src/main/kotlin/lichenstage/partition/WorkerClient.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerClient.kt
@@ -16,27 +16,32 @@
 import lichenstage.common.SECOND
 import lichenstage.common.parseAddress
 
-/** Sends direct orders to workers, over connections of which [most] may be open. */
+/**
+ * Sends direct orders and probes to workers over pooled connections.
+ *
+ * @param maxConnections how many connections may be open, which may change over time
+ * @property requests counts the requests that are sent
+ */
 class WorkerClient(
     vertx: Vertx,
     private val clock: Clock,
-    private val orders: Counter,
-    most: () -> Int,
+    private val requests: Counter,
+    maxConnections: () -> Int,
 ) {
-    private class Answer(
+    private class Response(
         val status: Int,
         val body: Buffer,
     )
 
-    private val client = vertx.createHttpClient(HttpClientOptions().setConnectTimeout(CONNECT_MS).setPipelining(false))
-    private val connections = ConnectionPool<Address, HttpClientConnection>(most) { it.close() }
+    private val client = vertx.createHttpClient(HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS).setPipelining(false))
+    private val connections = ConnectionPool<Address, HttpClientConnection>(maxConnections) { it.close() }
 
     init {
-        vertx.setPeriodic(SWEEP_MS) { connections.sweep(clock.now() - KEEP_US) }
+        vertx.setPeriodic(IDLE_CHECK_INTERVAL_MS) { connections.closeIdleSince(clock.now() - MAX_IDLE_US) }
     }
 
-    /** How many more orders may be under way. */
-    val free get() = connections.free
+    /** How many more requests may be in flight. */
+    val available get() = connections.available
 
     /** Sends a direct order and waits for its outcome. */
     suspend fun send(order: DirectOrder): OrderOutcome {
@@ -44,14 +49,15 @@
         return post(address, order.fencingToken, order.agentEpoch, order.commands)
     }
 
-    /** Has the worker show its report under the probe's token; null where it can't be had. */
+    /** Has the worker show its state under the probe's fencing token; null where it does not answer under it. */
     suspend fun probe(probe: StatusProbe): Heartbeat? {
         val address = parseAddress(probe.address) ?: return null
-        // An empty order for a session that isn't the worker's is refused with a report that names the session.
+        // An order for an agent epoch that isn't the worker's is refused with a heartbeat that names the right one.
         val first = post(address, probe.fencingToken, probe.agentEpoch, emptyList()) as? OrderOutcome.Answered ?: return null
         if (first.executed) return first.heartbeat
         val agentEpoch = first.heartbeat?.agentEpoch ?: return null
-        return (post(address, probe.fencingToken, agentEpoch, emptyList()) as? OrderOutcome.Answered)?.takeIf { it.executed }?.heartbeat
+        val second = post(address, probe.fencingToken, agentEpoch, emptyList()) as? OrderOutcome.Answered
+        return second?.takeIf { it.executed }?.heartbeat
     }
 
     private suspend fun post(
@@ -61,37 +67,42 @@
         commands: List<Command>,
     ): OrderOutcome {
         var sent = false
-        orders.increment()
-        val answer =
+        requests.increment()
+        val response =
             exchange(address) { connection ->
                 val request = connection.request(REQUEST).coAwait()
                 sent = true
-                val response = request.send(WorkerCodec.orders(fencingToken, commands, agentEpoch)).coAwait()
-                Answer(response.statusCode(), response.body().coAwait())
+                val response = request.send(WorkerCodec.encodeCommands(fencingToken, commands, agentEpoch)).coAwait()
+                Response(response.statusCode(), response.body().coAwait())
             }
-        return when (answer?.status) {
-            200 -> OrderOutcome.Answered(true, WorkerCodec.heartbeat(answer.body))
-
-            409, 400 -> OrderOutcome.Answered(false, WorkerCodec.heartbeat(answer.body))
-
-            // A connection attempt that was given up does not complete later; all else may still arrive.
-            null -> if (sent) OrderOutcome.Indeterminate else OrderOutcome.NotSent
-
+        // A connection attempt that was given up does not complete later; everything else may still arrive.
+        if (response == null) return if (sent) OrderOutcome.Indeterminate else OrderOutcome.NotSent
+        return when (response.status) {
+            OK -> OrderOutcome.Answered(true, heartbeatOrNull(response.body))
+            CONFLICT, BAD_REQUEST -> OrderOutcome.Answered(false, heartbeatOrNull(response.body))
             else -> OrderOutcome.Indeterminate
         }
     }
 
-    /** One request and its answer, or null where none came in time. A connection is kept only after an answer. */
+    /** An answer whose heartbeat can't be read proves nothing ([OrderOutcome.provenFor]), whatever is wrong with it. */
+    private fun heartbeatOrNull(body: Buffer): Heartbeat? =
+        try {
+            WorkerCodec.decodeHeartbeat(body)
+        } catch (_: InvalidHeartbeatException) {
+            null
+        }
+
+    /** One request and its response, or null where none came in time. A connection is kept only after a response. */
     private suspend fun exchange(
         address: Address,
-        talk: suspend (HttpClientConnection) -> Answer,
-    ): Answer? {
-        var connection: HttpClientConnection? = connections.take(address)
+        request: suspend (HttpClientConnection) -> Response,
+    ): Response? {
+        var connection: HttpClientConnection? = connections.acquire(address)
         var answered = false
         try {
             return withTimeoutOrNull(TIMEOUT_MS) {
-                val line = connection ?: connect(address).also { connection = it }
-                talk(line).also { answered = true }
+                val open = connection ?: connect(address).also { connection = it }
+                request(open).also { answered = true }
             }
         } catch (e: CancellationException) {
             throw e
@@ -99,7 +110,7 @@
             return null
         } finally {
             if (!answered) connection?.close()
-            connections.give(address, connection.takeIf { answered }, clock.now())
+            connections.release(address, connection.takeIf { answered }, clock.now())
         }
     }
 
@@ -107,10 +118,10 @@
         val pending = client.connect(HttpConnectOptions().setHost(address.host).setPort(address.port))
         try {
             val connection = pending.coAwait()
-            connection.closeHandler { connections.lost(address, connection) }
+            connection.closeHandler { connections.onClosedByPeer(address, connection) }
             return connection
         } catch (e: CancellationException) {
-            // One that comes after all is nobody's.
+            // Nobody would use a connection that is made after this.
             pending.onSuccess { it.close() }
             throw e
         }
@@ -118,9 +129,12 @@
 
     private companion object {
         const val TIMEOUT_MS = 3000L
-        const val CONNECT_MS = 1500
-        const val SWEEP_MS = 5000L
-        const val KEEP_US = 20 * SECOND
+        const val CONNECT_TIMEOUT_MS = 1500
+        const val IDLE_CHECK_INTERVAL_MS = 5000L
+        const val MAX_IDLE_US = 20 * SECOND
+        const val OK = 200
+        const val BAD_REQUEST = 400
+        const val CONFLICT = 409
         val REQUEST: RequestOptions = RequestOptions().setMethod(HttpMethod.POST).setURI("/orders")
     }
 }
--- a/src/main/kotlin/lichenstage/partition/WorkerMessages.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerMessages.kt
@@ -2,7 +2,12 @@
 
 import lichenstage.cluster.TaskPhase
 
-/** One task in a worker's report. */
+/**
+ * One attempt of a task as a heartbeat lists it.
+ *
+ * @property task the task, as `JOB/INDEX`
+ * @property cause why it has ended; null while it has not (see [lichenstage.cluster.TaskEndCause])
+ */
 data class TaskReport(
     val task: String,
     val attempt: Long,
@@ -10,7 +15,19 @@
     val cause: String?,
 )
 
-/** A worker's report, in standard terms. */
+/**
+ * A worker's heartbeat, or the equal content of its answer to an order.
+ *
+ * @property machine the machine's name
+ * @property address where the worker takes orders, as `HOST:PORT`
+ * @property typeName the machine type
+ * @property spot it is a spot instance
+ * @property agentEpoch the epoch of the worker's agent: a higher one begins with an empty machine after a lease has expired
+ * @property sequence rises with every message of an epoch
+ * @property fencingToken the highest token that the worker has seen; 0 where none
+ * @property recallUs how long until the cloud takes a spot instance back, in microseconds; null while there is no notice
+ * @property tasks all attempts that the worker knows of
+ */
 data class Heartbeat(
     val machine: String,
     val address: String,
@@ -24,25 +41,25 @@
     val tasks: List<TaskReport>,
 )
 
-/** A command to a worker. */
+/** A command to a worker about one attempt of a task. */
 sealed interface Command {
     val task: String
     val attempt: Long
 
-    /** Start a task. */
+    /** Start the task. */
     data class Start(
         override val task: String,
         override val attempt: Long,
     ) : Command
 
-    /** Stop a task, with time to save. */
+    /** Stop the task; it has [leewayS] seconds to save a checkpoint. */
     data class Stop(
         override val task: String,
         override val attempt: Long,
         val leewayS: Double,
     ) : Command
 
-    /** Forget a task that has ended. */
+    /** Forget an attempt that has ended. */
     data class Clear(
         override val task: String,
         override val attempt: Long,
--- a/src/test/kotlin/lichenstage/partition/ConnectionPoolTest.kt
+++ b/src/test/kotlin/lichenstage/partition/ConnectionPoolTest.kt
@@ -10,36 +10,36 @@
 
 class ConnectionPoolTest {
     private val closed = ArrayList<Int>()
-    private var most = 3
-    private val lines = ConnectionPool<String, Int>({ most }) { closed += it }
+    private var maxConnections = 3
+    private val pool = ConnectionPool<String, Int>({ maxConnections }) { closed += it }
 
     @Example
     fun `a connection is kept for its address, and the one that was used longest ago gives way`() {
-        assertNull(lines.take("a")) { "from nowhere" }
-        lines.give("a", 1, 10)
-        lines.take("b")
-        lines.give("b", 2, 20)
-        assertTrue(lines.take("a") == 1 && closed.isEmpty()) { "not kept" }
-        lines.give("a", 1, 30)
-        lines.take("c")
-        lines.take("d")
+        assertNull(pool.acquire("a")) { "from nowhere" }
+        pool.release("a", 1, 10)
+        pool.acquire("b")
+        pool.release("b", 2, 20)
+        assertTrue(pool.acquire("a") == 1 && closed.isEmpty()) { "not kept" }
+        pool.release("a", 1, 30)
+        pool.acquire("c")
+        pool.acquire("d")
         assertEquals(listOf(2), closed) { "closed $closed" }
-        assertEquals(1, lines.free) { "free ${lines.free}" }
+        assertEquals(1, pool.available) { "free ${pool.available}" }
     }
 
     @Example
     fun `what is idle for long, lost or there twice is not kept`() {
-        lines.take("a")
-        lines.take("a")
-        lines.give("a", 1, 10)
-        lines.give("a", 2, 11)
+        pool.acquire("a")
+        pool.acquire("a")
+        pool.release("a", 1, 10)
+        pool.release("a", 2, 11)
         assertEquals(listOf(1), closed) { "twice" }
-        lines.lost("a", 1)
-        assertEquals(1, lines.open) { "the other one was lost" }
-        lines.sweep(11)
-        assertEquals(1, lines.open) { "swept too early" }
-        lines.sweep(12)
-        assertTrue(lines.open == 0 && closed == listOf(1, 2)) { "not swept" }
+        pool.onClosedByPeer("a", 1)
+        assertEquals(1, pool.open) { "the other one was lost" }
+        pool.closeIdleSince(11)
+        assertEquals(1, pool.open) { "swept too early" }
+        pool.closeIdleSince(12)
+        assertTrue(pool.open == 0 && closed == listOf(1, 2)) { "not swept" }
     }
 
     /** As the controller uses it: no more in use than are free. Whatever comes, no more are open than there may be. */
@@ -56,14 +56,14 @@
         steps.forEachIndexed { now, step ->
             val address = "m${step % 20}"
             if (step < 250) {
-                if (lines.free > 0) inUse += address to (lines.take(address) ?: ++connections)
+                if (pool.available > 0) inUse += address to (pool.acquire(address) ?: ++connections)
             } else if (inUse.isNotEmpty()) {
                 val (at, connection) = inUse.removeAt(step % inUse.size)
-                lines.give(at, connection.takeIf { step % 3 > 0 }, now.toLong())
+                pool.release(at, connection.takeIf { step % 3 > 0 }, now.toLong())
             }
-            assertTrue(lines.open <= most && lines.busy == inUse.size) { "${lines.open} of $most open" }
+            assertTrue(pool.open <= maxConnections && pool.inUse == inUse.size) { "${pool.open} of $maxConnections open" }
         }
-        inUse.forEach { (at, _) -> lines.give(at, null, 0) }
-        lines.sweep(Long.MAX_VALUE)
+        inUse.forEach { (at, _) -> pool.release(at, null, 0) }
+        pool.closeIdleSince(Long.MAX_VALUE)
     }
 }
--- a/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
@@ -17,23 +17,23 @@
 import java.util.Random
 
 /**
- * A direct order that gets no answer and is carried out long after, while the worker's token and session would still match. Seen by
- * users: the start of a task landed 73 s after it was sent, of a job that was cancelled meanwhile.
+ * A direct order that gets no answer and is executed long after, while the worker's fencing token and agent epoch would still match. Seen
+ * by users: the start of a task landed 73 s after it was sent, of a job that was cancelled meanwhile.
  */
 class LateOrdersTest {
-    /** A partition with one worker that reports every 3 s, on virtual time. */
-    private class World {
+    /** A partition with one worker that sends a heartbeat every 3 s, on virtual time. */
+    private class Scenario {
         val job = SimulatedJob("j-1", "red", 1, 4.0, 60 * SECOND, 0)
         val checker = RuleChecker(mapOf("red" to 100.0), CANCEL_US)
         val worker = SimulatedWorker("vm-a1", "a", 8.0, LEASE_US, Random(1), { job }, checker)
         private val ends = FakeJobEnds(CANCEL_US - LEASE_US - 3 * SECOND) { now }
         val partition =
-            PartitionCore("a/0", "a", TOKEN, LEASE_US, 3 * SECOND, 0, jobEnds = ends) {
+            PartitionCore(PartitionParameters("a/0", "a", TOKEN, LEASE_US, 3 * SECOND, 0), ends) {
                 MachineLimits("type", Shape(8.0, 0.0, 64.0))
             }
         private var sequence = 0L
         private var now = 0L
-        private var reportDueUs = 0L
+        private var heartbeatDueUs = 0L
         var probes = 0
             private set
 
@@ -52,7 +52,7 @@
             while (now < untilUs) {
                 now += STEP_US
                 worker.step(now)
-                if (now >= reportDueUs) heartbeat()
+                if (now >= heartbeatDueUs) heartbeat()
                 partition.tick(now)
                 partition.nextProbes(now).forEach { probe ->
                     probes++
@@ -62,7 +62,7 @@
         }
 
         private fun heartbeat() {
-            reportDueUs = now + 3 * SECOND
+            heartbeatDueUs = now + 3 * SECOND
             val heartbeat = worker.heartbeat()
             val answer = partition.onHeartbeat(heartbeat, now) as? HeartbeatOutcome.Accepted ?: return
             fencingTokens += answer.fencingToken
@@ -90,82 +90,82 @@
         }
 
         /** The order is carried out and answered. */
-        fun answer(order: DirectOrder) {
+        fun executeAndAnswer(order: DirectOrder) {
             unanswered -= order
-            partition.onOrderOutcome(order, land(order), now)
+            partition.onOrderOutcome(order, execute(order), now)
         }
 
         /** The held order is carried out where token and session allow it. */
-        fun land(order: DirectOrder) = worker.orders(order.fencingToken, order.agentEpoch, order.commands, now)
+        fun execute(order: DirectOrder) = worker.orders(order.fencingToken, order.agentEpoch, order.commands, now)
     }
 
     /** The job is cancelled between the start's direct order, which is held, and the next report. */
     private fun cancelledWithHeldStart(
         landsAfterUs: Long,
-        prepare: World.() -> Unit = {},
-    ): World {
-        val world = World().apply(prepare)
-        world.runUntil(7 * SECOND)
-        val order = world.startHeld()
-        world.runUntil(7 * SECOND + 500 * MILLI)
-        world.cancel()
-        world.runUntil(10 * SECOND)
-        world.giveUp()
-        world.runUntil(7 * SECOND + 500 * MILLI + landsAfterUs)
-        world.land(order)
-        world.runUntil(20 * SECOND + landsAfterUs)
-        return world
+        prepare: Scenario.() -> Unit = {},
+    ): Scenario {
+        val scenario = Scenario().apply(prepare)
+        scenario.runUntil(7 * SECOND)
+        val order = scenario.startHeld()
+        scenario.runUntil(7 * SECOND + 500 * MILLI)
+        scenario.cancel()
+        scenario.runUntil(10 * SECOND)
+        scenario.giveUp()
+        scenario.runUntil(7 * SECOND + 500 * MILLI + landsAfterUs)
+        scenario.execute(order)
+        scenario.runUntil(20 * SECOND + landsAfterUs)
+        return scenario
     }
 
     @Example
-    fun `a start that was held does not land after its job's cancellation has had its time`() {
+    fun `a start that was held is not executed after its job's cancellation has had its time`() {
         for (landsAfterUs in listOf(CANCEL_US + SECOND, 600 * SECOND)) {
-            val world = cancelledWithHeldStart(landsAfterUs)
-            assertTrue(world.checker.broken.isEmpty()) { "${world.checker.broken}" }
-            assertEquals(0, world.checker.lateStarts) { "it started a task of a cancelled job" }
-            assertEquals(2L, world.worker.agentEpoch) { "without a newer token the session must end: ${world.worker.agentEpoch}" }
+            val scenario = cancelledWithHeldStart(landsAfterUs)
+            assertTrue(scenario.checker.broken.isEmpty()) { "${scenario.checker.broken}" }
+            assertEquals(0, scenario.checker.lateStarts) { "it started a task of a cancelled job" }
+            assertEquals(2L, scenario.worker.agentEpoch) { "without a newer token the session must end: ${scenario.worker.agentEpoch}" }
         }
     }
 
     @Example
-    fun `with a newer token at hand it does not land from seconds after its order was given up, and the machine keeps its lease`() {
+    fun `with a newer token at hand it is not executed from seconds after its order was given up, and the machine keeps its lease`() {
         for (landsAfterUs in listOf(6 * SECOND, CANCEL_US + SECOND, 600 * SECOND)) {
-            val world = cancelledWithHeldStart(landsAfterUs) { partition.addReservedTokens(TOKEN + 1..TOKEN + 9) }
-            assertTrue(world.checker.broken.isEmpty()) { "${world.checker.broken}" }
-            assertEquals(0, world.checker.lateStarts) { "it started a task of a cancelled job" }
-            assertEquals(1L, world.worker.agentEpoch) { "the machine has lost its lease" }
-            assertTrue(world.partition.indeterminateStarts().none()) { "the start is kept" }
-            assertEquals(setOf(TOKEN, TOKEN + 1), world.fencingTokens) { "${world.fencingTokens}: one newer token is enough" }
+            val scenario = cancelledWithHeldStart(landsAfterUs) { partition.addReservedTokens(TOKEN + 1..TOKEN + 9) }
+            assertTrue(scenario.checker.broken.isEmpty()) { "${scenario.checker.broken}" }
+            assertEquals(0, scenario.checker.lateStarts) { "it started a task of a cancelled job" }
+            assertEquals(1L, scenario.worker.agentEpoch) { "the machine has lost its lease" }
+            assertTrue(scenario.partition.indeterminateStarts().none()) { "the start is kept" }
+            assertEquals(setOf(TOKEN, TOKEN + 1), scenario.fencingTokens) { "${scenario.fencingTokens}: one newer token is enough" }
         }
     }
 
     /** Counted: the guard costs nothing where no order was late. */
     @Example
     fun `a cancellation whose orders were answered sends no probe and uses no token`() {
-        val world = World()
-        world.partition.addReservedTokens(TOKEN + 1..TOKEN + 9)
-        world.runUntil(7 * SECOND)
-        val order = world.startHeld()
-        world.answer(order)
-        val probes = world.probes
-        world.cancel()
-        world.runUntil(50 * SECOND)
-        assertEquals(setOf(TOKEN), world.fencingTokens) { "${world.fencingTokens}" }
-        assertEquals(probes, world.probes) { "${world.probes - probes} probes" }
-        assertTrue(world.checker.broken.isEmpty() && world.worker.agentEpoch == 1L) { "${world.checker.broken}" }
+        val scenario = Scenario()
+        scenario.partition.addReservedTokens(TOKEN + 1..TOKEN + 9)
+        scenario.runUntil(7 * SECOND)
+        val order = scenario.startHeld()
+        scenario.executeAndAnswer(order)
+        val probes = scenario.probes
+        scenario.cancel()
+        scenario.runUntil(50 * SECOND)
+        assertEquals(setOf(TOKEN), scenario.fencingTokens) { "${scenario.fencingTokens}" }
+        assertEquals(probes, scenario.probes) { "${scenario.probes - probes} probes" }
+        assertTrue(scenario.checker.broken.isEmpty() && scenario.worker.agentEpoch == 1L) { "${scenario.checker.broken}" }
     }
 
     @Example
-    fun `a start that is wanted still lands when its order was held`() {
-        val world = World()
-        world.partition.addReservedTokens(TOKEN + 1..TOKEN + 9)
-        world.runUntil(7 * SECOND)
-        world.startHeld()
-        world.runUntil(10 * SECOND)
-        world.giveUp()
-        world.runUntil(14 * SECOND)
-        assertEquals(1, world.checker.running("j-1")) { "not started" }
-        assertEquals(setOf(TOKEN), world.fencingTokens) { "${world.fencingTokens}" }
+    fun `a start that is wanted is still executed when its order was held`() {
+        val scenario = Scenario()
+        scenario.partition.addReservedTokens(TOKEN + 1..TOKEN + 9)
+        scenario.runUntil(7 * SECOND)
+        scenario.startHeld()
+        scenario.runUntil(10 * SECOND)
+        scenario.giveUp()
+        scenario.runUntil(14 * SECOND)
+        assertEquals(1, scenario.checker.running("j-1")) { "not started" }
+        assertEquals(setOf(TOKEN), scenario.fencingTokens) { "${scenario.fencingTokens}" }
     }
 
     private companion object {
--- a/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
@@ -4,40 +4,22 @@
 import lichenstage.cluster.StartOrder
 import lichenstage.cluster.TaskPhase
 import lichenstage.common.SECOND
-import lichenstage.model.MachineLimits
-import lichenstage.model.Shape
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 
 /** The invariants that a partition alone must keep. */
-class PartitionCoreTest : PartitionFixture() {
+internal class PartitionCoreTest : PartitionFixture() {
     @Example
     fun `a machine is offered only after its worker has shown the token`() {
         val partition = partition()
         partition.onHeartbeat(heartbeat(3), 1)
-        partition.onLeaderFrame(frame(requests = listOf(ask(1, 1))), 1)
-        assertTrue(
-            partition
-                .nextFrame(2)!!
-                .offers
-                .single()
-                .held
-                .isEmpty(),
-        ) { "offered before it was settled" }
+        partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), 1)
+        assertTrue(onlyOffer(partition, 2).held.isEmpty()) { "offered before its token was confirmed" }
         partition.onHeartbeat(heartbeat(5), 2)
-        partition.onLeaderFrame(frame(requests = listOf(ask(2, 1))), 3)
-        assertEquals(
-            "m",
-            partition
-                .nextFrame(4)!!
-                .offers
-                .single()
-                .held
-                .single()
-                .machine,
-        ) { "not offered" }
+        partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), 3)
+        assertEquals("m", onlyOffer(partition, 4).held.single().machine) { "not offered" }
     }
 
     @Example
@@ -49,29 +31,29 @@
     fun `requests in one frame are granted in the order of their stamps`() {
         val partition = partition()
         partition.onHeartbeat(heartbeat(5), 1)
-        partition.onLeaderFrame(frame(requests = listOf(ask(9, 2).copy(job = "j-2"), ask(3, 1))), 1)
+        partition.onLeaderFrame(frame(requests = listOf(request(9, 2).copy(job = "j-2"), request(3, 1))), 1)
         val offers = partition.nextFrame(2)!!.offers.associate { it.stamp to it.held.sumOf { held -> held.count } }
         assertEquals(mapOf(3L to 1, 9L to 1), offers) { "$offers" }
     }
 
     /** Counted, not timed: in a backlog dozens of requests come with each frame, and nearly all machines are full. */
     @Example
-    fun `a report looks at no other machine and requests look at a full one once, however many there are`() {
+    fun `a heartbeat looks at no other machine and requests look at a full one once, however many there are`() {
         for (machines in listOf(400, 1600)) {
             var looks = 0
             val partition =
-                PartitionCore("z/0", "z", 5, LEASE, 3 * SECOND, 0) {
+                partition {
                     looks++
-                    MachineLimits("t", Shape(8.0, 0.0, 64.0))
+                    MACHINE_LIMITS
                 }
-            partition.onLeaderFrame(frame(requests = listOf(ask(1, 0))), 1)
+            partition.onLeaderFrame(frame(requests = listOf(request(1, 0))), 1)
             val busy = listOf(1L, 2L).map { TaskReport("j-1/$it", it, TaskPhase.RUNNING, null) }.toTypedArray()
             repeat(machines) { partition.onHeartbeat(heartbeat(5, *busy, machine = "m$it"), 1) }
             partition.onHeartbeat(heartbeat(5, machine = "free"), 1)
             looks = 0
             partition.onHeartbeat(heartbeat(5, *busy, machine = "m7"), 1)
-            assertEquals(0, looks) { "a report made $looks looks at $machines machines" }
-            partition.onLeaderFrame(frame(requests = (1L..24L).map { ask(10 + it, 1).copy(job = "j-$it") }), 2)
+            assertEquals(0, looks) { "a heartbeat made $looks looks at $machines machines" }
+            partition.onLeaderFrame(frame(requests = (1L..24L).map { request(10 + it, 1).copy(job = "j-$it") }), 2)
             assertTrue(looks in machines..machines + 1 + 24) { "$looks looks at $machines machines" }
             val held = partition.nextFrame(3)!!.offers.sumOf { offer -> offer.held.sumOf { it.count } }
             assertEquals(2, held) { "$held held on the one that is free" }
@@ -79,28 +61,21 @@
     }
 
     @Example
-    fun `holds lapse and a start on a lapsed one is refused and told`() {
+    fun `a hold expires, and a start on an expired one is refused and reported to the leader`() {
         val partition = partition()
         partition.onHeartbeat(heartbeat(5), 0)
-        partition.onLeaderFrame(frame(requests = listOf(ask(1, 1))), 0)
+        partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), 0)
         partition.nextFrame(1)
         partition.onLeaderFrame(frame(starts = listOf(StartOrder(1, "m", 0, 1))), 6 * SECOND)
-        assertTrue(partition.nextDirectOrders(6 * SECOND).isEmpty()) { "started on a lapsed hold" }
-        assertTrue(
-            partition
-                .nextFrame(6 * SECOND)!!
-                .machines
-                .single()
-                .tasks
-                .isEmpty(),
-        ) { "listed" }
+        assertTrue(partition.nextDirectOrders(6 * SECOND).isEmpty()) { "started on an expired hold" }
+        assertTrue(onlyMachine(partition, 6 * SECOND).tasks.isEmpty()) { "listed" }
     }
 
     @Example
-    fun `a newer leader's word drops the holds of the one before, whose starts are refused`() {
+    fun `a newer leader's frame drops the holds of the one before, whose starts are refused`() {
         val partition = partition()
         partition.onHeartbeat(heartbeat(5), 0)
-        partition.onLeaderFrame(frame(term = 1, requests = listOf(ask(1, 1))), 0)
+        partition.onLeaderFrame(frame(term = 1, requests = listOf(request(1, 1))), 0)
         partition.onLeaderFrame(frame(term = 2), 1)
         partition.onLeaderFrame(frame(term = 1, starts = listOf(StartOrder(1, "m", 0, 1))), 2)
         partition.onLeaderFrame(frame(term = 2, starts = listOf(StartOrder(1, "m", 0, 1))), 3)
@@ -108,7 +83,7 @@
     }
 
     @Example
-    fun `a first exchange comes in pieces, and nothing is concluded before the last`() {
+    fun `the first state for a leader is sent in partial frames, of which only the last is whole`() {
         val partition = partition()
         repeat(130) { partition.onHeartbeat(heartbeat(5, machine = "m$it"), 1) }
         partition.onLeaderFrame(frame(), 1)
@@ -122,43 +97,28 @@
     }
 
     @Example
-    fun `late and repeated reports change nothing`() {
+    fun `late and repeated heartbeats change nothing`() {
         val partition = partition()
         val late = heartbeat(5)
         val order = started(partition)
-        partition.onOrderOutcome(order, OrderOutcome.Answered(true, heartbeat(5, TaskReport("j-1/0", 1, TaskPhase.RUNNING, null))), 2)
+        partition.onOrderOutcome(order, OrderOutcome.Answered(true, heartbeat(5, task(TaskPhase.RUNNING))), 2)
         partition.nextFrame(2)
         partition.onHeartbeat(late, 3)
-        assertEquals(
-            TaskPhase.RUNNING,
-            partition
-                .nextFrame(5 * SECOND)!!
-                .machines
-                .single()
-                .tasks
-                .single()
-                .phase,
-        ) { "an old list was believed" }
+        assertEquals(TaskPhase.RUNNING, onlyMachine(partition, 5 * SECOND).tasks.single().phase) { "an old list was believed" }
     }
 
     @Example
-    fun `a silent machine is lost only when its lease has run out, and a late report does not bring its tasks back`() {
+    fun `a silent machine is lost only when its lease has run out, and a late heartbeat does not bring its tasks back`() {
         val partition = partition()
         val order = started(partition, now = SECOND)
-        val running = TaskReport("j-1/0", 1, TaskPhase.RUNNING, null)
+        val running = task(TaskPhase.RUNNING)
         partition.onOrderOutcome(order, OrderOutcome.Answered(true, heartbeat(5, running)), SECOND)
         val held = heartbeat(5, running)
         partition.tick(SECOND + LEASE)
-        assertFalse(
-            partition
-                .nextFrame(SECOND + LEASE)!!
-                .machines
-                .single()
-                .lost,
-        ) { "lost too early" }
+        assertFalse(onlyMachine(partition, SECOND + LEASE).lost) { "lost too early" }
         partition.tick(3 * SECOND + LEASE)
         partition.onHeartbeat(held, 4 * SECOND + LEASE)
-        val view = partition.nextFrame(5 * SECOND + LEASE)!!.machines.single()
+        val view = onlyMachine(partition, 5 * SECOND + LEASE)
         assertTrue(view.lost && view.tasks.isEmpty()) { "$view" }
     }
 
@@ -169,58 +129,36 @@
         partition.onProbeResult(StatusProbe("m", "1.2.3.4:5", 5), heartbeat(5), late)
         partition.tick(late + LEASE / 2)
         partition.onLeaderFrame(frame(), late + LEASE / 2)
-        assertFalse(
-            partition
-                .nextFrame(late + LEASE / 2)!!
-                .machines
-                .single()
-                .lost,
-        ) { "held for lost" }
+        assertFalse(onlyMachine(partition, late + LEASE / 2).lost) { "held for lost" }
     }
 
     @Example
-    fun `a machine with something of unknown size on it is full`() {
+    fun `a machine with a task of unknown size on it is full`() {
         val partition = partition()
         partition.onHeartbeat(heartbeat(5, TaskReport("j-77/0", 1, TaskPhase.RUNNING, null)), 1)
-        partition.onLeaderFrame(frame(requests = listOf(ask(1, 1))), 2)
-        assertTrue(
-            partition
-                .nextFrame(3)!!
-                .offers
-                .single()
-                .held
-                .isEmpty(),
-        ) { "offered" }
+        partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), 2)
+        assertTrue(onlyOffer(partition, 3).held.isEmpty()) { "offered" }
     }
 
     @Example
     fun `among equally roomy machines the one with the image is offered first`() {
         val partition = partition()
         listOf("a", "b", "c").forEach { partition.onHeartbeat(heartbeat(5, machine = it), 1) }
-        partition.onLeaderFrame(frame(requests = listOf(ask(1, 3))), 2)
+        partition.onLeaderFrame(frame(requests = listOf(request(1, 3))), 2)
         partition.onLeaderFrame(frame(starts = listOf(StartOrder(1, "b", 0, 1))), 3)
         partition.nextDirectOrders(3)
         partition.onHeartbeat(heartbeat(5, TaskReport("j-1/0", 1, TaskPhase.ENDED, "done"), machine = "b"), 4)
-        partition.onLeaderFrame(frame(requests = listOf(ask(2, 1))), 5)
-        assertEquals(
-            "b",
-            partition
-                .nextFrame(6)!!
-                .offers
-                .last()
-                .held
-                .single()
-                .machine,
-        ) { "a cold machine came first" }
+        partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), 5)
+        assertEquals("b", lastOffer(partition, 6).held.single().machine) { "a cold machine came first" }
     }
 
     @Example
-    fun `of a job that asks twice the later request is for what the first has not got`() {
+    fun `where a job has two requests the later one is for what the first was not granted`() {
         val partition = partition()
         listOf("a", "b").forEach { partition.onHeartbeat(heartbeat(5, machine = it), 1) }
-        partition.onLeaderFrame(frame(requests = listOf(ask(1, 4))), 2)
+        partition.onLeaderFrame(frame(requests = listOf(request(1, 4))), 2)
         partition.onLeaderFrame(frame(starts = listOf(StartOrder(1, "b", 0, 1))), 3)
-        partition.onLeaderFrame(frame(requests = listOf(ask(2, 3).copy(imageOnly = true), ask(3, 3))), 4)
+        partition.onLeaderFrame(frame(requests = listOf(request(2, 3).copy(imageOnly = true), request(3, 3))), 4)
         val counts =
             partition
                 .nextFrame(SECOND)!!
@@ -231,29 +169,29 @@
     }
 
     @Example
-    fun `a request that waits for warm room gets no other`() {
+    fun `a request for machines with the image gets no other machine`() {
         val partition = partition()
         listOf("a", "b").forEach { partition.onHeartbeat(heartbeat(5, machine = it), 1) }
-        partition.onLeaderFrame(frame(requests = listOf(ask(1, 3).copy(imageOnly = true))), 2)
+        partition.onLeaderFrame(frame(requests = listOf(request(1, 3).copy(imageOnly = true))), 2)
         assertTrue(offered(partition, 2).isEmpty()) { "a cold machine was offered" }
-        partition.onLeaderFrame(frame(requests = listOf(ask(2, 4))), 3)
+        partition.onLeaderFrame(frame(requests = listOf(request(2, 4))), 3)
         partition.onLeaderFrame(frame(starts = listOf(StartOrder(2, "b", 0, 1))), 4)
         partition.nextDirectOrders(4)
-        partition.onLeaderFrame(frame(requests = listOf(ask(3, 3).copy(imageOnly = true))), 5)
+        partition.onLeaderFrame(frame(requests = listOf(request(3, 3).copy(imageOnly = true))), 5)
         assertEquals(listOf("b"), offered(partition, 5)) { "not the machine that fetches the image" }
     }
 
     @Example
-    fun `a machine that answers orders but does not report gets no more tasks, for its lease runs out`() {
+    fun `a machine that answers orders but sends no heartbeats gets no more tasks, for its lease expires`() {
         val partition = partition()
         started(partition)
         var now = SECOND
         while (now < 12 * SECOND) {
             now += SECOND
             // As a mute machine does: what it is asked it answers, and its own reports reach nobody.
-            partition.onProbeResult(StatusProbe("m", "1.2.3.4:5", 5, 1), heartbeat(5, TaskReport("j-1/0", 1, TaskPhase.RUNNING, null)), now)
+            partition.onProbeResult(StatusProbe("m", "1.2.3.4:5", 5, 1), heartbeat(5, task(TaskPhase.RUNNING)), now)
         }
-        partition.onLeaderFrame(frame(requests = listOf(ask(2, 1))), now)
+        partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), now)
         val offer = partition.nextFrame(now + SECOND)!!.offers.single { it.stamp == 2L }
         assertTrue(offer.held.isEmpty()) { "offered: ${offer.held}" }
     }
--- a/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
-/** What a partition tells of its machines: changes only, from which the leader always knows the whole. */
+/** The frames of a partition carry changes only, from which the leader always knows the whole state (invariant 17). */
 class PartitionDeltaTest {
     private val partition get() = setting.partition
     private val tasks get() = setting.tasks
@@ -27,51 +27,51 @@
         maxMachinesPerFrame: Int = 100,
     ) {
         val partition =
-            PartitionCore("z/0", "z", 5, 3600 * SECOND, 4 * SECOND, 0, maxMachinesPerFrame = maxMachinesPerFrame) {
+            PartitionCore(PartitionParameters("z/0", "z", 5, 3600 * SECOND, 4 * SECOND, 0, maxMachinesPerFrame)) {
                 MachineLimits("t", Shape(64.0, 0.0, 512.0))
             }
         val tasks = HashMap<String, MutableMap<Long, TaskReport>>()
     }
 
-    private var tally = 0L
+    private var sequence = 0L
     private var now = SECOND
     private var seq = 0L
     private var attempts = 0L
 
     private fun heartbeat(machine: String) {
         val rows = tasks.getOrPut(machine) { HashMap() }.values.toList()
-        partition.onHeartbeat(Heartbeat(machine, "1.2.3.4:5", "t", "z", false, 1, ++tally, 5, null, rows), now)
+        partition.onHeartbeat(Heartbeat(machine, "1.2.3.4:5", "t", "z", false, 1, ++sequence, 5, null, rows), now)
     }
 
-    private fun word(
+    private fun leaderFrame(
         term: Long,
         acked: Long,
     ) = partition.onLeaderFrame(PlacementFrame("z/0", term, ++seq, 5, acked), now)
 
-    /** The leader's word with a start on the machine [started], which is refused for want of a hold and is told all the same. */
-    private fun word(
+    /** A frame of the leader with a start on the machine [started], which is refused for want of a hold and is reported all the same. */
+    private fun leaderFrame(
         term: Long,
         acked: Long,
         started: String,
     ) = partition.onLeaderFrame(PlacementFrame("z/0", term, ++seq, 5, acked, starts = listOf(StartOrder(1, started, 0, ++attempts))), now)
 
-    private fun told(): PartitionFrame? {
+    private fun nextFrame(): PartitionFrame? {
         now += SECOND
         return partition.nextFrame(now)?.let { FrameCodec.decode(FrameCodec.encode(it)) as PartitionFrame }
     }
 
-    /** The leader's side of the frames. One of an [earlierVersion] goes by the numbers of pieces as by those of whole frames. */
-    private class Mirror(
+    /** The leader's side of the frames. One of an [earlierVersion] goes by the numbers of partial frames as by those of whole ones. */
+    private class LeaderView(
         private val earlierVersion: Boolean = false,
     ) {
         var version = 0L
         val machines = HashMap<String, MachineState>()
 
-        /** Up to which of its frames this leader holds all to be told, and up to which it has been, by a whole frame. */
+        /** The leader's frame up to which it takes the partition's state for complete, and up to which a whole frame has made it so. */
         var seq = 0L
         var wholeSeq = 0L
 
-        fun take(frame: PartitionFrame) {
+        fun receive(frame: PartitionFrame) {
             if (frame.since > version || frame.version < version) return
             val counts = frame.whole || earlierVersion
             if (counts && frame.seq < seq) return
@@ -83,40 +83,40 @@
     }
 
     @Property(tries = 120, seed = "20261204")
-    fun `however frames are lost, late and repeated, the leader knows the lists as they are`(
+    fun `however frames are lost, late and repeated, the leader knows the task lists as they are`(
         @ForAll seed: Long,
     ) {
         val random = Random(seed)
         val small = random.nextBoolean()
         setting = Setting(maxMachinesPerFrame = if (small) 2 else 100)
         val earlierVersion = random.nextBoolean()
-        var mirror = Mirror(earlierVersion)
+        var leader = LeaderView(earlierVersion)
         var term = 1L
         val late = ArrayList<PartitionFrame>()
         repeat(150) {
             repeat(random.nextInt(5)) { change(random, if (small) FEW_MACHINES else MACHINES) }
-            told()?.let { frame ->
-                if (frame.leaderTerm == term && random.nextInt(4) > 0) mirror.take(frame)
+            nextFrame()?.let { frame ->
+                if (frame.leaderTerm == term && random.nextInt(4) > 0) leader.receive(frame)
                 late += frame
             }
             if (random.nextInt(3) == 0 && late.isNotEmpty()) {
                 val frame = late[random.nextInt(late.size)]
-                if (frame.leaderTerm == term) mirror.take(frame)
+                if (frame.leaderTerm == term) leader.receive(frame)
             }
             if (random.nextInt(60) == 0) {
                 term++
-                mirror = Mirror(earlierVersion)
+                leader = LeaderView(earlierVersion)
             }
-            // A word of the leader comes late or never, too.
-            if (random.nextInt(3) > 0) word(term, mirror.version)
-            assertTrue(mirror.seq <= mirror.wholeSeq) { "a piece claims ${mirror.seq}, whole frames ${mirror.wholeSeq} (seed $seed)" }
+            // Frames of the leader come late or never, too.
+            if (random.nextInt(3) > 0) leaderFrame(term, leader.version)
+            assertTrue(leader.seq <= leader.wholeSeq) { "a piece claims ${leader.seq}, whole frames ${leader.wholeSeq} (seed $seed)" }
         }
         repeat(2 + MACHINES) {
-            word(term, mirror.version)
-            told()?.let(mirror::take)
+            leaderFrame(term, leader.version)
+            nextFrame()?.let(leader::receive)
         }
         for ((name, rows) in tasks) {
-            val listed = mirror.machines[name]?.tasks.orEmpty()
+            val listed = leader.machines[name]?.tasks.orEmpty()
             assertTrue(listed.size == rows.size && listed.all { rows[it.attempt]?.phase == it.phase }) {
                 "$name has ${rows.values}, the leader knows $listed (seed $seed)"
             }
@@ -149,7 +149,7 @@
 
     private fun Set<Long>.randomOrNull(random: Random) = if (isEmpty()) null else elementAt(random.nextInt(size))
 
-    /** Counted, not timed: what is told does not grow with what there is. */
+    /** Counted, not timed: the size of a frame does not grow with the number of machines and tasks. */
     @Example
     fun `a change costs the leader one task, on a machine of many and among many machines`() {
         for (machines in listOf(400, 1600)) {
@@ -160,13 +160,13 @@
                 }
                 heartbeat("m$m")
             }
-            word(machines.toLong(), 0)
+            leaderFrame(machines.toLong(), 0)
             var acked = 0L
             while (true) {
-                val frame = told() ?: break
+                val frame = nextFrame() ?: break
                 assertTrue(frame.machines.size <= 100 * (machines / 400)) { "${frame.machines.size} of $machines machines in one frame" }
                 acked = frame.version
-                word(machines.toLong(), acked)
+                leaderFrame(machines.toLong(), acked)
                 if (frame.whole) break
             }
             val one =
@@ -177,7 +177,7 @@
                     .attempt
             tasks.getValue("m7")[one] = tasks.getValue("m7").getValue(one).copy(phase = TaskPhase.ENDED, cause = "done")
             heartbeat("m7")
-            val news = told()!!
+            val news = nextFrame()!!
             assertTrue(
                 news.machines.sumOf { it.tasks.size } == 1 && news.machines.size == 1,
             ) { "of $machines machines: ${news.machines}" }
@@ -189,63 +189,63 @@
      * holds, and the first piece said again that all was told up to the start, without its machine.
      */
     @Example
-    fun `a piece does not claim what only a whole frame that was lost has told`() {
+    fun `a partial frame does not claim what only a whole frame that was lost has carried`() {
         setting = Setting(maxMachinesPerFrame = 1)
         listOf("m1", "m2").forEach(::heartbeat)
-        word(1, 0)
+        leaderFrame(1, 0)
         val confirmed = acknowledgeAll()
-        word(1, confirmed.version, started = "m1")
-        val lost = told()!!
+        leaderFrame(1, confirmed.version, started = "m1")
+        val lost = nextFrame()!!
         assertTrue(lost.whole && lost.seq == seq && lost.machines.single().name == "m1") { "$lost" }
         listOf("m2", "m1").forEach { machine ->
             tasks.getOrPut(machine) { HashMap() }[++attempts] = TaskReport("j-2/$attempts", attempts, TaskPhase.RUNNING, null)
             heartbeat(machine)
         }
-        val piece = told()!!
+        val piece = nextFrame()!!
         assertTrue(!piece.whole && piece.machines.single().name == "m2") { "$piece" }
         assertTrue(piece.seq <= confirmed.seq) { "claims ${piece.seq} although only ${confirmed.seq} is known to have arrived" }
         // By pieces the leader comes to a higher version than the lost frame's, which is no word that it has that one.
-        word(1, piece.version)
+        leaderFrame(1, piece.version)
         heartbeat("m2")
         tasks.getValue("m2")[++attempts] = TaskReport("j-2/$attempts", attempts, TaskPhase.RUNNING, null)
         heartbeat("m2")
         tasks.getValue("m1")[++attempts] = TaskReport("j-2/$attempts", attempts, TaskPhase.RUNNING, null)
         heartbeat("m1")
-        val next = told()!!
+        val next = nextFrame()!!
         assertTrue(!next.whole && next.seq <= confirmed.seq) { "claims ${next.seq} after a piece was acknowledged" }
     }
 
     @Example
-    fun `once a whole frame is acknowledged the pieces after it say what it has told`() {
+    fun `once a whole frame is acknowledged the partial frames after it claim what it has carried`() {
         setting = Setting(maxMachinesPerFrame = 1)
         listOf("m1", "m2").forEach(::heartbeat)
-        word(1, 0)
+        leaderFrame(1, 0)
         acknowledgeAll()
-        val whole = told()!!
-        word(1, whole.version)
+        val whole = nextFrame()!!
+        leaderFrame(1, whole.version)
         listOf("m2", "m1").forEach { machine ->
             tasks.getOrPut(machine) { HashMap() }[++attempts] = TaskReport("j-2/$attempts", attempts, TaskPhase.RUNNING, null)
             heartbeat(machine)
         }
-        val piece = told()!!
+        val piece = nextFrame()!!
         assertTrue(!piece.whole && piece.seq == whole.seq) { "says ${piece.seq}, the leader has ${whole.seq}" }
     }
 
     /** With a hundred machines a frame, whatever their number, no frame of so many was ever whole, and the leader concluded nothing. */
     @Example
-    fun `a partition of 4,000 or 6,000 machines tells all although machines change all the time`() {
+    fun `a partition of 4,000 or 6,000 machines sends whole frames although machines change all the time`() {
         for (count in listOf(4_000, 6_000)) {
             setting = Setting()
             val machines = List(count) { "m$it" }
             machines.forEach(::heartbeat)
-            word(1, 0)
+            leaderFrame(1, 0)
             acknowledgeAll()
             var next = 0
             val whole =
                 (1..ROUNDS).count {
                     repeat(count / CHANGING_SHARE) { change(machines[next++ % count]) }
-                    val frame = told()!!
-                    word(1, frame.version)
+                    val frame = nextFrame()!!
+                    leaderFrame(1, frame.version)
                     frame.whole
                 }
             assertEquals(ROUNDS, whole) { "$count machines: $whole of $ROUNDS frames told all" }
@@ -260,12 +260,12 @@
             repeat(60) { rows[++attempts] = TaskReport("j-000001/$attempts", attempts, TaskPhase.RUNNING, null) }
             heartbeat(machine)
         }
-        word(1, 0)
+        leaderFrame(1, 0)
         val sizes = ArrayList<Int>()
         while (true) {
-            val frame = told()!!
+            val frame = nextFrame()!!
             sizes += FrameCodec.encode(frame).size
-            word(1, frame.version)
+            leaderFrame(1, frame.version)
             if (frame.whole) break
         }
         assertTrue(sizes.max() < 4 * 1024 * 1024) { "$sizes" }
@@ -277,11 +277,11 @@
         tasks.getValue(machine).clear()
     }
 
-    /** Pieces up to a whole frame, each acknowledged; returns the whole one. */
+    /** Acknowledges frames up to the first whole one, which is returned. */
     private fun acknowledgeAll(): PartitionFrame {
         while (true) {
-            val frame = told()!!
-            word(1, frame.version)
+            val frame = nextFrame()!!
+            leaderFrame(1, frame.version)
             if (frame.whole) return frame
         }
     }
--- a/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
@@ -5,26 +5,32 @@
 import lichenstage.cluster.PlacementRequest
 import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.StartOrder
+import lichenstage.cluster.TaskEndCause
 import lichenstage.cluster.TaskPhase
 import lichenstage.common.SECOND
+import lichenstage.jobs.JobEnds
 import lichenstage.model.JobRequirements
 import lichenstage.model.MachineLimits
 import lichenstage.model.Shape
 
 /** A partition of one zone, its machines and a leader, for tests. */
-abstract class PartitionFixture {
+internal abstract class PartitionFixture {
     protected val requirements = JobRequirements(Shape(4.0, 0.0, 1.0), "img")
     protected var seq = 0L
-    protected var tally = 0L
+    private var sequence = 0L
 
-    protected fun partition() = PartitionCore("z/0", "z", 5, LEASE, 3 * SECOND, 0) { MachineLimits("t", Shape(8.0, 0.0, 64.0)) }
+    /** A partition under term 5 that was acquired at 0; its machines have 8 cores. */
+    protected fun partition(
+        jobEnds: JobEnds = JobEnds.NONE,
+        limitsOf: (String) -> MachineLimits? = { MACHINE_LIMITS },
+    ) = PartitionCore(PartitionParameters("z/0", "z", TERM, LEASE, 3 * SECOND, 0), jobEnds, limitsOf = limitsOf)
 
     protected fun heartbeat(
         fencingToken: Long,
         vararg tasks: TaskReport,
         agentEpoch: Long = 1,
         machine: String = "m",
-    ) = Heartbeat(machine, "1.2.3.4:5", "t", "z", false, agentEpoch, ++tally, fencingToken, null, tasks.toList())
+    ) = Heartbeat(machine, "1.2.3.4:5", "t", "z", false, agentEpoch, ++sequence, fencingToken, null, tasks.toList())
 
     protected fun frame(
         term: Long = 1,
@@ -34,7 +40,7 @@
         clears: List<AttemptOrder> = emptyList(),
     ) = PlacementFrame("z/0", term, ++seq, 0, 0, requests = requests, starts = starts, stops = stops, clears = clears)
 
-    protected fun ask(
+    protected fun request(
         stamp: Long,
         count: Int,
     ) = PlacementRequest(stamp, "j-1", requirements, count, null, null, true)
@@ -44,41 +50,57 @@
         now: Long,
     ) = (onHeartbeat(heartbeat, now) as HeartbeatOutcome.Accepted).commands
 
-    /** A partition with a settled machine on which j-1/0 was started as try 1; its direct order is returned. */
+    /** Has the partition start j-1/0 as attempt 1 on the machine m, which has shown its token; returns the direct order. */
     protected fun started(
         partition: PartitionCore,
         now: Long = 1,
     ): DirectOrder {
         partition.onHeartbeat(heartbeat(0), now)
         partition.onHeartbeat(heartbeat(5), now)
-        partition.onLeaderFrame(frame(requests = listOf(ask(1, 1))), now)
+        partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), now)
         partition.onLeaderFrame(frame(starts = listOf(StartOrder(1, "m", 0, 1))), now)
         return partition.nextDirectOrders(now).single()
     }
 
-    protected fun saveFrame(leewayS: Long = 5) =
+    protected fun checkpointStopFrame(leewayS: Long = 5) =
         PlacementFrame("z/0", 1, ++seq, 0, 0, saves = listOf(SaveOrder("m", "j-1/0", 1, leewayS * SECOND)))
 
-    protected fun task(phase: TaskPhase) = TaskReport("j-1/0", 1, phase, if (phase == TaskPhase.ENDED) "halted" else null)
+    protected fun task(phase: TaskPhase) = TaskReport("j-1/0", 1, phase, if (phase == TaskPhase.ENDED) TaskEndCause.HALTED else null)
 
-    /** A partition with j-1/0 running as try 1 on machine m. */
+    /** A partition with j-1/0 running as attempt 1 on machine m. */
     protected fun running(): PartitionCore {
         val partition = partition()
         partition.onOrderOutcome(started(partition), OrderOutcome.Answered(true, heartbeat(5, task(TaskPhase.RUNNING))), 2)
         return partition
     }
 
+    /** The next frame's last offer. */
+    protected fun lastOffer(
+        partition: PartitionCore,
+        now: Long,
+    ) = partition.nextFrame(now)!!.offers.last()
+
+    /** The next frame's offer, the only one in it. */
+    protected fun onlyOffer(
+        partition: PartitionCore,
+        now: Long,
+    ) = partition.nextFrame(now)!!.offers.single()
+
+    /** The next frame's machine, the only one in it. */
+    protected fun onlyMachine(
+        partition: PartitionCore,
+        now: Long,
+    ) = partition.nextFrame(now)!!.machines.single()
+
+    /** The machines of the next frame's last offer. */
     protected fun offered(
         partition: PartitionCore,
         now: Long,
-    ) = partition
-        .nextFrame(now)!!
-        .offers
-        .last()
-        .held
-        .map { it.machine }
+    ) = lastOffer(partition, now).held.map { it.machine }
 
     companion object {
+        const val TERM = 5L
+        val MACHINE_LIMITS = MachineLimits("t", Shape(8.0, 0.0, 64.0))
         const val LEASE = 20 * SECOND
     }
 }
--- a/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
@@ -4,8 +4,6 @@
 import lichenstage.cluster.StartOrder
 import lichenstage.cluster.TaskPhase
 import lichenstage.common.SECOND
-import lichenstage.model.MachineLimits
-import lichenstage.model.Shape
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -13,7 +11,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 /** Commands to workers: when they go out, are repeated, and when nothing of a start can be under way any more. */
-class PartitionOrdersTest : PartitionFixture() {
+internal class PartitionOrdersTest : PartitionFixture() {
     /** Guards against cancelled tasks that run on while starts of a burst take all connections. */
     @Example
     fun `where connections are few, what must stop goes before what may start`() {
@@ -21,16 +19,16 @@
         for (name in listOf("m1", "m2")) partition.onHeartbeat(heartbeat(5, machine = name), 1)
         partition.onHeartbeat(heartbeat(5, TaskReport("j-9/0", 9, TaskPhase.RUNNING, null), machine = "m3"), 2)
         partition.nextDirectOrders(2)
-        partition.onLeaderFrame(frame(requests = listOf(ask(1, 4))), 3)
+        partition.onLeaderFrame(frame(requests = listOf(request(1, 4))), 3)
         val starts = listOf("m1", "m2").mapIndexed { i, name -> StartOrder(1, name, i, 10L + i) }
         partition.onLeaderFrame(frame(starts = starts, stops = listOf(AttemptOrder("m3", "j-9/0", 9))), 4)
-        assertTrue(partition.nextDirectOrders(5, most = 0).isEmpty()) { "sent without a connection" }
-        assertEquals(listOf("m3"), partition.nextDirectOrders(5, most = 1).map { it.machine }) { "the stop was not first" }
-        assertEquals(listOf("m1", "m2"), partition.nextDirectOrders(6, most = 9).map { it.machine }) { "the starts did not follow" }
+        assertTrue(partition.nextDirectOrders(5, limit = 0).isEmpty()) { "sent without a connection" }
+        assertEquals(listOf("m3"), partition.nextDirectOrders(5, limit = 1).map { it.machine }) { "the stop was not first" }
+        assertEquals(listOf("m1", "m2"), partition.nextDirectOrders(6, limit = 9).map { it.machine }) { "the starts did not follow" }
     }
 
     @Example
-    fun `what ended is forgotten only when no repeat of its start can land, which a newer token shows and no span of time`() {
+    fun `what ended is cleared only when no repeat of its start can be executed, which a newer token proves and no elapsed time`() {
         for (cause in listOf("done", "error")) {
             val partition = partition()
             val order = started(partition)
@@ -52,7 +50,7 @@
 
     /** Guards against a held order that starts a task again after it was done, perhaps of a job that was cancelled since. */
     @Example
-    fun `a task that is done although its order got no answer is forgotten only under a newer token`() {
+    fun `a task that is done although its order got no answer is cleared only under a newer token`() {
         val partition = partition()
         val order = started(partition)
         val done = TaskReport("j-1/0", 1, TaskPhase.ENDED, "done")
@@ -67,7 +65,7 @@
     }
 
     @Example
-    fun `no clear while a report answer with the start may still land`() {
+    fun `no clear is sent while the start may still be executed from the answer to a heartbeat`() {
         val partition = partition()
         val order = started(partition)
         val ended = TaskReport("j-1/0", 1, TaskPhase.ENDED, "done")
@@ -79,13 +77,13 @@
     }
 
     @Example
-    fun `a task that is to save is stopped with leeway once, and again only when the first stop must have been lost`() {
+    fun `a checkpoint stop is sent once, and again only when the first one must have been lost`() {
         val partition = running()
-        partition.onLeaderFrame(saveFrame(), SECOND)
+        partition.onLeaderFrame(checkpointStopFrame(), SECOND)
         val order = partition.nextDirectOrders(SECOND).single()
         assertEquals(listOf(Command.Stop("j-1/0", 1, 5.0)), order.commands) { "$order" }
         partition.onOrderOutcome(order, OrderOutcome.NotSent, SECOND)
-        partition.onLeaderFrame(saveFrame(), 3 * SECOND)
+        partition.onLeaderFrame(checkpointStopFrame(), 3 * SECOND)
         assertTrue(partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 4 * SECOND).isEmpty()) { "a second stop may end the saving" }
         val again = partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 8 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 5.0)), again) { "$again" }
@@ -96,7 +94,7 @@
     @Example
     fun `a saving task whose job is cancelled is ended by a second stop`() {
         val partition = running()
-        partition.onLeaderFrame(saveFrame(), SECOND)
+        partition.onLeaderFrame(checkpointStopFrame(), SECOND)
         partition.nextDirectOrders(SECOND)
         partition.onHeartbeat(heartbeat(5, task(TaskPhase.SAVING)), 2 * SECOND)
         partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2 * SECOND)
@@ -105,9 +103,9 @@
     }
 
     @Example
-    fun `a task that is to save and of which nothing is heard stays counted until its machine's lease has run out`() {
+    fun `a task with a checkpoint stop without an answer stays counted until its machine's lease has expired`() {
         val partition = running()
-        partition.onLeaderFrame(saveFrame(), SECOND)
+        partition.onLeaderFrame(checkpointStopFrame(), SECOND)
         partition.onOrderOutcome(partition.nextDirectOrders(SECOND).single(), OrderOutcome.Indeterminate, 4 * SECOND)
         assertTrue(partition.nextDirectOrders(5 * SECOND).isEmpty()) { "ordered although it does not answer" }
 
@@ -120,61 +118,41 @@
                 .orEmpty()
         assertEquals(TaskPhase.RUNNING, listed(5 * SECOND).single().phase) { "taken for gone" }
         partition.tick(2 * LEASE)
-        assertTrue(
-            partition
-                .nextFrame(2 * LEASE)!!
-                .machines
-                .single()
-                .lost,
-        ) { "not lost after its lease" }
+        assertTrue(onlyMachine(partition, 2 * LEASE).lost) { "not lost after its lease" }
     }
 
     @Example
-    fun `a machine that does not heed an order is not offered until it answers one, however often it reports`() {
+    fun `a machine that does not answer an order is not offered until it answers one, however many heartbeats it sends`() {
         val partition = partition()
         val order = started(partition)
         partition.onOrderOutcome(order, OrderOutcome.Indeterminate, 3 * SECOND)
         partition.onHeartbeat(heartbeat(5), 4 * SECOND)
-        partition.onLeaderFrame(frame(requests = listOf(ask(2, 1))), 4 * SECOND)
+        partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), 4 * SECOND)
         assertTrue(offered(partition, 4 * SECOND).isEmpty()) { "offered although nothing reaches it" }
         val probe = partition.nextProbes(5 * SECOND).single()
-        partition.onProbeResult(probe, heartbeat(5, TaskReport("j-1/0", 1, TaskPhase.RUNNING, null)), 5 * SECOND)
-        partition.onLeaderFrame(frame(requests = listOf(ask(3, 1))), 5 * SECOND)
-        assertEquals(listOf("m"), offered(partition, 5 * SECOND)) { "not offered although it heeds again" }
+        partition.onProbeResult(probe, heartbeat(5, task(TaskPhase.RUNNING)), 5 * SECOND)
+        partition.onLeaderFrame(frame(requests = listOf(request(3, 1))), 5 * SECOND)
+        assertEquals(listOf("m"), offered(partition, 5 * SECOND)) { "not offered although it answers again" }
     }
 
     @Example
-    fun `a machine whose lease ran out although it was answered has to heed an order first`() {
+    fun `a machine whose lease expired although it was answered has to answer an order first`() {
         val partition = partition()
         started(partition)
         partition.onHeartbeat(heartbeat(5, agentEpoch = 2), 20 * SECOND)
-        partition.onLeaderFrame(frame(requests = listOf(ask(2, 1))), 20 * SECOND)
+        partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), 20 * SECOND)
         assertTrue(offered(partition, 20 * SECOND).isEmpty()) { "offered" }
         assertEquals(2L, partition.nextProbes(20 * SECOND).single().agentEpoch) { "not asked" }
     }
 
     @Example
-    fun `a start that is no longer wanted and that nobody got never happened`() {
+    fun `a start that is no longer wanted and whose order was never sent is removed`() {
         val partition = partition()
         val order = started(partition)
         partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
-        assertEquals(
-            1,
-            partition
-                .nextFrame(2)!!
-                .machines
-                .single()
-                .tasks.size,
-        ) { "forgotten with an order under way" }
+        assertEquals(1, onlyMachine(partition, 2).tasks.size) { "forgotten with an order under way" }
         partition.onOrderOutcome(order, OrderOutcome.NotSent, 3)
-        assertTrue(
-            partition
-                .nextFrame(SECOND)!!
-                .machines
-                .single()
-                .tasks
-                .isEmpty(),
-        ) { "kept" }
+        assertTrue(onlyMachine(partition, SECOND).tasks.isEmpty()) { "kept" }
     }
 
     @Example
@@ -236,7 +214,7 @@
     private fun startedByAnswer(partition: PartitionCore): Heartbeat {
         partition.onHeartbeat(heartbeat(0), 1)
         partition.onHeartbeat(heartbeat(5), 1)
-        partition.onLeaderFrame(frame(requests = listOf(ask(1, 1))), 1)
+        partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), 1)
         partition.onLeaderFrame(frame(starts = listOf(StartOrder(1, "m", 0, 1))), 1)
         val answered = heartbeat(5)
         assertTrue(partition.commands(answered, SECOND).single() is Command.Start) { "no start in the answer" }
@@ -255,7 +233,7 @@
 
     /** Guards against a limit that is exceeded, or a task that runs twice: the worker took the answer, and its reports were lost. */
     @Example
-    fun `a start sent in an answer counts until its machine has sent a later report without it, however long that takes`() {
+    fun `a start sent in an answer counts until its machine has sent a later heartbeat without it, however long that takes`() {
         val partition = partition()
         val answered = startedByAnswer(partition)
         partition.tick(10 * SECOND)
@@ -276,30 +254,22 @@
         val partition = partition()
         startedByAnswer(partition)
         partition.tick(10 * SECOND)
-        val commands = partition.commands(heartbeat(5, TaskReport("j-1/0", 1, TaskPhase.RUNNING, null)), 11 * SECOND)
+        val commands = partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 11 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "$commands" }
     }
 
     @Example
-    fun `a part stops what it knows to be over and takes no more of it, whatever its leader says`() {
+    fun `a partition stops the tasks of a job that it knows to be over and starts no more, whatever its leader says`() {
         val ends = FakeJobEnds(LEASE) { 0 }
-        val partition =
-            PartitionCore("z/0", "z", 5, LEASE, 3 * SECOND, 0, jobEnds = ends) { MachineLimits("t", Shape(8.0, 0.0, 64.0)) }
+        val partition = partition(jobEnds = ends)
         started(partition)
-        partition.onLeaderFrame(frame(requests = listOf(ask(2, 1))), SECOND)
-        partition.commands(heartbeat(5, TaskReport("j-1/0", 1, TaskPhase.RUNNING, null)), SECOND)
+        partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), SECOND)
+        partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), SECOND)
         ends.end("j-1")
-        partition.onLeaderFrame(frame(requests = listOf(ask(3, 1)), starts = listOf(StartOrder(2, "m", 1, 2))), 2 * SECOND)
-        assertTrue(
-            partition
-                .nextFrame(2 * SECOND)!!
-                .offers
-                .last()
-                .held
-                .isEmpty(),
-        ) { "offered for a job that is over" }
+        partition.onLeaderFrame(frame(requests = listOf(request(3, 1)), starts = listOf(StartOrder(2, "m", 1, 2))), 2 * SECOND)
+        assertTrue(lastOffer(partition, 2 * SECOND).held.isEmpty()) { "offered for a job that is over" }
         partition.tick(3 * SECOND)
-        val commands = partition.commands(heartbeat(5, TaskReport("j-1/0", 1, TaskPhase.RUNNING, null)), 3 * SECOND)
+        val commands = partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 3 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "not just stopped: $commands" }
     }
 }
--- a/src/test/kotlin/lichenstage/partition/WorkerCodecTest.kt
+++ b/src/test/kotlin/lichenstage/partition/WorkerCodecTest.kt
@@ -9,10 +9,11 @@
 import net.jqwik.api.Property
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
-/** The words of the worker protocol, written and read. */
+/** Messages of the worker protocol, encoded and decoded. */
 class WorkerCodecTest {
     private fun command(random: Random): Command {
         val task = "j-${random.nextInt(1000)}/${random.nextInt(100)}"
@@ -32,7 +33,7 @@
         val commands = List(random.nextInt(20)) { command(random) }
         val fencingToken = random.nextLong() and Long.MAX_VALUE
         val agentEpoch = random.nextInt(1000).toLong().takeIf { random.nextBoolean() }
-        val json = JsonObject(WorkerCodec.orders(fencingToken, commands, agentEpoch))
+        val json = JsonObject(WorkerCodec.encodeCommands(fencingToken, commands, agentEpoch))
         assertEquals(fencingToken, json.getLong("warrant")) { "$json" }
         assertEquals(agentEpoch != null, json.fieldNames().contains("tenure")) { "$json" }
         assertEquals(agentEpoch, json.getLong("tenure") as Long?) { "$json" }
@@ -52,9 +53,9 @@
     }
 
     @Example
-    fun `a report is read, with fields that are not known or left out`() {
+    fun `a heartbeat is decoded, with fields that are not known or left out`() {
         val heartbeat =
-            WorkerCodec.heartbeat(
+            WorkerCodec.decodeHeartbeat(
                 Buffer.buffer(
                     """{"holdfast":"vm-1","addr":"10.0.0.1:9","build":"g8","yard":"a","loaners":true,"tenure":2,"tally":7,"new":{"x":[1]},
                        "recall_s":1.5,"parts":[{"part":"j-1/3","try":4,"status":"pulling"},
@@ -66,19 +67,34 @@
     }
 
     @Example
-    fun `what is no report is null`() {
-        val wrong =
+    fun `a body that is not a heartbeat is refused with the field that is wrong`() {
+        val rejected =
             listOf(
-                "",
-                "[]",
-                "{",
-                "{}",
-                """{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":1}""",
-                """{"holdfast":7,"addr":"a","build":"b","yard":"z","tenure":1,"tally":1}""",
-                """{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":"x","tally":1}""",
-                """{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":1,"tally":1,"parts":{}}""",
-                """{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":1,"tally":1,"parts":[{"part":"j-1/1"}]}""",
+                "" to null,
+                "[]" to null,
+                "{" to null,
+                "{}" to "holdfast",
+                """{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":1}""" to "tally",
+                """{"holdfast":7,"addr":"a","build":"b","yard":"z","tenure":1,"tally":1}""" to "holdfast",
+                """{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":"x","tally":1}""" to "tenure",
+                """{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":1,"tally":1,"parts":{}}""" to "parts",
+                """{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":1,"tally":1,"parts":[{"part":"j-1/1"}]}""" to "try",
             )
-        for (text in wrong) assertNull(WorkerCodec.heartbeat(Buffer.buffer(text))) { text }
+        for ((body, field) in rejected) assertEquals(field, refusal(body).field) { body }
     }
+
+    /** Guards against a parser that never came to an end: the nested value hid the end of the object. */
+    @Example
+    fun `a body with a nested value in place of a boolean is refused`() {
+        assertNull(refusal("""{"loaners":[1,2]}""").field)
+    }
+
+    @Example
+    fun `a refusal names the field and what was expected there`() {
+        val refusal = refusal("""{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":"x","tally":1}""")
+        assertEquals("tenure: expected an integer", refusal.message)
+    }
+
+    private fun refusal(body: String): InvalidHeartbeatException =
+        assertThrows(InvalidHeartbeatException::class.java) { WorkerCodec.decodeHeartbeat(Buffer.buffer(body)) }
 }
--- a/src/test/kotlin/lichenstage/world/SimulatedController.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedController.kt
@@ -19,6 +19,7 @@
 import lichenstage.partition.HeartbeatOutcome
 import lichenstage.partition.OrderOutcome
 import lichenstage.partition.PartitionCore
+import lichenstage.partition.PartitionParameters
 import lichenstage.partition.StatusProbe
 import lichenstage.world.SimulationContext.Companion.CANCEL_US
 import lichenstage.world.SimulationContext.Companion.CONTROLLERS
@@ -153,7 +154,8 @@
         val lease = if (mutation == Mutation.SHORT_LEASE) WORKER_LEASE_US / 5 else WORKER_LEASE_US
         val zone = context.assignment.zone(partition)!!
         val events = context.orderEvents::add
-        return PartitionCore(partition, zone, term, lease, 3 * SECOND, now, jobEnds(), context.profile.machinesInFrame, events) {
+        val parameters = PartitionParameters(partition, zone, term, lease, 3 * SECOND, now, context.profile.machinesInFrame)
+        return PartitionCore(parameters, jobEnds(), events) {
             MachineLimits("type", Shape(MACHINE_CORES, 0.0, MACHINE_MEMORY_GB))
         }
     }
