--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -32,11 +32,11 @@
 import lichenstage.common.timeOfDayUs
 import lichenstage.config.Settings
 import lichenstage.fleet.FleetPolicy
+import lichenstage.jobs.DependencyGraph
 import lichenstage.jobs.JobReplica
 import lichenstage.jobs.JobReplicaSync
 import lichenstage.jobs.JobsActor
 import lichenstage.jobs.JobsMessage
-import lichenstage.jobs.Pipelines
 import lichenstage.jobs.RecordLimits
 import lichenstage.partition.OrderJournal
 import lichenstage.partition.OwnedPartitions
@@ -88,13 +88,13 @@
         JobReplica(
             timeOfDayUs(),
             others.toSet().takeIf { settings.count == controllers },
-            JobReplica.bound(settings.cancelUs, settings.workerLeaseUs),
+            JobReplica.maxStalenessUs(settings.cancelUs, settings.workerLeaseUs),
         )
-    private val pipelines = Pipelines()
+    private val dependencyGraph = DependencyGraph()
     private val replicaSync =
         JobReplicaSync(
             replica,
-            pipelines,
+            dependencyGraph,
             others,
             state,
             clock,
@@ -111,10 +111,10 @@
             authority::stateAnswers,
             forwarder,
             replica,
-            pipelines,
+            dependencyGraph,
             clock,
             RecordLimits(settings.txnOps, settings.valueBytes),
-            replicaSync::cancelled,
+            replicaSync::jobCancelled,
             scope,
         )
     private val partition =
@@ -164,7 +164,7 @@
      * day: 12 s from the start of listening to the lease.) Who finds nobody listening tries another controller.
      */
     private suspend fun serveOnceReady() {
-        while (!authority.ready() || !replica.current(clock.now())) delay(READY_CHECK_MS)
+        while (!authority.ready() || !replica.isCurrent(clock.now())) delay(READY_CHECK_MS)
         api.start()
     }
 
@@ -206,7 +206,7 @@
                 catalog,
                 clock,
                 replicaSync,
-                pipelines,
+                dependencyGraph,
                 scope,
                 mine.term,
                 mine.stamp,
@@ -224,7 +224,7 @@
         from: String,
         frame: ForwardedRequest,
     ) = jobs.tell(
-        JobsMessage.Asked(frame.verb, frame.text, forwarded = true) {
+        JobsMessage.UserRequest(frame.verb, frame.text, forwarded = true) {
             links.send(from, ForwardedReply(frame.number, it.status, it.body.encode(), it.retryAfterS))
         },
     )
@@ -241,10 +241,10 @@
             is ForwardedReply -> forwarder.answered(frame)
             is MoratoriumRequest -> authority.asked(from, frame)
             is MoratoriumGrant -> authority.answered(from, frame)
-            is CompletionSyncRequest -> replicaSync.asked(from, frame)
-            is CompletionSyncReply -> replicaSync.answered(from, frame)
-            is JobsEnded -> replicaSync.told(frame)
-            is TaskCounts -> jobs.tell(JobsMessage.Counted(frame))
+            is CompletionSyncRequest -> replicaSync.onSyncRequest(from, frame)
+            is CompletionSyncReply -> replicaSync.onSyncReply(from, frame)
+            is JobsEnded -> replicaSync.onJobsEnded(frame)
+            is TaskCounts -> jobs.tell(JobsMessage.TaskCountsReceived(frame))
         }
     }
 
--- a/src/main/kotlin/lichenstage/app/HttpApi.kt
+++ b/src/main/kotlin/lichenstage/app/HttpApi.kt
@@ -136,7 +136,7 @@
         request: HttpServerRequest,
         verb: UserVerb,
         text: String,
-    ) = jobs.tell(JobsMessage.Asked(verb, text) { reply(request, it) })
+    ) = jobs.tell(JobsMessage.UserRequest(verb, text) { reply(request, it) })
 
     /** Times a request of [caller] until its answer is written. */
     private fun timed(
--- a/src/main/kotlin/lichenstage/app/WarmUp.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUp.kt
@@ -1,13 +1,18 @@
 package lichenstage.app
 
 import io.vertx.core.buffer.Buffer
+import java.io.File
+import java.io.IOException
+import java.net.ServerSocket
+import java.net.Socket
+import java.util.zip.ZipFile
 import lichenstage.cluster.FrameCodec
 import lichenstage.cluster.PartitionFrame
 import lichenstage.cluster.PlacementFrame
 import lichenstage.common.SECOND
 import lichenstage.config.Settings
 import lichenstage.config.Team
-import lichenstage.jobs.JobRecord
+import lichenstage.jobs.JobRecordCodec
 import lichenstage.model.JobSpec
 import lichenstage.model.MachineLimits
 import lichenstage.model.PartitionAssignment
@@ -22,11 +27,6 @@
 import lichenstage.placement.LeaderEffect
 import lichenstage.placement.PlacementSettings
 import lichenstage.placement.ServiceObjectives
-import java.io.File
-import java.io.IOException
-import java.net.ServerSocket
-import java.net.Socket
-import java.util.zip.ZipFile
 
 /**
  * A start on loopback for the class-data archive: the classes that a controller loads at its start, as a leader and as an owner of
@@ -123,7 +123,7 @@
         }
     val spec =
         JobSpec("j-1", "c", "t", Priority.HIGH, 1, shape, null, null, false, false, true, "i", 1.0, SECOND, 0, 0, null, 0)
-    leader.jobAdded(Job(JobRecord.decode(JobRecord.encode(spec)), 1, 0))
+    leader.jobAdded(Job(JobRecordCodec.decode(JobRecordCodec.encode(spec)), 1, 0))
     leader.machinesRegistered(mapOf("m" to "z/0"))
     val partition = PartitionCore(PartitionParameters("z/0", "z", 2, 20 * SECOND, SECOND, 0)) { MachineLimits("b", shape) }
     for (now in 1L..6L) {
--- a/src/main/kotlin/lichenstage/drain/DrainOperations.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainOperations.kt
@@ -1,7 +1,7 @@
 package lichenstage.drain
 
 import lichenstage.config.Settings
-import lichenstage.jobs.JobRecord
+import lichenstage.jobs.JobRecordCodec
 import lichenstage.placement.RegisteredMachine
 import lichenstage.placement.Registry
 import lichenstage.state.Change
@@ -85,7 +85,7 @@
 
     private suspend fun begun(request: DrainRequest): DrainAnswer {
         val machines = read(Registry.PREFIX).flatMap { Registry.decode(it.value) }
-        val boundZones = read(JobRecord.OPEN).mapNotNullTo(HashSet()) { JobRecord.decode(it.value).zone }
+        val boundZones = read(JobRecordCodec.OPEN).mapNotNullTo(HashSet()) { JobRecordCodec.decode(it.value).zone }
         refusal(request, machines, boundZones)?.let { throw CantBeDone(it) }
         val selected = machines.filter { it in request.selection }.sortedBy { it.name }
         return if (request.dryRun) DrainAnswer.Planned(request, selected) else write(request, selected)
--- a/src/main/kotlin/lichenstage/jobs/DoneRanges.kt
+++ b/src/main/kotlin/lichenstage/jobs/CompletedTaskRanges.kt
@@ -8,7 +8,7 @@
  * The done tasks of a job, in chunks that each fit a value of the state service in any pattern: as ranges while those are
  * the shorter form, else as a bitmap.
  */
-object DoneRanges {
+object CompletedTaskRanges {
     /** A bitmap of this many tasks takes 2,732 characters. */
     const val CHUNK = 16_384
 
@@ -22,7 +22,7 @@
     fun key(
         job: String,
         chunk: Int,
-    ) = "${JobRecord.DONE}$job/$chunk"
+    ) = "${JobRecordCodec.DONE}$job/$chunk"
 
     /** The value of a chunk: ranges, or a bitmap where that is shorter. */
     fun encode(
--- a/src/main/kotlin/lichenstage/jobs/Pipelines.kt
+++ b/src/main/kotlin/lichenstage/jobs/DependencyGraph.kt
@@ -1,7 +1,7 @@
 package lichenstage.jobs
 
 /** How a job ended, and when by the time of day; null where that is not recorded. */
-data class Outcome(
+data class JobOutcome(
     val done: Boolean,
     val atUs: Long?,
 )
@@ -29,38 +29,38 @@
  * so each controller may find it out for itself, at any time and after any change of leader. A change costs by the jobs that wait for
  * what has changed.
  */
-class Pipelines {
+class DependencyGraph {
     private val dependenciesByJob = HashMap<String, List<String>>()
     private val dependentsByJob = HashMap<String, LinkedHashSet<String>>()
 
     /** Of jobs that others need and that are over. */
-    private val outcomes = HashMap<String, Outcome>()
+    private val outcomes = HashMap<String, JobOutcome>()
     private val open = HashSet<String>()
 
     /** Needed jobs that are over, of which it is not known how they ended. */
-    private val unresolved = LinkedHashSet<String>()
+    private val unresolvedJobs = LinkedHashSet<String>()
 
     /** Open jobs of which one that they need is cancelled, directly or through others. */
     private val orphaned = LinkedHashSet<String>()
 
     /** There is an open record of the job. */
-    fun opened(
+    fun jobOpened(
         job: String,
         dependencies: List<String>,
     ) {
         if (!open.add(job)) return
-        unresolved -= job
+        unresolvedJobs -= job
         if (dependencies.isEmpty()) return
         dependenciesByJob[job] = dependencies
         for (dependency in dependencies) {
             dependentsByJob.getOrPut(dependency) { LinkedHashSet() } += job
-            if (dependency !in open && dependency !in outcomes) unresolved += dependency
+            if (dependency !in open && dependency !in outcomes) unresolvedJobs += dependency
         }
         if (dependencies.any { it in orphaned || outcomes[it]?.done == false }) orphan(job)
     }
 
     /** The record of the job is gone. */
-    fun ended(job: String) {
+    fun jobClosed(job: String) {
         if (!open.remove(job)) return
         orphaned -= job
         for (dependency in dependenciesByJob.remove(job).orEmpty()) {
@@ -69,19 +69,19 @@
             if (dependents.isNotEmpty()) continue
             dependentsByJob -= dependency
             outcomes -= dependency
-            unresolved -= dependency
+            unresolvedJobs -= dependency
         }
-        if (job in dependentsByJob && job !in outcomes) unresolved += job
+        if (job in dependentsByJob && job !in outcomes) unresolvedJobs += job
     }
 
     /** It is recorded how the job ended. */
-    fun resolved(
+    fun outcomeRecorded(
         job: String,
-        outcome: Outcome,
+        outcome: JobOutcome,
     ) {
         val dependents = dependentsByJob[job] ?: return
         if (outcomes.put(job, outcome) != null) return
-        unresolved -= job
+        unresolvedJobs -= job
         if (!outcome.done) dependents.toList().forEach(::orphan)
     }
 
@@ -105,19 +105,19 @@
         dependencies: List<String>,
     ): Readiness =
         when {
-            dependencies.isEmpty() || readyAt(dependencies) != null -> Readiness.READY
+            dependencies.isEmpty() || readySinceUs(dependencies) != null -> Readiness.READY
             job in orphaned || dependencies.any { it in orphaned || outcomes[it]?.done == false } -> Readiness.CANCELLED
             dependencies.any { it !in open && it !in outcomes } || reachesUnresolved(dependencies) -> Readiness.UNKNOWN
             else -> Readiness.WAITING
         }
 
     private fun reachesUnresolved(first: List<String>): Boolean {
-        if (unresolved.isEmpty()) return false
+        if (unresolvedJobs.isEmpty()) return false
         val due = ArrayDeque(first)
         val seen = HashSet<String>()
         while (due.isNotEmpty()) {
             val job = due.removeLast()
-            if (job in unresolved) return true
+            if (job in unresolvedJobs) return true
             if (seen.add(job)) due += dependenciesByJob[job].orEmpty()
         }
         return false
@@ -130,16 +130,16 @@
     fun dependentsOf(job: String): Collection<String> = dependentsByJob[job].orEmpty()
 
     /** Jobs of which it is to be found out how they ended. */
-    fun toResolve(most: Int): List<String> = unresolved.take(most)
+    fun unresolved(limit: Int): List<String> = unresolvedJobs.take(limit)
 
     /** Open jobs that are to be recorded as cancelled, those that others need first. */
-    fun orphans(most: Int): List<String> = orphaned.take(most)
+    fun orphans(limit: Int): List<String> = orphaned.take(limit)
 
     /** One that the job needs, directly or through others, is cancelled. */
     fun isOrphan(job: String) = job in orphaned
 
     /** When the last of [dependencies] was done, in time of day; null while one isn't. 0 where none says when. */
-    fun readyAt(dependencies: List<String>): Long? {
+    fun readySinceUs(dependencies: List<String>): Long? {
         var last = 0L
         for (dependency in dependencies) {
             val outcome = outcomes[dependency]?.takeIf { it.done } ?: return null
--- a/src/main/kotlin/lichenstage/jobs/JobMemory.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobCache.kt
@@ -5,51 +5,51 @@
 import lichenstage.common.LruMap
 
 /** What the user API remembers of jobs: records of ends, which never change, and facts of open records that the replica may lack. */
-class JobMemory(
+class JobCache(
     private val replica: JobReplica,
-    private val pipelines: Pipelines,
+    private val dependencyGraph: DependencyGraph,
 ) {
-    private val over = LruMap<String, JsonObject>(REMEMBERED)
+    private val finished = LruMap<String, JsonObject>(MAX_FINISHED)
 
     /** Revisions of open records: with them one request asks for many jobs. */
-    private val stamps = LruMap<String, Long>(REMEMBERED_OPEN)
-    private val dependencies = LruMap<String, List<String>>(REMEMBERED_OPEN)
+    private val openRevisions = LruMap<String, Long>(MAX_OPEN)
+    private val dependencies = LruMap<String, List<String>>(MAX_OPEN)
     private var counts = TaskCounts(0, emptyMap())
 
     /** The record of the job's end, where it is known to be over. */
-    fun over(id: String): JsonObject? = over[id]
+    fun finished(id: String): JsonObject? = finished[id]
 
     /** The job is over. */
-    fun rememberOver(
+    fun rememberFinished(
         id: String,
         record: JsonObject,
     ) {
-        over[id] = record
+        finished[id] = record
     }
 
     /** The revision of the job's open record, as it was last seen. */
-    fun stamp(id: String): Long? = stamps[id] ?: replica.stamp(id)
+    fun openRevision(id: String): Long? = openRevisions[id] ?: replica.openRevision(id)
 
     /** What the job needs, as far as that is known. */
-    fun dependencies(id: String): List<String> = dependencies[id] ?: pipelines.dependenciesOf(id)
+    fun dependencies(id: String): List<String> = dependencies[id] ?: dependencyGraph.dependenciesOf(id)
 
-    /** The job's record was seen open at revision [stamp]. */
+    /** The job's record was seen open at revision [openRevision]. */
     fun rememberOpen(
         id: String,
-        stamp: Long,
+        openRevision: Long,
         needed: List<String>,
     ) {
-        stamps[id] = stamp
+        openRevisions[id] = openRevision
         if (needed.isNotEmpty()) dependencies[id] = needed
     }
 
     /** The open record of the job is gone. */
     fun forgetOpen(id: String) {
-        stamps.remove(id)
+        openRevisions.remove(id)
     }
 
     /** The newest leader's counts stand. */
-    fun counted(news: TaskCounts) {
+    fun updateProgress(news: TaskCounts) {
         if (news.term >= counts.term) counts = news
     }
 
@@ -60,7 +60,7 @@
     }
 
     private companion object {
-        const val REMEMBERED = 4000
-        const val REMEMBERED_OPEN = 20_000
+        const val MAX_FINISHED = 4000
+        const val MAX_OPEN = 20_000
     }
 }
--- a/src/main/kotlin/lichenstage/jobs/JobLookup.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobLookup.kt
@@ -13,22 +13,22 @@
 /** Answers where a job stands, and cancels jobs. */
 class JobLookup(
     private val state: KeyValueStore,
-    private val memory: JobMemory,
+    private val cache: JobCache,
     private val replica: JobReplica,
-    private val pipelines: Pipelines,
+    private val dependencyGraph: DependencyGraph,
     private val openCheck: OpenRecordCheck,
     private val clock: Clock,
     private val cancelled: (String, Long) -> Unit,
 ) {
     /** The job's state, for a user who asks. */
-    suspend fun show(id: String): Reply = if (JobCodec.validId(id)) find(id) else Reply.unknownJob()
+    suspend fun status(id: String): Reply = if (SubmissionCodec.validId(id)) find(id) else Reply.unknownJob()
 
     /** The current state of a job that is known, else [otherwise]. */
-    suspend fun known(
+    suspend fun existingOr(
         id: String,
         otherwise: () -> Reply,
     ): Reply {
-        if (!JobCodec.validId(id)) return otherwise()
+        if (!SubmissionCodec.validId(id)) return otherwise()
         return find(id).let { if (it.status == Reply.NOT_FOUND) otherwise() else it }
     }
 
@@ -37,20 +37,20 @@
      * a job missing in both was never accepted.
      */
     private suspend fun find(id: String): Reply {
-        memory.over(id)?.let { return Reply.ofOver(id, it) }
-        val stamp = memory.stamp(id)
+        cache.finished(id)?.let { return Reply.ofFinished(id, it) }
+        val stamp = cache.openRevision(id)
         if (stamp != null) {
-            when (openCheck.ask(JobRecord.OPEN + id, stamp)) {
-                RecordState.OPEN -> return open(id, memory.dependencies(id))
+            when (openCheck.check(JobRecordCodec.OPEN + id, stamp)) {
+                RecordState.OPEN -> return open(id, cache.dependencies(id))
                 RecordState.UNKNOWN -> return Reply.stateUnavailable()
-                RecordState.GONE -> memory.forgetOpen(id)
+                RecordState.DELETED -> cache.forgetOpen(id)
             }
         }
-        return when (val read = state.get(JobRecord.OPEN + id, READ_TIMEOUT_MS)) {
+        return when (val read = state.get(JobRecordCodec.OPEN + id, READ_TIMEOUT_MS)) {
             is ReadResult.Found -> {
-                val needed = JobRecord.dependencies(read.entry.value)
-                memory.rememberOpen(id, read.entry.modRevision, needed)
-                open(id, needed)
+                val dependencies = JobRecordCodec.dependencies(read.entry.value)
+                cache.rememberOpen(id, read.entry.modRevision, dependencies)
+                open(id, dependencies)
             }
 
             ReadResult.Unavailable -> {
@@ -58,17 +58,17 @@
             }
 
             ReadResult.NotFound -> {
-                findOver(id)
+                findFinished(id)
             }
         }
     }
 
-    private suspend fun findOver(id: String): Reply =
-        when (val over = state.get(JobRecord.FINISHED + id, READ_TIMEOUT_MS)) {
+    private suspend fun findFinished(id: String): Reply =
+        when (val finished = state.get(JobRecordCodec.FINISHED + id, READ_TIMEOUT_MS)) {
             is ReadResult.Found -> {
-                memory.rememberOver(id, over.entry.value)
-                replica.learned(id, over.entry.modRevision)
-                Reply.ofOver(id, over.entry.value)
+                cache.rememberFinished(id, finished.entry.value)
+                replica.recordEnd(id, finished.entry.modRevision)
+                Reply.ofFinished(id, finished.entry.value)
             }
 
             ReadResult.NotFound -> {
@@ -87,29 +87,29 @@
      */
     private suspend fun open(
         id: String,
-        needed: List<String>,
+        dependencies: List<String>,
     ): Reply =
-        when (pipelines.readiness(id, needed)) {
-            Readiness.READY -> Reply.ofOpen(id, memory.progress(id))
+        when (dependencyGraph.readiness(id, dependencies)) {
+            Readiness.READY -> Reply.ofOpen(id, cache.progress(id))
             Readiness.CANCELLED -> cancel(id)
-            Readiness.UNKNOWN -> Reply.later("not known yet")
-            Readiness.WAITING -> if (fresh()) Reply.ofOpen(id, memory.progress(id)) else Reply.later("not known yet")
+            Readiness.UNKNOWN -> Reply.unavailable("not known yet")
+            Readiness.WAITING -> if (isReplicaFresh()) Reply.ofOpen(id, cache.progress(id)) else Reply.unavailable("not known yet")
         }
 
-    private fun fresh() = replica.readWithin(MOST_STALE_US, clock.now())
+    private fun isReplicaFresh() = replica.isReadWithin(MAX_STALENESS_US, clock.now())
 
     /** Records the job as cancelled, unless it is over. */
     suspend fun cancel(id: String): Reply {
-        if (!JobCodec.validId(id)) return Reply.unknownJob()
-        repeat(MOST_TRIES) {
-            memory.over(id)?.let { return Reply.ofOver(id, it) }
-            when (val read = state.get(JobRecord.OPEN + id, READ_TIMEOUT_MS)) {
+        if (!SubmissionCodec.validId(id)) return Reply.unknownJob()
+        repeat(MAX_TRIES) {
+            cache.finished(id)?.let { return Reply.ofFinished(id, it) }
+            when (val read = state.get(JobRecordCodec.OPEN + id, READ_TIMEOUT_MS)) {
                 is ReadResult.Found -> recordCancelled(id, read.entry.modRevision)?.let { return it }
                 ReadResult.NotFound -> return find(id)
                 ReadResult.Unavailable -> return Reply.stateUnavailable()
             }
         }
-        return Reply.later("undecided")
+        return Reply.unavailable("undecided")
     }
 
     /** Null where the record has changed meanwhile. */
@@ -117,13 +117,13 @@
         id: String,
         stamp: Long,
     ): Reply? {
-        val record = overNow("cancelled", memory.progress(id).done)
-        val changes = listOf(Change.Delete(JobRecord.OPEN + id), Change.Put(JobRecord.FINISHED + id, record))
-        return when (val outcome = state.commit(listOf(Precondition(JobRecord.OPEN + id, stamp)), changes)) {
+        val record = finishedNow("cancelled", cache.progress(id).done)
+        val changes = listOf(Change.Delete(JobRecordCodec.OPEN + id), Change.Put(JobRecordCodec.FINISHED + id, record))
+        return when (val outcome = state.commit(listOf(Precondition(JobRecordCodec.OPEN + id, stamp)), changes)) {
             is TransactionResult.Committed -> {
-                memory.rememberOver(id, record)
+                cache.rememberFinished(id, record)
                 cancelled(id, outcome.revision)
-                Reply.ofOver(id, record)
+                Reply.ofFinished(id, record)
             }
 
             is TransactionResult.Conflict -> {
@@ -138,16 +138,16 @@
 
     companion object {
         /** The record of a job that is over now. */
-        fun overNow(
+        fun finishedNow(
             status: String,
             tasks: Int,
-        ): JsonObject = JobRecord.over(status, tasks, timeOfDayUs())
+        ): JsonObject = JobRecordCodec.finished(status, tasks, timeOfDayUs())
 
         /** How long a read of the state service may take for a user. */
         const val READ_TIMEOUT_MS = 1400L
-        private const val MOST_TRIES = 3
+        private const val MAX_TRIES = 3
 
         /** Well within the time that a cancellation has, with the rest of it left for what has to be written. */
-        private const val MOST_STALE_US = 10 * SECOND
+        private const val MAX_STALENESS_US = 10 * SECOND
     }
 }
--- a/src/main/kotlin/lichenstage/jobs/JobRecord.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobRecordCodec.kt
@@ -7,14 +7,14 @@
 import lichenstage.model.Shape
 
 /** The record of a job in the state service. */
-object JobRecord {
+object JobRecordCodec {
     const val OPEN = "j/"
     const val FINISHED = "x/"
     const val DONE = "d/"
     private const val NEEDS = "needs"
 
     /** The record of a job that is over. [atUs] is the time of day, from which the times of the jobs that need it count. */
-    fun over(
+    fun finished(
         status: String,
         tasks: Int,
         atUs: Long,
--- a/src/main/kotlin/lichenstage/jobs/JobReplica.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplica.kt
@@ -10,7 +10,7 @@
  *
  * Guards against tasks of a cancelled job that are kept alive by an owner who has not heard of the cancellation. Authority can outlast
  * every answer of the state service, since it only says that nobody else may act; it says nothing of what its holder knows. So what
- * renews the leases of workers asks [current]: every end of a job that a user may have been told of until [answerBoundUs] ago is known
+ * renews the leases of workers asks [isCurrent]: every end of a job that a user may have been told of until [maxStalenessUs] ago is known
  * here. Two things show that:
  * - a read of the state service, as of when it was asked;
  * - where that is away, the word of **all** other controllers, each of which hands over all the ends that it has learned of after the
@@ -24,35 +24,35 @@
     private val incarnation: Long,
     /** Null where they are not all known, so that nobody can speak for all. */
     private val others: Set<String>?,
-    override val answerBoundUs: Long,
-) : JobEnds {
+    override val maxStalenessUs: Long,
+) : JobCompletions {
     private class End(
         val job: String,
         val revision: Long,
     )
 
     /** What was taken of another controller's log, and as of when that was all that it knew. */
-    private class Heard(
+    private class PeerProgress(
         val incarnation: Long,
         var upTo: Long,
         var allUs: Long = Long.MIN_VALUE,
     )
 
-    private val open = HashMap<String, Long>()
+    private val openRevisions = HashMap<String, Long>()
 
     /** Ends that were learned of lately, from whomever. */
-    private val ended =
+    private val endedJobs =
         object : LinkedHashMap<String, Unit>() {
-            override fun removeEldestEntry(eldest: MutableMap.MutableEntry<String, Unit>) = size > REMEMBERED
+            override fun removeEldestEntry(eldest: MutableMap.MutableEntry<String, Unit>) = size > MAX_REMEMBERED_ENDS
         }
 
     /** Ends that this process has learned from the state service, in the order in which it did. */
-    private val log = ArrayDeque<End>()
-    private var first = 0L
+    private val endLog = ArrayDeque<End>()
+    private var logStart = 0L
 
     /** Ends up to this revision may be missing from the log. */
-    private var base = -1L
-    private val heard = HashMap<String, Heard>()
+    private var logBaseRevision = -1L
+    private val peerProgress = HashMap<String, PeerProgress>()
     private var readUs = Long.MIN_VALUE
 
     /** Up to here all has been read from the state service; negative before the first read. */
@@ -60,36 +60,36 @@
         private set
 
     /** The revision of the job's open record, where it is known to be open. */
-    fun stamp(job: String): Long? = open[job]
+    fun openRevision(job: String): Long? = openRevisions[job]
 
     /** All records, read whole by a request that was sent at [sentUs]. Returns what has ended. */
-    fun loaded(
+    fun replaceAll(
         stamps: Map<String, Long>,
         readRevision: Long,
         sentUs: Long,
     ): List<String> {
-        val gone = open.keys.filter { it !in stamps }
-        open.clear()
-        open.putAll(stamps)
-        if (revision < 0) base = maxOf(base, readRevision)
+        val gone = openRevisions.keys.filter { it !in stamps }
+        openRevisions.clear()
+        openRevisions.putAll(stamps)
+        if (revision < 0) logBaseRevision = maxOf(logBaseRevision, readRevision)
         // When each went is not known: at the latest now.
-        gone.forEach { learned(it, readRevision) }
+        gone.forEach { recordEnd(it, readRevision) }
         read(readRevision, sentUs)
         return gone
     }
 
     /** What has changed since [revision], read by a request that was sent at [sentUs]. Returns what has ended. */
-    fun changed(
+    fun applyChanges(
         put: Map<String, Long>,
         deleted: Map<String, Long>,
         readRevision: Long,
         sentUs: Long,
     ): List<String> {
-        open.putAll(put)
+        openRevisions.putAll(put)
         for ((job, at) in deleted) {
             // A record is never put again under the same id.
-            open.remove(job)
-            learned(job, at)
+            openRevisions.remove(job)
+            recordEnd(job, at)
         }
         read(readRevision, sentUs)
         return deleted.keys.toList()
@@ -104,77 +104,77 @@
     }
 
     /** The state service has shown this process, otherwise than by the watch, that the job had ended by [at]. */
-    fun learned(
+    fun recordEnd(
         job: String,
         at: Long,
     ) {
-        ended[job] = Unit
-        if (at <= base) return
-        log.addLast(End(job, at))
-        if (log.size > LOGGED) {
-            base = maxOf(base, log.removeFirst().revision)
-            first++
+        endedJobs[job] = Unit
+        if (at <= logBaseRevision) return
+        endLog.addLast(End(job, at))
+        if (endLog.size > MAX_LOG_ENTRIES) {
+            logBaseRevision = maxOf(logBaseRevision, endLog.removeFirst().revision)
+            logStart++
         }
     }
 
     /** Another controller says that these have ended. Returns those that are news. */
-    fun told(jobs: List<String>): List<String> = jobs.filter { ended.put(it, Unit) == null }
+    fun markEnded(jobs: List<String>): List<String> = jobs.filter { endedJobs.put(it, Unit) == null }
 
     /** What to ask [other] for; null where nothing was read yet, so that there is nothing to start from. */
-    fun question(
+    fun syncRequest(
         other: String,
         now: Long,
     ): CompletionSyncRequest? {
         if (revision < 0) return null
-        val known = heard[other]
-        return CompletionSyncRequest(incarnation, now, revision, known?.incarnation ?: 0, known?.upTo ?: 0)
+        val progress = peerProgress[other]
+        return CompletionSyncRequest(incarnation, now, revision, progress?.incarnation ?: 0, progress?.upTo ?: 0)
     }
 
     /** The answer to another controller's question, a piece at a time; null where this one can't know all that users were told. */
-    fun handOver(question: CompletionSyncRequest): CompletionSyncReply? {
-        if (revision < 0 || question.revision < base) return null
-        val since = if (question.logIncarnation == incarnation) maxOf(question.upTo, first) else first
-        val end = first + log.size
+    fun syncReply(request: CompletionSyncRequest): CompletionSyncReply? {
+        if (revision < 0 || request.revision < logBaseRevision) return null
+        val since = if (request.logIncarnation == incarnation) maxOf(request.upTo, logStart) else logStart
+        val end = logStart + endLog.size
         val jobs = ArrayList<String>()
         var upTo = since
-        while (upTo < end && jobs.size < MOST_TOLD) {
-            val next = log[(upTo - first).toInt()]
-            if (next.revision > question.revision) jobs += next.job
+        while (upTo < end && jobs.size < MAX_JOBS_PER_REPLY) {
+            val next = endLog[(upTo - logStart).toInt()]
+            if (next.revision > request.revision) jobs += next.job
             upTo++
         }
-        return CompletionSyncReply(question.incarnation, question.askedUs, incarnation, since, upTo, jobs, whole = upTo == end)
+        return CompletionSyncReply(request.incarnation, request.askedUs, incarnation, since, upTo, jobs, whole = upTo == end)
     }
 
     /** Takes in what [other] answered; returns the ends that are news. */
-    fun answered(
+    fun applySyncReply(
         other: String,
         answer: CompletionSyncReply,
     ): List<String> {
         if (answer.incarnation != incarnation) return emptyList()
-        val known =
-            heard[other]?.takeIf { it.incarnation == answer.logIncarnation }
-                ?: Heard(answer.logIncarnation, answer.since).also { heard[other] = it }
+        val progress =
+            peerProgress[other]?.takeIf { it.incarnation == answer.logIncarnation }
+                ?: PeerProgress(answer.logIncarnation, answer.since).also { peerProgress[other] = it }
         // A piece that doesn't join what was taken would leave some out unseen; it is asked for again.
-        if (answer.since > known.upTo) return emptyList()
-        known.upTo = maxOf(known.upTo, answer.upTo)
-        if (answer.whole) known.allUs = maxOf(known.allUs, answer.askedUs)
-        return told(answer.jobs)
+        if (answer.since > progress.upTo) return emptyList()
+        progress.upTo = maxOf(progress.upTo, answer.upTo)
+        if (answer.whole) progress.allUs = maxOf(progress.allUs, answer.askedUs)
+        return markEnded(answer.jobs)
     }
 
     /** Every end of a job that a user had been told of by then is known here. */
-    private fun asOfUs(): Long {
-        val told = others?.takeIf { revision >= 0 && it.isNotEmpty() }?.minOf { heard[it]?.allUs ?: Long.MIN_VALUE }
-        return maxOf(readUs, told ?: Long.MIN_VALUE)
+    private fun knowledgeTimeUs(): Long {
+        val peersUs = others?.takeIf { revision >= 0 && it.isNotEmpty() }?.minOf { peerProgress[it]?.allUs ?: Long.MIN_VALUE }
+        return maxOf(readUs, peersUs ?: Long.MIN_VALUE)
     }
 
     /** What renews the leases of workers may be answered. */
-    fun current(now: Long) = asOfUs() > Long.MIN_VALUE && now - asOfUs() <= answerBoundUs
+    fun isCurrent(now: Long) = knowledgeTimeUs() > Long.MIN_VALUE && now - knowledgeTimeUs() <= maxStalenessUs
 
     /** The state service has not shown anything for a while. */
-    fun lagging(now: Long) = revision >= 0 && now - readUs > LAGGING_US
+    fun isLagging(now: Long) = revision >= 0 && now - readUs > LAG_THRESHOLD_US
 
     /** What it has shown is no older than that. */
-    fun readWithin(
+    fun isReadWithin(
         us: Long,
         now: Long,
     ) = revision >= 0 && now - readUs <= us
@@ -183,29 +183,29 @@
      * The job is over for certain, where a task of it has been known since [sinceUs]: it was accepted before, so a record that a
      * later read does not find has ended.
      */
-    override fun over(
+    override fun hasEnded(
         job: String,
         sinceUs: Long,
-    ) = job in ended || (readUs > sinceUs && job !in open)
+    ) = job in endedJobs || (readUs > sinceUs && job !in openRevisions)
 
-    override fun openAsOfUs(job: String): Long? = asOfUs().takeIf { job in open && job !in ended && it > Long.MIN_VALUE }
+    override fun confirmedOpenUs(job: String): Long? = knowledgeTimeUs().takeIf { job in openRevisions && job !in endedJobs && it > Long.MIN_VALUE }
 
     companion object {
         /** From the last answer to a worker until its lease has ended, and until what was learned has been acted on. */
         private const val MARGIN_US = 3 * SECOND
-        private const val LEAST_BOUND_US = 5 * SECOND
-        private const val LAGGING_US = 4 * SECOND
-        private const val REMEMBERED = 20_000
-        private const val LOGGED = 4_000
-        private const val MOST_TOLD = 400
+        private const val MIN_STALENESS_US = 5 * SECOND
+        private const val LAG_THRESHOLD_US = 4 * SECOND
+        private const val MAX_REMEMBERED_ENDS = 20_000
+        private const val MAX_LOG_ENTRIES = 4_000
+        private const val MAX_JOBS_PER_REPLY = 400
 
         /**
          * How stale an answer to a worker may be: the lease that it renews ends a cancelled task at the latest that long after, and
          * within `cancel_s` of the cancellation all the same.
          */
-        fun bound(
+        fun maxStalenessUs(
             cancelUs: Long,
             leaseUs: Long,
-        ) = maxOf(cancelUs - withDrift(leaseUs) - MARGIN_US, LEAST_BOUND_US)
+        ) = maxOf(cancelUs - withDrift(leaseUs) - MARGIN_US, MIN_STALENESS_US)
     }
 }
--- a/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
@@ -19,14 +19,14 @@
 /** Keeps the [JobReplica] of this process up to date: by a watch, and by the other controllers while the state service is away. */
 class JobReplicaSync(
     private val replica: JobReplica,
-    private val pipelines: Pipelines,
+    private val dependencyGraph: DependencyGraph,
     private val others: List<String>,
     private val state: KeyValueStoreClient,
     private val clock: Clock,
     private val scope: CoroutineScope,
     private val send: (String, Frame) -> Unit,
-    private val over: (List<String>) -> Unit,
-    private val resolved: () -> Unit,
+    private val onEnded: (List<String>) -> Unit,
+    private val onDependencyResolved: () -> Unit,
 ) {
     private val log = BoundedLog.of("lichenstage.jobs", clock)
     private var isStale = false
@@ -35,45 +35,45 @@
     fun start() {
         scope.launch {
             while (true) {
-                delay(RESOLVE_MS)
-                pipelines.toResolve(MOST_RESOLVED).forEach { resolve(it) }
+                delay(RESOLVE_INTERVAL_MS)
+                dependencyGraph.unresolved(MAX_RESOLVED_AT_ONCE).forEach { resolve(it) }
             }
         }
         scope.launch {
-            while (true) follow()
+            while (true) followOpenJobs()
         }
         scope.launch {
             while (true) {
-                delay(ASK_MS)
+                delay(PEER_SYNC_INTERVAL_MS)
                 val now = clock.now()
-                noteStaleness(replica.revision >= 0 && !replica.readWithin(STALE_US, now))
-                if (replica.lagging(now)) others.forEach { other -> replica.question(other, now)?.let { send(other, it) } }
+                logStaleness(replica.revision >= 0 && !replica.isReadWithin(STALE_THRESHOLD_US, now))
+                if (replica.isLagging(now)) others.forEach { other -> replica.syncRequest(other, now)?.let { send(other, it) } }
             }
         }
     }
 
-    private fun noteStaleness(staleNow: Boolean) {
+    private fun logStaleness(staleNow: Boolean) {
         if (staleNow == isStale) return
         isStale = staleNow
         log.info { "revision=${replica.revision} open jobs are ${if (staleNow) "not read any more" else "read again"}" }
     }
 
-    private suspend fun follow() {
+    private suspend fun followOpenJobs() {
         val scannedUs = clock.now()
-        val scan = state.scan(JobRecord.OPEN)
+        val scan = state.scan(JobRecordCodec.OPEN)
         if (scan !is ScanResult.Complete) {
-            delay(RETRY_MS)
+            delay(RETRY_INTERVAL_MS)
             return
         }
-        news(replica.loaded(scan.entries.associate { id(it.key) to it.modRevision }, scan.revision, scannedUs))
-        scan.entries.forEach { pipelines.opened(id(it.key), JobRecord.dependencies(it.value)) }
+        applyEnds(replica.replaceAll(scan.entries.associate { id(it.key) to it.modRevision }, scan.revision, scannedUs))
+        scan.entries.forEach { dependencyGraph.jobOpened(id(it.key), JobRecordCodec.dependencies(it.value)) }
         while (true) {
             val sentUs = clock.now()
-            when (val seen = state.watch(JobRecord.OPEN, replica.revision, WAIT_MS)) {
+            when (val seen = state.watch(JobRecordCodec.OPEN, replica.revision, WATCH_TIMEOUT_MS)) {
                 is WatchResult.Events -> {
                     val put = seen.puts.associate { id(it.key) to it.modRevision }
-                    seen.puts.forEach { pipelines.opened(id(it.key), JobRecord.dependencies(it.value)) }
-                    news(replica.changed(put, seen.deletes.associate { id(it.key) to it.modRevision }, seen.revision, sentUs))
+                    seen.puts.forEach { dependencyGraph.jobOpened(id(it.key), JobRecordCodec.dependencies(it.value)) }
+                    applyEnds(replica.applyChanges(put, seen.deletes.associate { id(it.key) to it.modRevision }, seen.revision, sentUs))
                 }
 
                 WatchResult.Compacted -> {
@@ -81,72 +81,72 @@
                 }
 
                 WatchResult.Unavailable -> {
-                    delay(RETRY_MS)
+                    delay(RETRY_INTERVAL_MS)
                 }
             }
         }
     }
 
-    private fun id(key: String) = key.removePrefix(JobRecord.OPEN)
+    private fun id(key: String) = key.removePrefix(JobRecordCodec.OPEN)
 
     /** How a job that others need has ended stands in its record; until that can be read, they wait. */
     private suspend fun resolve(job: String) {
-        val read = state.get(JobRecord.FINISHED + job)
-        if (read is ReadResult.Found) finished(job, read.entry.value)
+        val read = state.get(JobRecordCodec.FINISHED + job)
+        if (read is ReadResult.Found) jobFinished(job, read.entry.value)
     }
 
     /** The record of a job that is over. */
-    fun finished(
+    fun jobFinished(
         job: String,
         record: JsonObject,
     ) {
-        pipelines.resolved(job, Outcome(record.getString("status") == "done", record.getLong("at")))
-        resolved()
+        dependencyGraph.outcomeRecorded(job, JobOutcome(record.getString("status") == "done", record.getLong("at")))
+        onDependencyResolved()
     }
 
     /** This process has cancelled the job and is about to tell its user. Who leads and who owns partitions hear it at once. */
-    fun cancelled(
+    fun jobCancelled(
         job: String,
         at: Long,
     ) {
         log.info { "job=$job revision=$at cancelled, its user is told" }
-        replica.learned(job, at)
-        news(listOf(job))
+        replica.recordEnd(job, at)
+        applyEnds(listOf(job))
         others.forEach { send(it, JobsEnded(listOf(job))) }
     }
 
     /** Another controller asks for the ends that it may lack. */
-    fun asked(
+    fun onSyncRequest(
         from: String,
-        question: CompletionSyncRequest,
+        request: CompletionSyncRequest,
     ) {
-        replica.handOver(question)?.let { send(from, it) }
+        replica.syncReply(request)?.let { send(from, it) }
     }
 
     /** Another controller hands over ends. */
-    fun answered(
+    fun onSyncReply(
         from: String,
         answer: CompletionSyncReply,
-    ) = news(replica.answered(from, answer))
+    ) = applyEnds(replica.applySyncReply(from, answer))
 
     /** Another controller has confirmed the end of jobs to its user. */
-    fun told(frame: JobsEnded) = news(replica.told(frame.jobs))
+    fun onJobsEnded(frame: JobsEnded) = applyEnds(replica.markEnded(frame.jobs))
 
-    private fun news(jobs: List<String>) {
-        jobs.forEach(pipelines::ended)
-        if (jobs.isNotEmpty()) over(jobs)
+    private fun applyEnds(jobs: List<String>) {
+        jobs.forEach(dependencyGraph::jobClosed)
+        if (jobs.isNotEmpty()) onEnded(jobs)
     }
 
     private companion object {
-        const val ASK_MS = 400L
-        const val RETRY_MS = 300L
-        const val RESOLVE_MS = 100L
+        const val PEER_SYNC_INTERVAL_MS = 400L
+        const val RETRY_INTERVAL_MS = 300L
+        const val RESOLVE_INTERVAL_MS = 100L
 
         /** Longer than the watch takes while nothing changes: what was read counts from when it was asked for. */
-        const val STALE_US = 8 * SECOND
-        const val MOST_RESOLVED = 8
+        const val STALE_THRESHOLD_US = 8 * SECOND
+        const val MAX_RESOLVED_AT_ONCE = 8
 
         /** Short: what was read counts from when it was asked for, and must not seem stale while nothing happens. */
-        const val WAIT_MS = 2500L
+        const val WATCH_TIMEOUT_MS = 2500L
     }
 }
--- a/src/main/kotlin/lichenstage/jobs/JobsActor.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsActor.kt
@@ -17,7 +17,7 @@
 /** What the user API is told. */
 sealed interface JobsMessage {
     /** A user's request: the body of a submission, or a job's id. [forwarded] by a controller that can't answer it. */
-    data class Asked(
+    data class UserRequest(
         val verb: UserVerb,
         val text: String,
         val forwarded: Boolean = false,
@@ -25,7 +25,7 @@
     ) : JobsMessage
 
     /** A leader's counts of tasks. */
-    data class Counted(
+    data class TaskCountsReceived(
         val counts: TaskCounts,
     ) : JobsMessage
 }
@@ -41,16 +41,16 @@
     private val stateAnswers: () -> Boolean,
     private val forwarder: RequestForwarder,
     replica: JobReplica,
-    pipelines: Pipelines,
+    dependencyGraph: DependencyGraph,
     clock: Clock,
     limits: RecordLimits,
     cancelled: (String, Long) -> Unit,
     private val scope: CoroutineScope,
 ) {
-    private val memory = JobMemory(replica, pipelines)
+    private val cache = JobCache(replica, dependencyGraph)
     private val openCheck = OpenRecordCheck(limits.guards, scope) { state.commit(Precondition.allOf(it), emptyList(), COMPARE_TIMEOUT_MS) }
-    private val lookup = JobLookup(state, memory, replica, pipelines, openCheck, clock, cancelled)
-    private val submission = JobSubmission(state, memory, lookup, pipelines, limits, teams, machineTypes)
+    private val lookup = JobLookup(state, cache, replica, dependencyGraph, openCheck, clock, cancelled)
+    private val submission = JobSubmission(state, cache, lookup, dependencyGraph, limits, teams, machineTypes)
     private var open = 0
     private val mailbox = Mailbox("jobs", scope, ::handle, shed = ::shed)
 
@@ -59,27 +59,27 @@
 
     /** Users are told to come again, counts come again. */
     private fun shed(message: JobsMessage): Boolean {
-        if (message is JobsMessage.Asked) message.reply(Reply.later(BUSY, BUSY_RETRY_S))
+        if (message is JobsMessage.UserRequest) message.reply(Reply.unavailable(BUSY, BUSY_RETRY_S))
         return true
     }
 
     private fun handle(message: JobsMessage) {
         when (message) {
-            is JobsMessage.Asked -> work(message)
-            is JobsMessage.Counted -> memory.counted(message.counts)
+            is JobsMessage.UserRequest -> startRequest(message)
+            is JobsMessage.TaskCountsReceived -> cache.updateProgress(message.counts)
         }
     }
 
     /** Above the bound a request is turned away at once, so that those that are taken are answered in time. */
-    private fun work(asked: JobsMessage.Asked) {
-        if (open >= MOST_OPEN) {
-            asked.reply(Reply.later(BUSY, BUSY_RETRY_S))
+    private fun startRequest(request: JobsMessage.UserRequest) {
+        if (open >= MAX_OPEN_REQUESTS) {
+            request.reply(Reply.unavailable(BUSY, BUSY_RETRY_S))
             return
         }
         open++
         scope.launch {
             try {
-                asked.reply(answer(asked))
+                request.reply(answer(request))
             } finally {
                 open--
             }
@@ -90,25 +90,25 @@
      * While the state service does not answer this process, another controller is asked. If there is none, a short try of its
      * own finds out whether the service is back, and else the user is told at once when to come again.
      */
-    private suspend fun answer(asked: JobsMessage.Asked): Reply {
-        if (stateAnswers() || memory.over(asked.text) != null) return decide(asked)
-        if (asked.verb == UserVerb.SUBMIT && JobSubmission.parse(asked.text) == null) return JobSubmission.notAnObject()
-        val other = if (asked.forwarded) null else forwarder.ask(asked.verb, asked.text)
+    private suspend fun answer(request: JobsMessage.UserRequest): Reply {
+        if (stateAnswers() || cache.finished(request.text) != null) return decide(request)
+        if (request.verb == UserVerb.SUBMIT && JobSubmission.parse(request.text) == null) return JobSubmission.notAnObject()
+        val other = if (request.forwarded) null else forwarder.ask(request.verb, request.text)
         if (other != null) return Reply(other.status, JsonObject(other.body), other.retryAfterS)
-        return withTimeoutOrNull(SHORT_TRY_MS) { decide(asked) } ?: Reply.stateUnavailable()
+        return withTimeoutOrNull(SHORT_TRY_MS) { decide(request) } ?: Reply.stateUnavailable()
     }
 
-    private suspend fun decide(asked: JobsMessage.Asked): Reply =
-        when (asked.verb) {
-            UserVerb.SUBMIT -> submission.submit(asked.text)
-            UserVerb.SHOW -> lookup.show(asked.text)
-            UserVerb.CANCEL -> lookup.cancel(asked.text)
+    private suspend fun decide(request: JobsMessage.UserRequest): Reply =
+        when (request.verb) {
+            UserVerb.SUBMIT -> submission.submit(request.text)
+            UserVerb.SHOW -> lookup.status(request.text)
+            UserVerb.CANCEL -> lookup.cancel(request.text)
         }
 
     private companion object {
         const val BUSY = "busy"
         const val BUSY_RETRY_S = 2
-        const val MOST_OPEN = 300
+        const val MAX_OPEN_REQUESTS = 300
         const val SHORT_TRY_MS = 800L
         const val COMPARE_TIMEOUT_MS = 1200L
     }
--- a/src/main/kotlin/lichenstage/jobs/OpenRecordCheck.kt
+++ b/src/main/kotlin/lichenstage/jobs/OpenRecordCheck.kt
@@ -7,7 +7,7 @@
 import lichenstage.state.TransactionResult
 
 /** What the state service says of an open record that was seen before. It never changes but for its end. */
-enum class RecordState { OPEN, GONE, UNKNOWN }
+enum class RecordState { OPEN, DELETED, UNKNOWN }
 
 /**
  * Asks the state service for many jobs at once whether they are still open: a transaction that only compares.
@@ -16,28 +16,28 @@
  * state service takes.
  */
 class OpenRecordCheck(
-    private val most: Int,
+    private val maxPreconditions: Int,
     private val scope: CoroutineScope,
     private val gather: suspend () -> Unit = { delay(GATHER_MS) },
     private val compare: suspend (Map<String, Long>) -> TransactionResult,
 ) {
-    private class Question(
+    private class PendingCheck(
         val key: String,
-        val stamp: Long,
+        val revision: Long,
         val answer: CompletableDeferred<RecordState>,
     )
 
-    private val waiting = ArrayDeque<Question>()
+    private val waiting = ArrayDeque<PendingCheck>()
     private var running = false
 
-    /** Whether the record at [key] is still the one of revision [stamp]. Unknown at once where too many wait already. */
-    suspend fun ask(
+    /** Whether the record at [key] is still the one of revision [revision]. Unknown at once where too many wait already. */
+    suspend fun check(
         key: String,
-        stamp: Long,
+        revision: Long,
     ): RecordState {
-        if (waiting.size >= MOST_WAITING) return RecordState.UNKNOWN
-        val question = Question(key, stamp, CompletableDeferred())
-        waiting += question
+        if (waiting.size >= MAX_PENDING_CHECKS) return RecordState.UNKNOWN
+        val check = PendingCheck(key, revision, CompletableDeferred())
+        waiting += check
         if (!running) {
             running = true
             scope.launch {
@@ -46,17 +46,17 @@
                 running = false
             }
         }
-        return question.answer.await()
+        return check.answer.await()
     }
 
-    private fun next() = List(minOf(most, waiting.size)) { waiting.removeFirst() }
+    private fun next() = List(minOf(maxPreconditions, waiting.size)) { waiting.removeFirst() }
 
     /** Those that are named as failed are gone; whether the others hold is asked again, since all need not be named. */
-    private suspend fun answer(questions: List<Question>) {
-        var open = questions
-        repeat(MOST_TRIES) {
+    private suspend fun answer(checks: List<PendingCheck>) {
+        var open = checks
+        repeat(MAX_TRIES) {
             if (open.isEmpty()) return
-            when (val outcome = compare(open.associate { it.key to it.stamp })) {
+            when (val outcome = compare(open.associate { it.key to it.revision })) {
                 is TransactionResult.Committed -> {
                     open.forEach { it.answer.complete(RecordState.OPEN) }
                     return
@@ -64,8 +64,8 @@
 
                 is TransactionResult.Conflict -> {
                     val failed = outcome.failedKeys.toHashSet()
-                    val (gone, rest) = open.partition { it.key in failed }
-                    gone.forEach { it.answer.complete(RecordState.GONE) }
+                    val (deleted, rest) = open.partition { it.key in failed }
+                    deleted.forEach { it.answer.complete(RecordState.DELETED) }
                     open = rest
                 }
 
@@ -81,7 +81,7 @@
     private companion object {
         /** A short wait gathers what comes together. */
         const val GATHER_MS = 40L
-        const val MOST_TRIES = 3
-        const val MOST_WAITING = 1000
+        const val MAX_TRIES = 3
+        const val MAX_PENDING_CHECKS = 1000
     }
 }
--- a/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
+++ b/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
@@ -3,7 +3,7 @@
 import lichenstage.model.JobSpec
 
 /** A [field] of a submission that is too large, and why. */
-data class TooLarge(
+data class OversizedField(
     val field: String,
     val reason: String,
 )
@@ -23,16 +23,16 @@
     val maxDependencies = guards - OWN_GUARDS
 
     /** What is too large, or null. */
-    fun refusal(spec: JobSpec): TooLarge? {
-        if (spec.dependencies.size > maxDependencies) return TooLarge("waits_on", "at most $maxDependencies jobs can be named")
+    fun refusal(spec: JobSpec): OversizedField? {
+        if (spec.dependencies.size > maxDependencies) return OversizedField("waits_on", "at most $maxDependencies jobs can be named")
         val bytes = size(spec)
         if (bytes <= valueBytes) return null
         val field = if (size(spec.copy(dependencies = emptyList())) <= valueBytes) "waits_on" else "builds"
-        return TooLarge(field, "the record would take $bytes bytes of at most $valueBytes")
+        return OversizedField(field, "the record would take $bytes bytes of at most $valueBytes")
     }
 
     private fun size(spec: JobSpec) =
-        JobRecord
+        JobRecordCodec
             .encode(spec)
             .encode()
             .toByteArray()
--- a/src/main/kotlin/lichenstage/jobs/Reply.kt
+++ b/src/main/kotlin/lichenstage/jobs/Reply.kt
@@ -22,7 +22,7 @@
         ) = ofJob(id, if (counts.running > 0) "running" else "pending", counts)
 
         /** The state of a job that is over, as its record says. */
-        fun ofOver(
+        fun ofFinished(
             id: String,
             record: JsonObject,
         ) = ofJob(id, record.getString("status"), TaskProgress(record.getInteger("tasks") ?: 0, 0))
@@ -47,23 +47,23 @@
         ) = Reply(CREATED, JsonObject().put("uid", id).put("status", status))
 
         /** A request that is wrong in [field]. */
-        fun problem(
+        fun rejected(
             status: Int,
             field: String,
             what: String,
         ) = Reply(status, JsonObject().put("error", what).put("field", field))
 
         /** A job that was never accepted. */
-        fun unknownJob() = problem(NOT_FOUND, "uid", "no such job")
+        fun unknownJob() = rejected(NOT_FOUND, "uid", "no such job")
 
         /** It can't be said now. */
-        fun later(
+        fun unavailable(
             why: String,
             seconds: Int = 1,
         ) = Reply(UNAVAILABLE, JsonObject().put("error", why), seconds)
 
         /** The state service did not answer. */
-        fun stateUnavailable() = later("the state service can't be asked")
+        fun stateUnavailable() = unavailable("the state service can't be asked")
 
         const val OK = 200
         const val CREATED = 201
--- a/src/main/kotlin/lichenstage/partition/EndedJobStops.kt
+++ b/src/main/kotlin/lichenstage/partition/EndedJobStops.kt
@@ -2,14 +2,14 @@
 
 import lichenstage.cluster.TaskPhase
 import lichenstage.common.SECOND
-import lichenstage.jobs.JobEnds
+import lichenstage.jobs.JobCompletions
 
 /**
  * Stops the tasks of jobs that are over, whether or not the leader says so (invariants 10 and 15): it may be out of reach, or may not
  * have learned of a cancellation while this partition's answers keep renewing the workers' leases.
  */
 internal class EndedJobStops(
-    private val jobEnds: JobEnds,
+    private val jobCompletions: JobCompletions,
     private val machines: MachineRegistry,
     private val orders: OrderQueue,
     private val fencing: OrderFencing,
@@ -35,7 +35,7 @@
     }
 
     private fun isStopNeeded(attempt: WorkerAttempt) =
-        !attempt.stopRequested && attempt.phase != TaskPhase.ENDED && jobEnds.over(attempt.job, attempt.firstSeenUs)
+        !attempt.stopRequested && attempt.phase != TaskPhase.ENDED && jobCompletions.hasEnded(attempt.job, attempt.firstSeenUs)
 
     private fun stop(
         machine: Machine,
--- a/src/main/kotlin/lichenstage/partition/OrderFencing.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderFencing.kt
@@ -1,7 +1,7 @@
 package lichenstage.partition
 
 import lichenstage.common.SECOND
-import lichenstage.jobs.JobEnds
+import lichenstage.jobs.JobCompletions
 
 /**
  * Fences off direct orders whose outcome is indeterminate (invariant 6): by a proof, never because time has passed.
@@ -14,7 +14,7 @@
 internal class OrderFencing(
     private val fencingTokens: FencingTokens,
     private val changes: ChangeLog,
-    private val jobEnds: JobEnds,
+    private val jobCompletions: JobCompletions,
     private val events: (OrderEvent) -> Unit,
 ) {
     /** Machines with starts that are not wanted and may still be executed. */
@@ -62,7 +62,7 @@
     /** Notes as of when the job of a start that no heartbeat has listed is still open, where that is known. */
     fun noteOpenJob(attempt: WorkerAttempt) {
         if (attempt.isListed) return
-        jobEnds.openAsOfUs(attempt.job)?.let { attempt.openAsOfUs = it }
+        jobCompletions.confirmedOpenUs(attempt.job)?.let { attempt.confirmedOpenUs = it }
     }
 
     /** Gives newer tokens to those of [machines] that need one now. */
@@ -124,7 +124,7 @@
     ): Boolean {
         val mayExecute = attempt.isStartIndeterminate || attempt.startsInFlight > 0
         return attempt.isUnwantedStart && mayExecute && attempt.canExecuteUnder(machine.fencingToken) &&
-            now - attempt.openAsOfUs > jobEnds.answerBoundUs && jobEnds.over(attempt.job, attempt.firstSeenUs)
+            now - attempt.confirmedOpenUs > jobCompletions.maxStalenessUs && jobCompletions.hasEnded(attempt.job, attempt.firstSeenUs)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/partition/OwnedPartitions.kt
+++ b/src/main/kotlin/lichenstage/partition/OwnedPartitions.kt
@@ -46,7 +46,7 @@
      * Whether this process may act for the partition now. Owning it is not enough: an answer renews a lease, and must not keep alive what a
      * user was told is cancelled (invariant 15).
      */
-    fun isAuthorized(partition: PartitionCore) = authority.owning(partition.id)?.term == partition.term && replica.current(clock.now())
+    fun isAuthorized(partition: PartitionCore) = authority.owning(partition.id)?.term == partition.term && replica.isCurrent(clock.now())
 
     /** Follows the ownership of partitions. One whose authority only pauses keeps its state. */
     fun refresh(now: Long) {
--- a/src/main/kotlin/lichenstage/partition/PartitionCore.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionCore.kt
@@ -3,7 +3,7 @@
 import lichenstage.cluster.PartitionFrame
 import lichenstage.cluster.PlacementFrame
 import lichenstage.common.LruMap
-import lichenstage.jobs.JobEnds
+import lichenstage.jobs.JobCompletions
 import lichenstage.model.JobRequirements
 import lichenstage.model.MachineLimits
 
@@ -22,7 +22,7 @@
  */
 class PartitionCore(
     private val parameters: PartitionParameters,
-    jobEnds: JobEnds = JobEnds.NONE,
+    jobCompletions: JobCompletions = JobCompletions.NONE,
     private val events: (OrderEvent) -> Unit = {},
     limitsOf: (String) -> MachineLimits?,
 ) {
@@ -33,11 +33,11 @@
     private val machines = MachineRegistry(parameters, fencingTokens, changes, limitsOf)
     private val heartbeats = HeartbeatProcessor(fencingTokens, changes, events, requirementsOf)
     private val orders = OrderQueue()
-    private val fencing = OrderFencing(fencingTokens, changes, jobEnds, events)
+    private val fencing = OrderFencing(fencingTokens, changes, jobCompletions, events)
     private val probes = ProbeSchedule(parameters.term)
     private val holds = HoldTable(parameters.zone, limitsOf, requirementsOf, machines::get)
-    private val placement = PlacementOffers(parameters, machines, holds, requirements, jobEnds)
-    private val endedJobStops = EndedJobStops(jobEnds, machines, orders, fencing, events)
+    private val placement = PlacementOffers(parameters, machines, holds, requirements, jobCompletions)
+    private val endedJobStops = EndedJobStops(jobCompletions, machines, orders, fencing, events)
     private val leaderFrames = LeaderFrameHandler(parameters.term, machines, changes, placement, orders, fencing, probes, events)
 
     /** The partition's name. */
--- a/src/main/kotlin/lichenstage/partition/PlacementOffers.kt
+++ b/src/main/kotlin/lichenstage/partition/PlacementOffers.kt
@@ -3,7 +3,7 @@
 import lichenstage.cluster.Offer
 import lichenstage.cluster.PlacementFrame
 import lichenstage.cluster.PlacementRequest
-import lichenstage.jobs.JobEnds
+import lichenstage.jobs.JobCompletions
 import lichenstage.model.JobRequirements
 
 /** Decides which machines take tasks, offers their capacity for the leader's requests, and checks its starts against the holds. */
@@ -12,7 +12,7 @@
     private val machines: MachineRegistry,
     private val holds: HoldTable,
     private val requirements: MutableMap<String, JobRequirements>,
-    private val jobEnds: JobEnds,
+    private val jobCompletions: JobCompletions,
 ) {
     private var cordoned: Set<String> = emptySet()
 
@@ -43,7 +43,7 @@
     ): StartRefusal? =
         when {
             request == null -> StartRefusal.HOLD_EXPIRED
-            jobEnds.over(request.job, now) -> StartRefusal.JOB_ENDED
+            jobCompletions.hasEnded(request.job, now) -> StartRefusal.JOB_ENDED
             !isUsable(machine) -> StartRefusal.MACHINE_UNUSABLE
             else -> null
         }
@@ -67,7 +67,7 @@
     ): List<Offer> {
         requests.forEach { requirements[it.job] = it.requirements }
         val usable = machines.all.asSequence().filter { isUsable(it) && it.name !in cordoned && !isLeaseUnrenewed(it, now) }
-        return holds.grantAll(requests, usable, now) { jobEnds.over(it, now) }
+        return holds.grantAll(requests, usable, now) { jobCompletions.hasEnded(it, now) }
     }
 
     /** Not where its token is unconfirmed, it goes away, orders don't reach it, or it lists too much that can't be cleared yet. */
--- a/src/main/kotlin/lichenstage/partition/WorkerAttempt.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerAttempt.kt
@@ -56,7 +56,7 @@
     var startOrderToken = 0L
 
     /** As of when its job was last known to be open: no user was told of the job's end before that. */
-    var openAsOfUs = NEVER_US
+    var confirmedOpenUs = NEVER_US
 
     /** The worker has listed the attempt. */
     val isListed get() = phase != TaskPhase.PENDING
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
-import lichenstage.jobs.DoneRanges
 import java.util.BitSet
+import lichenstage.jobs.CompletedTaskRanges
 
 /** What the leader has recorded of the tasks that are done, in batches of at most [batch] changes, each after [flushUs] at the earliest. */
 class CompletionRecorder(
@@ -84,13 +84,13 @@
         chunk: Int,
         recordedTasks: BitSet,
     ): Boolean {
-        val fitting = DoneRanges.fitting(job.done, chunk, valueBytes)
-        val durable = job.durable.get(chunk * DoneRanges.CHUNK, (chunk + 1) * DoneRanges.CHUNK)
+        val fitting = CompletedTaskRanges.fitting(job.done, chunk, valueBytes)
+        val durable = job.durable.get(chunk * CompletedTaskRanges.CHUNK, (chunk + 1) * CompletedTaskRanges.CHUNK)
         val lost = (durable.clone() as BitSet).apply { andNot(fitting) }
         if (!lost.isEmpty || fitting == durable) return false
         var next = fitting.nextSetBit(0)
         while (next >= 0) {
-            recordedTasks.set(chunk * DoneRanges.CHUNK + next)
+            recordedTasks.set(chunk * CompletedTaskRanges.CHUNK + next)
             next = fitting.nextSetBit(next + 1)
         }
         return true
@@ -98,9 +98,9 @@
 
     private fun changedChunks(job: Job): List<Int> {
         val unrecordedTasks = (job.done.clone() as BitSet).apply { andNot(job.durable) }
-        return (0 until DoneRanges.chunks(job.spec.tasks)).filter {
-            val next = unrecordedTasks.nextSetBit(it * DoneRanges.CHUNK)
-            next >= 0 && next < (it + 1) * DoneRanges.CHUNK
+        return (0 until CompletedTaskRanges.chunks(job.spec.tasks)).filter {
+            val next = unrecordedTasks.nextSetBit(it * CompletedTaskRanges.CHUNK)
+            next >= 0 && next < (it + 1) * CompletedTaskRanges.CHUNK
         }
     }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -1,6 +1,8 @@
 package lichenstage.placement
 
+import java.util.BitSet
 import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.Job as CoroutineJob
 import kotlinx.coroutines.SupervisorJob
 import kotlinx.coroutines.cancel
 import kotlinx.coroutines.delay
@@ -25,10 +27,10 @@
 import lichenstage.drain.DrainTracing
 import lichenstage.drain.RunningTask
 import lichenstage.fleet.FleetPolicy
-import lichenstage.jobs.DoneRanges
-import lichenstage.jobs.JobRecord
+import lichenstage.jobs.CompletedTaskRanges
+import lichenstage.jobs.DependencyGraph
+import lichenstage.jobs.JobRecordCodec
 import lichenstage.jobs.JobReplicaSync
-import lichenstage.jobs.Pipelines
 import lichenstage.model.MachineFit
 import lichenstage.state.Entry
 import lichenstage.state.KeyValueStoreClient
@@ -36,8 +38,6 @@
 import lichenstage.state.SingleWriterKeys
 import lichenstage.state.TransactionResult
 import org.slf4j.LoggerFactory
-import java.util.BitSet
-import kotlinx.coroutines.Job as CoroutineJob
 
 /** What operators may set of a leader. */
 data class LeaderOptions(
@@ -56,7 +56,7 @@
     private val catalog: MachineCatalog,
     private val clock: Clock,
     replicaSync: JobReplicaSync,
-    pipelines: Pipelines,
+    dependencyGraph: DependencyGraph,
     parent: CoroutineScope,
     /** The term of the leadership, and the revision of its key. */
     val term: Long,
@@ -80,19 +80,19 @@
             { catalog.machineTypes[it]?.capacity },
             settings.txnOps,
             { MachineFit.maxFetchUs(it, catalog.machineTypes) },
-            pipelines::dependentsOf,
+            dependencyGraph::dependentsOf,
             settings.valueBytes,
             ::carryOut,
         )
     private val mailbox =
         Mailbox("leader", scope, ::handle, shed = { it is LeaderMessage.PartitionFrameReceived || it is LeaderMessage.Tick })
     private val owned = SingleWriterKeys(state)
-    private val writer = LeaderRecordWriter(state, owned, leaderKeyRevision, settings.txnOps, scope, replicaSync::finished, mailbox::tell)
+    private val writer = LeaderRecordWriter(state, owned, leaderKeyRevision, settings.txnOps, scope, replicaSync::jobFinished, mailbox::tell)
     private val registry = RegistryDriver(settings, core, writer)
     private val fleet =
         FleetDriver(settings, core, cloud, catalog, objectives, options.fleet, clock.now(), scope, { drains }, mailbox::tell)
     private val drains: DrainDriver? = options.drains?.let { drainDriver(it, state, leaderKeyRevision) }
-    private val blockedJobs = BlockedJobs(pipelines, core, maxOf(1, settings.txnOps / 2))
+    private val blockedJobs = BlockedJobs(dependencyGraph, core, maxOf(1, settings.txnOps / 2))
     private var loaded = false
     private var countedUs = Long.MIN_VALUE / 2
 
@@ -171,7 +171,7 @@
             }
 
             is LeaderMessage.JobsEnded -> {
-                if (loaded) message.jobs.forEach { closed(JobRecord.OPEN + it) }
+                if (loaded) message.jobs.forEach { closed(JobRecordCodec.OPEN + it) }
             }
 
             LeaderMessage.DependenciesResolved -> {
@@ -180,7 +180,7 @@
 
             is LeaderMessage.OrphansCancelled -> {
                 blockedJobs.orphansCancelled()
-                message.jobs.forEach { closed(JobRecord.OPEN + it.spec.id) }
+                message.jobs.forEach { closed(JobRecordCodec.OPEN + it.spec.id) }
             }
 
             is LeaderMessage.DoneRangesWritten -> {
@@ -216,12 +216,12 @@
         message.jobs.sortedBy { it.value.getLong("at") ?: 0 }.forEach(::added)
         val orphanedRanges = ArrayList<String>()
         for (entry in message.done) {
-            val (id, chunk) = entry.key.removePrefix(JobRecord.DONE).split('/')
+            val (id, chunk) = entry.key.removePrefix(JobRecordCodec.DONE).split('/')
             val job = core.jobs[id]
             if (job == null) {
                 orphanedRanges += entry.key
             } else {
-                job.restoreDone(BitSet().also { DoneRanges.decode(entry.value, chunk.toInt(), it) })
+                job.restoreDone(BitSet().also { CompletedTaskRanges.decode(entry.value, chunk.toInt(), it) })
             }
         }
         loaded = true
@@ -234,7 +234,7 @@
         val spec =
             @Suppress("TooGenericExceptionCaught") // Missing fields, wrong types and casts all mean the same.
             try {
-                JobRecord.decode(entry.value)
+                JobRecordCodec.decode(entry.value)
             } catch (e: RuntimeException) {
                 log.error("record {} can't be read: {}", entry.key, e.message)
                 return
@@ -264,16 +264,16 @@
     }
 
     private fun closed(key: String) {
-        val job = core.jobs[key.removePrefix(JobRecord.OPEN)] ?: return
+        val job = core.jobs[key.removePrefix(JobRecordCodec.OPEN)] ?: return
         core.jobClosed(job.spec.id)
         writer.deleteRanges(job)
     }
 
     private fun reloaded(entries: List<Entry>) {
-        val there = entries.mapTo(HashSet()) { it.key.removePrefix(JobRecord.OPEN) }
+        val there = entries.mapTo(HashSet()) { it.key.removePrefix(JobRecordCodec.OPEN) }
         core.jobs.keys
             .filter { it !in there }
-            .forEach { closed(JobRecord.OPEN + it) }
+            .forEach { closed(JobRecordCodec.OPEN + it) }
         entries.forEach(::added)
     }
 
@@ -295,7 +295,7 @@
             writer.deleteRanges(job)
         } else {
             core.completionFailed(job)
-            if (!message.stillOpen) closed(JobRecord.OPEN + job.spec.id)
+            if (!message.stillOpen) closed(JobRecordCodec.OPEN + job.spec.id)
         }
     }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordReader.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordReader.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
 import kotlinx.coroutines.delay
-import lichenstage.jobs.JobRecord
+import lichenstage.jobs.JobRecordCodec
 import lichenstage.state.KeyValueStoreClient
 import lichenstage.state.ScanResult
 import lichenstage.state.WatchResult
@@ -15,8 +15,8 @@
     suspend fun run() {
         // The order does not matter, since a task starts only after all is loaded.
         val machines = scan(MACHINES)
-        val jobs = scan(JobRecord.OPEN)
-        val done = scan(JobRecord.DONE)
+        val jobs = scan(JobRecordCodec.OPEN)
+        val done = scan(JobRecordCodec.DONE)
         tell(LeaderMessage.RecordsLoaded(jobs.entries, done.entries, machines.entries))
         follow(jobs.revision)
     }
@@ -24,7 +24,7 @@
     private suspend fun follow(from: Long) {
         var since = from
         while (true) {
-            when (val seen = state.watch(JobRecord.OPEN, since, WATCH_MS)) {
+            when (val seen = state.watch(JobRecordCodec.OPEN, since, WATCH_MS)) {
                 is WatchResult.Events -> {
                     since = seen.revision
                     // A job that was put and deleted in one batch is gone: within a prefix, the delete is the newer.
@@ -33,7 +33,7 @@
                 }
 
                 WatchResult.Compacted -> {
-                    val again = scan(JobRecord.OPEN)
+                    val again = scan(JobRecordCodec.OPEN)
                     since = again.revision
                     tell(LeaderMessage.OpenJobsReloaded(again.entries))
                 }
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -6,8 +6,8 @@
 import kotlinx.coroutines.launch
 import lichenstage.authority.Authority
 import lichenstage.common.timeOfDayUs
-import lichenstage.jobs.DoneRanges
-import lichenstage.jobs.JobRecord
+import lichenstage.jobs.CompletedTaskRanges
+import lichenstage.jobs.JobRecordCodec
 import lichenstage.state.Change
 import lichenstage.state.KeyValueStoreClient
 import lichenstage.state.Precondition
@@ -37,7 +37,7 @@
         scope.launch {
             val puts =
                 deltas.flatMap { row ->
-                    row.chunks.map { Change.Put(DoneRanges.key(row.job.spec.id, it), DoneRanges.encode(row.recordedTasks, it)) }
+                    row.chunks.map { Change.Put(CompletedTaskRanges.key(row.job.spec.id, it), CompletedTaskRanges.encode(row.recordedTasks, it)) }
                 }
             val written = writeAll(puts)
             if (!written) delay(RETRY_MS)
@@ -48,14 +48,14 @@
     fun finish(job: Job) {
         scope.launch {
             val id = job.spec.id
-            val preconditions = listOf(leadership, Precondition(JobRecord.OPEN + id, job.createRevision))
-            val record = JobRecord.over("done", job.spec.tasks, timeOfDayUs())
+            val preconditions = listOf(leadership, Precondition(JobRecordCodec.OPEN + id, job.createRevision))
+            val record = JobRecordCodec.finished("done", job.spec.tasks, timeOfDayUs())
             val outcome =
                 state.commit(
                     preconditions,
-                    listOf(Change.Delete(JobRecord.OPEN + id), Change.Put(JobRecord.FINISHED + id, record)),
+                    listOf(Change.Delete(JobRecordCodec.OPEN + id), Change.Put(JobRecordCodec.FINISHED + id, record)),
                 )
-            val stillOpen = outcome !is TransactionResult.Conflict || state.get(JobRecord.OPEN + id) !is ReadResult.NotFound
+            val stillOpen = outcome !is TransactionResult.Conflict || state.get(JobRecordCodec.OPEN + id) !is ReadResult.NotFound
             if (outcome is TransactionResult.Committed) finished(id, record) else delay(RETRY_MS)
             tell(LeaderMessage.CompletionWritten(job, outcome, stillOpen))
         }
@@ -71,12 +71,12 @@
     }
 
     private suspend fun recordCancelled(jobs: List<Job>): Boolean {
-        val preconditions = jobs.map { Precondition(JobRecord.OPEN + it.spec.id, it.createRevision) } + leadership
+        val preconditions = jobs.map { Precondition(JobRecordCodec.OPEN + it.spec.id, it.createRevision) } + leadership
         val atUs = timeOfDayUs()
         val changes =
             jobs.flatMap {
                 val id = it.spec.id
-                listOf(Change.Delete(JobRecord.OPEN + id), Change.Put(JobRecord.FINISHED + id, JobRecord.over("cancelled", 0, atUs)))
+                listOf(Change.Delete(JobRecordCodec.OPEN + id), Change.Put(JobRecordCodec.FINISHED + id, JobRecordCodec.finished("cancelled", 0, atUs)))
             }
         return state.commit(preconditions, changes, urgent = false) is TransactionResult.Committed
     }
@@ -92,7 +92,7 @@
     /** Done ranges of a job that is over are of no more use. Where some are still being written, it is done after that. */
     fun deleteRanges(job: Job) {
         if (job.rangesWriteInFlight || job.durable.isEmpty) return
-        delete((0 until DoneRanges.chunks(job.spec.tasks)).map { DoneRanges.key(job.spec.id, it) })
+        delete((0 until CompletedTaskRanges.chunks(job.spec.tasks)).map { CompletedTaskRanges.key(job.spec.id, it) })
     }
 
     fun delete(keys: List<String>) {
--- a/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
@@ -1,18 +1,18 @@
 package lichenstage.cluster
 
 import io.vertx.core.json.JsonObject
+import java.util.BitSet
+import java.util.HexFormat
 import kotlinx.serialization.ExperimentalSerializationApi
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.Cbor
-import lichenstage.jobs.DoneRanges
-import lichenstage.jobs.JobRecord
+import lichenstage.jobs.CompletedTaskRanges
+import lichenstage.jobs.JobRecordCodec
 import lichenstage.model.JobSpec
 import lichenstage.placement.Registry
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
-import java.util.BitSet
-import java.util.HexFormat
 
 /**
  * What the version in production writes, in `production.json` by its own code (deploy/service.toml names it): this version reads it,
@@ -87,10 +87,10 @@
     @Example
     fun `records are read, and those of jobs that need no others are written as production writes them`() {
         val records = samples.getJsonObject("records")
-        val spec = JobRecord.decode(records.getJsonObject("j"))
-        assertTrue(JobRecord.encode(spec) == records.getJsonObject("j") && spec.dependencies.isEmpty()) { "$spec" }
-        val done = BitSet().also { DoneRanges.decode(records.getJsonObject("d"), 0, it) }
-        assertTrue(DoneRanges.encode(done, 0) == records.getJsonObject("d") && done.cardinality() == 6) { "$done" }
+        val spec = JobRecordCodec.decode(records.getJsonObject("j"))
+        assertTrue(JobRecordCodec.encode(spec) == records.getJsonObject("j") && spec.dependencies.isEmpty()) { "$spec" }
+        val done = BitSet().also { CompletedTaskRanges.decode(records.getJsonObject("d"), 0, it) }
+        assertTrue(CompletedTaskRanges.encode(done, 0) == records.getJsonObject("d") && done.cardinality() == 6) { "$done" }
         val machines = Registry.decode(records.getJsonObject("m"))
         assertEquals(records.getJsonObject("m"), Registry.encode(machines)) { "$machines" }
     }
@@ -99,14 +99,14 @@
     @Example
     fun `what is new in a record leaves all that production reads of it`() {
         val records = samples.getJsonObject("records")
-        val plain = JobRecord.decode(records.getJsonObject("j"))
+        val plain = JobRecordCodec.decode(records.getJsonObject("j"))
         val spec: JobSpec = plain.copy(dependencies = listOf("j-7"))
-        val written = JsonObject(JobRecord.encode(spec).encode())
+        val written = JsonObject(JobRecordCodec.encode(spec).encode())
         assertTrue(
             records.getJsonObject("j").fieldNames().all { written.getValue(it) == records.getJsonObject("j").getValue(it) },
         ) { "$written" }
-        assertEquals(spec, JobRecord.decode(written)) { "what it needs is lost" }
-        val over = JsonObject(JobRecord.over("done", 12, 5).encode())
+        assertEquals(spec, JobRecordCodec.decode(written)) { "what it needs is lost" }
+        val over = JsonObject(JobRecordCodec.finished("done", 12, 5).encode())
         assertTrue(
             records.getJsonObject("x").fieldNames().all { over.getValue(it) == records.getJsonObject("x").getValue(it) },
         ) { "$over" }
--- a/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
@@ -5,7 +5,7 @@
 import lichenstage.app.warmUpSettings
 import lichenstage.common.SECOND
 import lichenstage.config.Settings
-import lichenstage.jobs.JobRecord
+import lichenstage.jobs.JobRecordCodec
 import lichenstage.model.JobSpec
 import lichenstage.model.Priority
 import lichenstage.model.Shape
@@ -92,7 +92,7 @@
         val before = store.revision
         val bound =
             JobSpec("j-1", "c", "t", Priority.HIGH, 1, Shape(1.0, 0.0, 1.0), null, "y", false, false, true, "i", 1.0, 1, 0, 0, null, 0)
-        store.apply(emptyList(), listOf(Change.Put("j/j-1", JobRecord.encode(bound))))
+        store.apply(emptyList(), listOf(Change.Put("j/j-1", JobRecordCodec.encode(bound))))
         val refusals =
             mapOf(
                 request(DrainSelection(setOf("vm-001", "vm-999"))) to "--machine vm-999: no such machine is recorded",
--- a/src/test/kotlin/lichenstage/jobs/PipelinesTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/DependencyGraphTest.kt
@@ -1,45 +1,45 @@
 package lichenstage.jobs
 
+import java.util.Random
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
-import java.util.Random
 
-class PipelinesTest {
+class DependencyGraphTest {
     /** Found by the simulated world: after an outage longer than cancel_s a waiting job was called pending at that moment. */
     @Example
     fun `between the word that a job has ended and the word how, nothing is said of what waits for it`() {
-        val pipelines = Pipelines()
-        pipelines.opened("j-1", emptyList())
-        pipelines.opened("j-2", listOf("j-1"))
-        pipelines.opened("j-3", listOf("j-2"))
+        val dependencyGraph = DependencyGraph()
+        dependencyGraph.jobOpened("j-1", emptyList())
+        dependencyGraph.jobOpened("j-2", listOf("j-1"))
+        dependencyGraph.jobOpened("j-3", listOf("j-2"))
 
         fun readiness() =
             listOf("j-1" to emptyList(), "j-2" to listOf("j-1"), "j-3" to listOf("j-2")).map { (job, dependencies) ->
-                pipelines.readiness(job, dependencies)
+                dependencyGraph.readiness(job, dependencies)
             }
         assertEquals(listOf(Readiness.READY, Readiness.WAITING, Readiness.WAITING), readiness()) { "${readiness()}" }
-        pipelines.ended("j-1")
+        dependencyGraph.jobClosed("j-1")
         assertEquals(listOf(Readiness.UNKNOWN, Readiness.UNKNOWN), readiness().drop(1)) { "${readiness()}" }
-        pipelines.resolved("j-1", Outcome(done = false, atUs = null))
+        dependencyGraph.outcomeRecorded("j-1", JobOutcome(done = false, atUs = null))
         assertEquals(listOf(Readiness.CANCELLED, Readiness.CANCELLED), readiness().drop(1)) { "${readiness()}" }
     }
 
     /** Found by the simulated world: a job that was submitted right after an outage was called pending although its chain was cancelled. */
     @Example
     fun `nothing is said of a job that the watch has not brought, where what it needs has ended before`() {
-        val pipelines = Pipelines()
-        pipelines.opened("j-1", emptyList())
-        pipelines.opened("j-2", listOf("j-1"))
-        assertEquals(Readiness.WAITING, pipelines.readiness("j-3", listOf("j-2"))) { "it can wait" }
-        pipelines.ended("j-2")
-        assertEquals(Readiness.UNKNOWN, pipelines.readiness("j-3", listOf("j-2"))) { "${pipelines.readiness("j-3", listOf("j-2"))}" }
-        pipelines.opened("j-3", listOf("j-2"))
-        pipelines.resolved("j-2", Outcome(done = false, atUs = null))
-        assertEquals(Readiness.CANCELLED, pipelines.readiness("j-3", listOf("j-2"))) { "${pipelines.readiness("j-3", listOf("j-2"))}" }
+        val dependencyGraph = DependencyGraph()
+        dependencyGraph.jobOpened("j-1", emptyList())
+        dependencyGraph.jobOpened("j-2", listOf("j-1"))
+        assertEquals(Readiness.WAITING, dependencyGraph.readiness("j-3", listOf("j-2"))) { "it can wait" }
+        dependencyGraph.jobClosed("j-2")
+        assertEquals(Readiness.UNKNOWN, dependencyGraph.readiness("j-3", listOf("j-2"))) { "${dependencyGraph.readiness("j-3", listOf("j-2"))}" }
+        dependencyGraph.jobOpened("j-3", listOf("j-2"))
+        dependencyGraph.outcomeRecorded("j-2", JobOutcome(done = false, atUs = null))
+        assertEquals(Readiness.CANCELLED, dependencyGraph.readiness("j-3", listOf("j-2"))) { "${dependencyGraph.readiness("j-3", listOf("j-2"))}" }
     }
 
     /** Jobs that need any that came before; ends become known, and how they ended, in any order. A simple model says what follows. */
@@ -48,7 +48,7 @@
         @ForAll seed: Long,
     ) {
         val random = Random(seed)
-        val pipelines = Pipelines()
+        val dependencyGraph = DependencyGraph()
         val dependencies = LinkedHashMap<String, List<String>>()
         val open = LinkedHashSet<String>()
         val ended = HashMap<String, Boolean>()
@@ -68,7 +68,7 @@
                     val all = dependencies.keys.toList()
                     dependencies[job] = List(if (all.isEmpty()) 0 else random.nextInt(4)) { all[random.nextInt(all.size)] }.distinct()
                     open += job
-                    pipelines.opened(job, dependencies.getValue(job))
+                    dependencyGraph.jobOpened(job, dependencies.getValue(job))
                 }
 
                 2 -> {
@@ -77,15 +77,15 @@
                         open -= job
                         // Only what has all that it needs can be done.
                         ended[job] = random.nextInt(3) > 0 && dependencies.getValue(job).all { ended[it] == true }
-                        pipelines.ended(job)
+                        dependencyGraph.jobClosed(job)
                     }
                 }
 
                 else -> {
-                    for (job in pipelines.toResolve(random.nextInt(3))) {
+                    for (job in dependencyGraph.unresolved(random.nextInt(3))) {
                         assertTrue(job in ended) { "asks how $job ended, which is open" }
                         resolved += job
-                        pipelines.resolved(job, Outcome(ended.getValue(job), step.toLong()))
+                        dependencyGraph.outcomeRecorded(job, JobOutcome(ended.getValue(job), step.toLong()))
                     }
                 }
             }
@@ -94,38 +94,38 @@
             // Once orphaned, always: what it needs may be recorded as cancelled later without being looked up.
             orphans += open.filter(::cancelledBefore)
             orphans.retainAll(open)
-            assertEquals(orphans, pipelines.orphans(1000).toSet()) { "seed $seed step $step: ${pipelines.orphans(1000)}, not $orphans" }
+            assertEquals(orphans, dependencyGraph.orphans(1000).toSet()) { "seed $seed step $step: ${dependencyGraph.orphans(1000)}, not $orphans" }
             for (job in open) {
                 val ready = dependencies.getValue(job).all { it in resolved && ended[it] == true }
-                assertEquals(ready, (pipelines.readyAt(dependencies.getValue(job)) != null)) { "seed $seed step $step: $job" }
+                assertEquals(ready, (dependencyGraph.readySinceUs(dependencies.getValue(job)) != null)) { "seed $seed step $step: $job" }
             }
         }
-        while (pipelines.toResolve(10).isNotEmpty()) {
-            pipelines.toResolve(10).forEach { pipelines.resolved(it, Outcome(ended.getValue(it), 0)) }
+        while (dependencyGraph.unresolved(10).isNotEmpty()) {
+            dependencyGraph.unresolved(10).forEach { dependencyGraph.outcomeRecorded(it, JobOutcome(ended.getValue(it), 0)) }
         }
         open.forEach { job -> assertTrue(dependencies.getValue(job).all { it in open || it in ended }) { "lost" } }
     }
 
     @Example
     fun `a change costs by who waits for it, in chains of thousands and fans of thousands`() {
-        val pipelines = Pipelines()
-        repeat(5000) { pipelines.opened("j-$it", if (it == 0) emptyList() else listOf("j-${it - 1}")) }
-        repeat(5000) { pipelines.opened("j-1$it-f", listOf("j-0")) }
-        pipelines.ended("j-0")
-        assertEquals(listOf("j-0"), pipelines.toResolve(10)) { "${pipelines.toResolve(10)}" }
-        pipelines.resolved("j-0", Outcome(done = false, atUs = null))
-        assertEquals(9999, pipelines.orphans(20_000).size) { "${pipelines.orphans(20_000).size}" }
-        pipelines.ended("j-1")
-        assertEquals(9998, pipelines.orphans(20_000).size) { "an end changes others" }
+        val dependencyGraph = DependencyGraph()
+        repeat(5000) { dependencyGraph.jobOpened("j-$it", if (it == 0) emptyList() else listOf("j-${it - 1}")) }
+        repeat(5000) { dependencyGraph.jobOpened("j-1$it-f", listOf("j-0")) }
+        dependencyGraph.jobClosed("j-0")
+        assertEquals(listOf("j-0"), dependencyGraph.unresolved(10)) { "${dependencyGraph.unresolved(10)}" }
+        dependencyGraph.outcomeRecorded("j-0", JobOutcome(done = false, atUs = null))
+        assertEquals(9999, dependencyGraph.orphans(20_000).size) { "${dependencyGraph.orphans(20_000).size}" }
+        dependencyGraph.jobClosed("j-1")
+        assertEquals(9998, dependencyGraph.orphans(20_000).size) { "an end changes others" }
     }
 
     @Example
     fun `the times count from the last record, where one says when`() {
-        val pipelines = Pipelines()
-        pipelines.opened("j-3", listOf("j-1", "j-2"))
-        pipelines.resolved("j-1", Outcome(done = true, atUs = 70))
-        assertNull(pipelines.readyAt(listOf("j-1", "j-2"))) { "one is not done" }
-        pipelines.resolved("j-2", Outcome(done = true, atUs = null))
-        assertTrue(pipelines.readyAt(listOf("j-1", "j-2")) == 70L && pipelines.readyAt(emptyList()) == 0L) { "when" }
+        val dependencyGraph = DependencyGraph()
+        dependencyGraph.jobOpened("j-3", listOf("j-1", "j-2"))
+        dependencyGraph.outcomeRecorded("j-1", JobOutcome(done = true, atUs = 70))
+        assertNull(dependencyGraph.readySinceUs(listOf("j-1", "j-2"))) { "one is not done" }
+        dependencyGraph.outcomeRecorded("j-2", JobOutcome(done = true, atUs = null))
+        assertTrue(dependencyGraph.readySinceUs(listOf("j-1", "j-2")) == 70L && dependencyGraph.readySinceUs(emptyList()) == 0L) { "when" }
     }
 }
--- a/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
@@ -2,6 +2,8 @@
 
 import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
+import java.util.BitSet
+import java.util.Random
 import lichenstage.model.JobSpec
 import lichenstage.model.Priority
 import lichenstage.model.Shape
@@ -15,8 +17,6 @@
 import net.jqwik.api.constraints.IntRange
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
-import java.util.BitSet
-import java.util.Random
 
 class JobFormatsTest {
     private fun submission() =
@@ -29,15 +29,15 @@
 
     private fun refusedField(json: JsonObject): String? =
         try {
-            JobCodec.submission(json, 0)
+            SubmissionCodec.submission(json, 0)
             null
-        } catch (e: Malformed) {
+        } catch (e: InvalidSubmission) {
             e.field
         }
 
     @Example
     fun `a submission as the protocol shows it is read, unknown fields and all`() {
-        val spec = JobCodec.submission(submission(), 7)
+        val spec = SubmissionCodec.submission(submission(), 7)
         assertTrue(spec.id == "j-000412" && spec.tasks == 16 && spec.shape == Shape(8.0, 1.0, 64.0)) { "$spec" }
         assertTrue(spec.deadlineUs == 900_000_000L && spec.estimatedRunTimeUs == 240_000_000L && spec.submittedUs == 7L) { "$spec" }
         assertTrue(spec.allowedTypes == listOf("g8") && spec.zone == null && spec.sameZone && spec.spot) { "$spec" }
@@ -51,11 +51,11 @@
     ) {
         val random = java.util.Random(seed)
         val done = BitSet()
-        for (i in 0 until DoneRanges.CHUNK) if (random.nextInt(100) < percent) done.set(i)
-        val fitting = DoneRanges.fitting(done, 0, 2048)
-        val text = DoneRanges.encode(fitting, 0).encode()
+        for (i in 0 until CompletedTaskRanges.CHUNK) if (random.nextInt(100) < percent) done.set(i)
+        val fitting = CompletedTaskRanges.fitting(done, 0, 2048)
+        val text = CompletedTaskRanges.encode(fitting, 0).encode()
         assertTrue(text.length <= 2048) { "$percent percent take ${text.length}" }
-        val read = BitSet().also { DoneRanges.decode(JsonObject(text), 0, it) }
+        val read = BitSet().also { CompletedTaskRanges.decode(JsonObject(text), 0, it) }
         assertTrue(read == fitting && (fitting.clone() as BitSet).apply { andNot(done) }.isEmpty) { "not what is done" }
         assertTrue(fitting.cardinality() * 2 > done.cardinality() || percent < 3) { "${fitting.cardinality()} of ${done.cardinality()}" }
     }
@@ -64,7 +64,7 @@
     fun `what may be null may be left out`() {
         val json = submission()
         listOf("builds", "yard", "due_s").forEach { json.remove(it) }
-        val spec = JobCodec.submission(json, 0)
+        val spec = SubmissionCodec.submission(json, 0)
         assertTrue(spec.allowedTypes == null && spec.zone == null && spec.deadlineUs == null) { "$spec" }
     }
 
@@ -104,7 +104,7 @@
     fun `a record gives back the job it was made from`(
         @ForAll("specs") spec: JobSpec,
     ) {
-        val read = JobRecord.decode(JsonObject(JobRecord.encode(spec).encode()))
+        val read = JobRecordCodec.decode(JsonObject(JobRecordCodec.encode(spec).encode()))
         assertEquals(spec, read) { "$spec became $read" }
     }
 
@@ -146,10 +146,10 @@
         val done = BitSet()
         for (i in 0 until tasks) if (random.nextInt(100) < density) done.set(i)
         val read = BitSet()
-        for (chunk in 0 until DoneRanges.chunks(tasks)) {
-            val text = DoneRanges.encode(done, chunk).encode()
+        for (chunk in 0 until CompletedTaskRanges.chunks(tasks)) {
+            val text = CompletedTaskRanges.encode(done, chunk).encode()
             assertTrue(text.length < 4 * 1024) { "chunk $chunk of $tasks takes ${text.length}" }
-            DoneRanges.decode(JsonObject(text), chunk, read)
+            CompletedTaskRanges.decode(JsonObject(text), chunk, read)
         }
         assertEquals(done, read) { "$tasks tasks, seed $seed" }
     }
--- a/src/test/kotlin/lichenstage/jobs/JobsActorTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobsActorTest.kt
@@ -2,6 +2,7 @@
 
 import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
+import java.util.Random
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.ExperimentalCoroutinesApi
@@ -30,7 +31,6 @@
 import net.jqwik.api.Property
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
-import java.util.Random
 
 /**
  * What users are told, through three controllers that share a state service which is slow, refuses, gives no answer and carries such
@@ -86,7 +86,7 @@
         /** The leader's word that all tasks are done, which there is only once all that the job needs is recorded as done. */
         fun finish(id: String): Boolean {
             val open = entries["j/$id"] ?: return false
-            if (JobRecord.dependencies(open.value).any { entries["x/$it"]?.value?.getString("status") != "done" }) return false
+            if (JobRecordCodec.dependencies(open.value).any { entries["x/$it"]?.value?.getString("status") != "done" }) return false
             val record = JsonObject().put("status", "done").put("tasks", 2)
             return apply(
                 listOf(Precondition("j/$id", open.modRevision)),
@@ -102,9 +102,9 @@
         val machineTypes = mapOf("t" to MachineType("t", Shape(8.0, 0.0, 64.0), 1.0, 0.3, 1, 50.0, 1.0, listOf("a")))
         val teams = mapOf("red" to Team("red", 0.0, 16.0, 0.0, Double.POSITIVE_INFINITY))
         val replica = JobReplica(1, null, 1)
-        val pipelines = Pipelines()
+        val dependencyGraph = DependencyGraph()
         val clock = Clock { scope.coroutineContext[TestCoroutineScheduler]!!.currentTime * MILLI }
-        if (store is SlowStore) scope.launch { follow(store, replica, pipelines, clock) }
+        if (store is SlowStore) scope.launch { follow(store, replica, dependencyGraph, clock) }
         val forwarder = RequestForwarder({ null }) { _, _ -> }
         return JobsActor(
             store,
@@ -113,10 +113,10 @@
             { true },
             forwarder,
             replica,
-            pipelines,
+            dependencyGraph,
             clock,
             RecordLimits(12, 8192),
-            replica::learned,
+            replica::recordEnd,
             scope,
         )
     }
@@ -125,18 +125,18 @@
     private suspend fun follow(
         store: SlowStore,
         replica: JobReplica,
-        pipelines: Pipelines,
+        dependencyGraph: DependencyGraph,
         clock: Clock,
     ) {
         val random = Random(7)
         while (true) {
             delay(if (random.nextInt(40) == 0) 8000 else 50 + random.nextLong(300))
             val open = store.entries.filterKeys { it.startsWith("j/") }.mapKeys { it.key.removePrefix("j/") }
-            open.forEach { (id, entry) -> pipelines.opened(id, JobRecord.dependencies(entry.value)) }
-            replica.loaded(open.mapValues { it.value.modRevision }, store.revision, clock.now()).forEach(pipelines::ended)
-            for (id in pipelines.toResolve(8)) {
+            open.forEach { (id, entry) -> dependencyGraph.jobOpened(id, JobRecordCodec.dependencies(entry.value)) }
+            replica.replaceAll(open.mapValues { it.value.modRevision }, store.revision, clock.now()).forEach(dependencyGraph::jobClosed)
+            for (id in dependencyGraph.unresolved(8)) {
                 val record = store.entries["x/$id"]?.value ?: continue
-                pipelines.resolved(id, Outcome(record.getString("status") == "done", record.getLong("at")))
+                dependencyGraph.outcomeRecorded(id, JobOutcome(record.getString("status") == "done", record.getLong("at")))
             }
         }
     }
@@ -146,7 +146,7 @@
         text: String,
     ): Reply? {
         val answer = CompletableDeferred<Reply>()
-        tell(JobsMessage.Asked(verb, text) { answer.complete(it) })
+        tell(JobsMessage.UserRequest(verb, text) { answer.complete(it) })
         // As users do: an answer that comes later is not heard.
         return withTimeoutOrNull(5000) { answer.await() }
     }
@@ -346,7 +346,7 @@
             store.finish("j-10")
             val reply = submitted(20, JsonArray(listOf("j-10", "j-11", "j-11")))
             assertTrue(reply.status in 200..201) { "${reply.status} ${reply.body}" }
-            assertEquals(listOf("j-10", "j-11"), JobRecord.dependencies(store.entries.getValue("j/j-20").value)) { "named twice" }
+            assertEquals(listOf("j-10", "j-11"), JobRecordCodec.dependencies(store.entries.getValue("j/j-20").value)) { "named twice" }
         }
 
     @Example
--- a/src/test/kotlin/lichenstage/jobs/OpenRecordCheckTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/OpenRecordCheckTest.kt
@@ -15,32 +15,32 @@
 class OpenRecordCheckTest {
     private var requests = 0
 
-    /** Asks about jobs 0 until [count]; those in [gone] are over. The service names [named] of the failed keys. */
-    private fun ask(
+    /** Asks about jobs 0 until [count]; those in [deleted] are over. The service names [named] of the failed keys. */
+    private fun check(
         count: Int,
-        gone: Set<Int>,
+        deleted: Set<Int>,
         named: Int,
     ): List<RecordState> =
         runBlocking {
             val check =
                 OpenRecordCheck(192, this, gather = { yield() }) { guards ->
                     requests++
-                    val failed = guards.keys.filter { it.removePrefix("j/").toInt() in gone }
+                    val failed = guards.keys.filter { it.removePrefix("j/").toInt() in deleted }
                     if (failed.isEmpty()) TransactionResult.Committed(1) else TransactionResult.Conflict(failed.take(named))
                 }
-            List(count) { async { check.ask("j/$it", 7) } }.awaitAll()
+            List(count) { async { check.check("j/$it", 7) } }.awaitAll()
         }
 
     @Example
     fun `a thousand polls take a few requests`() {
-        val answers = ask(1000, emptySet(), 0)
+        val answers = check(1000, emptySet(), 0)
         assertTrue(answers.all { it == RecordState.OPEN }) { "not all open" }
         assertTrue(requests <= 8) { "$requests requests" }
     }
 
     @Example
     fun `more than can wait are turned away at once`() {
-        assertEquals(500, ask(1500, emptySet(), 0).count { it == RecordState.UNKNOWN }) { "held back" }
+        assertEquals(500, check(1500, emptySet(), 0).count { it == RecordState.UNKNOWN }) { "held back" }
     }
 
     @Property(tries = 100, seed = "2212")
@@ -48,11 +48,11 @@
         @ForAll drawn: Set<Int>,
         @ForAll all: Boolean,
     ) {
-        val gone = drawn.map { Math.floorMod(it, 60) }.toSet()
-        val answers = ask(60, gone, if (all) 60 else 1)
+        val deleted = drawn.map { Math.floorMod(it, 60) }.toSet()
+        val answers = check(60, deleted, if (all) 60 else 1)
         answers.forEachIndexed { i, answer ->
-            assertTrue((answer == RecordState.OPEN) <= (i !in gone)) { "$i of $gone: $answer" }
-            if (all) assertTrue(answer == if (i in gone) RecordState.GONE else RecordState.OPEN) { "$i of $gone: $answer" }
+            assertTrue((answer == RecordState.OPEN) <= (i !in deleted)) { "$i of $deleted: $answer" }
+            if (all) assertTrue(answer == if (i in deleted) RecordState.DELETED else RecordState.OPEN) { "$i of $deleted: $answer" }
         }
     }
 }
--- a/src/test/kotlin/lichenstage/partition/FakeJobEnds.kt
+++ b/src/test/kotlin/lichenstage/partition/FakeJobCompletions.kt
@@ -1,12 +1,12 @@
 package lichenstage.partition
 
-import lichenstage.jobs.JobEnds
+import lichenstage.jobs.JobCompletions
 
 /** Jobs are open until they are said to have ended; what is known is as of [now]. */
-class FakeJobEnds(
-    override val answerBoundUs: Long,
+class FakeJobCompletions(
+    override val maxStalenessUs: Long,
     private val now: () -> Long,
-) : JobEnds {
+) : JobCompletions {
     private val ended = HashSet<String>()
 
     /** The job is over from now on. */
@@ -14,10 +14,10 @@
         ended += job
     }
 
-    override fun over(
+    override fun hasEnded(
         job: String,
         sinceUs: Long,
     ) = job in ended
 
-    override fun openAsOfUs(job: String): Long? = now().takeIf { job !in ended }
+    override fun confirmedOpenUs(job: String): Long? = now().takeIf { job !in ended }
 }
--- a/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
@@ -1,5 +1,6 @@
 package lichenstage.partition
 
+import java.util.Random
 import lichenstage.cluster.PlacementFrame
 import lichenstage.cluster.PlacementRequest
 import lichenstage.cluster.StartOrder
@@ -14,7 +15,6 @@
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
-import java.util.Random
 
 /**
  * A direct order that gets no answer and is executed long after, while the worker's fencing token and agent epoch would still match. Seen
@@ -26,7 +26,7 @@
         val job = SimulatedJob("j-1", "red", 1, 4.0, 60 * SECOND, 0)
         val checker = RuleChecker(mapOf("red" to 100.0), CANCEL_US)
         val worker = SimulatedWorker("vm-a1", "a", 8.0, LEASE_US, Random(1), { job }, checker)
-        private val ends = FakeJobEnds(CANCEL_US - LEASE_US - 3 * SECOND) { now }
+        private val ends = FakeJobCompletions(CANCEL_US - LEASE_US - 3 * SECOND) { now }
         val partition =
             PartitionCore(PartitionParameters("a/0", "a", TOKEN, LEASE_US, 3 * SECOND, 0), ends) {
                 MachineLimits("type", Shape(8.0, 0.0, 64.0))
--- a/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
@@ -8,7 +8,7 @@
 import lichenstage.cluster.TaskEndCause
 import lichenstage.cluster.TaskPhase
 import lichenstage.common.SECOND
-import lichenstage.jobs.JobEnds
+import lichenstage.jobs.JobCompletions
 import lichenstage.model.JobRequirements
 import lichenstage.model.MachineLimits
 import lichenstage.model.Shape
@@ -21,9 +21,9 @@
 
     /** A partition under term 5 that was acquired at 0; its machines have 8 cores. */
     protected fun partition(
-        jobEnds: JobEnds = JobEnds.NONE,
+        jobCompletions: JobCompletions = JobCompletions.NONE,
         limitsOf: (String) -> MachineLimits? = { MACHINE_LIMITS },
-    ) = PartitionCore(PartitionParameters("z/0", "z", TERM, LEASE, 3 * SECOND, 0), jobEnds, limitsOf = limitsOf)
+    ) = PartitionCore(PartitionParameters("z/0", "z", TERM, LEASE, 3 * SECOND, 0), jobCompletions, limitsOf = limitsOf)
 
     protected fun heartbeat(
         fencingToken: Long,
--- a/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
@@ -260,8 +260,8 @@
 
     @Example
     fun `a partition stops the tasks of a job that it knows to be over and starts no more, whatever its leader says`() {
-        val ends = FakeJobEnds(LEASE) { 0 }
-        val partition = partition(jobEnds = ends)
+        val ends = FakeJobCompletions(LEASE) { 0 }
+        val partition = partition(jobCompletions = ends)
         started(partition)
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), SECOND)
         partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), SECOND)
--- a/src/test/kotlin/lichenstage/world/SimulatedController.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedController.kt
@@ -7,10 +7,10 @@
 import lichenstage.cluster.PlacementFrame
 import lichenstage.common.MILLI
 import lichenstage.common.SECOND
-import lichenstage.jobs.JobEnds
+import lichenstage.jobs.DependencyGraph
+import lichenstage.jobs.JobCompletions
+import lichenstage.jobs.JobOutcome
 import lichenstage.jobs.JobReplica
-import lichenstage.jobs.Outcome
-import lichenstage.jobs.Pipelines
 import lichenstage.model.MachineLimits
 import lichenstage.model.Shape
 import lichenstage.partition.Command
@@ -62,7 +62,7 @@
     private var ownPledge = LocalMoratorium(-10 * SECOND)
     var replica = newReplica()
         private set
-    var pipelines = Pipelines()
+    var dependencyGraph = DependencyGraph()
         private set
 
     /** Controllers learn of ends otherwise than by the leader's own watch. */
@@ -75,7 +75,7 @@
     val entitled get() = alive && (now < coveredUs || mutation == Mutation.AUTHORITY_KEPT)
 
     /** It may renew the leases of workers. */
-    private val answersWorkers get() = entitled && (mutation == Mutation.ANSWERED_UNINFORMED || replica.current(now))
+    private val answersWorkers get() = entitled && (mutation == Mutation.ANSWERED_UNINFORMED || replica.isCurrent(now))
 
     private fun others() = all().filter { it != this }
 
@@ -85,7 +85,7 @@
         JobReplica(
             id * 1000L + incarnation,
             (0 until CONTROLLERS).filter { it != id }.map(::hostOf).toSet(),
-            JobReplica.bound(CANCEL_US, WORKER_LEASE_US),
+            JobReplica.maxStalenessUs(CANCEL_US, WORKER_LEASE_US),
         )
 
     /** The process ends, and another takes its place. */
@@ -101,7 +101,7 @@
             collectedPledges = noPledges()
             ownPledge = LocalMoratorium(now)
             replica = newReplica()
-            pipelines = Pipelines()
+            dependencyGraph = DependencyGraph()
         }
     }
 
@@ -155,22 +155,22 @@
         val zone = context.assignment.zone(partition)!!
         val events = context.orderEvents::add
         val parameters = PartitionParameters(partition, zone, term, lease, 3 * SECOND, now, context.profile.machinesInFrame)
-        return PartitionCore(parameters, jobEnds(), events) {
+        return PartitionCore(parameters, jobCompletions(), events) {
             MachineLimits("type", Shape(MACHINE_CORES, 0.0, MACHINE_MEMORY_GB))
         }
     }
 
-    private fun jobEnds(): JobEnds {
+    private fun jobCompletions(): JobCompletions {
         val process = replica
-        return object : JobEnds {
-            override fun over(
+        return object : JobCompletions {
+            override fun hasEnded(
                 job: String,
                 sinceUs: Long,
-            ) = sharesEnds && process.over(job, sinceUs)
+            ) = sharesEnds && process.hasEnded(job, sinceUs)
 
-            override fun openAsOfUs(job: String) = process.openAsOfUs(job)
+            override fun confirmedOpenUs(job: String) = process.confirmedOpenUs(job)
 
-            override val answerBoundUs = if (!fences || mutation == Mutation.ANSWERED_UNFENCED) Long.MAX_VALUE else process.answerBoundUs
+            override val maxStalenessUs = if (!fences || mutation == Mutation.ANSWERED_UNFENCED) Long.MAX_VALUE else process.maxStalenessUs
         }
     }
 
@@ -190,40 +190,40 @@
     /** What a watch of the open jobs brings. */
     private fun readJobs() {
         val stamps = state.open.mapValues { it.value.stamp }
-        state.open.values.forEach { pipelines.opened(it.id, it.dependencies) }
+        state.open.values.forEach { dependencyGraph.jobOpened(it.id, it.dependencies) }
         val ended =
             if (replica.revision < 0) {
-                replica.loaded(stamps, state.lastRevision, now)
+                replica.replaceAll(stamps, state.lastRevision, now)
             } else {
                 val news = state.ends.filter { it.revision > replica.revision }.associate { it.job to it.revision }
-                replica.changed(stamps, news, state.lastRevision, now)
+                replica.applyChanges(stamps, news, state.lastRevision, now)
             }
-        ended.forEach(pipelines::ended)
+        ended.forEach(dependencyGraph::jobClosed)
     }
 
     /** Reads the records of jobs that others need and that have ended. */
     private fun resolve() {
-        for (job in pipelines.toResolve(8)) {
+        for (job in dependencyGraph.unresolved(8)) {
             val outcome = state.outcome(job) ?: continue
             if (mutation == Mutation.CANCELLED_NEEDS_UNSEEN && !outcome.done) continue
-            pipelines.resolved(job, Outcome(outcome.done || mutation == Mutation.ENDS_TAKEN_FOR_DONE, null))
+            dependencyGraph.outcomeRecorded(job, JobOutcome(outcome.done || mutation == Mutation.ENDS_TAKEN_FOR_DONE, null))
         }
     }
 
     /** Another controller says that these jobs have ended. */
     fun told(jobs: List<String>) {
         if (!alive) return
-        replica.told(jobs)
-        jobs.forEach(pipelines::ended)
+        replica.markEnded(jobs)
+        jobs.forEach(dependencyGraph::jobClosed)
         jobs.forEach(leadership::jobClosed)
     }
 
     /** While the state service shows nothing, the others are asked what has ended. */
     private fun askEnds() {
-        if (!replica.lagging(now) || !sharesEnds) return
+        if (!replica.isLagging(now) || !sharesEnds) return
         for (other in others()) {
             val asker = incarnation
-            val question = replica.question(other.host, now) ?: continue
+            val question = replica.syncRequest(other.host, now) ?: continue
             context.send(host, other.host) {
                 if (!other.alive) return@send
                 val whole =
@@ -236,7 +236,7 @@
                         emptyList(),
                         true,
                     )
-                val answer = other.replica.handOver(question) ?: whole.takeIf { mutation == Mutation.SPOKEN_FOR_PREDECESSOR }
+                val answer = other.replica.syncReply(question) ?: whole.takeIf { mutation == Mutation.SPOKEN_FOR_PREDECESSOR }
                 if (answer == null) return@send
                 context.send(other.host, host) { if (incarnation == asker && alive) takeEnds(other, answer) }
             }
@@ -248,8 +248,8 @@
         answer: CompletionSyncReply,
     ) {
         val believed = if (mutation == Mutation.HANDOVER_DROPPED) answer.copy(jobs = emptyList()) else answer
-        for (job in replica.answered(other.host, believed)) {
-            pipelines.ended(job)
+        for (job in replica.applySyncReply(other.host, believed)) {
+            dependencyGraph.jobClosed(job)
             leadership.jobClosed(job)
         }
     }
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -72,12 +72,12 @@
 
     private fun readied(leader: LeaderCore) =
         leader.jobs.values
-            .filter { !it.ready && (mutation == Mutation.NEEDS_IGNORED || controller.pipelines.readyAt(it.spec.dependencies) != null) }
+            .filter { !it.ready && (mutation == Mutation.NEEDS_IGNORED || controller.dependencyGraph.readySinceUs(it.spec.dependencies) != null) }
             .forEach { leader.jobReady(it, now) }
 
     /** Jobs of which one that they need is cancelled are recorded as such. */
     private fun cancelOrphans(leader: LeaderCore) {
-        val due = controller.pipelines.orphans(6).filter { it in leader.jobs }
+        val due = controller.dependencyGraph.orphans(6).filter { it in leader.jobs }
         if (due.isEmpty() || orphansBusy) return
         orphansBusy = true
         write(leader.term, { due.filter { it in state.open }.forEach { state.end(it, isDone = false) } }) { current, ok ->
@@ -112,7 +112,7 @@
             ServiceObjectives(emptyList()),
             { Shape(MACHINE_CORES, 0.0, MACHINE_MEMORY_GB) },
             12,
-            dependentsOf = controller.pipelines::dependentsOf,
+            dependentsOf = controller.dependencyGraph::dependentsOf,
         ) { carryOut(term, it) }
     }
 
--- a/src/test/kotlin/lichenstage/world/SimulatedStateService.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedStateService.kt
@@ -1,12 +1,12 @@
 package lichenstage.world
 
+import java.util.BitSet
 import lichenstage.drain.Drain
 import lichenstage.drain.DrainState
 import lichenstage.drain.DrainedMachine
-import lichenstage.jobs.Outcome
+import lichenstage.jobs.JobOutcome
 import lichenstage.world.SimulationContext.Companion.CONTROLLERS
 import lichenstage.world.SimulationContext.Companion.LEASE_US
-import java.util.BitSet
 
 /** Who owns a key, and under which term. */
 internal data class Ownership(
@@ -111,5 +111,5 @@
     fun isReady(job: SimulatedJob) = job.dependencies.all { outcomes[it] == true }
 
     /** How a job ended, as its record says; null while it is open. */
-    fun outcome(id: String): Outcome? = outcomes[id]?.let { Outcome(it, null) }
+    fun outcome(id: String): JobOutcome? = outcomes[id]?.let { JobOutcome(it, null) }
 }
--- a/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
@@ -122,7 +122,7 @@
         job: SimulatedJob,
     ): PollAnswer? {
         state.outcomes[job.id]?.let { done -> return if (done) PollAnswer.DONE else PollAnswer.CANCELLED }
-        return when (controller.pipelines.readiness(job.id, job.dependencies)) {
+        return when (controller.dependencyGraph.readiness(job.id, job.dependencies)) {
             Readiness.READY -> {
                 PollAnswer.OPEN
             }
@@ -137,7 +137,7 @@
             }
 
             Readiness.WAITING -> {
-                val current = controller.replica.readWithin(10 * SECOND, context.now)
+                val current = controller.replica.isReadWithin(10 * SECOND, context.now)
                 PollAnswer.OPEN.takeIf { current || context.mutation == Mutation.STALE_CALLED_OPEN }
             }
         }
@@ -152,8 +152,8 @@
         if (controller == null) return context.at(SECOND) { cancel(id, by) }
         val job = state.open[id] ?: return
         state.end(id, isDone = false)
-        controller.replica.learned(id, state.lastRevision)
-        controller.pipelines.ended(id)
+        controller.replica.recordEnd(id, state.lastRevision)
+        controller.dependencyGraph.jobClosed(id)
         checker.toldCancelled(job, context.now)
         checker.polled(job, PollAnswer.CANCELLED, context.now)
         for (other in controllers) {
