--- a/src/main/kotlin/lichenstage/app/Main.kt
+++ b/src/main/kotlin/lichenstage/app/Main.kt
@@ -6,12 +6,12 @@
 import kotlinx.coroutines.CoroutineExceptionHandler
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.SupervisorJob
-import lichenstage.common.BadArguments
 import lichenstage.common.CommandLineParser
+import lichenstage.common.InvalidArgumentsException
 import lichenstage.common.ParsedArguments
 import lichenstage.common.exitOnFailure
+import lichenstage.config.InvalidSettingsException
 import lichenstage.config.Settings
-import lichenstage.config.SettingsError
 import lichenstage.drain.DrainCommand
 import java.io.File
 import java.io.IOException
@@ -59,7 +59,7 @@
     val commandLine = commandLine()
     return try {
         carryOut(commandLine.parse(args.toList()), commandLine)
-    } catch (e: BadArguments) {
+    } catch (e: InvalidArgumentsException) {
         refused(e.message, commandLine)
     }
 }
@@ -77,7 +77,7 @@
         return 0
     }
     if (arguments.has(WARM_UP)) return warmUp()
-    val path = arguments.text("config") ?: throw BadArguments("--config FILE is needed")
+    val path = arguments.text("config") ?: throw InvalidArgumentsException("--config FILE is needed")
     return start(path, arguments.text("operator"), checkOnly = arguments.has("check"))
 }
 
@@ -107,7 +107,7 @@
             } else {
                 readFile(operatorPath) { OperatorSettings.parse(it).apply { check(settings) } }
             }
-    } catch (e: SettingsError) {
+    } catch (e: InvalidSettingsException) {
         return refused(e.message)
     }
     if (checkOnly) return 0
@@ -123,9 +123,9 @@
     try {
         parse(File(path).readText())
     } catch (e: IOException) {
-        throw SettingsError("$path: can't be read: ${e.message}", e)
-    } catch (e: SettingsError) {
-        throw SettingsError("$path: ${e.message}", e)
+        throw InvalidSettingsException("$path: can't be read: ${e.message}", e)
+    } catch (e: InvalidSettingsException) {
+        throw InvalidSettingsException("$path: ${e.message}", e)
     }
 
 /** Starts the service on its one event loop. */
--- a/src/main/kotlin/lichenstage/app/OperatorSettings.kt
+++ b/src/main/kotlin/lichenstage/app/OperatorSettings.kt
@@ -4,8 +4,8 @@
 import com.bertramlabs.plugins.hcl4j.HCLParserException
 import lichenstage.common.MILLI
 import lichenstage.common.SECOND
+import lichenstage.config.InvalidSettingsException
 import lichenstage.config.Settings
-import lichenstage.config.SettingsError
 import lichenstage.drain.DisruptionBudget
 import lichenstage.drain.DrainPolicy
 import lichenstage.drain.Hours
@@ -22,7 +22,7 @@
     /** What the file says has to fit the deployment. */
     fun check(settings: Settings) {
         val unknown = drains?.byTeam?.keys?.firstOrNull { it !in settings.teams } ?: return
-        throw SettingsError("drains.teams.$unknown: unknown team")
+        throw InvalidSettingsException("drains.teams.$unknown: unknown team")
     }
 
     companion object {
@@ -33,7 +33,7 @@
                     @Suppress("UNCHECKED_CAST")
                     HCLParser().parse(text) as Map<String, Any?>
                 } catch (e: HCLParserException) {
-                    throw SettingsError("not HCL: ${e.message}", e)
+                    throw InvalidSettingsException("not HCL: ${e.message}", e)
                 }
             val top = Block(root, "")
             val placement = top.section("placement")
@@ -121,7 +121,7 @@
         private fun fail(
             key: String,
             what: String,
-        ): Nothing = throw SettingsError("$path$key: $what, found ${values[key]}")
+        ): Nothing = throw InvalidSettingsException("$path$key: $what, found ${values[key]}")
 
         fun section(key: String): Block {
             val value = take(key) ?: return Block(emptyMap(), "$path$key.")
--- a/src/main/kotlin/lichenstage/app/WarmUp.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUp.kt
@@ -1,11 +1,6 @@
 package lichenstage.app
 
 import io.vertx.core.buffer.Buffer
-import java.io.File
-import java.io.IOException
-import java.net.ServerSocket
-import java.net.Socket
-import java.util.zip.ZipFile
 import lichenstage.cluster.FrameCodec
 import lichenstage.cluster.PartitionFrame
 import lichenstage.cluster.PlacementFrame
@@ -17,7 +12,7 @@
 import lichenstage.model.MachineLimits
 import lichenstage.model.PartitionAssignment
 import lichenstage.model.Priority
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 import lichenstage.partition.HeartbeatOutcome
 import lichenstage.partition.PartitionCore
 import lichenstage.partition.PartitionParameters
@@ -27,6 +22,11 @@
 import lichenstage.placement.LeaderEffect
 import lichenstage.placement.PlacementSettings
 import lichenstage.placement.ServiceObjectives
+import java.io.File
+import java.io.IOException
+import java.net.ServerSocket
+import java.net.Socket
+import java.util.zip.ZipFile
 
 /**
  * A start on loopback for the class-data archive: the classes that a controller loads at its start, as a leader and as an owner of
@@ -104,7 +104,7 @@
 
 /** Has the decisions of a leader and a partition run once, with their frames, so that their classes are in the archive too. */
 private fun decide() {
-    val shape = Shape(1.0, 0.0, 1.0)
+    val resources = Resources(1.0, 0.0, 1.0)
     val team = Team("t", 0.0, 99.0, 0.0, 99.0)
     val sent = ArrayList<PlacementFrame>()
     val leader =
@@ -116,16 +116,16 @@
             SECOND,
             PlacementSettings(),
             ServiceObjectives(emptyList()),
-            { shape },
+            { resources },
             10,
         ) {
             if (it is LeaderEffect.SendFrame) sent += FrameCodec.decode(FrameCodec.encode(it.frame)) as PlacementFrame
         }
     val spec =
-        JobSpec("j-1", "c", "t", Priority.HIGH, 1, shape, null, null, false, false, true, "i", 1.0, SECOND, 0, 0, null, 0)
+        JobSpec("j-1", "c", "t", Priority.HIGH, 1, resources, null, null, false, false, true, "i", 1.0, SECOND, 0, 0, null, 0)
     leader.jobAdded(Job(JobRecordCodec.decode(JobRecordCodec.encode(spec)), 1, 0))
     leader.machinesRegistered(mapOf("m" to "z/0"))
-    val partition = PartitionCore(PartitionParameters("z/0", "z", 2, 20 * SECOND, SECOND, 0)) { MachineLimits("b", shape) }
+    val partition = PartitionCore(PartitionParameters("z/0", "z", 2, 20 * SECOND, SECOND, 0)) { MachineLimits("b", resources) }
     for (now in 1L..6L) {
         val tasks = if (now < 5) "" else """{"part":"j-1/0","try":4294967297,"status":"ended","cause":"done"}"""
         val heartbeat = warmUpReport(port = 1, now.toInt(), tasks)
--- a/src/main/kotlin/lichenstage/cloud/CloudClient.kt
+++ b/src/main/kotlin/lichenstage/cloud/CloudClient.kt
@@ -9,7 +9,7 @@
 import lichenstage.common.JsonHttp.Companion.parsed
 import lichenstage.common.SECOND
 import lichenstage.model.MachineType
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 
 /** Speaks to the cloud. */
 class CloudClient(
@@ -28,7 +28,7 @@
     private fun machineType(row: JsonObject) =
         MachineType(
             row.getString("name")!!,
-            Shape(row.getDouble("cores"), row.getDouble("cards") ?: 0.0, row.getDouble("mem_gb")),
+            Resources(row.getDouble("cores"), row.getDouble("cards") ?: 0.0, row.getDouble("mem_gb")),
             row.getDouble("hourly"),
             row.getDouble("low_price") ?: row.getDouble("hourly"),
             (row.getDouble("boot_s") * SECOND).toLong(),
--- a/src/main/kotlin/lichenstage/cloud/MachineCatalog.kt
+++ b/src/main/kotlin/lichenstage/cloud/MachineCatalog.kt
@@ -8,7 +8,7 @@
 import kotlinx.coroutines.launch
 import lichenstage.model.MachineLimits
 import lichenstage.model.MachineType
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 import lichenstage.state.Change
 import lichenstage.state.KeyValueStoreClient
 import lichenstage.state.ReadResult
@@ -68,7 +68,7 @@
                     JsonObject()
                         .put("name", it.name)
                         .put("cores", it.capacity.cores)
-                        .put("cards", it.capacity.cards)
+                        .put("cards", it.capacity.gpus)
                         .put("mem", it.capacity.memGb)
                         .put("price", it.price)
                         .put("spot", it.spotPrice)
@@ -82,12 +82,12 @@
 
     private fun decode(value: JsonObject): Map<String, MachineType> =
         value.getJsonArray("types").map { it as JsonObject }.associate {
-            val shape = Shape(it.getDouble("cores"), it.getDouble("cards"), it.getDouble("mem"))
+            val resources = Resources(it.getDouble("cores"), it.getDouble("cards"), it.getDouble("mem"))
             val zones = it.getJsonArray("zones").map { zone -> zone as String }
             val name = it.getString("name")
             val cacheGb = it.getDouble("cache") ?: Double.POSITIVE_INFINITY
             val fetch = it.getDouble("fetch") ?: 1.0
-            name to MachineType(name, shape, it.getDouble("price"), it.getDouble("spot"), it.getLong("boot"), cacheGb, fetch, zones)
+            name to MachineType(name, resources, it.getDouble("price"), it.getDouble("spot"), it.getLong("boot"), cacheGb, fetch, zones)
         }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
@@ -10,7 +10,7 @@
 import lichenstage.model.JobRequirements
 
 /**
- * A placement request: [count] tasks of one shape. [stamp] orders the requests at every partition. [imageOnly]: it is for room on machines
+ * A placement request: [count] tasks with the same resource needs. [stamp] orders the requests at every partition. [imageOnly]: it is for room on machines
  * with the image, since others would first spend a good part of the run time on fetching it.
  */
 @Serializable
--- a/src/main/kotlin/lichenstage/common/CommandLineParser.kt
+++ b/src/main/kotlin/lichenstage/common/CommandLineParser.kt
@@ -9,7 +9,7 @@
 import org.apache.commons.cli.help.TextHelpAppendable
 
 /** Arguments that can't be used; the message says why. */
-class BadArguments(
+class InvalidArgumentsException(
     why: String?,
     cause: Exception? = null,
 ) : Exception(why, cause)
@@ -36,7 +36,7 @@
         description: String,
     ) = apply { options.addOption(Option(null, name, true, description).apply { argName = valueName }) }
 
-    /** Reads [args]; throws [BadArguments] where one is unknown, repeated, left over or lacks its value. */
+    /** Reads [args]; throws [InvalidArgumentsException] where one is unknown, repeated, left over or lacks its value. */
     fun parse(args: List<String>): ParsedArguments {
         val line =
             try {
@@ -46,7 +46,7 @@
                     .get()
                     .parse(options, args.toTypedArray())
             } catch (e: ParseException) {
-                throw BadArguments(e.message, e)
+                throw InvalidArgumentsException(e.message, e)
             }
         line.options
             .groupingBy { it.longOpt }
@@ -54,11 +54,11 @@
             .filterValues { it > 1 }
             .keys
             .firstOrNull()
-            ?.let { throw BadArguments("--$it should be given only once") }
+            ?.let { throw InvalidArgumentsException("--$it should be given only once") }
         line.argList
             .drop(mostOperands)
             .firstOrNull()
-            ?.let { throw BadArguments("unexpected argument: $it") }
+            ?.let { throw InvalidArgumentsException("unexpected argument: $it") }
         return ParsedArguments(line)
     }
 
@@ -91,6 +91,6 @@
     /** The option's value as a whole number, or null. */
     fun whole(name: String): Long? {
         val text = text(name) ?: return null
-        return text.toLongOrNull() ?: throw BadArguments("--$name: a whole number is needed, found $text")
+        return text.toLongOrNull() ?: throw InvalidArgumentsException("--$name: a whole number is needed, found $text")
     }
 }
--- a/src/main/kotlin/lichenstage/config/Settings.kt
+++ b/src/main/kotlin/lichenstage/config/Settings.kt
@@ -18,8 +18,8 @@
     val name: String,
     val cores: Double,
     val coresMax: Double,
-    val cards: Double,
-    val cardsMax: Double,
+    val gpus: Double,
+    val gpusMax: Double,
 )
 
 /** What an objective is about: when a job is done or its tasks start. */
@@ -65,7 +65,7 @@
     companion object {
         /** Reads the platform's file; unknown fields are ignored, wrong ones are named. */
         fun parse(text: String): Settings {
-            val root = Fields(runCatching { JsonObject(text) }.getOrElse { throw SettingsError("not a JSON object") }, "")
+            val root = Fields(runCatching { JsonObject(text) }.getOrElse { throw InvalidSettingsException("not a JSON object") }, "")
             val settings = root.obj("settings")
             val workers = settings.obj("workers")
             val state = settings.obj("state")
@@ -126,7 +126,7 @@
 }
 
 /** A settings file that can't be used; the message names the path and the value. */
-class SettingsError(
+class InvalidSettingsException(
     message: String,
     cause: Throwable? = null,
 ) : Exception(message, cause)
@@ -141,7 +141,7 @@
     private fun fail(
         field: String,
         what: String,
-    ): Nothing = throw SettingsError("${at(field)}: $what, found ${json.getValue(field)}")
+    ): Nothing = throw InvalidSettingsException("${at(field)}: $what, found ${json.getValue(field)}")
 
     /** The object in a field that has to be there. */
     fun obj(field: String) = Fields(json.getValue(field) as? JsonObject ?: fail(field, "an object is needed"), at(field))
--- a/src/main/kotlin/lichenstage/drain/DrainCommand.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCommand.kt
@@ -6,14 +6,14 @@
 import io.vertx.kotlin.coroutines.dispatcher
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withContext
-import lichenstage.common.BadArguments
 import lichenstage.common.Clock
 import lichenstage.common.CommandLineParser
+import lichenstage.common.InvalidArgumentsException
 import lichenstage.common.ParsedArguments
 import lichenstage.common.SECOND
 import lichenstage.common.timeOfDayUs
+import lichenstage.config.InvalidSettingsException
 import lichenstage.config.Settings
-import lichenstage.config.SettingsError
 import lichenstage.state.KeyValueStoreClient
 
 /** `lichenstage drain start|status|pause|resume|cancel`. */
@@ -61,25 +61,25 @@
                 val arguments = check(parsed)
                 report(answer(arguments), parsed.has("json"))
             }
-        } catch (e: BadArguments) {
+        } catch (e: InvalidArgumentsException) {
             refused("${e.message}")
         }
 
     private fun check(parsed: ParsedArguments): Arguments {
         val verb = parsed.operands.firstOrNull().orEmpty()
         val name = parsed.operands.getOrNull(1)
-        if (verb !in VERBS) throw BadArguments("one of ${VERBS.joinToString()} is needed, found \"$verb\"")
-        if (name == null && verb != STATUS) throw BadArguments("the drain's name is needed")
-        if (verb == START && !selects(parsed)) throw BadArguments("machines are to be selected, or --all")
-        val config = parsed.text("config") ?: throw BadArguments("--config FILE is needed")
+        if (verb !in VERBS) throw InvalidArgumentsException("one of ${VERBS.joinToString()} is needed, found \"$verb\"")
+        if (name == null && verb != STATUS) throw InvalidArgumentsException("the drain's name is needed")
+        if (verb == START && !selects(parsed)) throw InvalidArgumentsException("machines are to be selected, or --all")
+        val config = parsed.text("config") ?: throw InvalidArgumentsException("--config FILE is needed")
         return Arguments(settings(config), verb, name, parsed)
     }
 
     private fun settings(path: String): Settings =
         try {
             readSettings(path)
-        } catch (e: SettingsError) {
-            throw BadArguments(e.message, e)
+        } catch (e: InvalidSettingsException) {
+            throw InvalidArgumentsException(e.message, e)
         }
 
     private fun selects(parsed: ParsedArguments) = SELECTING.any { parsed.has(it) }
@@ -147,7 +147,7 @@
 
     private fun atMost(parsed: ParsedArguments): Int {
         val machines = parsed.whole("at-most") ?: 1
-        if (machines > Int.MAX_VALUE) throw BadArguments("--at-most: found $machines, too large")
+        if (machines > Int.MAX_VALUE) throw InvalidArgumentsException("--at-most: found $machines, too large")
         return machines.toInt()
     }
 
--- a/src/main/kotlin/lichenstage/jobs/JobRecordCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobRecordCodec.kt
@@ -4,7 +4,7 @@
 import io.vertx.core.json.JsonObject
 import lichenstage.model.JobSpec
 import lichenstage.model.Priority
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 
 /** The record of a job in the state service. */
 object JobRecordCodec {
@@ -28,9 +28,9 @@
             .put("team", spec.team)
             .put("priority", spec.priority.name)
             .put("tasks", spec.tasks)
-            .put("cores", spec.shape.cores)
-            .put("cards", spec.shape.cards)
-            .put("mem", spec.shape.memGb)
+            .put("cores", spec.resources.cores)
+            .put("cards", spec.resources.gpus)
+            .put("mem", spec.resources.memGb)
             .put("builds", spec.allowedTypes?.let { JsonArray(it) })
             .put("zone", spec.zone)
             .put("same", spec.sameZone)
@@ -56,7 +56,7 @@
             team = json.getString("team"),
             priority = Priority.valueOf(json.getString("priority")),
             tasks = json.getInteger("tasks"),
-            shape = Shape(json.getDouble("cores"), json.getDouble("cards"), json.getDouble("mem")),
+            resources = Resources(json.getDouble("cores"), json.getDouble("cards"), json.getDouble("mem")),
             allowedTypes = json.getJsonArray("builds")?.map { it as String },
             zone = json.getString("zone"),
             sameZone = json.getBoolean("same"),
--- a/src/main/kotlin/lichenstage/jobs/JobReplica.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplica.kt
@@ -188,7 +188,11 @@
         sinceUs: Long,
     ) = job in endedJobs || (readUs > sinceUs && job !in openRevisions)
 
-    override fun confirmedOpenUs(job: String): Long? = knowledgeTimeUs().takeIf { job in openRevisions && job !in endedJobs && it > Long.MIN_VALUE }
+    override fun confirmedOpenUs(job: String): Long? =
+        knowledgeTimeUs().takeIf {
+            job in openRevisions && job !in endedJobs &&
+                it > Long.MIN_VALUE
+        }
 
     companion object {
         /** From the last answer to a worker until its lease has ended, and until what was learned has been acted on. */
--- a/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
@@ -43,7 +43,7 @@
     /** Why the job can't be accepted, or null. */
     private fun refusal(spec: JobSpec): Reply? {
         val team = teams[spec.team] ?: return Reply.rejected(Reply.UNPROCESSABLE, "owner", "unknown team")
-        if (spec.shape.cores > team.coresMax || spec.shape.cards > team.cardsMax) {
+        if (spec.resources.cores > team.coresMax || spec.resources.gpus > team.gpusMax) {
             return Reply.rejected(Reply.UNPROCESSABLE, "cores", "one task is over the team's limit")
         }
         val types = machineTypes()
@@ -84,7 +84,14 @@
         val change = Change.Put(if (cancelledByDependency) over else open, record)
         return when (val outcome = state.commit(Precondition.allOf(guards), listOf(change), SUBMIT_TIMEOUT_MS)) {
             is TransactionResult.Committed -> {
-                if (cancelledByDependency) cache.rememberFinished(spec.id, record) else cache.rememberOpen(spec.id, outcome.revision, spec.dependencies)
+                if (cancelledByDependency) {
+                    cache.rememberFinished(
+                        spec.id,
+                        record,
+                    )
+                } else {
+                    cache.rememberOpen(spec.id, outcome.revision, spec.dependencies)
+                }
                 Reply.accepted(spec.id, if (cancelledByDependency) "cancelled" else "pending")
             }
 
--- a/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
@@ -5,7 +5,7 @@
 import lichenstage.common.SECOND
 import lichenstage.model.JobSpec
 import lichenstage.model.Priority
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 
 /** A submission that can't be read; names the field. */
 class InvalidSubmission(
@@ -29,8 +29,8 @@
         val row = Row(json)
         val id = row.text("uid")
         if (!validId(id)) throw InvalidSubmission("uid", "a job id has the form j-NUMBER")
-        val shape = row.text("shape")
-        if (shape != "batch") throw InvalidSubmission("shape", "only batch is known")
+        val resources = row.text("shape")
+        if (resources != "batch") throw InvalidSubmission("shape", "only batch is known")
         val priority =
             Priority.entries.firstOrNull { it.name.lowercase() == row.text("urgency") }
                 ?: throw InvalidSubmission("urgency", "one of production, high, standard, low is needed")
@@ -40,7 +40,7 @@
             team = row.text("owner"),
             priority = priority,
             tasks = row.whole("parts", 1, MAX_TASKS),
-            shape = Shape(row.positive("cores"), row.amount("cards"), row.amount("mem_gb")),
+            resources = Resources(row.positive("cores"), row.amount("cards"), row.amount("mem_gb")),
             allowedTypes = row.texts("builds"),
             zone = row.optionalText("yard"),
             sameZone = row.flag("same_place"),
--- a/src/main/kotlin/lichenstage/model/JobSpec.kt
+++ b/src/main/kotlin/lichenstage/model/JobSpec.kt
@@ -32,7 +32,7 @@
     val team: String,
     val priority: Priority,
     val tasks: Int,
-    val shape: Shape,
+    val resources: Resources,
     val allowedTypes: List<String>?,
     val zone: String?,
     val sameZone: Boolean,
@@ -48,5 +48,5 @@
     val dependencies: List<String> = emptyList(),
 ) {
     /** What a partition has to know of the job to place its tasks. */
-    val requirements get() = JobRequirements(shape, image, imageGb)
+    val requirements get() = JobRequirements(resources, image, imageGb)
 }
--- a/src/main/kotlin/lichenstage/model/MachineType.kt
+++ b/src/main/kotlin/lichenstage/model/MachineType.kt
@@ -5,7 +5,7 @@
 /** A machine type with its prices. */
 data class MachineType(
     val name: String,
-    val capacity: Shape,
+    val capacity: Resources,
     val price: Double,
     val spotPrice: Double,
     val bootUs: Long,
--- a/src/main/kotlin/lichenstage/partition/HeldCapacity.kt
+++ b/src/main/kotlin/lichenstage/partition/HeldCapacity.kt
@@ -1,6 +1,6 @@
 package lichenstage.partition
 
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 
 /** The capacity of one machine that is held for placement requests. */
 internal class HeldCapacity {
@@ -10,17 +10,17 @@
     var total = NOTHING
         private set
 
-    /** Holds capacity for [tasks] more tasks of [shape], or fewer where [tasks] is negative. */
+    /** Holds capacity for [tasks] more tasks of [resources], or fewer where [tasks] is negative. */
     fun add(
-        shape: Shape,
+        resources: Resources,
         tasks: Int,
     ) {
         count += tasks
         // Reset to exactly nothing, so that rounding errors of many shares don't add up.
-        total = if (count == 0) NOTHING else total - shape * -tasks
+        total = if (count == 0) NOTHING else total - resources * -tasks
     }
 
     private companion object {
-        val NOTHING = Shape(0.0, 0.0, 0.0)
+        val NOTHING = Resources(0.0, 0.0, 0.0)
     }
 }
--- a/src/main/kotlin/lichenstage/partition/HoldTable.kt
+++ b/src/main/kotlin/lichenstage/partition/HoldTable.kt
@@ -7,7 +7,7 @@
 import lichenstage.common.SECOND
 import lichenstage.model.JobRequirements
 import lichenstage.model.MachineLimits
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 import org.agrona.collections.Long2ObjectHashMap
 
 /** Capacity that is held for placement requests, granted in the order of their stamps, until it is used, released or has expired. */
@@ -39,13 +39,13 @@
     ) {
         val hold = holds.get(stamp) ?: return
         hold.counts.merge(machine.name, -1, Int::plus)
-        machine.hold(hold.request.requirements.shape, -1)
+        machine.hold(hold.request.requirements.resources, -1)
     }
 
     /** Releases what is still held under [stamp]. */
     fun release(stamp: Long) {
         val hold = holds.remove(stamp) ?: return
-        for ((name, count) in hold.counts) if (count > 0) machineOf(name)?.hold(hold.request.requirements.shape, -count)
+        for ((name, count) in hold.counts) if (count > 0) machineOf(name)?.hold(hold.request.requirements.resources, -count)
     }
 
     fun releaseAll() = holds.keys.toList().forEach(::release)
@@ -93,8 +93,8 @@
         requests: List<PlacementRequest>,
         usable: Sequence<Machine>,
     ): List<Machine> {
-        val shapes = requests.map { it.requirements.shape }
-        val smallest = Shape(shapes.minOf { it.cores }, shapes.minOf { it.cards }, shapes.minOf { it.memGb })
+        val shapes = requests.map { it.requirements.resources }
+        val smallest = Resources(shapes.minOf { it.cores }, shapes.minOf { it.gpus }, shapes.minOf { it.memGb })
         return usable
             .filter { machine ->
                 limitsOf(machine.typeName)?.let { machine.freeSlots(smallest, it.capacity, requirementsOf) > 0 } == true
@@ -112,7 +112,7 @@
         val held = PlacementScore.take(candidates.mapNotNull { slots(request, it) }, maxTasks)
         if (held.isNotEmpty()) {
             holds[request.stamp] = Hold(request, now, held.associateTo(HashMap()) { it.machine to it.count })
-            held.forEach { machineOf(it.machine)!!.hold(request.requirements.shape, it.count) }
+            held.forEach { machineOf(it.machine)!!.hold(request.requirements.resources, it.count) }
         }
         return Offer(request.stamp, held)
     }
@@ -127,7 +127,7 @@
         val hasImage = machine.hasImage(request.requirements.image)
         if (request.imageOnly && !hasImage) return null
         val limits = limitsOf(machine.typeName) ?: return null
-        val tasks = machine.freeSlots(request.requirements.shape, limits.capacity, requirementsOf)
+        val tasks = machine.freeSlots(request.requirements.resources, limits.capacity, requirementsOf)
         return if (tasks > 0) HeldSlots(machine.name, tasks, tasks, hasImage) else null
     }
 
--- a/src/main/kotlin/lichenstage/partition/Machine.kt
+++ b/src/main/kotlin/lichenstage/partition/Machine.kt
@@ -5,7 +5,7 @@
 import lichenstage.cluster.MachineState
 import lichenstage.cluster.TaskPhase
 import lichenstage.model.JobRequirements
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 
 /**
  * A machine of a partition, as its worker's heartbeats describe it. All times are in microseconds of the controller's clock.
@@ -89,7 +89,7 @@
     private val held = HeldCapacity()
 
     /** What its tasks use; null where it has to be counted again. */
-    private var usage: Shape? = null
+    private var usage: Resources? = null
 
     /** Records that a task of these requirements was placed or found here. */
     fun recordImageUse(requirements: JobRequirements) = images.recordUse(requirements.image, requirements.imageGb)
@@ -141,9 +141,9 @@
 
     /** Holds capacity for [count] more tasks, or fewer where it is negative. */
     fun hold(
-        shape: Shape,
+        resources: Resources,
         count: Int,
-    ) = held.add(shape, count)
+    ) = held.add(resources, count)
 
     /** A new agent epoch begins with an empty machine; its cache may be empty too. */
     fun startAgentEpoch(newAgentEpoch: Long) {
@@ -154,28 +154,28 @@
         invalidateUsage()
     }
 
-    /** How many more tasks of [shape] it takes; none where the size of a task on it is unknown. */
+    /** How many more tasks of [resources] it takes; none where the size of a task on it is unknown. */
     fun freeSlots(
-        shape: Shape,
-        capacity: Shape,
+        resources: Resources,
+        capacity: Resources,
         requirementsOf: (String) -> JobRequirements?,
     ): Int {
         // Not kept where a task's size is unknown, since that may become known without a message of this machine.
         val used = usage ?: countUsage(requirementsOf).also { usage = it } ?: return 0
-        return (capacity - used - held.total).fits(shape)
+        return (capacity - used - held.total).fits(resources)
     }
 
-    private fun countUsage(requirementsOf: (String) -> JobRequirements?): Shape? {
+    private fun countUsage(requirementsOf: (String) -> JobRequirements?): Resources? {
         var cores = 0.0
-        var cards = 0.0
+        var gpus = 0.0
         var memGb = 0.0
         for (attempt in attempts.values) {
             if (attempt.phase == TaskPhase.ENDED) continue
-            val shape = requirementsOf(attempt.job)?.shape ?: return null
-            cores += shape.cores
-            cards += shape.cards
-            memGb += shape.memGb
+            val resources = requirementsOf(attempt.job)?.resources ?: return null
+            cores += resources.cores
+            gpus += resources.gpus
+            memGb += resources.memGb
         }
-        return Shape(cores, cards, memGb)
+        return Resources(cores, gpus, memGb)
     }
 }
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
-import java.util.BitSet
 import lichenstage.jobs.CompletedTaskRanges
+import java.util.BitSet
 
 /** What the leader has recorded of the tasks that are done, in batches of at most [batch] changes, each after [flushUs] at the earliest. */
 class CompletionRecorder(
--- a/src/main/kotlin/lichenstage/placement/DemandEstimate.kt
+++ b/src/main/kotlin/lichenstage/placement/DemandEstimate.kt
@@ -39,7 +39,7 @@
             val leadTimeUs = if (job.ready || machineType == null) 0 else (machineType.bootUs * BOOT_TIME_MARGIN).toLong()
             val tasks = concurrentTasks(job, inputs.maxCores(spec.team) - (coresOfTeams[spec.team] ?: 0.0))
             if (machineType == null || tasks <= 0.0 || (!job.ready && inputs.readyInUs(job) > leadTimeUs)) return@mapNotNull null
-            coresOfTeams.merge(spec.team, tasks * spec.shape.cores, Double::plus)
+            coresOfTeams.merge(spec.team, tasks * spec.resources.cores, Double::plus)
             remainingDemand(job, machineType, tasks, inputs.runUs(spec)).copy(dueUs = inputs.dueUs(job), foreseenInUs = leadTimeUs)
         }
     }
@@ -50,7 +50,7 @@
         availableCores: Double,
     ): Double {
         val left = job.remainingTasks.toDouble()
-        val cores = job.spec.shape.cores
+        val cores = job.spec.resources.cores
         return if (cores <= 0.0) left else minOf(left, availableCores / cores)
     }
 
@@ -61,7 +61,7 @@
         runUs: Long,
     ): Demand {
         val spec = job.spec
-        val perMachine = MachineFit.tasksPerMachine(machineType, spec.shape).toDouble()
+        val perMachine = MachineFit.tasksPerMachine(machineType, spec.resources).toDouble()
         val machineUsPerTask = (runUs + machineType.fetchUs(spec.imageGb)) / perMachine
         val waitingTasks = if (job.placeable) job.pending.size else job.remainingTasks
         val waitingUs = minOf(waitingTasks.toDouble(), concurrentTasks) * machineUsPerTask
@@ -88,7 +88,7 @@
     ): JobArrival? {
         val spec = job.spec
         val machineType = MachineFit.cheapestType(spec, machineTypes) ?: return null
-        val machines = spec.tasks.toDouble() / MachineFit.tasksPerMachine(machineType, spec.shape)
+        val machines = spec.tasks.toDouble() / MachineFit.tasksPerMachine(machineType, spec.resources)
         return JobArrival(machineType.name, job.readyUs, machines, runUs + machineType.fetchUs(spec.imageGb), isUrgent(machineType))
     }
 
--- a/src/main/kotlin/lichenstage/placement/FailoverRecovery.kt
+++ b/src/main/kotlin/lichenstage/placement/FailoverRecovery.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
 import lichenstage.common.SECOND
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 
 /** A machine that was registered before a leader's term. */
 data class RecoveredMachine(
@@ -66,14 +66,14 @@
     }
 
     /** What may be in use on the machines of which nothing is known yet: each counts at its full size. */
-    fun unknownUse(capacityOf: (String) -> Shape?): Shape {
+    fun unknownUse(capacityOf: (String) -> Resources?): Resources {
         var cores = 0.0
-        var cards = 0.0
+        var gpus = 0.0
         for (machine in awaited.values) {
             cores += capacityOf(machine.typeName)?.cores ?: Double.MAX_VALUE
-            cards += capacityOf(machine.typeName)?.cards ?: Double.MAX_VALUE
+            gpus += capacityOf(machine.typeName)?.gpus ?: Double.MAX_VALUE
         }
-        return Shape(cores, cards, 0.0)
+        return Resources(cores, gpus, 0.0)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/JobQueue.kt
+++ b/src/main/kotlin/lichenstage/placement/JobQueue.kt
@@ -87,7 +87,7 @@
                             others.dueUs,
                         ).map { PlannedObjective(it.startByUs + runUs, if (it.perTask) share else 1.0) }
                 val waitingUs = maxOf(job.pending.size * runUs - job.totalSavedUs, 1)
-                QueuedJob(job, waitingUs * job.spec.shape.cores, steps, runUs, others.priority)
+                QueuedJob(job, waitingUs * job.spec.resources.cores, steps, runUs, others.priority)
             }
         val ordered = ObjectiveOrder.order(rows, maxOf(cores, 1.0) * FILL, now)
         val aged = waiting.filter { now - it.readyUs > agingThresholdUs }.sortedBy { it.readyUs }
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -1,8 +1,6 @@
 package lichenstage.placement
 
-import java.util.BitSet
 import kotlinx.coroutines.CoroutineScope
-import kotlinx.coroutines.Job as CoroutineJob
 import kotlinx.coroutines.SupervisorJob
 import kotlinx.coroutines.cancel
 import kotlinx.coroutines.delay
@@ -38,6 +36,8 @@
 import lichenstage.state.SingleWriterKeys
 import lichenstage.state.TransactionResult
 import org.slf4j.LoggerFactory
+import java.util.BitSet
+import kotlinx.coroutines.Job as CoroutineJob
 
 /** What operators may set of a leader. */
 data class LeaderOptions(
@@ -87,7 +87,8 @@
     private val mailbox =
         Mailbox("leader", scope, ::handle, shed = { it is LeaderMessage.PartitionFrameReceived || it is LeaderMessage.Tick })
     private val owned = SingleWriterKeys(state)
-    private val writer = LeaderRecordWriter(state, owned, leaderKeyRevision, settings.txnOps, scope, replicaSync::jobFinished, mailbox::tell)
+    private val writer =
+        LeaderRecordWriter(state, owned, leaderKeyRevision, settings.txnOps, scope, replicaSync::jobFinished, mailbox::tell)
     private val registry = RegistryDriver(settings, core, writer)
     private val fleet =
         FleetDriver(settings, core, cloud, catalog, objectives, options.fleet, clock.now(), scope, { drains }, mailbox::tell)
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -11,7 +11,7 @@
 import lichenstage.model.JobRequirements
 import lichenstage.model.JobSpec
 import lichenstage.model.PartitionAssignment
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 import org.slf4j.LoggerFactory
 
 /**
@@ -30,7 +30,7 @@
     leaseUs: Long,
     placementSettings: PlacementSettings,
     objectives: ServiceObjectives,
-    private val capacityOf: (String) -> Shape?,
+    private val capacityOf: (String) -> Resources?,
     batch: Int,
     fetchUs: (JobSpec) -> Long = { 0 },
     dependentsOf: (String) -> Collection<String> = { emptyList() },
@@ -100,7 +100,7 @@
             else -> minOf(held, 1 - attempts.on(machine).size).coerceAtLeast(0)
         }
 
-        override fun unaccountedUse() = unaccounted.shape()
+        override fun unaccountedUse() = unaccounted.resources()
 
         override fun reachablePartitions(now: Long) = partitions.filterValues { now - it.lastFrameUs < REACHABLE_US }.keys
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -37,7 +37,12 @@
         scope.launch {
             val puts =
                 deltas.flatMap { row ->
-                    row.chunks.map { Change.Put(CompletedTaskRanges.key(row.job.spec.id, it), CompletedTaskRanges.encode(row.recordedTasks, it)) }
+                    row.chunks.map {
+                        Change.Put(
+                            CompletedTaskRanges.key(row.job.spec.id, it),
+                            CompletedTaskRanges.encode(row.recordedTasks, it),
+                        )
+                    }
                 }
             val written = writeAll(puts)
             if (!written) delay(RETRY_MS)
@@ -76,7 +81,10 @@
         val changes =
             jobs.flatMap {
                 val id = it.spec.id
-                listOf(Change.Delete(JobRecordCodec.OPEN + id), Change.Put(JobRecordCodec.FINISHED + id, JobRecordCodec.finished("cancelled", 0, atUs)))
+                listOf(
+                    Change.Delete(JobRecordCodec.OPEN + id),
+                    Change.Put(JobRecordCodec.FINISHED + id, JobRecordCodec.finished("cancelled", 0, atUs)),
+                )
             }
         return state.commit(preconditions, changes, urgent = false) is TransactionResult.Committed
     }
--- a/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
@@ -3,7 +3,7 @@
 import lichenstage.cluster.PlacementRequest
 import lichenstage.common.SECOND
 import lichenstage.model.JobSpec
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 
 /** A request that is broadcast, and the job that it is for. */
 data class JobRequest(
@@ -30,9 +30,9 @@
     fun requests(
         jobs: List<Job>,
         now: Long,
-        allowance: (JobSpec, Shape) -> Int,
+        allowance: (JobSpec, Resources) -> Int,
     ): List<JobRequest> {
-        val planned = HashMap<String, Shape>()
+        val planned = HashMap<String, Resources>()
         val first = ArrayList<Demand>()
         for (job in jobs) {
             if (first.size >= settings.jobsPerRound) break
@@ -40,7 +40,7 @@
             val before = planned[spec.team] ?: RunningAttempts.NONE
             val count = minOf(job.pending.size, settings.tasksPerRequest, allowance(spec, before))
             if (count <= 0) continue
-            planned[spec.team] = before - spec.shape * -count
+            planned[spec.team] = before - spec.resources * -count
             first += Demand(job, count)
         }
         return runs(first) { hurried(it.job) }.flatMap { imagesFirst(it, now) }
--- a/src/main/kotlin/lichenstage/placement/RequestRounds.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRounds.kt
@@ -4,7 +4,7 @@
 import lichenstage.cluster.Offer
 import lichenstage.cluster.StartOrder
 import lichenstage.model.PartitionAssignment
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 
 /** What the leader knows that a round of requests depends on. */
 internal interface RoundContext {
@@ -18,7 +18,7 @@
     ): Int
 
     /** What may be in use by nobody knows whom. */
-    fun unaccountedUse(): Shape
+    fun unaccountedUse(): Resources
 
     /** Partitions that were heard not long ago: once all of them have answered, nobody else is waited for. */
     fun reachablePartitions(now: Long): Set<String>
@@ -75,7 +75,7 @@
         askedUs = now
         val unaccountedUse = context.unaccountedUse()
         val requests =
-            planner.requests(waiting(), now) { spec, planned -> attempts.allowance(spec.team, spec.shape, unaccountedUse, planned) }
+            planner.requests(waiting(), now) { spec, planned -> attempts.allowance(spec.team, spec.resources, unaccountedUse, planned) }
         if (requests.isEmpty()) return
         round = RequestRound(requests, now, settings.alphaUs)
         val frames = requests.map { it.request }
@@ -113,11 +113,11 @@
     private fun place(
         asked: JobRequest,
         current: RequestRound,
-        unaccountedUse: Shape,
+        unaccountedUse: Resources,
         now: Long,
     ): List<Attempt> {
         val job = asked.job
-        val most = minOf(asked.request.count, attempts.allowance(job.spec.team, job.spec.shape, unaccountedUse))
+        val most = minOf(asked.request.count, attempts.allowance(job.spec.team, job.spec.resources, unaccountedUse))
         val offers = current.of(asked.request.stamp).mapValues { (_, held) -> held.mapNotNull(::usable) }
         val placed = ArrayList<Attempt>()
         for (place in OfferSelection.selectRoomiest(offers, most, zones::zoneOf, zones.roomIn(job, offers))) {
--- a/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
+++ b/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
 import lichenstage.config.Team
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 
 /** Every attempt that may be running, and what the teams use by them (invariant 11). */
 class RunningAttempts(
@@ -39,24 +39,24 @@
         sign: Int,
     ) {
         val spec = attempt.job.spec
-        usedCores.merge(spec.team, sign * spec.shape.cores, Double::plus)
-        usedCards.merge(spec.team, sign * spec.shape.cards, Double::plus)
+        usedCores.merge(spec.team, sign * spec.resources.cores, Double::plus)
+        usedCards.merge(spec.team, sign * spec.resources.gpus, Double::plus)
     }
 
-    /** How many tasks of [shape] a team may still start, beside what is [planned] for it and what [unaccountedUse] may be using. */
+    /** How many tasks of [resources] a team may still start, beside what is [planned] for it and what [unaccountedUse] may be using. */
     fun allowance(
         team: String,
-        shape: Shape,
-        unaccountedUse: Shape,
-        planned: Shape = NONE,
+        resources: Resources,
+        unaccountedUse: Resources,
+        planned: Resources = NONE,
     ): Int {
         val limit = teams[team] ?: return 0
         val cores = limit.coresMax - unaccountedUse.cores - (usedCores[team] ?: 0.0) - planned.cores
-        val cards = limit.cardsMax - unaccountedUse.cards - (usedCards[team] ?: 0.0) - planned.cards
-        return Shape(cores, cards, Double.POSITIVE_INFINITY).fits(shape)
+        val gpus = limit.gpusMax - unaccountedUse.gpus - (usedCards[team] ?: 0.0) - planned.gpus
+        return Resources(cores, gpus, Double.POSITIVE_INFINITY).fits(resources)
     }
 
     companion object {
-        val NONE = Shape(0.0, 0.0, 0.0)
+        val NONE = Resources(0.0, 0.0, 0.0)
     }
 }
--- a/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
+++ b/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
@@ -25,7 +25,7 @@
     ): Set<Job> {
         if (guaranteeUs == null) return emptySet()
         val cores = HashMap<String, Double>()
-        val cards = HashMap<String, Double>()
+        val gpus = HashMap<String, Double>()
         return jobs
             .filter { it.phase == JobPhase.OPEN && it.ready }
             .sortedBy { it.readyUs }
@@ -33,8 +33,8 @@
                 val spec = it.spec
                 val team = teams[spec.team]
                 team != null &&
-                    cores.merge(spec.team, spec.tasks * spec.shape.cores, Double::plus)!! <= team.cores &&
-                    cards.merge(spec.team, spec.tasks * spec.shape.cards, Double::plus)!! <= team.cards
+                    cores.merge(spec.team, spec.tasks * spec.resources.cores, Double::plus)!! <= team.cores &&
+                    gpus.merge(spec.team, spec.tasks * spec.resources.gpus, Double::plus)!! <= team.gpus
             }
     }
 
--- a/src/main/kotlin/lichenstage/placement/UnaccountedUse.kt
+++ b/src/main/kotlin/lichenstage/placement/UnaccountedUse.kt
@@ -1,6 +1,6 @@
 package lichenstage.placement
 
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 
 /**
  * What may be in use by nobody knows whom: on machines that run something whose job has no record, or that should not be there, and
@@ -8,7 +8,7 @@
  */
 internal class UnaccountedUse(
     private val failover: FailoverRecovery,
-    private val capacityOf: (String) -> Shape?,
+    private val capacityOf: (String) -> Resources?,
 ) {
     /** Machines with the names of their types. */
     private val machines = HashMap<String, String>()
@@ -25,15 +25,15 @@
         machines.remove(machine)
     }
 
-    fun shape(): Shape {
+    fun resources(): Resources {
         val unknown = failover.unknownUse(capacityOf)
         var cores = unknown.cores
-        var cards = unknown.cards
+        var gpus = unknown.gpus
         for (typeName in machines.values) {
             val capacity = capacityOf(typeName)
             cores += capacity?.cores ?: Double.MAX_VALUE
-            cards += capacity?.cards ?: Double.MAX_VALUE
+            gpus += capacity?.gpus ?: Double.MAX_VALUE
         }
-        return Shape(cores, cards, 0.0)
+        return Resources(cores, gpus, 0.0)
     }
 }
--- a/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
@@ -1,7 +1,7 @@
 package lichenstage.cluster
 
 import lichenstage.model.JobRequirements
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 import net.jqwik.api.Arbitraries
 import net.jqwik.api.Arbitrary
 import net.jqwik.api.Combinators
@@ -29,7 +29,7 @@
                 .`as`(::AttemptOrder)
                 .list()
                 .ofMaxSize(4)
-        val requirements = JobRequirements(Shape(1.5, 0.0, 7.25), "img")
+        val requirements = JobRequirements(Resources(1.5, 0.0, 7.25), "img")
         val leader =
             Combinators.combine(words, numbers, numbers, orders, orders).`as` { w, a, b, stops, clears ->
                 PlacementFrame(
--- a/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
@@ -1,8 +1,6 @@
 package lichenstage.cluster
 
 import io.vertx.core.json.JsonObject
-import java.util.BitSet
-import java.util.HexFormat
 import kotlinx.serialization.ExperimentalSerializationApi
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.Cbor
@@ -13,6 +11,8 @@
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
+import java.util.BitSet
+import java.util.HexFormat
 
 /**
  * What the version in production writes, in `production.json` by its own code (deploy/service.toml names it): this version reads it,
--- a/src/test/kotlin/lichenstage/common/CommandLineParserTest.kt
+++ b/src/test/kotlin/lichenstage/common/CommandLineParserTest.kt
@@ -50,7 +50,7 @@
         try {
             parse()
             false
-        } catch (_: BadArguments) {
+        } catch (_: InvalidArgumentsException) {
             true
         }
 }
--- a/src/test/kotlin/lichenstage/config/SettingsTest.kt
+++ b/src/test/kotlin/lichenstage/config/SettingsTest.kt
@@ -26,7 +26,7 @@
         try {
             parse()
             null
-        } catch (e: SettingsError) {
+        } catch (e: InvalidSettingsException) {
             e.message
         }
 
--- a/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
@@ -8,7 +8,7 @@
 import lichenstage.jobs.JobRecordCodec
 import lichenstage.model.JobSpec
 import lichenstage.model.Priority
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 import lichenstage.placement.RegisteredMachine
 import lichenstage.placement.Registry
 import lichenstage.state.Change
@@ -91,7 +91,7 @@
     fun `what can't be done is refused by name, and nothing is written`() {
         val before = store.revision
         val bound =
-            JobSpec("j-1", "c", "t", Priority.HIGH, 1, Shape(1.0, 0.0, 1.0), null, "y", false, false, true, "i", 1.0, 1, 0, 0, null, 0)
+            JobSpec("j-1", "c", "t", Priority.HIGH, 1, Resources(1.0, 0.0, 1.0), null, "y", false, false, true, "i", 1.0, 1, 0, 0, null, 0)
         store.apply(emptyList(), listOf(Change.Put("j/j-1", JobRecordCodec.encode(bound))))
         val refusals =
             mapOf(
--- a/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
@@ -4,7 +4,7 @@
 import lichenstage.cloud.ProvisionResult
 import lichenstage.common.SECOND
 import lichenstage.model.MachineType
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotEquals
@@ -14,7 +14,7 @@
 class FleetCoreTest {
     private fun fleet(forecast: DemandForecast = DemandForecast(0)) =
         FleetCore(3, FleetPolicy(), forecast).apply {
-            machineTypes = mapOf("t" to MachineType("t", Shape(16.0, 0.0, 64.0), 1.0, 0.4, 30 * SECOND, 50.0, 0.5, listOf("y", "z")))
+            machineTypes = mapOf("t" to MachineType("t", Resources(16.0, 0.0, 64.0), 1.0, 0.4, 30 * SECOND, 50.0, 0.5, listOf("y", "z")))
             listed(emptyList(), 0)
             next(0)
         }
--- a/src/test/kotlin/lichenstage/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/DependencyGraphTest.kt
@@ -1,12 +1,12 @@
 package lichenstage.jobs
 
-import java.util.Random
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
+import java.util.Random
 
 class DependencyGraphTest {
     /** Found by the simulated world: after an outage longer than cancel_s a waiting job was called pending at that moment. */
@@ -36,10 +36,16 @@
         dependencyGraph.jobOpened("j-2", listOf("j-1"))
         assertEquals(Readiness.WAITING, dependencyGraph.readiness("j-3", listOf("j-2"))) { "it can wait" }
         dependencyGraph.jobClosed("j-2")
-        assertEquals(Readiness.UNKNOWN, dependencyGraph.readiness("j-3", listOf("j-2"))) { "${dependencyGraph.readiness("j-3", listOf("j-2"))}" }
+        assertEquals(
+            Readiness.UNKNOWN,
+            dependencyGraph.readiness("j-3", listOf("j-2")),
+        ) { "${dependencyGraph.readiness("j-3", listOf("j-2"))}" }
         dependencyGraph.jobOpened("j-3", listOf("j-2"))
         dependencyGraph.outcomeRecorded("j-2", JobOutcome(done = false, atUs = null))
-        assertEquals(Readiness.CANCELLED, dependencyGraph.readiness("j-3", listOf("j-2"))) { "${dependencyGraph.readiness("j-3", listOf("j-2"))}" }
+        assertEquals(
+            Readiness.CANCELLED,
+            dependencyGraph.readiness("j-3", listOf("j-2")),
+        ) { "${dependencyGraph.readiness("j-3", listOf("j-2"))}" }
     }
 
     /** Jobs that need any that came before; ends become known, and how they ended, in any order. A simple model says what follows. */
@@ -94,7 +100,10 @@
             // Once orphaned, always: what it needs may be recorded as cancelled later without being looked up.
             orphans += open.filter(::cancelledBefore)
             orphans.retainAll(open)
-            assertEquals(orphans, dependencyGraph.orphans(1000).toSet()) { "seed $seed step $step: ${dependencyGraph.orphans(1000)}, not $orphans" }
+            assertEquals(
+                orphans,
+                dependencyGraph.orphans(1000).toSet(),
+            ) { "seed $seed step $step: ${dependencyGraph.orphans(1000)}, not $orphans" }
             for (job in open) {
                 val ready = dependencies.getValue(job).all { it in resolved && ended[it] == true }
                 assertEquals(ready, (dependencyGraph.readySinceUs(dependencies.getValue(job)) != null)) { "seed $seed step $step: $job" }
--- a/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
@@ -2,11 +2,9 @@
 
 import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
-import java.util.BitSet
-import java.util.Random
 import lichenstage.model.JobSpec
 import lichenstage.model.Priority
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 import net.jqwik.api.Arbitraries
 import net.jqwik.api.Arbitrary
 import net.jqwik.api.Combinators
@@ -17,6 +15,8 @@
 import net.jqwik.api.constraints.IntRange
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
+import java.util.BitSet
+import java.util.Random
 
 class JobFormatsTest {
     private fun submission() =
@@ -38,7 +38,7 @@
     @Example
     fun `a submission as the protocol shows it is read, unknown fields and all`() {
         val spec = SubmissionCodec.submission(submission(), 7)
-        assertTrue(spec.id == "j-000412" && spec.tasks == 16 && spec.shape == Shape(8.0, 1.0, 64.0)) { "$spec" }
+        assertTrue(spec.id == "j-000412" && spec.tasks == 16 && spec.resources == Resources(8.0, 1.0, 64.0)) { "$spec" }
         assertTrue(spec.deadlineUs == 900_000_000L && spec.estimatedRunTimeUs == 240_000_000L && spec.submittedUs == 7L) { "$spec" }
         assertTrue(spec.allowedTypes == listOf("g8") && spec.zone == null && spec.sameZone && spec.spot) { "$spec" }
     }
@@ -119,7 +119,7 @@
                 "team",
                 p,
                 n,
-                Shape(x / 8.0, y / 16.0, n.toDouble()),
+                Resources(x / 8.0, y / 16.0, n.toDouble()),
                 if (a) listOf("g8", "c4") else null,
                 if (b) "zone" else null,
                 a,
--- a/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
@@ -1,6 +1,5 @@
 package lichenstage.jobs
 
-import java.util.Random
 import lichenstage.cluster.CompletionSyncReply
 import lichenstage.common.SECOND
 import net.jqwik.api.Example
@@ -8,6 +7,7 @@
 import net.jqwik.api.Property
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
+import java.util.Random
 
 class JobReplicaTest {
     private fun replica(
--- a/src/test/kotlin/lichenstage/jobs/JobsActorTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobsActorTest.kt
@@ -2,7 +2,6 @@
 
 import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
-import java.util.Random
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.ExperimentalCoroutinesApi
@@ -18,7 +17,7 @@
 import lichenstage.common.MILLI
 import lichenstage.config.Team
 import lichenstage.model.MachineType
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 import lichenstage.standin.submission
 import lichenstage.state.Change
 import lichenstage.state.KeyValueStore
@@ -31,6 +30,7 @@
 import net.jqwik.api.Property
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
+import java.util.Random
 
 /**
  * What users are told, through three controllers that share a state service which is slow, refuses, gives no answer and carries such
@@ -99,7 +99,7 @@
         store: KeyValueStore,
         scope: CoroutineScope,
     ): JobsActor {
-        val machineTypes = mapOf("t" to MachineType("t", Shape(8.0, 0.0, 64.0), 1.0, 0.3, 1, 50.0, 1.0, listOf("a")))
+        val machineTypes = mapOf("t" to MachineType("t", Resources(8.0, 0.0, 64.0), 1.0, 0.3, 1, 50.0, 1.0, listOf("a")))
         val teams = mapOf("red" to Team("red", 0.0, 16.0, 0.0, Double.POSITIVE_INFINITY))
         val replica = JobReplica(1, null, 1)
         val dependencyGraph = DependencyGraph()
--- a/src/test/kotlin/lichenstage/model/MachineFitTest.kt
+++ b/src/test/kotlin/lichenstage/model/MachineFitTest.kt
@@ -16,7 +16,7 @@
         price: Double,
         fetchGbPerS: Double,
         zones: List<String>,
-    ) = MachineType(name, Shape(cores, 0.0, 64.0), price, price / 2, 30 * SECOND, 50.0, fetchGbPerS, zones)
+    ) = MachineType(name, Resources(cores, 0.0, 64.0), price, price / 2, 30 * SECOND, 50.0, fetchGbPerS, zones)
 
     private fun spec(
         cores: Double,
@@ -28,7 +28,7 @@
         team = "red",
         priority = Priority.HIGH,
         tasks = 2,
-        shape = Shape(cores, 0.0, 1.0),
+        resources = Resources(cores, 0.0, 1.0),
         allowedTypes = allowedTypes,
         zone = zone,
         sameZone = false,
--- a/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
@@ -1,6 +1,5 @@
 package lichenstage.partition
 
-import java.util.Random
 import lichenstage.cluster.PlacementFrame
 import lichenstage.cluster.PlacementRequest
 import lichenstage.cluster.StartOrder
@@ -8,13 +7,14 @@
 import lichenstage.common.SECOND
 import lichenstage.model.JobRequirements
 import lichenstage.model.MachineLimits
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 import lichenstage.world.RuleChecker
 import lichenstage.world.SimulatedJob
 import lichenstage.world.SimulatedWorker
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
+import java.util.Random
 
 /**
  * A direct order that gets no answer and is executed long after, while the worker's fencing token and agent epoch would still match. Seen
@@ -29,7 +29,7 @@
         private val ends = FakeJobCompletions(CANCEL_US - LEASE_US - 3 * SECOND) { now }
         val partition =
             PartitionCore(PartitionParameters("a/0", "a", TOKEN, LEASE_US, 3 * SECOND, 0), ends) {
-                MachineLimits("type", Shape(8.0, 0.0, 64.0))
+                MachineLimits("type", Resources(8.0, 0.0, 64.0))
             }
         private var sequence = 0L
         private var now = 0L
@@ -71,12 +71,12 @@
 
         /** The start of j-1/0 goes out as a direct order, which is held on its way. */
         fun startHeld(): DirectOrder {
-            leader(requests = listOf(PlacementRequest(1, "j-1", JobRequirements(job.shape(), "img"), 1, null, null, true)))
+            leader(requests = listOf(PlacementRequest(1, "j-1", JobRequirements(job.resources(), "img"), 1, null, null, true)))
             leader(starts = listOf(StartOrder(1, worker.name, 0, 1)))
             return partition.nextDirectOrders(now).single().also { unanswered += it }
         }
 
-        private fun SimulatedJob.shape() = Shape(cores, 0.0, 1.0)
+        private fun SimulatedJob.resources() = Resources(cores, 0.0, 1.0)
 
         fun cancel() {
             ends.end(job.id)
--- a/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
@@ -8,7 +8,7 @@
 import lichenstage.cluster.TaskPhase
 import lichenstage.common.SECOND
 import lichenstage.model.MachineLimits
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
@@ -28,7 +28,7 @@
     ) {
         val partition =
             PartitionCore(PartitionParameters("z/0", "z", 5, 3600 * SECOND, 4 * SECOND, 0, maxMachinesPerFrame)) {
-                MachineLimits("t", Shape(64.0, 0.0, 512.0))
+                MachineLimits("t", Resources(64.0, 0.0, 512.0))
             }
         val tasks = HashMap<String, MutableMap<Long, TaskReport>>()
     }
--- a/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
@@ -11,11 +11,11 @@
 import lichenstage.jobs.JobCompletions
 import lichenstage.model.JobRequirements
 import lichenstage.model.MachineLimits
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 
 /** A partition of one zone, its machines and a leader, for tests. */
 internal abstract class PartitionFixture {
-    protected val requirements = JobRequirements(Shape(4.0, 0.0, 1.0), "img")
+    protected val requirements = JobRequirements(Resources(4.0, 0.0, 1.0), "img")
     protected var seq = 0L
     private var sequence = 0L
 
@@ -100,7 +100,7 @@
 
     companion object {
         const val TERM = 5L
-        val MACHINE_LIMITS = MachineLimits("t", Shape(8.0, 0.0, 64.0))
+        val MACHINE_LIMITS = MachineLimits("t", Resources(8.0, 0.0, 64.0))
         const val LEASE = 20 * SECOND
     }
 }
--- a/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
@@ -6,7 +6,7 @@
 import lichenstage.config.Objective
 import lichenstage.config.ObjectiveKind
 import lichenstage.config.Team
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -152,7 +152,7 @@
             val leader =
                 LeaderCore(7, 100, assignment, teams, 20 * SECOND, PlacementSettings(), ServiceObjectives(emptyList()), {
                     looks++
-                    Shape(16.0, 0.0, 64.0)
+                    Resources(16.0, 0.0, 64.0)
                 }, 10) { effects += it }
             val names = List(machines) { "m$it" }
             leader.addRecoveredMachines(recoveredMachines(*names.toTypedArray()))
--- a/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -11,7 +11,7 @@
 import lichenstage.model.JobSpec
 import lichenstage.model.PartitionAssignment
 import lichenstage.model.Priority
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 import org.junit.jupiter.api.Assertions.assertEquals
 
 /** A leader, the partitions that it hears, and what it asks of the outside, for tests. */
@@ -30,7 +30,7 @@
             20 * SECOND,
             PlacementSettings(),
             ServiceObjectives(emptyList()),
-            { Shape(16.0, 0.0, 64.0) },
+            { Resources(16.0, 0.0, 64.0) },
             10,
         ) {
             effects +=
@@ -42,7 +42,26 @@
         tasks: Int = 2,
         same: Boolean = false,
         spread: Boolean = false,
-    ) = JobSpec(id, "c", "red", Priority.HIGH, tasks, Shape(4.0, 0.0, 1.0), null, null, same, spread, true, "i", 1.0, SECOND, 0, 0, null, 0)
+    ) = JobSpec(
+        id,
+        "c",
+        "red",
+        Priority.HIGH,
+        tasks,
+        Resources(4.0, 0.0, 1.0),
+        null,
+        null,
+        same,
+        spread,
+        true,
+        "i",
+        1.0,
+        SECOND,
+        0,
+        0,
+        null,
+        0,
+    )
 
     protected fun job(
         id: String,
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -6,7 +6,7 @@
 import lichenstage.common.SECOND
 import lichenstage.config.Objective
 import lichenstage.config.ObjectiveKind
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -214,7 +214,7 @@
                 PlacementSettings(),
                 serviceObjectives,
                 {
-                    Shape(16.0, 0.0, 64.0)
+                    Resources(16.0, 0.0, 64.0)
                 },
                 10,
                 { SECOND },
--- a/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
@@ -4,7 +4,7 @@
 import lichenstage.model.JobSpec
 import lichenstage.model.MachineType
 import lichenstage.model.Priority
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -62,7 +62,7 @@
     /** Neither as work due now nor first when it is ready: a machine needs a boot time. */
     @Example
     fun `a job that waits asks for machines from a boot time before it is ready`() {
-        val machineType = MachineType("t", Shape(16.0, 0.0, 64.0), 1.0, 0.4, 30 * SECOND, 50.0, 0.5, listOf("z"))
+        val machineType = MachineType("t", Resources(16.0, 0.0, 64.0), 1.0, 0.4, 30 * SECOND, 50.0, 0.5, listOf("z"))
         job(1, 100)
         val next = job(2, 50, 1)
 
--- a/src/test/kotlin/lichenstage/placement/TestJobs.kt
+++ b/src/test/kotlin/lichenstage/placement/TestJobs.kt
@@ -3,7 +3,7 @@
 import lichenstage.common.SECOND
 import lichenstage.model.JobSpec
 import lichenstage.model.Priority
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 
 /** A job of one-core tasks, for tests of the order of jobs. */
 internal fun oneCoreSpec(
@@ -18,7 +18,7 @@
     "red",
     priority,
     tasks,
-    Shape(1.0, 0.0, 1.0),
+    Resources(1.0, 0.0, 1.0),
     null,
     null,
     false,
--- a/src/test/kotlin/lichenstage/world/SimulatedController.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedController.kt
@@ -12,7 +12,7 @@
 import lichenstage.jobs.JobOutcome
 import lichenstage.jobs.JobReplica
 import lichenstage.model.MachineLimits
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 import lichenstage.partition.Command
 import lichenstage.partition.DirectOrder
 import lichenstage.partition.Heartbeat
@@ -156,7 +156,7 @@
         val events = context.orderEvents::add
         val parameters = PartitionParameters(partition, zone, term, lease, 3 * SECOND, now, context.profile.machinesInFrame)
         return PartitionCore(parameters, jobCompletions(), events) {
-            MachineLimits("type", Shape(MACHINE_CORES, 0.0, MACHINE_MEMORY_GB))
+            MachineLimits("type", Resources(MACHINE_CORES, 0.0, MACHINE_MEMORY_GB))
         }
     }
 
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -4,7 +4,7 @@
 import lichenstage.common.SECOND
 import lichenstage.model.JobSpec
 import lichenstage.model.Priority
-import lichenstage.model.Shape
+import lichenstage.model.Resources
 import lichenstage.placement.CompletionDelta
 import lichenstage.placement.Job
 import lichenstage.placement.LeaderCore
@@ -72,8 +72,10 @@
 
     private fun readied(leader: LeaderCore) =
         leader.jobs.values
-            .filter { !it.ready && (mutation == Mutation.NEEDS_IGNORED || controller.dependencyGraph.readySinceUs(it.spec.dependencies) != null) }
-            .forEach { leader.jobReady(it, now) }
+            .filter {
+                !it.ready &&
+                    (mutation == Mutation.NEEDS_IGNORED || controller.dependencyGraph.readySinceUs(it.spec.dependencies) != null)
+            }.forEach { leader.jobReady(it, now) }
 
     /** Jobs of which one that they need is cancelled are recorded as such. */
     private fun cancelOrphans(leader: LeaderCore) {
@@ -110,7 +112,7 @@
             lease,
             PlacementSettings(),
             ServiceObjectives(emptyList()),
-            { Shape(MACHINE_CORES, 0.0, MACHINE_MEMORY_GB) },
+            { Resources(MACHINE_CORES, 0.0, MACHINE_MEMORY_GB) },
             12,
             dependentsOf = controller.dependencyGraph::dependentsOf,
         ) { carryOut(term, it) }
@@ -153,7 +155,7 @@
             team = job.team,
             priority = Priority.STANDARD,
             tasks = job.tasks,
-            shape = Shape(job.cores, 0.0, 1.0),
+            resources = Resources(job.cores, 0.0, 1.0),
             allowedTypes = null,
             zone = null,
             sameZone = job.sameZone && mutation != Mutation.ZONES_IGNORED,
--- a/src/test/kotlin/lichenstage/world/SimulatedStateService.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedStateService.kt
@@ -1,12 +1,12 @@
 package lichenstage.world
 
-import java.util.BitSet
 import lichenstage.drain.Drain
 import lichenstage.drain.DrainState
 import lichenstage.drain.DrainedMachine
 import lichenstage.jobs.JobOutcome
 import lichenstage.world.SimulationContext.Companion.CONTROLLERS
 import lichenstage.world.SimulationContext.Companion.LEASE_US
+import java.util.BitSet
 
 /** Who owns a key, and under which term. */
 internal data class Ownership(
--- a/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
@@ -70,9 +70,9 @@
             } else {
                 emptyList()
             }
-        val shape = listOf(CHAIN, FAN, DIAMOND)[n / PIPELINE % 3]
+        val resources = listOf(CHAIN, FAN, DIAMOND)[n / PIPELINE % 3]
         var afterUs = 0L
-        for ((stage, dependencies) in shape.withIndex()) {
+        for ((stage, dependencies) in resources.withIndex()) {
             val named = dependencies.map { "j-${n + it}" } + if (stage == 0) earlier else emptyList()
             val job = SimulatedJob("j-${n + stage}", teamOf(n), 1 + random.nextInt(3), 1.0, 5 * SECOND, 0, dependencies = named)
             context.at(afterUs) { submitNeeding(job) }
