--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -6,7 +6,7 @@
 import kotlinx.coroutines.isActive
 import kotlinx.coroutines.launch
 import lichenstage.authority.Authority
-import lichenstage.authority.View
+import lichenstage.authority.OwnershipView
 import lichenstage.cloud.CloudClient
 import lichenstage.cloud.MachineCatalog
 import lichenstage.cluster.CompletionSyncReply
@@ -70,14 +70,14 @@
     private val cloud = CloudClient(vertx, settings.cloud)
     private val catalog = MachineCatalog(cloud, state, scope)
     private val authority: Authority =
-        Authority(settings, state, clock, scope, { to, frame -> links.send(to, frame) }, { links.isWell(it) }, ::viewChanged)
+        Authority(settings, state, clock, scope, { to, frame -> links.send(to, frame) }, { links.isWell(it) }, ::ownershipChanged)
     private val links: PeerLinks =
         PeerLinks(
             vertx,
             settings,
             clock,
             scope,
-            authority::stateAnswers,
+            authority::isStateServiceAvailable,
             metrics.counter("frames"),
             metrics.counter("frame_bytes"),
             ::received,
@@ -108,7 +108,7 @@
             state,
             catalog::machineTypes,
             settings.teams,
-            authority::stateAnswers,
+            authority::isStateServiceAvailable,
             forwarder,
             replica,
             dependencyGraph,
@@ -152,7 +152,7 @@
                 delay(HAND_BACK_MS)
                 for (partition in settings.assignment.partitions) {
                     val home = settings.assignment.home(partition)
-                    if (home != null && home != settings.label && links.steady(home)) authority.release(partition)
+                    if (home != null && home != settings.label && links.steady(home)) authority.releasePartition(partition)
                 }
             }
         }
@@ -164,7 +164,7 @@
      * day: 12 s from the start of listening to the lease.) Who finds nobody listening tries another controller.
      */
     private suspend fun serveOnceReady() {
-        while (!authority.ready() || !replica.isCurrent(clock.now())) delay(READY_CHECK_MS)
+        while (!authority.isReady() || !replica.isCurrent(clock.now())) delay(READY_CHECK_MS)
         api.start()
     }
 
@@ -185,17 +185,17 @@
      * While the state service is away from everybody, all stay healthy, so that users come back to somebody as soon as it
      * is back; a node that it alone does not answer sends its users to the others.
      */
-    private fun healthy() = authority.ready() && catalog.known && (authority.stateAnswers() || links.peerWithState() == null)
+    private fun healthy() = authority.isReady() && catalog.known && (authority.isStateServiceAvailable() || links.peerWithState() == null)
 
     /** Leadership lasts while its key does; a pause of authority doesn't end it, a new term does. */
-    private fun viewChanged(view: View) {
+    private fun ownershipChanged(ownership: OwnershipView) {
         val current = leader
-        val holder = view.leader
+        val holder = ownership.leader
         if (current != null && holder?.term != current.term) {
             current.stop()
             leader = null
         }
-        val mine = authority.leading() ?: return
+        val mine = authority.heldLeadership() ?: return
         if (leader?.term == mine.term) return
         leader =
             LeaderActor(
@@ -209,14 +209,14 @@
                 dependencyGraph,
                 scope,
                 mine.term,
-                mine.stamp,
+                mine.modRevision,
                 LeaderOptions(operator.fleet(FleetPolicy()), operator.placementSettings, operator.drains),
                 links::send,
             )
     }
 
     private fun toLeader(frame: PartitionFrame) {
-        val holder = authority.view().leader ?: return
+        val holder = authority.ownership().leader ?: return
         links.send(holder.label, frame)
     }
 
@@ -239,8 +239,8 @@
             is PartitionFrame -> leader?.tell(LeaderMessage.PartitionFrameReceived(frame))
             is ForwardedRequest -> answer(from, frame)
             is ForwardedReply -> forwarder.answered(frame)
-            is MoratoriumRequest -> authority.asked(from, frame)
-            is MoratoriumGrant -> authority.answered(from, frame)
+            is MoratoriumRequest -> authority.onMoratoriumRequest(from, frame)
+            is MoratoriumGrant -> authority.onMoratoriumGrant(from, frame)
             is CompletionSyncRequest -> replicaSync.onSyncRequest(from, frame)
             is CompletionSyncReply -> replicaSync.onSyncReply(from, frame)
             is JobsEnded -> replicaSync.onJobsEnded(frame)
--- a/src/main/kotlin/lichenstage/authority/AcquisitionOrder.kt
+++ b/src/main/kotlin/lichenstage/authority/AcquisitionDelay.kt
@@ -8,7 +8,7 @@
  * How long a controller waits before it takes a key that nobody holds. A partition's own controller takes it at once; others wait a
  * little, in an order that avoids collisions. To lead costs about as much as a partition: who has little else to do comes first.
  */
-internal class AcquisitionOrder(
+internal class AcquisitionDelay(
     private val settings: Settings,
 ) {
     private val rank = (settings.peers.map { it.label } + settings.label).sorted().indexOf(settings.label)
@@ -23,21 +23,21 @@
                 .size
 
     /**
-     * [held]: how many keys this process holds; [home]: the controller that normally owns the partition; [homeIsWell]: it is in reach and
+     * [held]: how many keys this process holds; [home]: the controller that normally owns the partition; [homeIsHealthy]: it is in reach and
      * the state service answers it, so that it is about to take the partition itself. (Seen on Baile's lean "rough" day: all processes came
      * back within a second, the first took two partitions and the leadership, and gave the second back after 36 s.)
      */
-    fun patienceUs(
+    fun delayUs(
         leadership: Boolean,
         held: Int,
         home: String?,
         everOwned: Boolean,
-        homeIsWell: Boolean,
+        homeIsHealthy: Boolean,
     ): Long =
         when {
             leadership -> held * 150 * MILLI + rank * 50 * MILLI + if (evenlyShared) 0 else 400 * MILLI
             home == settings.label -> 0
-            home != null && (!everOwned || homeIsWell) -> FIRST_PATIENCE_US + rank * 200 * MILLI
+            home != null && (!everOwned || homeIsHealthy) -> FIRST_PATIENCE_US + rank * 200 * MILLI
             else -> 200 * MILLI + held * 250 * MILLI + rank * 100 * MILLI
         }
 
@@ -47,6 +47,6 @@
         private const val MOST_LAG_PATIENCE_US = 2 * SECOND
 
         /** A process that runs late leaves keys to others that don't, its own partition too: it gets that back once it is well. */
-        fun lagPatienceUs(lagUs: Long): Long = (lagUs - TOLERATED_LAG_US).coerceIn(0, MOST_LAG_PATIENCE_US)
+        fun lagDelayUs(lagUs: Long): Long = (lagUs - TOLERATED_LAG_US).coerceIn(0, MOST_LAG_PATIENCE_US)
     }
 }
--- a/src/main/kotlin/lichenstage/authority/Authority.kt
+++ b/src/main/kotlin/lichenstage/authority/Authority.kt
@@ -25,7 +25,7 @@
 import org.slf4j.LoggerFactory
 
 /** Who leads and who owns which partition, as last seen. */
-data class View(
+data class OwnershipView(
     val leader: Holder?,
     val owners: Map<String, Holder>,
 )
@@ -46,10 +46,10 @@
     private val send: (String, Frame) -> Unit,
     /** Another controller is in reach, and the state service answers it. */
     private val isWell: (String) -> Boolean,
-    private val changed: (View) -> Unit,
+    private val changed: (OwnershipView) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.authority")
-    private val lifeUs = LeaseLife.of(settings)
+    private val lifeUs = LeaseDuration.of(settings)
     private val renewalUs = minOf(lifeUs / 5, LONGEST_RENEWAL_US)
     private val lag = EventLoopLag()
     private val lease = LocalLease(lifeUs)
@@ -58,44 +58,44 @@
     private val others = settings.peers.map { it.label }.toSet()
 
     /** Where the seeds leave somebody out, nobody can pledge for all. */
-    private val collectedPledges = PeerMoratoriums(if (settings.count == others.size + 1) others else emptySet())
-    private val ownPledge = LocalMoratorium(clock.now())
+    private val peerMoratoriums = PeerMoratoriums(if (settings.count == others.size + 1) others else emptySet())
+    private val localMoratorium = LocalMoratorium(clock.now())
 
     /** A try to take a key had no answer at this time: it may still succeed. */
-    private var unclearUs = Long.MIN_VALUE / 2
+    private var lastIndeterminateUs = Long.MIN_VALUE / 2
     private val assignment = settings.assignment
     private val partitionKeys = assignment.partitions.map { PARTITION + it }
-    private val keys = OwnershipKeys()
+    private val keys = OwnershipTable()
     private val tokenReservation = FencingTokenReservation(state, keys)
-    private val acquisitionOrder = AcquisitionOrder(settings)
+    private val acquisitionOrder = AcquisitionDelay(settings)
     private val missingSinceUs = HashMap<String, Long>()
     private val takenUs = HashMap<String, Long>()
     private var watching = false
 
     /** Stamps of ownerships that this process has let go of. */
-    private val givenUp = HashSet<Long>()
+    private val relinquished = HashSet<Long>()
 
     /** True while this process may act on what it holds. Asked again at the moment of every answer. */
-    fun entitled() = lease.valid(clock.now())
+    fun hasAuthority() = lease.isValid(clock.now())
 
     /** The last renewal had no answer. */
     private var unanswered = false
 
     /** A renewal was answered not long ago. */
-    fun stateAnswers() = lease.id != null && clock.now() - renewedUs < renewalUs + SECOND
+    fun isStateServiceAvailable() = lease.id != null && clock.now() - renewedUs < renewalUs + SECOND
 
     /** This process's leadership while it may act on it, else null. */
-    fun leading(): Holder? = mine(LEADER)
+    fun heldLeadership(): Holder? = heldByThisProcess(LEADER)
 
     /** This process's ownership of a partition while it may act on it, else null. */
-    fun owning(partition: String): Holder? = mine(PARTITION + partition)
+    fun heldPartition(partition: String): Holder? = heldByThisProcess(PARTITION + partition)
 
     /** Who owns a partition, as last seen. */
-    fun owner(partition: String): Holder? = holder(PARTITION + partition)
+    fun ownerOf(partition: String): Holder? = holder(PARTITION + partition)
 
     /** Who leads and who owns which partition, as last seen. */
-    fun view() =
-        View(
+    fun ownership() =
+        OwnershipView(
             holder(LEADER),
             assignment.partitions
                 .mapNotNull { partition ->
@@ -106,13 +106,13 @@
         )
 
     /** True once this process has seen the state of the keys at least once. */
-    fun ready() = watching && entitled()
+    fun isReady() = watching && hasAuthority()
 
     /** Keeps the lease, follows the keys and takes what nobody holds. */
     fun start() {
         scope.launch { keepLease() }
         scope.launch { watch() }
-        scope.launch { requestPledges() }
+        scope.launch { requestMoratoriums() }
         scope.launch {
             while (true) {
                 val dueUs = clock.now() + LOOK_MS * MILLI
@@ -128,38 +128,38 @@
      * transaction under way, does not promise: it may see our lease end and take over. One renewal without an answer is enough to
      * promise: who was refused alone before the others has little of its lease left when they notice.
      */
-    private suspend fun requestPledges() {
+    private suspend fun requestMoratoriums() {
         while (true) {
             delay(PLEDGE_REQUEST_MS)
-            if (stateAnswers() || !entitled()) continue
+            if (isStateServiceAvailable() || !hasAuthority()) continue
             val question = MoratoriumRequest(incarnation, clock.now())
             others.forEach { send(it, question) }
         }
     }
 
     /** Another controller asks for a pledge; it is given only where this one can neither have nor take its keys. */
-    fun asked(
+    fun onMoratoriumRequest(
         from: String,
         question: MoratoriumRequest,
     ) {
         val now = clock.now()
-        if ((stateAnswers() && !unanswered) || acquiring || now - unclearUs < UNCLEAR_US) return
-        ownPledge.pledge(now)
+        if ((isStateServiceAvailable() && !unanswered) || acquiring || now - lastIndeterminateUs < INDETERMINATE_US) return
+        localMoratorium.grant(now)
         send(from, MoratoriumGrant(question.incarnation, question.askedUs))
     }
 
     /** Another controller's pledge. */
-    fun answered(
+    fun onMoratoriumGrant(
         from: String,
         answer: MoratoriumGrant,
     ) {
         if (answer.incarnation != incarnation) return
-        collectedPledges.pledged(from, answer.askedUs)
-        lease.extendedByPledges(collectedPledges.pledgedUntilUs(), clock.now())
+        peerMoratoriums.granted(from, answer.askedUs)
+        lease.extendedByMoratoriums(peerMoratoriums.grantedUntilUs(), clock.now())
     }
 
-    private fun mine(key: String) =
-        holder(key)?.takeIf { it.label == settings.label && it.lease == lease.id && it.stamp !in givenUp && entitled() }
+    private fun heldByThisProcess(key: String) =
+        holder(key)?.takeIf { it.label == settings.label && it.lease == lease.id && it.modRevision !in relinquished && hasAuthority() }
 
     private fun holder(key: String): Holder? = keys.holder(key)
 
@@ -183,7 +183,7 @@
                     LeaseRenewal.EXPIRED -> {
                         log.info("process lease {} has ended", held)
                         lease.ended()
-                        changed(view())
+                        changed(ownership())
                         continue
                     }
 
@@ -192,17 +192,17 @@
                         log.info("process lease {} not renewed", held)
                     }
                 }
-                delay(if (entitled() && clock.now() - sentUs < SECOND) renewalUs / MILLI else 300)
+                delay(if (hasAuthority() && clock.now() - sentUs < SECOND) renewalUs / MILLI else 300)
             }
         }
     }
 
     private fun extended(extend: () -> Unit) {
-        val wasEntitled = entitled()
+        val wasEntitled = hasAuthority()
         extend()
         renewedUs = clock.now()
         unanswered = false
-        if (!wasEntitled) changed(view())
+        if (!wasEntitled) changed(ownership())
     }
 
     private suspend fun watch() {
@@ -215,7 +215,7 @@
             keys.reset(scan.entries, scan.revision)
             if (!watching) revokePredecessor()
             watching = true
-            changed(view())
+            changed(ownership())
             follow(scan.revision)
         }
     }
@@ -244,7 +244,7 @@
     private suspend fun take(events: WatchResult.Events) {
         keys.change(events.puts, events.deletes)
         if (events.puts.isEmpty() && events.deletes.isEmpty()) return
-        changed(view())
+        changed(ownership())
         acquireMissing()
     }
 
@@ -264,16 +264,16 @@
      * to a worker after the new owner has begun would extend a lease that the new owner counts as run out. A delete without
      * an answer is sent again until the key is gone, or the partition would be nobody's.
      */
-    suspend fun release(partition: String) {
-        val held = owning(partition) ?: return
+    suspend fun releasePartition(partition: String) {
+        val held = heldPartition(partition) ?: return
         val key = PARTITION + partition
         // If its own controller does not take it although it seems well, the partition must not go round and round.
         if (clock.now() - (takenUs[key] ?: 0) < LEAST_HELD_US) return
-        givenUp += held.stamp
-        changed(view())
-        while (keys.stamp(key) == held.stamp) {
-            if (state.commit(listOf(Precondition(key, held.stamp)), listOf(Change.Delete(key))) is TransactionResult.Committed) {
-                if (keys.stamp(key) == held.stamp) keys.remove(key, held.stamp + 1)
+        relinquished += held.modRevision
+        changed(ownership())
+        while (keys.modRevision(key) == held.modRevision) {
+            if (state.commit(listOf(Precondition(key, held.modRevision)), listOf(Change.Delete(key))) is TransactionResult.Committed) {
+                if (keys.modRevision(key) == held.modRevision) keys.remove(key, held.modRevision + 1)
             } else {
                 delay(300)
             }
@@ -281,11 +281,11 @@
         log.info("gave {} back to its own controller", key)
         // The home controller takes it at once; this one would only after a while.
         missingSinceUs[key] = clock.now() + HOME_FIRST_US
-        changed(view())
+        changed(ownership())
     }
 
     private suspend fun acquireMissing() {
-        if (!ready()) return
+        if (!isReady()) return
         val now = clock.now()
         for (key in partitionKeys + LEADER) {
             if (key in keys) {
@@ -300,21 +300,21 @@
     private fun patience(key: String): Long {
         val held = keys.holdersInForce.count { it.label == settings.label }
         val home = assignment.home(key.removePrefix(PARTITION))
-        val homeIsWell = home != null && home != settings.label && isWell(home)
-        return acquisitionOrder.patienceUs(key == LEADER, held, home, keys.everOwned(key), homeIsWell) +
-            AcquisitionOrder.lagPatienceUs(lag.us)
+        val homeIsHealthy = home != null && home != settings.label && isWell(home)
+        return acquisitionOrder.delayUs(key == LEADER, held, home, keys.everOwned(key), homeIsHealthy) +
+            AcquisitionDelay.lagDelayUs(lag.us)
     }
 
     /**
      * Tokens above all that were ever given out, for the owner of [partition] alone; null where they can't be had now. Where it is not
      * [isUrgent], not while a key is nobody's: who takes it needs the same counter.
      */
-    suspend fun reserveTokens(
+    suspend fun reserveFencingTokens(
         partition: String,
         count: Int,
         isUrgent: Boolean,
     ): LongRange? {
-        val held = owning(partition) ?: return null
+        val held = heldPartition(partition) ?: return null
         if (acquiring || (missingSinceUs.isNotEmpty() && !isUrgent)) return null
         return tokenReservation.reserve(PARTITION + partition, held, count)
     }
@@ -323,25 +323,28 @@
 
     private suspend fun acquire(key: String) {
         val held = lease.id ?: return
-        if (acquiring || !ownPledge.free(clock.now())) return
+        if (acquiring || !localMoratorium.hasExpired(clock.now())) return
         acquiring = true
         try {
             val counter = keys.nextTerm(key)
             val value = JsonObject().put("label", settings.label).put("term", counter.term).put("lease", held)
             val preconditions =
-                listOf(Precondition(OwnershipKeys.TERMS, keys.stamp(OwnershipKeys.TERMS) ?: Precondition.ABSENT), Precondition.absent(key))
-            val changes = listOf(Change.Put(OwnershipKeys.TERMS, counter.encode()), Change.Put(key, value, held))
+                listOf(
+                    Precondition(OwnershipTable.TERMS, keys.modRevision(OwnershipTable.TERMS) ?: Precondition.ABSENT),
+                    Precondition.absent(key),
+                )
+            val changes = listOf(Change.Put(OwnershipTable.TERMS, counter.encode()), Change.Put(key, value, held))
             val outcome = state.commit(preconditions, changes)
             if (outcome is TransactionResult.Committed) {
                 log.info("took {} under term {}", key, counter.term)
-                keys.put(Entry(OwnershipKeys.TERMS, counter.encode(), outcome.revision))
+                keys.put(Entry(OwnershipTable.TERMS, counter.encode(), outcome.revision))
                 keys.put(Entry(key, value, outcome.revision))
                 missingSinceUs.remove(key)
                 takenUs[key] = clock.now()
-                changed(view())
+                changed(ownership())
             } else {
                 missingSinceUs[key] = clock.now()
-                if (outcome is TransactionResult.Indeterminate) unclearUs = clock.now()
+                if (outcome is TransactionResult.Indeterminate) lastIndeterminateUs = clock.now()
             }
         } finally {
             acquiring = false
@@ -359,7 +362,7 @@
         private const val LONGEST_RENEWAL_US = 800 * MILLI
         private const val WATCH_MS = 10_000L
         private const val UNAVAILABLE_MS = 250L
-        private const val UNCLEAR_US = 120 * SECOND
+        private const val INDETERMINATE_US = 120 * SECOND
         private const val LEAST_HELD_US = 12 * SECOND
         private const val HOME_FIRST_US = 3 * SECOND
     }
--- a/src/main/kotlin/lichenstage/authority/FencingTokenReservation.kt
+++ b/src/main/kotlin/lichenstage/authority/FencingTokenReservation.kt
@@ -12,7 +12,7 @@
  */
 internal class FencingTokenReservation(
     private val state: KeyValueStore,
-    private val keys: OwnershipKeys,
+    private val keys: OwnershipTable,
 ) {
     private var underWay = false
 
@@ -22,16 +22,16 @@
         held: Holder,
         count: Int,
     ): LongRange? {
-        val stamp = keys.stamp(OwnershipKeys.TERMS) ?: return null
+        val modRevision = keys.modRevision(OwnershipTable.TERMS) ?: return null
         if (underWay) return null
         underWay = true
         try {
             val counter = keys.counterAfter(count)
             val value = counter.encode()
-            val preconditions = listOf(Precondition(OwnershipKeys.TERMS, stamp), Precondition(key, held.stamp))
-            val outcome = state.commit(preconditions, listOf(Change.Put(OwnershipKeys.TERMS, value)))
+            val preconditions = listOf(Precondition(OwnershipTable.TERMS, modRevision), Precondition(key, held.modRevision))
+            val outcome = state.commit(preconditions, listOf(Change.Put(OwnershipTable.TERMS, value)))
             if (outcome !is TransactionResult.Committed) return null
-            keys.put(Entry(OwnershipKeys.TERMS, value, outcome.revision))
+            keys.put(Entry(OwnershipTable.TERMS, value, outcome.revision))
             return counter.term - count + 1..counter.term
         } finally {
             underWay = false
--- a/src/main/kotlin/lichenstage/authority/LeaseLife.kt
+++ b/src/main/kotlin/lichenstage/authority/LeaseDuration.kt
@@ -10,7 +10,7 @@
  * Guards against controllers that lose their lease because they are slow: each loss moves their partitions, which makes the others
  * slow in turn. (Seen on Baile's lean "rough" day: eleven takeovers within a minute after two crashes.)
  */
-internal object LeaseLife {
+internal object LeaseDuration {
     /** Processor time that a cold process spends at a stretch before it looks at its timers again. */
     private const val STALL_CORE_US = SECOND / 2
     private const val SHORTEST_US = 2 * SECOND
--- a/src/main/kotlin/lichenstage/authority/LocalLease.kt
+++ b/src/main/kotlin/lichenstage/authority/LocalLease.kt
@@ -34,11 +34,11 @@
      * Nobody can take what hangs on the lease before [untilUs], whatever the service does. Counts only while the lease does: once
      * there was a gap, somebody else may hold the keys unseen.
      */
-    fun extendedByPledges(
+    fun extendedByMoratoriums(
         untilUs: Long,
         now: Long,
     ) {
-        if (valid(now)) validUntilUs = maxOf(validUntilUs, untilUs)
+        if (isValid(now)) validUntilUs = maxOf(validUntilUs, untilUs)
     }
 
     /** The service says that the lease has ended. */
@@ -48,7 +48,7 @@
     }
 
     /** The holder may count on the lease now. */
-    fun valid(now: Long) = id != null && now < validUntilUs
+    fun isValid(now: Long) = id != null && now < validUntilUs
 
     private fun until(sentUs: Long) = sentUs + lifeUs - (withDrift(lifeUs) - lifeUs) - MARGIN_US
 
--- a/src/main/kotlin/lichenstage/authority/OwnershipKeys.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipTable.kt
@@ -5,12 +5,12 @@
 import lichenstage.common.JsonHttp.Companion.parsed
 import lichenstage.state.Entry
 
-/** Who holds a key, under which term and process lease; [stamp] is the key's revision. */
+/** Who holds a key, under which term and process lease; [modRevision] is the key's revision. */
 data class Holder(
     val label: String,
     val term: Long,
     val lease: Long,
-    val stamp: Long,
+    val modRevision: Long,
 )
 
 /** The term counter as it is to be written with an ownership, with the keys that anybody has ever owned. */
@@ -27,7 +27,7 @@
 }
 
 /** The keys of leadership and ownership as this process last saw them. */
-internal class OwnershipKeys {
+internal class OwnershipTable {
     private val keys = HashMap<String, Entry>()
 
     /** Read once: they are asked for at every report. */
@@ -40,7 +40,7 @@
 
     fun holder(key: String): Holder? = holders[key]
 
-    fun stamp(key: String): Long? = keys[key]?.modRevision
+    fun modRevision(key: String): Long? = keys[key]?.modRevision
 
     /** All of them as of [revision], read whole. What is known to have changed since stays. */
     fun reset(
@@ -73,20 +73,20 @@
         if (holder == null) holders.remove(entry.key) else holders[entry.key] = holder
     }
 
-    /** The key was deleted at [stamp]. */
+    /** The key was deleted at [modRevision]. */
     fun remove(
         key: String,
-        stamp: Long,
+        modRevision: Long,
     ) {
-        if (isOld(key, stamp)) return
+        if (isOld(key, modRevision)) return
         keys.remove(key)
         holders.remove(key)
     }
 
     private fun isOld(
         key: String,
-        stamp: Long,
-    ) = (keys[key]?.modRevision ?: 0) >= stamp
+        modRevision: Long,
+    ) = (keys[key]?.modRevision ?: 0) >= modRevision
 
     private fun read(entry: Entry): Holder? =
         parsed {
--- a/src/main/kotlin/lichenstage/authority/PeerMoratoriums.kt
+++ b/src/main/kotlin/lichenstage/authority/PeerMoratoriums.kt
@@ -16,18 +16,18 @@
     private val untilUs = HashMap<String, Long>()
 
     /** [other] answered a question that was asked at [askedUs]: it was bound no earlier than that. */
-    fun pledged(
+    fun granted(
         other: String,
         askedUs: Long,
     ) {
-        untilUs.merge(other, askedUs + PLEDGE_US, ::maxOf)
+        untilUs.merge(other, askedUs + MORATORIUM_US, ::maxOf)
     }
 
     /** Until when nobody can take a key of ours; in the past where that can't be said. */
-    fun pledgedUntilUs(): Long = if (others.isEmpty()) Long.MIN_VALUE else others.minOf { untilUs[it] ?: Long.MIN_VALUE }
+    fun grantedUntilUs(): Long = if (others.isEmpty()) Long.MIN_VALUE else others.minOf { untilUs[it] ?: Long.MIN_VALUE }
 
     companion object {
-        const val PLEDGE_US = 2 * SECOND
+        const val MORATORIUM_US = 2 * SECOND
     }
 }
 
@@ -35,15 +35,15 @@
 class LocalMoratorium(
     startedUs: Long,
 ) {
-    private var pledgedUntilUs = startedUs + withDrift(PeerMoratoriums.PLEDGE_US) + MARGIN_US
+    private var grantedUntilUs = startedUs + withDrift(PeerMoratoriums.MORATORIUM_US) + MARGIN_US
 
     /** Pledges to take no key for a moment. */
-    fun pledge(now: Long) {
-        pledgedUntilUs = maxOf(pledgedUntilUs, now + withDrift(PeerMoratoriums.PLEDGE_US) + MARGIN_US)
+    fun grant(now: Long) {
+        grantedUntilUs = maxOf(grantedUntilUs, now + withDrift(PeerMoratoriums.MORATORIUM_US) + MARGIN_US)
     }
 
     /** No pledge stands in the way of taking a key. */
-    fun free(now: Long) = now > pledgedUntilUs
+    fun hasExpired(now: Long) = now > grantedUntilUs
 
     private companion object {
         const val MARGIN_US = SECOND / 10
--- a/src/main/kotlin/lichenstage/partition/OwnedPartitions.kt
+++ b/src/main/kotlin/lichenstage/partition/OwnedPartitions.kt
@@ -40,21 +40,22 @@
     fun idFor(heartbeat: Heartbeat): String? = assignment.partitionOf(heartbeat.machine, heartbeat.zone)
 
     /** The label of the controller that owns the partition, where it is known and another one. */
-    fun otherOwner(id: String): String? = authority.owner(id)?.label?.takeIf { it != settings.label }
+    fun otherOwner(id: String): String? = authority.ownerOf(id)?.label?.takeIf { it != settings.label }
 
     /**
      * Whether this process may act for the partition now. Owning it is not enough: an answer renews a lease, and must not keep alive what a
      * user was told is cancelled (invariant 15).
      */
-    fun isAuthorized(partition: PartitionCore) = authority.owning(partition.id)?.term == partition.term && replica.isCurrent(clock.now())
+    fun isAuthorized(partition: PartitionCore) =
+        authority.heldPartition(partition.id)?.term == partition.term && replica.isCurrent(clock.now())
 
     /** Follows the ownership of partitions. One whose authority only pauses keeps its state. */
     fun refresh(now: Long) {
         for (id in assignment.partitions) {
-            val owner = authority.owner(id)
+            val owner = authority.ownerOf(id)
             val partition = partitions[id]
             if (partition != null && owner != null && owner.term > partition.term) partitions.remove(id)
-            val ownership = authority.owning(id) ?: continue
+            val ownership = authority.heldPartition(id) ?: continue
             if (partitions[id]?.term == ownership.term) continue
             partitions[id] = newPartition(id, ownership.term, now)
             log.info("Ownership acquired partition={} term={}", id, ownership.term)
--- a/src/main/kotlin/lichenstage/partition/WorkerDispatcher.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerDispatcher.kt
@@ -36,7 +36,7 @@
     /** Reserves fencing tokens for the owner of [partition]. */
     fun reserveTokens(partition: PartitionCore) {
         scope.launch {
-            val fencingTokens = authority.reserveTokens(partition.id, TOKENS_PER_RESERVATION, partition.lacksTokens) ?: return@launch
+            val fencingTokens = authority.reserveFencingTokens(partition.id, TOKENS_PER_RESERVATION, partition.lacksTokens) ?: return@launch
             tell(PartitionMessage.TokensReserved(partition.id, partition.term, fencingTokens))
         }
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -138,7 +138,7 @@
     /** The term is over. */
     fun stop() = lifetime.cancel()
 
-    private fun entitled() = authority.leading()?.term == term
+    private fun entitled() = authority.heldLeadership()?.term == term
 
     private fun handle(message: LeaderMessage) {
         val now = clock.now()
@@ -280,7 +280,7 @@
 
     private fun carryOut(effect: LeaderEffect) {
         when (effect) {
-            is LeaderEffect.SendFrame -> authority.owner(effect.partition)?.let { send(it.label, effect.frame) }
+            is LeaderEffect.SendFrame -> authority.ownerOf(effect.partition)?.let { send(it.label, effect.frame) }
             is LeaderEffect.WriteDoneRanges -> writer.writeRanges(effect.deltas)
             is LeaderEffect.RecordCompletion -> writer.finish(effect.job)
         }
--- a/src/test/kotlin/lichenstage/authority/FencingTokenReservationTest.kt
+++ b/src/test/kotlin/lichenstage/authority/FencingTokenReservationTest.kt
@@ -41,8 +41,8 @@
 
     private val held = Holder("n0", 7, 1, 40)
     private val keys =
-        OwnershipKeys().apply {
-            put(Entry(OwnershipKeys.TERMS, TermCounter(9, listOf(KEY)).encode(), 41))
+        OwnershipTable().apply {
+            put(Entry(OwnershipTable.TERMS, TermCounter(9, listOf(KEY)).encode(), 41))
             put(Entry(KEY, JsonObject().put("label", "n0").put("term", 7L).put("lease", 1L), 40))
         }
 
@@ -52,11 +52,11 @@
     fun `they lie above all terms, the counter goes past them, and the write holds only under the ownership`() {
         val state = OneAnswer(TransactionResult.Committed(50))
         assertEquals(10L..13L, reserve(state)) { "${keys.lastTerm()}" }
-        assertEquals(listOf(Precondition(OwnershipKeys.TERMS, 41L), Precondition(KEY, 40L)), state.preconditions.single()) {
+        assertEquals(listOf(Precondition(OwnershipTable.TERMS, 41L), Precondition(KEY, 40L)), state.preconditions.single()) {
             "${state.preconditions}"
         }
         val written = state.changes.single() as Change.Put
-        assertTrue(written.key == OwnershipKeys.TERMS && written.value == TermCounter(13, listOf(KEY)).encode()) { "$written" }
+        assertTrue(written.key == OwnershipTable.TERMS && written.value == TermCounter(13, listOf(KEY)).encode()) { "$written" }
         assertNull(written.lease) { "the counter would go with the lease" }
         // Whoever owns the partition next, in whichever version, takes the term after the counter.
         assertEquals(14L, keys.nextTerm(KEY).term) { "${keys.nextTerm(KEY).term}" }
--- a/src/test/kotlin/lichenstage/authority/LeaseLifeTest.kt
+++ b/src/test/kotlin/lichenstage/authority/LeaseDurationTest.kt
@@ -11,20 +11,20 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-class LeaseLifeTest {
+class LeaseDurationTest {
     @Example
     fun `a process with enough of a core has the short lease`() {
-        assertEquals(4 * SECOND, LeaseLife.of(26 * SECOND, 1.0), "a whole core")
-        assertEquals(4 * SECOND, LeaseLife.of(26 * SECOND, 0.255), "a quarter")
-        assertEquals(4 * SECOND, LeaseLife.of(17 * SECOND, 0.136), "an eighth")
-        assertEquals(2 * SECOND, LeaseLife.of(8 * SECOND, 1.0), "short leases of workers")
+        assertEquals(4 * SECOND, LeaseDuration.of(26 * SECOND, 1.0), "a whole core")
+        assertEquals(4 * SECOND, LeaseDuration.of(26 * SECOND, 0.255), "a quarter")
+        assertEquals(4 * SECOND, LeaseDuration.of(17 * SECOND, 0.136), "an eighth")
+        assertEquals(2 * SECOND, LeaseDuration.of(8 * SECOND, 1.0), "short leases of workers")
     }
 
     /** Half a second of processor time at a stretch, while it is cold, must not cost it the lease. */
     @Example
     fun `on a small machine the lease outlasts a stall`() {
         for (share in listOf(0.08, 0.1)) {
-            val life = LeaseLife.of(26 * SECOND, share)
+            val life = LeaseDuration.of(26 * SECOND, share)
             assertTrue(life >= SECOND / 2 / share, "$share of a core: $life")
         }
     }
@@ -34,7 +34,7 @@
         @ForAll @IntRange(min = 6, max = 120) workerLeaseS: Int,
         @ForAll @IntRange(min = 1, max = 1000) shareThousandths: Int,
     ) {
-        val life = LeaseLife.of(workerLeaseS * SECOND, shareThousandths / 1000.0)
+        val life = LeaseDuration.of(workerLeaseS * SECOND, shareThousandths / 1000.0)
         assertTrue(life >= 2 * SECOND, "$life")
         assertTrue(life <= maxOf(2 * SECOND, workerLeaseS * SECOND / 3), "$life of $workerLeaseS s")
     }
@@ -42,20 +42,20 @@
     /** All come back within a second: whoever is first leaves the partitions of the others to them, but not for ever. */
     @Example
     fun `a partition waits for its own controller where that is well`() {
-        val order = AcquisitionOrder(Settings.parse(warmUpSettings(8080, 8081, 8082)))
+        val order = AcquisitionDelay(Settings.parse(warmUpSettings(8080, 8081, 8082)))
 
-        fun patience(homeIsWell: Boolean) = order.patienceUs(leadership = false, held = 1, home = "b", everOwned = true, homeIsWell)
-        assertTrue(patience(homeIsWell = false) < SECOND, "its controller is gone: ${patience(false)}")
-        assertTrue(patience(homeIsWell = true) in 4 * SECOND..8 * SECOND, "its controller is well: ${patience(true)}")
-        val own = order.patienceUs(leadership = false, held = 1, home = "a", everOwned = true, homeIsWell = false)
+        fun patience(homeIsHealthy: Boolean) = order.delayUs(leadership = false, held = 1, home = "b", everOwned = true, homeIsHealthy)
+        assertTrue(patience(homeIsHealthy = false) < SECOND, "its controller is gone: ${patience(false)}")
+        assertTrue(patience(homeIsHealthy = true) in 4 * SECOND..8 * SECOND, "its controller is well: ${patience(true)}")
+        val own = order.delayUs(leadership = false, held = 1, home = "a", everOwned = true, homeIsHealthy = false)
         assertEquals(0L, own, "its own partition: $own")
     }
 
     @Example
     fun `who runs late leaves keys to others for a bounded time`() {
-        assertEquals(0L, AcquisitionOrder.lagPatienceUs(0), "in time")
-        assertEquals(0L, AcquisitionOrder.lagPatienceUs(200 * MILLI), "a little late")
-        assertTrue(AcquisitionOrder.lagPatienceUs(SECOND) in 500 * MILLI..SECOND, "late")
-        assertEquals(2 * SECOND, AcquisitionOrder.lagPatienceUs(60 * SECOND), "very late")
+        assertEquals(0L, AcquisitionDelay.lagDelayUs(0), "in time")
+        assertEquals(0L, AcquisitionDelay.lagDelayUs(200 * MILLI), "a little late")
+        assertTrue(AcquisitionDelay.lagDelayUs(SECOND) in 500 * MILLI..SECOND, "late")
+        assertEquals(2 * SECOND, AcquisitionDelay.lagDelayUs(60 * SECOND), "very late")
     }
 }
--- a/src/test/kotlin/lichenstage/authority/LocalLeaseTest.kt
+++ b/src/test/kotlin/lichenstage/authority/LocalLeaseTest.kt
@@ -22,8 +22,8 @@
         val lease = LocalLease(incarnation).apply { granted(1, 0) }
         val rate = 1.0 + drift / 10_000.0
         val endsThere = delayMs * MILLI + (incarnation * rate).toLong()
-        assertFalse(lease.valid(endsThere)) { "still valid when the lease of $lifeMs ms had ended" }
-        if (lifeMs > 1_000) assertTrue(lease.valid(incarnation / 2)) { "given up at half its life" }
+        assertFalse(lease.isValid(endsThere)) { "still valid when the lease of $lifeMs ms had ended" }
+        if (lifeMs > 1_000) assertTrue(lease.isValid(incarnation / 2)) { "given up at half its life" }
     }
 
     @Example
@@ -31,7 +31,7 @@
         val lease = LocalLease(5 * SECOND).apply { granted(1, 0) }
         lease.renewed(3 * SECOND)
         lease.renewed(2 * SECOND)
-        assertTrue(lease.valid(7 * SECOND) && !lease.valid(8 * SECOND)) { "the later renewal does not count" }
+        assertTrue(lease.isValid(7 * SECOND) && !lease.isValid(8 * SECOND)) { "the later renewal does not count" }
     }
 
     @Example
@@ -39,43 +39,47 @@
         val lease = LocalLease(5 * SECOND).apply { granted(1, 0) }
         lease.ended()
         lease.renewed(SECOND)
-        assertTrue(!lease.valid(SECOND) && lease.id == null) { "a late answer brought it back" }
+        assertTrue(!lease.isValid(SECOND) && lease.id == null) { "a late answer brought it back" }
         lease.granted(2, SECOND)
-        assertTrue(lease.valid(2 * SECOND) && lease.id == 2L) { "not granted" }
+        assertTrue(lease.isValid(2 * SECOND) && lease.id == 2L) { "not granted" }
     }
 
     @Example
     fun `a pact needs everybody, carries on without a gap, and ends with the first who is silent`() {
         val lease = LocalLease(5 * SECOND).apply { granted(1, 0) }
-        val collectedPledges = PeerMoratoriums(setOf("a", "b"))
+        val peerMoratoriums = PeerMoratoriums(setOf("a", "b"))
 
         fun hear(
             from: String,
             askedUs: Long,
         ) {
-            collectedPledges.pledged(from, askedUs)
-            lease.extendedByPledges(collectedPledges.pledgedUntilUs(), askedUs + MILLI)
+            peerMoratoriums.granted(from, askedUs)
+            lease.extendedByMoratoriums(peerMoratoriums.grantedUntilUs(), askedUs + MILLI)
         }
         hear("a", 4 * SECOND)
-        assertFalse(lease.valid(5 * SECOND)) { "one of two is not enough" }
+        assertFalse(lease.isValid(5 * SECOND)) { "one of two is not enough" }
         hear("b", 4 * SECOND)
-        assertTrue(lease.valid(5 * SECOND) && !lease.valid(6 * SECOND)) { "both are bound for 2 s" }
+        assertTrue(lease.isValid(5 * SECOND) && !lease.isValid(6 * SECOND)) { "both are bound for 2 s" }
         hear("a", 5 * SECOND)
         hear("b", 5 * SECOND)
         hear("a", 6 * SECOND)
-        assertTrue(lease.valid(6 * SECOND) && !lease.valid(7 * SECOND)) { "b is silent since 5 s" }
+        assertTrue(lease.isValid(6 * SECOND) && !lease.isValid(7 * SECOND)) { "b is silent since 5 s" }
         hear("a", 8 * SECOND)
         hear("b", 8 * SECOND)
-        assertFalse(lease.valid(8 * SECOND)) { "after a gap somebody else may hold the keys" }
+        assertFalse(lease.isValid(8 * SECOND)) { "after a gap somebody else may hold the keys" }
     }
 
     @Example
     fun `who has promised takes nothing until every asker has stopped counting on it, and neither does a new process`() {
-        val ownPledge = LocalMoratorium(0)
+        val localMoratorium = LocalMoratorium(0)
         assertTrue(
-            !ownPledge.free(PeerMoratoriums.PLEDGE_US) && ownPledge.free(3 * SECOND),
+            !localMoratorium.hasExpired(PeerMoratoriums.MORATORIUM_US) && localMoratorium.hasExpired(3 * SECOND),
         ) { "the process before it may have promised" }
-        ownPledge.pledge(10 * SECOND)
-        assertTrue(!ownPledge.free(10 * SECOND + withDrift(PeerMoratoriums.PLEDGE_US)) && ownPledge.free(13 * SECOND)) { "not bound" }
+        localMoratorium.grant(10 * SECOND)
+        assertTrue(
+            !localMoratorium.hasExpired(10 * SECOND + withDrift(PeerMoratoriums.MORATORIUM_US)) && localMoratorium.hasExpired(13 * SECOND),
+        ) {
+            "not bound"
+        }
     }
 }
--- a/src/test/kotlin/lichenstage/authority/OwnershipKeysTest.kt
+++ b/src/test/kotlin/lichenstage/authority/OwnershipTableTest.kt
@@ -7,15 +7,15 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 /** The keys of ownership as a watch and a scan bring them. */
-class OwnershipKeysTest {
-    private val keys = OwnershipKeys()
+class OwnershipTableTest {
+    private val keys = OwnershipTable()
 
     private fun held(
-        stamp: Long,
+        modRevision: Long,
         label: String = "n0",
-    ) = Entry(KEY, JsonObject().put("label", label).put("term", stamp).put("lease", 1L), stamp)
+    ) = Entry(KEY, JsonObject().put("label", label).put("term", modRevision).put("lease", 1L), modRevision)
 
-    private fun deleted(stamp: Long) = Entry(KEY, JsonObject(), stamp)
+    private fun deleted(modRevision: Long) = Entry(KEY, JsonObject(), modRevision)
 
     /** Guards against a key that nobody takes since it is taken for held by one who has let go of it. */
     @Example
@@ -30,7 +30,7 @@
     fun `a scan does not take back what has changed since it began`() {
         keys.change(listOf(held(5)), emptyList())
         keys.reset(emptyList(), 4)
-        assertEquals(5L, keys.holder(KEY)?.stamp) { "forgotten: ${keys.holder(KEY)}" }
+        assertEquals(5L, keys.holder(KEY)?.modRevision) { "forgotten: ${keys.holder(KEY)}" }
         keys.reset(emptyList(), 6)
         assertTrue(KEY !in keys && keys.holder(KEY) == null) { "kept: ${keys.holder(KEY)}" }
     }
--- a/src/test/kotlin/lichenstage/world/SimulatedController.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedController.kt
@@ -58,8 +58,8 @@
     /** The keys as it last saw them. */
     var seen = HashMap<String, Ownership>()
         private set
-    private var collectedPledges = noPledges()
-    private var ownPledge = LocalMoratorium(-10 * SECOND)
+    private var peerMoratoriums = noMoratoriums()
+    private var localMoratorium = LocalMoratorium(-10 * SECOND)
     var replica = newReplica()
         private set
     var dependencyGraph = DependencyGraph()
@@ -79,7 +79,7 @@
 
     private fun others() = all().filter { it != this }
 
-    private fun noPledges() = PeerMoratoriums((0 until CONTROLLERS).filter { it != id }.map(::hostOf).toSet())
+    private fun noMoratoriums() = PeerMoratoriums((0 until CONTROLLERS).filter { it != id }.map(::hostOf).toSet())
 
     private fun newReplica() =
         JobReplica(
@@ -98,8 +98,8 @@
         context.at(backAfterUs) {
             alive = true
             coveredUs = Long.MIN_VALUE / 2
-            collectedPledges = noPledges()
-            ownPledge = LocalMoratorium(now)
+            peerMoratoriums = noMoratoriums()
+            localMoratorium = LocalMoratorium(now)
             replica = newReplica()
             dependencyGraph = DependencyGraph()
         }
@@ -112,7 +112,7 @@
         if (reachesState) readState()
         if (reachesState) partitions.values.forEach(::reserveTokens)
         askEnds()
-        if (!reachesState && entitled) requestPledges()
+        if (!reachesState && entitled) requestMoratoriums()
         if (!entitled) return
         context.assignment.partitions.forEach(::follow)
         leadership.step()
@@ -129,7 +129,7 @@
         state.renew(id)
         coveredUs = maxOf(coveredUs, now + LEASE_US - 300 * MILLI)
         for (key in context.assignment.partitions + SimulatedLeadership.KEY) {
-            if (key !in state.owners && ownPledge.free(now) && random.nextInt(3) == 0) state.take(key, id)
+            if (key !in state.owners && localMoratorium.hasExpired(now) && random.nextInt(3) == 0) state.take(key, id)
         }
         seen = HashMap(state.owners)
         // A turn later than the word that they have ended.
@@ -255,25 +255,25 @@
     }
 
     /** Without the state service, the others are asked to take no key for a moment. */
-    private fun requestPledges() {
+    private fun requestMoratoriums() {
         val askedUs = now
         val asker = incarnation
         for (other in others()) {
             context.send(host, other.host) {
                 if (other.alive && !other.reachesState) {
-                    other.ownPledge.pledge(now)
-                    context.send(other.host, host) { if (incarnation == asker) pledged(other, askedUs) }
+                    other.localMoratorium.grant(now)
+                    context.send(other.host, host) { if (incarnation == asker) moratoriumGranted(other, askedUs) }
                 }
             }
         }
     }
 
-    private fun pledged(
+    private fun moratoriumGranted(
         other: SimulatedController,
         askedUs: Long,
     ) {
-        collectedPledges.pledged(other.host, askedUs)
-        if (entitled) coveredUs = maxOf(coveredUs, collectedPledges.pledgedUntilUs())
+        peerMoratoriums.granted(other.host, askedUs)
+        if (entitled) coveredUs = maxOf(coveredUs, peerMoratoriums.grantedUntilUs())
     }
 
     /** A worker's report has come; null where this process must not answer it. */
