--- a/src/main/kotlin/lichenstage/drain/DrainOperations.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainOperations.kt
@@ -2,8 +2,8 @@
 
 import lichenstage.config.Settings
 import lichenstage.jobs.JobRecordCodec
-import lichenstage.placement.RegisteredMachine
-import lichenstage.placement.Registry
+import lichenstage.model.MachineRecordCodec
+import lichenstage.model.RegisteredMachine
 import lichenstage.state.Change
 import lichenstage.state.Entry
 import lichenstage.state.KeyValueStore
@@ -84,7 +84,7 @@
         }
 
     private suspend fun begun(request: DrainRequest): DrainAnswer {
-        val machines = read(Registry.PREFIX).flatMap { Registry.decode(it.value) }
+        val machines = read(MachineRecordCodec.PREFIX).flatMap { MachineRecordCodec.decode(it.value) }
         val boundZones = read(JobRecordCodec.OPEN).mapNotNullTo(HashSet()) { JobRecordCodec.decode(it.value).zone }
         refusal(request, machines, boundZones)?.let { throw CantBeDone(it) }
         val selected = machines.filter { it in request.selection }.sortedBy { it.name }
--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -16,6 +16,7 @@
 import lichenstage.fleet.MachineStatus
 import lichenstage.fleet.ReplacementRequest
 import lichenstage.model.JobSpec
+import lichenstage.model.RegisteredMachine
 import org.slf4j.LoggerFactory
 
 /** Shows the fleet's decisions what the leader knows of jobs and machines, and carries them out at the cloud, one call at a time. */
--- a/src/main/kotlin/lichenstage/placement/Registry.kt
+++ b/src/main/kotlin/lichenstage/placement/Registry.kt
@@ -1,25 +1,16 @@
 package lichenstage.placement
 
-import io.vertx.core.json.JsonArray
-import io.vertx.core.json.JsonObject
+import lichenstage.model.MachineRecordCodec
+import lichenstage.model.RegisteredMachine
 import lichenstage.state.Change
 import lichenstage.state.Entry
 
-/** A machine as the state service holds it. */
-data class RegisteredMachine(
-    val name: String,
-    val typeName: String,
-    val zone: String,
-    val spot: Boolean,
-    val address: String,
-)
-
 /** One key of the registry as it is to be written; without machines it is deleted. */
 data class RegistryPage(
     val key: String,
     val machines: List<RegisteredMachine>,
 ) {
-    val change get() = if (machines.isEmpty()) Change.Delete(key) else Change.Put(key, Registry.encode(machines))
+    val change get() = if (machines.isEmpty()) Change.Delete(key) else Change.Put(key, MachineRecordCodec.encode(machines))
 }
 
 /**
@@ -44,7 +35,7 @@
 
     /** Takes over what an earlier leader wrote. */
     fun load(entry: Entry): List<RegisteredMachine> {
-        val machines = decode(entry.value)
+        val machines = MachineRecordCodec.decode(entry.value)
         val page = LinkedHashMap<String, RegisteredMachine>()
         pages[entry.key] = page
         for (machine in machines) {
@@ -79,7 +70,7 @@
     }
 
     private fun fresh(): String {
-        val key = PREFIX + generateSequence(0) { it + 1 }.first { PREFIX + it !in pages }
+        val key = MachineRecordCodec.PREFIX + generateSequence(0) { it + 1 }.first { MachineRecordCodec.PREFIX + it !in pages }
         pages[key] = LinkedHashMap()
         return key
     }
@@ -107,33 +98,9 @@
         dirty += written.map { it.key }
     }
 
-    companion object {
-        const val PREFIX = "m/"
-
+    private companion object {
         /** What one machine takes of a value at the most, with names of usual length. */
-        private const val MACHINE_BYTES = 120
-        private const val MOST_ON_PAGE = 100
-
-        /** The value of a page. */
-        fun encode(machines: List<RegisteredMachine>): JsonObject =
-            JsonObject().put(
-                "machines",
-                JsonArray(
-                    machines.map {
-                        JsonArray()
-                            .add(it.name)
-                            .add(it.typeName)
-                            .add(it.zone)
-                            .add(it.spot)
-                            .add(it.address)
-                    },
-                ),
-            )
-
-        /** The machines on a page. */
-        fun decode(value: JsonObject): List<RegisteredMachine> =
-            value.getJsonArray("machines").map { it as JsonArray }.map {
-                RegisteredMachine(it.getString(0), it.getString(1), it.getString(2), it.getBoolean(3), it.getString(4))
-            }
+        const val MACHINE_BYTES = 120
+        const val MOST_ON_PAGE = 100
     }
 }
--- a/src/main/kotlin/lichenstage/placement/RegistryDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/RegistryDriver.kt
@@ -1,6 +1,7 @@
 package lichenstage.placement
 
 import lichenstage.config.Settings
+import lichenstage.model.RegisteredMachine
 import lichenstage.state.Entry
 import org.slf4j.LoggerFactory
 
--- a/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
@@ -7,7 +7,7 @@
 import lichenstage.jobs.CompletedTaskRanges
 import lichenstage.jobs.JobRecordCodec
 import lichenstage.model.JobSpec
-import lichenstage.placement.Registry
+import lichenstage.model.MachineRecordCodec
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -91,8 +91,8 @@
         assertTrue(JobRecordCodec.encode(spec) == records.getJsonObject("j") && spec.dependencies.isEmpty()) { "$spec" }
         val done = BitSet().also { CompletedTaskRanges.decode(records.getJsonObject("d"), 0, it) }
         assertTrue(CompletedTaskRanges.encode(done, 0) == records.getJsonObject("d") && done.cardinality() == 6) { "$done" }
-        val machines = Registry.decode(records.getJsonObject("m"))
-        assertEquals(records.getJsonObject("m"), Registry.encode(machines)) { "$machines" }
+        val machines = MachineRecordCodec.decode(records.getJsonObject("m"))
+        assertEquals(records.getJsonObject("m"), MachineRecordCodec.encode(machines)) { "$machines" }
     }
 
     /** All that production reads of a record is there, in the form in which it reads it; what is new beside it is passed over. */
--- a/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
@@ -7,10 +7,10 @@
 import lichenstage.config.Settings
 import lichenstage.jobs.JobRecordCodec
 import lichenstage.model.JobSpec
+import lichenstage.model.MachineRecordCodec
 import lichenstage.model.Priority
+import lichenstage.model.RegisteredMachine
 import lichenstage.model.Resources
-import lichenstage.placement.RegisteredMachine
-import lichenstage.placement.Registry
 import lichenstage.state.Change
 import lichenstage.state.MemoryStore
 import lichenstage.state.Precondition
@@ -74,7 +74,12 @@
                     "a:1",
                 )
             }
-        machines.chunked(68).forEachIndexed { i, page -> store.apply(emptyList(), listOf(Change.Put("m/$i", Registry.encode(page)))) }
+        machines.chunked(68).forEachIndexed {
+            i,
+            page,
+            ->
+            store.apply(emptyList(), listOf(Change.Put("m/$i", MachineRecordCodec.encode(page))))
+        }
     }
 
     private fun request(
--- a/src/test/kotlin/lichenstage/placement/RegistryTest.kt
+++ b/src/test/kotlin/lichenstage/placement/RegistryTest.kt
@@ -1,5 +1,7 @@
 package lichenstage.placement
 
+import lichenstage.model.MachineRecordCodec
+import lichenstage.model.RegisteredMachine
 import lichenstage.state.Change
 import lichenstage.state.Entry
 import net.jqwik.api.ForAll
@@ -17,7 +19,12 @@
         val machines = (0 until 200).map(::machine)
         machines.forEach(before::add)
         val store = HashMap<String, Entry>()
-        while (before.hasUnwritten) before.takeDuePages(12).forEach { store[it.key] = Entry(it.key, Registry.encode(it.machines), 1) }
+        while (before.hasUnwritten) {
+            before.takeDuePages(12).forEach {
+                store[it.key] =
+                    Entry(it.key, MachineRecordCodec.encode(it.machines), 1)
+            }
+        }
         val registry = Registry(2048)
         store.values.toList().forEach(registry::load)
         registry.split()
@@ -27,10 +34,10 @@
             val pages = registry.takeDuePages(4)
             if (!ok) registry.writeFailed(pages)
             for (page in pages.takeIf { ok }.orEmpty()) {
-                assertTrue(Registry.encode(page.machines).encode().length <= 2048) { "a page over the limit" }
-                store[page.key] = Entry(page.key, Registry.encode(page.machines), 1)
+                assertTrue(MachineRecordCodec.encode(page.machines).encode().length <= 2048) { "a page over the limit" }
+                store[page.key] = Entry(page.key, MachineRecordCodec.encode(page.machines), 1)
             }
-            val there = store.values.flatMap { Registry.decode(it.value) }.mapTo(HashSet()) { it.name }
+            val there = store.values.flatMap { MachineRecordCodec.decode(it.value) }.mapTo(HashSet()) { it.name }
             assertTrue(machines.all { it.name in there || it.name in gone }) { "left out for a moment" }
         }
         assertTrue(!registry.hasUnwritten && store.values.all { it.value.encode().length <= 2048 }) { "not split" }
