--- a/src/main/kotlin/lichenstage/app/OperatorSettings.kt
+++ b/src/main/kotlin/lichenstage/app/OperatorSettings.kt
@@ -51,13 +51,13 @@
             placement.finish()
             val backlogUs = fleet.whole("backlog_s", 1, 86_400)?.times(SECOND)
             val scaleInDelayUs = fleet.whole("settle_s", 0, 86_400)?.times(SECOND)
-            val fill = fleet.whole("fill_percent", 10, 100)?.div(100.0)
+            val targetUtilization = fleet.whole("fill_percent", 10, 100)?.div(100.0)
             fleet.finish()
             val policy = { policy: FleetPolicy ->
                 policy.copy(
                     backlogUs = backlogUs ?: policy.backlogUs,
                     scaleInDelayUs = scaleInDelayUs ?: policy.scaleInDelayUs,
-                    fill = fill ?: policy.fill,
+                    targetUtilization = targetUtilization ?: policy.targetUtilization,
                 )
             }
             return OperatorSettings(placementSettings, policy, drains)
--- a/src/main/kotlin/lichenstage/cloud/CloudClient.kt
+++ b/src/main/kotlin/lichenstage/cloud/CloudClient.kt
@@ -2,104 +2,60 @@
 
 import io.vertx.core.Vertx
 import io.vertx.core.http.HttpMethod
-import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
 import lichenstage.common.Address
+import lichenstage.common.HttpStatus
+import lichenstage.common.JsonDecodingException
 import lichenstage.common.JsonHttp
-import lichenstage.common.JsonHttp.Companion.parsed
-import lichenstage.common.SECOND
 import lichenstage.model.MachineType
-import lichenstage.model.Resources
+import org.slf4j.LoggerFactory
 
-/** Speaks to the cloud. */
+/** The cloud's HTTP interface. Calls are neither repeated nor limited in rate here: that is the caller's part. */
 class CloudClient(
     vertx: Vertx,
     address: Address,
-) {
-    private val http = JsonHttp(vertx, address, connections = SOCKETS, queue = 4)
+) : Cloud {
+    private val log = LoggerFactory.getLogger("lichenstage.app")
+    private val http = JsonHttp(vertx, address, connections = SOCKETS, queue = QUEUE)
 
-    /** The machine types with their present prices, or null where the cloud does not answer. */
-    suspend fun machineTypes(): List<MachineType>? {
-        val (status, body) = call(HttpMethod.GET, "/flavors", null) ?: return null
-        if (status != 200) return null
-        return parsed { body.getJsonArray("builds").map { machineType(it as JsonObject) } }
-    }
-
-    private fun machineType(row: JsonObject) =
-        MachineType(
-            row.getString("name")!!,
-            Resources(row.getDouble("cores"), row.getDouble("cards") ?: 0.0, row.getDouble("mem_gb")),
-            row.getDouble("hourly"),
-            row.getDouble("low_price") ?: row.getDouble("hourly"),
-            (row.getDouble("boot_s") * SECOND).toLong(),
-            row.getDouble("cache_gb")?.takeIf { it > 0 } ?: Double.POSITIVE_INFINITY,
-            row.getDouble("pull_gb_per_s")?.takeIf { it > 0 } ?: 1.0,
-            row.getJsonArray("yards").map { it as String },
-        )
-
-    /** Rents machines under the hire's name. */
-    suspend fun hire(hire: ProvisionRequest): ProvisionResult {
-        val request =
-            JsonObject()
-                .put("hire", hire.name)
-                .put("build", hire.typeName)
-                .put("yard", hire.zone)
-                .put("loaners", hire.spot)
-                .put("number", hire.count)
-        val (status, body) = call(HttpMethod.POST, "/hosts", request) ?: return ProvisionResult.Indeterminate
-        return when {
-            status == 200 -> {
-                parsed { ProvisionResult.Provisioned(body.getJsonArray("holdfasts").map { it as String }) }
-                    ?: ProvisionResult.Indeterminate
-            }
+    override suspend fun machineTypes(): CloudReply<List<MachineType>> =
+        read(CloudCodec.MACHINE_TYPES_PATH) { CloudCodec.decodeMachineTypes(it) }
 
-            status == 503 && body.getString("error") == "no capacity" -> {
-                ProvisionResult.NoCapacity
-            }
+    override suspend fun list(after: String?): CloudReply<MachinePage> = read(CloudCodec.listPath(after)) { CloudCodec.decodePage(it) }
 
-            status == 400 -> {
-                ProvisionResult.NoCapacity
-            }
-
-            else -> {
-                ProvisionResult.Indeterminate
-            }
-        }
+    override suspend fun provision(request: ProvisionRequest): ProvisionResult {
+        val body = CloudCodec.encodeProvision(request)
+        val answer = http.call(HttpMethod.POST, CloudCodec.PROVISION_PATH, body, TIMEOUT_MS) ?: return ProvisionResult.Indeterminate
+        return decode { CloudCodec.decodeProvision(answer.status, answer.body) } ?: ProvisionResult.Indeterminate
     }
 
-    /** True where the machines are proven gone. */
-    suspend fun giveBack(names: List<String>): Boolean =
-        call(HttpMethod.POST, "/hosts/return", JsonObject().put("holdfasts", JsonArray(names)))?.status == 200
-
-    /** One page of the list after [since], or null where the cloud does not answer. */
-    suspend fun list(since: String?): MachinePage? {
-        val from = if (since == null) "" else "since=$since&"
-        val (status, body) = call(HttpMethod.GET, "/hosts?${from}most=500", null) ?: return null
-        if (status != 200) return null
-        return parsed {
-            MachinePage(body.getJsonArray("holdfasts").map { listed(it as JsonObject) }, body.getBoolean("truncated") ?: false)
-        }
+    override suspend fun terminate(machines: List<String>): TerminateResult {
+        val answer = http.call(HttpMethod.POST, CloudCodec.TERMINATE_PATH, CloudCodec.encodeTerminate(machines), TIMEOUT_MS)
+        return if (answer?.status == HttpStatus.OK) TerminateResult.TERMINATED else TerminateResult.INDETERMINATE
     }
 
-    private fun listed(row: JsonObject) =
-        ListedMachine(
-            row.getString("uid")!!,
-            row.getString("build")!!,
-            row.getString("yard")!!,
-            row.getBoolean("loaners") ?: false,
-            row.getString("status")!!,
-            ((row.getDouble("age_s") ?: 0.0) * SECOND).toLong(),
-        )
-
-    private suspend fun call(
-        method: HttpMethod,
+    private suspend fun <T : Any> read(
         path: String,
-        body: JsonObject?,
-    ) = http.call(method, path, body, TIMEOUT_MS)
+        decodeBody: (JsonObject) -> T,
+    ): CloudReply<T> {
+        val (status, body) = http.call(HttpMethod.GET, path, null, TIMEOUT_MS) ?: return CloudReply.Unavailable
+        if (status != HttpStatus.OK) return CloudReply.Refused(status)
+        return decode { CloudReply.Success(decodeBody(body)) } ?: CloudReply.Unavailable
+    }
+
+    /** An answer of another form than the protocol's counts as none. */
+    private inline fun <T : Any> decode(decodeAnswer: () -> T): T? =
+        try {
+            decodeAnswer()
+        } catch (e: JsonDecodingException) {
+            log.info("Answer of the cloud could not be decoded: {}", e.message)
+            null
+        }
 
     companion object {
         /** The most connections that this client has. */
         const val SOCKETS = 2
+        private const val QUEUE = 4
         private const val TIMEOUT_MS = 4000L
     }
 }
--- a/src/main/kotlin/lichenstage/cloud/MachineCatalog.kt
+++ b/src/main/kotlin/lichenstage/cloud/MachineCatalog.kt
@@ -1,45 +1,39 @@
 package lichenstage.cloud
 
-import io.vertx.core.json.JsonArray
-import io.vertx.core.json.JsonObject
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.isActive
 import kotlinx.coroutines.launch
 import lichenstage.model.MachineLimits
 import lichenstage.model.MachineType
-import lichenstage.model.Resources
 import lichenstage.state.Change
-import lichenstage.state.KeyValueStoreClient
+import lichenstage.state.KeyValueStore
 import lichenstage.state.ReadResult
 
 /**
- * The machine types. Until they have been read once, nothing can be decided about a job's size; so they are kept in the state
- * service too, for a controller that starts while the cloud is in trouble.
+ * The machine types that the cloud offers.
+ *
+ * Until they have been read once, no size of a job can be checked. So they are kept in the state service too, for a controller that
+ * starts during an outage of the cloud.
  */
 class MachineCatalog(
-    private val cloud: CloudClient,
-    private val state: KeyValueStoreClient,
+    private val cloud: Cloud,
+    private val state: KeyValueStore,
     private val scope: CoroutineScope,
 ) {
+    /** The machine types by name; empty until they have been read once. */
     var machineTypes: Map<String, MachineType> = emptyMap()
         private set
 
-    val known get() = machineTypes.isNotEmpty()
+    /** The machine types are known, from the cloud or from the state service. */
+    val isLoaded get() = machineTypes.isNotEmpty()
 
-    /** Reads the machine types now and then. */
+    /** Begins to read the machine types, again and again until the scope ends: spot prices move. */
     fun start() {
         scope.launch {
             while (isActive) {
-                val read = cloud.machineTypes()
-                if (read != null && read.isNotEmpty()) {
-                    val before = machineTypes
-                    machineTypes = read.associateBy { it.name }
-                    if (sizes(before) != sizes(machineTypes)) keep()
-                } else if (!known) {
-                    recall()
-                }
-                delay(if (known) REFRESH_MS else RETRY_MS)
+                refresh()
+                delay(if (isLoaded) REFRESH_INTERVAL_MS else RETRY_INTERVAL_MS)
             }
         }
     }
@@ -47,52 +41,33 @@
     /** What machines of a type offer; null where the type is not known. */
     fun limits(name: String): MachineLimits? = machineTypes[name]?.let { MachineLimits(it.name, it.capacity, it.cacheGb) }
 
-    /** Prices move; what a machine holds does not. */
-    private fun sizes(of: Map<String, MachineType>) = of.values.map { it.copy(spotPrice = 0.0) }.toSet()
-
-    private suspend fun keep() {
-        if ((state.get(KEY) as? ReadResult.Found)?.let { sizes(decode(it.entry.value)) } == sizes(machineTypes)) return
-        state.commit(emptyList(), listOf(Change.Put(KEY, encode(machineTypes.values))))
+    private suspend fun refresh() {
+        val listed = (cloud.machineTypes() as? CloudReply.Success)?.value.orEmpty()
+        if (listed.isNotEmpty()) {
+            val before = machineTypes
+            machineTypes = listed.associateBy { it.name }
+            if (withoutSpotPrices(before) != withoutSpotPrices(machineTypes)) persist()
+        } else if (!isLoaded) {
+            restore()
+        }
     }
 
-    private suspend fun recall() {
-        val kept = (state.get(KEY) as? ReadResult.Found)?.let { decode(it.entry.value) } ?: return
-        if (!known) machineTypes = kept
+    private suspend fun persist() {
+        val stored = (state.get(MachineCatalogCodec.KEY) as? ReadResult.Found)?.let { MachineCatalogCodec.decode(it.entry.value) }
+        if (stored != null && withoutSpotPrices(stored) == withoutSpotPrices(machineTypes)) return
+        state.commit(emptyList(), listOf(Change.Put(MachineCatalogCodec.KEY, MachineCatalogCodec.encode(machineTypes.values))))
     }
 
-    private fun encode(rows: Collection<MachineType>) =
-        JsonObject().put(
-            "types",
-            JsonArray(
-                rows.map {
-                    JsonObject()
-                        .put("name", it.name)
-                        .put("cores", it.capacity.cores)
-                        .put("cards", it.capacity.gpus)
-                        .put("mem", it.capacity.memGb)
-                        .put("price", it.price)
-                        .put("spot", it.spotPrice)
-                        .put("boot", it.bootUs)
-                        .apply { if (it.cacheGb.isFinite()) put("cache", it.cacheGb) }
-                        .put("fetch", it.fetchGbPerS)
-                        .put("zones", JsonArray(it.zones))
-                },
-            ),
-        )
+    private suspend fun restore() {
+        val stored = (state.get(MachineCatalogCodec.KEY) as? ReadResult.Found)?.let { MachineCatalogCodec.decode(it.entry.value) } ?: return
+        if (!isLoaded) machineTypes = stored
+    }
 
-    private fun decode(value: JsonObject): Map<String, MachineType> =
-        value.getJsonArray("types").map { it as JsonObject }.associate {
-            val resources = Resources(it.getDouble("cores"), it.getDouble("cards"), it.getDouble("mem"))
-            val zones = it.getJsonArray("zones").map { zone -> zone as String }
-            val name = it.getString("name")
-            val cacheGb = it.getDouble("cache") ?: Double.POSITIVE_INFINITY
-            val fetch = it.getDouble("fetch") ?: 1.0
-            name to MachineType(name, resources, it.getDouble("price"), it.getDouble("spot"), it.getLong("boot"), cacheGb, fetch, zones)
-        }
+    /** Spot prices move all the time, which is no reason to write the record. */
+    private fun withoutSpotPrices(machineTypes: Map<String, MachineType>) = machineTypes.values.map { it.copy(spotPrice = 0.0) }.toSet()
 
     private companion object {
-        const val KEY = "f/types"
-        const val REFRESH_MS = 60_000L
-        const val RETRY_MS = 700L
+        const val REFRESH_INTERVAL_MS = 60_000L
+        const val RETRY_INTERVAL_MS = 700L
     }
 }
--- a/src/main/kotlin/lichenstage/common/JsonFields.kt
+++ b/src/main/kotlin/lichenstage/common/JsonFields.kt
@@ -2,6 +2,9 @@
 
 import io.vertx.core.json.JsonObject
 
+private const val OBJECTS = "a list of objects"
+private const val STRINGS = "a list of strings"
+
 /** A JSON document does not have the form that its reader expects: [field] is missing or is not [expected]. */
 class JsonDecodingException(
     val field: String,
@@ -20,11 +23,11 @@
 
 /** The objects of the list in a field. Throws [JsonDecodingException] where it is not a list of objects. */
 fun JsonObject.requiredObjects(field: String): List<JsonObject> =
-    required(field, "a list of objects") { getJsonArray(field)?.map { it as JsonObject } }
+    required(field, OBJECTS) { getJsonArray(field)?.map { it as? JsonObject ?: throw JsonDecodingException(field, OBJECTS) } }
 
 /** The texts of the list in a field. Throws [JsonDecodingException] where it is not a list of texts. */
 fun JsonObject.requiredStrings(field: String): List<String> =
-    required(field, "a list of strings") { getJsonArray(field)?.map { it as String } }
+    required(field, STRINGS) { getJsonArray(field)?.map { it as? String ?: throw JsonDecodingException(field, STRINGS) } }
 
 private inline fun <T : Any> required(
     field: String,
@@ -39,3 +42,13 @@
         }
     return value ?: throw JsonDecodingException(field, expected)
 }
+
+/** The number in a field. Throws [JsonDecodingException] where there is none. */
+fun JsonObject.requiredDouble(field: String): Double = required(field, "a number") { getDouble(field) }
+
+/** The number in a field that may be missing. Throws [JsonDecodingException] where it is something else. */
+fun JsonObject.optionalDouble(field: String): Double? = if (getValue(field) == null) null else requiredDouble(field)
+
+/** The truth value in a field that may be missing. Throws [JsonDecodingException] where it is something else. */
+fun JsonObject.optionalBoolean(field: String): Boolean? =
+    if (getValue(field) == null) null else required(field, "true or false") { getBoolean(field) }
--- a/src/main/kotlin/lichenstage/fleet/DemandForecast.kt
+++ b/src/main/kotlin/lichenstage/fleet/DemandForecast.kt
@@ -4,99 +4,114 @@
 import kotlin.math.exp
 import kotlin.math.sqrt
 
-/** What a job that was just accepted will ask of machines of one type. [urgent]: its start is promised sooner than one boots. */
+/**
+ * What a job that was just accepted, or has become ready, will use of machines of one type.
+ *
+ * @property arrivedUs when it can begin, on the steady clock
+ * @property machines the machines that it uses while it runs
+ * @property runUs how long it uses them, in microseconds
+ * @property urgent it must start sooner than a machine of the type boots
+ */
 data class JobArrival(
     val typeName: String,
-    val atUs: Long,
+    val arrivedUs: Long,
     val machines: Double,
     val runUs: Long,
     val urgent: Boolean,
 )
 
 /**
- * How many machines the jobs that keep coming will use. What came lately counts most; where nothing comes for much longer than is
- * usual, nothing more is expected.
+ * Forecasts how many machines the jobs to come will use, from recent arrivals with exponentially decaying weight. Where no job comes
+ * for much longer than is usual, no more are expected.
+ *
+ * For urgent jobs the machines for the variation of their use must be there beforehand: one standard deviation, that of many independent
+ * jobs that each use their machines for their run time (Campbell's theorem). For the others the queue evens it out.
  *
- * For jobs whose start is promised sooner than a machine boots, their variation has to be there beforehand: one standard
- * deviation, that of many independent jobs that each take their machines for their run time (Campbell's theorem). For the others
- * the queue evens it out.
+ * @param startedUs when the term began; arrivals before it are hardly known
+ * @param windowUs the time constant of the decay
  */
 class DemandForecast(
-    private val sinceUs: Long,
-    private val memoryUs: Long = MEMORY_US,
+    private val startedUs: Long,
+    private val windowUs: Long = WINDOW_US,
 ) {
-    private class Faded {
+    /** A sum in which what was added loses weight with time. */
+    private class DecayingSum(
+        private val windowUs: Long,
+    ) {
         private var value = 0.0
-        private var atUs = Long.MIN_VALUE / 2
+        private var updatedUs = Long.MIN_VALUE / 2
 
         fun add(
             amount: Double,
             now: Long,
-            memoryUs: Long,
         ) {
-            value = at(now, memoryUs) + amount
-            atUs = now
+            value = at(now) + amount
+            updatedUs = now
         }
 
-        fun at(
-            now: Long,
-            memoryUs: Long,
-        ) = value * exp(-(now - atUs).coerceAtLeast(0).toDouble() / memoryUs)
+        fun at(now: Long) = value * exp(-(now - updatedUs).coerceAtLeast(0).toDouble() / windowUs)
     }
 
-    private class Flow {
-        val urgent = Faded()
-        val urgentSquares = Faded()
-        val other = Faded()
-        val jobs = Faded()
+    /** The arrivals of one machine type: machine time of urgent jobs, its second moment, machine time of the others, and their number. */
+    private class Arrivals(
+        windowUs: Long,
+    ) {
+        val urgentWork = DecayingSum(windowUs)
+        val urgentVariance = DecayingSum(windowUs)
+        val otherWork = DecayingSum(windowUs)
+        val jobs = DecayingSum(windowUs)
         var lastUs = Long.MIN_VALUE / 2
     }
 
-    private val flows = HashMap<String, Flow>()
+    private val arrivalsByType = HashMap<String, Arrivals>()
 
     /** A job has been accepted, or has become ready. */
-    fun arrived(arrival: JobArrival) {
-        val flow = flows.getOrPut(arrival.typeName) { Flow() }
-        val now = maxOf(arrival.atUs, sinceUs - memoryUs)
+    fun recordArrival(arrival: JobArrival) {
+        val arrivals = arrivalsByType.getOrPut(arrival.typeName) { Arrivals(windowUs) }
+        val now = maxOf(arrival.arrivedUs, startedUs - windowUs)
         val work = arrival.machines * arrival.runUs
         if (arrival.urgent) {
-            flow.urgent.add(work, now, memoryUs)
-            flow.urgentSquares.add(arrival.machines * work, now, memoryUs)
+            arrivals.urgentWork.add(work, now)
+            arrivals.urgentVariance.add(arrival.machines * work, now)
         } else {
-            flow.other.add(work, now, memoryUs)
+            arrivals.otherWork.add(work, now)
         }
-        flow.jobs.add(1.0, now, memoryUs)
-        flow.lastUs = maxOf(flow.lastUs, now)
+        arrivals.jobs.add(1.0, now)
+        arrivals.lastUs = maxOf(arrivals.lastUs, now)
     }
 
-    /** Nothing came for so long that by chance it would not happen. */
-    fun over(
+    /** No job came for so long that it is not by chance. */
+    fun hasCeased(
         typeName: String,
         now: Long,
     ): Boolean {
-        val flow = flows[typeName] ?: return true
-        return (now - flow.lastUs) * flow.jobs.at(flow.lastUs, memoryUs) / memoryUs > SILENT_JOBS
+        val arrivals = arrivalsByType[typeName] ?: return true
+        return (now - arrivals.lastUs) * arrivals.jobs.at(arrivals.lastUs) / windowUs > CEASED_AFTER_JOBS
     }
 
-    /** Machines that will be in use on average and, for urgent jobs, nearly always; [fill] is the part of their time that can be. */
-    fun machines(
+    /** Machines that will be in use on average, and nearly always for urgent jobs, where [utilization] of a machine's time can be filled. */
+    fun expectedMachines(
         typeName: String,
-        fill: Double,
+        utilization: Double,
         now: Long,
     ): Double {
-        val flow = flows[typeName] ?: return 0.0
-        if (over(typeName, now)) return 0.0
-        val urgent = flow.urgent.at(now, memoryUs) / memoryUs
-        val spread = sqrt(flow.urgentSquares.at(now, memoryUs) / memoryUs)
-        return urgent + DEVIATIONS * spread + flow.other.at(now, memoryUs) / memoryUs / fill
+        val arrivals = arrivalsByType[typeName] ?: return 0.0
+        if (hasCeased(typeName, now)) return 0.0
+        val urgent = arrivals.urgentWork.at(now) / windowUs
+        val deviation = sqrt(arrivals.urgentVariance.at(now) / windowUs)
+        return urgent + DEVIATIONS * deviation + arrivals.otherWork.at(now) / windowUs / utilization
     }
 
-    /** What a leader before this one has seen come is not known: for a while too little is expected. */
-    fun learning(now: Long) = now - sinceUs < memoryUs
+    /** Arrivals before this term are not known: for a while too few machines are expected. */
+    fun isLearning(now: Long) = now - startedUs < windowUs
 
     private companion object {
-        const val MEMORY_US = 100 * SECOND
+        const val WINDOW_US = 100 * SECOND
+
+        /** Standard deviations of the use of urgent jobs that are held beside its mean. */
         const val DEVIATIONS = 1.0
-        const val SILENT_JOBS = 8.0
+
+        /** Arrivals have ceased when so many jobs would have been expected since the last. */
+        const val CEASED_AFTER_JOBS = 8.0
     }
 }
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -91,7 +91,14 @@
         LeaderRecordWriter(state, owned, leaderKeyRevision, settings.txnOps, scope, replicaSync::jobFinished, mailbox::tell)
     private val registry = RegistryDriver(settings, core, writer)
     private val fleet =
-        FleetDriver(settings, core, cloud, catalog, objectives, options.fleet, clock.now(), scope, { drains }, mailbox::tell)
+        FleetDriver(
+            settings,
+            core,
+            FleetObserver(settings, core, catalog, objectives),
+            CloudCaller(cloud, settings.cloudRps, scope, mailbox::tell),
+            options.fleet,
+            clock.now(),
+        ) { drains }
     private val drains: DrainDriver? = options.drains?.let { drainDriver(it, state, leaderKeyRevision) }
     private val blockedJobs = BlockedJobs(dependencyGraph, core, maxOf(1, settings.txnOps / 2))
     private var loaded = false
@@ -124,9 +131,9 @@
         object : DrainHands {
             override fun interrupt(tasks: List<RunningTask>) = core.interrupt(view.attemptsOf(tasks))
 
-            override fun hireLike(key: DrainKey) = fleet.hireLike(key)
+            override fun hireLike(key: DrainKey) = fleet.requestReplacement(key)
 
-            override fun giveBack(machine: String) = fleet.giveBack(machine)
+            override fun giveBack(machine: String) = fleet.terminate(machine)
         }
 
     /** How many jobs are open, for the metrics. */
@@ -145,9 +152,9 @@
         when (message) {
             is LeaderMessage.RecordsLoaded -> load(message, now)
             is LeaderMessage.PartitionFrameReceived -> if (loaded) core.partitionFrameReceived(message.frame, now)
-            is LeaderMessage.ProvisionAnswered -> fleet.hired(message, now)
-            is LeaderMessage.TerminateAnswered -> if (fleet.returned(message)) returned(message.names)
-            is LeaderMessage.ListAnswered -> fleet.listed(message, now)
+            is LeaderMessage.ProvisionAnswered -> fleet.provisionAnswered(message, now)
+            is LeaderMessage.TerminateAnswered -> if (fleet.terminateAnswered(message)) machinesTerminated(message.machines)
+            is LeaderMessage.ListAnswered -> fleet.listAnswered(message, now)
             is LeaderMessage.RegistryPagesWritten -> registry.written(message)
             is LeaderMessage.JobMessage -> jobMessage(message, now)
             is LeaderMessage.DrainEvent -> drains?.handle(message.message)
@@ -212,7 +219,7 @@
         now: Long,
     ) {
         owned.load(message.machines + message.done)
-        registry.load(message.machines).forEach { fleet.known(it, now) }
+        registry.load(message.machines).forEach { fleet.addRecorded(it, now) }
         // In the order of their submission: the forecast fades what lies back.
         message.jobs.sortedBy { it.value.getLong("at") ?: 0 }.forEach(::added)
         val orphanedRanges = ArrayList<String>()
@@ -244,7 +251,7 @@
         val job = Job(spec, entry.modRevision, steadyUs(spec.submittedUs))
         core.jobAdded(job)
         if (job.ready) {
-            fleet.arrived(job)
+            fleet.jobReady(job)
         } else {
             blockedJobs.add(job)
             if (loaded) release()
@@ -255,7 +262,7 @@
     private fun release() =
         blockedJobs.release { job, recordedAtUs ->
             core.jobReady(job, if (recordedAtUs == 0L) clock.now() else steadyUs(recordedAtUs))
-            fleet.arrived(job)
+            fleet.jobReady(job)
         }
 
     /** A time of day on this process's steady clock, now at the latest. */
@@ -300,7 +307,7 @@
         }
     }
 
-    private fun returned(machines: List<String>) {
+    private fun machinesTerminated(machines: List<String>) {
         machines.forEach(core::machineTerminated)
         registry.removed(machines)
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderMessage.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderMessage.kt
@@ -1,8 +1,10 @@
 package lichenstage.placement
 
+import lichenstage.cloud.CloudReply
 import lichenstage.cloud.ListedMachine
 import lichenstage.cloud.ProvisionRequest
 import lichenstage.cloud.ProvisionResult
+import lichenstage.cloud.TerminateResult
 import lichenstage.cluster.PartitionFrame
 import lichenstage.drain.DrainMessage
 import lichenstage.state.Entry
@@ -68,21 +70,21 @@
         val ok: Boolean,
     ) : LeaderMessage
 
-    /** The cloud's answer to a hire. */
+    /** The cloud's answer to a provision request. */
     data class ProvisionAnswered(
-        val hire: ProvisionRequest,
-        val outcome: ProvisionResult,
+        val request: ProvisionRequest,
+        val result: ProvisionResult,
     ) : LeaderMessage
 
-    /** The cloud's answer to a return of machines. */
+    /** The cloud's answer to a call that terminates machines. */
     data class TerminateAnswered(
-        val names: List<String>,
-        val ok: Boolean,
+        val machines: List<String>,
+        val result: TerminateResult,
     ) : LeaderMessage
 
-    /** The cloud's list of machines; [rows] is null where it could not be read whole. */
+    /** The cloud's list of machines, whole. */
     data class ListAnswered(
-        val rows: List<ListedMachine>?,
+        val reply: CloudReply<List<ListedMachine>>,
     ) : LeaderMessage
 
     /** About drains. */
--- a/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
@@ -12,18 +12,26 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 class FleetCoreTest {
+    private val machineTypes =
+        mapOf("t" to MachineType("t", Resources(16.0, 0.0, 64.0), 1.0, 0.4, 30 * SECOND, 50.0, 0.5, listOf("y", "z")))
+
     private fun fleet(forecast: DemandForecast = DemandForecast(0)) =
         FleetCore(3, FleetPolicy(), forecast).apply {
-            machineTypes = mapOf("t" to MachineType("t", Resources(16.0, 0.0, 64.0), 1.0, 0.4, 30 * SECOND, 50.0, 0.5, listOf("y", "z")))
-            listed(emptyList(), 0)
-            next(0)
+            machinesListed(emptyList(), 0)
+            assertEquals(CloudCall.ListAll, nextCall(0))
         }
 
     private fun demand(machines: Double) = listOf(Demand("t", true, machines, machines * 100 * SECOND, 60 * SECOND))
 
-    private fun FleetCore.rentNow(now: Long): ProvisionRequest? = (next(now) as? CloudCall.Provision)?.hire
+    private fun FleetCore.observeDemand(
+        demand: List<Demand>,
+        statusOf: (String) -> MachineStatus?,
+        now: Long,
+    ) = observe(FleetObservation(machineTypes, demand, excludedMachines = emptySet(), statusOf), now)
+
+    private fun FleetCore.nextProvision(now: Long): ProvisionRequest? = (nextCall(now) as? CloudCall.Provision)?.request
 
-    private fun seen(
+    private fun status(
         tasks: Int,
         lost: Boolean = false,
     ) = MachineStatus(up = !lost, silent = false, lost = lost, tasks = tasks, faulty = false)
@@ -31,32 +39,32 @@
     @Example
     fun `a hire without an answer is repeated under its name, and its name is never used again`() {
         val fleet = fleet()
-        fleet.observe(demand(4.0), { null }, SECOND)
-        val first = fleet.rentNow(SECOND)!!
-        fleet.hired(first, ProvisionResult.Indeterminate, SECOND)
-        assertEquals(first, fleet.rentNow(2 * SECOND)) { "another request was made" }
-        fleet.hired(first, ProvisionResult.Provisioned(listOf("vm-1")), 2 * SECOND)
-        val second = fleet.rentNow(3 * SECOND)!!
+        fleet.observeDemand(demand(4.0), { null }, SECOND)
+        val first = fleet.nextProvision(SECOND)!!
+        fleet.provisionAnswered(first, ProvisionResult.Indeterminate, SECOND)
+        assertEquals(first, fleet.nextProvision(2 * SECOND)) { "another request was made" }
+        fleet.provisionAnswered(first, ProvisionResult.Provisioned(listOf("vm-1")), 2 * SECOND)
+        val second = fleet.nextProvision(3 * SECOND)!!
         assertNotEquals(first.name, second.name) { "the name was used again" }
     }
 
     @Example
     fun `nothing is rented before the list was read once`() {
         val fleet = FleetCore(3, FleetPolicy(), DemandForecast(0))
-        fleet.observe(demand(4.0), { null }, SECOND)
-        assertEquals(CloudCall.ListAll, fleet.next(SECOND)) { "the list comes first" }
-        assertNull(fleet.next(2 * SECOND)) { "rented without knowing what there is" }
+        fleet.observeDemand(demand(4.0), { null }, SECOND)
+        assertEquals(CloudCall.ListAll, fleet.nextCall(SECOND)) { "the list comes first" }
+        assertNull(fleet.nextCall(2 * SECOND)) { "rented without knowing what there is" }
     }
 
     @Example
     fun `cheap machines come first, dear ones where there are none`() {
         val fleet = fleet()
-        fleet.observe(demand(4.0), { null }, SECOND)
+        fleet.observeDemand(demand(4.0), { null }, SECOND)
         val kinds = ArrayList<Boolean>()
         repeat(3) {
-            val hire = fleet.rentNow(SECOND)!!
-            kinds += hire.spot
-            fleet.hired(hire, ProvisionResult.NoCapacity, SECOND)
+            val request = fleet.nextProvision(SECOND)!!
+            kinds += request.spot
+            fleet.provisionAnswered(request, ProvisionResult.NoCapacity, SECOND)
         }
         assertEquals(listOf(true, true, false), kinds) { "$kinds" }
     }
@@ -66,57 +74,57 @@
     fun `jobs that wait for others are had machines for, but not beside what is expected anyway`() {
         val foreseen = Demand("t", true, 4.0, 4.0 * 45 * SECOND, null, foreseenInUs = 45 * SECOND)
         val idle = fleet()
-        idle.observe(listOf(foreseen), { null }, SECOND)
-        assertEquals(2, idle.rentNow(SECOND)?.count) { "4 machines are 2 in each of two zones" }
+        idle.observeDemand(listOf(foreseen), { null }, SECOND)
+        assertEquals(2, idle.nextProvision(SECOND)?.count) { "4 machines are 2 in each of two zones" }
         val forecast = DemandForecast(0)
         val fleet = fleet(forecast)
-        for (s in 1L..200L step 10) forecast.arrived(JobArrival("t", s * SECOND, 5.0, 20 * SECOND, urgent = false))
-        repeat(14) { fleet.known("m$it", "t", "z", true, 0, 200 * SECOND) }
-        fleet.observe(listOf(foreseen), { seen(1) }, 200 * SECOND)
-        assertTrue(fleet.next(202 * SECOND) !is CloudCall.Provision) { "rented beside the 10 that are expected" }
+        for (s in 1L..200L step 10) forecast.recordArrival(JobArrival("t", s * SECOND, 5.0, 20 * SECOND, urgent = false))
+        repeat(14) { fleet.addMachine("m$it", "t", "z", true, 200 * SECOND) }
+        fleet.observeDemand(listOf(foreseen), { status(1) }, 200 * SECOND)
+        assertTrue(fleet.nextCall(202 * SECOND) !is CloudCall.Provision) { "rented beside the 10 that are expected" }
     }
 
     @Example
     fun `jobs that may not run on cheap machines get dear ones`() {
         val fleet = fleet()
-        fleet.observe(listOf(Demand("t", false, 4.0, 400.0 * SECOND, null)), { null }, SECOND)
-        assertEquals(false, fleet.rentNow(SECOND)?.spot) { "rented a cheap one" }
+        fleet.observeDemand(listOf(Demand("t", false, 4.0, 400.0 * SECOND, null)), { null }, SECOND)
+        assertEquals(false, fleet.nextProvision(SECOND)?.spot) { "rented a cheap one" }
     }
 
     @Example
     fun `a machine without work drains and is given back, one that is lost or never came up too`() {
         val fleet = fleet()
-        listOf("a", "b", "c").forEach { fleet.known(it, "t", "z", false, 0, 0) }
+        listOf("a", "b", "c").forEach { fleet.addMachine(it, "t", "z", false, 0) }
         var now = 100 * SECOND
 
-        fun look() = fleet.observe(emptyList(), { name -> if (name == "c") null else seen(if (name == "a") 1 else 0) }, now)
+        fun look() = fleet.observeDemand(emptyList(), { name -> if (name == "c") null else status(if (name == "a") 1 else 0) }, now)
         look()
         now += 60 * SECOND
         look()
         look()
         assertEquals(setOf("a", "b", "c"), fleet.cordoned()) { "${fleet.cordoned()}" }
-        assertEquals(CloudCall.Terminate(listOf("b", "c")), fleet.next(now)) { "${fleet.next(now)}" }
+        assertEquals(CloudCall.Terminate(listOf("b", "c")), fleet.nextCall(now)) { "${fleet.nextCall(now)}" }
     }
 
     @Example
     fun `machines for the jobs that keep coming stay, those of urgent classes with what their variation needs`() {
         val forecast = DemandForecast(0)
         val fleet = fleet(forecast)
-        repeat(40) { fleet.known("m$it", "t", "z", false, 0, 0) }
+        repeat(40) { fleet.addMachine("m$it", "t", "z", false, 0) }
 
         fun come(
             now: Long,
             urgent: Boolean,
-        ) = forecast.arrived(JobArrival("t", now, 5.0, 20 * SECOND, urgent))
+        ) = forecast.recordArrival(JobArrival("t", now, 5.0, 20 * SECOND, urgent))
         for (s in 1L..300L step 10) come(s * SECOND, urgent = false)
-        val calm = forecast.machines("t", 0.85, 300 * SECOND)
+        val calm = forecast.expectedMachines("t", 0.85, 300 * SECOND)
         assertTrue(calm in 9.0..15.0) { "5 machines for 20 s every 10 s are 10 on average: $calm" }
         for (s in 1L..300L step 10) come(300 * SECOND + s * SECOND, urgent = true)
-        val urgent = forecast.machines("t", 0.85, 600 * SECOND)
+        val urgent = forecast.expectedMachines("t", 0.85, 600 * SECOND)
         assertTrue(urgent in 14.0..20.0) { "and 7 is their spread: $urgent" }
-        for (s in 0L..50L step 10) fleet.observe(emptyList(), { seen(0) }, (600 + s) * SECOND)
+        for (s in 0L..50L step 10) fleet.observeDemand(emptyList(), { status(0) }, (600 + s) * SECOND)
         assertTrue(fleet.cordoned().size in 8..30) { "${fleet.cordoned()}" }
-        assertEquals(0.0, forecast.machines("t", 0.85, 900 * SECOND)) { "nothing comes any more" }
+        assertEquals(0.0, forecast.expectedMachines("t", 0.85, 900 * SECOND)) { "nothing comes any more" }
     }
 
     /** On the upgrade days each new leader kept hundreds of idle machines for the 100 s in which its forecast learns. */
@@ -124,12 +132,12 @@
     fun `a new leader keeps what has been in use with room to spare, and not all that there is`() {
         val began = 100 * SECOND
         val fleet = fleet(DemandForecast(began))
-        repeat(40) { fleet.known("m$it", "t", "z", false, 100 * SECOND, began) }
+        repeat(40) { fleet.addMachine("m$it", "t", "z", false, began - 100 * SECOND) }
 
         fun look(
             afterS: Long,
             busy: Double,
-        ) = fleet.observe(listOf(Demand("t", true, busy, 0.0, null, busy, 0.0)), { seen(1) }, began + afterS * SECOND)
+        ) = fleet.observeDemand(listOf(Demand("t", true, busy, 0.0, null, busy, 0.0)), { status(1) }, began + afterS * SECOND)
         look(1, 20.0)
         look(2, 8.0)
         assertTrue(fleet.cordoned().isEmpty()) { "drained at once" }
@@ -142,8 +150,12 @@
         for (count in listOf(1, 5)) {
             val fleet = fleet()
             val names = List(count) { "m$it" }
-            names.forEach { fleet.known(it, "t", "z", false, 0, 0) }
-            fleet.observe(demand(9.0), { MachineStatus(up = true, silent = true, lost = false, tasks = 1, faulty = false) }, 100 * SECOND)
+            names.forEach { fleet.addMachine(it, "t", "z", false, 0) }
+            fleet.observeDemand(
+                demand(9.0),
+                { MachineStatus(up = true, silent = true, lost = false, tasks = 1, faulty = false) },
+                100 * SECOND,
+            )
             assertEquals((count == 1), fleet.cordoned().isNotEmpty()) { "$count silent: ${fleet.cordoned()}" }
         }
     }
--- /dev/null
+++ b/src/test/kotlin/lichenstage/fleet/FleetInventoryTest.kt
@@ -0,0 +1,66 @@
+package lichenstage.fleet
+
+import lichenstage.cloud.ListedMachine
+import lichenstage.cloud.ListedStatus
+import lichenstage.common.SECOND
+import lichenstage.model.MachineType
+import lichenstage.model.Resources
+import net.jqwik.api.Example
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+
+class FleetInventoryTest {
+    private val machineTypes =
+        mapOf("t" to MachineType("t", Resources(16.0, 0.0, 64.0), 1.0, 0.4, 30 * SECOND, 50.0, 0.5, listOf("y", "z")))
+    private val inventory = FleetInventory()
+
+    private fun listed(
+        name: String,
+        status: ListedStatus = ListedStatus.RUNNING,
+    ) = ListedMachine(name, "t", "z", true, status, 20 * SECOND)
+
+    private fun status(faulty: Boolean = false) = MachineStatus(up = true, silent = false, lost = false, tasks = 1, faulty = faulty)
+
+    @Example
+    fun `a terminated machine is not brought back by a list that lags`() {
+        inventory.applyListing(listOf(listed("m1"), listed("m2")), 100 * SECOND)
+        inventory.remove(listOf("m1"))
+        inventory.applyListing(listOf(listed("m1"), listed("m2")), 101 * SECOND)
+        assertEquals(1, inventory.all.size)
+    }
+
+    @Example
+    fun `a machine that is missing from the list stays, and its age comes from where it was first shown`() {
+        inventory.add("m1", "t", "z", true, 100 * SECOND)
+        inventory.applyListing(listOf(listed("m1"), listed("m2")), 100 * SECOND)
+        inventory.applyListing(emptyList(), 104 * SECOND)
+        assertEquals(listOf(100 * SECOND, 80 * SECOND), inventory.all.map { it.provisionedUs })
+    }
+
+    @Example
+    fun `failed and faulty machines are terminated, in the order in which they came and up to the limit`() {
+        inventory.applyListing(listOf(listed("m1"), listed("m2", ListedStatus.FAILED), listed("m3"), listed("m4")), 0)
+        inventory.applyStatus({ status(faulty = it == "m3") }, machineTypes, SECOND)
+        inventory.terminate(listOf("m4", "unknown"))
+        assertEquals(listOf("m2", "m3", "m4"), inventory.toTerminate(10))
+        assertEquals(listOf("m2", "m3"), inventory.toTerminate(2))
+        assertEquals(setOf("m2", "m3", "m4"), inventory.cordoned())
+    }
+
+    @Example
+    fun `a machine that never comes up is terminated after three boot times and ten seconds`() {
+        inventory.add("m1", "t", "z", true, 0)
+        inventory.applyStatus({ null }, machineTypes, 100 * SECOND)
+        assertTrue(inventory.toTerminate(10).isEmpty(), "just in time")
+        inventory.applyStatus({ null }, machineTypes, 100 * SECOND + 1)
+        assertEquals(listOf("m1"), inventory.toTerminate(10))
+    }
+
+    @Example
+    fun `excluded and terminating machines do not serve the demand`() {
+        inventory.applyListing(listOf(listed("m1"), listed("m2"), listed("m3")), 0)
+        inventory.terminate(listOf("m1"))
+        assertEquals(2, inventory.serving(emptySet()).size)
+        assertEquals(1, inventory.serving(setOf("m2")).size)
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/lichenstage/fleet/ScaleOutTest.kt
@@ -0,0 +1,54 @@
+package lichenstage.fleet
+
+import lichenstage.cloud.ProvisionRequest
+import lichenstage.cloud.ProvisionResult
+import lichenstage.common.SECOND
+import net.jqwik.api.Example
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
+
+class ScaleOutTest {
+    private val replacements = ReplacementRequests()
+    private val scaleOut = ScaleOut(3, CapacityEstimate(FleetPolicy(), DemandForecast(0)), replacements)
+
+    @Example
+    fun `a replacement is requested until a machine has been provisioned for it`() {
+        replacements.add(ReplacementRequest("drain m1", "t", "z", spot = true))
+        val first = scaleOut.forReplacement(0)!!
+        assertEquals(ProvisionRequest("h3-1", "t", "z", spot = true, count = 1), first)
+        assertEquals("drain m1", replacements.idOf(first))
+        scaleOut.answered(first, ProvisionResult.NoCapacity, 0)
+        assertNull(scaleOut.forReplacement(SECOND), "asked again at once")
+        val second = scaleOut.forReplacement(5 * SECOND)!!
+        assertEquals("h3-2", second.name, "the name was used again")
+        assertEquals(listOf("vm-1"), scaleOut.answered(second, ProvisionResult.Provisioned(listOf("vm-1")), 6 * SECOND))
+        assertNull(scaleOut.forReplacement(60 * SECOND), "provisioned twice")
+    }
+
+    @Example
+    fun `a request stays pending until its outcome is known`() {
+        replacements.add(ReplacementRequest("drain m1", "t", "z", spot = false))
+        val request = scaleOut.forReplacement(0)!!
+        scaleOut.answered(request, ProvisionResult.Indeterminate, SECOND)
+        assertEquals(request, scaleOut.pending)
+        scaleOut.answered(request, ProvisionResult.NoCapacity, 2 * SECOND)
+        assertNull(scaleOut.pending)
+    }
+
+    @Example
+    fun `a pool without capacity is asked after 5, 10 and 20 s and for others at once`() {
+        val backoff = ProvisionBackoff()
+        val pool = CapacityPool("t", "z", spot = true)
+        for (delayUs in listOf(5 * SECOND, 10 * SECOND, 20 * SECOND, 20 * SECOND)) {
+            backoff.refused(pool, 0)
+            assertFalse(backoff.allows(pool, delayUs - 1))
+            assertTrue(backoff.allows(pool, delayUs))
+        }
+        assertTrue(backoff.allows(pool.copy(spot = false), 0))
+        backoff.succeeded(pool)
+        backoff.refused(pool, 0)
+        assertTrue(backoff.allows(pool, 5 * SECOND), "refusals before a success count")
+    }
+}
