--- /dev/null
+++ b/src/test/kotlin/lichenstage/world/SimulatedAuthority.kt
@@ -0,0 +1,87 @@
+package lichenstage.world
+
+import lichenstage.authority.LocalMoratorium
+import lichenstage.authority.PeerMoratoriums
+import lichenstage.common.MILLI
+import lichenstage.common.SECOND
+import lichenstage.world.SimulationContext.Companion.CONTROLLERS
+import lichenstage.world.SimulationContext.Companion.LEASE_US
+import lichenstage.world.SimulationContext.Companion.hostOf
+
+/** A controller's authority: its lease in the state service, the keys that it owns, and moratoriums while that service is away. */
+internal class SimulatedAuthority(
+    private val controller: SimulatedController,
+    private val context: SimulationContext,
+    private val state: SimulatedStateService,
+) {
+    private val id = controller.id
+    private val host = hostOf(id)
+    private val now get() = context.now
+
+    /** The process that the state service knows. */
+    private var leasedIncarnation = 0
+
+    /** Until when the process has authority, by its renewals and by the moratoriums of the others. */
+    private var validUntilUs = 0L
+    private var peerMoratoriums = noMoratoriums()
+    private var localMoratorium = LocalMoratorium(-10 * SECOND)
+
+    /** The owners of the keys as they were last read. */
+    var owners = HashMap<String, Ownership>()
+        private set
+
+    val isValid get() = now < validUntilUs
+
+    private fun noMoratoriums() = PeerMoratoriums((0 until CONTROLLERS).filter { it != id }.map(::hostOf).toSet())
+
+    /** The process has ended. */
+    fun end() = owners.clear()
+
+    /** A new process has begun. */
+    fun begin() {
+        validUntilUs = Long.MIN_VALUE / 2
+        peerMoratoriums = noMoratoriums()
+        localMoratorium = LocalMoratorium(now)
+    }
+
+    /** Renews the lease, acquires keys that have no owner, and reads all owners. */
+    fun renew() {
+        if (leasedIncarnation != controller.incarnation) {
+            // A new process has a lease of its own, and ends that of the one before it.
+            leasedIncarnation = controller.incarnation
+            state.endLease(id)
+        }
+        state.renew(id)
+        validUntilUs = maxOf(validUntilUs, now + LEASE_US - LEASE_MARGIN_US)
+        for (key in context.assignment.partitions + SimulatedLeadership.KEY) {
+            if (key !in state.owners && localMoratorium.hasExpired(now) && context.random.nextInt(ACQUIRE_ONE_IN) == 0) state.take(key, id)
+        }
+        owners = HashMap(state.owners)
+    }
+
+    /** Without the state service, the others are asked to acquire no key for a moment. */
+    fun requestMoratoriums() {
+        val requestedUs = now
+        val incarnation = controller.incarnation
+        for (other in controller.others()) {
+            context.send(host, other.host) {
+                if (!other.alive || other.reachesState) return@send
+                other.authority.localMoratorium.grant(now)
+                context.send(other.host, host) { if (controller.incarnation == incarnation) moratoriumGranted(other, requestedUs) }
+            }
+        }
+    }
+
+    private fun moratoriumGranted(
+        other: SimulatedController,
+        requestedUs: Long,
+    ) {
+        peerMoratoriums.granted(other.host, requestedUs)
+        if (controller.entitled) validUntilUs = maxOf(validUntilUs, peerMoratoriums.grantedUntilUs())
+    }
+
+    private companion object {
+        const val LEASE_MARGIN_US = 300 * MILLI
+        const val ACQUIRE_ONE_IN = 3
+    }
+}
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -48,7 +48,7 @@
     }
 
     fun step() {
-        val mine = controller.seen[KEY]?.takeIf { it.controller == controller.id }
+        val mine = controller.authority.owners[KEY]?.takeIf { it.controller == controller.id }
         if (mine == null) return end()
         val current = leader?.takeIf { it.term == mine.term } ?: if (controller.reachesState) begin(mine.term) else return
         if (controller.reachesState) follow(current)
