--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -60,7 +60,7 @@
     private val clock = Clock.steady
     private val controllers = settings.peers.size + 1
     private val metrics = Metrics()
-    private val sockets =
+    private val connectionBudget =
         ConnectionBudget(
             settings.maxSockets,
             KeyValueStoreClient.MAX_CONNECTIONS + CloudClient.SOCKETS + settings.peers.size * PEER_SOCKETS + SPARE_SOCKETS,
@@ -122,11 +122,11 @@
             OwnedPartitions(settings, authority, replica, OrderJournal(metrics, clock), clock, catalog::limits),
             clock,
             scope,
-            WorkerClient(vertx, clock, metrics.counter("orders"), sockets::forOrders),
+            WorkerClient(vertx, clock, metrics.counter("orders"), connectionBudget::forOrders),
             authority,
             ::toLeader,
         )
-    private val api = HttpApi(vertx, settings.listen, jobs, partition, metrics, clock, sockets, ::healthy)
+    private val api = HttpApi(vertx, settings.listen, jobs, partition, metrics, clock, connectionBudget, ::isHealthy)
     private var leader: LeaderActor? = null
 
     /** Starts serving, and takes part in the cluster from now on. */
@@ -139,7 +139,7 @@
         metrics.gauge("machines") { partition.machineCount }
         metrics.gauge("starts_unanswered") { partition.indeterminateStartCount }
         metrics.gauge("oldest_unanswered_start_s") { partition.oldestIndeterminateStartUs?.let { (clock.now() - it) / SECOND } ?: 0 }
-        metrics.gauge("served_connections") { sockets.served }
+        metrics.gauge("served_connections") { connectionBudget.served }
         metrics.gauge("heap_bytes") { Runtime.getRuntime().let { it.totalMemory() - it.freeMemory() } }
         links.start()
         authority.start()
@@ -185,8 +185,7 @@
      * While the state service is away from everybody, all stay healthy, so that users come back to somebody as soon as it
      * is back; a node that it alone does not answer sends its users to the others.
      */
-    private fun healthy() =
-        authority.isReady() && catalog.isLoaded && (authority.isStateServiceAvailable() || links.peerWithState() == null)
+    private fun isHealthy() = authority.isReady() && catalog.isLoaded && (authority.isStateServiceAvailable() || links.peerWithState() == null)
 
     /** Leadership lasts while its key does; a pause of authority doesn't end it, a new term does. */
     private fun ownershipChanged(ownership: OwnershipView) {
@@ -211,7 +210,7 @@
                 scope,
                 mine.term,
                 mine.modRevision,
-                LeaderOptions(operator.fleet(FleetPolicy()), operator.placementSettings, operator.drains),
+                LeaderOptions(operator.fleet(FleetPolicy()), operator.placement, operator.drains),
                 links::send,
             )
     }
--- a/src/main/kotlin/lichenstage/app/HttpApi.kt
+++ b/src/main/kotlin/lichenstage/app/HttpApi.kt
@@ -24,7 +24,7 @@
 import lichenstage.partition.WorkerCodec
 import org.slf4j.LoggerFactory
 
-/** The one address for users, workers and health checks: reads requests, passes them to the actors, writes answers. */
+/** The HTTP server for users, workers and health checks: decodes requests, passes them to the actors and writes their replies. */
 class HttpApi(
     private val vertx: Vertx,
     private val listen: Address,
@@ -32,26 +32,26 @@
     private val partition: PartitionActor,
     private val metrics: Metrics,
     private val clock: Clock,
-    private val sockets: ConnectionBudget,
-    private val healthy: () -> Boolean,
+    private val connectionBudget: ConnectionBudget,
+    private val isHealthy: () -> Boolean,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.app")
-    private val emptyAnswers = LruMap<Long, Buffer>(MOST_TOKENS)
+    private val emptyReplies = LruMap<Long, Buffer>(MAX_CACHED_REPLIES)
 
-    /** Begins to listen; the process ends where the address can't be used. */
+    /** Starts to listen; ends the process if the address can't be bound. */
     fun start() {
         vertx
             .createHttpServer(options())
             .connectionHandler {
-                sockets.opened()
-                it.closeHandler { sockets.closed() }
+                connectionBudget.opened()
+                it.closeHandler { connectionBudget.closed() }
             }.requestHandler(::route)
             .listen(listen.port, listen.host)
-            .onSuccess { log.info("serving on {}", listen) }
+            .onSuccess { log.info("HTTP server listening address={}", listen) }
             .onFailure { exitOnFailure("$listen can't be used", it) }
     }
 
-    /** Plain HTTP/1.1 only: what would look for web sockets and HTTP/2 in each connection costs with every request. */
+    /** Plain HTTP/1.1 only: detecting web sockets and HTTP/2 takes processor time with every request. */
     private fun options() =
         HttpServerOptions()
             .setTcpNoDelay(true)
@@ -60,94 +60,71 @@
             .setHttp2ClearTextEnabled(false)
             .setPerFrameWebSocketCompressionSupported(false)
             .setPerMessageWebSocketCompressionSupported(false)
-            // All is done on the one event loop, so that nothing has to be queued between it and itself.
+            // Everything runs on one event loop, so responses need no queue between threads.
             .setStrictThreadMode(true)
 
     private fun route(request: HttpServerRequest) {
         val path = request.path()
-        timed(request, caller(path))
+        measure(request, callerOf(path))
         when {
-            path == REPORTS -> only(request, HttpMethod.POST) { body(request) { workerReport(request, it) } }
-            path == SUBMISSIONS -> only(request, HttpMethod.POST) { body(request) { ask(request, UserVerb.SUBMIT, it.toString()) } }
-            path == HEALTH -> only(request, HttpMethod.GET) { health(request) }
-            path == METRICS -> only(request, HttpMethod.GET) { request.response().end(metrics.text()) }
+            path == HEARTBEATS -> request.requireMethod(HttpMethod.POST) { request.readBody { heartbeat(request, it) } }
+            path == SUBMISSIONS -> request.requireMethod(HttpMethod.POST) { request.readBody { submit(request, it) } }
+            path == HEALTH -> request.requireMethod(HttpMethod.GET) { health(request) }
+            path == METRICS -> request.requireMethod(HttpMethod.GET) { request.response().end(metrics.text()) }
             path != null && path.startsWith(JOBS) -> job(request, path.removePrefix(JOBS))
-            else -> fail(request, 404, "unknown path")
+            else -> request.respondError(HttpStatus.NOT_FOUND, "unknown path")
         }
     }
 
-    private fun caller(path: String?) =
+    private fun callerOf(path: String?) =
         when (path) {
-            REPORTS -> Caller.WORKER
+            HEARTBEATS -> Caller.WORKER
             HEALTH -> Caller.HEALTH
             else -> Caller.USER
         }
 
     private fun job(
         request: HttpServerRequest,
-        rest: String,
+        path: String,
     ) {
-        val id = rest.removeSuffix("/cancel")
-        if (id.isEmpty() || '/' in id) return fail(request, 404, "unknown path")
-        if (rest.endsWith("/cancel")) {
-            only(request, HttpMethod.POST) { body(request) { ask(request, UserVerb.CANCEL, id) } }
+        val id = path.removeSuffix(CANCEL)
+        if (id.isEmpty() || '/' in id) return request.respondError(HttpStatus.NOT_FOUND, "unknown path")
+        if (path.endsWith(CANCEL)) {
+            request.requireMethod(HttpMethod.POST) { request.readBody { userRequest(request, UserVerb.CANCEL, id) } }
         } else {
-            only(request, HttpMethod.GET) { ask(request, UserVerb.SHOW, id) }
+            request.requireMethod(HttpMethod.GET) { userRequest(request, UserVerb.SHOW, id) }
         }
     }
 
-    private fun only(
+    private fun submit(
         request: HttpServerRequest,
-        method: HttpMethod,
-        then: () -> Unit,
-    ) {
-        if (request.method() == method) {
-            then()
-        } else {
-            request.response().putHeader("Allow", method.name())
-            fail(request, 405, "wrong method")
-        }
-    }
-
-    /** Collects a body of at most 64 KiB; a larger one is refused and its connection closed. */
-    private fun body(
-        request: HttpServerRequest,
-        then: (Buffer) -> Unit,
-    ) {
-        val collected = Buffer.buffer()
-        var refused = false
-        val announced = request.getHeader("Content-Length")?.toLongOrNull() ?: 0
-
-        fun refuse() {
-            refused = true
-            request.response().putHeader("Connection", "close")
-            fail(request, 413, "the body is over 64 KiB")
-        }
-        if (announced > MOST_BODY) return refuse()
-        request.exceptionHandler { refused = true }
-        request.handler {
-            if (!refused && collected.length() + it.length() > MOST_BODY) refuse()
-            if (!refused) collected.appendBuffer(it)
-        }
-        request.endHandler { if (!refused) then(collected) }
-    }
+        body: Buffer,
+    ) = userRequest(request, UserVerb.SUBMIT, body.toString())
 
-    private fun ask(
+    private fun userRequest(
         request: HttpServerRequest,
         verb: UserVerb,
         text: String,
     ) = jobs.tell(JobsMessage.UserRequest(verb, text) { reply(request, it) })
 
-    /** Times a request of [caller] until its answer is written. */
-    private fun timed(
+    private fun reply(
+        request: HttpServerRequest,
+        reply: Reply,
+    ) {
+        if (reply.retryAfterS != null) request.response().putHeader("Retry-After", reply.retryAfterS.toString())
+        request.respond(reply.status, reply.body)
+    }
+
+    /** Records how long the request takes until its response has been written. */
+    private fun measure(
         request: HttpServerRequest,
         caller: Caller,
     ) {
-        val beganUs = clock.now()
-        request.response().endHandler { metrics.served(caller, request.response().statusCode, clock.now() - beganUs) }
+        val receivedUs = clock.now()
+        request.response().endHandler { metrics.served(caller, request.response().statusCode, clock.now() - receivedUs) }
     }
 
-    private fun workerReport(
+    private fun heartbeat(
         request: HttpServerRequest,
         body: Buffer,
     ) {
@@ -156,76 +133,51 @@
                 WorkerCodec.decodeHeartbeat(body)
             } catch (e: InvalidHeartbeatException) {
                 log.info("Heartbeat rejected remote={} field={} expected={}", request.remoteAddress(), e.field, e.expected)
-                return fail(request, 400, "not a report")
+                return request.respondError(HttpStatus.BAD_REQUEST, "not a report")
             }
-        partition.tell(PartitionMessage.HeartbeatReceived(heartbeat) { answer -> answer(request, answer) })
+        partition.tell(PartitionMessage.HeartbeatReceived(heartbeat) { reply -> heartbeatReply(request, reply) })
     }
 
-    private fun answer(
+    private fun heartbeatReply(
         request: HttpServerRequest,
-        answer: HeartbeatReply,
+        reply: HeartbeatReply,
     ) {
-        if (sockets.crowded()) request.response().putHeader("Connection", "close")
-        when (answer) {
-            is HeartbeatReply.Accepted -> write(request, 200, accepted(answer))
-            is HeartbeatReply.Redirect -> write(request, 421, JsonObject().put("steward", answer.label))
-            HeartbeatReply.Unavailable -> fail(request, 503, "not entitled")
+        if (connectionBudget.crowded()) request.response().putHeader("Connection", "close")
+        when (reply) {
+            is HeartbeatReply.Accepted -> request.respond(HttpStatus.OK, encoded(reply))
+            is HeartbeatReply.Redirect -> request.respond(HttpStatus.MISDIRECTED_REQUEST, WorkerCodec.encodeRedirect(reply.label))
+            HeartbeatReply.Unavailable -> request.respondError(HttpStatus.UNAVAILABLE, "not entitled")
         }
     }
 
-    /** Most answers carry no commands: those of a token are encoded once. */
-    private fun accepted(answer: HeartbeatReply.Accepted): Buffer =
-        if (answer.commands.isEmpty()) {
-            emptyAnswers.getOrPut(answer.fencingToken) { WorkerCodec.encodeCommands(answer.fencingToken, emptyList()) }
+    /** Most replies carry no commands: those are encoded once for each fencing token. */
+    private fun encoded(reply: HeartbeatReply.Accepted): Buffer =
+        if (reply.commands.isEmpty()) {
+            emptyReplies.getOrPut(reply.fencingToken) { WorkerCodec.encodeCommands(reply.fencingToken, emptyList()) }
         } else {
-            WorkerCodec.encodeCommands(answer.fencingToken, answer.commands)
+            WorkerCodec.encodeCommands(reply.fencingToken, reply.commands)
         }
 
-    private fun health(request: HttpServerRequest) =
-        if (healthy()) write(request, 200, JsonObject().put("status", "ok")) else fail(request, 503, "not ready")
-
-    private fun reply(
-        request: HttpServerRequest,
-        reply: Reply,
-    ) {
-        if (reply.retryAfterS != null) request.response().putHeader("Retry-After", reply.retryAfterS.toString())
-        write(request, reply.status, reply.body)
-    }
-
-    private fun fail(
-        request: HttpServerRequest,
-        status: Int,
-        why: String,
-    ) = write(request, status, JsonObject().put("error", why))
-
-    private fun write(
-        request: HttpServerRequest,
-        status: Int,
-        json: JsonObject,
-    ) = write(request, status, json.toBuffer())
-
-    private fun write(
-        request: HttpServerRequest,
-        status: Int,
-        body: Buffer,
-    ) {
-        val response = request.response()
-        if (response.ended() || response.closed()) return
-        response.setStatusCode(status).putHeader("Content-Type", "application/json").end(body)
+    private fun health(request: HttpServerRequest) {
+        if (isHealthy()) {
+            request.respond(HttpStatus.OK, JsonObject().put("status", "ok"))
+        } else {
+            request.respondError(HttpStatus.UNAVAILABLE, "not ready")
+        }
     }
 
     private companion object {
-        const val REPORTS = "/agent/beat"
+        const val HEARTBEATS = "/agent/beat"
         const val HEALTH = "/healthz"
         const val METRICS = "/metrics"
         const val SUBMISSIONS = "/api/jobs"
         const val JOBS = "$SUBMISSIONS/"
+        const val CANCEL = "/cancel"
 
-        /** More partitions than one controller owns. */
-        const val MOST_TOKENS = 64
-        const val MOST_BODY = 64 * 1024
+        /** More than the partitions that one controller owns, each of which has a token of its own. */
+        const val MAX_CACHED_REPLIES = 64
 
-        /** Longer than users wait between polls. What a cut or a crash left open must not fill the sockets. */
+        /** Longer than users wait between polls; connections that a failure left open must not use up the sockets. */
         const val IDLE_S = 60
     }
 }
--- a/src/main/kotlin/lichenstage/app/Main.kt
+++ b/src/main/kotlin/lichenstage/app/Main.kt
@@ -1,15 +1,8 @@
 package lichenstage.app
 
-import io.vertx.core.VertxOptions
-import io.vertx.core.file.FileSystemOptions
-import io.vertx.kotlin.coroutines.dispatcher
-import kotlinx.coroutines.CoroutineExceptionHandler
-import kotlinx.coroutines.CoroutineScope
-import kotlinx.coroutines.SupervisorJob
 import lichenstage.common.CommandLineParser
 import lichenstage.common.InvalidArgumentsException
 import lichenstage.common.ParsedArguments
-import lichenstage.common.exitOnFailure
 import lichenstage.config.InvalidSettingsException
 import lichenstage.config.Settings
 import lichenstage.drain.DrainCommand
@@ -17,28 +10,26 @@
 import java.io.IOException
 import kotlin.system.exitProcess
 
-/** The command line. */
+/** Entry point: `drain ...` runs the drain command, anything else starts a controller or answers `--help` and the like. */
 fun main(args: Array<String>) {
-    // Before all else: reading the settings makes the first logger, and later levels would not be heard.
-    logTo(System.getenv("LOG_LEVEL"))
-    exitUnlessServing(if (args.firstOrNull() == DRAIN) drain(args.drop(1)) else run(args))
+    // First of all: reading the settings creates the first logger, and the level is read only then.
+    configureLogging(System.getenv("LOG_LEVEL"))
+    exitUnlessServing(if (args.firstOrNull() == DRAIN) runDrainCommand(args.drop(1)) else runController(args))
 }
 
-private fun drain(args: List<String>) = DrainCommand({ readFile(it, Settings::parse) }, ::println, System.err::println).run(args)
+private fun runDrainCommand(args: List<String>) = DrainCommand({ readFile(it, Settings::parse) }, ::println, System.err::println).run(args)
 
-/** 0 means that the service runs on in its own threads. */
+/** The process keeps running on the threads of the service; every other value is an exit status. */
 private const val SERVING = -1
 
-/** The command for drains, beside the service. */
+/** Name of the command that manages drains. */
 private const val DRAIN = "drain"
 
+/** Option with which the build starts the service once to record its class-data archive. */
 private const val WARM_UP = "warm-up"
 
-/** Arguments or settings that can't be used. */
-private const val BAD_ARGUMENTS = 2
-
-/** Set by whoever wants the time before each line of the log. */
-private const val SHOW_TIME = "org.slf4j.simpleLogger.showDateTime"
+/** Exit status for invalid arguments or settings. */
+private const val EXIT_USAGE = 2
 
 private fun exitUnlessServing(status: Int) {
     if (status != SERVING) exitProcess(status)
@@ -55,16 +46,16 @@
         .flag("help", "Show this help.", short = "h")
         .flag("version", "Show the version.", short = "V")
 
-private fun run(args: Array<String>): Int {
+private fun runController(args: Array<String>): Int {
     val commandLine = commandLine()
     return try {
-        carryOut(commandLine.parse(args.toList()), commandLine)
+        execute(commandLine.parse(args.toList()), commandLine)
     } catch (e: InvalidArgumentsException) {
-        refused(e.message, commandLine)
+        reportUsageError(e.message, commandLine)
     }
 }
 
-private fun carryOut(
+private fun execute(
     arguments: ParsedArguments,
     commandLine: CommandLineParser,
 ): Int {
@@ -78,19 +69,19 @@
     }
     if (arguments.has(WARM_UP)) return warmUp()
     val path = arguments.text("config") ?: throw InvalidArgumentsException("--config FILE is needed")
-    return start(path, arguments.text("operator"), checkOnly = arguments.has("check"))
+    return startController(path, arguments.text("operator"), checkOnly = arguments.has("check"))
 }
 
-private fun refused(
+private fun reportUsageError(
     why: String?,
     commandLine: CommandLineParser? = null,
 ): Int {
     System.err.println("lichenstage: $why")
     commandLine?.let { System.err.println(it.help()) }
-    return BAD_ARGUMENTS
+    return EXIT_USAGE
 }
 
-private fun start(
+private fun startController(
     settingsPath: String,
     operatorPath: String?,
     checkOnly: Boolean,
@@ -100,22 +91,16 @@
     try {
         settings = readFile(settingsPath, Settings::parse)
         operator =
-            if (operatorPath ==
-                null
-            ) {
-                OperatorSettings()
-            } else {
-                readFile(operatorPath) { OperatorSettings.parse(it).apply { check(settings) } }
-            }
+            operatorPath?.let { readFile(it) { text -> OperatorSettings.parse(text).apply { check(settings) } } } ?: OperatorSettings()
     } catch (e: InvalidSettingsException) {
-        return refused(e.message)
+        return reportUsageError(e.message)
     }
     if (checkOnly) return 0
     serve(settings, operator)
     return SERVING
 }
 
-/** Complaints name the file. */
+/** Reads and parses a file; every [InvalidSettingsException] names it. */
 private fun <T> readFile(
     path: String,
     parse: (String) -> T,
@@ -127,48 +112,3 @@
     } catch (e: InvalidSettingsException) {
         throw InvalidSettingsException("$path: ${e.message}", e)
     }
-
-/** Starts the service on its one event loop. */
-fun serve(
-    settings: Settings,
-    operator: OperatorSettings = OperatorSettings(),
-) {
-    // Everything is addressed by numbers: no resolver threads, no file cache.
-    System.setProperty("vertx.disableDnsResolver", "true")
-    System.setProperty("vertx.disableFileCaching", "true")
-    System.setProperty("vertx.disableFileCPResolving", "true")
-    System.setProperty("io.netty.eventLoopThreads", "1")
-    System.setProperty("io.netty.machineId", "00:00:00:00:00:00:00:01")
-    System.setProperty("io.netty.processId", "1")
-    System.setProperty("io.netty.allocator.type", "unpooled")
-    System.setProperty("io.netty.noPreferDirect", "true")
-    // The events of its allocators would start the JVM's flight recorder, a sixth of what a start costs.
-    System.setProperty("io.netty.jfr.enabled", "false")
-    val options =
-        VertxOptions()
-            .setEventLoopPoolSize(1)
-            .setWorkerPoolSize(1)
-            .setInternalBlockingPoolSize(1)
-            .setBlockedThreadCheckInterval(3_600_000)
-            .setFileSystemOptions(FileSystemOptions().setFileCachingEnabled(false).setClassPathResolvingEnabled(false))
-    val vertx = batchingVertx(options)
-    val context = vertx.getOrCreateContext()
-    context.runOnContext {
-        val failed = CoroutineExceptionHandler { _, e -> exitOnFailure("a coroutine failed", e) }
-        Controller(vertx, settings, operator, CoroutineScope(context.dispatcher() + SupervisorJob() + failed)).start()
-    }
-}
-
-private fun logTo(level: String?) {
-    val known = level?.lowercase()?.takeIf { it in setOf("error", "warn", "info", "debug") } ?: "info"
-    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", known)
-    System.setProperty("org.slf4j.simpleLogger.log.io.netty", "error")
-    System.setProperty("org.slf4j.simpleLogger.log.io.vertx", "error")
-    System.setProperty("org.slf4j.simpleLogger.log.io.micrometer", "error")
-    // Connections that are reset, and requests that are given up, are told by what they were for; hundreds come with each cut.
-    System.setProperty("org.slf4j.simpleLogger.log.io.vertx.core.net.impl.ConnectionBase", "off")
-    System.setProperty("org.slf4j.simpleLogger.log.io.vertx.core.http.impl.HttpClientRequestImpl", "off")
-    System.setProperty("org.slf4j.simpleLogger.showThreadName", "false")
-    // The platform writes the time before each line; who starts a process by hand may ask for it.
-    if (System.getProperty(SHOW_TIME) == null) System.setProperty(SHOW_TIME, "false")
-}
--- a/src/main/kotlin/lichenstage/partition/WorkerCodec.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerCodec.kt
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.core.JsonFactory
 import com.fasterxml.jackson.core.JsonGenerator
 import io.vertx.core.buffer.Buffer
+import io.vertx.core.json.JsonObject
 import lichenstage.cluster.TaskPhase
 import java.io.ByteArrayOutputStream
 import java.io.IOException
@@ -35,6 +36,9 @@
             throw InvalidHeartbeatException(null, "a JSON object", e)
         }
 
+    /** The body of a heartbeat's reply that sends the worker to the controller [label]. */
+    fun encodeRedirect(label: String): Buffer = JsonObject().put("steward", label).toBuffer()
+
     /**
      * Encodes the answer to a heartbeat or, with an [agentEpoch], a direct order, in one pass.
      *
--- a/src/test/kotlin/lichenstage/config/SettingsTest.kt
+++ b/src/test/kotlin/lichenstage/config/SettingsTest.kt
@@ -80,7 +80,7 @@
     @Example
     fun `operators' settings are HCL and checked`() {
         val operator = OperatorSettings.parse("placement {\n  alpha_ms = 500\n}\nfleet {\n  settle_s = 7\n}\n")
-        assertTrue(operator.placementSettings.alphaUs == 500 * MILLI && operator.placementSettings.betaUs == 300 * MILLI) { "$operator" }
+        assertTrue(operator.placement.alphaUs == 500 * MILLI && operator.placement.betaUs == 300 * MILLI) { "$operator" }
         val policy = operator.fleet(lichenstage.fleet.FleetPolicy())
         assertEquals(7 * SECOND, policy.scaleInDelayUs) { "$policy" }
         val unknown = complaint { OperatorSettings.parse("placement {\n  alpha = \"x\"\n}") }
