--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -185,7 +185,8 @@
      * While the state service is away from everybody, all stay healthy, so that users come back to somebody as soon as it
      * is back; a node that it alone does not answer sends its users to the others.
      */
-    private fun isHealthy() = authority.isReady() && catalog.isLoaded && (authority.isStateServiceAvailable() || links.peerWithState() == null)
+    private fun isHealthy() =
+        authority.isReady() && catalog.isLoaded && (authority.isStateServiceAvailable() || links.peerWithState() == null)
 
     /** Leadership lasts while its key does; a pause of authority doesn't end it, a new term does. */
     private fun ownershipChanged(ownership: OwnershipView) {
