--- a/src/main/kotlin/lichenstage/drain/DrainCommand.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCommand.kt
@@ -19,8 +19,8 @@
 /** `lichenstage drain start|status|pause|resume|cancel`. */
 class DrainCommand(
     private val readSettings: (String) -> Settings,
-    private val out: (String) -> Unit,
-    private val complain: (String) -> Unit,
+    private val print: (String) -> Unit,
+    private val printError: (String) -> Unit,
 ) {
     private val commandLine =
         CommandLineParser(
@@ -55,14 +55,14 @@
         try {
             val parsed = commandLine.parse(args)
             if (parsed.has("help")) {
-                out(commandLine.help())
+                print(commandLine.help())
                 0
             } else {
                 val arguments = check(parsed)
-                report(answer(arguments), parsed.has("json"))
+                report(execute(arguments), parsed.has("json"))
             }
         } catch (e: InvalidArgumentsException) {
-            refused("${e.message}")
+            reject("${e.message}")
         }
 
     private fun check(parsed: ParsedArguments): Arguments {
@@ -84,12 +84,12 @@
 
     private fun selects(parsed: ParsedArguments) = SELECTING.any { parsed.has(it) }
 
-    private fun refused(why: String): Int {
-        complain("lichenstage drain: $why")
+    private fun reject(why: String): Int {
+        printError("lichenstage drain: $why")
         return REFUSED
     }
 
-    private fun answer(arguments: Arguments): DrainAnswer {
+    private fun execute(arguments: Arguments): DrainCommandResult {
         val vertx = Vertx.vertx()
         val settings = arguments.settings
         val name = arguments.name
@@ -108,10 +108,10 @@
                     val operations = DrainOperations(state, state::scan, DrainRecords(settings.valueBytes), settings, ::timeOfDayUs)
                     when (arguments.verb) {
                         START -> operations.start(request(name!!, arguments.parsed))
-                        STATUS -> operations.show(name)
-                        "pause" -> operations.change(name!!, DrainStatus.PAUSED)
-                        "resume" -> operations.change(name!!, DrainStatus.RUNNING)
-                        else -> operations.change(name!!, DrainStatus.CANCELLED)
+                        STATUS -> operations.status(name)
+                        "pause" -> operations.changeStatus(name!!, DrainStatus.PAUSED)
+                        "resume" -> operations.changeStatus(name!!, DrainStatus.RUNNING)
+                        else -> operations.changeStatus(name!!, DrainStatus.CANCELLED)
                     }
                 }
             }
@@ -139,42 +139,42 @@
             name,
             selection,
             replace = parsed.has("replace"),
-            atMost = atMost(parsed),
+            maxConcurrent = maxConcurrent(parsed),
             deadlineUs = deadlineS?.let { timeOfDayUs() + it * SECOND },
             dryRun = parsed.has("dry-run"),
         )
     }
 
-    private fun atMost(parsed: ParsedArguments): Int {
+    private fun maxConcurrent(parsed: ParsedArguments): Int {
         val machines = parsed.whole("at-most") ?: 1
         if (machines > Int.MAX_VALUE) throw InvalidArgumentsException("--at-most: found $machines, too large")
         return machines.toInt()
     }
 
     private fun report(
-        answer: DrainAnswer,
+        result: DrainCommandResult,
         asJson: Boolean,
     ): Int {
-        when (answer) {
-            is DrainAnswer.Shown -> {
+        when (result) {
+            is DrainCommandResult.Status -> {
                 if (asJson) {
-                    out(JsonArray(answer.reports.map { it.json() }).encodePrettily())
+                    print(JsonArray(result.reports.map { it.json() }).encodePrettily())
                 } else {
-                    out(answer.reports.joinToString("\n") { it.text() }.ifEmpty { "no drains" })
+                    print(result.reports.joinToString("\n") { it.text() }.ifEmpty { "no drains" })
                 }
             }
 
-            is DrainAnswer.Planned -> {
-                val steps = answer.machines.chunked(answer.request.atMost).map { step -> JsonArray(step.map { it.name }) }
-                out(if (asJson) JsonObject().put("steps", JsonArray(steps)).encodePrettily() else DrainReport.planned(answer))
+            is DrainCommandResult.DryRun -> {
+                val steps = result.machines.chunked(result.request.maxConcurrent).map { step -> JsonArray(step.map { it.name }) }
+                print(if (asJson) JsonObject().put("steps", JsonArray(steps)).encodePrettily() else DrainReport.dryRunText(result))
             }
 
-            is DrainAnswer.Refused -> {
-                return refused(answer.why)
+            is DrainCommandResult.Rejected -> {
+                return reject(result.why)
             }
 
-            DrainAnswer.Unavailable -> {
-                complain("lichenstage drain: the state service does not answer, or the record has changed meanwhile; ask again")
+            DrainCommandResult.Unavailable -> {
+                printError("lichenstage drain: the state service does not answer, or the record has changed meanwhile; ask again")
                 return UNAVAILABLE
             }
         }
--- a/src/main/kotlin/lichenstage/drain/DrainCore.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCore.kt
@@ -11,19 +11,19 @@
 class DrainCore(
     private val policy: DrainPolicy,
     private val view: DrainView,
-    recorded: DrainState,
+    initialState: DrainState,
     /** How many interruptions can be recorded. Half of them are for what fails by itself. */
-    private val mostInterruptions: Int,
+    private val maxInterruptions: Int,
 ) {
     private class Pending(
         val proposal: DrainProposal,
         val from: DrainState,
         /** The hired machines that it takes account of. */
-        val hired: Map<DrainKey, String>,
+        val replacements: Map<DrainKey, String>,
     )
 
     /** As it is recorded. */
-    var state = recorded
+    var state = initialState
         private set
 
     /** Drains as operators last asked for them. */
@@ -32,18 +32,18 @@
     private var pending: Pending? = null
 
     /** Hires that were asked for and not answered. */
-    private val hiring = HashSet<DrainKey>()
+    private val pendingProvisions = HashSet<DrainKey>()
 
     /** Of drains that were asked to pause or finish, until that shows. */
-    private val ending = HashSet<String>()
+    private val pendingStatusChanges = HashSet<String>()
 
     /**
      * What has happened besides, to be recorded with the next steps as there is room. Bounded by the tasks that run: each is in it once,
      * and only until it runs again. (It held 2,000 at the most, and a zone of some hundred machines lost more: what was left out was
      * forgotten, and drains interrupted beside it.)
      */
-    private val lost = LinkedHashMap<TaskId, Interruption>()
-    private val hired = HashMap<DrainKey, String>()
+    private val lostTasks = LinkedHashMap<TaskId, Interruption>()
+    private val newReplacements = HashMap<DrainKey, String>()
 
     /** Some drain goes on. */
     val isActive get() = drains.any { it.status == DrainStatus.RUNNING }
@@ -55,42 +55,42 @@
     val onProbation: Set<String> get() = replacements { it.stage == Stage.PREPARING }
 
     /** Replacements of machines that are still there: the fleet has one machine too many for each. */
-    val spare: Set<String> get() = replacements { !it.stage.isOver }
+    val surplusReplacements: Set<String> get() = replacements { !it.stage.isOver }
 
     private fun running() = drains.filter { it.status == DrainStatus.RUNNING }.mapTo(HashSet()) { it.name }
 
-    private fun rows(which: (DrainedMachine) -> Boolean): List<DrainedMachine> {
+    private fun machinesWhere(which: (DrainedMachine) -> Boolean): List<DrainedMachine> {
         val names = running()
         return if (names.isEmpty()) emptyList() else state.machines.values.filter { it.drain in names && which(it) }
     }
 
-    private fun namesOf(which: (DrainedMachine) -> Boolean) = rows(which).mapTo(HashSet()) { it.name }
+    private fun namesOf(which: (DrainedMachine) -> Boolean) = machinesWhere(which).mapTo(HashSet()) { it.name }
 
-    private fun replacements(which: (DrainedMachine) -> Boolean) = rows(which).mapNotNullTo(HashSet()) { it.replacement }
+    private fun replacements(which: (DrainedMachine) -> Boolean) = machinesWhere(which).mapNotNullTo(HashSet()) { it.replacement }
 
     /** The drains as their records stand, with the machines of those that are new. */
-    fun asked(
+    fun updateDrains(
         current: List<Drain>,
         machines: List<DrainedMachine>,
     ) {
         drains = current
-        ending.retainAll(running())
+        pendingStatusChanges.retainAll(running())
         val news = machines.filter { it.key !in state.machines }
         if (news.isNotEmpty()) state = state.copy(machines = state.machines.putAll(news.associateBy { it.key }))
     }
 
     /** A task that ran does not any more, and not for a drain. Counted only while there is a drain that it may hold up. */
-    fun lost(interruption: Interruption) {
-        if (isActive && interruption.task !in state.interruptions) lost[interruption.task] = interruption
+    fun taskLost(interruption: Interruption) {
+        if (isActive && interruption.task !in state.interruptions) lostTasks[interruption.task] = interruption
     }
 
     /** A machine was hired to follow another. */
-    fun hired(
+    fun replacementProvisioned(
         key: DrainKey,
         machine: String,
     ) {
-        hiring -= key
-        hired[key] = machine
+        pendingProvisions -= key
+        newReplacements[key] = machine
     }
 
     /** The next state, to be recorded before anything else is done; null while one is being recorded, or nothing is to be done. */
@@ -98,10 +98,11 @@
         nowUs: Long,
         hour: Int,
     ): DrainState? {
-        if (!view.complete || pending != null || !isActive) return null
-        val before = withNews(state, nowUs)
-        val proposal = DrainPlan(policy, view, hour, nowUs, mostInterruptions / 2, before).next(drains.filter { it.name !in ending })
-        pending = Pending(proposal, state, HashMap(hired))
+        if (!view.isComplete || pending != null || !isActive) return null
+        val before = withObservedChanges(state, nowUs)
+        val due = drains.filter { it.name !in pendingStatusChanges }
+        val proposal = DrainPlan(policy, view, hour, nowUs, maxInterruptions / 2, before).next(due)
+        pending = Pending(proposal, state, HashMap(newReplacements))
         return proposal.state
     }
 
@@ -109,25 +110,28 @@
      * With what has happened since: tasks that run as another attempt, or are over, are no longer interrupted, and others are. A
      * replacement's time begins when it was hired, however long that was refused.
      */
-    private fun withNews(
+    private fun withObservedChanges(
         before: DrainState,
         nowUs: Long,
     ): DrainState {
         var machines: PersistentMap<DrainKey, DrainedMachine> = before.machines
-        for ((key, name) in hired) machines[key]?.let { machines = machines.put(key, it.copy(replacement = name, sinceUs = nowUs)) }
+        for ((key, name) in newReplacements) {
+            val machine = machines[key] ?: continue
+            machines = machines.put(key, machine.copy(replacement = name, sinceUs = nowUs))
+        }
         // Room is made first: what waits to be recorded must not be passed over for a step.
         var interruptions = before.interruptions
-        for (row in before.interruptions.values) if (row.isOver(view.standing(row.task))) interruptions = interruptions.remove(row.task)
-        lost.values.removeAll { it.isOver(view.standing(it.task)) }
-        for ((task, row) in lost) {
-            if (interruptions.size >= mostInterruptions) break
+        for (row in before.interruptions.values) if (row.isOver(view.execution(row.task))) interruptions = interruptions.remove(row.task)
+        lostTasks.values.removeAll { it.isOver(view.execution(it.task)) }
+        for ((task, row) in lostTasks) {
+            if (interruptions.size >= maxInterruptions) break
             if (task !in interruptions) interruptions = interruptions.put(task, row)
         }
         return DrainState(machines, interruptions)
     }
 
     /** The state of the last step is recorded, or could not be; returns what may be done now. */
-    fun recorded(ok: Boolean): List<DrainAct> {
+    fun stateRecorded(ok: Boolean): List<DrainAction> {
         val done = pending ?: return emptyList()
         pending = null
         if (!ok) return emptyList()
@@ -139,21 +143,21 @@
                     done.proposal.state.machines
                         .putAll(news),
             )
-        done.hired.forEach { (key, name) -> hired.remove(key, name) }
-        lost.keys.removeAll { it in state.interruptions }
-        return done.proposal.acts.filter(::isNew)
+        done.replacements.forEach { (key, name) -> newReplacements.remove(key, name) }
+        lostTasks.keys.removeAll { it in state.interruptions }
+        return done.proposal.actions.filter(::isNew)
     }
 
-    private fun isNew(act: DrainAct) =
+    private fun isNew(act: DrainAction) =
         when (act) {
-            is DrainAct.HireLike -> act.key !in hired && hiring.add(act.key)
-            is DrainAct.Pause -> ending.add(act.drain)
-            is DrainAct.Finish -> ending.add(act.drain)
+            is DrainAction.ProvisionReplacement -> act.key !in newReplacements && pendingProvisions.add(act.key)
+            is DrainAction.Pause -> pendingStatusChanges.add(act.drain)
+            is DrainAction.Finish -> pendingStatusChanges.add(act.drain)
             else -> true
         }
 
     /** The record of a drain could not be changed: it is asked for again. */
-    fun notEnded(drain: String) {
-        ending -= drain
+    fun statusChangeFailed(drain: String) {
+        pendingStatusChanges -= drain
     }
 }
--- a/src/main/kotlin/lichenstage/drain/DrainDriver.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainDriver.kt
@@ -20,37 +20,37 @@
 /** What the driver of drains is told by what it has set going. */
 sealed interface DrainMessage {
     /** All records, read whole; null where they could not be. */
-    data class ReadResult(
+    data class RecordsRead(
         val entries: List<Entry>?,
     ) : DrainMessage
 
     /** The state of the last step is recorded, or not. */
-    data class Recorded(
+    data class StateRecorded(
         val written: Map<String, JsonObject>,
         val ok: Boolean,
     ) : DrainMessage
 
     /** The record of a drain was changed, or not. */
-    data class Ended(
+    data class StatusChanged(
         val drain: String,
         val ok: Boolean,
     ) : DrainMessage
 }
 
 /** What the leader does for drains. */
-interface DrainHands {
+interface DrainActionHandler {
     /** Stop these tasks. */
-    fun interrupt(tasks: List<RunningTask>)
+    fun evict(tasks: List<RunningTask>)
 
-    /** Hire a machine of the type, zone and kind of the one that [key] names; it is told by [DrainDriver.hired]. */
-    fun hireLike(key: DrainKey)
+    /** Hire a machine of the type, zone and kind of the one that [key] names; it is told by [DrainDriver.replacementProvisioned]. */
+    fun provisionReplacement(key: DrainKey)
 
     /** Return a machine on which nothing is left. */
-    fun giveBack(machine: String)
+    fun terminate(machine: String)
 }
 
 /** Where the driver reads and writes: [scan] reads all keys with a prefix. */
-class DrainStore(
+class DrainRecordAccess(
     val store: KeyValueStore,
     val owned: SingleWriterKeys,
     /** The revision of the leadership's key: nothing is written but under it. */
@@ -64,8 +64,8 @@
     private val policy: DrainPolicy,
     private val view: DrainView,
     private val records: DrainRecords,
-    private val access: DrainStore,
-    private val hands: DrainHands,
+    private val recordAccess: DrainRecordAccess,
+    private val actions: DrainActionHandler,
     private val tracing: DrainTracing,
     private val scope: CoroutineScope,
     private val timeOfDayUs: () -> Long,
@@ -80,7 +80,7 @@
     private var steppedUs = Long.MIN_VALUE / 2
 
     /** Records that can't be read, told once each. */
-    private val complained = HashSet<String>()
+    private val reportedUnreadable = HashSet<String>()
 
     /** The stamps of the drains' records as last read, for changes of them. */
     private val stamps = HashMap<String, Long>()
@@ -92,22 +92,22 @@
     val onProbation: Set<String> get() = core?.onProbation.orEmpty()
 
     /** Machines that the fleet does not meet demand with. */
-    val uncounted: Set<String> get() = core?.let { it.cordoned + it.spare }.orEmpty()
+    val excludedFromCapacity: Set<String> get() = core?.let { it.cordoned + it.surplusReplacements }.orEmpty()
 
-    /** A machine was hired for a request of [DrainHands.hireLike]. */
-    fun hired(
+    /** A machine was hired for a request of [DrainActionHandler.provisionReplacement]. */
+    fun replacementProvisioned(
         key: DrainKey,
         machine: String,
-    ) = core?.hired(key, machine) ?: Unit
+    ) = core?.replacementProvisioned(key, machine) ?: Unit
 
     /** A task that ran does not any more. */
-    fun taskStopped(interruption: Interruption) = core?.lost(interruption) ?: Unit
+    fun taskStopped(interruption: Interruption) = core?.taskLost(interruption) ?: Unit
 
     /** Time has passed; [now] is steady. */
     fun step(now: Long) {
-        if (!reading && now - readUs >= READ_US) read(now)
+        if (!reading && now - readUs >= READ_INTERVAL_US) read(now)
         val drains = core ?: return
-        if (writing || now - steppedUs < STEP_US) return
+        if (writing || now - steppedUs < STEP_INTERVAL_US) return
         steppedUs = now
         val atUs = timeOfDayUs()
         val next = drains.step(atUs, hourOf(atUs)) ?: return
@@ -120,38 +120,38 @@
         reading = true
         readUs = now
         scope.launch {
-            tell(DrainMessage.ReadResult((access.scan(DrainRecords.PREFIX) as? ScanResult.Complete)?.entries))
+            tell(DrainMessage.RecordsRead((recordAccess.scan(DrainRecords.PREFIX) as? ScanResult.Complete)?.entries))
         }
     }
 
     private fun record(state: DrainState) {
         val wanted = records.encodeState(state)
         val changes = DrainRecords.changes(recorded, wanted)
-        if (changes.isEmpty()) return carryOut(recorded = true)
+        if (changes.isEmpty()) return execute(recorded = true)
         writing = true
         scope.launch {
-            val ok = changes.chunked(access.txnOps).all { access.owned.write(access.leaderGuard, it, urgent = false) }
-            if (!ok) delay(RETRY_MS)
-            tell(DrainMessage.Recorded(wanted, ok))
+            val ok = changes.chunked(recordAccess.txnOps).all { recordAccess.owned.write(recordAccess.leaderGuard, it, urgent = false) }
+            if (!ok) delay(RETRY_INTERVAL_MS)
+            tell(DrainMessage.StateRecorded(wanted, ok))
         }
     }
 
-    private fun carryOut(recorded: Boolean) {
+    private fun execute(recorded: Boolean) {
         val drains = core ?: return
-        for (act in drains.recorded(recorded)) {
+        for (act in drains.stateRecorded(recorded)) {
             tracing.act(act)
             when (act) {
-                is DrainAct.Interrupt -> hands.interrupt(act.tasks)
-                is DrainAct.HireLike -> hands.hireLike(act.key)
-                is DrainAct.GiveBack -> hands.giveBack(act.machine)
-                is DrainAct.Pause -> end(act.drain, DrainStatus.PAUSED, act.reason)
-                is DrainAct.Finish -> end(act.drain, DrainStatus.FINISHED, null)
+                is DrainAction.EvictTasks -> actions.evict(act.tasks)
+                is DrainAction.ProvisionReplacement -> actions.provisionReplacement(act.key)
+                is DrainAction.Terminate -> actions.terminate(act.machine)
+                is DrainAction.Pause -> changeStatus(act.drain, DrainStatus.PAUSED, act.reason)
+                is DrainAction.Finish -> changeStatus(act.drain, DrainStatus.FINISHED, null)
             }
         }
     }
 
     /** Changes the record of a drain as operators do, on the condition that it is as it was read. */
-    private fun end(
+    private fun changeStatus(
         name: String,
         status: DrainStatus,
         reason: String?,
@@ -159,66 +159,66 @@
         val drain = core?.drains?.firstOrNull { it.name == name } ?: return
         log.info("drain {} is {}{}", name, status.name.lowercase(), reason?.let { ": $it" }.orEmpty())
         val key = DrainRecords.DRAINS + name
-        val guards = access.leaderGuard + Precondition(key, stamps[key] ?: Precondition.ABSENT)
+        val guards = recordAccess.leaderGuard + Precondition(key, stamps[key] ?: Precondition.ABSENT)
         val change = Change.Put(key, records.encode(drain.copy(status = status, reason = reason)))
         scope.launch {
-            val outcome = access.store.commit(guards, listOf(change), urgent = false)
-            tell(DrainMessage.Ended(name, outcome is TransactionResult.Committed))
+            val outcome = recordAccess.store.commit(guards, listOf(change), urgent = false)
+            tell(DrainMessage.StatusChanged(name, outcome is TransactionResult.Committed))
         }
     }
 
     /** What was set going has an outcome. */
     fun handle(message: DrainMessage) {
         when (message) {
-            is DrainMessage.ReadResult -> {
+            is DrainMessage.RecordsRead -> {
                 reading = false
-                message.entries?.let(::take)
+                message.entries?.let(::applyRecords)
             }
 
-            is DrainMessage.Recorded -> {
+            is DrainMessage.StateRecorded -> {
                 writing = false
                 // Where that is not known, all is written again.
                 recorded = if (message.ok) recorded + message.written else emptyMap()
-                carryOut(message.ok)
+                execute(message.ok)
             }
 
-            is DrainMessage.Ended -> {
-                if (!message.ok) core?.notEnded(message.drain)
+            is DrainMessage.StatusChanged -> {
+                if (!message.ok) core?.statusChangeFailed(message.drain)
             }
         }
     }
 
-    private fun take(entries: List<Entry>) {
+    private fun applyRecords(entries: List<Entry>) {
         val pages = entries.filter { it.key.startsWith(DrainRecords.MACHINES) }
         val machines = pages.groupBy { it.key.removePrefix(DrainRecords.MACHINES).substringBeforeLast('/') }
         val readable = machines.mapNotNull { (drain, rows) -> readMachines(rows)?.let { drain to it } }.toMap()
-        if (core == null) begin(entries, readable)
+        if (core == null) initialize(entries, readable)
         val drains = entries.filter { it.key.startsWith(DrainRecords.DRAINS) }.mapNotNull { readDrain(it, readable) }
         val known = core ?: return
         val news = drains.filter { drain -> known.drains.none { it.name == drain.name } }
         // Pages of a drain that is new here were written by the command: from now on they are this leader's.
         for (drain in news) {
             val own = machines[drain.name].orEmpty()
-            access.owned.load(own)
+            recordAccess.owned.load(own)
             recorded = recorded + own.associate { it.key to it.value }
         }
-        known.asked(drains, news.flatMap { readable.getValue(it.name) })
+        known.updateDrains(drains, news.flatMap { readable.getValue(it.name) })
     }
 
-    private fun begin(
+    private fun initialize(
         entries: List<Entry>,
         machines: Map<String, List<DrainedMachine>>,
     ) {
         val pages = entries.filter { it.key.startsWith(DrainRecords.INTERRUPTIONS) }
         // Without them nobody knows what is interrupted, so nothing more is.
         val interruptions = pages.map { page -> readable(page) { records.decodeInterruptions(it) } ?: return }
-        access.owned.load(pages)
+        recordAccess.owned.load(pages)
         recorded = pages.associate { it.key to it.value }
         val state =
             DrainState().let { empty ->
                 empty.copy(interruptions = empty.interruptions.putAll(interruptions.flatten().associateBy { it.task }))
             }
-        core = DrainCore(policy, view, state, records.mostInterruptions)
+        core = DrainCore(policy, view, state, records.maxInterruptions)
         if (machines.isNotEmpty()) log.info("drains are recorded: {}", machines.keys)
     }
 
@@ -241,13 +241,13 @@
         try {
             read(entry)
         } catch (e: UnreadableRecord) {
-            if (complained.add(entry.key)) log.error("a record of a drain can't be read, the drain goes no further: {}", e.message)
+            if (reportedUnreadable.add(entry.key)) log.error("a record of a drain can't be read, the drain goes no further: {}", e.message)
             null
         }
 
     private companion object {
-        const val READ_US = 2 * SECOND
-        const val STEP_US = SECOND
-        const val RETRY_MS = 300L
+        const val READ_INTERVAL_US = 2 * SECOND
+        const val STEP_INTERVAL_US = SECOND
+        const val RETRY_INTERVAL_MS = 300L
     }
 }
--- a/src/main/kotlin/lichenstage/drain/DrainOperations.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainOperations.kt
@@ -19,13 +19,13 @@
     val zone: String? = null,
     val spot: Boolean? = null,
     /** Machines named up to this one, which is the order in which they were hired. */
-    val hiredUpTo: String? = null,
+    val provisionedUpTo: String? = null,
 ) {
     /** The machine is meant. */
     operator fun contains(machine: RegisteredMachine) =
         (names.isEmpty() || machine.name in names) && (typeName == null || machine.typeName == typeName) &&
             (zone == null || machine.zone == zone) && (spot == null || machine.spot == spot) &&
-            (hiredUpTo == null || machine.name <= hiredUpTo)
+            (provisionedUpTo == null || machine.name <= provisionedUpTo)
 }
 
 /** A drain as it is asked for on the command line. */
@@ -33,31 +33,31 @@
     val name: String,
     val selection: DrainSelection,
     val replace: Boolean,
-    val atMost: Int,
+    val maxConcurrent: Int,
     val deadlineUs: Long?,
     val dryRun: Boolean,
 )
 
 /** What became of a command. */
-sealed interface DrainAnswer {
+sealed interface DrainCommandResult {
     /** Drains as they stand. */
-    data class Shown(
+    data class Status(
         val reports: List<DrainReport>,
-    ) : DrainAnswer
+    ) : DrainCommandResult
 
     /** What a drain would do. */
-    data class Planned(
+    data class DryRun(
         val request: DrainRequest,
         val machines: List<RegisteredMachine>,
-    ) : DrainAnswer
+    ) : DrainCommandResult
 
     /** It can't be done; nothing was written. */
-    data class Refused(
+    data class Rejected(
         val why: String,
-    ) : DrainAnswer
+    ) : DrainCommandResult
 
     /** The state service does not answer; the command can be repeated as it was. */
-    data object Unavailable : DrainAnswer
+    data object Unavailable : DrainCommandResult
 }
 
 /**
@@ -72,65 +72,66 @@
     private val timeOfDayUs: () -> Long,
 ) {
     /** Asks for a drain, or shows what it would do. Repeated as it was, it finds itself done. */
-    suspend fun start(request: DrainRequest): DrainAnswer =
-        answering {
-            if (!NAME.matches(request.name)) throw CantBeDone("${request.name}: a name of letters, digits and dashes is needed")
-            if (request.atMost < 1) throw CantBeDone("--at-most ${request.atMost}: at least 1 is needed")
+    suspend fun start(request: DrainRequest): DrainCommandResult =
+        resultOf {
+            if (!NAME.matches(request.name)) throw RejectedCommand("${request.name}: a name of letters, digits and dashes is needed")
+            if (request.maxConcurrent < 1) throw RejectedCommand("--at-most ${request.maxConcurrent}: at least 1 is needed")
             when (val known = store.get(DrainRecords.DRAINS + request.name)) {
-                is ReadResult.Found -> repeated(request, known.entry)
-                ReadResult.NotFound -> begun(request)
-                ReadResult.Unavailable -> throw NoAnswer()
+                is ReadResult.Found -> startRepeated(request, known.entry)
+                ReadResult.NotFound -> startNew(request)
+                ReadResult.Unavailable -> throw StateServiceUnavailable()
             }
         }
 
-    private suspend fun begun(request: DrainRequest): DrainAnswer {
+    private suspend fun startNew(request: DrainRequest): DrainCommandResult {
         val machines = read(MachineRecordCodec.PREFIX).flatMap { MachineRecordCodec.decode(it.value) }
         val boundZones = read(JobRecordCodec.OPEN).mapNotNullTo(HashSet()) { JobRecordCodec.decode(it.value).zone }
-        refusal(request, machines, boundZones)?.let { throw CantBeDone(it) }
+        rejectionReason(request, machines, boundZones)?.let { throw RejectedCommand(it) }
         val selected = machines.filter { it in request.selection }.sortedBy { it.name }
-        return if (request.dryRun) DrainAnswer.Planned(request, selected) else write(request, selected)
+        return if (request.dryRun) DrainCommandResult.DryRun(request, selected) else write(request, selected)
     }
 
-    private suspend fun repeated(
+    private suspend fun startRepeated(
         request: DrainRequest,
         entry: Entry,
-    ): DrainAnswer {
+    ): DrainCommandResult {
         val asked = records.decodeDrain(entry)
-        if (asked.replace != request.replace || asked.atMost != request.atMost) {
-            throw CantBeDone("${request.name}: there is a drain of this name with other options")
+        if (asked.replace != request.replace || asked.maxConcurrent != request.maxConcurrent) {
+            throw RejectedCommand("${request.name}: there is a drain of this name with other options")
         }
-        return shown(request.name)
+        return statusOf(request.name)
     }
 
     /** The command is at fault. */
-    private class CantBeDone(
+    private class RejectedCommand(
         why: String,
     ) : Exception(why)
 
     /** The state service does not answer, or has changed meanwhile. */
-    private class NoAnswer : Exception()
+    private class StateServiceUnavailable : Exception()
 
-    private suspend fun answering(work: suspend () -> DrainAnswer): DrainAnswer =
+    private suspend fun resultOf(work: suspend () -> DrainCommandResult): DrainCommandResult =
         try {
             work()
-        } catch (e: CantBeDone) {
-            DrainAnswer.Refused("${e.message}")
+        } catch (e: RejectedCommand) {
+            DrainCommandResult.Rejected("${e.message}")
         } catch (e: UnreadableRecord) {
-            DrainAnswer.Refused("${e.message}")
-        } catch (_: NoAnswer) {
-            DrainAnswer.Unavailable
+            DrainCommandResult.Rejected("${e.message}")
+        } catch (_: StateServiceUnavailable) {
+            DrainCommandResult.Unavailable
         }
 
-    private suspend fun read(prefix: String): List<Entry> = (scan(prefix) as? ScanResult.Complete)?.entries ?: throw NoAnswer()
+    private suspend fun read(prefix: String): List<Entry> =
+        (scan(prefix) as? ScanResult.Complete)?.entries ?: throw StateServiceUnavailable()
 
     private suspend fun commit(
         preconditions: List<Precondition>,
         changes: List<Change>,
     ) {
-        if (store.commit(preconditions, changes) !is TransactionResult.Committed) throw NoAnswer()
+        if (store.commit(preconditions, changes) !is TransactionResult.Committed) throw StateServiceUnavailable()
     }
 
-    private fun refusal(
+    private fun rejectionReason(
         request: DrainRequest,
         machines: List<RegisteredMachine>,
         boundZones: Set<String>,
@@ -154,7 +155,7 @@
     private suspend fun write(
         request: DrainRequest,
         machines: List<RegisteredMachine>,
-    ): DrainAnswer {
+    ): DrainCommandResult {
         val now = timeOfDayUs()
         val rows = machines.map { DrainedMachine(it.name, request.name, Stage.WAITING, now) }
         val pages = records.encodeMachines(request.name, rows)
@@ -169,54 +170,54 @@
             Drain(
                 request.name,
                 request.replace,
-                request.atMost,
+                request.maxConcurrent,
                 DrainStatus.RUNNING,
                 null,
                 now,
                 request.deadlineUs,
             )
         commit(listOf(Precondition.absent(drainKey)), listOf(Change.Put(drainKey, records.encode(drain))))
-        return shown(request.name)
+        return statusOf(request.name)
     }
 
     /** All drains, or the one of a [name]. */
-    suspend fun show(name: String?): DrainAnswer = answering { shown(name) }
+    suspend fun status(name: String?): DrainCommandResult = resultOf { statusOf(name) }
 
-    private suspend fun shown(name: String?): DrainAnswer {
+    private suspend fun statusOf(name: String?): DrainCommandResult {
         val all = read(DrainRecords.PREFIX)
         val entries = all.filter { it.key.startsWith(DrainRecords.DRAINS) && (name == null || it.key == DrainRecords.DRAINS + name) }
-        if (entries.isEmpty() && name != null) throw CantBeDone("$name: there is no such drain")
+        if (entries.isEmpty() && name != null) throw RejectedCommand("$name: there is no such drain")
         val pages = all.filter { it.key.startsWith(DrainRecords.MACHINES) }
         val state = records.decodeState(pages, all.filter { it.key.startsWith(DrainRecords.INTERRUPTIONS) })
-        return DrainAnswer.Shown(entries.map { DrainReport.of(records.decodeDrain(it), state, timeOfDayUs()) })
+        return DrainCommandResult.Status(entries.map { DrainReport.of(records.decodeDrain(it), state, timeOfDayUs()) })
     }
 
     /** Has a drain pause, go on or end. */
-    suspend fun change(
+    suspend fun changeStatus(
         name: String,
         status: DrainStatus,
-    ): DrainAnswer =
-        answering {
+    ): DrainCommandResult =
+        resultOf {
             when (val read = store.get(DrainRecords.DRAINS + name)) {
-                is ReadResult.Found -> changed(read.entry, status)
-                ReadResult.NotFound -> throw CantBeDone("$name: there is no such drain")
-                ReadResult.Unavailable -> throw NoAnswer()
+                is ReadResult.Found -> writeStatus(read.entry, status)
+                ReadResult.NotFound -> throw RejectedCommand("$name: there is no such drain")
+                ReadResult.Unavailable -> throw StateServiceUnavailable()
             }
         }
 
-    private suspend fun changed(
+    private suspend fun writeStatus(
         entry: Entry,
         status: DrainStatus,
-    ): DrainAnswer {
+    ): DrainCommandResult {
         val drain = records.decodeDrain(entry)
         val isOver = drain.status == DrainStatus.FINISHED || drain.status == DrainStatus.CANCELLED
-        if (isOver && drain.status != status) throw CantBeDone("${drain.name}: it is ${drain.status.name.lowercase()}")
+        if (isOver && drain.status != status) throw RejectedCommand("${drain.name}: it is ${drain.status.name.lowercase()}")
         if (drain.status != status) {
             val reason = if (status == DrainStatus.RUNNING) null else "by an operator"
             val put = Change.Put(entry.key, records.encode(drain.copy(status = status, reason = reason)))
             commit(listOf(Precondition(entry.key, entry.modRevision)), listOf(put))
         }
-        return shown(drain.name)
+        return statusOf(drain.name)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/drain/DrainPlan.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainPlan.kt
@@ -5,7 +5,7 @@
 /** What a plan proposes: a state to be recorded, and what may be done once it is. */
 data class DrainProposal(
     val state: DrainState,
-    val acts: List<DrainAct>,
+    val actions: List<DrainAction>,
 )
 
 /**
@@ -21,20 +21,20 @@
     private val hour: Int,
     private val nowUs: Long,
     /** As many interruptions as drains may add to, so that their records have room for what fails besides. */
-    private val mostInterruptions: Int,
+    private val maxInterruptions: Int,
     private var state: DrainState,
 ) {
-    private val acts = ArrayList<DrainAct>()
+    private val actions = ArrayList<DrainAction>()
     private val interrupted = ArrayList<RunningTask>()
 
     /** The next steps of these drains, the one that was asked for first before the others. */
     fun next(drains: List<Drain>): DrainProposal {
-        val running = drains.filter { it.status == DrainStatus.RUNNING }.sortedBy { it.askedUs }
+        val running = drains.filter { it.status == DrainStatus.RUNNING }.sortedBy { it.requestedUs }
         running.forEach(::advance)
-        running.forEach { begin(it, begunBy(running)) }
+        running.forEach { begin(it, machinesUnderWay(running)) }
         interrupt(running)
-        running.filter(::isOver).forEach { acts += DrainAct.Finish(it.name) }
-        return DrainProposal(state, acts + listOfNotNull(DrainAct.Interrupt(interrupted).takeIf { interrupted.isNotEmpty() }))
+        running.filter(::isOver).forEach { actions += DrainAction.Finish(it.name) }
+        return DrainProposal(state, actions + listOfNotNull(DrainAction.EvictTasks(interrupted).takeIf { interrupted.isNotEmpty() }))
     }
 
     private fun machinesOf(drain: Drain) = state.machines.values.filter { it.drain == drain.name }
@@ -54,14 +54,14 @@
         for (machine in machinesOf(drain)) {
             if (machine.stage.isOver) continue
             when (view.condition(machine.name)) {
-                MachineCondition.GONE, MachineCondition.ABSENT -> move(machine, goneStage(machine))
+                MachineCondition.GONE, MachineCondition.ABSENT -> move(machine, stageAfterRemoval(machine))
                 MachineCondition.LOST -> if (machine.stage != Stage.EMPTIED) move(machine, Stage.FAILED)
-                MachineCondition.UP, MachineCondition.UNHEARD -> advance(drain, machine)
+                MachineCondition.HEALTHY, MachineCondition.UNCONFIRMED -> advance(drain, machine)
             }
         }
     }
 
-    private fun goneStage(machine: DrainedMachine) =
+    private fun stageAfterRemoval(machine: DrainedMachine) =
         when {
             machine.stage == Stage.WAITING -> Stage.GONE
             machine.stage != Stage.EMPTIED -> Stage.FAILED
@@ -79,15 +79,15 @@
             }
 
             Stage.CORDONED, Stage.EMPTYING -> {
-                if (isHeeded(machine) && view.tasksOn(machine.name).isEmpty()) {
+                if (isCordonEffective(machine) && view.tasksOn(machine.name).isEmpty()) {
                     move(machine, Stage.EMPTIED)
-                    acts += DrainAct.GiveBack(machine.name)
+                    actions += DrainAction.Terminate(machine.name)
                 }
             }
 
             // Where the return was not answered, it is asked for again.
             Stage.EMPTIED -> {
-                acts += DrainAct.GiveBack(machine.name)
+                actions += DrainAction.Terminate(machine.name)
             }
 
             else -> {
@@ -97,7 +97,7 @@
     }
 
     /** All who place tasks know that the machine takes no more: what is stopped there does not come back, and empty it stays. */
-    private fun isHeeded(machine: DrainedMachine) = nowUs - machine.sinceUs >= HEEDED_US
+    private fun isCordonEffective(machine: DrainedMachine) = nowUs - machine.sinceUs >= CORDON_PROPAGATION_US
 
     /** A replacement that does not come up, is faulty or gets lost is given back, and another one asked for after a growing pause. */
     private fun prepare(
@@ -108,15 +108,15 @@
         val replacement = machine.replacement
         when {
             replacement == null -> {
-                if (waitedUs >= pauseUs(machine.failures)) acts += DrainAct.HireLike(machine.key)
+                if (waitedUs >= backoffUs(machine.failures)) actions += DrainAction.ProvisionReplacement(machine.key)
             }
 
             hasFailed(replacement, waitedUs) -> {
-                acts += DrainAct.GiveBack(replacement)
+                actions += DrainAction.Terminate(replacement)
                 set(machine.copy(replacement = null, failures = machine.failures + 1, sinceUs = nowUs))
                 if (machine.failures + 1 >= policy.replacementFailures) {
-                    acts +=
-                        DrainAct.Pause(
+                    actions +=
+                        DrainAction.Pause(
                             drain.name,
                             "${machine.failures + 1} replacements of ${machine.name} failed, the last was $replacement",
                         )
@@ -135,7 +135,7 @@
     ): Boolean {
         val condition = view.condition(replacement)
         return condition == MachineCondition.LOST || condition == MachineCondition.GONE || view.isFaulty(replacement) ||
-            (condition != MachineCondition.UP && waitedUs > LONGEST_BOOT_US)
+            (condition != MachineCondition.HEALTHY && waitedUs > MAX_BOOT_US)
     }
 
     /** It has completed a start; where there has been nothing to start for long, it is taken for good. */
@@ -143,13 +143,13 @@
         replacement: String,
         waitedUs: Long,
     ): Boolean =
-        view.condition(replacement) == MachineCondition.UP &&
+        view.condition(replacement) == MachineCondition.HEALTHY &&
             (view.tasksOn(replacement).any { it.running } || (waitedUs > IDLE_TRIAL_US && view.tasksOn(replacement).isEmpty()))
 
-    private fun pauseUs(failures: Int) = if (failures == 0) 0 else (FIRST_PAUSE_US shl minOf(failures - 1, MOST_DOUBLINGS))
+    private fun backoffUs(failures: Int) = if (failures == 0) 0 else (INITIAL_BACKOFF_US shl minOf(failures - 1, MAX_BACKOFF_DOUBLINGS))
 
     /** What another drain is emptying is left to it. */
-    private fun begunBy(drains: List<Drain>): Set<String> {
+    private fun machinesUnderWay(drains: List<Drain>): Set<String> {
         val names = drains.mapTo(HashSet()) { it.name }
         return state.machines.values
             .filter { it.drain in names && it.stage.isUnderWay }
@@ -159,16 +159,20 @@
     /** Takes up as many more machines as may be on their way out at once. */
     private fun begin(
         drain: Drain,
-        begun: Set<String>,
+        machinesUnderWay: Set<String>,
     ) {
         val all = machinesOf(drain)
-        val free = drain.atMost - all.count { it.stage.isUnderWay }
+        val free = drain.maxConcurrent - all.count { it.stage.isUnderWay }
         if (free <= 0) return
-        val waiting = all.filter { it.stage == Stage.WAITING && it.name !in begun && view.condition(it.name) == MachineCondition.UP }
+        val waiting =
+            all.filter {
+                it.stage == Stage.WAITING && it.name !in machinesUnderWay &&
+                    view.condition(it.name) == MachineCondition.HEALTHY
+            }
         waiting.sortedWith(order()).take(free).forEach { machine ->
             if (drain.replace) {
                 move(machine, Stage.PREPARING)
-                acts += DrainAct.HireLike(machine.key)
+                actions += DrainAction.ProvisionReplacement(machine.key)
             } else {
                 move(machine, Stage.CORDONED)
             }
@@ -181,7 +185,7 @@
         fun on(machine: DrainedMachine) = tasks.getOrPut(machine.name) { view.tasksOn(machine.name) }
         return compareBy<DrainedMachine> { on(it).isNotEmpty() }
             .thenBy { machine -> on(machine).maxOfOrNull { it.remainingUs / NEAR_END_US } ?: 0 }
-            .thenBy { machine -> on(machine).sumOf { it.lostUs } }
+            .thenBy { machine -> on(machine).sumOf { it.lostProgressUs } }
             .thenBy { it.name }
     }
 
@@ -190,7 +194,7 @@
         val names = drains.mapTo(HashSet()) { it.name }
         val cordoned =
             state.machines.values
-                .filter { it.drain in names && (it.stage == Stage.CORDONED || it.stage == Stage.EMPTYING) && isHeeded(it) }
+                .filter { it.drain in names && (it.stage == Stage.CORDONED || it.stage == Stage.EMPTYING) && isCordonEffective(it) }
                 .sortedWith(compareBy({ it.sinceUs }, { it.name }))
         if (cordoned.isEmpty()) return
         val check = BudgetCheck(policy, runningTasks(), hour, state.interruptions.values)
@@ -201,7 +205,7 @@
     private fun runningTasks(): Map<String, Int> {
         val running = HashMap(view.runningByTeam())
         for (interruption in state.interruptions.values) {
-            if (view.standing(interruption.task) is TaskStanding.Running) running.merge(interruption.team, -1, Int::plus)
+            if (view.execution(interruption.task) is TaskExecution.Running) running.merge(interruption.team, -1, Int::plus)
         }
         return running
     }
@@ -214,8 +218,8 @@
         val tasks = view.tasksOn(machine.name).filter { it.running }
         interrupted += tasks.filter { state.interruptions[it.task]?.attempt == it.attempt }
         // Least progress lost first: tasks that have saved.
-        for (task in tasks.filter { it.task !in state.interruptions && it.remainingUs > NEAR_END_US }.sortedBy { it.lostUs }) {
-            if (state.interruptions.size >= mostInterruptions || !check.take(task)) continue
+        for (task in tasks.filter { it.task !in state.interruptions && it.remainingUs > NEAR_END_US }.sortedBy { it.lostProgressUs }) {
+            if (state.interruptions.size >= maxInterruptions || !check.take(task)) continue
             val row = Interruption(task.task, task.attempt, task.team, InterruptionCause.DRAIN, nowUs)
             state = state.copy(interruptions = state.interruptions.put(task.task, row))
             interrupted += task
@@ -227,12 +231,12 @@
         /** A task that is expected to end within this time is waited for. */
         const val NEAR_END_US = 20 * SECOND
 
-        private const val HEEDED_US = 2 * SECOND
-        private const val LONGEST_BOOT_US = 300 * SECOND
+        private const val CORDON_PROPAGATION_US = 2 * SECOND
+        private const val MAX_BOOT_US = 300 * SECOND
 
         /** A replacement that nothing was started on for so long is taken for good. */
         private const val IDLE_TRIAL_US = 90 * SECOND
-        private const val FIRST_PAUSE_US = 30 * SECOND
-        private const val MOST_DOUBLINGS = 4
+        private const val INITIAL_BACKOFF_US = 30 * SECOND
+        private const val MAX_BACKOFF_DOUBLINGS = 4
     }
 }
--- a/src/main/kotlin/lichenstage/drain/DrainRecords.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainRecords.kt
@@ -24,7 +24,7 @@
     private val perPage = (valueBytes / ROW_BYTES).coerceAtLeast(1)
 
     /** How many interruptions the records hold, with room for tasks that fall on the pages unevenly. */
-    val mostInterruptions = perPage * INTERRUPTION_PAGES / 2
+    val maxInterruptions = perPage * INTERRUPTION_PAGES / 2
 
     /** The record of a drain. */
     fun encode(drain: Drain): JsonObject =
@@ -32,8 +32,8 @@
             .put(FORM, CURRENT_FORM)
             .put("status", drain.status.name)
             .put("replace", drain.replace)
-            .put("at_most", drain.atMost)
-            .put("asked", drain.askedUs)
+            .put("at_most", drain.maxConcurrent)
+            .put("asked", drain.requestedUs)
             .apply {
                 if (drain.reason != null) put("reason", drain.reason)
                 if (drain.deadlineUs != null) put("deadline", drain.deadlineUs)
@@ -45,10 +45,10 @@
             Drain(
                 name = entry.key.removePrefix(DRAINS),
                 replace = it.getBoolean("replace")!!,
-                atMost = it.getInteger("at_most")!!,
+                maxConcurrent = it.getInteger("at_most")!!,
                 status = DrainStatus.valueOf(it.getString("status")),
                 reason = it.getString("reason"),
-                askedUs = it.getLong("asked")!!,
+                requestedUs = it.getLong("asked")!!,
                 deadlineUs = it.getLong("deadline"),
             )
         }
--- a/src/main/kotlin/lichenstage/drain/DrainReport.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainReport.kt
@@ -9,7 +9,7 @@
 data class DrainReport(
     val drain: Drain,
     val stages: Map<Stage, Int>,
-    val underWay: List<DrainedMachine>,
+    val inProgress: List<DrainedMachine>,
     /** Jobs and tasks of each team that are interrupted now, by this or any other cause. */
     val interrupted: Map<String, List<Interruption>>,
     /** Its deadline has passed, or will have at the pace so far. */
@@ -22,10 +22,10 @@
             .put("status", drain.status.name.lowercase())
             .put("reason", drain.reason)
             .put("replace", drain.replace)
-            .put("at_most", drain.atMost)
+            .put("at_most", drain.maxConcurrent)
             .put("late", isLate)
             .put("stages", JsonObject(stages.entries.associate { it.key.name.lowercase() to it.value }))
-            .put("under_way", JsonArray(underWay.map(::json)))
+            .put("under_way", JsonArray(inProgress.map(::json)))
             .put("interrupted", JsonObject(interrupted.mapValues { (_, rows) -> json(rows) }))
 
     private fun json(machine: DrainedMachine) =
@@ -47,10 +47,10 @@
         val lines = ArrayList<String>()
         val why = drain.reason?.let { " ($it)" }.orEmpty()
         lines +=
-            "${drain.name}: ${drain.status.name.lowercase()}$why, at most ${drain.atMost} at once${if (drain.replace) ", replaced" else ""}"
+            "${drain.name}: ${drain.status.name.lowercase()}$why, at most ${drain.maxConcurrent} at once${if (drain.replace) ", replaced" else ""}"
         drain.deadlineUs?.let { lines += "  deadline ${time(it)}${if (isLate) ": it can't be kept" else ""}" }
         lines += "  " + stages.entries.joinToString { "${it.value} ${it.key.name.lowercase()}" }
-        for (machine in underWay) {
+        for (machine in inProgress) {
             val follower = machine.replacement?.let { ", followed by $it" }.orEmpty()
             val failures = if (machine.failures > 0) ", ${machine.failures} replacements failed" else ""
             lines += "  ${machine.name} ${machine.stage.name.lowercase()} since ${time(machine.sinceUs)}$follower$failures"
@@ -93,15 +93,15 @@
             val over = machines.count { it.stage.isOver }
             val left = machines.size - over
             if (left == 0) return false
-            val perMachineUs = (nowUs - drain.askedUs) / maxOf(over, 1)
+            val perMachineUs = (nowUs - drain.requestedUs) / maxOf(over, 1)
             return nowUs + (if (over == 0) 0 else perMachineUs * left) > deadlineUs
         }
 
         private fun time(us: Long): String = Instant.ofEpochSecond(us / SECOND).toString()
 
         /** The steps of a drain that is only planned: the leader takes idle machines first. */
-        fun planned(answer: DrainAnswer.Planned): String {
-            val steps = answer.machines.chunked(answer.request.atMost)
+        fun dryRunText(answer: DrainCommandResult.DryRun): String {
+            val steps = answer.machines.chunked(answer.request.maxConcurrent)
             val lines =
                 steps.mapIndexed {
                     i,
--- a/src/main/kotlin/lichenstage/drain/DrainTracing.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainTracing.kt
@@ -13,14 +13,14 @@
     private val open = LinkedHashMap<String, Span>()
 
     /** An act is about to be carried out. */
-    fun act(act: DrainAct) {
+    fun act(act: DrainAction) {
         val known = tracer ?: return
         when (act) {
-            is DrainAct.Interrupt -> note(known, "interrupt", null) { it.setAttribute("tasks", act.tasks.size.toLong()) }
-            is DrainAct.HireLike -> note(known, "hire", act.key.drain) { it.setAttribute("machine", act.key.machine) }
-            is DrainAct.GiveBack -> note(known, "give back", null) { it.setAttribute("machine", act.machine) }
-            is DrainAct.Pause -> end(known, act.drain, act.reason)
-            is DrainAct.Finish -> end(known, act.drain, "finished")
+            is DrainAction.EvictTasks -> note(known, "interrupt", null) { it.setAttribute("tasks", act.tasks.size.toLong()) }
+            is DrainAction.ProvisionReplacement -> note(known, "hire", act.key.drain) { it.setAttribute("machine", act.key.machine) }
+            is DrainAction.Terminate -> note(known, "give back", null) { it.setAttribute("machine", act.machine) }
+            is DrainAction.Pause -> end(known, act.drain, act.reason)
+            is DrainAction.Finish -> end(known, act.drain, "finished")
         }
     }
 
@@ -44,7 +44,7 @@
         tracer: Tracer,
         drain: String,
     ): Span {
-        if (open.size >= MOST_OPEN && drain !in open) open.remove(open.keys.first())?.end()
+        if (open.size >= MAX_OPEN_SPANS && drain !in open) open.remove(open.keys.first())?.end()
         return open.getOrPut(drain) { tracer.spanBuilder("drain").startSpan().also { it.setAttribute("drain", drain) } }
     }
 
@@ -58,6 +58,6 @@
     }
 
     private companion object {
-        const val MOST_OPEN = 32
+        const val MAX_OPEN_SPANS = 32
     }
 }
--- a/src/main/kotlin/lichenstage/drain/DrainTypes.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainTypes.kt
@@ -19,12 +19,12 @@
     /** Each machine is followed by a fresh one of its type, zone and kind, which has proven itself before the old one is emptied. */
     val replace: Boolean,
     /** Machines that are on their way out at once, at the most. */
-    val atMost: Int,
+    val maxConcurrent: Int,
     val status: DrainStatus,
     /** Why it is paused or cancelled. */
     val reason: String?,
     /** Times of day. */
-    val askedUs: Long,
+    val requestedUs: Long,
     val deadlineUs: Long?,
 )
 
@@ -115,11 +115,11 @@
     val sinceUs: Long,
 ) {
     /** The task runs as another attempt, or is over. */
-    fun isOver(standing: TaskStanding) =
-        when (standing) {
-            TaskStanding.Over -> true
-            is TaskStanding.Running -> standing.attempt != attempt
-            TaskStanding.Waiting -> false
+    fun isOver(execution: TaskExecution) =
+        when (execution) {
+            TaskExecution.Finished -> true
+            is TaskExecution.Running -> execution.attempt != attempt
+            TaskExecution.NotRunning -> false
         }
 }
 
@@ -140,16 +140,16 @@
     /** How long it is expected to go on. */
     val remainingUs: Long,
     /** Progress that is lost where it is stopped now. */
-    val lostUs: Long,
+    val lostProgressUs: Long,
 )
 
 /** How a machine stands. */
 enum class MachineCondition {
     /** It has shown its partition's token, reports, and is recorded. */
-    UP,
+    HEALTHY,
 
     /** Nothing was heard of it yet, or it is silent. */
-    UNHEARD,
+    UNCONFIRMED,
 
     /** Its lease has run out. */
     LOST,
@@ -162,22 +162,22 @@
 }
 
 /** Where a task stands, as far as an interruption of it goes. */
-sealed interface TaskStanding {
+sealed interface TaskExecution {
     /** It is done, or its job is. */
-    data object Over : TaskStanding
+    data object Finished : TaskExecution
 
     /** It runs as this attempt. */
     data class Running(
         val attempt: Long,
-    ) : TaskStanding
+    ) : TaskExecution
 
-    data object Waiting : TaskStanding
+    data object NotRunning : TaskExecution
 }
 
 /** What drains see of the cluster, as its leader knows it. */
 interface DrainView {
     /** The leader knows of every machine what runs on it. */
-    val complete: Boolean
+    val isComplete: Boolean
 
     /** How a machine stands. */
     fun condition(machine: String): MachineCondition
@@ -186,7 +186,7 @@
     fun tasksOn(machine: String): List<RunningTask>
 
     /** Where a task stands. */
-    fun standing(task: TaskId): TaskStanding
+    fun execution(task: TaskId): TaskExecution
 
     /** How many tasks of each team run. */
     fun runningByTeam(): Map<String, Int>
@@ -196,30 +196,30 @@
 }
 
 /** What drains ask for, once what it rests on is recorded. */
-sealed interface DrainAct {
+sealed interface DrainAction {
     /** Stop these tasks, with time to save where they can. */
-    data class Interrupt(
+    data class EvictTasks(
         val tasks: List<RunningTask>,
-    ) : DrainAct
+    ) : DrainAction
 
     /** Hire a machine to follow this one. */
-    data class HireLike(
+    data class ProvisionReplacement(
         val key: DrainKey,
-    ) : DrainAct
+    ) : DrainAction
 
     /** Give a machine back. */
-    data class GiveBack(
+    data class Terminate(
         val machine: String,
-    ) : DrainAct
+    ) : DrainAction
 
     /** The drain goes no further by itself. */
     data class Pause(
         val drain: String,
         val reason: String,
-    ) : DrainAct
+    ) : DrainAction
 
     /** All machines of the drain are gone. */
     data class Finish(
         val drain: String,
-    ) : DrainAct
+    ) : DrainAction
 }
--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -62,7 +62,7 @@
             partition.machines.values.forEach { fleet.addMachine(it.name, it.typeName, zone, it.spot, now) }
         }
         fleet.terminate(core.machinesToFence())
-        val excludedMachines = drains()?.uncounted.orEmpty()
+        val excludedMachines = drains()?.excludedFromCapacity.orEmpty()
         fleet.observe(observer.observe(excludedMachines, now), now)
         cordon()
         if (log.isDebugEnabled && now - describedUs >= DESCRIBE_INTERVAL_US) {
@@ -109,7 +109,7 @@
         val request = message.request
         val machines = fleet.provisionAnswered(request, message.result, now)
         if (machines.isEmpty()) return
-        replacementKeys.remove(fleet.replacementIdOf(request))?.let { drains()?.hired(it, machines.first()) }
+        replacementKeys.remove(fleet.replacementIdOf(request))?.let { drains()?.replacementProvisioned(it, machines.first()) }
         log.info("Machines provisioned count={} type={} zone={} machines={}", machines.size, request.typeName, request.zone, machines)
     }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -16,12 +16,12 @@
 import lichenstage.common.Mailbox
 import lichenstage.common.timeOfDayUs
 import lichenstage.config.Settings
+import lichenstage.drain.DrainActionHandler
 import lichenstage.drain.DrainDriver
-import lichenstage.drain.DrainHands
 import lichenstage.drain.DrainKey
 import lichenstage.drain.DrainPolicy
+import lichenstage.drain.DrainRecordAccess
 import lichenstage.drain.DrainRecords
-import lichenstage.drain.DrainStore
 import lichenstage.drain.DrainTracing
 import lichenstage.drain.RunningTask
 import lichenstage.fleet.FleetPolicy
@@ -120,20 +120,30 @@
         leaderKeyRevision: Long,
     ): DrainDriver {
         val view = LeaderDrainView(core, clock::now)
-        val access = DrainStore(state, owned, listOf(Precondition(Authority.LEADER, leaderKeyRevision)), settings.txnOps, state::scan)
+        val access =
+            DrainRecordAccess(state, owned, listOf(Precondition(Authority.LEADER, leaderKeyRevision)), settings.txnOps, state::scan)
         core.taskStopped = { drains?.taskStopped(LeaderDrainView.failure(it, timeOfDayUs())) }
-        return DrainDriver(policy, view, DrainRecords(settings.valueBytes), access, hands(view), DrainTracing(), scope, ::timeOfDayUs) {
+        return DrainDriver(
+            policy,
+            view,
+            DrainRecords(settings.valueBytes),
+            access,
+            drainActions(view),
+            DrainTracing(),
+            scope,
+            ::timeOfDayUs,
+        ) {
             mailbox.tell(LeaderMessage.DrainEvent(it))
         }
     }
 
-    private fun hands(view: LeaderDrainView) =
-        object : DrainHands {
-            override fun interrupt(tasks: List<RunningTask>) = core.interrupt(view.attemptsOf(tasks))
+    private fun drainActions(view: LeaderDrainView) =
+        object : DrainActionHandler {
+            override fun evict(tasks: List<RunningTask>) = core.interrupt(view.attemptsOf(tasks))
 
-            override fun hireLike(key: DrainKey) = fleet.requestReplacement(key)
+            override fun provisionReplacement(key: DrainKey) = fleet.requestReplacement(key)
 
-            override fun giveBack(machine: String) = fleet.terminate(machine)
+            override fun terminate(machine: String) = fleet.terminate(machine)
         }
 
     /** How many jobs are open, for the metrics. */
--- a/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
@@ -6,24 +6,24 @@
 import lichenstage.drain.InterruptionCause
 import lichenstage.drain.MachineCondition
 import lichenstage.drain.RunningTask
+import lichenstage.drain.TaskExecution
 import lichenstage.drain.TaskId
-import lichenstage.drain.TaskStanding
 
 /** What the leader knows, as drains see it. */
 class LeaderDrainView(
     private val core: LeaderCore,
     private val now: () -> Long,
 ) : DrainView {
-    override val complete get() = core.failoverComplete
+    override val isComplete get() = core.failoverComplete
 
     override fun condition(machine: String): MachineCondition {
         if (core.isRetired(machine)) return MachineCondition.GONE
         val known = core.machine(machine)
         return when {
-            known == null -> if (core.isRegistered(machine)) MachineCondition.UNHEARD else MachineCondition.ABSENT
+            known == null -> if (core.isRegistered(machine)) MachineCondition.UNCONFIRMED else MachineCondition.ABSENT
             known.lost -> MachineCondition.LOST
-            known.settled && !known.silent && core.isRegistered(machine) -> MachineCondition.UP
-            else -> MachineCondition.UNHEARD
+            known.settled && !known.silent && core.isRegistered(machine) -> MachineCondition.HEALTHY
+            else -> MachineCondition.UNCONFIRMED
         }
     }
 
@@ -37,7 +37,7 @@
                 ?.tasks
                 .orEmpty()
                 .filter { it.phase != TaskPhase.ENDED && it.attempt !in counted }
-                .map { RunningTask(TaskId(it.job, it.index), it.attempt, "", "", running = false, remainingUs = 0, lostUs = 0) }
+                .map { RunningTask(TaskId(it.job, it.index), it.attempt, "", "", running = false, remainingUs = 0, lostProgressUs = 0) }
         return attempts.map(::seen) + others
     }
 
@@ -50,16 +50,16 @@
             spec.jobClass,
             running = attempt.phase == TaskPhase.RUNNING,
             remainingUs = core.remainingUs(attempt, now()),
-            lostUs = if (spec.checkpointIntervalUs > 0) spec.checkpointSaveUs else attempt.progressUs(now()),
+            lostProgressUs = if (spec.checkpointIntervalUs > 0) spec.checkpointSaveUs else attempt.progressUs(now()),
         )
     }
 
-    override fun standing(task: TaskId): TaskStanding {
+    override fun execution(task: TaskId): TaskExecution {
         val job = core.jobs[task.job]
-        if (job == null || job.phase == JobPhase.CLOSED || job.done.get(task.index)) return TaskStanding.Over
+        if (job == null || job.phase == JobPhase.CLOSED || job.done.get(task.index)) return TaskExecution.Finished
         val attempt = job.liveAttempts.get(task.index)
         val runs = attempt != null && (attempt.phase == TaskPhase.RUNNING || attempt.phase == TaskPhase.SAVING)
-        return if (runs) TaskStanding.Running(attempt.number) else TaskStanding.Waiting
+        return if (runs) TaskExecution.Running(attempt.number) else TaskExecution.NotRunning
     }
 
     override fun runningByTeam() = core.runningByTeam()
--- a/src/test/kotlin/lichenstage/drain/DrainCoreTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainCoreTest.kt
@@ -24,11 +24,11 @@
 
     private fun drain(
         name: String = "d",
-        atMost: Int = 1,
+        maxConcurrent: Int = 1,
         replace: Boolean = false,
         status: DrainStatus = DrainStatus.RUNNING,
-        askedUs: Long = 0,
-    ) = Drain(name, replace, atMost, status, null, askedUs, null)
+        requestedUs: Long = 0,
+    ) = Drain(name, replace, maxConcurrent, status, null, requestedUs, null)
 
     private fun machines(
         vararg names: String,
@@ -39,12 +39,12 @@
     private fun DrainCore.go(
         afterS: Long = 3,
         hour: Int = 12,
-    ): List<DrainAct> {
+    ): List<DrainAction> {
         nowUs += afterS * SECOND
-        return if (step(nowUs, hour) == null) emptyList() else recorded(true)
+        return if (step(nowUs, hour) == null) emptyList() else stateRecorded(true)
     }
 
-    private fun List<DrainAct>.interrupted() = filterIsInstance<DrainAct.Interrupt>().flatMap { it.tasks }.map { it.task }
+    private fun List<DrainAction>.interrupted() = filterIsInstance<DrainAction.EvictTasks>().flatMap { it.tasks }.map { it.task }
 
     private fun DrainCore.stage(
         machine: String,
@@ -58,7 +58,7 @@
         cluster.machine("m3", task(3, remainingS = 30))
         cluster.machine("m4")
         val core = core(DrainPolicy(DisruptionBudget(jobs = 0)))
-        core.asked(listOf(drain()), machines("m1", "m2", "m3", "m4"))
+        core.updateDrains(listOf(drain()), machines("m1", "m2", "m3", "m4"))
         val order = ArrayList<String>()
         repeat(60) {
             core.go()
@@ -68,20 +68,20 @@
             }
         }
         assertEquals(listOf("m4", "m3", "m2", "m1"), order) { "$order" }
-        assertTrue(core.go().none { it is DrainAct.Interrupt }) { "interrupted" }
+        assertTrue(core.go().none { it is DrainAction.EvictTasks }) { "interrupted" }
     }
 
     @Example
     fun `an interruption is recorded before its task is stopped, and nothing is done where that fails`() {
         cluster.machine("m1", task(1))
         val core = core()
-        core.asked(listOf(drain()), machines("m1"))
+        core.updateDrains(listOf(drain()), machines("m1"))
         core.go()
         nowUs += 3 * SECOND
         val next = core.step(nowUs, 12)!!
         assertTrue(TaskId("j-1", 0) in next.interruptions && core.state.interruptions.isEmpty()) { "$next" }
         assertNull(core.step(nowUs, 12)) { "a step while one is being recorded" }
-        assertTrue(core.recorded(false).isEmpty() && core.state.interruptions.isEmpty()) { "done without a record" }
+        assertTrue(core.stateRecorded(false).isEmpty() && core.state.interruptions.isEmpty()) { "done without a record" }
         assertEquals(listOf(TaskId("j-1", 0)), core.go().interrupted()) { "not tried again" }
     }
 
@@ -90,11 +90,11 @@
         cluster.machine("m1", task(1))
         cluster.machine("m2", task(2))
         val core = core()
-        core.asked(listOf(drain(atMost = 2)), machines("m1", "m2"))
+        core.updateDrains(listOf(drain(maxConcurrent = 2)), machines("m1", "m2"))
         val failed = task(3)
         cluster.machine("m3", failed)
         cluster.stop(failed.task)
-        core.lost(Interruption(failed.task, failed.attempt, "red", InterruptionCause.FAILURE, nowUs))
+        core.taskLost(Interruption(failed.task, failed.attempt, "red", InterruptionCause.FAILURE, nowUs))
         repeat(3) { assertTrue(core.go().interrupted().isEmpty()) { "beside a job that failed" } }
         cluster.restart("m3", failed, 2)
         core.go()
@@ -110,10 +110,10 @@
     fun `nothing is interrupted while any of thousands of lost tasks waits`() {
         cluster.machine("m1", task(1))
         val core = core()
-        core.asked(listOf(drain()), machines("m1"))
+        core.updateDrains(listOf(drain()), machines("m1"))
         val failed = List(2_500) { task(2 + it) }
         failed.forEach { cluster.waiting += it.task }
-        failed.forEach { core.lost(Interruption(it.task, it.attempt, "red", InterruptionCause.FAILURE, nowUs)) }
+        failed.forEach { core.taskLost(Interruption(it.task, it.attempt, "red", InterruptionCause.FAILURE, nowUs)) }
         repeat(3) { assertTrue(core.go().interrupted().isEmpty()) { "beside all of them" } }
         cluster.waiting.retainAll(setOf(failed.last().task))
         repeat(5) { assertTrue(core.go().interrupted().isEmpty()) { "beside the last of them" } }
@@ -127,7 +127,7 @@
         cluster.machine("m1", task(1))
         cluster.machine("m2", task(2))
         val before = core()
-        before.asked(listOf(drain(atMost = 2)), machines("m1", "m2"))
+        before.updateDrains(listOf(drain(maxConcurrent = 2)), machines("m1", "m2"))
         before.go()
         nowUs += 3 * SECOND
         val announced =
@@ -138,7 +138,7 @@
         val next = DrainState(before.state.machines, before.state.interruptions)
         val recorded = next.copy(interruptions = mapOf(announced to row(announced)).toPersistentMap())
         val core = core(state = recorded)
-        core.asked(listOf(drain(atMost = 2)), emptyList())
+        core.updateDrains(listOf(drain(maxConcurrent = 2)), emptyList())
         assertEquals(listOf(announced), core.go().interrupted()) { "not stopped again, or another one besides" }
     }
 
@@ -148,16 +148,16 @@
     fun `a budget that is changed while a drain goes on holds from then on, for what is interrupted already too`() {
         listOf("m1", "m2", "m3", "m4").forEachIndexed { i, name -> cluster.machine(name, task(i)) }
         val before = core(DrainPolicy(DisruptionBudget(jobs = 2)))
-        before.asked(listOf(drain(atMost = 4)), machines("m1", "m2", "m3", "m4"))
+        before.updateDrains(listOf(drain(maxConcurrent = 4)), machines("m1", "m2", "m3", "m4"))
         before.go()
         val first = before.go().interrupted()
         assertEquals(2, first.size) { "$first" }
         first.forEach(cluster::stop)
         val tighter = core(DrainPolicy(DisruptionBudget(jobs = 1)), before.state)
-        tighter.asked(listOf(drain(atMost = 4)), emptyList())
+        tighter.updateDrains(listOf(drain(maxConcurrent = 4)), emptyList())
         repeat(3) { assertTrue(tighter.go().interrupted().isEmpty()) { "beside two" } }
         val looser = core(DrainPolicy(DisruptionBudget(jobs = 3)), tighter.state)
-        looser.asked(listOf(drain(atMost = 4)), emptyList())
+        looser.updateDrains(listOf(drain(maxConcurrent = 4)), emptyList())
         assertEquals(1, looser.go().interrupted().size) { "not one more" }
     }
 
@@ -166,7 +166,7 @@
         cluster.machine("m1", task(1, remainingS = 10), task(2, jobClass = "invoices"))
         val budget = DisruptionBudget(jobs = 5, hours = Hours(22, 6), neverClasses = setOf("invoices"))
         val core = core(DrainPolicy(budget))
-        core.asked(listOf(drain()), machines("m1"))
+        core.updateDrains(listOf(drain()), machines("m1"))
         repeat(3) { assertTrue(core.go(hour = 23).interrupted().isEmpty()) { "interrupted" } }
         cluster.tasks.getValue("m1") += task(3)
         assertTrue(core.go(hour = 12).interrupted().isEmpty()) { "out of hours" }
@@ -178,7 +178,7 @@
         val tasks = (0 until 10).map { task(1, it) }
         cluster.machine("m1", *tasks.toTypedArray())
         val core = core(DrainPolicy(DisruptionBudget(share = 0.25)))
-        core.asked(listOf(drain()), machines("m1"))
+        core.updateDrains(listOf(drain()), machines("m1"))
         core.go()
         val first = core.go().interrupted()
         assertEquals(2, first.size) { "$first" }
@@ -194,12 +194,12 @@
     fun `a machine is emptied only once another has taken its place and completed a start`() {
         cluster.machine("m1", task(1))
         val core = core()
-        core.asked(listOf(drain(replace = true)), machines("m1"))
-        assertEquals(listOf(DrainAct.HireLike(DrainKey("d", "m1"))), core.go()) { "no machine asked for" }
+        core.updateDrains(listOf(drain(replace = true)), machines("m1"))
+        assertEquals(listOf(DrainAction.ProvisionReplacement(DrainKey("d", "m1"))), core.go()) { "no machine asked for" }
         repeat(5) { assertTrue(core.go().isEmpty() && core.cordoned.isEmpty()) { "asked twice, or cordoned" } }
-        core.hired(DrainKey("d", "m1"), "n1")
+        core.replacementProvisioned(DrainKey("d", "m1"), "n1")
         core.go()
-        assertTrue(core.onProbation == setOf("n1") && core.spare == setOf("n1")) { "${core.onProbation}" }
+        assertTrue(core.onProbation == setOf("n1") && core.surplusReplacements == setOf("n1")) { "${core.onProbation}" }
         cluster.machine("n1")
         core.go()
         assertTrue(core.cordoned.isEmpty()) { "cordoned before the other has started anything" }
@@ -208,7 +208,7 @@
         assertTrue(core.cordoned == setOf("m1") && core.onProbation.isEmpty()) { "${core.cordoned}" }
         assertEquals(listOf(TaskId("j-1", 0)), core.go().interrupted()) { "not emptied" }
         cluster.stop(TaskId("j-1", 0))
-        assertTrue(DrainAct.GiveBack("m1") in core.go()) { "not given back" }
+        assertTrue(DrainAction.Terminate("m1") in core.go()) { "not given back" }
         cluster.conditions["m1"] = MachineCondition.GONE
         core.go()
         assertEquals(Stage.REPLACED, core.stage("m1")) { "${core.stage("m1")}" }
@@ -218,21 +218,21 @@
     fun `replacements that fail are given back and asked for with a growing pause, and then the drain pauses by itself`() {
         cluster.machine("m1", task(1))
         val core = core(DrainPolicy(replacementFailures = 3))
-        core.asked(listOf(drain(replace = true)), machines("m1"))
+        core.updateDrains(listOf(drain(replace = true)), machines("m1"))
         val asked = ArrayList<Long>()
-        var pause: DrainAct.Pause? = null
+        var pause: DrainAction.Pause? = null
         repeat(1_000) {
             for (act in core.go()) {
-                if (act is DrainAct.HireLike) {
+                if (act is DrainAction.ProvisionReplacement) {
                     asked += nowUs
-                    core.hired(act.key, "n${asked.size}")
+                    core.replacementProvisioned(act.key, "n${asked.size}")
                     cluster.machine("n${asked.size}")
                     cluster.faulty += "n${asked.size}"
                 }
-                if (act is DrainAct.GiveBack) assertTrue(act.machine.startsWith("n")) { "$act" }
-                if (act is DrainAct.Pause && pause == null) pause = act
+                if (act is DrainAction.Terminate) assertTrue(act.machine.startsWith("n")) { "$act" }
+                if (act is DrainAction.Pause && pause == null) pause = act
             }
-            pause?.let { core.asked(listOf(drain(replace = true, status = DrainStatus.PAUSED)), emptyList()) }
+            pause?.let { core.updateDrains(listOf(drain(replace = true, status = DrainStatus.PAUSED)), emptyList()) }
         }
         assertTrue(asked.size == 3 && asked[2] - asked[1] > asked[1] - asked[0]) { "asked at $asked" }
         assertEquals(true, pause?.reason?.contains("n3")) { "$pause" }
@@ -243,13 +243,15 @@
     fun `one that never comes up counts as failed, and a refused hire is waited for`() {
         cluster.machine("m1", task(1))
         val core = core()
-        core.asked(listOf(drain(replace = true)), machines("m1"))
+        core.updateDrains(listOf(drain(replace = true)), machines("m1"))
         core.go()
         repeat(150) { assertTrue(core.go().isEmpty()) { "did something without a machine" } }
-        core.hired(DrainKey("d", "m1"), "n1")
+        core.replacementProvisioned(DrainKey("d", "m1"), "n1")
         core.go()
-        val acts = (1..150).flatMap { core.go() }
-        assertTrue(acts.first() == DrainAct.GiveBack("n1") && acts.count { it is DrainAct.HireLike } == 1) { "$acts" }
+        val actions = (1..150).flatMap { core.go() }
+        assertTrue(
+            actions.first() == DrainAction.Terminate("n1") && actions.count { it is DrainAction.ProvisionReplacement } == 1,
+        ) { "$actions" }
     }
 
     @Example
@@ -257,8 +259,8 @@
         cluster.machine("m1")
         cluster.machine("m2", task(1))
         val core = core()
-        core.asked(
-            listOf(drain("late", askedUs = 2), drain("early", askedUs = 1)),
+        core.updateDrains(
+            listOf(drain("late", requestedUs = 2), drain("early", requestedUs = 1)),
             machines("m1", drain = "early") + machines("m1", "m2", drain = "late"),
         )
         core.go()
@@ -268,26 +270,26 @@
         cluster.conditions["m1"] = MachineCondition.GONE
         core.go()
         assertTrue(core.stage("m1", "early") == Stage.GONE && core.stage("m1", "late") == Stage.GONE) { "${core.state.machines}" }
-        assertTrue(core.go().none { it is DrainAct.Finish }) { "asked to finish twice" }
+        assertTrue(core.go().none { it is DrainAction.Finish }) { "asked to finish twice" }
     }
 
     @Example
     fun `a machine that is lost before it is empty is told as failed, and a drain that is over is finished once`() {
         cluster.machine("m1", task(1, remainingS = 10))
         val core = core()
-        core.asked(listOf(drain()), machines("m1"))
+        core.updateDrains(listOf(drain()), machines("m1"))
         core.go()
         cluster.conditions["m1"] = MachineCondition.LOST
-        val acts = (1..5).flatMap { core.go() }
-        assertTrue(core.stage("m1") == Stage.FAILED && acts == listOf(DrainAct.Finish("d"))) { "$acts" }
+        val actions = (1..5).flatMap { core.go() }
+        assertTrue(core.stage("m1") == Stage.FAILED && actions == listOf(DrainAction.Finish("d"))) { "$actions" }
     }
 
     @Example
     fun `nothing is done while machines of an earlier leader are not accounted for`() {
         cluster.machine("m1")
-        cluster.complete = false
+        cluster.isComplete = false
         val core = core()
-        core.asked(listOf(drain()), machines("m1"))
+        core.updateDrains(listOf(drain()), machines("m1"))
         assertNull(core.step(nowUs, 0)) { "a step of a leader that knows too little" }
     }
 
@@ -317,7 +319,7 @@
             cluster.machine("m$m", *tasks.map { it.copy(task = TaskId("${it.task.job}-${it.team}", it.task.index)) }.toTypedArray())
         }
         val core = core(policy)
-        core.asked(listOf(drain(atMost = 1 + random.nextInt(6))), machines("m0", "m1", "m2", "m3", "m4", "m5"))
+        core.updateDrains(listOf(drain(maxConcurrent = 1 + random.nextInt(6))), machines("m0", "m1", "m2", "m3", "m4", "m5"))
         repeat(40) {
             core.go().interrupted().forEach { if (random.nextInt(3) > 0) cluster.stop(it) }
             val red =
--- a/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
@@ -36,26 +36,26 @@
         fun scan(prefix: String) = ScanResult.Complete(entries.values.filter { it.key.startsWith(prefix) }.sortedBy { it.key }, revision)
     }
 
-    private class Hands : DrainHands {
+    private class RecordedActions : DrainActionHandler {
         val interrupted = ArrayList<TaskId>()
         val hired = ArrayList<DrainKey>()
-        val givenBack = ArrayList<String>()
+        val terminated = ArrayList<String>()
 
-        override fun interrupt(tasks: List<RunningTask>) {
+        override fun evict(tasks: List<RunningTask>) {
             interrupted += tasks.map { it.task }
         }
 
-        override fun hireLike(key: DrainKey) {
+        override fun provisionReplacement(key: DrainKey) {
             hired += key
         }
 
-        override fun giveBack(machine: String) {
-            givenBack += machine
+        override fun terminate(machine: String) {
+            terminated += machine
         }
     }
 
     private val store = Records()
-    private val hands = Hands()
+    private val actions = RecordedActions()
     private val cluster = FakeCluster()
     private val records = DrainRecords(2_048)
     private val scope = TestScope()
@@ -67,9 +67,9 @@
 
     private fun driver(): DrainDriver {
         val guard = listOf(Precondition("c/leader", store.entries.getValue("c/leader").modRevision))
-        val access = DrainStore(store, SingleWriterKeys(store), guard, 4) { store.scan(it) }
+        val access = DrainRecordAccess(store, SingleWriterKeys(store), guard, 4) { store.scan(it) }
         lateinit var driver: DrainDriver
-        driver = DrainDriver(DrainPolicy(), cluster, records, access, hands, DrainTracing(), scope, { now }) { driver.handle(it) }
+        driver = DrainDriver(DrainPolicy(), cluster, records, access, actions, DrainTracing(), scope, { now }) { driver.handle(it) }
         return driver
     }
 
@@ -110,9 +110,9 @@
         val driver = driver()
         driver.run(2)
         assertTrue(stages("d") == mapOf("m1" to Stage.CORDONED) && driver.cordoned == setOf("m1")) { "${stages("d")}" }
-        assertTrue(hands.givenBack.isEmpty()) { "given back before all know that it is cordoned" }
+        assertTrue(actions.terminated.isEmpty()) { "given back before all know that it is cordoned" }
         driver.run(3)
-        assertTrue(stages("d") == mapOf("m1" to Stage.EMPTIED) && "m1" in hands.givenBack) { "${stages("d")} ${hands.givenBack}" }
+        assertTrue(stages("d") == mapOf("m1" to Stage.EMPTIED) && "m1" in actions.terminated) { "${stages("d")} ${actions.terminated}" }
         cluster.conditions["m1"] = MachineCondition.GONE
         driver.run(6)
         assertTrue(stages("d").getValue("m1") == Stage.GONE && status("d") == "FINISHED") { "${stages("d")} ${status("d")}" }
--- a/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
@@ -85,10 +85,10 @@
     private fun request(
         selection: DrainSelection = DrainSelection(typeName = "g"),
         replace: Boolean = false,
-        atMost: Int = 2,
+        maxConcurrent: Int = 2,
         dryRun: Boolean = false,
         name: String = "spring",
-    ) = DrainRequest(name, selection, replace, atMost, null, dryRun)
+    ) = DrainRequest(name, selection, replace, maxConcurrent, null, dryRun)
 
     private fun start(request: DrainRequest) = runBlocking { operations.start(request) }
 
@@ -104,51 +104,55 @@
                 request(DrainSelection(zone = "moon")) to "--zone moon: no zone of this deployment",
                 request(DrainSelection(typeName = "x")) to "--type x: no machine of this type is recorded",
                 request(DrainSelection(setOf("vm-001"), typeName = "g")) to "no recorded machine is selected",
-                request(atMost = 0) to "--at-most 0: at least 1 is needed",
+                request(maxConcurrent = 0) to "--at-most 0: at least 1 is needed",
                 request(name = "a/b") to "a/b: a name of letters, digits and dashes is needed",
                 request(DrainSelection(zone = "y")) to "--zone y: jobs are bound to it, and no machine would be left: --replace is needed",
             )
-        for ((request, why) in refusals) assertEquals(DrainAnswer.Refused(why), start(request)) { "${start(request)}, not $why" }
+        for ((request, why) in refusals) assertEquals(DrainCommandResult.Rejected(why), start(request)) { "${start(request)}, not $why" }
         assertEquals(before + 1, store.revision) { "something was written" }
-        assertTrue(start(request(DrainSelection(zone = "y"), replace = true)) is DrainAnswer.Shown) { "refused with --replace" }
+        assertTrue(start(request(DrainSelection(zone = "y"), replace = true)) is DrainCommandResult.Status) { "refused with --replace" }
     }
 
     @Example
     fun `machines are selected by name, type, zone, kind and the order of hiring`() {
-        fun planned(selection: DrainSelection) = (start(request(selection, dryRun = true)) as DrainAnswer.Planned).machines.map { it.name }
+        fun planned(selection: DrainSelection) =
+            (start(request(selection, dryRun = true)) as DrainCommandResult.DryRun).machines.map { it.name }
         val before = store.revision
         assertEquals(listOf("vm-007"), planned(DrainSelection(setOf("vm-007")))) { "by name" }
         assertEquals(50, planned(DrainSelection(typeName = "g", zone = "y")).size) { "by type and zone" }
         assertTrue(planned(DrainSelection(spot = true)).size == 100 && planned(DrainSelection(spot = false)).size == 200) { "by kind" }
-        assertEquals("vm-010", planned(DrainSelection(hiredUpTo = "vm-010")).last()) { "by order" }
+        assertEquals("vm-010", planned(DrainSelection(provisionedUpTo = "vm-010")).last()) { "by order" }
         assertEquals(before, store.revision) { "a dry run writes" }
-        val text = DrainReport.planned(start(request(DrainSelection(hiredUpTo = "vm-003"), dryRun = true)) as DrainAnswer.Planned)
+        val text =
+            DrainReport.dryRunText(
+                start(request(DrainSelection(provisionedUpTo = "vm-003"), dryRun = true)) as DrainCommandResult.DryRun,
+            )
         assertTrue(text.lines().size == 3 && text.lines().last() == "step 2: vm-003 (h, z)") { text }
     }
 
     @Example
     fun `a drain that was asked for half is asked for again under its name, and is there once`() {
         store.answered = 1
-        assertEquals(DrainAnswer.Unavailable, start(request())) { "told as done" }
+        assertEquals(DrainCommandResult.Unavailable, start(request())) { "told as done" }
         assertTrue(store.entries.keys.none { it.startsWith(DrainRecords.DRAINS) }) { "there without its machines" }
         store.answered = Int.MAX_VALUE
-        val shown = start(request()) as DrainAnswer.Shown
+        val shown = start(request()) as DrainCommandResult.Status
         assertEquals(mapOf(Stage.WAITING to 150), shown.reports.single().stages) { "${shown.reports.single().stages}" }
         val revision = store.revision
-        assertTrue(start(request()) is DrainAnswer.Shown && store.revision == revision) { "a repeat writes" }
-        assertTrue(start(request(atMost = 7)) is DrainAnswer.Refused) { "another drain under the same name" }
+        assertTrue(start(request()) is DrainCommandResult.Status && store.revision == revision) { "a repeat writes" }
+        assertTrue(start(request(maxConcurrent = 7)) is DrainCommandResult.Rejected) { "another drain under the same name" }
         store.away = true
-        assertEquals(DrainAnswer.Unavailable, start(request())) { "decided without the state service" }
+        assertEquals(DrainCommandResult.Unavailable, start(request())) { "decided without the state service" }
     }
 
     @Example
     fun `a drain is paused, resumed and cancelled, and one that is over stays so`() {
         start(request())
 
-        fun change(to: DrainStatus) = runBlocking { operations.change("spring", to) }
+        fun change(to: DrainStatus) = runBlocking { operations.changeStatus("spring", to) }
 
-        fun status(answer: DrainAnswer) =
-            (answer as? DrainAnswer.Shown)
+        fun status(answer: DrainCommandResult) =
+            (answer as? DrainCommandResult.Status)
                 ?.reports
                 ?.single()
                 ?.drain
@@ -156,14 +160,14 @@
         assertEquals(DrainStatus.PAUSED, status(change(DrainStatus.PAUSED))) { "not paused" }
         assertEquals(DrainStatus.RUNNING, status(change(DrainStatus.RUNNING))) { "not resumed" }
         assertEquals(DrainStatus.CANCELLED, status(change(DrainStatus.CANCELLED))) { "not cancelled" }
-        assertEquals(DrainAnswer.Refused("spring: it is cancelled"), change(DrainStatus.RUNNING)) { "resumed after its end" }
+        assertEquals(DrainCommandResult.Rejected("spring: it is cancelled"), change(DrainStatus.RUNNING)) { "resumed after its end" }
         assertEquals(
-            DrainAnswer.Refused("autumn: there is no such drain"),
+            DrainCommandResult.Rejected("autumn: there is no such drain"),
             runBlocking {
-                operations.change("autumn", DrainStatus.PAUSED)
+                operations.changeStatus("autumn", DrainStatus.PAUSED)
             },
         ) { "unknown" }
-        val json = (runBlocking { operations.show(null) } as DrainAnswer.Shown).reports.single().json()
+        val json = (runBlocking { operations.status(null) } as DrainCommandResult.Status).reports.single().json()
         assertTrue(json.getString("status") == "cancelled" && json.getJsonObject("stages").getInteger("waiting") == 150) { json.encode() }
     }
 
--- a/src/test/kotlin/lichenstage/drain/FakeCluster.kt
+++ b/src/test/kotlin/lichenstage/drain/FakeCluster.kt
@@ -4,7 +4,7 @@
 
 /** A cluster as drains see it, set by hand. */
 internal class FakeCluster : DrainView {
-    override var complete = true
+    override var isComplete = true
     val conditions = HashMap<String, MachineCondition>()
     val tasks = HashMap<String, MutableList<RunningTask>>()
     val waiting = HashSet<TaskId>()
@@ -14,7 +14,7 @@
         name: String,
         vararg running: RunningTask,
     ) {
-        conditions[name] = MachineCondition.UP
+        conditions[name] = MachineCondition.HEALTHY
         tasks[name] = running.toMutableList()
     }
 
@@ -38,12 +38,12 @@
 
     override fun tasksOn(machine: String) = tasks[machine].orEmpty()
 
-    override fun standing(task: TaskId): TaskStanding {
+    override fun execution(task: TaskId): TaskExecution {
         val running = tasks.values.flatten().firstOrNull { it.task == task }
         return when {
-            running != null -> TaskStanding.Running(running.attempt)
-            task in waiting -> TaskStanding.Waiting
-            else -> TaskStanding.Over
+            running != null -> TaskExecution.Running(running.attempt)
+            task in waiting -> TaskExecution.NotRunning
+            else -> TaskExecution.Finished
         }
     }
 
--- a/src/test/kotlin/lichenstage/world/DrainMeasure.kt
+++ b/src/test/kotlin/lichenstage/world/DrainMeasure.kt
@@ -28,7 +28,7 @@
 private class Way(
     val name: String,
     val budget: DisruptionBudget,
-    val atMost: Int,
+    val maxConcurrent: Int,
 )
 
 private val SIZES = listOf(100, 400, 1_600)
@@ -66,7 +66,7 @@
     val jobs = machines * 4 / 3
     repeat(jobs) { n -> world.script(SECOND + n * 60 * SECOND / jobs) { submitLong(n, RUN_US) } }
     repeat(jobs) { n -> world.script(BEGIN_US + n * RUN_US / jobs) { submitLong(jobs + n, RUN_US) } }
-    world.script(BEGIN_US) { drainAll("all", way.atMost, replace = false, share = 2) }
+    world.script(BEGIN_US) { drainAll("all", way.maxConcurrent, replace = false, share = 2) }
     for (atUs in BEGIN_US until LONGEST_US step SECOND) {
         world.script(atUs) { if (finishedUs == 0L && drain("all").status == DrainStatus.FINISHED) finishedUs = now }
     }
--- a/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
@@ -1,14 +1,14 @@
 package lichenstage.world
 
 import lichenstage.common.SECOND
-import lichenstage.drain.DrainAct
+import lichenstage.drain.DrainAction
 import lichenstage.drain.DrainCore
 import lichenstage.drain.DrainPolicy
 import lichenstage.drain.DrainState
 import lichenstage.drain.DrainStatus
 import lichenstage.drain.DrainView
+import lichenstage.drain.TaskExecution
 import lichenstage.drain.TaskId
-import lichenstage.drain.TaskStanding
 import lichenstage.placement.LeaderCore
 import lichenstage.placement.LeaderDrainView
 
@@ -44,50 +44,59 @@
     private class Dropping(
         private val view: DrainView,
     ) : DrainView by view {
-        override fun standing(task: TaskId) = view.standing(task).let { if (it == TaskStanding.Waiting) TaskStanding.Over else it }
+        override fun execution(task: TaskId) =
+            view.execution(task).let {
+                if (it ==
+                    TaskExecution.NotRunning
+                ) {
+                    TaskExecution.Finished
+                } else {
+                    it
+                }
+            }
     }
 
     private var steppedUs = 0L
 
     init {
-        leader.taskStopped = { core.lost(LeaderDrainView.failure(it, context.now)) }
+        leader.taskStopped = { core.taskLost(LeaderDrainView.failure(it, context.now)) }
     }
 
     fun step() {
         if (context.now - steppedUs < SECOND) return
         steppedUs = context.now
-        core.asked(state.drains.values.toList(), state.drainedMachines)
+        core.updateDrains(state.drains.values.toList(), state.drainedMachines)
         fleet.cordoned = core.cordoned
         leader.setDrained(core.cordoned)
         leader.setOnProbation(core.onProbation)
         val next = core.step(context.now, hour = 0) ?: return
-        if (next == core.state) return core.recorded(ok = true).forEach(::carryOut)
+        if (next == core.state) return core.stateRecorded(ok = true).forEach(::carryOut)
         state.drainWrites++
-        site.write({ state.drainState = next }) { ok -> core.recorded(ok).forEach(::carryOut) }
+        site.write({ state.drainState = next }) { ok -> core.stateRecorded(ok).forEach(::carryOut) }
     }
 
-    private fun carryOut(act: DrainAct) {
+    private fun carryOut(act: DrainAction) {
         when (act) {
-            is DrainAct.Interrupt -> {
+            is DrainAction.EvictTasks -> {
                 leader.interrupt(view.attemptsOf(act.tasks))
             }
 
-            is DrainAct.HireLike -> {
+            is DrainAction.ProvisionReplacement -> {
                 val worker = machines.named(act.key.machine)
                 val name = machines.hire(worker.zone)
                 machines.replaced += worker.name
-                context.at(SECOND / 2) { core.hired(act.key, name) }
+                context.at(SECOND / 2) { core.replacementProvisioned(act.key, name) }
             }
 
-            is DrainAct.GiveBack -> {
+            is DrainAction.Terminate -> {
                 fleet.giveBack(act.machine)
             }
 
-            is DrainAct.Pause -> {
+            is DrainAction.Pause -> {
                 end(act.drain, DrainStatus.PAUSED)
             }
 
-            is DrainAct.Finish -> {
+            is DrainAction.Finish -> {
                 end(act.drain, DrainStatus.FINISHED)
             }
         }
