--- a/src/main/kotlin/lichenstage/authority/AcquisitionDelay.kt
+++ b/src/main/kotlin/lichenstage/authority/AcquisitionDelay.kt
@@ -5,48 +5,63 @@
 import lichenstage.config.Settings
 
 /**
- * How long a controller waits before it takes a key that nobody holds. A partition's own controller takes it at once; others wait a
- * little, in an order that avoids collisions. To lead costs about as much as a partition: who has little else to do comes first.
+ * How long a controller waits before it acquires a key that has no holder. A partition's home controller acquires it at once; others wait
+ * a little, in an order that avoids collisions. To lead costs about as much as to own a partition: who holds the fewest keys comes first.
  */
 internal class AcquisitionDelay(
     private val settings: Settings,
 ) {
     private val rank = (settings.peers.map { it.label } + settings.label).sorted().indexOf(settings.label)
 
-    /** Its own partition is no larger than the others': it shares its zone, or nobody does. */
-    private val evenlyShared =
-        settings.peers.any { it.zone == settings.zone } ||
-            (settings.peers.map { it.zone } + settings.zone).distinct().size >
-            settings.peers
-                .map { it.label }
-                .distinct()
-                .size
+    /** This controller's home partition is no larger than the others': it shares its zone, or no controller does. */
+    private val isEvenlyShared = isZoneShared() || zoneCount() > peerCount()
+
+    private fun isZoneShared() = settings.peers.any { it.zone == settings.zone }
+
+    private fun zoneCount() = (settings.peers.map { it.zone } + settings.zone).distinct().size
+
+    private fun peerCount() =
+        settings.peers
+            .map { it.label }
+            .distinct()
+            .size
 
     /**
-     * [held]: how many keys this process holds; [home]: the controller that normally owns the partition; [homeIsHealthy]: it is in reach and
-     * the state service answers it, so that it is about to take the partition itself. (Seen on Baile's lean "rough" day: all processes came
-     * back within a second, the first took two partitions and the leadership, and gave the second back after 36 s.)
+     * The delay in microseconds. [heldCount]: how many keys this controller holds; [home]: the partition's home controller;
+     * [homeIsHealthy]: it is reachable and the state service answers it, so that it is about to acquire the partition itself. (Seen on
+     * Baile's lean "rough" day: all processes came back within a second, the first acquired two partitions and the leadership, and
+     * released the second after 36 s.)
      */
     fun delayUs(
-        leadership: Boolean,
-        held: Int,
+        isLeadership: Boolean,
+        heldCount: Int,
         home: String?,
         everOwned: Boolean,
         homeIsHealthy: Boolean,
     ): Long =
         when {
-            leadership -> held * 150 * MILLI + rank * 50 * MILLI + if (evenlyShared) 0 else 400 * MILLI
+            isLeadership -> heldCount * LEADERSHIP_PER_KEY_US + rank * LEADERSHIP_PER_RANK_US + if (isEvenlyShared) 0 else UNEVEN_SHARE_US
             home == settings.label -> 0
-            home != null && (!everOwned || homeIsHealthy) -> FIRST_PATIENCE_US + rank * 200 * MILLI
-            else -> 200 * MILLI + held * 250 * MILLI + rank * 100 * MILLI
+            home != null && (!everOwned || homeIsHealthy) -> HOME_FIRST_US + rank * HOME_FIRST_PER_RANK_US
+            else -> FOREIGN_US + heldCount * FOREIGN_PER_KEY_US + rank * FOREIGN_PER_RANK_US
         }
 
     companion object {
-        private const val FIRST_PATIENCE_US = 6 * SECOND
+        private const val LEADERSHIP_PER_KEY_US = 150 * MILLI
+        private const val LEADERSHIP_PER_RANK_US = 50 * MILLI
+        private const val UNEVEN_SHARE_US = 400 * MILLI
+        private const val HOME_FIRST_US = 6 * SECOND
+        private const val HOME_FIRST_PER_RANK_US = 200 * MILLI
+        private const val FOREIGN_US = 200 * MILLI
+        private const val FOREIGN_PER_KEY_US = 250 * MILLI
+        private const val FOREIGN_PER_RANK_US = 100 * MILLI
         private const val TOLERATED_LAG_US = 300 * MILLI
-        private const val MOST_LAG_PATIENCE_US = 2 * SECOND
+        private const val MAX_LAG_DELAY_US = 2 * SECOND
 
-        /** A process that runs late leaves keys to others that don't, its own partition too: it gets that back once it is well. */
-        fun lagDelayUs(lagUs: Long): Long = (lagUs - TOLERATED_LAG_US).coerceIn(0, MOST_LAG_PATIENCE_US)
+        /**
+         * The additional delay of a process whose event loop lags by [lagUs]: it leaves keys to others, its home partition too, which is
+         * released to it once it is healthy.
+         */
+        fun lagDelayUs(lagUs: Long): Long = (lagUs - TOLERATED_LAG_US).coerceIn(0, MAX_LAG_DELAY_US)
     }
 }
--- a/src/main/kotlin/lichenstage/authority/FencingTokenReservation.kt
+++ b/src/main/kotlin/lichenstage/authority/FencingTokenReservation.kt
@@ -7,34 +7,36 @@
 import lichenstage.state.TransactionResult
 
 /**
- * Reserves tokens for the owner of a partition, from the counter of all terms: no one else is given them, and every later owner's term
- * is above them, whichever version it is of. The write is guarded by the ownership, so that it can't succeed after it.
+ * Reserves fencing tokens for the owner of a partition, from the counter of all terms (invariant 6): no other controller is given them,
+ * and every later owner's term is above them, whichever version it runs. The ownership is a precondition of the write, so that it cannot
+ * succeed after the ownership has ended.
  */
 internal class FencingTokenReservation(
     private val state: KeyValueStore,
-    private val keys: OwnershipTable,
+    private val table: OwnershipTable,
 ) {
-    private var underWay = false
+    private var isInProgress = false
 
-    /** [count] tokens for the holder [held] of [key]; null where they could not be had now. */
+    /** [count] tokens for the [ownership] of [key]; null where none could be reserved now. */
     suspend fun reserve(
         key: String,
-        held: Holder,
+        ownership: Holder,
         count: Int,
     ): LongRange? {
-        val modRevision = keys.modRevision(OwnershipTable.TERMS) ?: return null
-        if (underWay) return null
-        underWay = true
+        val counterRevision = table.modRevision(OwnershipRecords.TERM_COUNTER) ?: return null
+        if (isInProgress) return null
+        isInProgress = true
         try {
-            val counter = keys.counterAfter(count)
-            val value = counter.encode()
-            val preconditions = listOf(Precondition(OwnershipTable.TERMS, modRevision), Precondition(key, held.modRevision))
-            val outcome = state.commit(preconditions, listOf(Change.Put(OwnershipTable.TERMS, value)))
-            if (outcome !is TransactionResult.Committed) return null
-            keys.put(Entry(OwnershipTable.TERMS, value, outcome.revision))
+            val counter = table.counterAfter(count)
+            val record = OwnershipRecords.encodeTermCounter(counter)
+            val preconditions =
+                listOf(Precondition(OwnershipRecords.TERM_COUNTER, counterRevision), Precondition(key, ownership.modRevision))
+            val result = state.commit(preconditions, listOf(Change.Put(OwnershipRecords.TERM_COUNTER, record)))
+            if (result !is TransactionResult.Committed) return null
+            table.put(Entry(OwnershipRecords.TERM_COUNTER, record, result.revision))
             return counter.term - count + 1..counter.term
         } finally {
-            underWay = false
+            isInProgress = false
         }
     }
 }
--- a/src/main/kotlin/lichenstage/authority/LeaseDuration.kt
+++ b/src/main/kotlin/lichenstage/authority/LeaseDuration.kt
@@ -4,30 +4,33 @@
 import lichenstage.config.Settings
 
 /**
- * How long a process's lease lasts. Short, since nobody takes over from a dead process before it has ended; but longer than a live one
- * stalls, which it does at most while it is cold: code is interpreted and compiled while everybody connects anew.
+ * How long a process's lease lasts without renewal. Short, since no controller acquires the keys of a dead process before it has expired;
+ * but longer than a live one stalls, which it does while it is cold: code is interpreted and compiled while all peers connect anew.
  *
  * Guards against controllers that lose their lease because they are slow: each loss moves their partitions, which makes the others
- * slow in turn. (Seen on Baile's lean "rough" day: eleven takeovers within a minute after two crashes.)
+ * slow in turn. (Seen on Baile's lean "rough" day: eleven failovers within a minute after two crashes.)
  */
 internal object LeaseDuration {
     /** Processor time that a cold process spends at a stretch before it looks at its timers again. */
     private const val STALL_CORE_US = SECOND / 2
-    private const val SHORTEST_US = 2 * SECOND
-    private const val LONGEST_UNSTALLED_US = 4 * SECOND
+    private const val MIN_UNSTALLED_US = 2 * SECOND
+    private const val MAX_UNSTALLED_US = 4 * SECOND
 
-    /** In so many parts of a worker's lease: detection, takeover and the worker's way to its new owner. */
+    /** The part of a worker's lease where the process does not stall. */
+    private const val UNSTALLED_PARTS_OF_WORKER_LEASE = 4
+
+    /** In so many parts of a worker's lease: failure detection, failover and the worker's way to its new owner. */
     private const val PARTS_OF_WORKER_LEASE = 3
 
-    /** The life of the lease under [settings]. */
+    /** The duration in microseconds under [settings]. */
     fun of(settings: Settings): Long = of(settings.workerLeaseUs, settings.coreShare)
 
-    /** The life of the lease where workers' leases last [workerLeaseUs] and the process gets [coreShare] of a core. */
+    /** The duration in microseconds where workers' leases last [workerLeaseUs] and the process gets [coreShare] of a core. */
     fun of(
         workerLeaseUs: Long,
         coreShare: Double,
     ): Long {
-        val unstalledUs = (workerLeaseUs / 4).coerceIn(SHORTEST_US, LONGEST_UNSTALLED_US)
+        val unstalledUs = (workerLeaseUs / UNSTALLED_PARTS_OF_WORKER_LEASE).coerceIn(MIN_UNSTALLED_US, MAX_UNSTALLED_US)
         val stallUs = (STALL_CORE_US / coreShare).toLong()
         return maxOf(unstalledUs, minOf(stallUs, workerLeaseUs / PARTS_OF_WORKER_LEASE))
     }
--- a/src/main/kotlin/lichenstage/authority/LocalLease.kt
+++ b/src/main/kotlin/lichenstage/authority/LocalLease.kt
@@ -9,7 +9,7 @@
  * its keys: the service counts from when the renewal arrived, which is never before it was sent.
  */
 class LocalLease(
-    private val lifeUs: Long,
+    private val durationUs: Long,
 ) {
     /** The service's number of the lease; null while none is held. */
     var id: Long? = null
@@ -22,17 +22,17 @@
         sentUs: Long,
     ) {
         id = lease
-        validUntilUs = until(sentUs)
+        validUntilUs = expiryUs(sentUs)
     }
 
     /** A renewal that was sent at [sentUs] succeeded; answers may come in any order. */
     fun renewed(sentUs: Long) {
-        if (id != null) validUntilUs = maxOf(validUntilUs, until(sentUs))
+        if (id != null) validUntilUs = maxOf(validUntilUs, expiryUs(sentUs))
     }
 
     /**
-     * Nobody can take what hangs on the lease before [untilUs], whatever the service does. Counts only while the lease does: once
-     * there was a gap, somebody else may hold the keys unseen.
+     * No other controller acquires a key that is attached to the lease before [untilUs], whatever the service does. Counts only while the
+     * lease is valid: once there was a gap, another may hold the keys unseen.
      */
     fun extendedByMoratoriums(
         untilUs: Long,
@@ -41,16 +41,16 @@
         if (isValid(now)) validUntilUs = maxOf(validUntilUs, untilUs)
     }
 
-    /** The service says that the lease has ended. */
+    /** The service has reported that the lease has ended. */
     fun ended() {
         id = null
         validUntilUs = Long.MIN_VALUE
     }
 
-    /** The holder may count on the lease now. */
+    /** The holder may count on the lease at [now]. */
     fun isValid(now: Long) = id != null && now < validUntilUs
 
-    private fun until(sentUs: Long) = sentUs + lifeUs - (withDrift(lifeUs) - lifeUs) - MARGIN_US
+    private fun expiryUs(sentUs: Long) = sentUs + durationUs - (withDrift(durationUs) - durationUs) - MARGIN_US
 
     private companion object {
         const val MARGIN_US = 200 * MILLI
--- a/src/main/kotlin/lichenstage/authority/OwnershipTable.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipTable.kt
@@ -1,60 +1,42 @@
 package lichenstage.authority
 
-import io.vertx.core.json.JsonArray
-import io.vertx.core.json.JsonObject
-import lichenstage.common.JsonHttp.Companion.parsed
+import lichenstage.common.JsonDecodingException
 import lichenstage.state.Entry
+import org.slf4j.LoggerFactory
 
-/** Who holds a key, under which term and process lease; [modRevision] is the key's revision. */
-data class Holder(
-    val label: String,
-    val term: Long,
-    val lease: Long,
-    val modRevision: Long,
-)
-
-/** The term counter as it is to be written with an ownership, with the keys that anybody has ever owned. */
-internal class TermCounter(
-    val term: Long,
-    val owned: Collection<String>,
-) {
-    fun encode(): JsonObject = JsonObject().put(TERM, term).put(OWNED, JsonArray(owned.toList()))
-
-    companion object {
-        const val TERM = "term"
-        const val OWNED = "owned"
-    }
-}
-
-/** The keys of leadership and ownership as this process last saw them. */
+/** The records of leadership, ownership and the term counter as this process last saw them. */
 internal class OwnershipTable {
-    private val keys = HashMap<String, Entry>()
+    private val log = LoggerFactory.getLogger("lichenstage.authority")
+    private val entries = HashMap<String, Entry>()
 
-    /** Read once: they are asked for at every report. */
+    /** The decoded holders: they are asked for at every heartbeat. */
     private val holders = HashMap<String, Holder>()
 
-    /** Who holds keys now. */
-    val holdersInForce: Collection<Holder> get() = holders.values
+    /** The records have been read completely at least once. */
+    var isLoaded = false
+
+    /** The holders of all keys that are held. */
+    val currentHolders: Collection<Holder> get() = holders.values
 
-    operator fun contains(key: String) = keys.containsKey(key)
+    operator fun contains(key: String) = entries.containsKey(key)
 
     fun holder(key: String): Holder? = holders[key]
 
-    fun modRevision(key: String): Long? = keys[key]?.modRevision
+    fun modRevision(key: String): Long? = entries[key]?.modRevision
 
-    /** All of them as of [revision], read whole. What is known to have changed since stays. */
+    /** Takes in all records as of [revision], as a scan has read them. Changes that are known to be later stay. */
     fun reset(
-        entries: List<Entry>,
+        scanned: List<Entry>,
         revision: Long,
     ) {
-        keys.values.removeIf { it.modRevision <= revision }
-        holders.keys.retainAll(keys.keys)
-        entries.forEach(::put)
+        entries.values.removeIf { it.modRevision <= revision }
+        holders.keys.retainAll(entries.keys)
+        scanned.forEach(::put)
     }
 
     /**
-     * What has changed, in any order. A key that was put and then deleted is gone: taken for held, as it once was after a watch that
-     * had been interrupted, it would be nobody's to take.
+     * Takes in changes in any order. A key that was put and then deleted is gone: as it once was after a watch that had been interrupted,
+     * a key that is taken for held here would be acquired by nobody.
      */
     fun change(
         puts: List<Entry>,
@@ -65,55 +47,49 @@
         puts.filter { it.modRevision > (deletedAt[it.key] ?: Long.MIN_VALUE) }.forEach(::put)
     }
 
-    /** The key as of a newer change. */
+    /** Takes in a record, unless a later change of its key is known. */
     fun put(entry: Entry) {
-        if (isOld(entry.key, entry.modRevision)) return
-        keys[entry.key] = entry
-        val holder = if (entry.key == TERMS) null else read(entry)
+        if (isOutdated(entry.key, entry.modRevision)) return
+        entries[entry.key] = entry
+        val holder = if (entry.key == OwnershipRecords.TERM_COUNTER) null else decode(entry)
         if (holder == null) holders.remove(entry.key) else holders[entry.key] = holder
     }
 
-    /** The key was deleted at [modRevision]. */
+    /** Takes in that the key was deleted at [modRevision], unless a later change of it is known. */
     fun remove(
         key: String,
         modRevision: Long,
     ) {
-        if (isOld(key, modRevision)) return
-        keys.remove(key)
+        if (isOutdated(key, modRevision)) return
+        entries.remove(key)
         holders.remove(key)
     }
 
-    private fun isOld(
+    private fun isOutdated(
         key: String,
         modRevision: Long,
-    ) = (keys[key]?.modRevision ?: 0) >= modRevision
-
-    private fun read(entry: Entry): Holder? =
-        parsed {
-            Holder(entry.value.getString("label")!!, entry.value.getLong("term")!!, entry.value.getLong("lease")!!, entry.modRevision)
+    ) = (entries[key]?.modRevision ?: 0) >= modRevision
+
+    private fun decode(entry: Entry): Holder? =
+        try {
+            OwnershipRecords.decodeHolder(entry)
+        } catch (e: JsonDecodingException) {
+            log.info("Ownership record could not be decoded key={} reason={}", entry.key, e.message)
+            null
         }
 
-    /** The counter that goes with the next ownership of [key]. */
-    fun nextTerm(key: String) = TermCounter(lastTerm() + 1, (owned() + key).toSortedSet())
+    /** The counter as it is to be written with the next ownership of [key]. */
+    fun nextTerm(key: String) = TermCounter(lastTerm() + 1, (everOwnedKeys() + key).toSortedSet())
 
-    /** The counter [count] terms on, with nobody new who owns anything. */
-    fun counterAfter(count: Int) = TermCounter(lastTerm() + count, owned())
+    /** The counter [count] terms on, with the same keys that were ever owned. */
+    fun counterAfter(count: Int) = TermCounter(lastTerm() + count, everOwnedKeys())
 
     /** The highest term that was given out. */
-    fun lastTerm(): Long = keys[TERMS]?.value?.getLong(TermCounter.TERM) ?: 0
-
-    /** Before anybody has owned a partition its own controller is given time to start. */
-    fun everOwned(key: String) = key in owned()
+    fun lastTerm(): Long = entries[OwnershipRecords.TERM_COUNTER]?.let { OwnershipRecords.lastTerm(it.value) } ?: 0
 
-    private fun owned(): List<String> =
-        keys[TERMS]
-            ?.value
-            ?.getJsonArray(TermCounter.OWNED)
-            ?.map { it as String }
-            .orEmpty()
+    /** Any controller has owned the key: before that, a partition's home controller is given time to start. */
+    fun everOwned(key: String) = key in everOwnedKeys()
 
-    companion object {
-        /** The key of the term counter. */
-        const val TERMS = "c/terms"
-    }
+    private fun everOwnedKeys(): List<String> =
+        entries[OwnershipRecords.TERM_COUNTER]?.let { OwnershipRecords.everOwned(it.value) }.orEmpty()
 }
--- /dev/null
+++ b/src/main/kotlin/lichenstage/authority/OwnershipWatcher.kt
@@ -0,0 +1,62 @@
+package lichenstage.authority
+
+import kotlinx.coroutines.delay
+import lichenstage.state.KeyValueStoreClient
+import lichenstage.state.ScanResult
+import lichenstage.state.WatchResult
+
+/**
+ * Keeps the [OwnershipTable] up to date: by a scan, and a watch from its revision on. [onFirstScan] runs before the table counts as
+ * loaded, [onScan] after each scan, [onEvents] after each watch that brought changes.
+ */
+internal class OwnershipWatcher(
+    private val state: KeyValueStoreClient,
+    private val table: OwnershipTable,
+    private val onFirstScan: suspend () -> Unit,
+    private val onScan: () -> Unit,
+    private val onEvents: suspend () -> Unit,
+) {
+    /** Runs until it is cancelled. */
+    suspend fun run() {
+        while (true) {
+            val scan = state.scan(OwnershipRecords.PREFIX)
+            if (scan !is ScanResult.Complete) {
+                delay(SCAN_RETRY_MS)
+                continue
+            }
+            table.reset(scan.entries, scan.revision)
+            if (!table.isLoaded) onFirstScan()
+            table.isLoaded = true
+            onScan()
+            follow(scan.revision)
+        }
+    }
+
+    /** Follows the changes after a revision until the records have to be scanned again. */
+    private suspend fun follow(scanRevision: Long) {
+        var revision = scanRevision
+        while (true) {
+            when (val result = state.watch(OwnershipRecords.PREFIX, revision, WATCH_MS)) {
+                is WatchResult.Events -> {
+                    revision = result.revision
+                    table.change(result.puts, result.deletes)
+                    if (result.puts.isNotEmpty() || result.deletes.isNotEmpty()) onEvents()
+                }
+
+                WatchResult.Compacted -> {
+                    return
+                }
+
+                WatchResult.Unavailable -> {
+                    delay(WATCH_RETRY_MS)
+                }
+            }
+        }
+    }
+
+    private companion object {
+        const val WATCH_MS = 10_000L
+        const val SCAN_RETRY_MS = 300L
+        const val WATCH_RETRY_MS = 250L
+    }
+}
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -8,6 +8,7 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.plus
 import lichenstage.authority.Authority
+import lichenstage.authority.OwnershipRecords
 import lichenstage.cloud.CloudClient
 import lichenstage.cloud.MachineCatalog
 import lichenstage.cluster.Frame
@@ -121,7 +122,7 @@
     ): DrainDriver {
         val view = LeaderDrainView(core, clock::now)
         val access =
-            DrainRecordAccess(state, owned, listOf(Precondition(Authority.LEADER, leaderKeyRevision)), settings.txnOps, state::scan)
+            DrainRecordAccess(state, owned, listOf(Precondition(OwnershipRecords.LEADER, leaderKeyRevision)), settings.txnOps, state::scan)
         core.taskStopped = { drains?.taskStopped(LeaderDrainView.failure(it, timeOfDayUs())) }
         return DrainDriver(
             policy,
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -4,7 +4,7 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import lichenstage.authority.Authority
+import lichenstage.authority.OwnershipRecords
 import lichenstage.common.timeOfDayUs
 import lichenstage.jobs.CompletedTaskRanges
 import lichenstage.jobs.JobRecordCodec
@@ -31,7 +31,7 @@
     private val finished: (String, JsonObject) -> Unit,
     private val tell: (LeaderMessage) -> Unit,
 ) {
-    private val leadership = Precondition(Authority.LEADER, leaderKeyRevision)
+    private val leadership = Precondition(OwnershipRecords.LEADER, leaderKeyRevision)
 
     fun writeRanges(deltas: List<CompletionDelta>) {
         scope.launch {
--- a/src/test/kotlin/lichenstage/authority/FencingTokenReservationTest.kt
+++ b/src/test/kotlin/lichenstage/authority/FencingTokenReservationTest.kt
@@ -40,26 +40,29 @@
     }
 
     private val held = Holder("n0", 7, 1, 40)
-    private val keys =
+    private val table =
         OwnershipTable().apply {
-            put(Entry(OwnershipTable.TERMS, TermCounter(9, listOf(KEY)).encode(), 41))
+            put(Entry(OwnershipRecords.TERM_COUNTER, OwnershipRecords.encodeTermCounter(TermCounter(9, listOf(KEY))), 41))
             put(Entry(KEY, JsonObject().put("label", "n0").put("term", 7L).put("lease", 1L), 40))
         }
 
-    private fun reserve(state: KeyValueStore) = runBlocking { FencingTokenReservation(state, keys).reserve(KEY, held, 4) }
+    private fun reserve(state: KeyValueStore) = runBlocking { FencingTokenReservation(state, table).reserve(KEY, held, 4) }
 
     @Example
     fun `they lie above all terms, the counter goes past them, and the write holds only under the ownership`() {
         val state = OneAnswer(TransactionResult.Committed(50))
-        assertEquals(10L..13L, reserve(state)) { "${keys.lastTerm()}" }
-        assertEquals(listOf(Precondition(OwnershipTable.TERMS, 41L), Precondition(KEY, 40L)), state.preconditions.single()) {
+        assertEquals(10L..13L, reserve(state)) { "${table.lastTerm()}" }
+        assertEquals(listOf(Precondition(OwnershipRecords.TERM_COUNTER, 41L), Precondition(KEY, 40L)), state.preconditions.single()) {
             "${state.preconditions}"
         }
         val written = state.changes.single() as Change.Put
-        assertTrue(written.key == OwnershipTable.TERMS && written.value == TermCounter(13, listOf(KEY)).encode()) { "$written" }
+        assertTrue(
+            written.key == OwnershipRecords.TERM_COUNTER &&
+                written.value == OwnershipRecords.encodeTermCounter(TermCounter(13, listOf(KEY))),
+        ) { "$written" }
         assertNull(written.lease) { "the counter would go with the lease" }
         // Whoever owns the partition next, in whichever version, takes the term after the counter.
-        assertEquals(14L, keys.nextTerm(KEY).term) { "${keys.nextTerm(KEY).term}" }
+        assertEquals(14L, table.nextTerm(KEY).term) { "${table.nextTerm(KEY).term}" }
         assertEquals(14L..17L, reserve(OneAnswer(TransactionResult.Committed(51)))) { "the second lot" }
     }
 
@@ -72,7 +75,7 @@
             TransactionResult.LeaseExpired,
         )) {
             assertNull(reserve(OneAnswer(outcome))) { "$outcome" }
-            assertEquals(9L, keys.lastTerm()) { "$outcome: ${keys.lastTerm()}" }
+            assertEquals(9L, table.lastTerm()) { "$outcome: ${table.lastTerm()}" }
         }
     }
 
--- a/src/test/kotlin/lichenstage/authority/LeaseDurationTest.kt
+++ b/src/test/kotlin/lichenstage/authority/LeaseDurationTest.kt
@@ -1,9 +1,6 @@
 package lichenstage.authority
 
-import lichenstage.app.warmUpSettings
-import lichenstage.common.MILLI
 import lichenstage.common.SECOND
-import lichenstage.config.Settings
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
@@ -30,7 +27,7 @@
     }
 
     @Property(tries = 200)
-    fun `a worker's lease outlasts detection, takeover and its way to the new owner`(
+    fun `a worker's lease outlasts failure detection, failover and its way to the new owner`(
         @ForAll @IntRange(min = 6, max = 120) workerLeaseS: Int,
         @ForAll @IntRange(min = 1, max = 1000) shareThousandths: Int,
     ) {
@@ -38,24 +35,4 @@
         assertTrue(life >= 2 * SECOND, "$life")
         assertTrue(life <= maxOf(2 * SECOND, workerLeaseS * SECOND / 3), "$life of $workerLeaseS s")
     }
-
-    /** All come back within a second: whoever is first leaves the partitions of the others to them, but not for ever. */
-    @Example
-    fun `a partition waits for its own controller where that is well`() {
-        val order = AcquisitionDelay(Settings.parse(warmUpSettings(8080, 8081, 8082)))
-
-        fun patience(homeIsHealthy: Boolean) = order.delayUs(leadership = false, held = 1, home = "b", everOwned = true, homeIsHealthy)
-        assertTrue(patience(homeIsHealthy = false) < SECOND, "its controller is gone: ${patience(false)}")
-        assertTrue(patience(homeIsHealthy = true) in 4 * SECOND..8 * SECOND, "its controller is well: ${patience(true)}")
-        val own = order.delayUs(leadership = false, held = 1, home = "a", everOwned = true, homeIsHealthy = false)
-        assertEquals(0L, own, "its own partition: $own")
-    }
-
-    @Example
-    fun `who runs late leaves keys to others for a bounded time`() {
-        assertEquals(0L, AcquisitionDelay.lagDelayUs(0), "in time")
-        assertEquals(0L, AcquisitionDelay.lagDelayUs(200 * MILLI), "a little late")
-        assertTrue(AcquisitionDelay.lagDelayUs(SECOND) in 500 * MILLI..SECOND, "late")
-        assertEquals(2 * SECOND, AcquisitionDelay.lagDelayUs(60 * SECOND), "very late")
-    }
 }
--- a/src/test/kotlin/lichenstage/authority/OwnershipTableTest.kt
+++ b/src/test/kotlin/lichenstage/authority/OwnershipTableTest.kt
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** The keys of ownership as a watch and a scan bring them. */
+/** The table of ownership as a watch and a scan bring them. */
 class OwnershipTableTest {
-    private val keys = OwnershipTable()
+    private val table = OwnershipTable()
 
     private fun held(
         modRevision: Long,
@@ -20,19 +20,19 @@
     /** Guards against a key that nobody takes since it is taken for held by one who has let go of it. */
     @Example
     fun `a key that was put and deleted while nothing was heard is gone`() {
-        keys.change(listOf(held(5)), listOf(deleted(7)))
-        assertTrue(KEY !in keys) { "${keys.holder(KEY)}" }
-        keys.change(listOf(held(8), held(10, "n1")), listOf(deleted(9)))
-        assertEquals("n1", keys.holder(KEY)?.label) { "${keys.holder(KEY)}" }
+        table.change(listOf(held(5)), listOf(deleted(7)))
+        assertTrue(KEY !in table) { "${table.holder(KEY)}" }
+        table.change(listOf(held(8), held(10, "n1")), listOf(deleted(9)))
+        assertEquals("n1", table.holder(KEY)?.label) { "${table.holder(KEY)}" }
     }
 
     @Example
     fun `a scan does not take back what has changed since it began`() {
-        keys.change(listOf(held(5)), emptyList())
-        keys.reset(emptyList(), 4)
-        assertEquals(5L, keys.holder(KEY)?.modRevision) { "forgotten: ${keys.holder(KEY)}" }
-        keys.reset(emptyList(), 6)
-        assertTrue(KEY !in keys && keys.holder(KEY) == null) { "kept: ${keys.holder(KEY)}" }
+        table.change(listOf(held(5)), emptyList())
+        table.reset(emptyList(), 4)
+        assertEquals(5L, table.holder(KEY)?.modRevision) { "forgotten: ${table.holder(KEY)}" }
+        table.reset(emptyList(), 6)
+        assertTrue(KEY !in table && table.holder(KEY) == null) { "kept: ${table.holder(KEY)}" }
     }
 
     private companion object {
