--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -32,11 +32,16 @@
 import lichenstage.common.timeOfDayUs
 import lichenstage.config.Settings
 import lichenstage.fleet.FleetPolicy
+import lichenstage.jobs.AdmissionPolicy
 import lichenstage.jobs.DependencyGraph
+import lichenstage.jobs.JobEndListener
 import lichenstage.jobs.JobReplica
 import lichenstage.jobs.JobReplicaSync
 import lichenstage.jobs.JobsActor
 import lichenstage.jobs.JobsMessage
+import lichenstage.jobs.OpenJobs
+import lichenstage.jobs.PeerChannel
+import lichenstage.jobs.PeerFallback
 import lichenstage.jobs.RecordLimits
 import lichenstage.partition.OrderJournal
 import lichenstage.partition.OwnedPartitions
@@ -95,27 +100,27 @@
         JobReplicaSync(
             replica,
             dependencyGraph,
-            others,
+            PeerChannel(others) { to, frame -> links.send(to, frame) },
             state,
             clock,
             scope,
-            { to, frame -> links.send(to, frame) },
-            { leader?.tell(LeaderMessage.JobsEnded(it)) },
-            { leader?.tell(LeaderMessage.DependenciesResolved) },
+            object : JobEndListener {
+                override fun jobsEnded(jobs: List<String>) = leader?.tell(LeaderMessage.JobsEnded(jobs)) ?: Unit
+
+                override fun dependencyResolved() = leader?.tell(LeaderMessage.DependenciesResolved) ?: Unit
+            },
         )
+    private val recordLimits = RecordLimits(settings.txnOps, settings.valueBytes)
     private val jobs =
         JobsActor(
             state,
-            catalog::machineTypes,
-            settings.teams,
-            authority::isStateServiceAvailable,
-            forwarder,
-            replica,
-            dependencyGraph,
+            PeerFallback(forwarder, authority::isStateServiceAvailable),
+            OpenJobs(replica, dependencyGraph),
+            AdmissionPolicy(settings.teams, recordLimits, catalog::machineTypes),
+            recordLimits.maxPreconditions,
             clock,
-            RecordLimits(settings.txnOps, settings.valueBytes),
-            replicaSync::jobCancelled,
             scope,
+            replicaSync::jobCancelled,
         )
     private val partition =
         PartitionActor(
--- a/src/main/kotlin/lichenstage/common/JsonFields.kt
+++ b/src/main/kotlin/lichenstage/common/JsonFields.kt
@@ -52,3 +52,18 @@
 /** The truth value in a field that may be missing. Throws [JsonDecodingException] where it is something else. */
 fun JsonObject.optionalBoolean(field: String): Boolean? =
     if (getValue(field) == null) null else required(field, "true or false") { getBoolean(field) }
+
+/** The whole number of 32 bits in a field. Throws [JsonDecodingException] where there is none. */
+fun JsonObject.requiredInt(field: String): Int = required(field, "a number") { getInteger(field) }
+
+/** The truth value in a field. Throws [JsonDecodingException] where there is none. */
+fun JsonObject.requiredBoolean(field: String): Boolean = required(field, "true or false") { getBoolean(field) }
+
+/** The text in a field that may be missing. Throws [JsonDecodingException] where it is something else. */
+fun JsonObject.optionalString(field: String): String? = if (getValue(field) == null) null else requiredString(field)
+
+/** The whole number in a field that may be missing. Throws [JsonDecodingException] where it is something else. */
+fun JsonObject.optionalLong(field: String): Long? = if (getValue(field) == null) null else requiredLong(field)
+
+/** The texts of a list that may be missing. Throws [JsonDecodingException] where it is something else. */
+fun JsonObject.optionalStrings(field: String): List<String>? = if (getValue(field) == null) null else requiredStrings(field)
--- /dev/null
+++ b/src/main/kotlin/lichenstage/jobs/AdmissionPolicy.kt
@@ -0,0 +1,41 @@
+package lichenstage.jobs
+
+import lichenstage.config.Team
+import lichenstage.model.JobSpec
+import lichenstage.model.MachineFit
+import lichenstage.model.MachineType
+
+/** Decides whether a job that was submitted could ever run: by its team's limits, the machine types and the size of its record. */
+class AdmissionPolicy(
+    private val teams: Map<String, Team>,
+    private val recordLimits: RecordLimits,
+    /** The machine types by name; none while they are not known. */
+    private val machineTypes: () -> Map<String, MachineType>,
+) {
+    /** The reply that refuses the job, or null where it may be accepted. */
+    fun refusal(spec: JobSpec): Reply? = teamRefusal(spec) ?: machineRefusal(spec) ?: sizeRefusal(spec)
+
+    private fun teamRefusal(spec: JobSpec): Reply? {
+        val team = teams[spec.team] ?: return Reply.rejected(Reply.UNPROCESSABLE, "owner", "unknown team")
+        val isWithinLimits = spec.resources.cores <= team.coresMax && spec.resources.gpus <= team.gpusMax
+        return if (isWithinLimits) null else Reply.rejected(Reply.UNPROCESSABLE, "cores", "one task is over the team's limit")
+    }
+
+    private fun machineRefusal(spec: JobSpec): Reply? {
+        val types = machineTypes()
+        return when {
+            types.isEmpty() -> Reply.unavailable("machine types are not known yet")
+
+            MachineFit
+                .compatibleTypes(
+                    spec,
+                    types,
+                ).isEmpty() -> Reply.rejected(Reply.UNPROCESSABLE, "builds", "a task fits no allowed machine type")
+
+            else -> null
+        }
+    }
+
+    private fun sizeRefusal(spec: JobSpec): Reply? =
+        recordLimits.refusal(spec)?.let { (field, reason) -> Reply.rejected(Reply.BAD_REQUEST, field, reason) }
+}
--- a/src/main/kotlin/lichenstage/jobs/DependencyGraph.kt
+++ b/src/main/kotlin/lichenstage/jobs/DependencyGraph.kt
@@ -1,11 +1,5 @@
 package lichenstage.jobs
 
-/** How a job ended, and when by the time of day; null where that is not recorded. */
-data class JobOutcome(
-    val done: Boolean,
-    val atUs: Long?,
-)
-
 /** Where a job with an open record stands by what is known of the jobs that it needs. */
 enum class Readiness {
     /** All that it needs is done. */
@@ -56,7 +50,7 @@
             dependentsByJob.getOrPut(dependency) { LinkedHashSet() } += job
             if (dependency !in open && dependency !in outcomes) unresolvedJobs += dependency
         }
-        if (dependencies.any { it in orphaned || outcomes[it]?.done == false }) orphan(job)
+        if (dependencies.any(::isCancelled)) orphan(job)
     }
 
     /** The record of the job is gone. */
@@ -82,9 +76,11 @@
         val dependents = dependentsByJob[job] ?: return
         if (outcomes.put(job, outcome) != null) return
         unresolvedJobs -= job
-        if (!outcome.done) dependents.toList().forEach(::orphan)
+        if (!outcome.isDone) dependents.toList().forEach(::orphan)
     }
 
+    private fun isCancelled(job: String) = job in orphaned || outcomes[job]?.isDone == false
+
     /** With all that need it: theirs can never be done. */
     private fun orphan(first: String) {
         val due = ArrayDeque(listOf(first))
@@ -106,7 +102,7 @@
     ): Readiness =
         when {
             dependencies.isEmpty() || readySinceUs(dependencies) != null -> Readiness.READY
-            job in orphaned || dependencies.any { it in orphaned || outcomes[it]?.done == false } -> Readiness.CANCELLED
+            job in orphaned || dependencies.any(::isCancelled) -> Readiness.CANCELLED
             dependencies.any { it !in open && it !in outcomes } || reachesUnresolved(dependencies) -> Readiness.UNKNOWN
             else -> Readiness.WAITING
         }
@@ -142,7 +138,7 @@
     fun readySinceUs(dependencies: List<String>): Long? {
         var last = 0L
         for (dependency in dependencies) {
-            val outcome = outcomes[dependency]?.takeIf { it.done } ?: return null
+            val outcome = outcomes[dependency]?.takeIf { it.isDone } ?: return null
             last = maxOf(last, outcome.atUs ?: 0)
         }
         return last
--- a/src/main/kotlin/lichenstage/jobs/JobLookup.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobLookup.kt
@@ -1,6 +1,5 @@
 package lichenstage.jobs
 
-import io.vertx.core.json.JsonObject
 import lichenstage.common.Clock
 import lichenstage.common.SECOND
 import lichenstage.common.timeOfDayUs
@@ -18,7 +17,8 @@
     private val dependencyGraph: DependencyGraph,
     private val openCheck: OpenRecordCheck,
     private val clock: Clock,
-    private val cancelled: (String, Long) -> Unit,
+    /** Called with the id and the revision of the cancellation before its user is answered. */
+    private val onCancelled: (String, Long) -> Unit,
 ) {
     /** The job's state, for a user who asks. */
     suspend fun status(id: String): Reply = if (SubmissionCodec.validId(id)) find(id) else Reply.unknownJob()
@@ -38,9 +38,9 @@
      */
     private suspend fun find(id: String): Reply {
         cache.finished(id)?.let { return Reply.ofFinished(id, it) }
-        val stamp = cache.openRevision(id)
-        if (stamp != null) {
-            when (openCheck.check(JobRecordCodec.OPEN + id, stamp)) {
+        val revision = cache.openRevision(id)
+        if (revision != null) {
+            when (openCheck.check(JobRecordCodec.OPEN + id, revision)) {
                 RecordState.OPEN -> return open(id, cache.dependencies(id))
                 RecordState.UNKNOWN -> return Reply.stateUnavailable()
                 RecordState.DELETED -> cache.forgetOpen(id)
@@ -66,9 +66,10 @@
     private suspend fun findFinished(id: String): Reply =
         when (val finished = state.get(JobRecordCodec.FINISHED + id, READ_TIMEOUT_MS)) {
             is ReadResult.Found -> {
-                cache.rememberFinished(id, finished.entry.value)
+                val job = JobRecordCodec.decodeFinished(finished.entry.value)
+                cache.rememberFinished(id, job)
                 replica.recordEnd(id, finished.entry.modRevision)
-                Reply.ofFinished(id, finished.entry.value)
+                Reply.ofFinished(id, job)
             }
 
             ReadResult.NotFound -> {
@@ -92,8 +93,8 @@
         when (dependencyGraph.readiness(id, dependencies)) {
             Readiness.READY -> Reply.ofOpen(id, cache.progress(id))
             Readiness.CANCELLED -> cancel(id)
-            Readiness.UNKNOWN -> Reply.unavailable("not known yet")
-            Readiness.WAITING -> if (isReplicaFresh()) Reply.ofOpen(id, cache.progress(id)) else Reply.unavailable("not known yet")
+            Readiness.UNKNOWN -> Reply.unavailable(NOT_KNOWN_YET)
+            Readiness.WAITING -> if (isReplicaFresh()) Reply.ofOpen(id, cache.progress(id)) else Reply.unavailable(NOT_KNOWN_YET)
         }
 
     private fun isReplicaFresh() = replica.isReadWithin(MAX_STALENESS_US, clock.now())
@@ -109,21 +110,22 @@
                 ReadResult.Unavailable -> return Reply.stateUnavailable()
             }
         }
-        return Reply.unavailable("undecided")
+        return Reply.unavailable(UNDECIDED)
     }
 
     /** Null where the record has changed meanwhile. */
     private suspend fun recordCancelled(
         id: String,
-        stamp: Long,
+        revision: Long,
     ): Reply? {
-        val record = finishedNow("cancelled", cache.progress(id).done)
-        val changes = listOf(Change.Delete(JobRecordCodec.OPEN + id), Change.Put(JobRecordCodec.FINISHED + id, record))
-        return when (val outcome = state.commit(listOf(Precondition(JobRecordCodec.OPEN + id, stamp)), changes)) {
+        val job = finishedNow(EndStatus.CANCELLED, cache.progress(id).done)
+        val changes =
+            listOf(Change.Delete(JobRecordCodec.OPEN + id), Change.Put(JobRecordCodec.FINISHED + id, JobRecordCodec.encodeFinished(job)))
+        return when (val outcome = state.commit(listOf(Precondition(JobRecordCodec.OPEN + id, revision)), changes)) {
             is TransactionResult.Committed -> {
-                cache.rememberFinished(id, record)
-                cancelled(id, outcome.revision)
-                Reply.ofFinished(id, record)
+                cache.rememberFinished(id, job)
+                onCancelled(id, outcome.revision)
+                Reply.ofFinished(id, job)
             }
 
             is TransactionResult.Conflict -> {
@@ -137,14 +139,18 @@
     }
 
     companion object {
-        /** The record of a job that is over now. */
+        /** The end of a job that ends now. */
         fun finishedNow(
-            status: String,
-            tasks: Int,
-        ): JsonObject = JobRecordCodec.finished(status, tasks, timeOfDayUs())
+            status: EndStatus,
+            completedTasks: Int,
+        ) = FinishedJob(JobOutcome(status, timeOfDayUs()), completedTasks)
 
         /** How long a read of the state service may take for a user. */
         const val READ_TIMEOUT_MS = 1400L
+
+        /** Why a request is to be repeated: its transactions met changes by others. */
+        const val UNDECIDED = "undecided"
+        private const val NOT_KNOWN_YET = "not known yet"
         private const val MAX_TRIES = 3
 
         /** Well within the time that a cancellation has, with the rest of it left for what has to be written. */
--- a/src/main/kotlin/lichenstage/jobs/JobRecordCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobRecordCodec.kt
@@ -2,23 +2,49 @@
 
 import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
+import lichenstage.common.JsonDecodingException
+import lichenstage.common.optionalLong
+import lichenstage.common.optionalString
+import lichenstage.common.optionalStrings
+import lichenstage.common.requiredBoolean
+import lichenstage.common.requiredDouble
+import lichenstage.common.requiredInt
+import lichenstage.common.requiredLong
+import lichenstage.common.requiredString
 import lichenstage.model.JobSpec
 import lichenstage.model.Priority
 import lichenstage.model.Resources
 
-/** The record of a job in the state service. */
+/**
+ * The records of jobs in the state service.
+ *
+ * An open job has the record `j/ID`, a finished one `x/ID`; a job has exactly one of the two from its acceptance on, since one
+ * transaction deletes the one and puts the other. `d/ID/CHUNK` holds completed tasks of an open job ([CompletedTaskRanges]).
+ */
 object JobRecordCodec {
+    /** Prefix of the keys of open jobs. */
     const val OPEN = "j/"
+
+    /** Prefix of the keys of finished jobs. */
     const val FINISHED = "x/"
+
+    /** Prefix of the keys of completed tasks. */
     const val DONE = "d/"
-    private const val NEEDS = "needs"
+    private const val DEPENDENCIES = "needs"
+    private const val PRIORITY = "priority"
 
-    /** The record of a job that is over. [atUs] is the time of day, from which the times of the jobs that need it count. */
-    fun finished(
-        status: String,
-        tasks: Int,
-        atUs: Long,
-    ): JsonObject = JsonObject().put("status", status).put("tasks", tasks).put("at", atUs)
+    /** The record of a finished job. */
+    fun encodeFinished(job: FinishedJob): JsonObject =
+        JsonObject()
+            .put("status", job.outcome.status.wireName)
+            .put("tasks", job.completedTasks)
+            .put("at", job.outcome.atUs)
+
+    /** The end that a record of a finished job tells of; whatever is not done counts as cancelled. */
+    fun decodeFinished(json: JsonObject): FinishedJob {
+        val status = if (json.getString("status") == EndStatus.DONE.wireName) EndStatus.DONE else EndStatus.CANCELLED
+        return FinishedJob(JobOutcome(status, json.getLong("at")), json.getInteger("tasks") ?: 0)
+    }
 
     /** The record of an open job. */
     fun encode(spec: JobSpec): JsonObject =
@@ -26,7 +52,7 @@
             .put("id", spec.id)
             .put("kind", spec.jobClass)
             .put("team", spec.team)
-            .put("priority", spec.priority.name)
+            .put(PRIORITY, spec.priority.name)
             .put("tasks", spec.tasks)
             .put("cores", spec.resources.cores)
             .put("cards", spec.resources.gpus)
@@ -43,32 +69,38 @@
             .put("save", spec.checkpointSaveUs)
             .put("deadline", spec.deadlineUs)
             .put("at", spec.submittedUs)
-            .apply { if (spec.dependencies.isNotEmpty()) put(NEEDS, JsonArray(spec.dependencies)) }
+            .apply { if (spec.dependencies.isNotEmpty()) put(DEPENDENCIES, JsonArray(spec.dependencies)) }
 
-    /** What an open record says of the jobs that it needs. */
-    fun dependencies(json: JsonObject): List<String> = json.getJsonArray(NEEDS)?.map { it as String } ?: emptyList()
+    /** The ids of the jobs that the job of an open record depends on. Throws [JsonDecodingException]. */
+    fun dependencies(json: JsonObject): List<String> = json.optionalStrings(DEPENDENCIES) ?: emptyList()
 
-    /** The job of an open record. */
+    /** The job of an open record. Throws [JsonDecodingException] at the first field that can't be read. */
     fun decode(json: JsonObject): JobSpec =
         JobSpec(
-            id = json.getString("id"),
-            jobClass = json.getString("kind"),
-            team = json.getString("team"),
-            priority = Priority.valueOf(json.getString("priority")),
-            tasks = json.getInteger("tasks"),
-            resources = Resources(json.getDouble("cores"), json.getDouble("cards"), json.getDouble("mem")),
-            allowedTypes = json.getJsonArray("builds")?.map { it as String },
-            zone = json.getString("zone"),
-            sameZone = json.getBoolean("same"),
-            spread = json.getBoolean("spread"),
-            spot = json.getBoolean("spot"),
-            image = json.getString("image"),
-            imageGb = json.getDouble("imageGb"),
-            estimatedRunTimeUs = json.getLong("estimate"),
-            checkpointIntervalUs = json.getLong("checkpoint"),
-            checkpointSaveUs = json.getLong("save"),
-            deadlineUs = json.getLong("deadline"),
-            submittedUs = json.getLong("at"),
+            id = json.requiredString("id"),
+            jobClass = json.requiredString("kind"),
+            team = json.requiredString("team"),
+            priority = priority(json),
+            tasks = json.requiredInt("tasks"),
+            resources = Resources(json.requiredDouble("cores"), json.requiredDouble("cards"), json.requiredDouble("mem")),
+            allowedTypes = json.optionalStrings("builds"),
+            zone = json.optionalString("zone"),
+            sameZone = json.requiredBoolean("same"),
+            spread = json.requiredBoolean("spread"),
+            spot = json.requiredBoolean("spot"),
+            image = json.requiredString("image"),
+            imageGb = json.requiredDouble("imageGb"),
+            estimatedRunTimeUs = json.requiredLong("estimate"),
+            checkpointIntervalUs = json.requiredLong("checkpoint"),
+            checkpointSaveUs = json.requiredLong("save"),
+            deadlineUs = json.optionalLong("deadline"),
+            submittedUs = json.requiredLong("at"),
             dependencies = dependencies(json),
         )
+
+    private fun priority(json: JsonObject): Priority {
+        val name = json.requiredString(PRIORITY)
+        return Priority.entries.firstOrNull { it.name == name }
+            ?: throw JsonDecodingException(PRIORITY, "one of ${Priority.entries.joinToString()}")
+    }
 }
--- a/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
@@ -1,6 +1,5 @@
 package lichenstage.jobs
 
-import io.vertx.core.json.JsonObject
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
@@ -16,17 +15,32 @@
 import lichenstage.state.ScanResult
 import lichenstage.state.WatchResult
 
+/** The other controllers of the deployment. */
+class PeerChannel(
+    /** Their labels. */
+    val labels: List<String>,
+    /** Sends a frame to the one of a label; it may be lost. */
+    val send: (String, Frame) -> Unit,
+)
+
+/** Hears of the ends of jobs. */
+interface JobEndListener {
+    /** These jobs have ended. */
+    fun jobsEnded(jobs: List<String>)
+
+    /** It became known how a job that others depend on has ended. */
+    fun dependencyResolved()
+}
+
 /** Keeps the [JobReplica] of this process up to date: by a watch, and by the other controllers while the state service is away. */
 class JobReplicaSync(
     private val replica: JobReplica,
     private val dependencyGraph: DependencyGraph,
-    private val others: List<String>,
+    private val peers: PeerChannel,
     private val state: KeyValueStoreClient,
     private val clock: Clock,
     private val scope: CoroutineScope,
-    private val send: (String, Frame) -> Unit,
-    private val onEnded: (List<String>) -> Unit,
-    private val onDependencyResolved: () -> Unit,
+    private val listener: JobEndListener,
 ) {
     private val log = BoundedLog.of("lichenstage.jobs", clock)
     private var isStale = false
@@ -47,7 +61,7 @@
                 delay(PEER_SYNC_INTERVAL_MS)
                 val now = clock.now()
                 logStaleness(replica.revision >= 0 && !replica.isReadWithin(STALE_THRESHOLD_US, now))
-                if (replica.isLagging(now)) others.forEach { other -> replica.syncRequest(other, now)?.let { send(other, it) } }
+                if (replica.isLagging(now)) requestMissingEnds(now)
             }
         }
     }
@@ -58,6 +72,10 @@
         log.info { "revision=${replica.revision} open jobs are ${if (staleNow) "not read any more" else "read again"}" }
     }
 
+    private fun requestMissingEnds(now: Long) {
+        for (peer in peers.labels) replica.syncRequest(peer, now)?.let { peers.send(peer, it) }
+    }
+
     private suspend fun followOpenJobs() {
         val scannedUs = clock.now()
         val scan = state.scan(JobRecordCodec.OPEN)
@@ -92,16 +110,16 @@
     /** How a job that others need has ended stands in its record; until that can be read, they wait. */
     private suspend fun resolve(job: String) {
         val read = state.get(JobRecordCodec.FINISHED + job)
-        if (read is ReadResult.Found) jobFinished(job, read.entry.value)
+        if (read is ReadResult.Found) jobFinished(job, JobRecordCodec.decodeFinished(read.entry.value).outcome)
     }
 
-    /** The record of a job that is over. */
+    /** It became known how the job has ended. */
     fun jobFinished(
         job: String,
-        record: JsonObject,
+        outcome: JobOutcome,
     ) {
-        dependencyGraph.outcomeRecorded(job, JobOutcome(record.getString("status") == "done", record.getLong("at")))
-        onDependencyResolved()
+        dependencyGraph.outcomeRecorded(job, outcome)
+        listener.dependencyResolved()
     }
 
     /** This process has cancelled the job and is about to tell its user. Who leads and who owns partitions hear it at once. */
@@ -112,7 +130,7 @@
         log.info { "job=$job revision=$at cancelled, its user is told" }
         replica.recordEnd(job, at)
         applyEnds(listOf(job))
-        others.forEach { send(it, JobsEnded(listOf(job))) }
+        peers.labels.forEach { peers.send(it, JobsEnded(listOf(job))) }
     }
 
     /** Another controller asks for the ends that it may lack. */
@@ -120,7 +138,7 @@
         from: String,
         request: CompletionSyncRequest,
     ) {
-        replica.syncReply(request)?.let { send(from, it) }
+        replica.syncReply(request)?.let { peers.send(from, it) }
     }
 
     /** Another controller hands over ends. */
@@ -134,7 +152,7 @@
 
     private fun applyEnds(jobs: List<String>) {
         jobs.forEach(dependencyGraph::jobClosed)
-        if (jobs.isNotEmpty()) onEnded(jobs)
+        if (jobs.isNotEmpty()) listener.jobsEnded(jobs)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
@@ -2,10 +2,7 @@
 
 import io.vertx.core.json.JsonObject
 import lichenstage.common.timeOfDayUs
-import lichenstage.config.Team
 import lichenstage.model.JobSpec
-import lichenstage.model.MachineFit
-import lichenstage.model.MachineType
 import lichenstage.state.Change
 import lichenstage.state.KeyValueStore
 import lichenstage.state.Precondition
@@ -18,10 +15,7 @@
     private val cache: JobCache,
     private val lookup: JobLookup,
     private val dependencyGraph: DependencyGraph,
-    private val limits: RecordLimits,
-    private val teams: Map<String, Team>,
-    /** The machine types; none while they are not known. */
-    private val machineTypes: () -> Map<String, MachineType>,
+    private val admission: AdmissionPolicy,
 ) {
     /** What becomes of a submission with the body [text]. */
     suspend fun submit(text: String): Reply {
@@ -35,25 +29,11 @@
                 return lookup.existingOr(id.orEmpty()) { Reply.rejected(Reply.BAD_REQUEST, e.field, e.message!!) }
             }
         cache.finished(spec.id)?.let { return Reply.ofFinished(spec.id, it) }
-        val refusal = refusal(spec) ?: limits.refusal(spec)?.let { (field, what) -> Reply.rejected(Reply.BAD_REQUEST, field, what) }
+        val refusal = admission.refusal(spec)
         if (refusal != null) return lookup.existingOr(spec.id) { refusal }
         return accept(spec)
     }
 
-    /** Why the job can't be accepted, or null. */
-    private fun refusal(spec: JobSpec): Reply? {
-        val team = teams[spec.team] ?: return Reply.rejected(Reply.UNPROCESSABLE, "owner", "unknown team")
-        if (spec.resources.cores > team.coresMax || spec.resources.gpus > team.gpusMax) {
-            return Reply.rejected(Reply.UNPROCESSABLE, "cores", "one task is over the team's limit")
-        }
-        val types = machineTypes()
-        if (types.isEmpty()) return Reply.unavailable("machine types are not known yet")
-        if (MachineFit.compatibleTypes(spec, types).isEmpty()) {
-            return Reply.rejected(Reply.UNPROCESSABLE, "builds", "a task fits no allowed machine type")
-        }
-        return null
-    }
-
     /**
      * Written only while all that was read of the jobs that it needs still holds: one that is cancelled at the same moment either has
      * this job's record to be cancelled with it, or is seen as cancelled here.
@@ -67,7 +47,7 @@
             if (Dependency.Indeterminate in dependencies.values) return Reply.stateUnavailable()
             write(spec, dependencies)?.let { return it }
         }
-        return Reply.unavailable("undecided")
+        return Reply.unavailable(JobLookup.UNDECIDED)
     }
 
     /** Null where something that was read has changed meanwhile. */
@@ -76,27 +56,21 @@
         dependencies: Map<String, Dependency>,
     ): Reply? {
         val open = JobRecordCodec.OPEN + spec.id
-        val over = JobRecordCodec.FINISHED + spec.id
-        val guards = hashMapOf(open to 0L, over to 0L)
-        for ((id, dependency) in dependencies) if (dependency is Dependency.Open) guards[JobRecordCodec.OPEN + id] = dependency.stamp
-        val cancelledByDependency = Dependency.Cancelled in dependencies.values
-        val record = if (cancelledByDependency) JobLookup.finishedNow("cancelled", 0) else JobRecordCodec.encode(spec)
-        val change = Change.Put(if (cancelledByDependency) over else open, record)
-        return when (val outcome = state.commit(Precondition.allOf(guards), listOf(change), SUBMIT_TIMEOUT_MS)) {
+        val finished = JobRecordCodec.FINISHED + spec.id
+        val revisions = hashMapOf(open to Precondition.ABSENT, finished to Precondition.ABSENT)
+        for ((id, dependency) in dependencies) if (dependency is Dependency.Open) revisions[JobRecordCodec.OPEN + id] = dependency.revision
+        val isCancelled = Dependency.Cancelled in dependencies.values
+        val end = if (isCancelled) JobLookup.finishedNow(EndStatus.CANCELLED, 0) else null
+        val change =
+            if (end != null) Change.Put(finished, JobRecordCodec.encodeFinished(end)) else Change.Put(open, JobRecordCodec.encode(spec))
+        return when (val outcome = state.commit(Precondition.allOf(revisions), listOf(change), SUBMIT_TIMEOUT_MS)) {
             is TransactionResult.Committed -> {
-                if (cancelledByDependency) {
-                    cache.rememberFinished(
-                        spec.id,
-                        record,
-                    )
-                } else {
-                    cache.rememberOpen(spec.id, outcome.revision, spec.dependencies)
-                }
-                Reply.accepted(spec.id, if (cancelledByDependency) "cancelled" else "pending")
+                if (end != null) cache.rememberFinished(spec.id, end) else cache.rememberOpen(spec.id, outcome.revision, spec.dependencies)
+                Reply.accepted(spec.id, end?.outcome?.status?.wireName ?: Reply.PENDING)
             }
 
             is TransactionResult.Conflict -> {
-                val reply = lookup.existingOr(spec.id) { Reply.unavailable("undecided") }
+                val reply = lookup.existingOr(spec.id) { Reply.unavailable(JobLookup.UNDECIDED) }
                 reply.takeIf { spec.dependencies.isEmpty() || it.status == Reply.OK }
             }
 
@@ -109,7 +83,7 @@
     /** Where a job that another needs stands. */
     private sealed interface Dependency {
         data class Open(
-            val stamp: Long,
+            val revision: Long,
         ) : Dependency
 
         data object Done : Dependency
@@ -127,7 +101,7 @@
         fresh: Boolean,
     ): Dependency {
         if (dependencyGraph.isOrphan(id)) return Dependency.Cancelled
-        cache.finished(id)?.let { return ended(it) }
+        cache.finished(id)?.let { return ofOutcome(it.outcome) }
         if (!fresh) cache.openRevision(id)?.let { return Dependency.Open(it) }
         return when (val read = state.get(JobRecordCodec.OPEN + id, JobLookup.READ_TIMEOUT_MS)) {
             is ReadResult.Found -> Dependency.Open(read.entry.modRevision)
@@ -137,13 +111,13 @@
     }
 
     private suspend fun finishedDependency(id: String): Dependency =
-        when (val over = state.get(JobRecordCodec.FINISHED + id, JobLookup.READ_TIMEOUT_MS)) {
-            is ReadResult.Found -> ended(over.entry.value)
+        when (val finished = state.get(JobRecordCodec.FINISHED + id, JobLookup.READ_TIMEOUT_MS)) {
+            is ReadResult.Found -> ofOutcome(JobRecordCodec.decodeFinished(finished.entry.value).outcome)
             ReadResult.NotFound -> Dependency.NeverAccepted
             ReadResult.Unavailable -> Dependency.Indeterminate
         }
 
-    private fun ended(record: JsonObject) = if (record.getString("status") == "done") Dependency.Done else Dependency.Cancelled
+    private fun ofOutcome(outcome: JobOutcome) = if (outcome.isDone) Dependency.Done else Dependency.Cancelled
 
     companion object {
         /** The body of a submission, or null where it is not a JSON object. */
--- a/src/main/kotlin/lichenstage/jobs/JobsActor.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsActor.kt
@@ -5,30 +5,23 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withTimeoutOrNull
 import lichenstage.cluster.RequestForwarder
-import lichenstage.cluster.TaskCounts
 import lichenstage.cluster.UserVerb
 import lichenstage.common.Clock
 import lichenstage.common.Mailbox
-import lichenstage.config.Team
-import lichenstage.model.MachineType
 import lichenstage.state.KeyValueStore
 import lichenstage.state.Precondition
 
-/** What the user API is told. */
-sealed interface JobsMessage {
-    /** A user's request: the body of a submission, or a job's id. [forwarded] by a controller that can't answer it. */
-    data class UserRequest(
-        val verb: UserVerb,
-        val text: String,
-        val forwarded: Boolean = false,
-        val reply: (Reply) -> Unit,
-    ) : JobsMessage
+/** What this process knows of the open jobs: their records, and which depend on which. */
+class OpenJobs(
+    val replica: JobReplica,
+    val dependencyGraph: DependencyGraph,
+)
 
-    /** A leader's counts of tasks. */
-    data class TaskCountsReceived(
-        val counts: TaskCounts,
-    ) : JobsMessage
-}
+/** Who answers users while the state service does not answer this process. */
+class PeerFallback(
+    val forwarder: RequestForwarder,
+    val isStateServiceAvailable: () -> Boolean,
+)
 
 /**
  * The user API. Every answer about a job that isn't over is decided on the state service's record (never on a copy); only
@@ -36,21 +29,19 @@
  */
 class JobsActor(
     state: KeyValueStore,
-    machineTypes: () -> Map<String, MachineType>,
-    teams: Map<String, Team>,
-    private val stateAnswers: () -> Boolean,
-    private val forwarder: RequestForwarder,
-    replica: JobReplica,
-    dependencyGraph: DependencyGraph,
+    private val fallback: PeerFallback,
+    openJobs: OpenJobs,
+    admission: AdmissionPolicy,
+    maxPreconditions: Int,
     clock: Clock,
-    limits: RecordLimits,
-    cancelled: (String, Long) -> Unit,
     private val scope: CoroutineScope,
+    onCancelled: (String, Long) -> Unit,
 ) {
-    private val cache = JobCache(replica, dependencyGraph)
-    private val openCheck = OpenRecordCheck(limits.guards, scope) { state.commit(Precondition.allOf(it), emptyList(), COMPARE_TIMEOUT_MS) }
-    private val lookup = JobLookup(state, cache, replica, dependencyGraph, openCheck, clock, cancelled)
-    private val submission = JobSubmission(state, cache, lookup, dependencyGraph, limits, teams, machineTypes)
+    private val cache = JobCache(openJobs.replica, openJobs.dependencyGraph)
+    private val openCheck =
+        OpenRecordCheck(maxPreconditions, scope) { state.commit(Precondition.allOf(it), emptyList(), COMPARE_TIMEOUT_MS) }
+    private val lookup = JobLookup(state, cache, openJobs.replica, openJobs.dependencyGraph, openCheck, clock, onCancelled)
+    private val submission = JobSubmission(state, cache, lookup, openJobs.dependencyGraph, admission)
     private var open = 0
     private val mailbox = Mailbox("jobs", scope, ::handle, shed = ::shed)
 
@@ -91,9 +82,9 @@
      * own finds out whether the service is back, and else the user is told at once when to come again.
      */
     private suspend fun answer(request: JobsMessage.UserRequest): Reply {
-        if (stateAnswers() || cache.finished(request.text) != null) return decide(request)
+        if (fallback.isStateServiceAvailable() || cache.finished(request.text) != null) return decide(request)
         if (request.verb == UserVerb.SUBMIT && JobSubmission.parse(request.text) == null) return JobSubmission.notAnObject()
-        val other = if (request.forwarded) null else forwarder.ask(request.verb, request.text)
+        val other = if (request.forwarded) null else fallback.forwarder.ask(request.verb, request.text)
         if (other != null) return Reply(other.status, JsonObject(other.body), other.retryAfterS)
         return withTimeoutOrNull(SHORT_TRY_MS) { decide(request) } ?: Reply.stateUnavailable()
     }
--- a/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
+++ b/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
@@ -16,11 +16,11 @@
     txnOps: Int,
     private val valueBytes: Int,
 ) {
-    /** Conditions that one transaction may have. */
-    val guards = txnOps * GUARDS_A_CHANGE
+    /** The most preconditions that one transaction may have. */
+    val maxPreconditions = txnOps * PRECONDITIONS_PER_CHANGE
 
-    /** Each job that is named may be a condition, beside the two that the job itself is new. */
-    val maxDependencies = guards - OWN_GUARDS
+    /** The most dependencies of a job: each may be a precondition, beside the two that the job itself is new. */
+    val maxDependencies = maxPreconditions - OWN_PRECONDITIONS
 
     /** What is too large, or null. */
     fun refusal(spec: JobSpec): OversizedField? {
@@ -39,7 +39,7 @@
             .size
 
     private companion object {
-        const val GUARDS_A_CHANGE = 4
-        const val OWN_GUARDS = 2
+        const val PRECONDITIONS_PER_CHANGE = 4
+        const val OWN_PRECONDITIONS = 2
     }
 }
--- a/src/main/kotlin/lichenstage/jobs/Reply.kt
+++ b/src/main/kotlin/lichenstage/jobs/Reply.kt
@@ -19,13 +19,13 @@
         fun ofOpen(
             id: String,
             counts: TaskProgress,
-        ) = ofJob(id, if (counts.running > 0) "running" else "pending", counts)
+        ) = ofJob(id, if (counts.running > 0) RUNNING else PENDING, counts)
 
-        /** The state of a job that is over, as its record says. */
+        /** The state of a finished job. */
         fun ofFinished(
             id: String,
-            record: JsonObject,
-        ) = ofJob(id, record.getString("status"), TaskProgress(record.getInteger("tasks") ?: 0, 0))
+            job: FinishedJob,
+        ) = ofJob(id, job.outcome.status.wireName, TaskProgress(job.completedTasks, 0))
 
         private fun ofJob(
             id: String,
@@ -40,7 +40,7 @@
                 .put("running", counts.running),
         )
 
-        /** A job that was accepted just now. */
+        /** A job that was accepted just now, with its [status] from now on. */
         fun accepted(
             id: String,
             status: String,
@@ -56,7 +56,7 @@
         /** A job that was never accepted. */
         fun unknownJob() = rejected(NOT_FOUND, "uid", "no such job")
 
-        /** It can't be said now. */
+        /** The request can't be answered now; it can be repeated after [seconds]. */
         fun unavailable(
             why: String,
             seconds: Int = 1,
@@ -65,6 +65,9 @@
         /** The state service did not answer. */
         fun stateUnavailable() = unavailable("the state service can't be asked")
 
+        /** Status of a job none of whose tasks runs. */
+        const val PENDING = "pending"
+        private const val RUNNING = "running"
         const val OK = 200
         const val CREATED = 201
         const val BAD_REQUEST = 400
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -14,6 +14,7 @@
 import lichenstage.cluster.Frame
 import lichenstage.cluster.TaskCounts
 import lichenstage.common.Clock
+import lichenstage.common.JsonDecodingException
 import lichenstage.common.Mailbox
 import lichenstage.common.timeOfDayUs
 import lichenstage.config.Settings
@@ -251,10 +252,9 @@
 
     private fun added(entry: Entry) {
         val spec =
-            @Suppress("TooGenericExceptionCaught") // Missing fields, wrong types and casts all mean the same.
             try {
                 JobRecordCodec.decode(entry.value)
-            } catch (e: RuntimeException) {
+            } catch (e: JsonDecodingException) {
                 log.error("record {} can't be read: {}", entry.key, e.message)
                 return
             }
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -1,12 +1,14 @@
 package lichenstage.placement
 
-import io.vertx.core.json.JsonObject
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import lichenstage.authority.OwnershipRecords
 import lichenstage.common.timeOfDayUs
 import lichenstage.jobs.CompletedTaskRanges
+import lichenstage.jobs.EndStatus
+import lichenstage.jobs.FinishedJob
+import lichenstage.jobs.JobOutcome
 import lichenstage.jobs.JobRecordCodec
 import lichenstage.state.Change
 import lichenstage.state.KeyValueStoreClient
@@ -28,7 +30,7 @@
     leaderKeyRevision: Long,
     private val txnOps: Int,
     private val scope: CoroutineScope,
-    private val finished: (String, JsonObject) -> Unit,
+    private val finished: (String, JobOutcome) -> Unit,
     private val tell: (LeaderMessage) -> Unit,
 ) {
     private val leadership = Precondition(OwnershipRecords.LEADER, leaderKeyRevision)
@@ -54,14 +56,17 @@
         scope.launch {
             val id = job.spec.id
             val preconditions = listOf(leadership, Precondition(JobRecordCodec.OPEN + id, job.createRevision))
-            val record = JobRecordCodec.finished("done", job.spec.tasks, timeOfDayUs())
+            val end = FinishedJob(JobOutcome(EndStatus.DONE, timeOfDayUs()), job.spec.tasks)
             val outcome =
                 state.commit(
                     preconditions,
-                    listOf(Change.Delete(JobRecordCodec.OPEN + id), Change.Put(JobRecordCodec.FINISHED + id, record)),
+                    listOf(
+                        Change.Delete(JobRecordCodec.OPEN + id),
+                        Change.Put(JobRecordCodec.FINISHED + id, JobRecordCodec.encodeFinished(end)),
+                    ),
                 )
             val stillOpen = outcome !is TransactionResult.Conflict || state.get(JobRecordCodec.OPEN + id) !is ReadResult.NotFound
-            if (outcome is TransactionResult.Committed) finished(id, record) else delay(RETRY_MS)
+            if (outcome is TransactionResult.Committed) finished(id, end.outcome) else delay(RETRY_MS)
             tell(LeaderMessage.CompletionWritten(job, outcome, stillOpen))
         }
     }
@@ -77,13 +82,13 @@
 
     private suspend fun recordCancelled(jobs: List<Job>): Boolean {
         val preconditions = jobs.map { Precondition(JobRecordCodec.OPEN + it.spec.id, it.createRevision) } + leadership
-        val atUs = timeOfDayUs()
+        val end = FinishedJob(JobOutcome(EndStatus.CANCELLED, timeOfDayUs()), 0)
         val changes =
             jobs.flatMap {
                 val id = it.spec.id
                 listOf(
                     Change.Delete(JobRecordCodec.OPEN + id),
-                    Change.Put(JobRecordCodec.FINISHED + id, JobRecordCodec.finished("cancelled", 0, atUs)),
+                    Change.Put(JobRecordCodec.FINISHED + id, JobRecordCodec.encodeFinished(end)),
                 )
             }
         return state.commit(preconditions, changes, urgent = false) is TransactionResult.Committed
--- a/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
@@ -5,6 +5,9 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.Cbor
 import lichenstage.jobs.CompletedTaskRanges
+import lichenstage.jobs.EndStatus
+import lichenstage.jobs.FinishedJob
+import lichenstage.jobs.JobOutcome
 import lichenstage.jobs.JobRecordCodec
 import lichenstage.model.JobSpec
 import lichenstage.model.MachineRecordCodec
@@ -106,7 +109,7 @@
             records.getJsonObject("j").fieldNames().all { written.getValue(it) == records.getJsonObject("j").getValue(it) },
         ) { "$written" }
         assertEquals(spec, JobRecordCodec.decode(written)) { "what it needs is lost" }
-        val over = JsonObject(JobRecordCodec.finished("done", 12, 5).encode())
+        val over = JsonObject(JobRecordCodec.encodeFinished(FinishedJob(JobOutcome(EndStatus.DONE, 5), 12)).encode())
         assertTrue(
             records.getJsonObject("x").fieldNames().all { over.getValue(it) == records.getJsonObject("x").getValue(it) },
         ) { "$over" }
--- a/src/test/kotlin/lichenstage/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/DependencyGraphTest.kt
@@ -24,7 +24,7 @@
         assertEquals(listOf(Readiness.READY, Readiness.WAITING, Readiness.WAITING), readiness()) { "${readiness()}" }
         dependencyGraph.jobClosed("j-1")
         assertEquals(listOf(Readiness.UNKNOWN, Readiness.UNKNOWN), readiness().drop(1)) { "${readiness()}" }
-        dependencyGraph.outcomeRecorded("j-1", JobOutcome(done = false, atUs = null))
+        dependencyGraph.outcomeRecorded("j-1", JobOutcome(EndStatus.CANCELLED, atUs = null))
         assertEquals(listOf(Readiness.CANCELLED, Readiness.CANCELLED), readiness().drop(1)) { "${readiness()}" }
     }
 
@@ -41,7 +41,7 @@
             dependencyGraph.readiness("j-3", listOf("j-2")),
         ) { "${dependencyGraph.readiness("j-3", listOf("j-2"))}" }
         dependencyGraph.jobOpened("j-3", listOf("j-2"))
-        dependencyGraph.outcomeRecorded("j-2", JobOutcome(done = false, atUs = null))
+        dependencyGraph.outcomeRecorded("j-2", JobOutcome(EndStatus.CANCELLED, atUs = null))
         assertEquals(
             Readiness.CANCELLED,
             dependencyGraph.readiness("j-3", listOf("j-2")),
@@ -91,7 +91,7 @@
                     for (job in dependencyGraph.unresolved(random.nextInt(3))) {
                         assertTrue(job in ended) { "asks how $job ended, which is open" }
                         resolved += job
-                        dependencyGraph.outcomeRecorded(job, JobOutcome(ended.getValue(job), step.toLong()))
+                        dependencyGraph.outcomeRecorded(job, outcome(ended.getValue(job), step.toLong()))
                     }
                 }
             }
@@ -110,7 +110,7 @@
             }
         }
         while (dependencyGraph.unresolved(10).isNotEmpty()) {
-            dependencyGraph.unresolved(10).forEach { dependencyGraph.outcomeRecorded(it, JobOutcome(ended.getValue(it), 0)) }
+            dependencyGraph.unresolved(10).forEach { dependencyGraph.outcomeRecorded(it, outcome(ended.getValue(it), 0)) }
         }
         open.forEach { job -> assertTrue(dependencies.getValue(job).all { it in open || it in ended }) { "lost" } }
     }
@@ -122,7 +122,7 @@
         repeat(5000) { dependencyGraph.jobOpened("j-1$it-f", listOf("j-0")) }
         dependencyGraph.jobClosed("j-0")
         assertEquals(listOf("j-0"), dependencyGraph.unresolved(10)) { "${dependencyGraph.unresolved(10)}" }
-        dependencyGraph.outcomeRecorded("j-0", JobOutcome(done = false, atUs = null))
+        dependencyGraph.outcomeRecorded("j-0", JobOutcome(EndStatus.CANCELLED, atUs = null))
         assertEquals(9999, dependencyGraph.orphans(20_000).size) { "${dependencyGraph.orphans(20_000).size}" }
         dependencyGraph.jobClosed("j-1")
         assertEquals(9998, dependencyGraph.orphans(20_000).size) { "an end changes others" }
@@ -132,9 +132,14 @@
     fun `the times count from the last record, where one says when`() {
         val dependencyGraph = DependencyGraph()
         dependencyGraph.jobOpened("j-3", listOf("j-1", "j-2"))
-        dependencyGraph.outcomeRecorded("j-1", JobOutcome(done = true, atUs = 70))
+        dependencyGraph.outcomeRecorded("j-1", JobOutcome(EndStatus.DONE, atUs = 70))
         assertNull(dependencyGraph.readySinceUs(listOf("j-1", "j-2"))) { "one is not done" }
-        dependencyGraph.outcomeRecorded("j-2", JobOutcome(done = true, atUs = null))
+        dependencyGraph.outcomeRecorded("j-2", JobOutcome(EndStatus.DONE, atUs = null))
         assertTrue(dependencyGraph.readySinceUs(listOf("j-1", "j-2")) == 70L && dependencyGraph.readySinceUs(emptyList()) == 0L) { "when" }
     }
+
+    private fun outcome(
+        isDone: Boolean,
+        atUs: Long,
+    ) = JobOutcome(if (isDone) EndStatus.DONE else EndStatus.CANCELLED, atUs)
 }
--- a/src/test/kotlin/lichenstage/jobs/JobsActorTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobsActorTest.kt
@@ -105,19 +105,17 @@
         val dependencyGraph = DependencyGraph()
         val clock = Clock { scope.coroutineContext[TestCoroutineScheduler]!!.currentTime * MILLI }
         if (store is SlowStore) scope.launch { follow(store, replica, dependencyGraph, clock) }
+        val limits = RecordLimits(12, 8192)
         val forwarder = RequestForwarder({ null }) { _, _ -> }
         return JobsActor(
             store,
-            { machineTypes },
-            teams,
-            { true },
-            forwarder,
-            replica,
-            dependencyGraph,
+            PeerFallback(forwarder) { true },
+            OpenJobs(replica, dependencyGraph),
+            AdmissionPolicy(teams, limits) { machineTypes },
+            limits.maxPreconditions,
             clock,
-            RecordLimits(12, 8192),
-            replica::recordEnd,
             scope,
+            replica::recordEnd,
         )
     }
 
@@ -136,7 +134,7 @@
             replica.replaceAll(open.mapValues { it.value.modRevision }, store.revision, clock.now()).forEach(dependencyGraph::jobClosed)
             for (id in dependencyGraph.unresolved(8)) {
                 val record = store.entries["x/$id"]?.value ?: continue
-                dependencyGraph.outcomeRecorded(id, JobOutcome(record.getString("status") == "done", record.getLong("at")))
+                dependencyGraph.outcomeRecorded(id, JobRecordCodec.decodeFinished(record).outcome)
             }
         }
     }
--- a/src/test/kotlin/lichenstage/world/SimulatedJobSync.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedJobSync.kt
@@ -2,6 +2,7 @@
 
 import lichenstage.cluster.CompletionSyncReply
 import lichenstage.jobs.DependencyGraph
+import lichenstage.jobs.EndStatus
 import lichenstage.jobs.JobCompletions
 import lichenstage.jobs.JobOutcome
 import lichenstage.jobs.JobReplica
@@ -61,8 +62,9 @@
     private fun resolve() {
         for (job in dependencyGraph.unresolved(MAX_RESOLVED)) {
             val outcome = state.outcome(job) ?: continue
-            if (mutation == Mutation.CANCELLED_NEEDS_UNSEEN && !outcome.done) continue
-            dependencyGraph.outcomeRecorded(job, JobOutcome(outcome.done || mutation == Mutation.ENDS_TAKEN_FOR_DONE, null))
+            if (mutation == Mutation.CANCELLED_NEEDS_UNSEEN && !outcome.isDone) continue
+            val isDone = outcome.isDone || mutation == Mutation.ENDS_TAKEN_FOR_DONE
+            dependencyGraph.outcomeRecorded(job, JobOutcome(if (isDone) EndStatus.DONE else EndStatus.CANCELLED, null))
         }
     }
 
--- a/src/test/kotlin/lichenstage/world/SimulatedStateService.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedStateService.kt
@@ -3,6 +3,7 @@
 import lichenstage.drain.Drain
 import lichenstage.drain.DrainState
 import lichenstage.drain.DrainedMachine
+import lichenstage.jobs.EndStatus
 import lichenstage.jobs.JobOutcome
 import lichenstage.world.SimulationContext.Companion.CONTROLLERS
 import lichenstage.world.SimulationContext.Companion.LEASE_US
@@ -111,5 +112,5 @@
     fun isReady(job: SimulatedJob) = job.dependencies.all { outcomes[it] == true }
 
     /** How a job ended, as its record says; null while it is open. */
-    fun outcome(id: String): JobOutcome? = outcomes[id]?.let { JobOutcome(it, null) }
+    fun outcome(id: String): JobOutcome? = outcomes[id]?.let { JobOutcome(if (it) EndStatus.DONE else EndStatus.CANCELLED, null) }
 }
