--- a/src/main/kotlin/lichenstage/fleet/DemandForecast.kt
+++ b/src/main/kotlin/lichenstage/fleet/DemandForecast.kt
@@ -89,7 +89,7 @@
         return (now - arrivals.lastUs) * arrivals.jobs.at(arrivals.lastUs) / windowUs > CEASED_AFTER_JOBS
     }
 
-    /** Machines that will be in use on average, and nearly always for urgent jobs, where [utilization] of a machine's time can be filled. */
+    /** Machines in use on average, and for urgent jobs nearly always, where [utilization] of a machine's time can be filled. */
     fun expectedMachines(
         typeName: String,
         utilization: Double,
--- a/src/main/kotlin/lichenstage/placement/BlockedJobs.kt
+++ b/src/main/kotlin/lichenstage/placement/BlockedJobs.kt
@@ -2,38 +2,43 @@
 
 import lichenstage.jobs.DependencyGraph
 
-/** The leader's jobs that wait for others: released once all that they need is recorded as done, or cancelled with it. */
+/** The leader's jobs with open dependencies: released once all of those are recorded as done, or cancelled with one that is. */
 internal class BlockedJobs(
     private val dependencyGraph: DependencyGraph,
     private val core: LeaderCore,
-    /** Jobs that one transaction records as cancelled. */
-    private val cancelledAtOnce: Int,
+    /** How many jobs one transaction records as cancelled, at the most. */
+    private val cancellationBatch: Int,
 ) {
-    private val waiting = LinkedHashSet<Job>()
-    private var cancelling = false
+    private val blocked = LinkedHashSet<Job>()
+    private var cancellationInFlight = false
 
+    /** The job has dependencies that are not recorded as done. */
     fun add(job: Job) {
-        waiting += job
+        blocked += job
     }
 
-    /** Releases what is ready, with the time of day at which the last job that it needs was recorded, or 0 where none says. */
+    /**
+     * Releases the jobs whose dependencies are all recorded as done, with the time of day of the last of these records in microseconds,
+     * or 0 where no record says.
+     */
     fun release(ready: (job: Job, recordedAtUs: Long) -> Unit) {
-        waiting.removeIf { job ->
+        blocked.removeIf { job ->
             val recordedAtUs = dependencyGraph.readySinceUs(job.spec.dependencies)
             if (recordedAtUs != null) ready(job, recordedAtUs)
             recordedAtUs != null || job.phase == JobPhase.CLOSED
         }
     }
 
-    /** Jobs to record as cancelled next; none while some are being recorded. */
+    /** Jobs to record as cancelled next, since a dependency was; none while a record of some is being written. */
     fun takeOrphans(): List<Job> {
-        if (cancelling) return emptyList()
-        val jobs = dependencyGraph.orphans(cancelledAtOnce).mapNotNull { core.jobs[it] }.filter { it.phase == JobPhase.OPEN }
-        cancelling = jobs.isNotEmpty()
+        if (cancellationInFlight) return emptyList()
+        val jobs = dependencyGraph.orphans(cancellationBatch).mapNotNull { core.jobs[it] }.filter { it.phase == JobPhase.OPEN }
+        cancellationInFlight = jobs.isNotEmpty()
         return jobs
     }
 
+    /** The write of the last ones is over, whether or not it succeeded. */
     fun orphansCancelled() {
-        cancelling = false
+        cancellationInFlight = false
     }
 }
--- a/src/main/kotlin/lichenstage/placement/GraphFold.kt
+++ b/src/main/kotlin/lichenstage/placement/GraphFold.kt
@@ -1,8 +1,8 @@
 package lichenstage.placement
 
 /**
- * Works out a value for nodes of a graph without cycles from the values of the nodes that they depend on, each once. Chains may be
- * thousands of nodes deep, so there is no recursion.
+ * Computes a value for nodes of an acyclic graph from the values of the nodes that they depend on, each once. Chains may be thousands
+ * of nodes deep, so there is no recursion.
  */
 internal class GraphFold<N : Any, V : Any>(
     private val dependencies: (N) -> List<N>,
@@ -10,7 +10,8 @@
 ) {
     private val values = HashMap<N, V>()
 
-    fun of(node: N): V {
+    /** The value of a node. */
+    fun valueOf(node: N): V {
         values[node]?.let { return it }
         val stack = ArrayDeque(listOf(node))
         while (stack.isNotEmpty()) {
--- a/src/main/kotlin/lichenstage/placement/JobQueue.kt
+++ b/src/main/kotlin/lichenstage/placement/JobQueue.kt
@@ -5,17 +5,16 @@
 import lichenstage.config.Team
 
 /**
- * The order in which waiting jobs are placed: that of [ObjectiveOrder], and beside it the ones that have waited long.
+ * The order in which waiting jobs are placed: that of [ObjectiveOrder], with ageing against starvation.
  *
- * Guards against starving: what no promise is left for would come last for as long as more is asked than can be done. Every
- * second place goes to the job that has waited longest beyond [agingThresholdUs], counted from its record, so that no change of leader
- * makes it young again.
+ * Jobs for which no objective is left would come last for as long as more is asked than the machines can do. So every second place goes
+ * to the job that has waited longest beyond [agingThresholdUs], counted from its record, so that a failover does not reset its age.
  */
 class JobQueue(
     private val serviceObjectives: ServiceObjectives,
     private val teams: Map<String, Team>,
     private val runTimes: RunTimeEstimates,
-    private val agingThresholdUs: Long = AGED_US,
+    private val agingThresholdUs: Long = AGING_THRESHOLD_US,
     private val pipelineDeadlines: PipelineDeadlines = PipelineDeadlines(serviceObjectives, runTimes) { emptyList() },
 ) {
     private class Mean {
@@ -29,88 +28,89 @@
         }
     }
 
-    private val sizes = HashMap<String, Mean>()
-    private var planned = emptyList<Job>()
-    private var plannedUs = Long.MIN_VALUE / 2
-    private var stale = true
+    /** The mean number of tasks of the jobs of a class. */
+    private val meanTasks = HashMap<String, Mean>()
+    private var ordered = emptyList<Job>()
+    private var orderedUs = Long.MIN_VALUE / 2
+    private var isStale = true
 
-    /** A job has come. */
+    /** A job has been accepted. */
     fun jobAdded(job: Job) {
-        sizes.getOrPut(job.spec.jobClass) { Mean() }.add(job.spec.tasks)
-        stale = true
+        meanTasks.getOrPut(job.spec.jobClass) { Mean() }.add(job.spec.tasks)
+        isStale = true
     }
 
-    /** The next plan is worth making soon. */
+    /** The order has to be computed anew soon. */
     fun invalidate() {
-        stale = true
+        isStale = true
     }
 
-    /** Jobs with something to place, first the one that is to be placed first. Planned anew now and then, not for every request. */
+    /**
+     * The jobs with tasks to place, in the order in which they are placed. The order is computed anew at intervals, not for every call;
+     * [cores] gives the cores of all machines.
+     */
     fun order(
         jobs: Collection<Job>,
         cores: () -> Double,
         now: Long,
     ): List<Job> {
-        if (now - plannedUs >= (if (stale) FRESH_US else PLAN_US)) {
-            plannedUs = now
-            stale = false
-            planned = plan(jobs, cores(), now)
+        if (now - orderedUs >= (if (isStale) STALE_ORDER_INTERVAL_US else ORDER_INTERVAL_US)) {
+            orderedUs = now
+            isStale = false
+            ordered = computeOrder(jobs, cores(), now)
         }
-        return planned.filter { waits(it, now) }
+        return ordered.filter { isWaiting(it) && now >= it.backoffUntilUs }
     }
 
-    private fun waits(
-        job: Job,
-        now: Long,
-    ) = job.phase == JobPhase.OPEN && job.placeable && !job.pending.isEmpty && now >= job.backoffUntilUs
+    private fun isWaiting(job: Job) = job.phase == JobPhase.OPEN && job.placeable && !job.pending.isEmpty
 
-    private fun plan(
+    private fun computeOrder(
         jobs: Collection<Job>,
         cores: Double,
         now: Long,
     ): List<Job> {
         val guaranteed = serviceObjectives.guaranteed(jobs, teams)
-        val waiting = jobs.filter { it.phase == JobPhase.OPEN && it.placeable && !it.pending.isEmpty }
+        val waiting = jobs.filter(::isWaiting)
         val pipelines = pipelineDeadlines.Snapshot()
-        val rows =
-            waiting.map { job ->
-                val others = pipelines.of(job)
-                val runUs = runTimes.expectedUs(job.spec)
-                val share = job.pending.size / sizes.getValue(job.spec.jobClass).value
-                val steps =
-                    serviceObjectives
-                        .startObjectives(
-                            job,
-                            runUs,
-                            now,
-                            job in guaranteed,
-                            others.dueUs,
-                        ).map { PlannedObjective(it.startByUs + runUs, if (it.perTask) share else 1.0) }
-                val waitingUs = maxOf(job.pending.size * runUs - job.totalSavedUs, 1)
-                QueuedJob(job, waitingUs * job.spec.resources.cores, steps, runUs, others.priority)
-            }
-        val ordered = ObjectiveOrder.order(rows, maxOf(cores, 1.0) * FILL, now)
+        val queued = waiting.map { queued(it, it in guaranteed, pipelines.of(it), now) }
+        val byObjective = ObjectiveOrder.order(queued, maxOf(cores, 1.0) * TARGET_UTILIZATION, now)
         val aged = waiting.filter { now - it.readyUs > agingThresholdUs }.sortedBy { it.readyUs }
-        return if (aged.isEmpty()) ordered else interleaved(aged, ordered)
+        return if (aged.isEmpty()) byObjective else interleave(aged, byObjective)
+    }
+
+    private fun queued(
+        job: Job,
+        isGuaranteed: Boolean,
+        inherited: InheritedPriority,
+        now: Long,
+    ): QueuedJob {
+        val runUs = runTimes.expectedUs(job.spec)
+        val shareOfMeanJob = job.pending.size / meanTasks.getValue(job.spec.jobClass).value
+        val objectives =
+            serviceObjectives
+                .startObjectives(job, runUs, now, isGuaranteed, inherited.dueUs)
+                .map { PlannedObjective(it.startByUs + runUs, if (it.perTask) shareOfMeanJob else 1.0) }
+        val workUs = maxOf(job.pending.size * runUs - job.totalSavedUs, 1)
+        return QueuedJob(job, workUs * job.spec.resources.cores, objectives, runUs, inherited.priority)
     }
 
-    private fun interleaved(
+    private fun interleave(
         aged: List<Job>,
-        ordered: List<Job>,
+        byObjective: List<Job>,
     ): List<Job> {
         val result = LinkedHashSet<Job>()
-        for (i in ordered.indices) {
+        for (i in byObjective.indices) {
             if (i < aged.size) result += aged[i]
-            result += ordered[i]
+            result += byObjective[i]
         }
         return result.toList()
     }
 
     private companion object {
-        /** The part of the machines' cores that tasks fill. */
-        const val FILL = 0.85
-        const val AGED_US = 120 * SECOND
-        const val FRESH_US = 50 * MILLI
-        const val PLAN_US = 300 * MILLI
+        /** The part of the machines' cores that tasks use. */
+        const val TARGET_UTILIZATION = 0.85
+        const val AGING_THRESHOLD_US = 120 * SECOND
+        const val STALE_ORDER_INTERVAL_US = 50 * MILLI
+        const val ORDER_INTERVAL_US = 300 * MILLI
     }
 }
--- a/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
+++ b/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
@@ -3,85 +3,100 @@
 import lichenstage.model.Priority
 import java.util.PriorityQueue
 
-/** A promise as the plan sees it: when its work must be done, and what keeping it counts, in jobs of its class. */
+/**
+ * A service objective of a waiting job, as the order of the queue sees it.
+ *
+ * @property dueUs when all work of the job must be done for it, on the steady clock
+ * @property value what meeting it is worth, in jobs of the job's class
+ */
 data class PlannedObjective(
     val dueUs: Long,
     val value: Double,
 )
 
-/** A job as the order of the queue sees it: the work left, and the promises that can still be kept, the earliest first. */
+/**
+ * A waiting job, as the order of the queue sees it.
+ *
+ * @property work the work left, in core microseconds
+ * @property objectives those that can still be met, the earliest first
+ * @property runUs expected run time of one task
+ * @property priority the job's own, or a higher one inherited from a dependent
+ */
 class QueuedJob(
     val job: Job,
     val work: Double,
-    val steps: List<PlannedObjective>,
+    val objectives: List<PlannedObjective>,
     val runUs: Long,
-    /** Its own, or that of a job that waits for it. */
     val priority: Priority = job.spec.priority,
 ) {
-    /** Which of its promises it is planned for. */
-    var step = 0
-    val due get() = steps[step].dueUs
+    private var objectiveIndex = 0
+    private val objective get() = objectives[objectiveIndex]
 
-    /** What is kept for each unit of work. */
-    val yield get() = steps[step].value / work
+    /** When the work must be done for the objective that the job is planned for. */
+    val dueUs get() = objective.dueUs
+
+    /** What meeting that objective is worth for each unit of work. */
+    val valuePerWork get() = objective.value / work
+
+    /** Plans the job for its next objective; false where it has none left. */
+    fun postpone(): Boolean = ++objectiveIndex < objectives.size
 }
 
 /**
- * The order of the queue: as many promises kept as the machines allow.
+ * The order of the queue: it meets as many service objectives as the machines allow.
  *
- * Where not all can be kept, it is the job of the lowest priority that keeps least for its work that gives way (after Moore
- * and Hodgson: by due time, and whenever one would be late the one of least yield so far is put off), to its next promise if it
- * has one. A deadline is counted by jobs, so that large jobs yield least; a start is counted by tasks, so that they don't. What
- * no promise is left for comes after, the longest tasks first, so that all is done early.
+ * Where not all can be met, the job of the lowest priority with the least value for its work is postponed to its next objective (after
+ * Moore and Hodgson: by due time, and whenever a job would be late, the one of least value so far is taken out). A deadline counts by
+ * jobs, so that large jobs have the least value for their work; a start counts by tasks, so that they don't. Jobs for which no objective
+ * is left come last, the longest tasks first, so that all is done early.
  */
 object ObjectiveOrder {
-    /** [capacity] is the work done in a microsecond. */
+    /** All jobs of [waiting] in their order; [capacity] is the work that the machines do in a microsecond, in cores. */
     fun order(
         waiting: List<QueuedJob>,
         capacity: Double,
         now: Long,
     ): List<Job> {
-        val late = ArrayList<QueuedJob>()
-        var planned = waiting.filter { it.steps.isNotEmpty() }
-        waiting.filterTo(late) { it.steps.isEmpty() }
+        val withoutObjective = waiting.filterTo(ArrayList()) { it.objectives.isEmpty() }
+        var planned = waiting.filter { it.objectives.isNotEmpty() }
         var rounds = 0
-        while (rounds++ < MOST_ROUNDS) {
-            val off = postpone(planned.sortedBy { it.due }, capacity, now)
-            if (off.isEmpty()) break
-            val gone = off.filter { ++it.step >= it.steps.size }.toSet()
-            late += gone
-            planned = planned.filter { it !in gone }
+        while (rounds++ < MAX_ROUNDS) {
+            val late = selectLate(planned.sortedBy { it.dueUs }, capacity, now)
+            if (late.isEmpty()) break
+            val dropped = late.filter { !it.postpone() }.toSet()
+            withoutObjective += dropped
+            planned = planned.filter { it !in dropped }
         }
-        val kept = planned.sortedWith(compareBy<QueuedJob> { it.due }.thenBy { it.job.createRevision })
-        return (
-            kept +
-                late.sortedWith(
-                    compareByDescending<QueuedJob> { it.priority }.thenByDescending { it.runUs }.thenBy { it.job.createRevision },
-                )
-        ).map { it.job }
+        return (planned.sortedWith(BY_DUE_TIME) + withoutObjective.sortedWith(BY_RUN_TIME)).map { it.job }
     }
 
-    /** Those that give way when [planned] is worked off in its order. */
-    private fun postpone(
+    /** The jobs to postpone when [planned], in the order of their due times, are worked off. */
+    private fun selectLate(
         planned: List<QueuedJob>,
         capacity: Double,
         now: Long,
     ): List<QueuedJob> {
-        val off = ArrayList<QueuedJob>()
-        val taken = PriorityQueue(compareBy<QueuedJob> { it.priority }.thenBy { it.yield })
+        val late = ArrayList<QueuedJob>()
+        val scheduled = PriorityQueue(BY_VALUE)
         var work = 0.0
         for (next in planned) {
-            taken += next
+            scheduled += next
             work += next.work
-            while (taken.isNotEmpty() && now + work / capacity > next.due) {
-                val victim = taken.poll()
-                work -= victim.work
-                off += victim
-                if (victim === next) break
+            while (scheduled.isNotEmpty() && now + work / capacity > next.dueUs) {
+                val leastValue = scheduled.poll()
+                work -= leastValue.work
+                late += leastValue
+                if (leastValue === next) break
             }
         }
-        return off
+        return late
     }
 
-    private const val MOST_ROUNDS = 4
+    private val BY_DUE_TIME = compareBy<QueuedJob> { it.dueUs }.thenBy { it.job.createRevision }
+    private val BY_RUN_TIME =
+        compareByDescending<QueuedJob> { it.priority }.thenByDescending { it.runUs }.thenBy { it.job.createRevision }
+    private val BY_VALUE = compareBy<QueuedJob> { it.priority }.thenBy { it.valuePerWork }
+
+    /** How often jobs are postponed at the most; what is still late after that keeps its place. */
+    private const val MAX_ROUNDS = 4
 }
--- a/src/main/kotlin/lichenstage/placement/OfferSelection.kt
+++ b/src/main/kotlin/lichenstage/placement/OfferSelection.kt
@@ -3,37 +3,40 @@
 import lichenstage.cluster.HeldSlots
 import lichenstage.cluster.PlacementScore
 
-/** A held place that may be chosen. */
+/** Room for one task on a machine, chosen from an offer. */
 data class SelectedSlot(
     val partition: String,
     val machine: String,
 )
 
-/** What the leader picks of the offers for one request. */
+/**
+ * Chooses among the offers for one request. The "roomiest offer" of the paper that docs/design.md follows is worst fit: the machine with
+ * most room left gets the task.
+ */
 object OfferSelection {
     /**
-     * The [most] places on the roomiest of the held machines; [offers] are by partition.
+     * Up to [maxTasks] slots by worst fit; [offers] are by partition.
      *
-     * [zoneRoom] says how many more tasks of the job a zone may get (spread and one-zone jobs).
+     * @param maxTasksIn how many more tasks of the job a zone may get (spread and single-zone jobs)
      */
     fun selectRoomiest(
         offers: Map<String, List<HeldSlots>>,
-        most: Int,
+        maxTasks: Int,
         zoneOf: (String) -> String,
-        zoneRoom: (String) -> Int,
+        maxTasksIn: (String) -> Int,
     ): List<SelectedSlot> {
         val partitionOf = HashMap<String, String>()
         for ((partition, held) in offers) held.forEach { partitionOf[it.machine] = partition }
         val allowed =
             offers.entries
                 .groupBy({ zoneOf(it.key) }, { it.value })
-                .flatMap { (zone, held) -> PlacementScore.take(held.flatten(), minOf(most, zoneRoom(zone))) }
+                .flatMap { (zone, held) -> PlacementScore.take(held.flatten(), minOf(maxTasks, maxTasksIn(zone))) }
         return PlacementScore
-            .take(allowed, most)
+            .take(allowed, maxTasks)
             .flatMap { held -> List(held.count) { SelectedSlot(partitionOf.getValue(held.machine), held.machine) } }
     }
 
-    /** For a job whose tasks must share a zone: the zone that offers most. */
+    /** The zone that offers room for most tasks, for a job whose tasks must share a zone; null where none offers any. */
     fun bestZone(
         offers: Map<String, List<HeldSlots>>,
         zoneOf: (String) -> String,
--- a/src/main/kotlin/lichenstage/placement/PipelineDeadlines.kt
+++ b/src/main/kotlin/lichenstage/placement/PipelineDeadlines.kt
@@ -2,41 +2,50 @@
 
 import lichenstage.model.Priority
 
-/** What a job has from those that wait for it. [dueUs]: when it should be complete for their sake. */
+/**
+ * The priority and due time that a job inherits from its dependents, direct and indirect.
+ *
+ * @property dueUs when it should be complete for the tightest of their deadlines; null where none has a deadline
+ * @property priority the highest of its own and theirs
+ */
 data class InheritedPriority(
     val dueUs: Long?,
     val priority: Priority,
 )
 
 /**
- * Plans pipelines backwards from their end. Users set a deadline, and the priority that they care about, on the last job only: a job
- * has the priority of the most urgent that waits for it, and should be done early enough for the longest chain behind it.
+ * Priority inheritance in pipelines, computed backwards from their end. Users set a deadline, and the priority that they care about, on
+ * the last job only: a job inherits the highest priority of its dependents, and should be complete early enough for the longest chain of
+ * them.
  */
 class PipelineDeadlines(
     private val serviceObjectives: ServiceObjectives,
     private val runTimes: RunTimeEstimates,
     private val dependentsOf: (Job) -> List<Job>,
 ) {
-    /** For one plan: what many share is worked out once. */
+    /** The jobs as they are now: what several jobs share is computed once. */
     inner class Snapshot {
-        // Jobs wait only for such as were accepted before, so that the chains have an end.
-        private val fold = GraphFold({ job -> dependentsOf(job).filter { it.phase == JobPhase.OPEN } }, ::from)
+        // A job depends only on jobs that were accepted before it, so that there is no cycle.
+        private val fold = GraphFold({ job -> dependentsOf(job).filter { it.phase == JobPhase.OPEN } }, ::inherit)
 
-        /** What the job has from those that wait for it, directly or through others. */
-        fun of(job: Job): InheritedPriority = fold.of(job)
+        /** What the job inherits. */
+        fun of(job: Job): InheritedPriority = fold.valueOf(job)
 
-        private fun from(
+        private fun inherit(
             job: Job,
-            waiters: List<Job>,
-            known: Map<Job, InheritedPriority>,
+            dependents: List<Job>,
+            inheritedBy: Map<Job, InheritedPriority>,
         ): InheritedPriority {
             val due =
-                waiters.mapNotNull { waiter ->
-                    val own = serviceObjectives.deadlineUs(waiter)
-                    val inherited = known.getValue(waiter).dueUs
-                    listOfNotNull(own, inherited).minOrNull()?.let { it - runTimes.expectedUs(waiter.spec) - ReadinessForecast.STAGE_US }
+                dependents.mapNotNull { dependent ->
+                    val own = serviceObjectives.deadlineUs(dependent)
+                    val inherited = inheritedBy.getValue(dependent).dueUs
+                    listOfNotNull(own, inherited).minOrNull()?.let {
+                        it - runTimes.expectedUs(dependent.spec) -
+                            ReadinessForecast.STAGE_TRANSITION_US
+                    }
                 }
-            val priorities = waiters.map { known.getValue(it).priority }
+            val priorities = dependents.map { inheritedBy.getValue(it).priority }
             return InheritedPriority(due.minOrNull(), maxOf(job.spec.priority, priorities.maxOrNull() ?: job.spec.priority))
         }
     }
--- a/src/main/kotlin/lichenstage/placement/PlacementSettings.kt
+++ b/src/main/kotlin/lichenstage/placement/PlacementSettings.kt
@@ -4,15 +4,15 @@
 import lichenstage.common.SECOND
 
 /**
- * What can be tuned in placement.
+ * The operators' settings of placement, all times in microseconds. Alpha and beta are names of the paper that docs/design.md follows.
  *
- * @property alphaUs how long the leader waits for a first offer
- * @property betaUs how long it waits after each offer
- * @property retryUs the time between rounds when nothing has changed
- * @property paceUs the time between rounds at the least
- * @property flushUs how long a done task may wait to be recorded
- * @property askJobs requests that are broadcast together
- * @property askTasks tasks that one request asks for
+ * @property alphaUs how long a round of requests waits for a first offer
+ * @property betaUs how long it waits for another offer after each
+ * @property idleRoundIntervalUs the time between rounds when nothing has changed that a request could gain by
+ * @property minRoundIntervalUs the least time between rounds
+ * @property flushUs how long a completed task may wait to be recorded
+ * @property jobsPerRound jobs that are requested for in one round
+ * @property tasksPerRequest the most tasks that one request asks for
  */
 data class PlacementSettings(
     val alphaUs: Long = 2 * SECOND,
--- a/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
+++ b/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
@@ -4,32 +4,32 @@
 import lichenstage.model.JobSpec
 
 /**
- * Expects when jobs that wait for others will be ready: at the end of the longest chain of what they need, by expected run times.
+ * Forecasts when blocked jobs will be ready: at the end of the longest chain of their dependencies, by expected run times.
  *
- * Machines take a while to boot. With this the fleet has them when a stage becomes ready, and not a boot time later.
+ * Machines take a while to boot. With this forecast the fleet has them when a stage becomes ready, and not a boot time later.
  */
 class ReadinessForecast(
     private val runTimes: RunTimeEstimates,
     private val fetchUs: (JobSpec) -> Long,
     private val jobOf: (String) -> Job?,
 ) {
-    /** The state of the jobs at [now]: what several jobs share is worked out once. */
+    /** The forecast as of [now]: what several jobs share is computed once. */
     inner class Snapshot(
         private val now: Long,
     ) {
         private val ends =
-            GraphFold<Job, Long>(::neededBy) { job, needed, known ->
+            GraphFold<Job, Long>(::openDependencies) { job, dependencies, endsUs ->
                 endUs(
                     job,
-                    needed.maxOfOrNull { known.getValue(it) } ?: now,
+                    dependencies.maxOfOrNull { endsUs.getValue(it) } ?: now,
                 )
             }
 
-        /** When all that [job] needs is expected to be done. */
-        fun readyUs(job: Job): Long = neededBy(job).maxOfOrNull { ends.of(it) + STAGE_US } ?: now
+        /** When all dependencies of [job] are expected to be complete, on the steady clock. */
+        fun readyUs(job: Job): Long = openDependencies(job).maxOfOrNull { ends.valueOf(it) + STAGE_TRANSITION_US } ?: now
 
-        /** The open jobs that it needs; what is not open any more does not hold it up. */
-        private fun neededBy(job: Job): List<Job> =
+        /** Dependencies that are not open any more delay nothing. */
+        private fun openDependencies(job: Job): List<Job> =
             if (job.ready) {
                 emptyList()
             } else {
@@ -40,18 +40,18 @@
 
         private fun endUs(
             job: Job,
-            neededUs: Long,
+            dependenciesEndUs: Long,
         ): Long {
             val runUs = runTimes.expectedUs(job.spec)
-            if (!job.ready) return maxOf(neededUs + STAGE_US, now) + fetchUs(job.spec) + runUs
-            val waits = !job.placeable || !job.pending.isEmpty
-            val beganUs = if (waits) now else job.placedUs
-            return maxOf(beganUs + fetchUs(job.spec) + runUs, now)
+            if (!job.ready) return maxOf(dependenciesEndUs + STAGE_TRANSITION_US, now) + fetchUs(job.spec) + runUs
+            val isWaiting = !job.placeable || !job.pending.isEmpty
+            val startedUs = if (isWaiting) now else job.placedUs
+            return maxOf(startedUs + fetchUs(job.spec) + runUs, now)
         }
     }
 
     companion object {
-        /** From the end of one stage until the tasks of the next run: its record, a round of requests. */
-        const val STAGE_US = 4 * SECOND
+        /** Time from the end of one stage until the tasks of the next run: its record, a round of requests. */
+        const val STAGE_TRANSITION_US = 4 * SECOND
     }
 }
--- a/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
@@ -5,13 +5,13 @@
 import lichenstage.model.JobSpec
 import lichenstage.model.Resources
 
-/** A request that is broadcast, and the job that it is for. */
+/** A placement request that is broadcast, and the job that it is for. */
 data class JobRequest(
     val request: PlacementRequest,
     val job: Job,
 )
 
-/** Makes the requests of a round from the jobs in the order of the queue. */
+/** Plans the requests of a round for the jobs in the order of the queue. */
 internal class RequestPlanner(
     private val settings: PlacementSettings,
     private val objectives: ServiceObjectives,
@@ -19,49 +19,54 @@
     private val zones: ZoneConstraints,
     private val fetchUs: (JobSpec) -> Long,
 ) {
-    private class Demand(
+    /** Room for so many tasks of a job is to be requested. */
+    private class PlannedRequest(
         val job: Job,
         val tasks: Int,
     )
 
     private var stampCounter = 0L
 
-    /** Requests for the first of [jobs] that their teams' limits allow; [allowance] says how many tasks beside those that are planned. */
+    /**
+     * Requests for the first of [jobs], within the quotas of their teams.
+     *
+     * @param allowance how many tasks of a job its team may start beside the resources that are planned in this round
+     */
     fun requests(
         jobs: List<Job>,
         now: Long,
         allowance: (JobSpec, Resources) -> Int,
     ): List<JobRequest> {
-        val planned = HashMap<String, Resources>()
-        val first = ArrayList<Demand>()
+        val plannedByTeam = HashMap<String, Resources>()
+        val selected = ArrayList<PlannedRequest>()
         for (job in jobs) {
-            if (first.size >= settings.jobsPerRound) break
+            if (selected.size >= settings.jobsPerRound) break
             val spec = job.spec
-            val before = planned[spec.team] ?: RunningAttempts.NONE
+            val before = plannedByTeam[spec.team] ?: RunningAttempts.NONE
             val count = minOf(job.pending.size, settings.tasksPerRequest, allowance(spec, before))
             if (count <= 0) continue
-            planned[spec.team] = before - spec.resources * -count
-            first += Demand(job, count)
+            plannedByTeam[spec.team] = before - spec.resources * -count
+            selected += PlannedRequest(job, count)
         }
-        return runs(first) { hurried(it.job) }.flatMap { imagesFirst(it, now) }
+        return groupConsecutive(selected) { isUrgent(it.job) }.flatMap { imageRequestsFirst(it, now) }
     }
 
     /**
-     * Jobs that follow each other and are in the same hurry ask, where they gain by it, for room on machines with their image
-     * first, all of them, and for any room with later stamps: otherwise the first would take, with a fetch before it, the room
-     * that the next could use at once. A job in less of a hurry does not come before one in more by having its image there.
+     * Consecutive jobs of the same urgency request room on machines that have their image first, all of them, and any room with later
+     * stamps: otherwise the first would take, with a fetch before it, the room that the next could use at once. A less urgent job does
+     * not come before a more urgent one because its image is there.
      */
-    private fun imagesFirst(
-        demands: List<Demand>,
+    private fun imageRequestsFirst(
+        planned: List<PlannedRequest>,
         now: Long,
     ): List<JobRequest> {
-        val atOnce = demands.map { request(it, imageOnly = gainsByImage(it.job)) }
-        val after = demands.filter { gainsByImage(it.job) && !patient(it.job, now) }
-        return atOnce + after.map { request(it, imageOnly = false) }
+        val first = planned.map { request(it, imageOnly = gainsFromImage(it.job)) }
+        val later = planned.filter { gainsFromImage(it.job) && !waitsForImage(it.job, now) }
+        return first + later.map { request(it, imageOnly = false) }
     }
 
-    /** Splits a list into runs of neighbours that are alike. */
-    private fun <T> runs(
+    /** Splits a list into groups of consecutive items of the same kind. */
+    private fun <T> groupConsecutive(
         list: List<T>,
         kind: (T) -> Boolean,
     ): List<List<T>> {
@@ -74,43 +79,43 @@
     }
 
     private fun request(
-        demand: Demand,
+        planned: PlannedRequest,
         imageOnly: Boolean,
     ): JobRequest {
-        val job = demand.job
+        val job = planned.job
         val spec = job.spec
         val zone = zones.requestedZone(job)
         val request =
-            PlacementRequest(++stampCounter, spec.id, spec.requirements, demand.tasks, spec.allowedTypes, zone, spec.spot, imageOnly)
+            PlacementRequest(++stampCounter, spec.id, spec.requirements, planned.tasks, spec.allowedTypes, zone, spec.spot, imageOnly)
         return JobRequest(request, job)
     }
 
-    private fun hurried(job: Job) = objectives.startsWithin(job.spec.jobClass, HURRY_US)
+    private fun isUrgent(job: Job) = objectives.startsWithin(job.spec.jobClass, URGENT_START_US)
 
-    /** A fetch keeps a machine's room from being used at all: worth avoiding where it isn't short beside the run. */
-    private fun gainsByImage(job: Job) = fetchUs(job.spec) * SHORT_FETCH_SHARE > runTimes.expectedUs(job.spec)
+    /** Room is not used while an image is fetched for it: worth avoiding where the fetch isn't short beside the run. */
+    private fun gainsFromImage(job: Job) = fetchUs(job.spec) * SHORT_FETCH_SHARE > runTimes.expectedUs(job.spec)
 
     /**
-     * A job that has time waits a moment for room on machines that have its image; where room comes up all the time, some of it
-     * does there. If none does, it takes what there is once, and so the image gets to more machines.
+     * A job that is not urgent waits a moment for room on machines that have its image: where room becomes free all the time, some of it
+     * does there. Then it takes any room once, and so its image gets to more machines.
      */
-    private fun patient(
+    private fun waitsForImage(
         job: Job,
         now: Long,
     ): Boolean {
-        if (hurried(job)) return false
-        val patienceUs = (fetchUs(job.spec) / PATIENCE_SHARE).coerceAtMost(MOST_PATIENCE_US)
-        return now - maxOf(job.readyUs, job.placedUs) < patienceUs
+        if (isUrgent(job)) return false
+        val maxWaitUs = (fetchUs(job.spec) / IMAGE_WAIT_SHARE).coerceAtMost(MAX_IMAGE_WAIT_US)
+        return now - maxOf(job.readyUs, job.placedUs) < maxWaitUs
     }
 
     private companion object {
-        const val HURRY_US = 8 * SECOND
-        const val MOST_PATIENCE_US = 3 * SECOND
+        const val URGENT_START_US = 8 * SECOND
+        const val MAX_IMAGE_WAIT_US = 3 * SECOND
 
         /** A fetch is short where it takes less than one part in so many of the run. */
         const val SHORT_FETCH_SHARE = 20
 
         /** A job waits for one part in so many of its fetch. */
-        const val PATIENCE_SHARE = 4
+        const val IMAGE_WAIT_SHARE = 4
     }
 }
--- a/src/main/kotlin/lichenstage/placement/RequestRound.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRound.kt
@@ -2,7 +2,12 @@
 
 import lichenstage.cluster.HeldSlots
 
-/** Requests that were broadcast together, and what the partitions have answered so far. */
+/**
+ * Placement requests that were broadcast together, and the offers that have come for them.
+ *
+ * The round ends when the leader has waited alpha for a first offer or, after any offer, beta for another (names of the paper that
+ * docs/design.md follows).
+ */
 class RequestRound(
     val requests: List<JobRequest>,
     now: Long,
@@ -14,7 +19,7 @@
     var deadlineUs = now + alphaUs
         private set
 
-    /** Takes an offer; after each, the wait is [betaUs] from now. */
+    /** Adds a partition's offer for the request with this [stamp]. The first one of a partition extends the round to [betaUs] from now. */
     fun addOffer(
         partition: String,
         stamp: Long,
@@ -27,9 +32,9 @@
         if (answered.add(partition)) deadlineUs = now + betaUs
     }
 
-    /** All of these have answered. */
+    /** All of [partitions] have made an offer, perhaps an empty one. */
     fun allAnswered(partitions: Set<String>) = answered.containsAll(partitions)
 
-    /** The offers for a request, by partition. */
-    fun of(stamp: Long): Map<String, List<HeldSlots>> = offers[stamp] ?: emptyMap()
+    /** The offers for the request with this [stamp], by partition. */
+    fun offersFor(stamp: Long): Map<String, List<HeldSlots>> = offers[stamp] ?: emptyMap()
 }
--- a/src/main/kotlin/lichenstage/placement/RequestRounds.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRounds.kt
@@ -8,23 +8,26 @@
 
 /** What the leader knows that a round of requests depends on. */
 internal interface RoundContext {
-    /** Null while nothing was heard of the partition. */
+    /** The state of a partition; null while no frame of it has come. */
     fun partition(id: String): PartitionState?
 
-    /** How many of the [held] places on a machine may be used. */
+    /** How many of the [held] slots on a machine may be used. */
     fun usableSlots(
         machine: String,
         held: Int,
     ): Int
 
-    /** What may be in use by nobody knows whom. */
+    /** Resources in use that can't be attributed to a team, and so count for each of them. */
     fun unaccountedUse(): Resources
 
-    /** Partitions that were heard not long ago: once all of them have answered, nobody else is waited for. */
+    /** Partitions of which a frame came not long ago: a round waits for no others. */
     fun reachablePartitions(now: Long): Set<String>
 }
 
-/** One round of requests after the other: broadcast, gather the offers, start tasks on the roomiest, release the rest. */
+/**
+ * Runs rounds of placement requests, one at a time: broadcasts requests, collects offers, starts tasks on the roomiest of them (worst
+ * fit), and releases the rest.
+ */
 internal class RequestRounds(
     private val term: Long,
     private val assignment: PartitionAssignment,
@@ -38,41 +41,38 @@
     private var round: RequestRound? = null
     private var attemptCounter = 0L
     private var changedSinceRound = true
-    private var askedUs = Long.MIN_VALUE / 2
+    private var roundStartedUs = Long.MIN_VALUE / 2
 
-    /** Something has changed that a request may gain by. */
+    /** Something has changed that a request could gain by: the next round need not wait for the idle interval. */
     fun markChanged() {
         changedSinceRound = true
     }
 
-    /** A partition's offer; one for a round that is over tells nothing. */
+    /** Takes a partition's offer; one for an earlier round is ignored. */
     fun addOffer(
         partition: String,
         offer: Offer,
         now: Long,
     ) = round?.addOffer(partition, offer.stamp, offer.held, now, settings.betaUs)
 
-    /** Time has passed; [waiting] gives the jobs with something to place, in the order of the queue. */
+    /** Ends and begins rounds as time passes; [waiting] gives the jobs with tasks to place, in the order of the queue. */
     fun tick(
         now: Long,
         waiting: () -> List<Job>,
     ) {
         val current = round
-        if (current != null && (current.allAnswered(context.reachablePartitions(now)) || now >= current.deadlineUs)) decide(current, now)
-        if (round == null &&
-            now - askedUs >= if (changedSinceRound) settings.minRoundIntervalUs else settings.idleRoundIntervalUs
-        ) {
-            ask(waiting, now)
-        }
+        if (current != null && (current.allAnswered(context.reachablePartitions(now)) || now >= current.deadlineUs)) endRound(current, now)
+        val intervalUs = if (changedSinceRound) settings.minRoundIntervalUs else settings.idleRoundIntervalUs
+        if (round == null && now - roundStartedUs >= intervalUs) beginRound(waiting, now)
     }
 
-    /** Broadcasts requests for the first jobs in the queue that have something to place. */
-    private fun ask(
+    /** Broadcasts requests for the first jobs of the queue. */
+    private fun beginRound(
         waiting: () -> List<Job>,
         now: Long,
     ) {
         changedSinceRound = false
-        askedUs = now
+        roundStartedUs = now
         val unaccountedUse = context.unaccountedUse()
         val requests =
             planner.requests(waiting(), now) { spec, planned -> attempts.allowance(spec.team, spec.resources, unaccountedUse, planned) }
@@ -82,8 +82,8 @@
         assignment.partitions.forEach { outbox.send(it, now, requests = frames) }
     }
 
-    /** Keeps the roomiest of what is held, starts tasks there, and lets go of the rest. */
-    private fun decide(
+    /** Starts tasks on the roomiest of the held slots, and releases the rest. */
+    private fun endRound(
         current: RequestRound,
         now: Long,
     ) {
@@ -91,41 +91,41 @@
         val unaccountedUse = context.unaccountedUse()
         val starts = HashMap<String, ArrayList<StartOrder>>()
         val started = ArrayList<Attempt>()
-        for (asked in current.requests) {
-            if (asked.job.phase != JobPhase.OPEN) continue
-            for (attempt in place(asked, current, unaccountedUse, now)) {
+        for (request in current.requests) {
+            if (request.job.phase != JobPhase.OPEN) continue
+            for (attempt in place(request, current, unaccountedUse, now)) {
                 started += attempt
                 starts.getOrPut(attempt.partition) { ArrayList() } +=
-                    StartOrder(asked.request.stamp, attempt.machine, attempt.index, attempt.number)
+                    StartOrder(request.request.stamp, attempt.machine, attempt.index, attempt.number)
             }
         }
         val releases = current.requests.map { it.request.stamp }
         for (id in assignment.partitions) {
-            val here = starts[id].orEmpty()
-            val chosen = here.mapTo(HashSet()) { it.stamp }
-            val seq = outbox.send(id, now, starts = here, releases = releases.filter { it !in chosen })
+            val partitionStarts = starts[id].orEmpty()
+            val chosen = partitionStarts.mapTo(HashSet()) { it.stamp }
+            val seq = outbox.send(id, now, starts = partitionStarts, releases = releases.filter { it !in chosen })
             started.forEach { if (it.partition == id) it.seq = seq }
         }
         if (started.isNotEmpty()) changedSinceRound = true
     }
 
-    /** Attempts on the roomiest of what is held for a request. */
+    /** Creates attempts on the roomiest of the slots that are held for a request. */
     private fun place(
-        asked: JobRequest,
+        jobRequest: JobRequest,
         current: RequestRound,
         unaccountedUse: Resources,
         now: Long,
     ): List<Attempt> {
-        val job = asked.job
-        val most = minOf(asked.request.count, attempts.allowance(job.spec.team, job.spec.resources, unaccountedUse))
-        val offers = current.of(asked.request.stamp).mapValues { (_, held) -> held.mapNotNull(::usable) }
+        val job = jobRequest.job
+        val maxTasks = minOf(jobRequest.request.count, attempts.allowance(job.spec.team, job.spec.resources, unaccountedUse))
+        val offers = current.offersFor(jobRequest.request.stamp).mapValues { (_, held) -> held.mapNotNull(::usableSlots) }
         val placed = ArrayList<Attempt>()
-        for (place in OfferSelection.selectRoomiest(offers, most, zones::zoneOf, zones.roomIn(job, offers))) {
+        for (slot in OfferSelection.selectRoomiest(offers, maxTasks, zones::zoneOf, zones.remainingTasksByZone(job, offers))) {
             val index = job.nextPendingTask()
             if (index < 0) break
-            val attempt = Attempt(job, index, newAttempt(), place.machine, place.partition)
-            attempt.partitionTerm = context.partition(place.partition)!!.term
-            // Not told by any frame so far: its own is sent after this.
+            val attempt = Attempt(job, index, nextAttemptNumber(), slot.machine, slot.partition)
+            attempt.partitionTerm = context.partition(slot.partition)!!.term
+            // Until the frame with its start is sent, no frame of the partition tells anything of it.
             attempt.seq = Long.MAX_VALUE
             attempts.track(attempt)
             job.placedUs = now
@@ -134,14 +134,14 @@
         return placed
     }
 
-    private fun usable(held: HeldSlots): HeldSlots? {
-        val places = context.usableSlots(held.machine, held.count)
-        if (places == held.count) return held
-        return if (places > 0) held.copy(count = places) else null
+    private fun usableSlots(held: HeldSlots): HeldSlots? {
+        val usable = context.usableSlots(held.machine, held.count)
+        if (usable == held.count) return held
+        return if (usable > 0) held.copy(count = usable) else null
     }
 
-    /** Unique and rising over leaders, with no write: the term is the high part (invariant 7). */
-    private fun newAttempt() = (term shl TERM_SHIFT) + ++attemptCounter
+    /** Unique and rising over all leaders without a write: the term is the high part (invariant 7). */
+    private fun nextAttemptNumber() = (term shl TERM_SHIFT) + ++attemptCounter
 
     private companion object {
         const val TERM_SHIFT = 32
--- a/src/main/kotlin/lichenstage/placement/RunTimeEstimates.kt
+++ b/src/main/kotlin/lichenstage/placement/RunTimeEstimates.kt
@@ -5,45 +5,46 @@
 import kotlin.math.ln
 
 /**
- * How long tasks really run. Owners' estimates are the prior; how far those of a class are off on the whole is learned from
- * its completions, since on some days they are mostly too high or mostly too low.
+ * Expected run times of tasks. The owners' estimates are the prior; the mean error of the estimates of a class is learned from its
+ * completions, since on some days they are mostly too high or mostly too low.
  */
 class RunTimeEstimates {
-    private class Bias(
+    /** The weighted sum of the logarithms of run time by estimate, which forgets old completions. */
+    private class LogRatio(
         var sum: Double = 0.0,
         var weight: Double = 0.0,
     )
 
-    private val byClass = HashMap<String, Bias>()
+    private val byClass = HashMap<String, LogRatio>()
 
-    /** A task of [spec] ran for [ranUs]. */
+    /** A task of the job has completed after [ranUs]. */
     fun recordCompletion(
         spec: JobSpec,
         ranUs: Long,
     ) {
         if (spec.estimatedRunTimeUs <= 0 || ranUs <= 0) return
-        val bias = byClass.getOrPut(spec.jobClass) { Bias() }
-        val ratio = ln(ranUs.toDouble() / spec.estimatedRunTimeUs).coerceIn(-LARGEST, LARGEST)
+        val logRatio = byClass.getOrPut(spec.jobClass) { LogRatio() }
+        val ratio = ln(ranUs.toDouble() / spec.estimatedRunTimeUs).coerceIn(-MAX_LOG_RATIO, MAX_LOG_RATIO)
         // One task of a large job says less than one of a small job: all of a job's tasks share its estimate.
         val weight = 1.0 / spec.tasks
-        bias.sum = bias.sum * (1 - weight / MEMORY) + ratio * weight
-        bias.weight = bias.weight * (1 - weight / MEMORY) + weight
+        logRatio.sum = logRatio.sum * (1 - weight / MEMORY_JOBS) + ratio * weight
+        logRatio.weight = logRatio.weight * (1 - weight / MEMORY_JOBS) + weight
     }
 
-    /** How long a task of the job is expected to run. */
+    /** Expected run time of one task of the job, in microseconds. */
     fun expectedUs(spec: JobSpec): Long {
-        val bias = byClass[spec.jobClass] ?: return spec.estimatedRunTimeUs
-        return (spec.estimatedRunTimeUs * exp(bias.sum / (bias.weight + PRIOR))).toLong()
+        val logRatio = byClass[spec.jobClass] ?: return spec.estimatedRunTimeUs
+        return (spec.estimatedRunTimeUs * exp(logRatio.sum / (logRatio.weight + PRIOR_JOBS))).toLong()
     }
 
     private companion object {
-        /** Nobody is off by more than this factor (its logarithm) on the whole. */
-        const val LARGEST = 1.5
+        /** The logarithm of the largest factor by which the estimates of a class are taken to be off. */
+        const val MAX_LOG_RATIO = 1.5
 
-        /** Jobs until the learned bias counts half. */
-        const val PRIOR = 3.0
+        /** After so many jobs the learned error counts half. */
+        const val PRIOR_JOBS = 3.0
 
-        /** Jobs after which what was learned has mostly faded. */
-        const val MEMORY = 30.0
+        /** After so many further jobs a completion has lost most of its weight. */
+        const val MEMORY_JOBS = 30.0
     }
 }
--- a/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
+++ b/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
@@ -4,13 +4,18 @@
 import lichenstage.config.ObjectiveKind
 import lichenstage.config.Team
 
-/** A time by which all of a job's tasks should have started. [perTask]: starts are counted task by task, not job by job. */
+/**
+ * A time by which all tasks of a job should have started.
+ *
+ * @property startByUs on the steady clock
+ * @property perTask each task counts that starts in time; otherwise the job counts as a whole
+ */
 data class StartObjective(
     val startByUs: Long,
     val perTask: Boolean,
 )
 
-/** What users were promised for each class of jobs, as times by which a task must start. */
+/** The service-level objectives of each class of jobs, as times by which tasks must start. */
 class ServiceObjectives(
     objectives: List<Objective>,
 ) {
@@ -18,7 +23,7 @@
 
     private val guaranteeUs = objectives.filter { it.kind == ObjectiveKind.GUARANTEE }.mapNotNull { it.withinUs }.minOrNull()
 
-    /** Jobs that fit into their team's guarantee together with the team's earlier unfinished ones. */
+    /** The jobs that fit into their team's guarantee together with the team's earlier open jobs. */
     fun guaranteed(
         jobs: Collection<Job>,
         teams: Map<String, Team>,
@@ -38,38 +43,47 @@
             }
     }
 
-    /** Starts of this class are promised within less than [withinUs]. */
+    /** Some objective of the class asks for a start within less than [withinUs]. */
     fun startsWithin(
         jobClass: String,
         withinUs: Long,
     ) = byClass[ObjectiveKind.WAIT to jobClass].orEmpty().any { it < withinUs }
 
-    /** The job's own deadline (steady): it counts from the submission, however long the job had to wait for others. */
+    /** The job's own deadline on the steady clock, counted from its submission however long it was blocked; null where it has none. */
     fun deadlineUs(job: Job): Long? = job.spec.deadlineUs?.let { job.submittedAtUs + it }
 
-    /** The times (steady) by which the job should be complete, the earliest first. */
-    fun dueUs(job: Job): List<Long> {
+    /** The times by which the job should be complete, the earliest first. */
+    private fun dueTimesUs(job: Job): List<Long> {
         val finish = byClass[ObjectiveKind.FINISHED to job.spec.jobClass].orEmpty()
         return (listOfNotNull(deadlineUs(job)) + finish.map { job.readyUs + it }).sorted()
     }
 
     /**
-     * The promises for the job that can still be kept, the earliest first. [runUs] is how long a task is expected to run; a
-     * start that seems somewhat too late may still do. [forOthersUs]: when those that wait for it need it done.
+     * The objectives of the job that can still be met, the earliest first. One that would be missed by little is kept, since run times
+     * are estimates; its time is then now.
+     *
+     * @param runUs expected run time of one task
+     * @param guaranteed the job is within its team's guarantee, which has an objective of its own
+     * @param inheritedDueUs when the job's dependents need it to be complete; null where none does
      */
     fun startObjectives(
         job: Job,
         runUs: Long,
         now: Long,
         guaranteed: Boolean = false,
-        forOthersUs: Long? = null,
+        inheritedDueUs: Long? = null,
     ): List<StartObjective> {
         val waits = byClass[ObjectiveKind.WAIT to job.spec.jobClass].orEmpty() + listOfNotNull(guaranteeUs?.takeIf { guaranteed })
         return (
             waits.map { StartObjective(job.readyUs + it, perTask = true) } +
-                (dueUs(job) + listOfNotNull(forOthersUs)).map { StartObjective(it - runUs, perTask = false) }
-        ).filter { it.startByUs + runUs / 4 >= now }
+                (dueTimesUs(job) + listOfNotNull(inheritedDueUs)).map { StartObjective(it - runUs, perTask = false) }
+        ).filter { it.startByUs + runUs / TOLERANCE_SHARE >= now }
             .map { it.copy(startByUs = maxOf(it.startByUs, now)) }
             .sortedBy { it.startByUs }
     }
+
+    private companion object {
+        /** An objective can still be met while it is missed by no more than one part in so many of the run time. */
+        const val TOLERANCE_SHARE = 4
+    }
 }
--- a/src/main/kotlin/lichenstage/placement/ZoneConstraints.kt
+++ b/src/main/kotlin/lichenstage/placement/ZoneConstraints.kt
@@ -3,13 +3,14 @@
 import lichenstage.cluster.HeldSlots
 import lichenstage.model.PartitionAssignment
 
-/** In which zones tasks of a job may be placed, given the job's other tasks: one-zone and spread jobs. */
+/** The zones in which tasks of a job may be placed, given its other tasks: single-zone and spread jobs. */
 internal class ZoneConstraints(
     private val assignment: PartitionAssignment,
 ) {
+    /** The zone of a partition. */
     fun zoneOf(partition: String) = assignment.zone(partition) ?: partition
 
-    /** The only zone for which room is to be asked for, or null. A job whose tasks must share a zone stays in the one it is in. */
+    /** The only zone to request room in, or null. A job whose tasks must share a zone stays in the one where tasks of it are. */
     fun requestedZone(job: Job): String? {
         if (job.spec.zone != null || !job.spec.sameZone) return job.spec.zone
         return job.liveAttempts.values
@@ -17,22 +18,22 @@
             ?.let { assignment.zone(it.partition) }
     }
 
-    /** How many more tasks of the job each zone may get. */
-    fun roomIn(
+    /** How many more tasks of the job each zone may get. A spread job has at most half of its tasks in one zone. */
+    fun remainingTasksByZone(
         job: Job,
         offers: Map<String, List<HeldSlots>>,
     ): (String) -> Int {
         val spec = job.spec
         if (!spec.sameZone && !spec.spread) return { Int.MAX_VALUE }
-        val there =
+        val tasksByZone =
             job.liveAttempts.values
                 .groupingBy { zoneOf(it.partition) }
                 .eachCount()
-        val most = if (spec.spread) (spec.tasks + 1) / 2 else Int.MAX_VALUE
-        val only = if (spec.sameZone) there.keys.firstOrNull() ?: OfferSelection.bestZone(offers, ::zoneOf) else null
+        val maxTasks = if (spec.spread) (spec.tasks + 1) / 2 else Int.MAX_VALUE
+        val sharedZone = if (spec.sameZone) tasksByZone.keys.firstOrNull() ?: OfferSelection.bestZone(offers, ::zoneOf) else null
         return { zone ->
-            val allowed = !spec.sameZone || (zone == only && there.keys.all { it == zone })
-            if (allowed) most - (there[zone] ?: 0) else 0
+            val allowed = !spec.sameZone || (zone == sharedZone && tasksByZone.keys.all { it == zone })
+            if (allowed) maxTasks - (tasksByZone[zone] ?: 0) else 0
         }
     }
 }
