--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -127,7 +127,7 @@
             OwnedPartitions(settings, authority, replica, OrderJournal(metrics, clock), clock, catalog::limits),
             clock,
             scope,
-            WorkerClient(vertx, clock, metrics.counter("orders"), connectionBudget::forOrders),
+            WorkerClient(vertx, clock, metrics.counter("orders"), connectionBudget::maxOrderConnections),
             authority,
             ::toLeader,
         )
@@ -144,7 +144,7 @@
         metrics.gauge("machines") { partition.machineCount }
         metrics.gauge("starts_unanswered") { partition.indeterminateStartCount }
         metrics.gauge("oldest_unanswered_start_s") { partition.oldestIndeterminateStartUs?.let { (clock.now() - it) / SECOND } ?: 0 }
-        metrics.gauge("served_connections") { connectionBudget.served }
+        metrics.gauge("served_connections") { connectionBudget.servedConnections }
         metrics.gauge("heap_bytes") { Runtime.getRuntime().let { it.totalMemory() - it.freeMemory() } }
         links.start()
         authority.start()
@@ -176,7 +176,7 @@
     private suspend fun describe() {
         while (true) {
             delay(DESCRIBE_MS)
-            log.debug("{}", metrics.text().replace('\n', ';'))
+            log.debug("{}", metrics.render().replace('\n', ';'))
         }
     }
 
--- a/src/main/kotlin/lichenstage/app/HttpApi.kt
+++ b/src/main/kotlin/lichenstage/app/HttpApi.kt
@@ -11,6 +11,7 @@
 import lichenstage.common.Caller
 import lichenstage.common.Clock
 import lichenstage.common.ConnectionBudget
+import lichenstage.common.HttpStatus
 import lichenstage.common.LruMap
 import lichenstage.common.Metrics
 import lichenstage.common.exitOnFailure
@@ -70,7 +71,7 @@
             path == HEARTBEATS -> request.requireMethod(HttpMethod.POST) { request.readBody { heartbeat(request, it) } }
             path == SUBMISSIONS -> request.requireMethod(HttpMethod.POST) { request.readBody { submit(request, it) } }
             path == HEALTH -> request.requireMethod(HttpMethod.GET) { health(request) }
-            path == METRICS -> request.requireMethod(HttpMethod.GET) { request.response().end(metrics.text()) }
+            path == METRICS -> request.requireMethod(HttpMethod.GET) { request.response().end(metrics.render()) }
             path != null && path.startsWith(JOBS) -> job(request, path.removePrefix(JOBS))
             else -> request.respondError(HttpStatus.NOT_FOUND, "unknown path")
         }
@@ -121,7 +122,7 @@
         caller: Caller,
     ) {
         val receivedUs = clock.now()
-        request.response().endHandler { metrics.served(caller, request.response().statusCode, clock.now() - receivedUs) }
+        request.response().endHandler { metrics.recordRequest(caller, request.response().statusCode, clock.now() - receivedUs) }
     }
 
     private fun heartbeat(
@@ -142,11 +143,11 @@
         request: HttpServerRequest,
         reply: HeartbeatReply,
     ) {
-        if (connectionBudget.crowded()) request.response().putHeader("Connection", "close")
+        if (connectionBudget.isExhausted()) request.response().putHeader("Connection", "close")
         when (reply) {
             is HeartbeatReply.Accepted -> request.respond(HttpStatus.OK, encoded(reply))
             is HeartbeatReply.Redirect -> request.respond(HttpStatus.MISDIRECTED_REQUEST, WorkerCodec.encodeRedirect(reply.label))
-            HeartbeatReply.Unavailable -> request.respondError(HttpStatus.UNAVAILABLE, "not entitled")
+            HeartbeatReply.Unavailable -> request.respondError(HttpStatus.SERVICE_UNAVAILABLE, "not entitled")
         }
     }
 
@@ -162,7 +163,7 @@
         if (isHealthy()) {
             request.respond(HttpStatus.OK, JsonObject().put("status", "ok"))
         } else {
-            request.respondError(HttpStatus.UNAVAILABLE, "not ready")
+            request.respondError(HttpStatus.SERVICE_UNAVAILABLE, "not ready")
         }
     }
 
--- a/src/main/kotlin/lichenstage/app/HttpExchange.kt
+++ b/src/main/kotlin/lichenstage/app/HttpExchange.kt
@@ -4,17 +4,7 @@
 import io.vertx.core.http.HttpMethod
 import io.vertx.core.http.HttpServerRequest
 import io.vertx.core.json.JsonObject
-
-/** The HTTP status codes that this API answers with. */
-internal object HttpStatus {
-    const val OK = 200
-    const val BAD_REQUEST = 400
-    const val NOT_FOUND = 404
-    const val METHOD_NOT_ALLOWED = 405
-    const val PAYLOAD_TOO_LARGE = 413
-    const val MISDIRECTED_REQUEST = 421
-    const val UNAVAILABLE = 503
-}
+import lichenstage.common.HttpStatus
 
 /** The largest request body, in bytes. */
 private const val MAX_BODY_BYTES = 64 * 1024
--- a/src/main/kotlin/lichenstage/authority/OwnershipAcquisition.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipAcquisition.kt
@@ -65,7 +65,7 @@
         while (true) {
             val dueUs = clock.now() + CHECK_INTERVAL_MS * MILLI
             delay(CHECK_INTERVAL_MS)
-            lag.ran(dueUs, clock.now())
+            lag.timerFired(dueUs, clock.now())
             acquireMissing()
         }
     }
@@ -89,7 +89,7 @@
         val homeIsHealthy = home != null && home != settings.label && isPeerHealthy(home)
         val isLeadership = key == OwnershipRecords.LEADER
         return acquisitionDelay.delayUs(isLeadership, held.recordedCount, home, table.everOwned(key), homeIsHealthy) +
-            AcquisitionDelay.lagDelayUs(lag.us)
+            AcquisitionDelay.lagDelayUs(lag.currentUs)
     }
 
     private suspend fun acquire(key: String) {
--- a/src/main/kotlin/lichenstage/cloud/CloudClient.kt
+++ b/src/main/kotlin/lichenstage/cloud/CloudClient.kt
@@ -6,7 +6,7 @@
 import lichenstage.common.Address
 import lichenstage.common.HttpStatus
 import lichenstage.common.JsonDecodingException
-import lichenstage.common.JsonHttp
+import lichenstage.common.JsonHttpClient
 import lichenstage.model.MachineType
 import org.slf4j.LoggerFactory
 
@@ -16,7 +16,7 @@
     address: Address,
 ) : Cloud {
     private val log = LoggerFactory.getLogger("lichenstage.app")
-    private val http = JsonHttp(vertx, address, connections = SOCKETS, queue = QUEUE)
+    private val http = JsonHttpClient(vertx, address, connections = SOCKETS, queue = QUEUE)
 
     override suspend fun machineTypes(): CloudReply<List<MachineType>> =
         read(CloudCodec.MACHINE_TYPES_PATH) { CloudCodec.decodeMachineTypes(it) }
--- a/src/main/kotlin/lichenstage/common/CommandLineParser.kt
+++ b/src/main/kotlin/lichenstage/common/CommandLineParser.kt
@@ -8,21 +8,21 @@
 import org.apache.commons.cli.help.HelpFormatter
 import org.apache.commons.cli.help.TextHelpAppendable
 
-/** Arguments that can't be used; the message says why. */
+/** Arguments that are not valid; the message says why. */
 class InvalidArgumentsException(
     why: String?,
     cause: Exception? = null,
 ) : Exception(why, cause)
 
-/** The options of one command: how they are read, and the help that names them. */
+/** Defines the options of one command, parses arguments and renders the help text. */
 class CommandLineParser(
     private val syntax: String,
     private val description: String,
-    private val mostOperands: Int = 0,
+    private val maxOperands: Int = 0,
 ) {
     private val options = Options()
 
-    /** Adds a switch. */
+    /** Adds an option without a value. */
     fun flag(
         name: String,
         description: String,
@@ -36,7 +36,7 @@
         description: String,
     ) = apply { options.addOption(Option(null, name, true, description).apply { argName = valueName }) }
 
-    /** Reads [args]; throws [InvalidArgumentsException] where one is unknown, repeated, left over or lacks its value. */
+    /** Parses [args]; throws [InvalidArgumentsException] if one is unknown, repeated, superfluous or lacks its value. */
     fun parse(args: List<String>): ParsedArguments {
         val line =
             try {
@@ -56,13 +56,13 @@
             .firstOrNull()
             ?.let { throw InvalidArgumentsException("--$it should be given only once") }
         line.argList
-            .drop(mostOperands)
+            .drop(maxOperands)
             .firstOrNull()
             ?.let { throw InvalidArgumentsException("unexpected argument: $it") }
         return ParsedArguments(line)
     }
 
-    /** How the command is used, with all its options. */
+    /** The usage line, the description and all options. */
     fun help(): String {
         val text = StringBuilder()
         HelpFormatter
@@ -75,21 +75,21 @@
     }
 }
 
-/** Arguments that were read. */
+/** Parsed arguments of a command. */
 class ParsedArguments(
     private val line: CommandLine,
 ) {
-    /** What is no option, in its order. */
+    /** The arguments that are not options, in order. */
     val operands: List<String> get() = line.argList
 
-    /** The option was given. */
+    /** Whether the option was given. */
     fun has(name: String): Boolean = line.hasOption(name)
 
-    /** The option's value, or null. */
+    /** The option's value; null if it was not given. */
     fun text(name: String): String? = line.getOptionValue(name)
 
-    /** The option's value as a whole number, or null. */
-    fun whole(name: String): Long? {
+    /** The option's value as a whole number; null if it was not given. Throws [InvalidArgumentsException] if it is no number. */
+    fun wholeNumber(name: String): Long? {
         val text = text(name) ?: return null
         return text.toLongOrNull() ?: throw InvalidArgumentsException("--$name: a whole number is needed, found $text")
     }
--- a/src/main/kotlin/lichenstage/common/ConnectionBudget.kt
+++ b/src/main/kotlin/lichenstage/common/ConnectionBudget.kt
@@ -3,57 +3,61 @@
 import org.slf4j.LoggerFactory
 
 /**
- * How the process's sockets are shared out, of [most] that its machine has.
+ * Divides the sockets that the machine allows, [maxSockets], between the uses of the process.
  *
- * Guards against failing because everybody came at once: one controller that is left alone has a connection of every worker for
- * its reports and could have another to each for orders, more than the machine has; then no user, no peer and no call of the
- * state service gets through. What is [fixed] (state service, cloud, peers) is kept free; connections for orders are few where
- * many are served; and where even those that are served come close to the end, reports are answered on connections that are
- * closed with the answer. (Seen in the load check: 3,186 sockets with 1,600 workers on one controller.)
+ * Guards against failing because all clients arrive at once: a controller that is left alone serves a connection of every worker and could
+ * open another to each for orders, which is more than the machine has; users, peers and the state service would no longer get through.
+ * [reserved] sockets (state service, cloud, peers) are always kept free; the more connections are served, the fewer may be opened for
+ * orders; and near the limit, heartbeats are answered on connections that are closed with the response. (Seen in the load check: 3,186
+ * sockets with 1,600 workers on one controller.)
  */
 class ConnectionBudget(
-    private val most: Int,
-    private val fixed: Int,
+    private val maxSockets: Int,
+    private val reserved: Int,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.app")
-    private var told = false
+    private var exhaustionLogged = false
 
-    /** Connections of users, workers and health checks. */
-    var served = 0
+    /** Open connections of users, workers and health checks. */
+    var servedConnections = 0
         private set
 
-    private val shared get() = most - fixed
+    private val shared get() = maxSockets - reserved
 
-    /** What of [shared] is kept free for users: they can't be told to come back if they can't connect. */
+    /** The part of [shared] that is kept free for users: a user who can't connect can't be asked to retry later either. */
     private val forUsers = (shared / 8).coerceAtLeast(1)
 
     /** A connection was accepted. */
     fun opened() {
-        served++
+        servedConnections++
     }
 
     /** An accepted connection has ended. */
     fun closed() {
-        served--
+        servedConnections--
     }
 
-    /** How many connections to workers may be open for orders. */
-    fun forOrders(): Int = (shared - forUsers - served).coerceIn(leastOrders(), MOST_ORDERS)
-
-    /** Connections of workers are to be closed with the answer. */
-    fun crowded(): Boolean {
-        val crowded = served > shared - forUsers - leastOrders()
-        if (crowded && !told) {
-            told = true
-            log.error("{} connections are served and max_sockets is {}: reports are answered on connections that are closed", served, most)
+    /** How many connections to workers may be open for orders now. */
+    fun maxOrderConnections(): Int = (shared - forUsers - servedConnections).coerceIn(minOrderConnections(), MAX_ORDER_CONNECTIONS)
+
+    /** Whether connections of workers have to be closed with the response. Logs the first time that this is the case. */
+    fun isExhausted(): Boolean {
+        val exhausted = servedConnections > shared - forUsers - minOrderConnections()
+        if (exhausted && !exhaustionLogged) {
+            exhaustionLogged = true
+            log.error(
+                "Connections exhausted, heartbeats are answered with Connection: close served={} max_sockets={}",
+                servedConnections,
+                maxSockets,
+            )
         }
-        return crowded
+        return exhausted
     }
 
-    private fun leastOrders() = (shared / 16).coerceIn(1, MOST_ORDERS)
+    private fun minOrderConnections() = (shared / 16).coerceIn(1, MAX_ORDER_CONNECTIONS)
 
     private companion object {
-        /** An open connection for each of hundreds of machines costs more memory than opening some anew. */
-        const val MOST_ORDERS = 700
+        /** Keeping a connection open for each of thousands of machines would take more memory than reopening some is worth. */
+        const val MAX_ORDER_CONNECTIONS = 700
     }
 }
--- a/src/main/kotlin/lichenstage/common/EventLoopLag.kt
+++ b/src/main/kotlin/lichenstage/common/EventLoopLag.kt
@@ -1,24 +1,24 @@
 package lichenstage.common
 
 /**
- * How late the event loop has run its timers lately: by this much an answer of this process is late too. The worst of the last moments
- * counts and fades.
+ * How late the event loop has recently run its timers, and so how late this process answers: the maximum of recent delays, which decays
+ * exponentially.
  */
 class EventLoopLag {
-    /** The present lag; 0 where timers run in time. */
-    var us = 0L
+    /** The current lag in microseconds; 0 if timers run on time. */
+    var currentUs = 0L
         private set
 
-    /** A timer that was due at [dueUs] ran at [now]; called several times a second. */
-    fun ran(
+    /** Records that a timer that was due at [dueUs] ran at [now]. To be called several times a second. */
+    fun timerFired(
         dueUs: Long,
         now: Long,
     ) {
-        us = maxOf(now - dueUs, us - us / FADING)
+        currentUs = maxOf(now - dueUs, currentUs - currentUs / DECAY_DIVISOR)
     }
 
     private companion object {
-        /** Each call takes one part in so many off what was before. */
-        const val FADING = 10
+        /** Each call reduces the previous maximum by one part in so many. */
+        const val DECAY_DIVISOR = 10
     }
 }
--- a/src/main/kotlin/lichenstage/common/JsonHttp.kt
+++ b/src/main/kotlin/lichenstage/common/JsonHttpClient.kt
@@ -12,17 +12,17 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import org.slf4j.LoggerFactory
 
-/** An answer with a JSON body. */
-data class JsonAnswer(
+/** A response with a JSON body; an empty body counts as an empty object. */
+data class JsonResponse(
     val status: Int,
     val body: JsonObject,
 )
 
 /**
- * One request to the end of its answer, or null after [timeoutMs].
+ * Sends one request and reads its response with [handle]; null after [timeoutMs].
  *
- * Guards against a pool that never recovers from a cut: a request that was given up while it waited for a connection gets one
- * later, and would hold it for ever. (Seen on Baile's grown "troubles" day: after a cut of 40 s a controller renewed its lease and
+ * Guards against a pool that never recovers from a network partition: a request that was given up while it waited for a connection is handed
+ * one later, and would keep it forever. (Seen on Baile's grown "troubles" day: after a partition of 40 s a controller renewed its lease and
  * did nothing else until it was restarted.)
  */
 suspend fun <T : Any> HttpClient.exchange(
@@ -30,22 +30,22 @@
     address: Address,
     path: String,
     timeoutMs: Long,
-    talk: suspend (HttpClientRequest) -> T,
+    handle: suspend (HttpClientRequest) -> T,
 ): T? =
     withTimeoutOrNull(timeoutMs) {
         val pending = request(method, address.port, address.host, path)
         try {
             val request = pending.coAwait()
             request.idleTimeout(timeoutMs)
-            talk(request)
+            handle(request)
         } catch (e: CancellationException) {
             pending.onSuccess { it.reset() }
             throw e
         }
     }
 
-/** A bounded pool of connections to one service that speaks JSON. */
-class JsonHttp(
+/** An HTTP client with a bounded connection pool for one service that speaks JSON. */
+class JsonHttpClient(
     vertx: Vertx,
     private val address: Address,
     connections: Int,
@@ -57,24 +57,24 @@
             PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(queue),
         )
 
-    /** Status and body of the answer, or null where none came in time or it was no JSON: it decides nothing. */
+    /** Sends a request; null if no response arrived within [timeoutMs] or it was not JSON, so that its outcome is indeterminate. */
     suspend fun call(
         method: HttpMethod,
         path: String,
         body: JsonObject?,
         timeoutMs: Long,
-    ): JsonAnswer? =
-        @Suppress("TooGenericExceptionCaught") // Whatever goes wrong on the way, there is no answer.
+    ): JsonResponse? =
+        @Suppress("TooGenericExceptionCaught") // Whatever failed on the way, the outcome is indeterminate.
         try {
             client.exchange(method, address, path, timeoutMs) { request ->
                 val response = (if (body == null) request.send() else request.send(body.toBuffer())).coAwait()
                 val text = response.body().coAwait()
-                JsonAnswer(response.statusCode(), if (text.length() == 0) JsonObject() else JsonObject(text))
+                JsonResponse(response.statusCode(), if (text.length() == 0) JsonObject() else JsonObject(text))
             }
         } catch (e: CancellationException) {
             throw e
         } catch (e: Exception) {
-            log.debug("{} {} at {}: {}", method, path, address, e.message)
+            log.debug("Request failed method={} path={} address={} cause={}", method, path, address, e.message)
             null
         }
 
--- a/src/main/kotlin/lichenstage/common/LruMap.kt
+++ b/src/main/kotlin/lichenstage/common/LruMap.kt
@@ -1,13 +1,13 @@
 package lichenstage.common
 
-/** A map of at most [most] entries, which drops the one that was used longest ago. */
+/** A map of at most [maxSize] entries that evicts the least recently used one. */
 class LruMap<K, V>(
-    private val most: Int,
-) : LinkedHashMap<K, V>(INITIAL, LOAD, true) {
-    override fun removeEldestEntry(eldest: MutableMap.MutableEntry<K, V>) = size > most
+    private val maxSize: Int,
+) : LinkedHashMap<K, V>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
+    override fun removeEldestEntry(eldest: MutableMap.MutableEntry<K, V>) = size > maxSize
 
     private companion object {
-        const val INITIAL = 64
-        const val LOAD = 0.75f
+        const val INITIAL_CAPACITY = 64
+        const val LOAD_FACTOR = 0.75f
     }
 }
--- a/src/main/kotlin/lichenstage/common/Mailbox.kt
+++ b/src/main/kotlin/lichenstage/common/Mailbox.kt
@@ -7,12 +7,12 @@
 import kotlin.system.exitProcess
 
 /**
- * The inbox of an actor: messages are handled one after the other, in the order of arrival.
+ * The bounded mailbox of an actor: messages are handled one at a time, in the order of arrival.
  *
- * Guards against a process left half alive: an actor that fails ends the process, which the platform starts again. All that matters
- * is in the state service or on the workers. Where the inbox is full, [shed] says whether the message can be done without, and has
- * its sender told; thousands of reports that a cut has held back are no reason to end. What is bounded elsewhere can't be shed, and
- * an inbox that overflows with that ends the process.
+ * An actor that throws ends the process, which the platform restarts: a half-dead process would be worse, and all durable state is in the
+ * state service or on the workers. If the mailbox is full, [shed] decides whether the message may be dropped, and answers its sender if there
+ * is one to answer: thousands of heartbeats that a network partition held back are no reason to restart. A message that may not be dropped
+ * is bounded elsewhere, so a mailbox that overflows with it ends the process.
  */
 class Mailbox<M : Any>(
     private val name: String,
@@ -22,12 +22,12 @@
     private val shed: (M) -> Boolean = { false },
 ) {
     private val inbox = Channel<M>(capacity)
-    private var told = false
+    private var overflowLogged = false
 
     init {
         scope.launch {
             for (message in inbox) {
-                @Suppress("TooGenericExceptionCaught") // Whatever it is, the process ends with its message.
+                @Suppress("TooGenericExceptionCaught") // Any failure ends the process, with its cause logged.
                 try {
                     handle(message)
                 } catch (e: Throwable) {
@@ -37,13 +37,13 @@
         }
     }
 
-    /** Puts a message into the inbox, or sheds it where the inbox is full. */
+    /** Enqueues a message, or sheds it if the mailbox is full. Never suspends. */
     fun tell(message: M) {
         if (inbox.trySend(message).isSuccess) return
-        if (!shed(message)) exitOnFailure("$name: the inbox is full", null)
-        if (told) return
-        told = true
-        LoggerFactory.getLogger("lichenstage.app").error("{}: the inbox is full; what can come again is turned away", name)
+        if (!shed(message)) exitOnFailure("$name: the mailbox is full", null)
+        if (overflowLogged) return
+        overflowLogged = true
+        LoggerFactory.getLogger("lichenstage.app").error("Mailbox full, messages that will be repeated are dropped mailbox={}", name)
     }
 
     private companion object {
@@ -51,11 +51,14 @@
     }
 }
 
-/** Ends the process with a clear message. */
+/** `EX_SOFTWARE` of sysexits.h. */
+private const val EXIT_SOFTWARE_ERROR = 70
+
+/** Logs [why] with its cause and exits with the status for an internal error. */
 fun exitOnFailure(
     why: String,
     cause: Throwable?,
 ): Nothing {
     LoggerFactory.getLogger("lichenstage.app").error(why, cause)
-    exitProcess(70)
+    exitProcess(EXIT_SOFTWARE_ERROR)
 }
--- a/src/main/kotlin/lichenstage/common/Metrics.kt
+++ b/src/main/kotlin/lichenstage/common/Metrics.kt
@@ -8,15 +8,15 @@
 import java.util.EnumMap
 import java.util.concurrent.TimeUnit
 
-/** Who sends a request. */
+/** The kind of client that sent a request. */
 enum class Caller { WORKER, HEALTH, USER }
 
-/** What the process measures of itself; shown as plain lines, one a value, at `GET /metrics`. */
+/** The metrics of the process, rendered as plain text, one metric a line, at `GET /metrics`. */
 class Metrics {
     private val registry = SimpleMeterRegistry()
     private val requests = EnumMap<Caller, Int2ObjectOpenHashMap<Timer>>(Caller::class.java)
 
-    /** Registers a value that is read when the metrics are asked for. */
+    /** Registers a value that is read whenever the metrics are rendered. */
     fun gauge(
         name: String,
         value: () -> Number,
@@ -24,11 +24,11 @@
         Gauge.builder("lichenstage.$name", value).register(registry)
     }
 
-    /** A counter under a name, new or as it was registered before. */
+    /** The counter with a name; it is registered by the first call. */
     fun counter(name: String): Counter = registry.counter("lichenstage.$name")
 
-    /** A request of [caller] took [micros] until its answer with [status] was written. */
-    fun served(
+    /** Records that a request of [caller] was answered with [status] after [micros] microseconds. */
+    fun recordRequest(
         caller: Caller,
         status: Int,
         micros: Long,
@@ -43,8 +43,8 @@
         status: Int,
     ) = registry.timer("lichenstage.served", "kind", caller.name.lowercase(), "status", status.toString())
 
-    /** All metrics, one value a line. */
-    fun text(): String =
+    /** All metrics, sorted by name, one a line. */
+    fun render(): String =
         registry.meters.sortedBy { it.id.name }.joinToString("\n", postfix = "\n") { meter ->
             val tags = meter.id.tags.joinToString("") { " ${it.key}=${it.value}" }
             val values = meter.measure().joinToString(" ") { "${it.statistic.tagValueRepresentation}=${it.value}" }
--- a/src/main/kotlin/lichenstage/config/Settings.kt
+++ b/src/main/kotlin/lichenstage/config/Settings.kt
@@ -13,7 +13,7 @@
     val address: Address,
 )
 
-/** A team's share. A limit of 0 in the file means that there is none; here that is infinity. */
+/** A team's guarantee and quota. A quota of 0 in the file means that there is none; it is infinity here. */
 data class Team(
     val name: String,
     val cores: Double,
@@ -22,17 +22,17 @@
     val gpusMax: Double,
 )
 
-/** What an objective is about: when a job is done or its tasks start. */
+/** What a service-level objective measures: the completion of a job or the start of its tasks. */
 enum class ObjectiveKind { DEADLINE, WAIT, FINISHED, GUARANTEE }
 
-/** What users were promised for a class of jobs. */
+/** A service-level objective for a class of jobs, or for all of them if [jobClass] is null. */
 data class Objective(
     val kind: ObjectiveKind,
     val jobClass: String?,
     val withinUs: Long?,
 )
 
-/** The platform's file, checked. Durations are whole microseconds. */
+/** The validated settings file of the platform. Durations are in microseconds. */
 data class Settings(
     val label: String,
     val zone: String,
@@ -44,7 +44,7 @@
     val zones: List<String>,
     val teams: Map<String, Team>,
     val workerLeaseUs: Long,
-    /** Within this time of a confirmed cancellation no task of the job may be left. */
+    /** No task of a job may be left this long after its cancellation was confirmed. */
     val cancelUs: Long,
     val heartbeatIntervalUs: Long,
     val stateRps: Double,
@@ -56,27 +56,28 @@
     val count: Int,
     val objectives: List<Objective>,
     val maxSockets: Int,
-    /** The part of one core that the process gets. */
+    /** The share of one core that the process may use. */
     val coreShare: Double,
 ) {
-    /** How the machines are partitioned among the controllers. */
+    /** How machines are assigned to partitions, and partitions to their home controllers. */
     val assignment by lazy { PartitionAssignment(zones, peers.associate { it.label to it.zone } + (label to zone)) }
 
     companion object {
-        /** Reads the platform's file; unknown fields are ignored, wrong ones are named. */
+        /** Parses the platform's file. Unknown fields are ignored; an invalid one throws [InvalidSettingsException] with its path. */
         fun parse(text: String): Settings {
-            val root = Fields(runCatching { JsonObject(text) }.getOrElse { throw InvalidSettingsException("not a JSON object") }, "")
+            val root =
+                SettingsReader(runCatching { JsonObject(text) }.getOrElse { throw InvalidSettingsException("not a JSON object") }, "")
             val settings = root.obj("settings")
             val workers = settings.obj("workers")
             val state = settings.obj("state")
-            // The limits that the state service will have one day without notice hold from the start, where they are the smaller ones.
+            // Announced limits of the state service take effect without notice, so the smaller of both applies from the start.
             val next = state.optionalObj("next")
 
             fun limit(
                 field: String,
-                least: Double,
+                min: Double,
                 default: Double? = null,
-            ) = state.number(field, least, default).let { minOf(it, next?.number(field, least, it) ?: it) }
+            ) = state.number(field, min, default).let { minOf(it, next?.number(field, min, it) ?: it) }
             val cloud = settings.obj("cloud")
             val endpoints = root.obj("endpoints")
             val machine = settings.optionalObj("machine_limits")
@@ -106,13 +107,13 @@
             )
         }
 
-        /** Kinds that aren't known yet are passed over, like unknown fields. */
-        private fun objective(row: Fields): Objective? {
+        /** Null for an unknown kind, which is ignored like an unknown field. */
+        private fun objective(row: SettingsReader): Objective? {
             val kind = ObjectiveKind.entries.firstOrNull { it.name.lowercase() == row.text("kind") } ?: return null
             return Objective(kind, row.optionalText("class"), row.optionalMicros("within_s"))
         }
 
-        private fun team(row: Fields): Team {
+        private fun team(row: SettingsReader): Team {
             fun cap(field: String) = row.number(field, 0.0, 0.0).let { if (it == 0.0) Double.POSITIVE_INFINITY else it }
             return Team(
                 row.text("name"),
@@ -125,14 +126,14 @@
     }
 }
 
-/** A settings file that can't be used; the message names the path and the value. */
+/** A settings file that is not valid; the message names the path of the field and its value. */
 class InvalidSettingsException(
     message: String,
     cause: Throwable? = null,
 ) : Exception(message, cause)
 
-/** One object of a settings file with its path, so that every complaint can name the place. */
-class Fields(
+/** One object of a settings file at [path]. Every accessor throws [InvalidSettingsException] with the path of an invalid field. */
+class SettingsReader(
     private val json: JsonObject,
     private val path: String,
 ) {
@@ -143,47 +144,47 @@
         what: String,
     ): Nothing = throw InvalidSettingsException("${at(field)}: $what, found ${json.getValue(field)}")
 
-    /** The object in a field that has to be there. */
-    fun obj(field: String) = Fields(json.getValue(field) as? JsonObject ?: fail(field, "an object is needed"), at(field))
+    /** The object in a required field. */
+    fun obj(field: String) = SettingsReader(json.getValue(field) as? JsonObject ?: fail(field, "an object is needed"), at(field))
 
-    /** The object in a field, or null. */
+    /** The object in an optional field. */
     fun optionalObj(field: String) = if (json.getValue(field) == null) null else obj(field)
 
-    /** A text that is not empty. */
+    /** A required string that is not empty. */
     fun text(field: String) = (json.getValue(field) as? String)?.takeIf { it.isNotEmpty() } ?: fail(field, "a text is needed")
 
-    /** A number of at least [least], or [default] where the field is missing. */
+    /** A number of at least [min], or [default] where the field is missing. */
     fun number(
         field: String,
-        least: Double,
+        min: Double,
         default: Double? = null,
     ): Double {
         val value = json.getValue(field) ?: default ?: fail(field, "a number is needed")
         val number = (value as? Number)?.toDouble()
-        return number?.takeIf { it.isFinite() && it >= least } ?: fail(field, "a number of at least $least is needed")
+        return number?.takeIf { it.isFinite() && it >= min } ?: fail(field, "a number of at least $min is needed")
     }
 
-    /** A duration in seconds, as microseconds. */
+    /** A required duration, given in seconds, in microseconds. */
     fun micros(field: String) = (number(field, 0.001) * 1_000_000).toLong()
 
-    /** A text, or null. */
+    /** An optional string. */
     fun optionalText(field: String) = if (json.getValue(field) == null) null else text(field)
 
-    /** A duration in seconds as microseconds, or null. */
+    /** An optional duration, given in seconds, in microseconds. */
     fun optionalMicros(field: String) = if (json.getValue(field) == null) null else micros(field)
 
-    /** An address of the form HOST:PORT. */
+    /** A required address of the form HOST:PORT. */
     fun address(field: String): Address = parseAddress(text(field)) ?: fail(field, "an address HOST:PORT is needed")
 
-    /** A list of objects. */
-    fun list(field: String): List<Fields> {
+    /** A required list of objects. */
+    fun list(field: String): List<SettingsReader> {
         val array = json.getValue(field) as? JsonArray ?: fail(field, "a list is needed")
         return array.mapIndexed { i, row ->
-            Fields(row as? JsonObject ?: fail(field, "a list of objects is needed"), "${at(field)}[$i]")
+            SettingsReader(row as? JsonObject ?: fail(field, "a list of objects is needed"), "${at(field)}[$i]")
         }
     }
 
-    /** A list of texts. */
+    /** A required list of strings. */
     fun texts(field: String): List<String> {
         val array = json.getValue(field) as? JsonArray ?: fail(field, "a list is needed")
         return array.map { it as? String ?: fail(field, "a list of texts is needed") }
--- a/src/main/kotlin/lichenstage/drain/DrainCommand.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCommand.kt
@@ -26,7 +26,7 @@
         CommandLineParser(
             "lichenstage drain start|status|pause|resume|cancel [NAME]",
             "Empties machines in steps, within the disruption budgets of the teams.",
-            mostOperands = 2,
+            maxOperands = 2,
         ).value("config", "FILE", "The platform's settings file (JSON) of any controller.")
             .value("machine", "NAMES", "Machines by name, separated by commas.")
             .value("type", "TYPE", "Machines of this type.")
@@ -134,7 +134,7 @@
                 spot,
                 parsed.text("hired-up-to"),
             )
-        val deadlineS = parsed.whole("deadline-s")
+        val deadlineS = parsed.wholeNumber("deadline-s")
         return DrainRequest(
             name,
             selection,
@@ -146,7 +146,7 @@
     }
 
     private fun maxConcurrent(parsed: ParsedArguments): Int {
-        val machines = parsed.whole("at-most") ?: 1
+        val machines = parsed.wholeNumber("at-most") ?: 1
         if (machines > Int.MAX_VALUE) throw InvalidArgumentsException("--at-most: found $machines, too large")
         return machines.toInt()
     }
--- a/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
@@ -7,8 +7,8 @@
 import lichenstage.cluster.CompletionSyncRequest
 import lichenstage.cluster.Frame
 import lichenstage.cluster.JobsEnded
-import lichenstage.common.BoundedLog
 import lichenstage.common.Clock
+import lichenstage.common.RateLimitedLog
 import lichenstage.common.SECOND
 import lichenstage.state.KeyValueStoreClient
 import lichenstage.state.ReadResult
@@ -42,7 +42,7 @@
     private val scope: CoroutineScope,
     private val listener: JobEndListener,
 ) {
-    private val log = BoundedLog.of("lichenstage.jobs", clock)
+    private val log = RateLimitedLog.of("lichenstage.jobs", clock)
     private var isStale = false
 
     /** Follows the open jobs from now on. */
--- a/src/main/kotlin/lichenstage/partition/OrderJournal.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderJournal.kt
@@ -1,9 +1,9 @@
 package lichenstage.partition
 
 import io.micrometer.core.instrument.Counter
-import lichenstage.common.BoundedLog
 import lichenstage.common.Clock
 import lichenstage.common.Metrics
+import lichenstage.common.RateLimitedLog
 
 /**
  * Logs and counts what happens to orders, one line for each event and a bounded number of lines in a time. The lines alone tell why a task
@@ -13,7 +13,7 @@
     metrics: Metrics,
     clock: Clock,
 ) {
-    private val log = BoundedLog.of("lichenstage.orders", clock)
+    private val log = RateLimitedLog.of("lichenstage.orders", clock)
     private val unanswered = metrics.counter("orders_unanswered")
     private val lateStarts = metrics.counter("starts_landed_late")
     private val withheld = metrics.counter("answers_withheld")
--- a/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
+++ b/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
@@ -7,7 +7,7 @@
 import lichenstage.common.Clock
 import lichenstage.common.HttpStatus
 import lichenstage.common.JsonDecodingException
-import lichenstage.common.JsonHttp
+import lichenstage.common.JsonHttpClient
 import org.slf4j.LoggerFactory
 
 /**
@@ -26,11 +26,11 @@
     writeShare: () -> Double,
 ) : KeyValueStore {
     private val log = LoggerFactory.getLogger("lichenstage.state")
-    private val requests = JsonHttp(vertx, address, connections = REQUEST_CONNECTIONS, queue = REQUEST_QUEUE)
+    private val requests = JsonHttpClient(vertx, address, connections = REQUEST_CONNECTIONS, queue = REQUEST_QUEUE)
 
     /** Watches stay open for long: they have connections of their own, and so have leases, so that nothing holds up a renewal. */
-    private val watches = JsonHttp(vertx, address, connections = WATCH_CONNECTIONS, queue = WATCH_CONNECTIONS)
-    private val leases = JsonHttp(vertx, address, connections = LEASE_CONNECTIONS, queue = LEASE_CONNECTIONS)
+    private val watches = JsonHttpClient(vertx, address, connections = WATCH_CONNECTIONS, queue = WATCH_CONNECTIONS)
+    private val leases = JsonHttpClient(vertx, address, connections = LEASE_CONNECTIONS, queue = LEASE_CONNECTIONS)
     private val requestLimiter = RequestRateLimiter(clock) { rps / controllers }
     private val writeLimiter = RequestRateLimiter(clock) { writeRps * writeShare() }
 
--- a/src/test/kotlin/lichenstage/cluster/PingPunctualityTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PingPunctualityTest.kt
@@ -37,11 +37,11 @@
     @Example
     fun `the lag of an event loop rises at once and fades`() {
         val lag = EventLoopLag()
-        lag.ran(dueUs = 0, now = 3 * SECOND)
-        assertEquals(3 * SECOND, lag.us, "${lag.us}")
-        repeat(10) { lag.ran(it * SECOND, it * SECOND) }
-        assertTrue(lag.us in SECOND / 2..3 * SECOND / 2, "${lag.us}")
-        repeat(100) { lag.ran(it * SECOND, it * SECOND) }
-        assertTrue(lag.us < 10 * MILLI, "${lag.us}")
+        lag.timerFired(dueUs = 0, now = 3 * SECOND)
+        assertEquals(3 * SECOND, lag.currentUs, "${lag.currentUs}")
+        repeat(10) { lag.timerFired(it * SECOND, it * SECOND) }
+        assertTrue(lag.currentUs in SECOND / 2..3 * SECOND / 2, "${lag.currentUs}")
+        repeat(100) { lag.timerFired(it * SECOND, it * SECOND) }
+        assertTrue(lag.currentUs < 10 * MILLI, "${lag.currentUs}")
     }
 }
--- a/src/test/kotlin/lichenstage/common/CommandLineParserTest.kt
+++ b/src/test/kotlin/lichenstage/common/CommandLineParserTest.kt
@@ -6,7 +6,7 @@
 
 class CommandLineParserTest {
     private val parser =
-        CommandLineParser("tool [NAME]", "Does something.", mostOperands = 1)
+        CommandLineParser("tool [NAME]", "Does something.", maxOperands = 1)
             .value("config", "FILE", "A file.")
             .value("count", "COUNT", "A number.")
             .flag("check", "Only looks.")
@@ -19,7 +19,7 @@
         val arguments = parse("--check", "here", "--config", "a.json", "--count=7")
         assertTrue(arguments.has("check") && !arguments.has("help"), "only --check was given")
         assertEquals("a.json", arguments.text("config"), "${arguments.text("config")}")
-        assertEquals(7L, arguments.whole("count"), "${arguments.whole("count")}")
+        assertEquals(7L, arguments.wholeNumber("count"), "${arguments.wholeNumber("count")}")
         assertEquals(listOf("here"), arguments.operands, "${arguments.operands}")
         assertTrue(parse("-h").has("help"), "the short name")
     }
@@ -35,7 +35,7 @@
                 listOf("here", "there"),
             )
         for (args in wrong) assertTrue(isRefused { parser.parse(args) }, "$args")
-        assertTrue(isRefused { parse("--count", "many").whole("count") }, "a count that is no number")
+        assertTrue(isRefused { parse("--count", "many").wholeNumber("count") }, "a count that is no number")
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/common/ConnectionBudgetTest.kt
+++ b/src/test/kotlin/lichenstage/common/ConnectionBudgetTest.kt
@@ -15,13 +15,15 @@
         val sockets = ConnectionBudget(most, FIXED)
         repeat(workers) {
             sockets.opened()
-            if (sockets.crowded()) sockets.closed()
-            val taken = FIXED + sockets.served + sockets.forOrders()
-            assertTrue(taken <= most - (most - FIXED) / 16) { "$taken of $most with ${sockets.served} served" }
-            assertTrue(sockets.forOrders() > 0) { "no orders at all" }
+            if (sockets.isExhausted()) sockets.closed()
+            val taken = FIXED + sockets.servedConnections + sockets.maxOrderConnections()
+            assertTrue(taken <= most - (most - FIXED) / 16) { "$taken of $most with ${sockets.servedConnections} served" }
+            assertTrue(sockets.maxOrderConnections() > 0) { "no orders at all" }
         }
         val room = (most - FIXED) * 3 / 4
-        assertTrue(sockets.served >= minOf(workers, room)) { "${sockets.served} served of $workers with $most sockets" }
+        assertTrue(
+            sockets.servedConnections >= minOf(workers, room),
+        ) { "${sockets.servedConnections} served of $workers with $most sockets" }
     }
 
     private companion object {
--- a/src/test/kotlin/lichenstage/common/JsonHttpTest.kt
+++ b/src/test/kotlin/lichenstage/common/JsonHttpClientTest.kt
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 
-class JsonHttpTest {
+class JsonHttpClientTest {
     /** The one connection is busy; a request that waits for it is given up, then the connection is free again. */
     @Example
     fun `a request that was given up while it waited for a connection does not keep it`() =
@@ -34,13 +34,13 @@
                     if (it.path() == "/held") held.complete(it) else it.response().end("{}")
                 }
             val port = server.listen(0, "127.0.0.1").coAwait().actualPort()
-            val http = JsonHttp(vertx, Address("127.0.0.1", port), connections = 1, queue = 10)
+            val http = JsonHttpClient(vertx, Address("127.0.0.1", port), connections = 1, queue = 10)
             val first = async { http.call(HttpMethod.GET, "/held", null, LONG_MS) }
             val request = held.await()
             repeat(3) { assertNull(http.call(HttpMethod.GET, "/given-up", null, 20)) { "answered without a connection" } }
             request.response().end("{}")
-            assertEquals(JsonAnswer(200, JsonObject()), first.await()) { "the first was not answered" }
-            assertEquals(JsonAnswer(200, JsonObject()), http.call(HttpMethod.GET, "/next", null, LONG_MS)) { "the connection is lost" }
+            assertEquals(JsonResponse(200, JsonObject()), first.await()) { "the first was not answered" }
+            assertEquals(JsonResponse(200, JsonObject()), http.call(HttpMethod.GET, "/next", null, LONG_MS)) { "the connection is lost" }
         }
 
     private companion object {
--- a/src/test/kotlin/lichenstage/standin/Load.kt
+++ b/src/test/kotlin/lichenstage/standin/Load.kt
@@ -40,11 +40,11 @@
 private class LoadOptions(
     arguments: ParsedArguments,
 ) {
-    val workers = arguments.whole("workers")?.toInt() ?: 1600
-    val controllers = arguments.whole("controllers")?.toInt() ?: 1
-    val phaseS = arguments.whole("phase")?.toInt() ?: 40
-    val tasksASecond = arguments.whole("tasks")?.toInt() ?: 140
-    val sockets = arguments.whole("sockets")?.toInt() ?: 2481
+    val workers = arguments.wholeNumber("workers")?.toInt() ?: 1600
+    val controllers = arguments.wholeNumber("controllers")?.toInt() ?: 1
+    val phaseS = arguments.wholeNumber("phase")?.toInt() ?: 40
+    val tasksASecond = arguments.wholeNumber("tasks")?.toInt() ?: 140
+    val sockets = arguments.wholeNumber("sockets")?.toInt() ?: 2481
     val jvm = arguments.text("jvm")?.split(' ').orEmpty()
 }
 
