--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -51,6 +51,8 @@
 import lichenstage.placement.LeaderActor
 import lichenstage.placement.LeaderMessage
 import lichenstage.placement.LeaderOptions
+import lichenstage.placement.LeaderServices
+import lichenstage.placement.LeaderTerm
 import lichenstage.state.KeyValueStoreClient
 import org.slf4j.LoggerFactory
 
@@ -206,18 +208,10 @@
         leader =
             LeaderActor(
                 settings,
-                authority,
-                state,
-                cloud,
-                catalog,
-                clock,
-                replicaSync,
-                dependencyGraph,
-                scope,
-                mine.term,
-                mine.modRevision,
                 LeaderOptions(operator.fleet(FleetPolicy()), operator.placement, operator.drains),
-                links::send,
+                LeaderServices(authority, state, cloud, catalog, clock, replicaSync, dependencyGraph, links::send),
+                LeaderTerm(mine.term, mine.modRevision),
+                scope,
             )
     }
 
--- a/src/main/kotlin/lichenstage/app/WarmUp.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUp.kt
@@ -20,6 +20,9 @@
 import lichenstage.placement.Job
 import lichenstage.placement.LeaderCore
 import lichenstage.placement.LeaderEffect
+import lichenstage.placement.LeaderLookups
+import lichenstage.placement.LeaderSettings
+import lichenstage.placement.LeaderTerm
 import lichenstage.placement.PlacementSettings
 import lichenstage.placement.ServiceObjectives
 import java.io.File
@@ -109,15 +112,16 @@
     val sent = ArrayList<PlacementFrame>()
     val leader =
         LeaderCore(
-            1,
-            1,
-            PartitionAssignment(listOf("z"), emptyMap()),
-            mapOf("t" to team),
-            SECOND,
-            PlacementSettings(),
-            ServiceObjectives(emptyList()),
-            { resources },
-            10,
+            LeaderTerm(1, 1),
+            LeaderSettings(
+                PartitionAssignment(listOf("z"), emptyMap()),
+                mapOf("t" to team),
+                SECOND,
+                PlacementSettings(),
+                ServiceObjectives(emptyList()),
+                transactionOperations = 10,
+            ),
+            LeaderLookups({ resources }),
         ) {
             if (it is LeaderEffect.SendFrame) sent += FrameCodec.decode(FrameCodec.encode(it.frame)) as PlacementFrame
         }
--- a/src/main/kotlin/lichenstage/jobs/JobRecordCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobRecordCodec.kt
@@ -74,6 +74,9 @@
     /** The ids of the jobs that the job of an open record depends on. Throws [JsonDecodingException]. */
     fun dependencies(json: JsonObject): List<String> = json.optionalStrings(DEPENDENCIES) ?: emptyList()
 
+    /** When the job of an open record was submitted, in microseconds of the time of day; 0 where the record does not say. */
+    fun submittedAtUs(json: JsonObject): Long = json.getLong("at") ?: 0
+
     /** The job of an open record. Throws [JsonDecodingException] at the first field that can't be read. */
     fun decode(json: JsonObject): JobSpec =
         JobSpec(
--- /dev/null
+++ b/src/main/kotlin/lichenstage/placement/AttemptRecovery.kt
@@ -0,0 +1,43 @@
+package lichenstage.placement
+
+import lichenstage.cluster.TaskPhase
+
+/**
+ * Finds the attempts of earlier leaders where the record of a job or of a machine becomes known only after the frame that lists
+ * them.
+ */
+internal class AttemptRecovery(
+    private val partitions: PartitionTable,
+    private val jobs: JobTable,
+    private val tracker: AttemptTracker,
+    private val reconciler: MachineReconciler,
+) {
+    /** Evaluates the task list of a machine that has just been recorded: before that it was ignored (invariant 4). */
+    fun recoverAttemptsOn(
+        machineName: String,
+        partitionId: String,
+    ) {
+        val partition = partitions[partitionId] ?: return
+        val machine = partition.machines[machineName] ?: return
+        for (task in machine.tasks) {
+            if (task.phase == TaskPhase.ENDED) continue
+            jobs.byId[task.job]?.let { tracker.listed(PartitionRef(partitionId, partition), machine, task, it, 0) }
+        }
+        if (machine.tasks.isNotEmpty()) reconciler.reconcile(partitionId, machine)
+    }
+
+    /** Evaluates the task lists that name a job whose record came after them. */
+    fun recoverAttemptsOf(job: Job) = partitions.byId.forEach { (id, partition) -> recoverAttemptsIn(PartitionRef(id, partition), job) }
+
+    private fun recoverAttemptsIn(
+        partition: PartitionRef,
+        job: Job,
+    ) {
+        for (machine in partition.state.machines.values) {
+            val tasks = machine.tasks.filter { it.job == job.spec.id }
+            if (tasks.isEmpty()) continue
+            tasks.forEach { tracker.listed(partition, machine, it, job, 0) }
+            reconciler.reconcile(partition.id, machine)
+        }
+    }
+}
--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -6,22 +6,22 @@
 import lichenstage.common.SECOND
 import org.slf4j.LoggerFactory
 
-/** What an [AttemptTracker] has found out. */
+/** Events of attempts that an [AttemptTracker] follows. */
 internal interface AttemptListener {
-    /** The task is done, which was not known before. */
+    /** The task is done; called once for each task. */
     fun taskDone(
         job: Job,
         now: Long,
     )
 
-    /** Nothing of the attempt is left. */
+    /** The attempt has ended, whether or not its task is done. */
     fun attemptEnded(attempt: Attempt)
 
-    /** A newer attempt of the task has come to light: what this one's machine still lists is to be stopped. */
+    /** A newer attempt of the task was found on another machine: this one is to be stopped where it is still listed. */
     fun attemptSuperseded(attempt: Attempt)
 }
 
-/** Follows attempts by what partitions say of the tasks on their machines. */
+/** Follows attempts by the task lists of their machines, as the frames of partitions bring them. */
 internal class AttemptTracker(
     private val leaseUs: Long,
     private val attempts: RunningAttempts,
@@ -42,7 +42,7 @@
         nowUs = now
     }
 
-    /** What a partition says of a task of [job] on a machine. */
+    /** A machine lists a task of [job]. */
     fun listed(
         partition: PartitionRef,
         machine: MachineState,
@@ -58,7 +58,7 @@
         when {
             task.phase == TaskPhase.ENDED -> ended(partition, machine, task, job, mine, now)
             mine != null -> progressed(mine, task.phase, now)
-            else -> found(partition, machine, task, job, known)
+            else -> recover(partition, machine, task, job, known)
         }
     }
 
@@ -92,13 +92,13 @@
             failed(job, machine, task, now)
         }
         if (attempt == null) return
-        gone(attempt, stoppedProgressUs(attempt))
+        end(attempt, stoppedProgressUs(attempt))
         if (task.cause == BUSY) recoverConflictingAttempt(partition, machine, task, job)
     }
 
     /**
-     * The start was refused since another attempt of the task is on this machine: that one is the real one, and the task goes nowhere
-     * else while it is listed, although its number is the lower.
+     * The start was refused since another attempt of the task is on this machine: that one counts, and the task is placed nowhere else
+     * while it is listed, although its number is the lower.
      */
     private fun recoverConflictingAttempt(
         partition: PartitionRef,
@@ -107,16 +107,16 @@
         job: Job,
     ) {
         val other = machine.tasks.firstOrNull { it.task == refused.task && it.phase != TaskPhase.ENDED } ?: return
-        found(partition, machine, other, job, job.liveAttempts.get(other.index))
+        recover(partition, machine, other, job, job.liveAttempts.get(other.index))
     }
 
     /**
-     * Started by an earlier leader. Not on a machine without record: that one is gone, as its partition will find (invariant 4), and
-     * its tasks may run elsewhere by now. (Seen on inc-2104: they were taken for the real ones, which were stopped.) Of two attempts the
-     * newer is the real one: it was started only once the older was known to be gone, and what lists the older is a machine that
-     * was given back with no time left to record it.
+     * An attempt that an earlier leader started. Not on a machine without record: that one is terminated, as its partition will find
+     * (invariant 4), and its tasks may run elsewhere by now. (Seen on inc-2104: its attempts were tracked, and the ones that ran were
+     * stopped.) Of two attempts the newer counts: it was started only once the older was proven to have ended, and what lists the older
+     * is a machine that was terminated with no time left to record that.
      */
-    private fun found(
+    private fun recover(
         partition: PartitionRef,
         machine: MachineState,
         task: TaskState,
@@ -126,17 +126,24 @@
         if (machine.settled && isRegistered(machine.name) && (known == null || task.attempt > known.number)) {
             val attempt = Attempt(job, task.index, task.attempt, machine.name, partition.id)
             attempt.partitionTerm = partition.state.term
-            attempt.seq = partition.state.seq
+            attempt.seq = partition.state.reflectedSeq
             attempt.phase = task.phase
             if (known != null) supersede(known)
             attempts.track(attempt)
         } else if (known != null) {
-            log.info("{} is on {} with try {} and on {} with try {}", task.task, machine.name, task.attempt, known.machine, known.number)
+            log.info(
+                "Conflicting attempt ignored task={} attempt={} machine={} currentAttempt={} currentMachine={}",
+                task.task,
+                task.attempt,
+                machine.name,
+                known.number,
+                known.machine,
+            )
         }
     }
 
     private fun supersede(attempt: Attempt) {
-        log.info("{} try {} on {} was followed by another", attempt.task, attempt.number, attempt.machine)
+        log.info("Attempt superseded task={} attempt={} machine={}", attempt.task, attempt.number, attempt.machine)
         attempts.remove(attempt)
         checkpointPreemption.attemptEnded(attempt)
         listener.attemptSuperseded(attempt)
@@ -149,16 +156,16 @@
         now: Long,
     ) {
         if (task.cause == HALTED) return
-        log.info("{} try {} ended on {}: {}", task.task, task.attempt, machine.name, task.cause)
+        log.info("Attempt failed task={} attempt={} machine={} cause={}", task.task, task.attempt, machine.name, task.cause)
         if (task.cause == ERROR) failedJobs.getOrPut(machine.name) { HashSet() }.add(job.spec.id)
         job.failures++
         // A job that fails everywhere must not take the places of others over and over.
-        val pauseUs = (SECOND shl minOf(job.failures, MOST_DOUBLINGS)).coerceAtMost(MOST_PAUSE_US)
-        job.backoffUntilUs = maxOf(job.backoffUntilUs, now + pauseUs / 2)
+        val backoffUs = (SECOND shl minOf(job.failures, MAX_BACKOFF_DOUBLINGS)).coerceAtMost(MAX_BACKOFF_US)
+        job.backoffUntilUs = maxOf(job.backoffUntilUs, now + backoffUs / 2)
     }
 
     /** Nothing of the attempt is left but [savedUs] of progress. */
-    private fun gone(
+    private fun end(
         attempt: Attempt,
         savedUs: Long,
     ) {
@@ -170,16 +177,16 @@
     }
 
     /** Attempts that were lost with their machine, or never got there. */
-    fun lost(over: List<Attempt>) = over.forEach { gone(it, checkpointedUs(it)) }
+    fun attemptsLost(attempts: List<Attempt>) = attempts.forEach { end(it, checkpointedUs(it)) }
 
-    /** Gives up those of [among] that can no longer be anywhere. */
-    fun giveUpAbsent(
+    /** Ends those of [among] that are proven to be nowhere any more. */
+    fun removeAbsent(
         among: Sequence<Attempt>,
         partition: (String) -> PartitionState?,
     ) {
-        val over = among.filter { attempt -> partition(attempt.partition)?.let { isAbsent(attempt, it) } == true }.toList()
-        over.forEach { log.debug("{} try {} is no longer on {}", it.task, it.number, it.machine) }
-        lost(over)
+        val absent = among.filter { attempt -> partition(attempt.partition)?.let { isAbsent(attempt, it) } == true }.toList()
+        absent.forEach { log.debug("Attempt no longer on its machine task={} attempt={} machine={}", it.task, it.number, it.machine) }
+        attemptsLost(absent)
     }
 
     /** Its partition has seen its start, and its machine does not list it or is gone. */
@@ -187,7 +194,7 @@
         attempt: Attempt,
         partition: PartitionState,
     ): Boolean {
-        if (attempt.partitionTerm >= partition.term && attempt.seq > partition.seq) return false
+        if (attempt.partitionTerm >= partition.term && attempt.seq > partition.reflectedSeq) return false
         return when (MachineKnowledge.of(attempt.machine, partition, leaseUs)) {
             MachineKnowledge.UNKNOWN -> false
             MachineKnowledge.LEASE_EXPIRED -> true
@@ -219,13 +226,7 @@
         const val HALTED = "halted"
         const val ERROR = "error"
         const val BUSY = "busy"
-        const val MOST_DOUBLINGS = 4
-        const val MOST_PAUSE_US = 10 * SECOND
+        const val MAX_BACKOFF_DOUBLINGS = 4
+        const val MAX_BACKOFF_US = 10 * SECOND
     }
 }
-
-/** A partition by its name, with what is known of it. */
-internal class PartitionRef(
-    val id: String,
-    val state: PartitionState,
-)
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -71,7 +71,7 @@
 
     private fun delta(job: Job): CompletionDelta {
         val recordedTasks = job.durable.clone() as BitSet
-        val chunks = changedChunks(job).filter { cover(job, it, recordedTasks) }
+        val chunks = changedChunks(job).filter { addWritable(job, it, recordedTasks) }
         return CompletionDelta(job, recordedTasks, chunks)
     }
 
@@ -79,7 +79,7 @@
      * Adds to [recordedTasks] what a record of the chunk can hold; false where that is nothing new. What is durable stays so: workers have
      * forgotten it.
      */
-    private fun cover(
+    private fun addWritable(
         job: Job,
         chunk: Int,
         recordedTasks: BitSet,
--- a/src/main/kotlin/lichenstage/placement/FailoverRecovery.kt
+++ b/src/main/kotlin/lichenstage/placement/FailoverRecovery.kt
@@ -13,14 +13,16 @@
 
 /**
  * The machines that may hold tasks of an earlier leader: what was registered when this term began. Until each is accounted for,
- * anything may run on it (invariant 5). A machine without a record is never waited for: a late copy of a report may name one.
+ * anything may run on it (invariant 5). A machine without a record is never waited for: a late copy of a heartbeat may name one.
  */
 class FailoverRecovery(
     private val leaseUs: Long,
     private val partitionOf: (String) -> PartitionState?,
 ) {
     private val awaited = HashMap<String, RecoveredMachine>()
+    private var completionReported = false
 
+    /** Every machine is accounted for. */
     val isComplete get() = awaited.isEmpty()
 
     /** The machine has to be accounted for. */
@@ -28,38 +30,39 @@
         awaited[machine.name] = machine
     }
 
-    /** The machine is proven gone. */
+    /** The machine is proven to be terminated. */
     fun machineTerminated(name: String) {
         awaited.remove(name)
     }
 
-    /** True where this was the last. */
-    fun update(): Boolean {
-        if (awaited.isEmpty()) return false
-        awaited.values.removeIf(::accounted)
-        return awaited.isEmpty()
+    /** Drops the machines that are accounted for by now; true once, at the first call that finds none left. */
+    fun completedNow(): Boolean {
+        if (awaited.isNotEmpty()) awaited.values.removeIf(::isAccountedFor)
+        if (completionReported || awaited.isNotEmpty()) return false
+        completionReported = true
+        return true
     }
 
     /**
-     * One that its partition has heard counts only once it has shown the token or its lease has run out since its last answer; one
-     * that was never heard, once the partition is older than a lease.
+     * A machine whose heartbeats reach its partition is accounted for once it has shown the fencing token, or once its lease has expired
+     * since its last answer; one without heartbeats, once the partition has had its owner for longer than a lease.
      */
-    private fun accounted(machine: RecoveredMachine): Boolean {
+    private fun isAccountedFor(machine: RecoveredMachine): Boolean {
         val partition = partitionOf(machine.partition) ?: return false
         return MachineKnowledge.of(machine.name, partition, leaseUs) != MachineKnowledge.UNKNOWN
     }
 
     /**
-     * Machines that keep all older jobs waiting because nothing is heard of them although their partition has an owner: giving them
-     * back is the fastest proof that nothing runs on them. A few are given back soon (cheap machines are taken at any time, so
-     * that in a large deployment some are always just gone), more of them later; where many are silent, the network is at fault.
+     * Machines without heartbeats that keep the failover from being complete although their partition has an owner: terminating them
+     * is the fastest proof that nothing runs on them. A few are terminated soon (spot instances are reclaimed at any time, so that a
+     * large deployment always has some that just went away), more of them later; where many are silent, the network is at fault.
      */
     fun machinesToFence(registered: Int): List<String> {
         if (awaited.isEmpty()) return emptyList()
         val afterUs =
             when {
-                awaited.size <= maxOf(FEW, registered / FEW_SHARE) -> SOON_US
-                awaited.size <= registered / SOME_SHARE -> LATER_US
+                awaited.size <= maxOf(FEW_MACHINES, registered / FEW_SHARE) -> FENCE_FEW_AFTER_US
+                awaited.size <= registered / SOME_SHARE -> FENCE_SOME_AFTER_US
                 else -> return emptyList()
             }
         return awaited.values.filter { (partitionOf(it.partition)?.ageUs ?: 0) > afterUs }.map { it.name }
@@ -77,10 +80,10 @@
     }
 
     private companion object {
-        const val FEW = 2
+        const val FEW_MACHINES = 2
         const val FEW_SHARE = 50
         const val SOME_SHARE = 16
-        const val SOON_US = 5 * SECOND / 2
-        const val LATER_US = 6 * SECOND
+        const val FENCE_FEW_AFTER_US = 5 * SECOND / 2
+        const val FENCE_SOME_AFTER_US = 6 * SECOND
     }
 }
--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -73,16 +73,16 @@
 
     private fun cordon() {
         val drains = drains()
-        if (drains == null) return core.setCordoned(fleet.cordoned())
-        core.setCordoned(fleet.cordoned() + drains.cordoned)
-        core.setDrained(drains.cordoned)
-        core.setOnProbation(drains.onProbation)
+        if (drains == null) return core.machines.setCordoned(fleet.cordoned())
+        core.machines.setCordoned(fleet.cordoned() + drains.cordoned)
+        core.machines.setDrained(drains.cordoned)
+        core.machines.setOnProbation(drains.onProbation)
     }
 
     /** Requests a machine of the type, zone and kind of the one that [key] names. */
     fun requestReplacement(key: DrainKey) {
-        val machine = core.machine(key.machine) ?: return
-        val zone = core.zoneOf(key.machine) ?: return
+        val machine = core.machines.state(key.machine) ?: return
+        val zone = core.machines.zoneOf(key.machine) ?: return
         val id = "${key.drain} ${key.machine}"
         replacementKeys[id] = key
         fleet.requestReplacement(ReplacementRequest(id, machine.typeName, zone, machine.spot))
--- a/src/main/kotlin/lichenstage/placement/FleetObserver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetObserver.kt
@@ -46,8 +46,8 @@
                     up = !it.lost,
                     silent = it.silent,
                     lost = it.lost,
-                    tasks = core.attemptsOn(name).size,
-                    faulty = core.failedJobsOn(name).size >= FAULTY_JOBS,
+                    tasks = core.machines.attemptsOn(name).size,
+                    faulty = core.machines.failedJobsOn(name).size >= FAULTY_JOBS,
                 )
             }
         }
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -7,107 +7,50 @@
 import kotlinx.coroutines.isActive
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.plus
-import lichenstage.authority.Authority
-import lichenstage.authority.OwnershipRecords
-import lichenstage.cloud.CloudClient
-import lichenstage.cloud.MachineCatalog
-import lichenstage.cluster.Frame
 import lichenstage.cluster.TaskCounts
-import lichenstage.common.Clock
-import lichenstage.common.JsonDecodingException
 import lichenstage.common.Mailbox
 import lichenstage.common.timeOfDayUs
 import lichenstage.config.Settings
-import lichenstage.drain.DrainActionHandler
 import lichenstage.drain.DrainDriver
-import lichenstage.drain.DrainKey
-import lichenstage.drain.DrainPolicy
-import lichenstage.drain.DrainRecordAccess
-import lichenstage.drain.DrainRecords
-import lichenstage.drain.DrainTracing
-import lichenstage.drain.RunningTask
-import lichenstage.fleet.FleetPolicy
-import lichenstage.jobs.CompletedTaskRanges
-import lichenstage.jobs.DependencyGraph
-import lichenstage.jobs.JobRecordCodec
-import lichenstage.jobs.JobReplicaSync
 import lichenstage.model.MachineFit
-import lichenstage.state.Entry
-import lichenstage.state.KeyValueStoreClient
-import lichenstage.state.Precondition
 import lichenstage.state.SingleWriterKeys
-import lichenstage.state.TransactionResult
 import org.slf4j.LoggerFactory
-import java.util.BitSet
 import kotlinx.coroutines.Job as CoroutineJob
 
-/** What operators may set of a leader. */
-data class LeaderOptions(
-    val fleet: FleetPolicy,
-    val placementSettings: PlacementSettings,
-    /** Null where drains are not switched on. */
-    val drains: DrainPolicy?,
-)
-
-/** One term of leadership: loads the records, then places jobs and rents machines until the term is over. */
+/** One term of leadership: loads the records, then places jobs and provisions machines until the term ends. */
 class LeaderActor(
     private val settings: Settings,
-    private val authority: Authority,
-    state: KeyValueStoreClient,
-    cloud: CloudClient,
-    private val catalog: MachineCatalog,
-    private val clock: Clock,
-    replicaSync: JobReplicaSync,
-    dependencyGraph: DependencyGraph,
-    parent: CoroutineScope,
-    /** The term of the leadership, and the revision of its key. */
-    val term: Long,
-    leaderKeyRevision: Long,
     options: LeaderOptions,
-    private val send: (String, Frame) -> Unit,
+    private val services: LeaderServices,
+    private val leadership: LeaderTerm,
+    parent: CoroutineScope,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.placement")
     private val lifetime: CoroutineJob = SupervisorJob(parent.coroutineContext[CoroutineJob])
     private val scope = parent + lifetime
     private val objectives = ServiceObjectives(settings.objectives)
-    private val core =
-        LeaderCore(
-            term,
-            leaderKeyRevision,
-            settings.assignment,
-            settings.teams,
-            settings.workerLeaseUs,
-            options.placementSettings,
-            objectives,
-            { catalog.machineTypes[it]?.capacity },
-            settings.txnOps,
-            { MachineFit.maxFetchUs(it, catalog.machineTypes) },
-            dependencyGraph::dependentsOf,
-            settings.valueBytes,
-            ::carryOut,
-        )
+    private val core = leaderCore(options)
     private val mailbox =
         Mailbox("leader", scope, ::handle, shed = { it is LeaderMessage.PartitionFrameReceived || it is LeaderMessage.Tick })
-    private val owned = SingleWriterKeys(state)
+    private val ownKeys = SingleWriterKeys(services.store)
     private val writer =
-        LeaderRecordWriter(state, owned, leaderKeyRevision, settings.txnOps, scope, replicaSync::jobFinished, mailbox::tell)
+        LeaderRecordWriter(
+            services.store,
+            ownKeys,
+            leadership.keyRevision,
+            settings.txnOps,
+            scope,
+            services.replicaSync::jobFinished,
+            mailbox::tell,
+        )
     private val registry = RegistryDriver(settings, core, writer)
-    private val fleet =
-        FleetDriver(
-            settings,
-            core,
-            FleetObserver(settings, core, catalog, objectives),
-            CloudCaller(cloud, settings.cloudRps, scope, mailbox::tell),
-            options.fleet,
-            clock.now(),
-        ) { drains }
-    private val drains: DrainDriver? = options.drains?.let { drainDriver(it, state, leaderKeyRevision) }
-    private val blockedJobs = BlockedJobs(dependencyGraph, core, maxOf(1, settings.txnOps / 2))
-    private var loaded = false
+    private val fleet = fleetDriver(options)
+    private val drains: DrainDriver? = drainDriver(options)
+    private val jobRecords = LeaderJobRecords(services, core, fleet, writer, maxOf(1, settings.txnOps / 2))
     private var countedUs = Long.MIN_VALUE / 2
 
     init {
-        scope.launch { LeaderRecordReader(state, mailbox::tell).run() }
+        scope.launch { LeaderRecordReader(services.store, mailbox::tell).run() }
         scope.launch {
             while (isActive) {
                 delay(TICK_MS)
@@ -116,102 +59,71 @@
         }
     }
 
-    private fun drainDriver(
-        policy: DrainPolicy,
-        state: KeyValueStoreClient,
-        leaderKeyRevision: Long,
-    ): DrainDriver {
-        val view = LeaderDrainView(core, clock::now)
-        val access =
-            DrainRecordAccess(state, owned, listOf(Precondition(OwnershipRecords.LEADER, leaderKeyRevision)), settings.txnOps, state::scan)
-        core.taskStopped = { drains?.taskStopped(LeaderDrainView.failure(it, timeOfDayUs())) }
-        return DrainDriver(
-            policy,
-            view,
-            DrainRecords(settings.valueBytes),
-            access,
-            drainActions(view),
-            DrainTracing(),
-            scope,
-            ::timeOfDayUs,
-        ) {
-            mailbox.tell(LeaderMessage.DrainEvent(it))
-        }
-    }
+    /** The term of the leadership. */
+    val term get() = leadership.term
 
-    private fun drainActions(view: LeaderDrainView) =
-        object : DrainActionHandler {
-            override fun evict(tasks: List<RunningTask>) = core.interrupt(view.attemptsOf(tasks))
+    /** How many jobs are open, for the metrics. */
+    val openJobs get() = core.jobs.size
 
-            override fun provisionReplacement(key: DrainKey) = fleet.requestReplacement(key)
+    private fun leaderCore(options: LeaderOptions): LeaderCore {
+        val catalog = services.catalog
+        return LeaderCore(
+            leadership,
+            LeaderSettings(
+                settings.assignment,
+                settings.teams,
+                settings.workerLeaseUs,
+                options.placementSettings,
+                objectives,
+                settings.txnOps,
+                settings.valueBytes,
+            ),
+            LeaderLookups(
+                { catalog.machineTypes[it]?.capacity },
+                { MachineFit.maxFetchUs(it, catalog.machineTypes) },
+                services.dependencyGraph::dependentsOf,
+            ),
+            { drains?.taskStopped(LeaderDrainView.failure(it, timeOfDayUs())) },
+            ::execute,
+        )
+    }
 
-            override fun terminate(machine: String) = fleet.terminate(machine)
-        }
+    private fun fleetDriver(options: LeaderOptions): FleetDriver {
+        val observer = FleetObserver(settings, core, services.catalog, objectives)
+        val caller = CloudCaller(services.cloud, settings.cloudRps, scope, mailbox::tell)
+        return FleetDriver(settings, core, observer, caller, options.fleet, services.clock.now()) { drains }
+    }
 
-    /** How many jobs are open, for the metrics. */
-    val openJobs get() = core.jobs.size
+    private fun drainDriver(options: LeaderOptions): DrainDriver? {
+        val policy = options.drains ?: return null
+        val store = LeaderDrains.store(services.store, ownKeys, leadership.keyRevision, settings)
+        return LeaderDrains(core, fleet, services.clock::now)
+            .driver(policy, settings, store, scope) { mailbox.tell(LeaderMessage.DrainEvent(it)) }
+    }
 
     /** Takes a message. */
     fun tell(message: LeaderMessage) = mailbox.tell(message)
 
-    /** The term is over. */
+    /** Ends the term: nothing of it goes on. */
     fun stop() = lifetime.cancel()
 
-    private fun entitled() = authority.heldLeadership()?.term == term
+    private fun mayAct() = services.authority.heldLeadership()?.term == term
 
     private fun handle(message: LeaderMessage) {
-        val now = clock.now()
+        val now = services.clock.now()
         when (message) {
             is LeaderMessage.RecordsLoaded -> load(message, now)
-            is LeaderMessage.PartitionFrameReceived -> if (loaded) core.partitionFrameReceived(message.frame, now)
+            is LeaderMessage.PartitionFrameReceived -> if (jobRecords.isLoaded) core.partitionFrameReceived(message.frame, now)
             is LeaderMessage.ProvisionAnswered -> fleet.provisionAnswered(message, now)
             is LeaderMessage.TerminateAnswered -> if (fleet.terminateAnswered(message)) machinesTerminated(message.machines)
             is LeaderMessage.ListAnswered -> fleet.listAnswered(message, now)
             is LeaderMessage.RegistryPagesWritten -> registry.written(message)
-            is LeaderMessage.JobMessage -> jobMessage(message, now)
+            is LeaderMessage.JobMessage -> jobRecords.handle(message, now)
             is LeaderMessage.DrainEvent -> drains?.handle(message.message)
             LeaderMessage.Tick -> Unit
         }
-        // While authority pauses, nothing is decided: no start, no hire, no write.
-        if (loaded && entitled()) step(now)
-    }
-
-    private fun jobMessage(
-        message: LeaderMessage.JobMessage,
-        now: Long,
-    ) {
-        when (message) {
-            is LeaderMessage.OpenJobsReloaded -> {
-                reloaded(message.jobs)
-            }
-
-            is LeaderMessage.OpenJobsChanged -> {
-                message.added.forEach(::added)
-                message.removed.forEach(::closed)
-            }
-
-            is LeaderMessage.JobsEnded -> {
-                if (loaded) message.jobs.forEach { closed(JobRecordCodec.OPEN + it) }
-            }
-
-            LeaderMessage.DependenciesResolved -> {
-                if (loaded) release()
-            }
-
-            is LeaderMessage.OrphansCancelled -> {
-                blockedJobs.orphansCancelled()
-                message.jobs.forEach { closed(JobRecordCodec.OPEN + it.spec.id) }
-            }
-
-            is LeaderMessage.DoneRangesWritten -> {
-                core.rangesWritten(message.deltas, message.ok, now)
-                message.deltas.filter { it.job.phase == JobPhase.CLOSED }.forEach { writer.deleteRanges(it.job) }
-            }
-
-            is LeaderMessage.CompletionWritten -> {
-                finished(message, now)
-            }
-        }
+        // While authority pauses, nothing is decided: no start, no provision request, no write.
+        if (jobRecords.isLoaded && mayAct()) step(now)
     }
 
     private fun step(now: Long) {
@@ -219,105 +131,34 @@
         fleet.step(now)
         drains?.step(now)
         registry.step(fleet::cordoned, now)
-        blockedJobs.takeOrphans().takeIf { it.isNotEmpty() }?.let(writer::cancel)
-        if (now - countedUs < COUNT_US) return
+        jobRecords.cancelOrphans()
+        if (now - countedUs >= COUNT_INTERVAL_US) sendTaskCounts(now)
+    }
+
+    private fun sendTaskCounts(now: Long) {
         countedUs = now
-        val counts = TaskCounts(term, core.counts())
-        (settings.peers.map { it.label } + settings.label).forEach { send(it, counts) }
+        val counts = TaskCounts(term, core.taskCounts())
+        (settings.peers.map { it.label } + settings.label).forEach { services.send(it, counts) }
     }
 
     private fun load(
         message: LeaderMessage.RecordsLoaded,
         now: Long,
     ) {
-        owned.load(message.machines + message.done)
+        ownKeys.load(message.machines + message.done)
         registry.load(message.machines).forEach { fleet.addRecorded(it, now) }
-        // In the order of their submission: the forecast fades what lies back.
-        message.jobs.sortedBy { it.value.getLong("at") ?: 0 }.forEach(::added)
-        val orphanedRanges = ArrayList<String>()
-        for (entry in message.done) {
-            val (id, chunk) = entry.key.removePrefix(JobRecordCodec.DONE).split('/')
-            val job = core.jobs[id]
-            if (job == null) {
-                orphanedRanges += entry.key
-            } else {
-                job.restoreDone(BitSet().also { CompletedTaskRanges.decode(entry.value, chunk.toInt(), it) })
-            }
-        }
-        loaded = true
-        release()
-        writer.delete(orphanedRanges)
-        log.info("leading under term {}: {} jobs, {} machines", term, message.jobs.size, registry.size)
-    }
-
-    private fun added(entry: Entry) {
-        val spec =
-            try {
-                JobRecordCodec.decode(entry.value)
-            } catch (e: JsonDecodingException) {
-                log.error("record {} can't be read: {}", entry.key, e.message)
-                return
-            }
-        if (spec.id in core.jobs) return
-        val job = Job(spec, entry.modRevision, steadyUs(spec.submittedUs))
-        core.jobAdded(job)
-        if (job.ready) {
-            fleet.jobReady(job)
-        } else {
-            blockedJobs.add(job)
-            if (loaded) release()
-        }
-    }
-
-    /** Lets jobs go of which all that they need is recorded as done; their times count from the last of these records. */
-    private fun release() =
-        blockedJobs.release { job, recordedAtUs ->
-            core.jobReady(job, if (recordedAtUs == 0L) clock.now() else steadyUs(recordedAtUs))
-            fleet.jobReady(job)
-        }
-
-    /** A time of day on this process's steady clock, now at the latest. */
-    private fun steadyUs(recordedUs: Long): Long {
-        val agoUs = timeOfDayUs() - recordedUs
-        return clock.now() - agoUs.coerceAtLeast(0)
-    }
-
-    private fun closed(key: String) {
-        val job = core.jobs[key.removePrefix(JobRecordCodec.OPEN)] ?: return
-        core.jobClosed(job.spec.id)
-        writer.deleteRanges(job)
+        jobRecords.load(message.jobs, message.done)
+        log.info("Leadership begun, records loaded term={} jobs={} machines={}", term, message.jobs.size, registry.size)
     }
 
-    private fun reloaded(entries: List<Entry>) {
-        val there = entries.mapTo(HashSet()) { it.key.removePrefix(JobRecordCodec.OPEN) }
-        core.jobs.keys
-            .filter { it !in there }
-            .forEach { closed(JobRecordCodec.OPEN + it) }
-        entries.forEach(::added)
-    }
-
-    private fun carryOut(effect: LeaderEffect) {
+    private fun execute(effect: LeaderEffect) {
         when (effect) {
-            is LeaderEffect.SendFrame -> authority.ownerOf(effect.partition)?.let { send(it.label, effect.frame) }
+            is LeaderEffect.SendFrame -> services.authority.ownerOf(effect.partition)?.let { services.send(it.label, effect.frame) }
             is LeaderEffect.WriteDoneRanges -> writer.writeRanges(effect.deltas)
             is LeaderEffect.RecordCompletion -> writer.finish(effect.job)
         }
     }
 
-    private fun finished(
-        message: LeaderMessage.CompletionWritten,
-        now: Long,
-    ) {
-        val job = message.job
-        if (message.outcome is TransactionResult.Committed) {
-            core.completionRecorded(job, now)
-            writer.deleteRanges(job)
-        } else {
-            core.completionFailed(job)
-            if (!message.stillOpen) closed(JobRecordCodec.OPEN + job.spec.id)
-        }
-    }
-
     private fun machinesTerminated(machines: List<String>) {
         machines.forEach(core::machineTerminated)
         registry.removed(machines)
@@ -325,6 +166,6 @@
 
     private companion object {
         const val TICK_MS = 100L
-        const val COUNT_US = 2_000_000L
+        const val COUNT_INTERVAL_US = 2_000_000L
     }
 }
--- a/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
@@ -17,23 +17,23 @@
     override val isComplete get() = core.failoverComplete
 
     override fun condition(machine: String): MachineCondition {
-        if (core.isRetired(machine)) return MachineCondition.GONE
-        val known = core.machine(machine)
+        if (core.machines.isRetired(machine)) return MachineCondition.GONE
+        val known = core.machines.state(machine)
         return when {
-            known == null -> if (core.isRegistered(machine)) MachineCondition.UNCONFIRMED else MachineCondition.ABSENT
+            known == null -> if (core.machines.isRegistered(machine)) MachineCondition.UNCONFIRMED else MachineCondition.ABSENT
             known.lost -> MachineCondition.LOST
-            known.settled && !known.silent && core.isRegistered(machine) -> MachineCondition.HEALTHY
+            known.settled && !known.silent && core.machines.isRegistered(machine) -> MachineCondition.HEALTHY
             else -> MachineCondition.UNCONFIRMED
         }
     }
 
     /** Also what counts for no job of the leader's: the machine is not empty before that has been stopped. */
     override fun tasksOn(machine: String): List<RunningTask> {
-        val attempts = core.attemptsOn(machine)
+        val attempts = core.machines.attemptsOn(machine)
         val counted = attempts.mapTo(HashSet()) { it.number }
         val others =
-            core
-                .machine(machine)
+            core.machines
+                .state(machine)
                 ?.tasks
                 .orEmpty()
                 .filter { it.phase != TaskPhase.ENDED && it.attempt !in counted }
@@ -62,9 +62,9 @@
         return if (runs) TaskExecution.Running(attempt.number) else TaskExecution.NotRunning
     }
 
-    override fun runningByTeam() = core.runningByTeam()
+    override fun runningByTeam() = core.machines.runningByTeam()
 
-    override fun isFaulty(machine: String) = core.failedJobsOn(machine).isNotEmpty()
+    override fun isFaulty(machine: String) = core.machines.failedJobsOn(machine).isNotEmpty()
 
     /** The attempts of these tasks that still run. */
     fun attemptsOf(tasks: Collection<RunningTask>): List<Attempt> =
--- a/src/main/kotlin/lichenstage/placement/MachineDirectory.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineDirectory.kt
@@ -1,12 +1,12 @@
 package lichenstage.placement
 
-/** The machines that the leader knows by name: which the state service holds, where they are, and which get no more tasks. */
+/** The machines that the leader knows by name: which have a record, their partitions and addresses, and which get no more tasks. */
 internal class MachineDirectory {
-    /** Names that the state service holds, with the partition of each: only these may get tasks (invariant 4). */
+    /** Machines with a record, each with its partition: only these may get tasks (invariant 4). */
     private val registered = HashMap<String, String>()
     private val addresses = HashMap<String, String>()
 
-    /** Machines proven gone: a late word about one is not believed. */
+    /** Machines that are proven to be terminated: late frames that name one are ignored. */
     private val retired = HashSet<String>()
 
     /** Machines that get no more tasks. */
@@ -28,12 +28,24 @@
     /** The partition of a recorded machine. */
     fun partition(machine: String): String? = registered[machine]
 
+    /** How many of the [held] slots of a machine may be used; [attemptCount] gives the attempts that may be running on it. */
+    inline fun usableSlots(
+        machine: String,
+        held: Int,
+        attemptCount: () -> Int,
+    ) = when {
+        !mayGetTasks(machine) -> 0
+        machine !in onProbation -> held
+        else -> minOf(held, 1 - attemptCount()).coerceAtLeast(0)
+    }
+
+    /** The machine has a record and is not cordoned. */
     fun mayGetTasks(machine: String) = machine in registered && machine !in cordoned
 
     /** Addresses of the recorded machines of a partition. */
     fun addresses(partition: String): Map<String, String> = addresses.filterKeys { registered[it] == partition }
 
-    /** The state service holds these machines, each with its partition. */
+    /** These machines, each with its partition, have a record. */
     fun register(machines: Map<String, String>) {
         registered += machines.filterKeys { it !in retired }
     }
--- a/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
@@ -5,19 +5,21 @@
 import lichenstage.cluster.TaskPhase
 import lichenstage.cluster.TaskState
 
-/** What a machine still has to stop and to clear, and whether something runs there that counts for no team. */
+/** What a machine still has to stop and to clear, and whether tasks run on it that count for no team. */
 internal class MachineReconciliation(
     val stops: List<AttemptOrder>,
     val clears: List<AttemptOrder>,
-    val unaccounted: Boolean,
+    val hasUnaccountedTasks: Boolean,
 ) {
     companion object {
+        private const val DONE = "done"
+
         /** Compares a machine's task list with the jobs. */
         fun of(
             machine: MachineState,
             jobs: Map<String, Job>,
         ): MachineReconciliation {
-            if (machine.lost) return MachineReconciliation(emptyList(), emptyList(), unaccounted = false)
+            if (machine.lost) return MachineReconciliation(emptyList(), emptyList(), hasUnaccountedTasks = false)
             val stops = ArrayList<AttemptOrder>()
             val clears = ArrayList<AttemptOrder>()
             var unaccounted = false
@@ -50,11 +52,11 @@
 
         private fun isWanted(job: Job?) = job != null && job.phase != JobPhase.CLOSED
 
-        /** Its end is done and not recorded yet (invariant 9). */
+        /** The task is done and that is not recorded yet (invariant 9). */
         private fun mustBeKept(
             task: TaskState,
             job: Job?,
-        ) = job != null && isWanted(job) && task.index >= 0 && task.cause == "done" && !job.durable.get(task.index)
+        ) = job != null && isWanted(job) && task.index >= 0 && task.cause == DONE && !job.durable.get(task.index)
 
         private fun counts(
             task: TaskState,
--- a/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
@@ -8,9 +8,9 @@
 import lichenstage.common.MILLI
 import lichenstage.model.JobRequirements
 
-/** What the leader knows that goes along with its frames. */
+/** What a frame says beside requests and orders. */
 internal interface OutboxSource {
-    /** Null while nothing was heard of the partition. */
+    /** Null before the first frame of the partition. */
     fun partition(id: String): PartitionState?
 
     fun requirementsOfJobs(): Map<String, JobRequirements>
@@ -37,12 +37,12 @@
     private val orders = TaskOrders()
     private val saves = HashMap<String, List<SaveOrder>>()
 
-    /** Something has come up for the partition. */
+    /** There is news for the partition: its next frame is due soon. */
     fun touch(partition: String) {
         due += partition
     }
 
-    /** A new owner of the partition has to be told everything. */
+    /** A new owner of the partition gets all orders anew. */
     fun newOwner(partition: String) {
         orders.forget(partition)
         touch(partition)
@@ -54,7 +54,7 @@
     ) = orders.forget(partition, machine)
 
     /** What a machine has to stop and to clear now. */
-    fun set(
+    fun setTaskOrders(
         partition: String,
         machine: String,
         stops: List<AttemptOrder>,
@@ -91,7 +91,7 @@
         sentUs[id] = now
         due -= id
         val partition = source.partition(id)
-        val inform = !sync.informed(id, partition, sequence)
+        val inform = !sync.hasInitialState(id, partition, sequence)
         val (stops, clears) = orders.take(id, now)
         val frame =
             PlacementFrame(
--- a/src/main/kotlin/lichenstage/placement/PartitionState.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionState.kt
@@ -13,21 +13,27 @@
     /** The owner's term. */
     val term: Long,
 ) {
-    /** Up to which of the owner's versions all is known. */
+    /** The version of the owner's state up to which all is known. */
     var version = 0L
 
-    /** The leader's frame up to which the partition has told all that came of it. */
-    var seq = 0L
+    /** The number of the leader's frame of which, like of all before it, every effect is contained in what is known here. */
+    var reflectedSeq = 0L
 
-    /** The last of the leader's frames that it has taken. */
+    /** The number of the last of the leader's frames that the owner has received. */
     var receivedSeq = 0L
 
-    /** How long it has had its owner, as of the last frame that left nothing out: before one, a missing machine means nothing. */
+    /** How long the owner has had the partition, as of its last whole frame: before one, a missing machine means nothing. */
     var ageUs = 0L
 
-    /** When it was last heard. */
+    /** When the owner's last frame came. */
     var lastFrameUs = 0L
 
     /** Its machines by name. */
     val machines = LinkedHashMap<String, MachineState>()
 }
+
+/** A partition by its name, with what is known of it. */
+internal class PartitionRef(
+    val id: String,
+    val state: PartitionState,
+)
--- a/src/main/kotlin/lichenstage/placement/PartitionSync.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionSync.kt
@@ -3,23 +3,23 @@
 import lichenstage.common.MILLI
 import lichenstage.common.SECOND
 
-/** What each partition has been told beside requests and orders: the jobs and machines that were there, and which get no tasks. */
+/** What each partition has received beside requests and orders: the jobs and machines that were there, and which get no tasks. */
 class PartitionSync {
-    private val informedBy = HashMap<String, Long>()
+    private val initialStateSeq = HashMap<String, Long>()
     private val cordonedSent = HashMap<String, Set<String>>()
     private val cordonedSentUs = HashMap<String, Long>()
 
-    /** What is known of jobs and machines goes to a partition until it has shown that it got it; later jobs come with requests. */
-    fun informed(
+    /** The known jobs and machines are sent to a partition until it has acknowledged them; later jobs come with requests. */
+    fun hasInitialState(
         id: String,
         partition: PartitionState?,
         seq: Long,
     ): Boolean {
-        val first = informedBy.getOrPut("$id ${partition?.term}") { seq }
+        val first = initialStateSeq.getOrPut("$id ${partition?.term}") { seq }
         return partition != null && partition.receivedSeq >= first
     }
 
-    /** The machines of a partition that get no tasks, where that has changed or was told long ago. */
+    /** The machines of a partition that get no tasks; null where that has not changed and was sent a short while ago. */
     fun cordonDelta(
         id: String,
         partition: PartitionState?,
@@ -28,16 +28,16 @@
     ): Set<String>? {
         if (partition == null) return null
         val due = now - (cordonedSentUs[id] ?: (Long.MIN_VALUE / 2))
-        if (due < CLOSED_US) return null
+        if (due < MIN_CORDON_INTERVAL_US) return null
         val here = partition.machines.keys.filterTo(HashSet(), cordoned)
-        if (here == cordonedSent[id] && due < CLOSED_AGAIN_US) return null
+        if (here == cordonedSent[id] && due < CORDON_RESEND_US) return null
         cordonedSent[id] = here
         cordonedSentUs[id] = now
         return here
     }
 
     private companion object {
-        const val CLOSED_US = 300 * MILLI
-        const val CLOSED_AGAIN_US = 4 * SECOND
+        const val MIN_CORDON_INTERVAL_US = 300 * MILLI
+        const val CORDON_RESEND_US = 4 * SECOND
     }
 }
--- a/src/main/kotlin/lichenstage/placement/RegistryDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/RegistryDriver.kt
@@ -49,7 +49,7 @@
         // Also where nothing is due: the search looks at every machine, and this is asked after every message.
         lookedUs = now
         val leaving = cordoned()
-        for ((id, machine) in core.unregisteredMachines()) {
+        for ((id, machine) in core.machines.unregistered()) {
             if (machine.name in leaving || machine.name in registry) continue
             registry.add(RegisteredMachine(machine.name, machine.typeName, settings.assignment.zone(id)!!, machine.spot, machine.address))
         }
@@ -62,7 +62,7 @@
     fun written(message: LeaderMessage.RegistryPagesWritten) {
         writing = false
         if (!message.ok) return registry.writeFailed(message.pages)
-        val added = message.pages.flatMap { it.machines }.filter { !core.isRegistered(it.name) }
+        val added = message.pages.flatMap { it.machines }.filter { !core.machines.isRegistered(it.name) }
         core.machinesRegistered(added.associate { it.name to settings.assignment.partitionOf(it.name, it.zone)!! })
     }
 
--- a/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
+++ b/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
@@ -1,5 +1,6 @@
 package lichenstage.placement
 
+import lichenstage.cluster.TaskPhase
 import lichenstage.config.Team
 import lichenstage.model.Resources
 
@@ -17,6 +18,13 @@
     /** All attempts. */
     fun all(): Sequence<Attempt> = byMachine.values.asSequence().flatten()
 
+    /** How many tasks of each team run. */
+    fun runningByTeam(): Map<String, Int> =
+        all()
+            .filter { it.phase == TaskPhase.RUNNING }
+            .groupingBy { it.job.spec.team }
+            .eachCount()
+
     /** Counts an attempt from now on. */
     fun track(attempt: Attempt) {
         attempt.job.liveAttempts.put(attempt.index, attempt)
--- a/src/main/kotlin/lichenstage/placement/TaskOrders.kt
+++ b/src/main/kotlin/lichenstage/placement/TaskOrders.kt
@@ -23,7 +23,7 @@
 
     private val partitions = HashMap<String, LinkedHashMap<String, List<Due>>>()
 
-    /** What [machine] needs now. True where something of it is new. */
+    /** Sets the orders that [machine] needs now. True where one of them is new. */
     fun set(
         partition: String,
         machine: String,
@@ -36,17 +36,17 @@
             return false
         }
         val before = machines[machine].orEmpty()
-        var news = false
+        var added = false
 
         fun due(
             order: AttemptOrder,
             stop: Boolean,
-        ) = before.firstOrNull { it.stop == stop && it.order == order } ?: Due(order, stop).also { news = true }
+        ) = before.firstOrNull { it.stop == stop && it.order == order } ?: Due(order, stop).also { added = true }
         machines[machine] = stops.map { due(it, true) } + clears.map { due(it, false) }
-        return news
+        return added
     }
 
-    /** The machine is gone. */
+    /** The machine is terminated. */
     fun forget(
         partition: String,
         machine: String,
@@ -54,7 +54,7 @@
         partitions[partition]?.remove(machine)
     }
 
-    /** A new owner of the partition has to be told everything. */
+    /** A new owner of the partition gets all orders anew. */
     fun forget(partition: String) {
         partitions.remove(partition)
     }
@@ -72,7 +72,7 @@
                 .orEmpty()
                 .asSequence()
                 .flatten()
-        for (due in waiting.filter { isDue(it, now) }.take(MOST)) {
+        for (due in waiting.filter { isDue(it, now) }.take(MAX_ORDERS_PER_FRAME)) {
             due.sentUs = now
             (if (due.stop) stops else clears) += due.order
         }
@@ -82,11 +82,11 @@
     private fun isDue(
         due: Due,
         now: Long,
-    ) = now - due.sentUs >= if (due.stop) STOP_AGAIN_US else CLEAR_AGAIN_US
+    ) = now - due.sentUs >= if (due.stop) STOP_RETRY_US else CLEAR_RETRY_US
 
     private companion object {
-        const val STOP_AGAIN_US = 2 * SECOND
-        const val CLEAR_AGAIN_US = 6 * SECOND
-        const val MOST = 400
+        const val STOP_RETRY_US = 2 * SECOND
+        const val CLEAR_RETRY_US = 6 * SECOND
+        const val MAX_ORDERS_PER_FRAME = 400
     }
 }
--- a/src/main/kotlin/lichenstage/placement/UnaccountedUse.kt
+++ b/src/main/kotlin/lichenstage/placement/UnaccountedUse.kt
@@ -3,8 +3,8 @@
 import lichenstage.model.Resources
 
 /**
- * What may be in use by nobody knows whom: on machines that run something whose job has no record, or that should not be there, and
- * on those of which nothing is known yet. Each machine counts at its full size against every team's limit (invariant 5).
+ * What may be in use without counting for a team: on machines that run tasks of jobs without record, and on machines that are not yet
+ * accounted for. Each counts at its full capacity against the limit of every team (invariant 5).
  */
 internal class UnaccountedUse(
     private val failover: FailoverRecovery,
--- a/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
@@ -78,7 +78,7 @@
         leader.partitionFrameReceived(partition("z", 0, view("m1"), view("m2", settled = false), view("m3")), SECOND)
         leader.machineTerminated("m3")
         leader.partitionFrameReceived(partition("z", 0, view("m3")), 2 * SECOND)
-        assertEquals(listOf("m1"), leader.unregisteredMachines().map { it.machine.name }) { "${leader.unregisteredMachines()}" }
+        assertEquals(listOf("m1"), leader.machines.unregistered().map { it.machine.name }) { "${leader.machines.unregistered()}" }
     }
 
     @Example
@@ -88,8 +88,14 @@
         leader.jobAdded(job("j-1"))
         val ghost = view("ghost", TaskState("j-1/0", 3, TaskPhase.RUNNING))
         leader.partitionFrameReceived(partition("z", 0, ghost, view("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING))), SECOND)
-        assertTrue(leader.attemptsOn("ghost").isEmpty()) { "adopted" }
-        assertEquals(4L, leader.attemptsOn("m1").single().number) { "the real one is not known" }
+        assertTrue(leader.machines.attemptsOn("ghost").isEmpty()) { "adopted" }
+        assertEquals(
+            4L,
+            leader.machines
+                .attemptsOn("m1")
+                .single()
+                .number,
+        ) { "the real one is not known" }
         leader.tick(SECOND)
         assertTrue(sent("z").flatMap { it.stops }.none { it.machine == "m1" }) { "the real one was stopped" }
     }
@@ -104,8 +110,14 @@
             leader.jobAdded(job("j-1"))
             val views = listOf(view("back", TaskState("j-1/0", 3, TaskPhase.RUNNING)), view("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING)))
             leader.partitionFrameReceived(partition("z", 0, *(if (newerFirst) views.reversed() else views).toTypedArray()), SECOND)
-            assertTrue(leader.attemptsOn("back").isEmpty()) { "the older is still counted" }
-            assertEquals(4L, leader.attemptsOn("m1").single().number) { "the newer is not known" }
+            assertTrue(leader.machines.attemptsOn("back").isEmpty()) { "the older is still counted" }
+            assertEquals(
+                4L,
+                leader.machines
+                    .attemptsOn("m1")
+                    .single()
+                    .number,
+            ) { "the newer is not known" }
             leader.tick(SECOND)
             assertEquals(listOf("back"), sent("z").flatMap { it.stops }.map { it.machine }) { "${sent("z").flatMap { it.stops }}" }
             leader.partitionFrameReceived(partition("z", 0, view("back", lost = true)), 2 * SECOND)
@@ -150,10 +162,13 @@
         for (machines in listOf(400, 1600)) {
             var looks = 0
             val leader =
-                LeaderCore(7, 100, assignment, teams, 20 * SECOND, PlacementSettings(), ServiceObjectives(emptyList()), {
-                    looks++
-                    Resources(16.0, 0.0, 64.0)
-                }, 10) { effects += it }
+                leader(
+                    lookups =
+                        LeaderLookups({
+                            looks++
+                            Resources(16.0, 0.0, 64.0)
+                        }),
+                )
             val names = List(machines) { "m$it" }
             leader.addRecoveredMachines(recoveredMachines(*names.toTypedArray()))
             leader.jobAdded(job("j-1"))
--- a/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -21,21 +21,14 @@
     protected var version = 0L
     protected val assignment = PartitionAssignment(listOf("y", "z"), emptyMap())
 
-    protected fun leader() =
-        LeaderCore(
-            7,
-            100,
-            assignment,
-            teams,
-            20 * SECOND,
-            PlacementSettings(),
-            ServiceObjectives(emptyList()),
-            { Resources(16.0, 0.0, 64.0) },
-            10,
-        ) {
-            effects +=
-                it
-        }
+    protected fun leader(
+        teams: Map<String, Team> = this.teams,
+        objectives: ServiceObjectives = ServiceObjectives(emptyList()),
+        lookups: LeaderLookups = LeaderLookups({ Resources(16.0, 0.0, 64.0) }),
+    ): LeaderCore {
+        val settings = LeaderSettings(assignment, teams, 20 * SECOND, PlacementSettings(), objectives, transactionOperations = 10)
+        return LeaderCore(LeaderTerm(7, 100), settings, lookups) { effects += it }
+    }
 
     protected fun spec(
         id: String,
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -44,7 +44,7 @@
         assertEquals(listOf(attempt), sent("z").flatMap { it.saves }.map { it.attempt }) { "${sent("z").last()}" }
         shown(TaskPhase.ENDED, 4, 45)
         assertTrue(job.totalSavedUs in 37 * SECOND..39 * SECOND) { "${job.totalSavedUs}" }
-        assertTrue(leader.attemptsOn("m1").isEmpty() && job.pending.size == 1) { "not queued again" }
+        assertTrue(leader.machines.attemptsOn("m1").isEmpty() && job.pending.size == 1) { "not queued again" }
     }
 
     @Example
@@ -52,12 +52,17 @@
         val leader = placed()
         val seq = sent("z").last { it.starts.isNotEmpty() }.seq
         leader.partitionFrameReceived(partition("z", seq - 1, view("m1")), 2 * SECOND)
-        assertEquals(2, leader.attemptsOn("m1").size) { "given up by a frame from before it" }
+        assertEquals(2, leader.machines.attemptsOn("m1").size) { "given up by a frame from before it" }
         leader.partitionFrameReceived(
             partition("z", seq, view("m1", TaskState("j-1/${starts()[0].index}", starts()[0].attempt, TaskPhase.PENDING))),
             2 * SECOND,
         )
-        assertEquals(listOf(starts()[0].index), leader.attemptsOn("m1").map { it.index }) { "${leader.attemptsOn("m1").map { it.task }}" }
+        assertEquals(
+            listOf(starts()[0].index),
+            leader.machines.attemptsOn("m1").map {
+                it.index
+            },
+        ) { "${leader.machines.attemptsOn("m1").map { it.task }}" }
     }
 
     /** A version before this one says in pieces what it told in whole frames that were lost. */
@@ -68,9 +73,9 @@
         leader.partitionFrameReceived(partition("z", seq, view("m2"), whole = false), 2 * SECOND)
         leader.partitionFrameReceived(partition("z", seq, view("m1"), whole = false), 3 * SECOND)
         leader.tick(4 * SECOND)
-        assertEquals(2, leader.attemptsOn("m1").size) { "given up by a frame that leaves out machines" }
+        assertEquals(2, leader.machines.attemptsOn("m1").size) { "given up by a frame that leaves out machines" }
         leader.partitionFrameReceived(partition("z", seq, view("m1")), 5 * SECOND)
-        assertTrue(leader.attemptsOn("m1").isEmpty()) { "kept although all is told" }
+        assertTrue(leader.machines.attemptsOn("m1").isEmpty()) { "kept although all is told" }
     }
 
     @Example
@@ -87,8 +92,8 @@
             leader.partitionFrameReceived(partition("z", seq, view("m1", *rows)), 2 * SECOND)
             assertEquals(
                 listOf(attempt - 1),
-                leader.attemptsOn("m1").map { it.number },
-            ) { "${leader.attemptsOn("m1").map { it.number }}" }
+                leader.machines.attemptsOn("m1").map { it.number },
+            ) { "${leader.machines.attemptsOn("m1").map { it.number }}" }
             leader.tick(60 * SECOND)
             assertTrue(sent("z").none { frame -> frame.stops.any { it.attempt == attempt - 1 } }) { "the one that runs is stopped" }
             leader.partitionFrameReceived(
@@ -104,18 +109,18 @@
         val leader = leader()
         leader.jobAdded(job("j-1", tasks = 1))
         leader.partitionFrameReceived(partition("z", 0, view("m1", TaskState("j-1/0", 9, TaskPhase.RUNNING))), SECOND)
-        assertTrue(leader.attemptsOn("m1").isEmpty()) { "believed of a machine without record" }
+        assertTrue(leader.machines.attemptsOn("m1").isEmpty()) { "believed of a machine without record" }
         leader.machinesRegistered(mapOf("m1" to "z/0"))
-        assertEquals(listOf(9L), leader.attemptsOn("m1").map { it.number }) { "not looked at again" }
+        assertEquals(listOf(9L), leader.machines.attemptsOn("m1").map { it.number }) { "not looked at again" }
     }
 
     @Example
     fun `under a new owner nothing is given up before the worker has shown the new token`() {
         val leader = placed()
         leader.partitionFrameReceived(partition("z", 0, view("m1", settled = false), term = 4), 3 * SECOND)
-        assertEquals(2, leader.attemptsOn("m1").size) { "given up too early" }
+        assertEquals(2, leader.machines.attemptsOn("m1").size) { "given up too early" }
         leader.partitionFrameReceived(partition("z", 0, view("m1"), term = 4), 4 * SECOND)
-        assertTrue(leader.attemptsOn("m1").isEmpty()) { "kept" }
+        assertTrue(leader.machines.attemptsOn("m1").isEmpty()) { "kept" }
     }
 
     @Example
@@ -203,22 +208,11 @@
     fun `room with the image is asked for before any room, but not before what is in more of a hurry`() {
         val serviceObjectives = ServiceObjectives(listOf(Objective(ObjectiveKind.WAIT, "quick", 2 * SECOND)))
         val leader =
-            LeaderCore(
-                7,
-                100,
-                assignment,
-                mapOf(
-                    "red" to teams.getValue("red").copy(coresMax = 99.0),
-                ),
-                20 * SECOND,
-                PlacementSettings(),
-                serviceObjectives,
-                {
-                    Resources(16.0, 0.0, 64.0)
-                },
-                10,
-                { SECOND },
-            ) { effects += it }
+            leader(
+                teams = mapOf("red" to teams.getValue("red").copy(coresMax = 99.0)),
+                objectives = serviceObjectives,
+                lookups = LeaderLookups({ Resources(16.0, 0.0, 64.0) }, fetchUs = { SECOND }),
+            )
         for ((id, jobClass) in listOf("j-1" to "quick", "j-2" to "quick", "j-3" to "c")) {
             leader.jobAdded(Job(spec(id).copy(jobClass = jobClass), 1, 0))
         }
--- a/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
@@ -9,6 +9,8 @@
 import lichenstage.drain.DrainView
 import lichenstage.drain.TaskExecution
 import lichenstage.drain.TaskId
+import lichenstage.drain.TaskStanding
+import lichenstage.placement.Attempt
 import lichenstage.placement.LeaderCore
 import lichenstage.placement.LeaderDrainView
 
@@ -58,17 +60,16 @@
 
     private var steppedUs = 0L
 
-    init {
-        leader.taskStopped = { core.taskLost(LeaderDrainView.failure(it, context.now)) }
-    }
+    /** An attempt ran and ended although its task is not done. */
+    fun attemptInterrupted(attempt: Attempt) = core.taskLost(LeaderDrainView.failure(attempt, context.now))
 
     fun step() {
         if (context.now - steppedUs < SECOND) return
         steppedUs = context.now
         core.updateDrains(state.drains.values.toList(), state.drainedMachines)
         fleet.cordoned = core.cordoned
-        leader.setDrained(core.cordoned)
-        leader.setOnProbation(core.onProbation)
+        leader.machines.setDrained(core.cordoned)
+        leader.machines.setOnProbation(core.onProbation)
         val next = core.step(context.now, hour = 0) ?: return
         if (next == core.state) return core.stateRecorded(ok = true).forEach(::execute)
         state.drainWrites++
--- a/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
@@ -74,7 +74,11 @@
     }
 
     private fun register() {
-        val due = leader.unregisteredMachines().map { it.machine.name }.filter { it !in draining }
+        val due =
+            leader.machines
+                .unregistered()
+                .map { it.machine.name }
+                .filter { it !in draining }
         if (isRegistering || due.isEmpty()) return
         isRegistering = true
         site.write({ registry.add(due) }) { ok ->
@@ -87,7 +91,7 @@
         if (!onlyOperatorsDrain && random.nextInt(DRAIN_ONE_IN) == 0) {
             registry.all().takeIf { it.isNotEmpty() }?.let { draining += it[random.nextInt(it.size)] }
         }
-        leader.setCordoned(draining + cordoned)
+        leader.machines.setCordoned(draining + cordoned)
     }
 
     private fun terminateDue() {
@@ -95,7 +99,7 @@
         val views = leader.partitions.values.flatMap { it.machines.values }
         val silent = views.filter { it.silent }.map { it.name }
         val lost = views.filter { it.lost }.map { it.name }
-        val empty = draining.filter { leader.attemptsOn(it).isEmpty() }
+        val empty = draining.filter { leader.machines.attemptsOn(it).isEmpty() }
         val due =
             (
                 lost + empty + emptied + leader.machinesToFence() +
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -9,6 +9,9 @@
 import lichenstage.placement.Job
 import lichenstage.placement.LeaderCore
 import lichenstage.placement.LeaderEffect
+import lichenstage.placement.LeaderLookups
+import lichenstage.placement.LeaderSettings
+import lichenstage.placement.LeaderTerm
 import lichenstage.placement.PlacementSettings
 import lichenstage.placement.ServiceObjectives
 import lichenstage.world.SimulationContext.Companion.MACHINE_CORES
@@ -105,16 +108,17 @@
         val limits = if (mutation == Mutation.IGNORED_LIMIT) context.teams.mapValues { it.value.copy(coresMax = 1e9) } else context.teams
         val lease = if (mutation == Mutation.EAGER_OWNER) -3 * SECOND else WORKER_LEASE_US
         return LeaderCore(
-            term,
-            term,
-            context.assignment,
-            limits,
-            lease,
-            PlacementSettings(),
-            ServiceObjectives(emptyList()),
-            { Resources(MACHINE_CORES, 0.0, MACHINE_MEMORY_GB) },
-            12,
-            dependentsOf = controller.dependencyGraph::dependentsOf,
+            LeaderTerm(term, term),
+            LeaderSettings(
+                context.assignment,
+                limits,
+                lease,
+                PlacementSettings(),
+                ServiceObjectives(emptyList()),
+                transactionOperations = 12,
+            ),
+            LeaderLookups({ Resources(MACHINE_CORES, 0.0, MACHINE_MEMORY_GB) }, dependentsOf = controller.dependencyGraph::dependentsOf),
+            { drains?.attemptInterrupted(it) },
         ) { execute(term, it) }
     }
 
