--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -3,7 +3,7 @@
 import lichenstage.jobs.CompletedTaskRanges
 import java.util.BitSet
 
-/** What the leader has recorded of the tasks that are done, in batches of at most [batch] changes, each after [flushUs] at the earliest. */
+/** Decides which done tasks are recorded next, in batches of at most [batch] changes, those of a job after [flushUs] at the earliest. */
 class CompletionRecorder(
     private val batch: Int,
     private val flushUs: Long,
@@ -22,7 +22,7 @@
         unrecorded.putIfAbsent(job, sinceUs)
     }
 
-    /** The job's end is recorded. */
+    /** The job's completion is recorded. */
     fun completionRecorded(job: Job) {
         unrecorded.remove(job)
     }
@@ -104,7 +104,7 @@
         }
     }
 
-    /** What became of a transaction with done ranges. */
+    /** The outcome of a transaction with done ranges. */
     fun rangesWritten(
         deltas: List<CompletionDelta>,
         ok: Boolean,
--- a/src/main/kotlin/lichenstage/placement/Job.kt
+++ b/src/main/kotlin/lichenstage/placement/Job.kt
@@ -3,53 +3,29 @@
 import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap
 import it.unimi.dsi.fastutil.ints.Int2ObjectLinkedOpenHashMap
 import it.unimi.dsi.fastutil.ints.IntArrayList
-import lichenstage.cluster.TaskPhase
 import lichenstage.model.JobSpec
 import java.util.BitSet
 
-/** One try of a task, from the sending of its start until it is known that nothing of it is left (invariant 6). */
-class Attempt(
-    val job: Job,
-    val index: Int,
-    val number: Long,
-    val machine: String,
-    val partition: String,
-) {
-    /** The partition's ownership term and the frame in which the start went out: what is older than these tells nothing of it. */
-    var partitionTerm = 0L
-    var seq = 0L
-    var phase = TaskPhase.PENDING
-    val task get() = taskName(job.spec.id, index)
-
-    /** When it was seen to begin to run; 0 before that. */
-    var runningUs = 0L
-
-    /** When it was first ordered to save its progress and stop; 0 where it was not. */
-    var saveOrderedUs = 0L
-
-    /** Progress of the task at [now], with what earlier attempts have saved. */
-    fun progressUs(now: Long) = job.savedUs(index) + if (runningUs > 0) now - runningUs else 0
-}
-
 /** Whether the job has an open record. */
 enum class JobPhase { OPEN, CLOSED }
 
 /** An accepted job as the leader works on it. */
 class Job(
     val spec: JobSpec,
+    /** The create revision of its open record. */
     val createRevision: Long,
     /** When it was submitted, on this process's steady clock. */
     val submittedAtUs: Long,
 ) {
-    /** All jobs that it needs are recorded as done. Until then it has nothing to place and counts for nothing. */
+    /** All of its dependencies are recorded as done. Until then it has nothing to place and counts for no limit. */
     var ready = spec.dependencies.isEmpty()
         private set
 
-    /** When that was: all its times but the deadline count from here. */
+    /** When it became ready: all its times but the deadline count from here. */
     var readyUs = submittedAtUs
         private set
 
-    /** All that it needs is recorded as done, since [atUs]. */
+    /** All of its dependencies are recorded as done, since [atUs]. */
     fun markReady(atUs: Long) {
         ready = true
         readyUs = maxOf(atUs, submittedAtUs)
@@ -58,19 +34,25 @@
     var phase = JobPhase.OPEN
     val done = BitSet()
 
-    /** What the state service holds of [done]. */
+    /** The tasks of [done] that are recorded in the key-value store. */
     val durable = BitSet()
 
-    /** A record of its done ranges, or of its end, is being written. */
+    /** A record of its done ranges is being written. */
     var rangesWriteInFlight = false
+
+    /** The record of its completion is being written. */
     var completionWriteInFlight = false
 
-    /** Machines whose lists have named a task of it. */
+    /** Machines whose task lists have named a task of it. */
     val listedOnMachines = HashSet<String>()
+
+    /** Attempts that may be running, by task index. */
     val liveAttempts = Int2ObjectLinkedOpenHashMap<Attempt>()
 
-    /** Tasks that wait for a place; empty until the job may be placed. */
+    /** Indices of tasks that wait to be placed; empty until the job may be placed. */
     val pending = IntArrayList()
+
+    /** Its tasks have been queued: it is ready, and no earlier leader's attempts can be unknown any more. */
     var placeable = false
 
     /** When its tasks were last given a place and when one last began to run, for the log. */
@@ -100,11 +82,13 @@
 
     private var doneCount = 0
 
+    /** Every task is done, recorded or not. */
     val allTasksDone get() = doneCount >= spec.tasks
 
+    /** How many tasks are not done. */
     val remainingTasks get() = spec.tasks - doneCount
 
-    /** False where that was known. */
+    /** The task is done; false where that was known already. */
     fun markDone(index: Int): Boolean {
         if (done.get(index)) return false
         done.set(index)
@@ -113,7 +97,7 @@
         return true
     }
 
-    /** What the record of an earlier leader says. */
+    /** Adds tasks that an earlier leader has recorded as done. */
     fun restoreDone(tasks: BitSet) {
         done.or(tasks)
         durable.or(tasks)
@@ -127,7 +111,7 @@
         for (i in spec.tasks - 1 downTo 0) if (!done.get(i) && !liveAttempts.containsKey(i)) pending.add(i)
     }
 
-    /** The task needs a place again, unless it is done. */
+    /** Queues the task again, unless it is done. */
     fun requeue(index: Int) {
         if (placeable && phase == JobPhase.OPEN && !done.get(index)) pending.add(index)
     }
@@ -141,9 +125,3 @@
         return -1
     }
 }
-
-/** The name of a task in the worker protocol. */
-fun taskName(
-    job: String,
-    index: Int,
-) = "$job/$index"
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -155,7 +155,7 @@
         when (effect) {
             is LeaderEffect.SendFrame -> services.authority.ownerOf(effect.partition)?.let { services.send(it.label, effect.frame) }
             is LeaderEffect.WriteDoneRanges -> writer.writeRanges(effect.deltas)
-            is LeaderEffect.RecordCompletion -> writer.finish(effect.job)
+            is LeaderEffect.RecordCompletion -> writer.recordCompletion(effect.job)
         }
     }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
@@ -9,7 +9,7 @@
 import lichenstage.drain.TaskExecution
 import lichenstage.drain.TaskId
 
-/** What the leader knows, as drains see it. */
+/** The leader's machines and tasks, as the decisions on drains see them. */
 class LeaderDrainView(
     private val core: LeaderCore,
     private val now: () -> Long,
@@ -27,7 +27,7 @@
         }
     }
 
-    /** Also what counts for no job of the leader's: the machine is not empty before that has been stopped. */
+    /** Also tasks that count for no job of the leader's: the machine is not empty before they are stopped. */
     override fun tasksOn(machine: String): List<RunningTask> {
         val attempts = core.machines.attemptsOn(machine)
         val counted = attempts.mapTo(HashSet()) { it.number }
@@ -38,10 +38,10 @@
                 .orEmpty()
                 .filter { it.phase != TaskPhase.ENDED && it.attempt !in counted }
                 .map { RunningTask(TaskId(it.job, it.index), it.attempt, "", "", running = false, remainingUs = 0, lostProgressUs = 0) }
-        return attempts.map(::seen) + others
+        return attempts.map(::runningTask) + others
     }
 
-    private fun seen(attempt: Attempt): RunningTask {
+    private fun runningTask(attempt: Attempt): RunningTask {
         val spec = attempt.job.spec
         return RunningTask(
             TaskId(spec.id, attempt.index),
@@ -66,7 +66,7 @@
 
     override fun isFaulty(machine: String) = core.machines.failedJobsOn(machine).isNotEmpty()
 
-    /** The attempts of these tasks that still run. */
+    /** The attempts of these tasks that may still be running. */
     fun attemptsOf(tasks: Collection<RunningTask>): List<Attempt> =
         tasks.mapNotNull { wanted ->
             core.jobs[wanted.task.job]
@@ -76,7 +76,7 @@
         }
 
     companion object {
-        /** An attempt that ran does not any more, and not for a drain. */
+        /** An attempt that ran has ended, and not for a drain. */
         fun failure(
             attempt: Attempt,
             atUs: Long,
--- a/src/main/kotlin/lichenstage/placement/LeaderEffect.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderEffect.kt
@@ -3,14 +3,14 @@
 import lichenstage.cluster.PlacementFrame
 import java.util.BitSet
 
-/** Tasks of a job that are done but not recorded, and the chunks in which they fall. */
+/** What a write of done ranges records of a job: all tasks that are recorded once it succeeds, and the chunks that change. */
 data class CompletionDelta(
     val job: Job,
     val recordedTasks: BitSet,
     val chunks: List<Int>,
 )
 
-/** What the leader's decisions ask of the outside. */
+/** What follows from the leader's decisions outside of them. */
 sealed interface LeaderEffect {
     /** Send a frame to the owner of a partition. */
     data class SendFrame(
--- a/src/main/kotlin/lichenstage/placement/LeaderJobRecords.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderJobRecords.kt
@@ -86,7 +86,7 @@
 
     /** Has jobs recorded as cancelled of which a dependency is cancelled. */
     fun cancelOrphans() {
-        blockedJobs.takeOrphans().takeIf { it.isNotEmpty() }?.let(writer::cancel)
+        blockedJobs.takeOrphans().takeIf { it.isNotEmpty() }?.let(writer::cancelOrphans)
     }
 
     private fun add(entry: Entry) {
--- a/src/main/kotlin/lichenstage/placement/LeaderMessage.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderMessage.kt
@@ -10,61 +10,61 @@
 import lichenstage.state.Entry
 import lichenstage.state.TransactionResult
 
-/** What the leader's actor is told, by others and by what it has set going itself. */
+/** Messages to the leader's actor: from other actors and controllers, and outcomes of its own calls. */
 sealed interface LeaderMessage {
     /** About jobs and their records. */
     sealed interface JobMessage : LeaderMessage
 
-    /** A partition's owner says what has changed. */
+    /** A frame of a partition's owner: what has changed there. */
     data class PartitionFrameReceived(
         val frame: PartitionFrame,
     ) : LeaderMessage
 
-    /** The records with which the term begins: open jobs, done ranges, pages of the registry. */
+    /** The records with which the term begins have been read: open jobs, done ranges, pages of the registry. */
     data class RecordsLoaded(
         val jobs: List<Entry>,
         val done: List<Entry>,
         val machines: List<Entry>,
     ) : LeaderMessage
 
-    /** The open jobs as they stand after a watch was lost. */
+    /** All open jobs, read anew after the revision of the watch was compacted. */
     data class OpenJobsReloaded(
         val jobs: List<Entry>,
     ) : JobMessage
 
-    /** Records of open jobs that the watch has shown, and the keys of those that are gone. */
+    /** Records of open jobs that were created since the last change of the watch, and the keys of those that were deleted. */
     data class OpenJobsChanged(
         val added: List<Entry>,
         val removed: List<String>,
     ) : JobMessage
 
-    /** Jobs that others know to be over; the watch of this leader may be the only one that is not answered. */
+    /** Jobs that other controllers know to have ended; the watch of this leader may be the only one that is not answered. */
     data class JobsEnded(
         val jobs: List<String>,
     ) : JobMessage
 
-    /** It has come to light how jobs ended that others need. */
+    /** It has become known how dependencies of jobs ended. */
     data object DependenciesResolved : JobMessage
 
-    /** These are recorded as cancelled, since one that they need is. */
+    /** These are recorded as cancelled, since a dependency of each is. */
     data class OrphansCancelled(
         val jobs: List<Job>,
     ) : JobMessage
 
-    /** What became of a transaction with done ranges. */
+    /** The outcome of a transaction with done ranges. */
     data class DoneRangesWritten(
         val deltas: List<CompletionDelta>,
         val ok: Boolean,
     ) : JobMessage
 
-    /** What became of the transaction that records a job as done; [stillOpen] unless its record is known to be gone. */
+    /** The outcome of the transaction that records a job as done; [stillOpen] unless its open record is known to be deleted. */
     data class CompletionWritten(
         val job: Job,
         val outcome: TransactionResult,
         val stillOpen: Boolean,
     ) : JobMessage
 
-    /** What became of a transaction with [pages] of the registry. */
+    /** The outcome of a transaction with [pages] of the registry. */
     data class RegistryPagesWritten(
         val pages: List<RegistryPage>,
         val ok: Boolean,
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -35,6 +35,7 @@
 ) {
     private val leadership = Precondition(OwnershipRecords.LEADER, leaderKeyRevision)
 
+    /** Records done tasks; answered by [LeaderMessage.DoneRangesWritten]. */
     fun writeRanges(deltas: List<CompletionDelta>) {
         scope.launch {
             val puts =
@@ -52,7 +53,8 @@
         }
     }
 
-    fun finish(job: Job) {
+    /** Records a job as done and deletes its open record; answered by [LeaderMessage.CompletionWritten]. */
+    fun recordCompletion(job: Job) {
         scope.launch {
             val id = job.spec.id
             val preconditions = listOf(leadership, Precondition(JobRecordCodec.OPEN + id, job.createRevision))
@@ -71,8 +73,8 @@
         }
     }
 
-    /** Records jobs that can never run as cancelled: together, or, where one of them has ended meanwhile, each for itself. */
-    fun cancel(jobs: List<Job>) {
+    /** Records jobs that can never run as cancelled: in one transaction, or one by one where one of them has ended meanwhile. */
+    fun cancelOrphans(jobs: List<Job>) {
         scope.launch {
             val written = if (recordCancelled(jobs)) jobs else jobs.filter { recordCancelled(listOf(it)) }
             if (written.isEmpty()) delay(RETRY_MS)
@@ -94,6 +96,7 @@
         return state.commit(preconditions, changes, urgent = false) is TransactionResult.Committed
     }
 
+    /** Writes pages of the registry; answered by [LeaderMessage.RegistryPagesWritten]. */
     fun writePages(pages: List<RegistryPage>) {
         scope.launch {
             val written = owned.write(listOf(leadership), pages.map { it.change }, urgent = true)
@@ -102,12 +105,13 @@
         }
     }
 
-    /** Done ranges of a job that is over are of no more use. Where some are still being written, it is done after that. */
+    /** Deletes the done ranges of a job that has ended. Where some are still being written, that is done after it. */
     fun deleteRanges(job: Job) {
         if (job.rangesWriteInFlight || job.durable.isEmpty) return
         delete((0 until CompletedTaskRanges.chunks(job.spec.tasks)).map { CompletedTaskRanges.key(job.spec.id, it) })
     }
 
+    /** Deletes done ranges that are of no more use. */
     fun delete(keys: List<String>) {
         if (keys.isNotEmpty()) scope.launch { writeAll(keys.map { Change.Delete(it) }) }
     }
--- a/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
@@ -8,7 +8,7 @@
     /** Nothing: it may run anything. */
     UNKNOWN,
 
-    /** By hearing: it has shown its partition's token, so what it does not list is not there. */
+    /** By its task list: it has shown its partition's fencing token, so what it does not list is not there. */
     LISTED,
 
     /** By time: its lease has run out, and its worker has killed all tasks. */
@@ -16,11 +16,11 @@
     ;
 
     companion object {
-        private const val UNHEARD_MARGIN_US = 2 * SECOND
+        private const val NO_HEARTBEAT_MARGIN_US = 2 * SECOND
 
         /**
-         * Of a machine that its partition has not heard it is the partition's age that counts: no answer of its owner has renewed the
-         * lease, and none of the owner before it has since. The age is that of a frame that left out no machine.
+         * Of a machine without heartbeats under its partition's owner it is the partition's age that counts: no answer of the owner has
+         * renewed its lease, and none of the owner before has since. The age is as of a whole frame, which leaves out no machine.
          */
         fun of(
             machine: String,
@@ -29,7 +29,7 @@
         ): MachineKnowledge {
             val view = partition.machines[machine]
             return when {
-                view == null -> if (partition.ageUs > withDrift(leaseUs) + UNHEARD_MARGIN_US) LEASE_EXPIRED else UNKNOWN
+                view == null -> if (partition.ageUs > withDrift(leaseUs) + NO_HEARTBEAT_MARGIN_US) LEASE_EXPIRED else UNKNOWN
                 view.lost -> LEASE_EXPIRED
                 view.settled -> LISTED
                 else -> UNKNOWN
--- a/src/main/kotlin/lichenstage/placement/Registry.kt
+++ b/src/main/kotlin/lichenstage/placement/Registry.kt
@@ -20,7 +20,7 @@
 class Registry(
     valueBytes: Int,
 ) {
-    private val perPage = (valueBytes / MACHINE_BYTES).coerceIn(1, MOST_ON_PAGE)
+    private val perPage = (valueBytes / MAX_MACHINE_BYTES).coerceIn(1, MAX_MACHINES_PER_PAGE)
     private val pages = HashMap<String, LinkedHashMap<String, RegisteredMachine>>()
     private val pageOf = HashMap<String, String>()
     private val dirty = LinkedHashSet<String>()
@@ -30,10 +30,10 @@
 
     val size get() = pageOf.size
 
-    /** The machine is recorded, or about to be. */
+    /** The machine is recorded, or due to be. */
     operator fun contains(name: String) = pageOf.containsKey(name)
 
-    /** Takes over what an earlier leader wrote. */
+    /** Loads a page that an earlier leader wrote. */
     fun load(entry: Entry): List<RegisteredMachine> {
         val machines = MachineRecordCodec.decode(entry.value)
         val page = LinkedHashMap<String, RegisteredMachine>()
@@ -58,7 +58,7 @@
         }
     }
 
-    /** More is to be written at once. */
+    /** Pages are due to be written. */
     val hasUnwritten get() = dirty.isNotEmpty() || shrunk.isNotEmpty()
 
     /** A machine is to be recorded. */
@@ -75,7 +75,7 @@
         return key
     }
 
-    /** Forgets machines that are proven gone. */
+    /** Removes machines that are proven to be terminated. */
     fun remove(names: Collection<String>) {
         for (name in names) {
             val key = pageOf.remove(name) ?: continue
@@ -84,10 +84,10 @@
         }
     }
 
-    /** Up to [most] pages that differ from what the state service holds. They count as written unless it is said otherwise. */
-    fun takeDuePages(most: Int): List<RegistryPage> {
-        val first = dirty.filter { it !in shrunk }.take(most)
-        val keys = first.ifEmpty { (dirty + shrunk).take(most) }
+    /** Up to [maxPages] pages that differ from their records. They count as written unless [writeFailed] is called with them. */
+    fun takeDuePages(maxPages: Int): List<RegistryPage> {
+        val first = dirty.filter { it !in shrunk }.take(maxPages)
+        val keys = first.ifEmpty { (dirty + shrunk).take(maxPages) }
         dirty -= keys.toSet()
         if (first.isEmpty()) shrunk -= keys.toSet()
         return keys.map { key -> RegistryPage(key, pages.getValue(key).values.toList()) }
@@ -100,7 +100,7 @@
 
     private companion object {
         /** What one machine takes of a value at the most, with names of usual length. */
-        const val MACHINE_BYTES = 120
-        const val MOST_ON_PAGE = 100
+        const val MAX_MACHINE_BYTES = 120
+        const val MAX_MACHINES_PER_PAGE = 100
     }
 }
--- a/src/main/kotlin/lichenstage/placement/RegistryDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/RegistryDriver.kt
@@ -6,11 +6,10 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Keeps the durable registry in step with the machines.
+ * Keeps the durable registry up to date with the machines.
  *
- * Machines get tasks only once the state service holds their names (invariant 4), and are recorded only once they have
- * shown the token: a leader that comes after need not wait for one that never came up, and a late copy of a report of one
- * that is gone does not bring it back.
+ * Machines get tasks only once they have a record (invariant 4), and are recorded only once they have shown the fencing token: a
+ * later leader need not wait for one that never came up, and a late copy of a heartbeat does not bring back one that was terminated.
  */
 internal class RegistryDriver(
     private val settings: Settings,
@@ -20,11 +19,11 @@
     private val log = LoggerFactory.getLogger("lichenstage.placement")
     private val registry = Registry(settings.valueBytes)
     private var writing = false
-    private var lookedUs = Long.MIN_VALUE / 2
+    private var steppedUs = Long.MIN_VALUE / 2
 
     val size get() = registry.size
 
-    /** Takes over the pages of an earlier leader; returns the machines of this deployment's zones. */
+    /** Loads the pages of an earlier leader; returns the machines of this deployment's zones. */
     fun load(pages: List<Entry>): List<RegisteredMachine> {
         val machines = pages.flatMap(registry::load).filter(::recover)
         registry.split()
@@ -34,7 +33,7 @@
     private fun recover(machine: RegisteredMachine): Boolean {
         val partition = settings.assignment.partitionOf(machine.name, machine.zone)
         if (partition == null) {
-            log.error("machine {} is recorded in {}, which is no zone of this deployment", machine.name, machine.zone)
+            log.error("Recorded machine ignored, its zone is not in this deployment machine={} zone={}", machine.name, machine.zone)
             return false
         }
         core.addRecoveredMachines(listOf(RecoveredMachine(machine.name, partition, machine.typeName, machine.address)))
@@ -45,9 +44,9 @@
         cordoned: () -> Set<String>,
         now: Long,
     ) {
-        if (writing || now - lookedUs < if (registry.hasUnwritten) BEHIND_US else LOOK_US) return
-        // Also where nothing is due: the search looks at every machine, and this is asked after every message.
-        lookedUs = now
+        if (writing || now - steppedUs < if (registry.hasUnwritten) BACKLOG_INTERVAL_US else STEP_INTERVAL_US) return
+        // Also where nothing is due: the search looks at every machine, and this runs after every message.
+        steppedUs = now
         val leaving = cordoned()
         for ((id, machine) in core.machines.unregistered()) {
             if (machine.name in leaving || machine.name in registry) continue
@@ -69,7 +68,7 @@
     fun removed(machines: List<String>) = registry.remove(machines)
 
     private companion object {
-        const val LOOK_US = 300_000L
-        const val BEHIND_US = 60_000L
+        const val STEP_INTERVAL_US = 300_000L
+        const val BACKLOG_INTERVAL_US = 60_000L
     }
 }
