--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -77,7 +77,7 @@
     private val cloud = CloudClient(vertx, settings.cloud)
     private val catalog = MachineCatalog(cloud, state, scope)
     private val authority: Authority =
-        Authority(settings, state, clock, scope, { to, frame -> links.send(to, frame) }, { links.isWell(it) }, ::ownershipChanged)
+        Authority(settings, state, clock, scope, { to, frame -> links.send(to, frame) }, { links.isHealthy(it) }, ::ownershipChanged)
     private val links: PeerLinks =
         PeerLinks(
             vertx,
@@ -89,7 +89,7 @@
             metrics.counter("frame_bytes"),
             ::received,
         )
-    private val forwarder = RequestForwarder({ links.peerWithState() }) { to, frame -> links.send(to, frame) }
+    private val forwarder = RequestForwarder({ links.healthyPeer() }) { to, frame -> links.send(to, frame) }
     private val others = settings.peers.map { it.label }
     private val replica =
         JobReplica(
@@ -159,7 +159,7 @@
                 delay(HAND_BACK_MS)
                 for (partition in settings.assignment.partitions) {
                     val home = settings.assignment.home(partition)
-                    if (home != null && home != settings.label && links.steady(home)) authority.releasePartition(partition)
+                    if (home != null && home != settings.label && links.isStable(home)) authority.releasePartition(partition)
                 }
             }
         }
@@ -193,7 +193,7 @@
      * is back; a node that it alone does not answer sends its users to the others.
      */
     private fun isHealthy() =
-        authority.isReady() && catalog.isLoaded && (authority.isStateServiceAvailable() || links.peerWithState() == null)
+        authority.isReady() && catalog.isLoaded && (authority.isStateServiceAvailable() || links.healthyPeer() == null)
 
     /** Leadership lasts while its key does; a pause of authority doesn't end it, a new term does. */
     private fun ownershipChanged(ownership: OwnershipView) {
@@ -238,7 +238,7 @@
             is PlacementFrame -> partition.tell(PartitionMessage.LeaderFrameReceived(frame))
             is PartitionFrame -> leader?.tell(LeaderMessage.PartitionFrameReceived(frame))
             is ForwardedRequest -> answer(from, frame)
-            is ForwardedReply -> forwarder.answered(frame)
+            is ForwardedReply -> forwarder.onReply(frame)
             is MoratoriumRequest -> authority.onMoratoriumRequest(from, frame)
             is MoratoriumGrant -> authority.onMoratoriumGrant(from, frame)
             is CompletionSyncRequest -> replicaSync.onSyncRequest(from, frame)
--- a/src/main/kotlin/lichenstage/authority/AcquisitionMoratorium.kt
+++ b/src/main/kotlin/lichenstage/authority/AcquisitionMoratorium.kt
@@ -47,7 +47,7 @@
         val now = clock.now()
         if ((lease.isStateServiceAvailable() && !lease.isRenewalUnanswered) || acquisition.mayStillSucceed(now)) return
         acquisition.moratorium.grant(now)
-        send(from, MoratoriumGrant(request.incarnation, request.askedUs))
+        send(from, MoratoriumGrant(request.incarnation, request.requestedAtUs))
     }
 
     /** Another controller has granted a moratorium, to this process or to the one before it. */
@@ -56,7 +56,7 @@
         grant: MoratoriumGrant,
     ) {
         if (grant.incarnation != incarnation) return
-        granted.granted(from, grant.askedUs)
+        granted.granted(from, grant.requestedAtUs)
         lease.extendedByMoratoriums(granted.grantedUntilUs())
     }
 
--- a/src/main/kotlin/lichenstage/cluster/CompletionFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/CompletionFrames.kt
@@ -4,15 +4,16 @@
 import kotlinx.serialization.Serializable
 
 /**
- * Asks for all ends of jobs after [revision] that the receiver has learned of. [logIncarnation] and [upTo]: the process whose log the
- * asker has taken in so far, and how much of it. [incarnation] and [askedUs] are the asker's, and come back with the answer.
+ * Asks for all ends of jobs after [revision] that the receiver knows (invariant 15). [logIncarnation] and [upTo]: the process whose log
+ * the sender has taken in so far, and how much of it. [incarnation] and [requestedAtUs], by the sender's clock, come back with the reply.
  */
 @Serializable
 @SerialName("lichenstage.cluster.EndsSince")
 data class CompletionSyncRequest(
     @SerialName("life")
     val incarnation: Long,
-    val askedUs: Long,
+    @SerialName("askedUs")
+    val requestedAtUs: Long,
     val revision: Long,
     @SerialName("logLife")
     val logIncarnation: Long,
@@ -20,13 +21,14 @@
     val upTo: Long,
 ) : Frame
 
-/** A piece of the sender's log, from [since] to [upTo]; [whole] where that is all of it. */
+/** A piece of the sender's log of ended jobs, from [since] to [upTo]; [whole] where nothing follows. */
 @Serializable
 @SerialName("lichenstage.cluster.EndsOf")
 data class CompletionSyncReply(
     @SerialName("life")
     val incarnation: Long,
-    val askedUs: Long,
+    @SerialName("askedUs")
+    val requestedAtUs: Long,
     @SerialName("logLife")
     val logIncarnation: Long,
     val since: Long,
@@ -37,7 +39,7 @@
     val whole: Boolean,
 ) : Frame
 
-/** These jobs have ended, as the sender is about to tell a user: so that their tasks stop early. Nothing rests on its arrival. */
+/** These jobs have ended, as the sender is about to answer a user: so that their tasks stop early. Nothing depends on its arrival. */
 @Serializable
 @SerialName("lichenstage.cluster.Ended")
 data class JobsEnded(
--- a/src/main/kotlin/lichenstage/cluster/Frame.kt
+++ b/src/main/kotlin/lichenstage/cluster/Frame.kt
@@ -3,11 +3,11 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What passes between controllers. Every frame can be lost, late or repeated; each carries what is needed to see that. */
+/** A message between controllers. Every frame can be lost, late or repeated; each carries what is needed to recognize that. */
 @Serializable
 sealed interface Frame
 
-/** Says who connects. [incarnation] rises from process to process: what an earlier one had under way is not heard any more. */
+/** The first frame of a connection: the sender. [incarnation] rises from process to process: frames of earlier ones are dropped. */
 @Serializable
 @SerialName("lichenstage.cluster.Hello")
 data class Hello(
@@ -16,11 +16,12 @@
     val incarnation: Long = 0,
 ) : Frame
 
-/** Says that the sender is there, and whether the state service answers it. */
+/** Sent at a steady pace: the sender is alive, and whether the state service answers it. */
 @Serializable
 @SerialName("lichenstage.cluster.Ping")
 data class Ping(
-    val stateAnswers: Boolean,
+    @SerialName("stateAnswers")
+    val stateServiceAvailable: Boolean,
 ) : Frame
 
 /** A frame on its way through a third controller, for a pair that can't reach each other (the paper's intermediate agent). */
--- a/src/main/kotlin/lichenstage/cluster/FrameCodec.kt
+++ b/src/main/kotlin/lichenstage/cluster/FrameCodec.kt
@@ -6,8 +6,8 @@
 import kotlinx.serialization.cbor.Cbor
 
 /**
- * What comes by the hundred in a frame is written as arrays: with the names of the fields each machine's tasks took twice the bytes,
- * and the leader read them from every partition ten times a second.
+ * The CBOR form of frames. What comes by the hundred in a frame is written as arrays: with the names of the fields each machine's tasks
+ * took twice the bytes, and the leader read them from every partition ten times a second.
  */
 object FrameCodec {
     private val cbor =
@@ -20,6 +20,12 @@
     /** The bytes of a frame. */
     fun encode(frame: Frame): ByteArray = cbor.encodeToByteArray(Frame.serializer(), frame)
 
-    /** The frame in [bytes]; throws where it is none. */
-    fun decode(bytes: ByteArray): Frame = cbor.decodeFromByteArray(Frame.serializer(), bytes)
+    /** The frame in [bytes]. Throws [FrameDecodingException] where they are none. */
+    fun decode(bytes: ByteArray): Frame =
+        @Suppress("TooGenericExceptionCaught") // A decoder of unknown bytes may throw anything.
+        try {
+            cbor.decodeFromByteArray(Frame.serializer(), bytes)
+        } catch (e: Exception) {
+            throw FrameDecodingException(e)
+        }
 }
--- a/src/main/kotlin/lichenstage/cluster/PartitionFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PartitionFrames.kt
@@ -9,11 +9,11 @@
 import kotlinx.serialization.Transient
 import kotlinx.serialization.cbor.CborArray
 
-/** How far a task is on its machine. Its names are part of what passes between versions. */
+/** The phase of a task on its machine. The names are part of the frames between versions. */
 @Serializable
 enum class TaskPhase { PENDING, FETCHING, RUNNING, SAVING, ENDED }
 
-/** A task as its machine lists it. */
+/** An attempt at a task as its machine lists it; [cause] says why it has ended. */
 @Serializable
 @CborArray
 data class TaskState(
@@ -31,11 +31,12 @@
 }
 
 /**
- * A machine as its partition knows it. [unresponsive]: orders to it go unheeded although it reports. [silent]: several reports are
- * overdue. [lost]: silent for longer than its lease, so that nothing runs on it any more.
+ * A machine as its partition knows it. [tokenConfirmed]: it has shown its partition's fencing token. [unresponsive]: it sends heartbeats
+ * but does not answer orders. [silent]: several heartbeats are overdue. [lost]: silent for longer than its lease, so that nothing runs on
+ * it any more.
  *
- * In a frame, [tasks] are those that have changed since the leader last acknowledged this machine, and [gone] the attempts that it no
- * longer lists: a machine of many tasks must not cost all of them whenever one ends.
+ * In a frame, [tasks] are those that have changed since the leader last acknowledged this machine, and [removedAttempts] the attempts that
+ * it no longer lists: a machine of many tasks must not cost all of them whenever one ends.
  */
 @Serializable
 @CborArray
@@ -44,24 +45,27 @@
     val address: String,
     val typeName: String,
     val spot: Boolean,
-    val settled: Boolean,
+    val tokenConfirmed: Boolean,
     val unresponsive: Boolean,
     val silent: Boolean,
     val lost: Boolean,
     val recallUs: Long?,
     val tasks: List<TaskState>,
-    val gone: List<Long> = emptyList(),
+    val removedAttempts: List<Long> = emptyList(),
 ) {
-    /** The whole machine, where [before] is what was known of it and this tells what has changed since. */
-    fun after(before: MachineState?): MachineState {
-        if (before == null) return if (gone.isEmpty()) this else copy(gone = emptyList())
-        val told = LongOpenHashSet(gone)
-        tasks.forEach { told.add(it.attempt) }
-        return copy(tasks = before.tasks.filterNot { told.contains(it.attempt) } + tasks, gone = emptyList())
+    /** The complete state of the machine, where [before] is the state that this one names the changes since. */
+    fun appliedTo(before: MachineState?): MachineState {
+        if (before == null) return if (removedAttempts.isEmpty()) this else copy(removedAttempts = emptyList())
+        val changed = LongOpenHashSet(removedAttempts)
+        tasks.forEach { changed.add(it.attempt) }
+        return copy(tasks = before.tasks.filterNot { changed.contains(it.attempt) } + tasks, removedAttempts = emptyList())
     }
 }
 
-/** Room held on a machine. [hasImage]: it has the request's image, or is fetching it. */
+/**
+ * Room for [count] tasks of a request that is held on a machine, which has [room] for as many in all. [hasImage]: it has the request's
+ * image, or is fetching it.
+ */
 @Serializable
 @CborArray
 data class HeldSlots(
@@ -71,7 +75,7 @@
     val hasImage: Boolean,
 )
 
-/** What a partition holds for the request with a stamp. */
+/** What a partition holds for the request with this [stamp]. */
 @Serializable
 @CborArray
 data class Offer(
@@ -80,9 +84,9 @@
 )
 
 /**
- * A partition's word to the leader: the machines that changed after the version the leader has acknowledged, in the order of their
- * changes up to [version]. After a takeover that is all of them, in several frames: only when a frame brings the last piece
- * ([whole]) does a missing machine or task mean something, and only then [seq] goes on.
+ * The state of a partition for the leader: the machines that changed after the version that the leader has acknowledged, in the order of
+ * their changes up to [version]. After a failover those are all machines, in several frames: only a frame that brings the last piece
+ * ([whole]) lets the leader conclude something from a missing machine or task, and only then [seq] goes on (invariant 17).
  */
 @Serializable
 @SerialName("lichenstage.cluster.PartFrame")
--- a/src/main/kotlin/lichenstage/cluster/PingPunctuality.kt
+++ b/src/main/kotlin/lichenstage/cluster/PingPunctuality.kt
@@ -6,28 +6,28 @@
  */
 internal class PingPunctuality(
     private val windowUs: Long,
-    periodUs: Long,
+    intervalUs: Long,
 ) {
-    private val needed = (windowUs / periodUs * NEEDED_SHARE).toInt()
-    private val pings = ArrayDeque<Long>()
+    private val requiredPings = (windowUs / intervalUs * REQUIRED_SHARE).toInt()
+    private val receivedUs = ArrayDeque<Long>()
 
     /** A ping has come. */
-    fun pinged(now: Long) {
-        pings.addLast(now)
-        dropOld(now)
+    fun pingReceived(now: Long) {
+        receivedUs.addLast(now)
+        dropExpired(now)
     }
 
     /** Nearly all pings of the window have come. */
     fun isPunctual(now: Long): Boolean {
-        dropOld(now)
-        return pings.size >= needed
+        dropExpired(now)
+        return receivedUs.size >= requiredPings
     }
 
-    private fun dropOld(now: Long) {
-        while (pings.isNotEmpty() && now - pings.first() > windowUs) pings.removeFirst()
+    private fun dropExpired(now: Long) {
+        while (receivedUs.isNotEmpty() && now - receivedUs.first() > windowUs) receivedUs.removeFirst()
     }
 
     private companion object {
-        const val NEEDED_SHARE = 0.8
+        const val REQUIRED_SHARE = 0.8
     }
 }
--- a/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
@@ -10,8 +10,8 @@
 import lichenstage.model.JobRequirements
 
 /**
- * A placement request: [count] tasks with the same resource needs. [stamp] orders the requests at every partition. [imageOnly]: it is for room on machines
- * with the image, since others would first spend a good part of the run time on fetching it.
+ * A placement request: [count] tasks with the same resource needs. [stamp] orders the requests at every partition. [imageOnly]: only
+ * machines with the image are of use, since others would first spend a good part of the run time on fetching it.
  */
 @Serializable
 @CborArray
@@ -36,7 +36,7 @@
     val attempt: Long,
 )
 
-/** An attempt on a machine that is to be stopped or cleared. */
+/** An attempt on a machine that is to be stopped, or cleared from its list. */
 @Serializable
 @CborArray
 data class AttemptOrder(
@@ -45,7 +45,10 @@
     val attempt: Long,
 )
 
-/** Stop a running task that can save its progress, with [leewayUs] to do so. Versions that do not know it let the task run on. */
+/**
+ * Stop a running task that can save a checkpoint, with [leewayUs] microseconds to do so. Versions that do not know this order let the task
+ * run on.
+ */
 @Serializable
 data class SaveOrder(
     val machine: String,
@@ -55,8 +58,8 @@
 )
 
 /**
- * The leader's word to one partition. Partitions obey only the newest [term], and of its frames only those with a rising [seq]. [cordoned],
- * the machines that get no more tasks, is null where it is as in the frames before.
+ * The orders of the leader to one partition. Partitions obey only the newest [term] (invariant 8), and of its frames only those with a
+ * rising [seq]. [cordoned], the machines that get no more tasks, is null where it is as in the frames before.
  */
 @Serializable
 @SerialName("lichenstage.cluster.LeaderFrame")
--- a/src/main/kotlin/lichenstage/cluster/PlacementScore.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementScore.kt
@@ -1,7 +1,7 @@
 package lichenstage.cluster
 
 /**
- * Which machines are the roomiest for a request, as partitions that grant and the leader that chooses both see it.
+ * The order of the roomiest offers ("roomiest offer" of the paper: worst fit), by which partitions hold room and the leader chooses.
  *
  * Room is counted in tasks of the request, and only as far as the request can use it: of two machines that both take all
  * that is left of it, neither is roomier. Among equals those with the image come first (a fetch takes as long as many
@@ -9,37 +9,37 @@
  */
 object PlacementScore {
     /** Up to [count] tasks on the roomiest of [offers], each machine filled before the next. */
-    fun take(
+    fun selectRoomiest(
         offers: List<HeldSlots>,
         count: Int,
     ): List<HeldSlots> {
         if (count <= 0) return emptyList()
         val sorted = offers.filterTo(ArrayList()) { it.count > 0 }
         sorted.sortWith(ROOMIEST)
-        val taken = ArrayList<HeldSlots>()
+        val selected = ArrayList<HeldSlots>()
         var left = count
         var next = 0
         // While the roomiest is used up whole, the order does not depend on how much is left.
         while (next < sorted.size && sorted[next].count <= left && left > 0) {
             val whole = sorted[next++]
-            taken += whole
+            selected += whole
             left -= whole.count
         }
         // Of the rest, machines that take all that is left are alike.
         while (left > 0 && next < sorted.size) {
             var best = next
-            for (i in next + 1 until sorted.size) if (before(sorted[i], sorted[best], left)) best = i
+            for (i in next + 1 until sorted.size) if (isRoomier(sorted[i], sorted[best], left)) best = i
             val held = sorted[best]
             sorted[best] = sorted[next]
             next++
             val here = minOf(held.count, left)
-            taken += if (here == held.count) held else held.copy(count = here)
+            selected += if (here == held.count) held else held.copy(count = here)
             left -= here
         }
-        return taken
+        return selected
     }
 
-    private fun before(
+    private fun isRoomier(
         one: HeldSlots,
         other: HeldSlots,
         left: Int,
--- a/src/main/kotlin/lichenstage/cluster/RequestForwarder.kt
+++ b/src/main/kotlin/lichenstage/cluster/RequestForwarder.kt
@@ -5,41 +5,41 @@
 import lichenstage.common.timeOfDayUs
 import org.agrona.collections.Long2ObjectHashMap
 
-/** Has another controller answer a user's request, as the paper's intermediate agents do. */
+/** Has another controller, [healthyPeer], answer a user's request, as the paper's intermediate agents do. */
 class RequestForwarder(
-    private val peer: () -> String?,
+    private val healthyPeer: () -> String?,
     private val send: (String, Frame) -> Unit,
 ) {
-    private val open = Long2ObjectHashMap<CompletableDeferred<ForwardedReply>>()
+    private val pending = Long2ObjectHashMap<CompletableDeferred<ForwardedReply>>()
 
-    /** Begins where no process before this one has been: a late answer to a request of that one must not answer another. */
-    private var last = timeOfDayUs()
+    /** Starts where no process before this one has been: a late answer to a request of that one must not answer another. */
+    private var lastNumber = timeOfDayUs()
 
-    /** Null where nobody can answer, or nobody does in time. */
-    suspend fun ask(
+    /** The other controller's reply; null where none is healthy, too many requests are pending, or none comes in time. */
+    suspend fun forward(
         verb: UserVerb,
         text: String,
     ): ForwardedReply? {
-        val to = peer() ?: return null
-        if (open.size >= MOST_OPEN) return null
-        val number = ++last
-        val answer = CompletableDeferred<ForwardedReply>()
-        open[number] = answer
+        val to = healthyPeer() ?: return null
+        if (pending.size >= MAX_PENDING) return null
+        val number = ++lastNumber
+        val reply = CompletableDeferred<ForwardedReply>()
+        pending[number] = reply
         return try {
             send(to, ForwardedRequest(number, verb, text))
-            withTimeoutOrNull(WAIT_MS) { answer.await() }
+            withTimeoutOrNull(REPLY_TIMEOUT_MS) { reply.await() }
         } finally {
-            open.remove(number)
+            pending.remove(number)
         }
     }
 
-    /** The other controller's answer. */
-    fun answered(frame: ForwardedReply) {
-        open[frame.number]?.complete(frame)
+    /** The other controller's reply has come; one that nobody waits for any more is dropped. */
+    fun onReply(frame: ForwardedReply) {
+        pending[frame.number]?.complete(frame)
     }
 
     private companion object {
-        const val MOST_OPEN = 100
-        const val WAIT_MS = 1500L
+        const val MAX_PENDING = 100
+        const val REPLY_TIMEOUT_MS = 1500L
     }
 }
--- a/src/main/kotlin/lichenstage/cluster/UserFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/UserFrames.kt
@@ -3,11 +3,11 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What a user asks for. */
+/** The operation that a user requests. */
 @Serializable
 enum class UserVerb { SUBMIT, SHOW, CANCEL }
 
-/** A user's request that a controller passes to another because the state service does not answer it. */
+/** A user's request that a controller forwards to another because the state service does not answer it. */
 @Serializable
 @SerialName("lichenstage.cluster.Forward")
 data class ForwardedRequest(
@@ -16,7 +16,7 @@
     val text: String,
 ) : Frame
 
-/** The other's answer to request [number]. */
+/** The reply to the forwarded request with this [number]. */
 @Serializable
 @SerialName("lichenstage.cluster.Forwarded")
 data class ForwardedReply(
@@ -26,7 +26,7 @@
     val retryAfterS: Int?,
 ) : Frame
 
-/** For display: how many tasks of each open job are done and running. */
+/** For display only: how many tasks of each open job are done and running, in this order. */
 @Serializable
 @SerialName("lichenstage.cluster.Counts")
 data class TaskCounts(
--- a/src/main/kotlin/lichenstage/jobs/JobsActor.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsActor.kt
@@ -84,7 +84,7 @@
     private suspend fun answer(request: JobsMessage.UserRequest): Reply {
         if (fallback.isStateServiceAvailable() || cache.finished(request.text) != null) return decide(request)
         if (request.verb == UserVerb.SUBMIT && JobSubmission.parse(request.text) == null) return JobSubmission.notAnObject()
-        val other = if (request.forwarded) null else fallback.forwarder.ask(request.verb, request.text)
+        val other = if (request.forwarded) null else fallback.forwarder.forward(request.verb, request.text)
         if (other != null) return Reply(other.status, JsonObject(other.body), other.retryAfterS)
         return withTimeoutOrNull(SHORT_TRY_MS) { decide(request) } ?: Reply.stateUnavailable()
     }
--- a/src/main/kotlin/lichenstage/partition/HoldTable.kt
+++ b/src/main/kotlin/lichenstage/partition/HoldTable.kt
@@ -109,7 +109,7 @@
         now: Long,
     ): Offer {
         if (request.zone != null && request.zone != zone) return emptyOffer(request)
-        val held = PlacementScore.take(candidates.mapNotNull { slots(request, it) }, maxTasks)
+        val held = PlacementScore.selectRoomiest(candidates.mapNotNull { slots(request, it) }, maxTasks)
         if (held.isNotEmpty()) {
             holds[request.stamp] = Hold(request, now, held.associateTo(HashMap()) { it.machine to it.count })
             held.forEach { machineOf(it.machine)!!.hold(request.requirements.resources, it.count) }
--- a/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
@@ -22,7 +22,7 @@
         return when {
             known == null -> if (core.machines.isRegistered(machine)) MachineCondition.UNCONFIRMED else MachineCondition.ABSENT
             known.lost -> MachineCondition.LOST
-            known.settled && !known.silent && core.machines.isRegistered(machine) -> MachineCondition.HEALTHY
+            known.tokenConfirmed && !known.silent && core.machines.isRegistered(machine) -> MachineCondition.HEALTHY
             else -> MachineCondition.UNCONFIRMED
         }
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
@@ -30,7 +30,11 @@
      * Machines without a record, each with its partition. Only those that have shown their partition's fencing token in this term: a
      * late copy of a heartbeat must not bring back a machine that was terminated (invariant 4).
      */
-    fun unregistered(): List<PartitionMachine> = partitions.machinesWhere { it.settled && !it.lost && !directory.isRegistered(it.name) }
+    fun unregistered(): List<PartitionMachine> =
+        partitions.machinesWhere {
+            it.tokenConfirmed && !it.lost &&
+                !directory.isRegistered(it.name)
+        }
 
     /** Attempts that may be running on a machine. */
     fun attemptsOn(machine: String): Collection<Attempt> = attempts.on(machine)
--- a/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
@@ -31,7 +31,7 @@
             return when {
                 view == null -> if (partition.ageUs > withDrift(leaseUs) + NO_HEARTBEAT_MARGIN_US) LEASE_EXPIRED else UNKNOWN
                 view.lost -> LEASE_EXPIRED
-                view.settled -> LISTED
+                view.tokenConfirmed -> LISTED
                 else -> UNKNOWN
             }
         }
--- a/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
@@ -34,7 +34,7 @@
                 }
             }
             // Nothing is ordered of a worker that has not shown the token.
-            return if (machine.settled) {
+            return if (machine.tokenConfirmed) {
                 MachineReconciliation(
                     stops,
                     clears,
--- a/src/main/kotlin/lichenstage/placement/OfferSelection.kt
+++ b/src/main/kotlin/lichenstage/placement/OfferSelection.kt
@@ -30,9 +30,9 @@
         val allowed =
             offers.entries
                 .groupBy({ zoneOf(it.key) }, { it.value })
-                .flatMap { (zone, held) -> PlacementScore.take(held.flatten(), minOf(maxTasks, maxTasksIn(zone))) }
+                .flatMap { (zone, held) -> PlacementScore.selectRoomiest(held.flatten(), minOf(maxTasks, maxTasksIn(zone))) }
         return PlacementScore
-            .take(allowed, maxTasks)
+            .selectRoomiest(allowed, maxTasks)
             .flatMap { held -> List(held.count) { SelectedSlot(partitionOf.getValue(held.machine), held.machine) } }
     }
 
--- a/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
@@ -5,10 +5,12 @@
 import net.jqwik.api.Arbitraries
 import net.jqwik.api.Arbitrary
 import net.jqwik.api.Combinators
+import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
 import net.jqwik.api.Provide
 import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertThrows
 
 class FrameCodecTest {
     @Property(tries = 200, seed = "815")
@@ -19,6 +21,13 @@
         assertEquals(frame, read) { "$frame became $read" }
     }
 
+    @Example
+    fun `bytes that are no frame are refused by a decoding error`() {
+        for (bytes in listOf(ByteArray(0), byteArrayOf(1, 2, 3), "not a frame".toByteArray())) {
+            assertThrows(FrameDecodingException::class.java) { FrameCodec.decode(bytes) }
+        }
+    }
+
     @Provide
     fun frames(): Arbitrary<Frame> {
         val numbers = Arbitraries.longs()
--- /dev/null
+++ b/src/test/kotlin/lichenstage/cluster/PeerLivenessTest.kt
@@ -0,0 +1,57 @@
+package lichenstage.cluster
+
+import lichenstage.common.SECOND
+import net.jqwik.api.Example
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+
+class PeerLivenessTest {
+    private val liveness = PeerLiveness()
+
+    private fun ping(
+        now: Long,
+        stateServiceAvailable: Boolean = true,
+    ) {
+        liveness.frameReceived(PEER, now)
+        liveness.pingReceived(PEER, Ping(stateServiceAvailable), now)
+    }
+
+    private fun pingUntil(
+        fromUs: Long,
+        untilUs: Long,
+    ) {
+        for (now in fromUs..untilUs step PeerLiveness.PING_INTERVAL_US) ping(now)
+    }
+
+    @Example
+    fun `a controller is reachable until the silence timeout`() {
+        assertFalse(liveness.isReachable(PEER, SECOND), "never heard from")
+        liveness.frameReceived(PEER, SECOND)
+        assertTrue(liveness.isReachable(PEER, 3 * SECOND))
+        assertFalse(liveness.isReachable(PEER, SECOND + PeerLiveness.SILENCE_TIMEOUT_US))
+    }
+
+    @Example
+    fun `a controller is healthy only while the state service answers it`() {
+        liveness.frameReceived(PEER, SECOND)
+        assertFalse(liveness.isHealthy(PEER, SECOND), "no ping yet")
+        ping(2 * SECOND)
+        assertTrue(liveness.isHealthy(PEER, 2 * SECOND))
+        ping(3 * SECOND, stateServiceAvailable = false)
+        assertFalse(liveness.isHealthy(PEER, 3 * SECOND))
+    }
+
+    @Example
+    fun `a controller is stable once it has been healthy without a gap for a while`() {
+        pingUntil(SECOND, 8 * SECOND)
+        assertFalse(liveness.isStable(PEER, 8 * SECOND), "healthy for 7 s")
+        pingUntil(8 * SECOND, 10 * SECOND)
+        assertTrue(liveness.isStable(PEER, 10 * SECOND), "healthy for 9 s")
+        pingUntil(13 * SECOND, 16 * SECOND)
+        assertFalse(liveness.isStable(PEER, 16 * SECOND), "healthy for 3 s after a silence")
+    }
+
+    private companion object {
+        const val PEER = "n1"
+    }
+}
--- a/src/test/kotlin/lichenstage/cluster/PlacementScoreTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PlacementScoreTest.kt
@@ -22,21 +22,29 @@
     ) {
         val rooms = drawn.map { Math.floorMod(it, 17) }
         val offers = rooms.mapIndexed { i, room -> held("m$i", room, i % 3 == 0) }
-        val taken = PlacementScore.take(offers, count)
+        val taken = PlacementScore.selectRoomiest(offers, count)
         assertEquals(minOf(count, rooms.sum()), taken.sumOf { it.count }) { "$rooms $count: $taken" }
         assertTrue(taken.all { it.count in 1..offers.first { o -> o.machine == it.machine }.count }) { "$rooms $count: $taken" }
     }
 
     @Example
     fun `small requests leave whole machines whole`() {
-        val taken = PlacementScore.take(listOf(held("whole", 16), held("broken", 5)), 3)
+        val taken = PlacementScore.selectRoomiest(listOf(held("whole", 16), held("broken", 5)), 3)
         assertEquals(listOf("broken"), taken.map { it.machine }) { "$taken" }
     }
 
     @Example
     fun `what a request can use decides first, the image next`() {
         val offers = listOf(held("whole", 16), held("warm", 3, hasImage = true), held("warm whole", 16, hasImage = true))
-        assertEquals(listOf("warm whole"), PlacementScore.take(offers, 8).map { it.machine }) { "${PlacementScore.take(offers, 8)}" }
-        assertEquals(listOf("warm"), PlacementScore.take(offers, 2).map { it.machine }) { "${PlacementScore.take(offers, 2)}" }
+        assertEquals(
+            listOf("warm whole"),
+            PlacementScore.selectRoomiest(offers, 8).map {
+                it.machine
+            },
+        ) { "${PlacementScore.selectRoomiest(offers, 8)}" }
+        assertEquals(
+            listOf("warm"),
+            PlacementScore.selectRoomiest(offers, 2).map { it.machine },
+        ) { "${PlacementScore.selectRoomiest(offers, 2)}" }
     }
 }
--- a/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
@@ -78,7 +78,7 @@
             if (counts) seq = frame.seq
             if (frame.whole) wholeSeq = frame.seq
             version = frame.version
-            frame.machines.forEach { machines[it.name] = it.after(machines[it.name]) }
+            frame.machines.forEach { machines[it.name] = it.appliedTo(machines[it.name]) }
         }
     }
 
--- a/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
@@ -229,7 +229,7 @@
         .nextFrame(now)
         ?.machines
         .orEmpty()
-        .any { 1L in it.gone }
+        .any { 1L in it.removedAttempts }
 
     /** Guards against a limit that is exceeded, or a task that runs twice: the worker took the answer, and its reports were lost. */
     @Example
--- a/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
@@ -55,9 +55,9 @@
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.jobAdded(job("j-1"))
-        leader.partitionFrameReceived(partition("z", 0, view("m1", settled = false), age = 60 * SECOND), SECOND)
+        leader.partitionFrameReceived(partition("z", 0, view("m1", tokenConfirmed = false), age = 60 * SECOND), SECOND)
         assertFalse(leader.failoverComplete) { "an answer may have renewed its lease" }
-        leader.partitionFrameReceived(partition("z", 0, view("m1", settled = false, lost = true), age = 61 * SECOND), 2 * SECOND)
+        leader.partitionFrameReceived(partition("z", 0, view("m1", tokenConfirmed = false, lost = true), age = 61 * SECOND), 2 * SECOND)
         assertTrue(leader.failoverComplete) { "still waiting" }
     }
 
@@ -75,7 +75,7 @@
     @Example
     fun `only a machine that has shown the token is recorded, and one that was returned never again`() {
         val leader = leader()
-        leader.partitionFrameReceived(partition("z", 0, view("m1"), view("m2", settled = false), view("m3")), SECOND)
+        leader.partitionFrameReceived(partition("z", 0, view("m1"), view("m2", tokenConfirmed = false), view("m3")), SECOND)
         leader.machineTerminated("m3")
         leader.partitionFrameReceived(partition("z", 0, view("m3")), 2 * SECOND)
         assertEquals(listOf("m1"), leader.machines.unregistered().map { it.machine.name }) { "${leader.machines.unregistered()}" }
@@ -132,7 +132,7 @@
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.jobAdded(job("j-1"))
-        leader.partitionFrameReceived(partition("z", 0, view("m1"), view("ghost", settled = false)), SECOND)
+        leader.partitionFrameReceived(partition("z", 0, view("m1"), view("ghost", tokenConfirmed = false)), SECOND)
         assertTrue(leader.failoverComplete) { "waiting for a machine that is gone" }
     }
 
--- a/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -67,9 +67,9 @@
     protected fun view(
         name: String,
         vararg tasks: TaskState,
-        settled: Boolean = true,
+        tokenConfirmed: Boolean = true,
         lost: Boolean = false,
-    ) = MachineState(name, "1.2.3.4:5", "t", false, settled, false, false, lost, null, tasks.toList())
+    ) = MachineState(name, "1.2.3.4:5", "t", false, tokenConfirmed, false, false, lost, null, tasks.toList())
 
     protected fun partition(
         zone: String,
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -117,7 +117,7 @@
     @Example
     fun `under a new owner nothing is given up before the worker has shown the new token`() {
         val leader = placed()
-        leader.partitionFrameReceived(partition("z", 0, view("m1", settled = false), term = 4), 3 * SECOND)
+        leader.partitionFrameReceived(partition("z", 0, view("m1", tokenConfirmed = false), term = 4), 3 * SECOND)
         assertEquals(2, leader.machines.attemptsOn("m1").size) { "given up too early" }
         leader.partitionFrameReceived(partition("z", 0, view("m1"), term = 4), 4 * SECOND)
         assertTrue(leader.machines.attemptsOn("m1").isEmpty()) { "kept" }
@@ -158,7 +158,10 @@
         leader.tick(3 * SECOND)
         assertEquals(2, sent("z").last().stops.size) { "not stopped" }
         assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "its cores were given away" }
-        leader.partitionFrameReceived(partition("z", sent("z").last().seq, view("m1").copy(gone = running.map { it.attempt })), 4 * SECOND)
+        leader.partitionFrameReceived(
+            partition("z", sent("z").last().seq, view("m1").copy(removedAttempts = running.map { it.attempt })),
+            4 * SECOND,
+        )
         leader.tick(4 * SECOND)
         assertEquals("j-2", lastAsk().requests.single().job) { "its cores were not freed" }
     }
--- a/src/test/kotlin/lichenstage/world/SimulatedJobSync.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedJobSync.kt
@@ -84,7 +84,15 @@
             context.send(host, other.host) {
                 if (!other.alive) return@send
                 val whole =
-                    CompletionSyncReply(request.incarnation, request.askedUs, other.replica.hashCode().toLong(), 0, 0, emptyList(), true)
+                    CompletionSyncReply(
+                        request.incarnation,
+                        request.requestedAtUs,
+                        other.replica.hashCode().toLong(),
+                        0,
+                        0,
+                        emptyList(),
+                        true,
+                    )
                 val reply = other.replica.syncReply(request) ?: whole.takeIf { mutation == Mutation.SPOKEN_FOR_PREDECESSOR }
                 if (reply == null) return@send
                 context.send(other.host, host) {
