--- a/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
@@ -9,7 +9,6 @@
 import lichenstage.drain.DrainView
 import lichenstage.drain.TaskExecution
 import lichenstage.drain.TaskId
-import lichenstage.drain.TaskStanding
 import lichenstage.placement.Attempt
 import lichenstage.placement.LeaderCore
 import lichenstage.placement.LeaderDrainView
