--- /dev/null
+++ b/src/test/kotlin/lichenstage/placement/DemandEstimateTest.kt
@@ -0,0 +1,75 @@
+package lichenstage.placement
+
+import lichenstage.common.SECOND
+import lichenstage.model.JobSpec
+import lichenstage.model.MachineType
+import lichenstage.model.Priority
+import lichenstage.model.Resources
+import net.jqwik.api.Example
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
+
+class DemandEstimateTest {
+    private val machineType = MachineType("t", Resources(16.0, 0.0, 64.0), 1.0, 0.4, 30 * SECOND, 50.0, 0.5, listOf("z"))
+    private val machineTypes = mapOf("t" to machineType)
+
+    private fun job(
+        number: Int,
+        tasks: Int = 2,
+        dependencies: List<String> = emptyList(),
+    ) = Job(oneCoreSpec(number, "c", Priority.LOW, tasks, 50 * SECOND).copy(dependencies = dependencies), number.toLong(), 0).apply {
+        if (ready) enqueueTasks()
+    }
+
+    private fun inputs(
+        readyInS: Long = 0,
+        maxCores: Double = Double.MAX_VALUE,
+        dueUs: Long? = null,
+    ) = object : DemandEstimate.Inputs {
+        override fun maxCores(team: String) = maxCores
+
+        override fun runUs(spec: JobSpec) = spec.estimatedRunTimeUs
+
+        override fun dueUs(job: Job): Long? = dueUs
+
+        override fun readyInUs(job: Job) = readyInS * SECOND
+    }
+
+    /** Neither as work due now nor first when it is ready: a machine needs a boot time. */
+    @Example
+    fun `a job that waits asks for machines from a boot time before it is ready`() {
+        val next = job(2, dependencies = listOf("j-1"))
+
+        fun asked(readyInS: Long) = DemandEstimate.demand(listOf(next), machineTypes, inputs(readyInS))
+        assertTrue(asked(60).isEmpty()) { "asks a minute before" }
+        val soon = asked(40).single()
+        assertTrue(soon.busy == 0.0 && soon.foreseenInUs == 45 * SECOND && soon.dueUs == null) { "$soon" }
+    }
+
+    @Example
+    fun `demand counts run and fetch time of all tasks that are left, by machine`() {
+        val demand = DemandEstimate.demand(listOf(job(1, tasks = 32)), machineTypes, inputs(dueUs = 99)).single()
+        assertEquals(2.0, demand.machines)
+        assertEquals(2.0 * 52 * SECOND, demand.workUs, "50 s of run and 2 s of fetch for 16 tasks on each machine")
+        assertEquals(demand.workUs, demand.waitingUs)
+        assertEquals(99L, demand.dueUs)
+        assertEquals(0L, demand.foreseenInUs)
+    }
+
+    @Example
+    fun `jobs of a team share its quota, and one without any left asks for nothing`() {
+        val jobs = listOf(job(1, tasks = 16), job(2, tasks = 16), job(3, tasks = 16))
+        val demand = DemandEstimate.demand(jobs, machineTypes, inputs(maxCores = 24.0))
+        assertEquals(listOf(1.0, 0.5), demand.map { it.machines })
+    }
+
+    @Example
+    fun `an arrival counts the whole job, and one that fits nowhere is none`() {
+        val arrival = DemandEstimate.arrival(job(1, tasks = 32), machineTypes, 50 * SECOND) { it.bootUs > 20 * SECOND }!!
+        assertEquals(2.0, arrival.machines)
+        assertEquals(52 * SECOND, arrival.runUs)
+        assertTrue(arrival.urgent)
+        assertNull(DemandEstimate.arrival(job(1), emptyMap(), 50 * SECOND) { false })
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/lichenstage/placement/GraphFoldTest.kt
@@ -0,0 +1,22 @@
+package lichenstage.placement
+
+import net.jqwik.api.Example
+import org.junit.jupiter.api.Assertions.assertEquals
+
+class GraphFoldTest {
+    private val dependencies = mapOf("a" to emptyList(), "b" to listOf("a"), "c" to listOf("a"), "d" to listOf("b", "c"))
+    private val computed = ArrayList<String>()
+    private val depth =
+        GraphFold<String, Int>({ dependencies.getValue(it) }) { node, of, values ->
+            computed += node
+            1 + (of.maxOfOrNull { values.getValue(it) } ?: 0)
+        }
+
+    @Example
+    fun `a node is computed from its dependencies, and each node once`() {
+        assertEquals(3, depth.valueOf("d"))
+        assertEquals(2, depth.valueOf("b"))
+        assertEquals(setOf("a", "b", "c", "d"), computed.toSet())
+        assertEquals(4, computed.size, "$computed")
+    }
+}
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -172,20 +172,6 @@
         assertTrue(starts().all { it.attempt > (6L shl 32) + 0xffff_ffffL }) { "${starts()}" }
     }
 
-    @Example
-    fun `one zone jobs keep to the zone they are in and spread jobs to half`() {
-        val offers =
-            mapOf(
-                "y/0" to listOf(HeldSlots("a", 4, 4, false)),
-                "z/0" to listOf(HeldSlots("b", 3, 3, false)),
-                "z/1" to listOf(HeldSlots("c", 6, 6, false)),
-            )
-        val zoneOf = { partition: String -> partition.substringBefore('/') }
-        val spread = OfferSelection.selectRoomiest(offers, 9, zoneOf) { 5 }
-        assertTrue(spread.count { zoneOf(it.partition) == "z" } == 5 && spread.size == 9) { "$spread" }
-        assertEquals("z", OfferSelection.bestZone(offers, zoneOf)) { "not the larger offer" }
-    }
-
     @Example
     fun `a job that waits for others asks for nothing and holds nothing until all of them are recorded as done`() {
         val leader = leader()
@@ -225,39 +211,4 @@
         assertEquals(listOf(true, true, false, false, true, false), requests.map { it.imageOnly }) { "$requests" }
         assertTrue(requests.takeLast(2).all { it.job == "j-3" }) { "$requests" }
     }
-
-    @Example
-    fun `a promise that can't be kept any more does not come first`() {
-        val serviceObjectives =
-            ServiceObjectives(
-                listOf(
-                    Objective(ObjectiveKind.WAIT, "c", 15 * SECOND),
-                    Objective(
-                        ObjectiveKind.FINISHED,
-                        "c",
-                        90 * SECOND,
-                    ),
-                ),
-            )
-        val job = job("j-1")
-        val start = StartObjective(15 * SECOND, perTask = true)
-        val finish = StartObjective(89 * SECOND, perTask = false)
-        assertEquals(listOf(start, finish), serviceObjectives.startObjectives(job, SECOND, 0)) {
-            "${serviceObjectives.startObjectives(job, SECOND, 0)}"
-        }
-        assertEquals(listOf(finish), serviceObjectives.startObjectives(job, SECOND, 20 * SECOND)) {
-            "${serviceObjectives.startObjectives(
-                job,
-                SECOND,
-                20 * SECOND,
-            )}"
-        }
-        assertTrue(serviceObjectives.startObjectives(job, SECOND, 100 * SECOND).isEmpty()) {
-            "${serviceObjectives.startObjectives(
-                job,
-                SECOND,
-                100 * SECOND,
-            )}"
-        }
-    }
 }
--- a/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
@@ -77,13 +77,4 @@
         val order = ObjectiveOrder.order(rows, 1.0, random.nextInt(500).toLong())
         assertTrue(order.toSet() == rows.map { it.job }.toSet() && order.size == count) { "seed $seed" }
     }
-
-    @Example
-    fun `run times are learned by class and fade in from the estimate`() {
-        val times = RunTimeEstimates()
-        val spec = spec(1, Priority.HIGH, tasks = 1)
-        assertEquals(10 * SECOND, times.expectedUs(spec)) { "${times.expectedUs(spec)}" }
-        repeat(20) { times.recordCompletion(spec, 20 * SECOND) }
-        assertTrue(times.expectedUs(spec) in 16 * SECOND..20 * SECOND) { "${times.expectedUs(spec)}" }
-    }
 }
--- /dev/null
+++ b/src/test/kotlin/lichenstage/placement/OfferSelectionTest.kt
@@ -0,0 +1,78 @@
+package lichenstage.placement
+
+import lichenstage.cluster.HeldSlots
+import lichenstage.model.PartitionAssignment
+import lichenstage.model.Priority
+import net.jqwik.api.Example
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
+
+class OfferSelectionTest {
+    private val offers =
+        mapOf(
+            "y/0" to listOf(HeldSlots("a", 4, 4, false)),
+            "z/0" to listOf(HeldSlots("b", 3, 3, false)),
+            "z/1" to listOf(HeldSlots("c", 6, 6, false)),
+        )
+
+    private fun zoneOf(partition: String) = partition.substringBefore('/')
+
+    private val zones = ZoneConstraints(PartitionAssignment(listOf("y", "z"), mapOf("n1" to "y", "n2" to "z", "n3" to "z")))
+
+    private fun job(
+        sameZone: Boolean = false,
+        spread: Boolean = false,
+    ) = Job(oneCoreSpec(1, "c", Priority.HIGH, 9).copy(sameZone = sameZone, spread = spread), 1, 0)
+
+    private fun Job.place(
+        index: Int,
+        partition: String,
+    ) = liveAttempts.put(index, Attempt(this, index, 10L + index, "m", partition))
+
+    @Example
+    fun `one zone jobs keep to the zone they are in and spread jobs to half`() {
+        val spread = OfferSelection.selectRoomiest(offers, 9, ::zoneOf) { 5 }
+        assertTrue(spread.count { zoneOf(it.partition) == "z" } == 5 && spread.size == 9) { "$spread" }
+        assertEquals("z", OfferSelection.bestZone(offers, ::zoneOf)) { "not the larger offer" }
+    }
+
+    @Example
+    fun `the machine with room for most tasks is filled first, and among equals the fullest`() {
+        fun selected(maxTasks: Int) = OfferSelection.selectRoomiest(offers, maxTasks, ::zoneOf) { Int.MAX_VALUE }.map { it.machine }
+        assertEquals(List(6) { "c" } + "b", selected(7), "one task is left, and b has least room beside it")
+        assertEquals(listOf("b"), selected(1), "all have room for it")
+    }
+
+    @Example
+    fun `without offers nothing is selected and no zone is best`() {
+        assertTrue(OfferSelection.selectRoomiest(emptyMap(), 5, ::zoneOf) { Int.MAX_VALUE }.isEmpty())
+        assertNull(OfferSelection.bestZone(emptyMap(), ::zoneOf))
+    }
+
+    @Example
+    fun `an independent job may use any zone without limit`() {
+        val remaining = zones.remainingTasksByZone(job(), offers)
+        assertEquals(listOf(Int.MAX_VALUE, Int.MAX_VALUE), listOf("y", "z").map(remaining))
+    }
+
+    @Example
+    fun `a spread job has at most half of its tasks in a zone, rounded up`() {
+        val job = job(spread = true)
+        job.place(0, "z/0")
+        job.place(1, "z/1")
+        val remaining = zones.remainingTasksByZone(job, offers)
+        assertEquals(listOf(5, 3), listOf("y", "z").map(remaining))
+        assertNull(zones.requestedZone(job))
+    }
+
+    @Example
+    fun `a single-zone job begins in the zone that offers most and stays where its tasks are`() {
+        val job = job(sameZone = true)
+        assertNull(zones.requestedZone(job))
+        assertEquals(listOf(0, Int.MAX_VALUE), listOf("y", "z").map(zones.remainingTasksByZone(job, offers)))
+        job.place(0, "y/0")
+        assertEquals("y", zones.requestedZone(job))
+        assertEquals(listOf(Int.MAX_VALUE - 1, 0), listOf("y", "z").map(zones.remainingTasksByZone(job, offers)))
+    }
+}
--- a/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
@@ -58,28 +58,4 @@
         repeat(20_000) { job(it + 1, 1, it) }
         assertTrue(readyInS(jobs.getValue("j-20000")) > 100_000) { "the chain was cut short" }
     }
-
-    /** Neither as work due now nor first when it is ready: a machine needs a boot time. */
-    @Example
-    fun `a job that waits asks for machines from a boot time before it is ready`() {
-        val machineType = MachineType("t", Resources(16.0, 0.0, 64.0), 1.0, 0.4, 30 * SECOND, 50.0, 0.5, listOf("z"))
-        job(1, 100)
-        val next = job(2, 50, 1)
-
-        fun asked(readyInS: Long) = DemandEstimate.demand(listOf(next), mapOf("t" to machineType), inputs(readyInS))
-        assertTrue(asked(60).isEmpty()) { "asks a minute before" }
-        val soon = asked(40).single()
-        assertTrue(soon.busy == 0.0 && soon.foreseenInUs == 45 * SECOND && soon.dueUs == null) { "$soon" }
-    }
-
-    private fun inputs(readyInS: Long) =
-        object : DemandEstimate.Inputs {
-            override fun maxCores(team: String) = Double.MAX_VALUE
-
-            override fun runUs(spec: JobSpec) = spec.estimatedRunTimeUs
-
-            override fun dueUs(job: Job): Long? = null
-
-            override fun readyInUs(job: Job) = readyInS * SECOND
-        }
 }
--- /dev/null
+++ b/src/test/kotlin/lichenstage/placement/ServiceObjectivesTest.kt
@@ -0,0 +1,65 @@
+package lichenstage.placement
+
+import lichenstage.common.SECOND
+import lichenstage.config.Objective
+import lichenstage.config.ObjectiveKind
+import lichenstage.model.Priority
+import net.jqwik.api.Example
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
+
+class ServiceObjectivesTest {
+    private val serviceObjectives =
+        ServiceObjectives(
+            listOf(
+                Objective(ObjectiveKind.WAIT, "c", 15 * SECOND),
+                Objective(ObjectiveKind.FINISHED, "c", 90 * SECOND),
+            ),
+        )
+
+    private fun job(deadlineUs: Long? = null) = Job(oneCoreSpec(1, "c", Priority.HIGH, 2).copy(deadlineUs = deadlineUs), 1, 0)
+
+    @Example
+    fun `a promise that can't be kept any more does not come first`() {
+        val job = job()
+        val start = StartObjective(15 * SECOND, perTask = true)
+        val finish = StartObjective(89 * SECOND, perTask = false)
+        assertEquals(listOf(start, finish), serviceObjectives.startObjectives(job, SECOND, 0))
+        assertEquals(listOf(finish), serviceObjectives.startObjectives(job, SECOND, 20 * SECOND))
+        assertTrue(serviceObjectives.startObjectives(job, SECOND, 100 * SECOND).isEmpty())
+    }
+
+    @Example
+    fun `an objective that is missed by a quarter of the run time is due now`() {
+        val start = serviceObjectives.startObjectives(job(), 8 * SECOND, 17 * SECOND).first()
+        assertEquals(StartObjective(17 * SECOND, perTask = true), start)
+        assertFalse(serviceObjectives.startObjectives(job(), 8 * SECOND, 17 * SECOND + 1).first().perTask, "missed by more")
+    }
+
+    @Example
+    fun `a deadline counts from the submission and the class's objectives from when the job is ready`() {
+        val spec = oneCoreSpec(1, "c", Priority.HIGH, 2).copy(deadlineUs = 60 * SECOND, dependencies = listOf("j-0"))
+        val job = Job(spec, 1, 0).apply { markReady(40 * SECOND) }
+        assertEquals(60 * SECOND, serviceObjectives.deadlineUs(job))
+        assertEquals(
+            listOf(55 * SECOND, 59 * SECOND, 129 * SECOND),
+            serviceObjectives.startObjectives(job, SECOND, 40 * SECOND).map { it.startByUs },
+        )
+        assertNull(serviceObjectives.deadlineUs(job()))
+    }
+
+    @Example
+    fun `what dependents need is an objective too`() {
+        val due = serviceObjectives.startObjectives(job(), SECOND, 0, inheritedDueUs = 10 * SECOND)
+        assertEquals(StartObjective(9 * SECOND, perTask = false), due.first())
+    }
+
+    @Example
+    fun `a class starts within a time when its objective is shorter`() {
+        assertTrue(serviceObjectives.startsWithin("c", 15 * SECOND + 1))
+        assertFalse(serviceObjectives.startsWithin("c", 15 * SECOND))
+        assertFalse(serviceObjectives.startsWithin("other", Long.MAX_VALUE))
+    }
+}
