--- a/src/test/kotlin/lichenstage/architecture/ArchitectureTest.kt
+++ b/src/test/kotlin/lichenstage/architecture/ArchitectureTest.kt
@@ -10,9 +10,6 @@
 
 /** Keeps the layers that docs/architecture.md draws: dependencies run downwards only, and decisions know no framework. */
 class ArchitectureTest {
-    private val classes: JavaClasses =
-        ClassFileImporter().withImportOption(ImportOption.DoNotIncludeTests()).importPackages("lichenstage")
-
     @Example
     fun packagesHaveNoCycles() =
         slices()
@@ -45,6 +42,9 @@
             .check(classes)
 
     private companion object {
+        val classes: JavaClasses =
+            ClassFileImporter().withImportOption(ImportOption.DoNotIncludeTests()).importPackages("lichenstage")
+
         /** From the lowest to the highest. */
         val LAYERS =
             linkedMapOf(
