--- a/src/main/kotlin/lichenstage/jobs/AdmissionPolicy.kt
+++ b/src/main/kotlin/lichenstage/jobs/AdmissionPolicy.kt
@@ -16,26 +16,30 @@
     fun refusal(spec: JobSpec): Reply? = teamRefusal(spec) ?: machineRefusal(spec) ?: sizeRefusal(spec)
 
     private fun teamRefusal(spec: JobSpec): Reply? {
-        val team = teams[spec.team] ?: return Reply.rejected(Reply.UNPROCESSABLE, "owner", "unknown team")
+        val team = teams[spec.team] ?: return Reply.rejected(Reply.UNPROCESSABLE, SubmissionFields.TEAM, "unknown team")
         val isWithinLimits = spec.resources.cores <= team.coresMax && spec.resources.gpus <= team.gpusMax
-        return if (isWithinLimits) null else Reply.rejected(Reply.UNPROCESSABLE, "cores", "one task is over the team's limit")
+        return if (isWithinLimits) {
+            null
+        } else {
+            Reply.rejected(
+                Reply.UNPROCESSABLE,
+                SubmissionFields.CORES,
+                "one task is over the team's limit",
+            )
+        }
     }
 
     private fun machineRefusal(spec: JobSpec): Reply? {
         val types = machineTypes()
         return when {
             types.isEmpty() -> Reply.unavailable("machine types are not known yet")
-
-            MachineFit
-                .compatibleTypes(
-                    spec,
-                    types,
-                ).isEmpty() -> Reply.rejected(Reply.UNPROCESSABLE, "builds", "a task fits no allowed machine type")
-
+            MachineFit.compatibleTypes(spec, types).isEmpty() -> noMachineFits()
             else -> null
         }
     }
 
+    private fun noMachineFits() = Reply.rejected(Reply.UNPROCESSABLE, SubmissionFields.ALLOWED_TYPES, "a task fits no allowed machine type")
+
     private fun sizeRefusal(spec: JobSpec): Reply? =
         recordLimits.refusal(spec)?.let { (field, reason) -> Reply.rejected(Reply.BAD_REQUEST, field, reason) }
 }
--- a/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
@@ -25,7 +25,7 @@
                 SubmissionCodec.submission(json, timeOfDayUs())
             } catch (e: InvalidSubmission) {
                 // A job that is known is answered as such, whatever its repeat looks like.
-                val id = json.getValue("uid") as? String
+                val id = json.getValue(SubmissionFields.ID) as? String
                 return lookup.existingOr(id.orEmpty()) { Reply.rejected(Reply.BAD_REQUEST, e.field, e.message!!) }
             }
         cache.finished(spec.id)?.let { return Reply.ofFinished(spec.id, it) }
@@ -42,7 +42,9 @@
         repeat(MAX_TRIES) { attempt ->
             val dependencies = spec.dependencies.associateWith { dependency(it, fresh = attempt > 0) }
             dependencies.entries.firstOrNull { it.value is Dependency.NeverAccepted }?.let { (id, _) ->
-                return lookup.existingOr(spec.id) { Reply.rejected(Reply.UNPROCESSABLE, "waits_on", "$id was never accepted") }
+                return lookup.existingOr(
+                    spec.id,
+                ) { Reply.rejected(Reply.UNPROCESSABLE, SubmissionFields.DEPENDENCIES, "$id was never accepted") }
             }
             if (Dependency.Indeterminate in dependencies.values) return Reply.stateUnavailable()
             write(spec, dependencies)?.let { return it }
--- a/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
+++ b/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
@@ -24,10 +24,21 @@
 
     /** What is too large, or null. */
     fun refusal(spec: JobSpec): OversizedField? {
-        if (spec.dependencies.size > maxDependencies) return OversizedField("waits_on", "at most $maxDependencies jobs can be named")
+        if (spec.dependencies.size >
+            maxDependencies
+        ) {
+            return OversizedField(SubmissionFields.DEPENDENCIES, "at most $maxDependencies jobs can be named")
+        }
         val bytes = size(spec)
         if (bytes <= valueBytes) return null
-        val field = if (size(spec.copy(dependencies = emptyList())) <= valueBytes) "waits_on" else "builds"
+        val field =
+            if (size(spec.copy(dependencies = emptyList())) <=
+                valueBytes
+            ) {
+                SubmissionFields.DEPENDENCIES
+            } else {
+                SubmissionFields.ALLOWED_TYPES
+            }
         return OversizedField(field, "the record would take $bytes bytes of at most $valueBytes")
     }
 
--- a/src/main/kotlin/lichenstage/jobs/Reply.kt
+++ b/src/main/kotlin/lichenstage/jobs/Reply.kt
@@ -34,7 +34,7 @@
         ) = Reply(
             OK,
             JsonObject()
-                .put("uid", id)
+                .put(SubmissionFields.ID, id)
                 .put("status", status)
                 .put("done", counts.done)
                 .put("running", counts.running),
@@ -44,7 +44,7 @@
         fun accepted(
             id: String,
             status: String,
-        ) = Reply(CREATED, JsonObject().put("uid", id).put("status", status))
+        ) = Reply(CREATED, JsonObject().put(SubmissionFields.ID, id).put("status", status))
 
         /** A request that is wrong in [field]. */
         fun rejected(
@@ -54,7 +54,7 @@
         ) = Reply(status, JsonObject().put("error", what).put("field", field))
 
         /** A job that was never accepted. */
-        fun unknownJob() = rejected(NOT_FOUND, "uid", "no such job")
+        fun unknownJob() = rejected(NOT_FOUND, SubmissionFields.ID, "no such job")
 
         /** The request can't be answered now; it can be repeated after [seconds]. */
         fun unavailable(
--- a/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
@@ -13,7 +13,16 @@
     what: String,
 ) : Exception("$field: $what")
 
-/** The words of the user protocol. */
+/** Names of fields of a submission that replies and refusals name too. */
+internal object SubmissionFields {
+    const val ID = "uid"
+    const val TEAM = "owner"
+    const val CORES = "cores"
+    const val ALLOWED_TYPES = "builds"
+    const val DEPENDENCIES = "waits_on"
+}
+
+/** Decodes submissions: the one place where the names of the user API are mapped to those of [JobSpec]. */
 object SubmissionCodec {
     private val idForm = Regex("j-[0-9]{1,20}")
     private const val MAX_TASKS = 100_000
@@ -27,21 +36,21 @@
         atUs: Long,
     ): JobSpec {
         val row = Row(json)
-        val id = row.text("uid")
-        if (!validId(id)) throw InvalidSubmission("uid", "a job id has the form j-NUMBER")
-        val resources = row.text("shape")
-        if (resources != "batch") throw InvalidSubmission("shape", "only batch is known")
+        val id = row.text(SubmissionFields.ID)
+        if (!validId(id)) throw InvalidSubmission(SubmissionFields.ID, "a job id has the form j-NUMBER")
+        val shape = row.text("shape")
+        if (shape != "batch") throw InvalidSubmission("shape", "only batch is known")
         val priority =
             Priority.entries.firstOrNull { it.name.lowercase() == row.text("urgency") }
                 ?: throw InvalidSubmission("urgency", "one of production, high, standard, low is needed")
         return JobSpec(
             id = id,
             jobClass = row.text("batchline"),
-            team = row.text("owner"),
+            team = row.text(SubmissionFields.TEAM),
             priority = priority,
             tasks = row.whole("parts", 1, MAX_TASKS),
-            resources = Resources(row.positive("cores"), row.amount("cards"), row.amount("mem_gb")),
-            allowedTypes = row.texts("builds"),
+            resources = Resources(row.positive(SubmissionFields.CORES), row.amount("cards"), row.amount("mem_gb")),
+            allowedTypes = row.texts(SubmissionFields.ALLOWED_TYPES),
             zone = row.optionalText("yard"),
             sameZone = row.flag("same_place"),
             spread = row.flag("spread"),
@@ -53,10 +62,19 @@
             checkpointSaveUs = row.micros("snapshot_s"),
             deadlineUs = if (json.getValue("due_s") == null) null else row.micros("due_s"),
             submittedUs = atUs,
-            dependencies = row.jobs("waits_on").also { if (id in it) throw InvalidSubmission("waits_on", "a job can't wait for itself") },
+            dependencies = dependencies(row, id),
         )
     }
 
+    private fun dependencies(
+        row: Row,
+        id: String,
+    ): List<String> {
+        val dependencies = row.jobs(SubmissionFields.DEPENDENCIES)
+        if (id in dependencies) throw InvalidSubmission(SubmissionFields.DEPENDENCIES, "a job can't wait for itself")
+        return dependencies
+    }
+
     private class Row(
         private val json: JsonObject,
     ) {
--- a/src/test/kotlin/lichenstage/architecture/WireNamesTest.kt
+++ b/src/test/kotlin/lichenstage/architecture/WireNamesTest.kt
@@ -36,7 +36,6 @@
         val CODECS =
             setOf(
                 "WorkerCodec.kt",
-                "HeartbeatParser.kt",
                 "SubmissionCodec.kt",
                 "CloudCodec.kt",
                 "KeyValueStoreCodec.kt",
