--- a/src/test/kotlin/lichenstage/placement/MachineReconciliationTest.kt
+++ b/src/test/kotlin/lichenstage/placement/MachineReconciliationTest.kt
@@ -53,7 +53,7 @@
 
     @Example
     fun `a machine that has not shown the fencing token gets no orders, and what runs there is unaccounted for`() {
-        val result = MachineReconciliation.of(view("m1", TaskState("j-9/0", 1, TaskPhase.RUNNING), settled = false), jobs)
+        val result = MachineReconciliation.of(view("m1", TaskState("j-9/0", 1, TaskPhase.RUNNING), tokenConfirmed = false), jobs)
         assertTrue(result.stops.isEmpty() && result.clears.isEmpty() && result.hasUnaccountedTasks) { "$result" }
     }
 
