--- a/src/main/kotlin/lichenstage/drain/DrainCore.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCore.kt
@@ -18,23 +18,23 @@
     private class Pending(
         val proposal: DrainProposal,
         val from: DrainState,
-        /** The hired machines that it takes account of. */
+        /** The new replacements that it takes account of. */
         val replacements: Map<DrainKey, String>,
     )
 
-    /** As it is recorded. */
+    /** The state as it is recorded. */
     var state = initialState
         private set
 
-    /** Drains as operators last asked for them. */
+    /** Drains as operators last requested them. */
     var drains: List<Drain> = emptyList()
         private set
     private var pending: Pending? = null
 
-    /** Hires that were asked for and not answered. */
+    /** Replacements that were requested and are not provisioned yet. */
     private val pendingProvisions = HashSet<DrainKey>()
 
-    /** Of drains that were asked to pause or finish, until that shows. */
+    /** Drains whose pause or finish was requested, until their records show it. */
     private val pendingStatusChanges = HashSet<String>()
 
     /**
@@ -45,13 +45,13 @@
     private val lostTasks = LinkedHashMap<TaskId, Interruption>()
     private val newReplacements = HashMap<DrainKey, String>()
 
-    /** Some drain goes on. */
+    /** Some drain is running. */
     val isActive get() = drains.any { it.status == DrainStatus.RUNNING }
 
     /** Machines that get no more tasks. */
     val cordoned: Set<String> get() = namesOf { it.stage.isCordoned }
 
-    /** Machines that are to prove themselves: they get one task. */
+    /** Replacements that have not started a task yet: they get one at a time. */
     val onProbation: Set<String> get() = replacements { it.stage == Stage.PREPARING }
 
     /** Replacements of machines that are still there: the fleet has one machine too many for each. */
@@ -84,7 +84,7 @@
         if (isActive && interruption.task !in state.interruptions) lostTasks[interruption.task] = interruption
     }
 
-    /** A machine was hired to follow another. */
+    /** A replacement was provisioned. */
     fun replacementProvisioned(
         key: DrainKey,
         machine: String,
@@ -156,7 +156,7 @@
             else -> true
         }
 
-    /** The record of a drain could not be changed: it is asked for again. */
+    /** The status of a drain could not be written: the change is requested again. */
     fun statusChangeFailed(drain: String) {
         pendingStatusChanges -= drain
     }
--- a/src/main/kotlin/lichenstage/drain/DrainDriver.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainDriver.kt
@@ -17,9 +17,9 @@
 import java.time.Instant
 import java.time.ZoneOffset
 
-/** What the driver of drains is told by what it has set going. */
+/** Results of what [DrainDriver] has started. */
 sealed interface DrainMessage {
-    /** All records, read whole; null where they could not be. */
+    /** All records of drains; [entries] is null where the state service did not answer. */
     data class RecordsRead(
         val entries: List<Entry>?,
     ) : DrainMessage
@@ -37,20 +37,21 @@
     ) : DrainMessage
 }
 
-/** What the leader does for drains. */
+/** Carries out the actions of drains for the leader. */
 interface DrainActionHandler {
-    /** Stop these tasks. */
+    /** Stops these tasks gracefully: with time to save a checkpoint where they can. */
     fun evict(tasks: List<RunningTask>)
 
-    /** Hire a machine of the type, zone and kind of the one that [key] names; it is told by [DrainDriver.replacementProvisioned]. */
+    /** Provisions a machine like the one that [key] names; [DrainDriver.replacementProvisioned] is called with its name. */
     fun provisionReplacement(key: DrainKey)
 
-    /** Return a machine on which nothing is left. */
+    /** Terminates a machine on which no task is left. */
     fun terminate(machine: String)
 }
 
-/** Where the driver reads and writes: [scan] reads all keys with a prefix. */
+/** How the driver reads and writes the records of drains: [scan] reads all keys with a prefix. */
 class DrainRecordAccess(
+    val codec: DrainRecords,
     val store: KeyValueStore,
     val owned: SingleWriterKeys,
     /** The revision of the leadership's key: nothing is written but under it. */
@@ -59,11 +60,10 @@
     val scan: suspend (String) -> ScanResult,
 )
 
-/** Keeps drains going for one term of leadership: reads what operators ask for, records each step, and has it carried out. */
+/** Advances drains during one term of leadership: reads what operators requested, records each step, and has it carried out. */
 class DrainDriver(
     private val policy: DrainPolicy,
     private val view: DrainView,
-    private val records: DrainRecords,
     private val recordAccess: DrainRecordAccess,
     private val actions: DrainActionHandler,
     private val tracing: DrainTracing,
@@ -79,7 +79,7 @@
     private var readUs = Long.MIN_VALUE / 2
     private var steppedUs = Long.MIN_VALUE / 2
 
-    /** Records that can't be read, told once each. */
+    /** Keys of records that can't be read: each is logged once. */
     private val reportedUnreadable = HashSet<String>()
 
     /** The stamps of the drains' records as last read, for changes of them. */
@@ -91,19 +91,19 @@
     /** Machines that get one task at a time. */
     val onProbation: Set<String> get() = core?.onProbation.orEmpty()
 
-    /** Machines that the fleet does not meet demand with. */
+    /** Machines that the fleet does not count as capacity. */
     val excludedFromCapacity: Set<String> get() = core?.let { it.cordoned + it.surplusReplacements }.orEmpty()
 
-    /** A machine was hired for a request of [DrainActionHandler.provisionReplacement]. */
+    /** A machine was provisioned for a request of [DrainActionHandler.provisionReplacement]. */
     fun replacementProvisioned(
         key: DrainKey,
         machine: String,
     ) = core?.replacementProvisioned(key, machine) ?: Unit
 
-    /** A task that ran does not any more. */
+    /** A task that ran has stopped, whatever the cause. */
     fun taskStopped(interruption: Interruption) = core?.taskLost(interruption) ?: Unit
 
-    /** Time has passed; [now] is steady. */
+    /** To be called regularly; [now] is a time of the steady clock in microseconds. */
     fun step(now: Long) {
         if (!reading && now - readUs >= READ_INTERVAL_US) read(now)
         val drains = core ?: return
@@ -125,7 +125,7 @@
     }
 
     private fun record(state: DrainState) {
-        val wanted = records.encodeState(state)
+        val wanted = recordAccess.codec.encodeState(state)
         val changes = DrainRecords.changes(recorded, wanted)
         if (changes.isEmpty()) return execute(recorded = true)
         writing = true
@@ -157,17 +157,17 @@
         reason: String?,
     ) {
         val drain = core?.drains?.firstOrNull { it.name == name } ?: return
-        log.info("drain {} is {}{}", name, status.name.lowercase(), reason?.let { ": $it" }.orEmpty())
+        log.info("Drain status changed drain={} status={} reason={}", name, status.name.lowercase(), reason ?: "none")
         val key = DrainRecords.DRAINS + name
         val guards = recordAccess.leaderGuard + Precondition(key, stamps[key] ?: Precondition.ABSENT)
-        val change = Change.Put(key, records.encode(drain.copy(status = status, reason = reason)))
+        val change = Change.Put(key, recordAccess.codec.encode(drain.copy(status = status, reason = reason)))
         scope.launch {
             val outcome = recordAccess.store.commit(guards, listOf(change), urgent = false)
             tell(DrainMessage.StatusChanged(name, outcome is TransactionResult.Committed))
         }
     }
 
-    /** What was set going has an outcome. */
+    /** Takes the result of something that this driver has started. */
     fun handle(message: DrainMessage) {
         when (message) {
             is DrainMessage.RecordsRead -> {
@@ -211,19 +211,19 @@
     ) {
         val pages = entries.filter { it.key.startsWith(DrainRecords.INTERRUPTIONS) }
         // Without them nobody knows what is interrupted, so nothing more is.
-        val interruptions = pages.map { page -> readable(page) { records.decodeInterruptions(it) } ?: return }
+        val interruptions = pages.map { page -> readable(page) { recordAccess.codec.decodeInterruptions(it) } ?: return }
         recordAccess.owned.load(pages)
         recorded = pages.associate { it.key to it.value }
         val state =
             DrainState().let { empty ->
                 empty.copy(interruptions = empty.interruptions.putAll(interruptions.flatten().associateBy { it.task }))
             }
-        core = DrainCore(policy, view, state, records.maxInterruptions)
-        if (machines.isNotEmpty()) log.info("drains are recorded: {}", machines.keys)
+        core = DrainCore(policy, view, state, recordAccess.codec.maxInterruptions)
+        if (machines.isNotEmpty()) log.info("Drains found in records drains={}", machines.keys)
     }
 
     private fun readMachines(pages: List<Entry>): List<DrainedMachine>? =
-        pages.map { page -> readable(page) { records.decodeMachines(it) } ?: return null }.flatten()
+        pages.map { page -> readable(page) { recordAccess.codec.decodeMachines(it) } ?: return null }.flatten()
 
     private fun readDrain(
         entry: Entry,
@@ -231,7 +231,7 @@
     ): Drain? {
         val name = entry.key.removePrefix(DrainRecords.DRAINS)
         stamps[entry.key] = entry.modRevision
-        return if (name in machines) readable(entry) { records.decodeDrain(it) } else null
+        return if (name in machines) readable(entry) { recordAccess.codec.decodeDrain(it) } else null
     }
 
     private fun <T : Any> readable(
@@ -241,7 +241,12 @@
         try {
             read(entry)
         } catch (e: UnreadableRecord) {
-            if (reportedUnreadable.add(entry.key)) log.error("a record of a drain can't be read, the drain goes no further: {}", e.message)
+            if (reportedUnreadable.add(
+                    entry.key,
+                )
+            ) {
+                log.error("Drain record unreadable, the drain makes no progress key={} error={}", entry.key, e.message)
+            }
             null
         }
 
--- a/src/main/kotlin/lichenstage/drain/DrainOperations.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainOperations.kt
@@ -18,7 +18,7 @@
     val typeName: String? = null,
     val zone: String? = null,
     val spot: Boolean? = null,
-    /** Machines named up to this one, which is the order in which they were hired. */
+    /** Machines named up to this one: names are given in the order in which machines are provisioned. */
     val provisionedUpTo: String? = null,
 ) {
     /** The machine is meant. */
@@ -38,9 +38,9 @@
     val dryRun: Boolean,
 )
 
-/** What became of a command. */
+/** The result of a command. */
 sealed interface DrainCommandResult {
-    /** Drains as they stand. */
+    /** The status of drains. */
     data class Status(
         val reports: List<DrainReport>,
     ) : DrainCommandResult
@@ -71,7 +71,7 @@
     private val settings: Settings,
     private val timeOfDayUs: () -> Long,
 ) {
-    /** Asks for a drain, or shows what it would do. Repeated as it was, it finds itself done. */
+    /** Records a drain, or shows what it would do. Idempotent: a repeat of the same request succeeds. */
     suspend fun start(request: DrainRequest): DrainCommandResult =
         resultOf {
             if (!NAME.matches(request.name)) throw RejectedCommand("${request.name}: a name of letters, digits and dashes is needed")
@@ -102,7 +102,7 @@
         return statusOf(request.name)
     }
 
-    /** The command is at fault. */
+    /** The command can't be executed as it was given. */
     private class RejectedCommand(
         why: String,
     ) : Exception(why)
@@ -192,7 +192,7 @@
         return DrainCommandResult.Status(entries.map { DrainReport.of(records.decodeDrain(it), state, timeOfDayUs()) })
     }
 
-    /** Has a drain pause, go on or end. */
+    /** Pauses, resumes or cancels a drain. */
     suspend fun changeStatus(
         name: String,
         status: DrainStatus,
--- a/src/main/kotlin/lichenstage/drain/DrainTypes.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainTypes.kt
@@ -7,18 +7,18 @@
 enum class DrainStatus {
     RUNNING,
 
-    /** By an operator, or by itself: nothing is cordoned, interrupted, hired or given back for it until it is resumed. */
+    /** By an operator, or by itself: no machine is cordoned, provisioned or terminated and no task evicted for it until it is resumed. */
     PAUSED,
     CANCELLED,
     FINISHED,
 }
 
-/** A drain as it was asked for. Its machines ([DrainState]) are fixed then: those that come up later are not drained. */
+/** A drain as it was requested. Its machines ([DrainState]) are fixed then: those that come up later are not drained. */
 data class Drain(
     val name: String,
-    /** Each machine is followed by a fresh one of its type, zone and kind, which has proven itself before the old one is emptied. */
+    /** Each machine is replaced by a new one like it, which must have started a task before the old one is emptied. */
     val replace: Boolean,
-    /** Machines that are on their way out at once, at the most. */
+    /** The most machines that are being drained at once. */
     val maxConcurrent: Int,
     val status: DrainStatus,
     /** Why it is paused or cancelled. */
@@ -32,22 +32,22 @@
 enum class Stage {
     WAITING,
 
-    /** A machine to follow it has been asked for, and has not proven itself yet; it takes tasks as before. */
+    /** Its replacement was requested, and has not started a task yet; the machine itself takes tasks as before. */
     PREPARING,
 
     /** It takes no more tasks. */
     CORDONED,
 
-    /** Tasks on it have been stopped. */
+    /** Tasks on it have been evicted. */
     EMPTYING,
 
-    /** Nothing is left on it: it is given back. */
+    /** No task is left on it: it is being terminated. */
     EMPTIED,
 
-    /** It is gone. */
+    /** It is terminated. */
     GONE,
 
-    /** It is gone, and another has taken its place. */
+    /** It is terminated, and its replacement is in use. */
     REPLACED,
 
     /** It was lost before it was emptied. */
@@ -71,7 +71,7 @@
     /** Time of day at which the stage began. */
     val sinceUs: Long,
     val replacement: String? = null,
-    /** Replacements that came to nothing. */
+    /** How many of its replacements have failed. */
     val failures: Int = 0,
 ) {
     val key get() = DrainKey(drain, name)
@@ -123,7 +123,7 @@
         }
 }
 
-/** All that drains have to remember from leader to leader. Persistent: a plan is made on a copy, which costs what it changes. */
+/** What drains keep from leader to leader. The maps are persistent: a plan is made on a copy, which costs what it changes. */
 data class DrainState(
     val machines: PersistentMap<DrainKey, DrainedMachine> = persistentMapOf(),
     val interruptions: PersistentMap<TaskId, Interruption> = persistentMapOf(),
@@ -143,25 +143,25 @@
     val lostProgressUs: Long,
 )
 
-/** How a machine stands. */
+/** The condition of a machine as the leader knows it. */
 enum class MachineCondition {
-    /** It has shown its partition's token, reports, and is recorded. */
+    /** It has shown its partition's fencing token, sends heartbeats, and is recorded. */
     HEALTHY,
 
-    /** Nothing was heard of it yet, or it is silent. */
+    /** It has not sent a heartbeat yet, or its heartbeats are missing. */
     UNCONFIRMED,
 
     /** Its lease has run out. */
     LOST,
 
-    /** No record names it, and nobody has heard it: one that was there is gone, one that was hired has not come up. */
+    /** No record names it, and it has sent no heartbeat: it is terminated, or was provisioned and has not come up. */
     ABSENT,
 
     /** It is proven gone. */
     GONE,
 }
 
-/** Where a task stands, as far as an interruption of it goes. */
+/** Whether a task runs, as far as an interruption of it is concerned. */
 sealed interface TaskExecution {
     /** It is done, or its job is. */
     data object Finished : TaskExecution
@@ -174,18 +174,18 @@
     data object NotRunning : TaskExecution
 }
 
-/** What drains see of the cluster, as its leader knows it. */
+/** The cluster as its leader knows it. */
 interface DrainView {
     /** The leader knows of every machine what runs on it. */
     val isComplete: Boolean
 
-    /** How a machine stands. */
+    /** The condition of a machine. */
     fun condition(machine: String): MachineCondition
 
     /** What may be running on a machine. */
     fun tasksOn(machine: String): List<RunningTask>
 
-    /** Where a task stands. */
+    /** Whether a task runs. */
     fun execution(task: TaskId): TaskExecution
 
     /** How many tasks of each team run. */
@@ -195,30 +195,30 @@
     fun isFaulty(machine: String): Boolean
 }
 
-/** What drains ask for, once what it rests on is recorded. */
+/** An action of a drain. It is carried out only once the state that it follows from is recorded. */
 sealed interface DrainAction {
-    /** Stop these tasks, with time to save where they can. */
+    /** Evicts these tasks gracefully: with time to save a checkpoint where they can. */
     data class EvictTasks(
         val tasks: List<RunningTask>,
     ) : DrainAction
 
-    /** Hire a machine to follow this one. */
+    /** Provisions a machine to replace this one. */
     data class ProvisionReplacement(
         val key: DrainKey,
     ) : DrainAction
 
-    /** Give a machine back. */
+    /** Terminates a machine. */
     data class Terminate(
         val machine: String,
     ) : DrainAction
 
-    /** The drain goes no further by itself. */
+    /** Pauses the drain, for it can't go on without an operator. */
     data class Pause(
         val drain: String,
         val reason: String,
     ) : DrainAction
 
-    /** All machines of the drain are gone. */
+    /** Ends the drain: it is over for all of its machines. */
     data class Finish(
         val drain: String,
     ) : DrainAction
--- a/src/main/kotlin/lichenstage/jobs/JobCompletions.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobCompletions.kt
@@ -1,18 +1,18 @@
 package lichenstage.jobs
 
-/** What a controller knows of the ends of jobs, as far as answers and orders to workers depend on it (invariant 15). */
+/** The ends of jobs that a controller knows of, as far as answers and orders to workers depend on them (invariant 15). */
 interface JobCompletions {
-    /** The job is over for certain, where a task of it has been known since [sinceUs]. */
+    /** The job has certainly ended, where a task of it has been known since [sinceUs]. */
     fun hasEnded(
         job: String,
         sinceUs: Long,
     ): Boolean
 
-    /** As of when the job is known to be open: whoever was told of its end was told later. Null where it is not known to be open. */
+    /** The time as of which the job is known to be open: no user can have seen its end before. Null where it is not known to be open. */
     fun confirmedOpenUs(job: String): Long?
 
     /**
-     * How long after a user may have been told of a job's end an answer may still renew the lease of a worker that may run its tasks: the
+     * How stale the knowledge of ends may be, in microseconds: how long after a user may have seen a job's end an answer may still renew the lease of a worker that may run its tasks: the
      * lease then ends before the cancellation has had its time.
      */
     val maxStalenessUs: Long
--- a/src/main/kotlin/lichenstage/jobs/JobReplica.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplica.kt
@@ -31,7 +31,7 @@
         val revision: Long,
     )
 
-    /** What was taken of another controller's log, and as of when that was all that it knew. */
+    /** How far another controller's log was taken over, and as of when that was all of it. */
     private class PeerProgress(
         val incarnation: Long,
         var upTo: Long,
@@ -40,13 +40,13 @@
 
     private val openRevisions = HashMap<String, Long>()
 
-    /** Ends that were learned of lately, from whomever. */
+    /** Ends that became known lately, from whatever source. */
     private val endedJobs =
         object : LinkedHashMap<String, Unit>() {
             override fun removeEldestEntry(eldest: MutableMap.MutableEntry<String, Unit>) = size > MAX_REMEMBERED_ENDS
         }
 
-    /** Ends that this process has learned from the state service, in the order in which it did. */
+    /** Ends that this process has read from the state service, in the order in which it did. */
     private val endLog = ArrayDeque<End>()
     private var logStart = 0L
 
@@ -117,10 +117,10 @@
         }
     }
 
-    /** Another controller says that these have ended. Returns those that are news. */
+    /** Another controller says that these jobs have ended. Returns those that were not known to have. */
     fun markEnded(jobs: List<String>): List<String> = jobs.filter { endedJobs.put(it, Unit) == null }
 
-    /** What to ask [other] for; null where nothing was read yet, so that there is nothing to start from. */
+    /** The request to [other] for the ends that may be missing here; null before the first read, which gives the revision to start from. */
     fun syncRequest(
         other: String,
         now: Long,
@@ -130,7 +130,7 @@
         return CompletionSyncRequest(incarnation, now, revision, progress?.incarnation ?: 0, progress?.upTo ?: 0)
     }
 
-    /** The answer to another controller's question, a piece at a time; null where this one can't know all that users were told. */
+    /** The reply to another controller's request, a piece at a time; null where this one can't know all ends that users may have seen. */
     fun syncReply(request: CompletionSyncRequest): CompletionSyncReply? {
         if (revision < 0 || request.revision < logBaseRevision) return null
         val since = if (request.logIncarnation == incarnation) maxOf(request.upTo, logStart) else logStart
@@ -145,7 +145,7 @@
         return CompletionSyncReply(request.incarnation, request.requestedAtUs, incarnation, since, upTo, jobs, whole = upTo == end)
     }
 
-    /** Takes in what [other] answered; returns the ends that are news. */
+    /** Applies the reply of [other]; returns the ends that were not known. */
     fun applySyncReply(
         other: String,
         answer: CompletionSyncReply,
@@ -161,19 +161,19 @@
         return markEnded(answer.jobs)
     }
 
-    /** Every end of a job that a user had been told of by then is known here. */
+    /** The time by which every end that a user had seen is known here. */
     private fun knowledgeTimeUs(): Long {
         val peersUs = others?.takeIf { revision >= 0 && it.isNotEmpty() }?.minOf { peerProgress[it]?.allUs ?: Long.MIN_VALUE }
         return maxOf(readUs, peersUs ?: Long.MIN_VALUE)
     }
 
-    /** What renews the leases of workers may be answered. */
+    /** Heartbeats may be answered, which renews the leases of workers (invariant 15). */
     fun isCurrent(now: Long) = knowledgeTimeUs() > Long.MIN_VALUE && now - knowledgeTimeUs() <= maxStalenessUs
 
-    /** The state service has not shown anything for a while. */
+    /** The last read of the state service is older than is usual while it is available. */
     fun isLagging(now: Long) = revision >= 0 && now - readUs > LAG_THRESHOLD_US
 
-    /** What it has shown is no older than that. */
+    /** The last read of the state service is no older than [us] microseconds. */
     fun isReadWithin(
         us: Long,
         now: Long,
--- a/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
@@ -23,7 +23,7 @@
     val send: (String, Frame) -> Unit,
 )
 
-/** Hears of the ends of jobs. */
+/** Is notified of the ends of jobs. */
 interface JobEndListener {
     /** These jobs have ended. */
     fun jobsEnded(jobs: List<String>)
@@ -32,7 +32,7 @@
     fun dependencyResolved()
 }
 
-/** Keeps the [JobReplica] of this process up to date: by a watch, and by the other controllers while the state service is away. */
+/** Keeps the [JobReplica] of this process up to date: by a watch, and by the other controllers while the state service is unavailable. */
 class JobReplicaSync(
     private val replica: JobReplica,
     private val dependencyGraph: DependencyGraph,
@@ -45,7 +45,7 @@
     private val log = RateLimitedLog.of("lichenstage.jobs", clock)
     private var isStale = false
 
-    /** Follows the open jobs from now on. */
+    /** Starts to follow the open jobs. */
     fun start() {
         scope.launch {
             while (true) {
@@ -69,7 +69,7 @@
     private fun logStaleness(staleNow: Boolean) {
         if (staleNow == isStale) return
         isStale = staleNow
-        log.info { "revision=${replica.revision} open jobs are ${if (staleNow) "not read any more" else "read again"}" }
+        log.info { "Open jobs ${if (staleNow) "not read any more" else "read again"} revision=${replica.revision}" }
     }
 
     private fun requestMissingEnds(now: Long) {
@@ -87,11 +87,11 @@
         scan.entries.forEach { dependencyGraph.jobOpened(id(it.key), JobRecordCodec.dependencies(it.value)) }
         while (true) {
             val sentUs = clock.now()
-            when (val seen = state.watch(JobRecordCodec.OPEN, replica.revision, WATCH_TIMEOUT_MS)) {
+            when (val result = state.watch(JobRecordCodec.OPEN, replica.revision, WATCH_TIMEOUT_MS)) {
                 is WatchResult.Events -> {
-                    val put = seen.puts.associate { id(it.key) to it.modRevision }
-                    seen.puts.forEach { dependencyGraph.jobOpened(id(it.key), JobRecordCodec.dependencies(it.value)) }
-                    applyEnds(replica.applyChanges(put, seen.deletes.associate { id(it.key) to it.modRevision }, seen.revision, sentUs))
+                    val put = result.puts.associate { id(it.key) to it.modRevision }
+                    result.puts.forEach { dependencyGraph.jobOpened(id(it.key), JobRecordCodec.dependencies(it.value)) }
+                    applyEnds(replica.applyChanges(put, result.deletes.associate { id(it.key) to it.modRevision }, result.revision, sentUs))
                 }
 
                 WatchResult.Compacted -> {
@@ -107,7 +107,7 @@
 
     private fun id(key: String) = key.removePrefix(JobRecordCodec.OPEN)
 
-    /** How a job that others need has ended stands in its record; until that can be read, they wait. */
+    /** Reads how a job that others depend on has ended; they wait until that can be read. */
     private suspend fun resolve(job: String) {
         val read = state.get(JobRecordCodec.FINISHED + job)
         if (read is ReadResult.Found) jobFinished(job, JobRecordCodec.decodeFinished(read.entry.value).outcome)
@@ -122,18 +122,21 @@
         listener.dependencyResolved()
     }
 
-    /** This process has cancelled the job and is about to tell its user. Who leads and who owns partitions hear it at once. */
+    /**
+     * This process has recorded the cancellation of the job at [revision] and is about to confirm it to its user. The leader and the
+     * owners of partitions are notified at once, so that the tasks stop early; nothing depends on that.
+     */
     fun jobCancelled(
         job: String,
-        at: Long,
+        revision: Long,
     ) {
-        log.info { "job=$job revision=$at cancelled, its user is told" }
-        replica.recordEnd(job, at)
+        log.info { "Cancellation recorded job=$job revision=$revision" }
+        replica.recordEnd(job, revision)
         applyEnds(listOf(job))
         peers.labels.forEach { peers.send(it, JobsEnded(listOf(job))) }
     }
 
-    /** Another controller asks for the ends that it may lack. */
+    /** Another controller requests the ends that it may lack. */
     fun onSyncRequest(
         from: String,
         request: CompletionSyncRequest,
@@ -141,7 +144,7 @@
         replica.syncReply(request)?.let { peers.send(from, it) }
     }
 
-    /** Another controller hands over ends. */
+    /** Another controller has sent ends that this one may lack. */
     fun onSyncReply(
         from: String,
         answer: CompletionSyncReply,
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -98,7 +98,7 @@
         val policy = options.drains ?: return null
         val store = LeaderDrains.store(services.store, ownKeys, leadership.keyRevision, settings)
         return LeaderDrains(core, fleet, services.clock::now)
-            .driver(policy, settings, store, scope) { mailbox.tell(LeaderMessage.DrainEvent(it)) }
+            .driver(policy, store, scope) { mailbox.tell(LeaderMessage.DrainEvent(it)) }
     }
 
     /** Takes a message. */
--- a/src/main/kotlin/lichenstage/placement/LeaderDrains.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrains.kt
@@ -26,14 +26,12 @@
     /** The driver of drains, which tells its own messages through [tell]. */
     fun driver(
         policy: DrainPolicy,
-        settings: Settings,
         store: DrainRecordAccess,
         scope: CoroutineScope,
         tell: (DrainMessage) -> Unit,
     ): DrainDriver {
         val view = LeaderDrainView(core, now)
-        val records = DrainRecords(settings.valueBytes)
-        return DrainDriver(policy, view, records, store, actions(view), DrainTracing(), scope, ::timeOfDayUs, tell)
+        return DrainDriver(policy, view, store, actions(view), DrainTracing(), scope, ::timeOfDayUs, tell)
     }
 
     private fun actions(view: LeaderDrainView) =
@@ -53,6 +51,7 @@
             leaderKeyRevision: Long,
             settings: Settings,
         ) = DrainRecordAccess(
+            DrainRecords(settings.valueBytes),
             store,
             ownKeys,
             listOf(Precondition(OwnershipRecords.LEADER, leaderKeyRevision)),
--- a/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
@@ -67,9 +67,9 @@
 
     private fun driver(): DrainDriver {
         val guard = listOf(Precondition("c/leader", store.entries.getValue("c/leader").modRevision))
-        val access = DrainRecordAccess(store, SingleWriterKeys(store), guard, 4) { store.scan(it) }
+        val access = DrainRecordAccess(records, store, SingleWriterKeys(store), guard, 4) { store.scan(it) }
         lateinit var driver: DrainDriver
-        driver = DrainDriver(DrainPolicy(), cluster, records, access, actions, DrainTracing(), scope, { now }) { driver.handle(it) }
+        driver = DrainDriver(DrainPolicy(), cluster, access, actions, DrainTracing(), scope, { now }) { driver.handle(it) }
         return driver
     }
 
