--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -1,6 +1,7 @@
 package lichenstage.placement
 
 import lichenstage.cluster.MachineState
+import lichenstage.cluster.TaskEndCause
 import lichenstage.cluster.TaskPhase
 import lichenstage.cluster.TaskState
 import lichenstage.common.SECOND
@@ -82,7 +83,7 @@
         attempt: Attempt?,
         now: Long,
     ) {
-        if (task.cause == DONE) {
+        if (task.cause == TaskEndCause.DONE) {
             val ranUs = attempt?.takeIf { it.runningUs > 0 }?.progressUs(now)
             if (job.markDone(task.index)) {
                 if (ranUs != null) runTimes.recordCompletion(job.spec, ranUs)
@@ -93,7 +94,7 @@
         }
         if (attempt == null) return
         end(attempt, stoppedProgressUs(attempt))
-        if (task.cause == BUSY) recoverConflictingAttempt(partition, machine, task, job)
+        if (task.cause == TaskEndCause.BUSY) recoverConflictingAttempt(partition, machine, task, job)
     }
 
     /**
@@ -155,9 +156,9 @@
         task: TaskState,
         now: Long,
     ) {
-        if (task.cause == HALTED) return
+        if (task.cause == TaskEndCause.HALTED) return
         log.info("Attempt failed task={} attempt={} machine={} cause={}", task.task, task.attempt, machine.name, task.cause)
-        if (task.cause == ERROR) failedJobs.getOrPut(machine.name) { HashSet() }.add(job.spec.id)
+        if (task.cause == TaskEndCause.ERROR) failedJobs.getOrPut(machine.name) { HashSet() }.add(job.spec.id)
         job.failures++
         // A job that fails everywhere must not take the places of others over and over.
         val backoffUs = (SECOND shl minOf(job.failures, MAX_BACKOFF_DOUBLINGS)).coerceAtMost(MAX_BACKOFF_US)
@@ -222,10 +223,6 @@
     }
 
     private companion object {
-        const val DONE = "done"
-        const val HALTED = "halted"
-        const val ERROR = "error"
-        const val BUSY = "busy"
         const val MAX_BACKOFF_DOUBLINGS = 4
         const val MAX_BACKOFF_US = 10 * SECOND
     }
--- a/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
@@ -2,6 +2,7 @@
 
 import lichenstage.cluster.AttemptOrder
 import lichenstage.cluster.MachineState
+import lichenstage.cluster.TaskEndCause
 import lichenstage.cluster.TaskPhase
 import lichenstage.cluster.TaskState
 
@@ -12,7 +13,6 @@
     val hasUnaccountedTasks: Boolean,
 ) {
     companion object {
-        private const val DONE = "done"
 
         /** Compares a machine's task list with the jobs. */
         fun of(
@@ -56,7 +56,7 @@
         private fun mustBeKept(
             task: TaskState,
             job: Job?,
-        ) = job != null && isWanted(job) && task.index >= 0 && task.cause == DONE && !job.durable.get(task.index)
+        ) = job != null && isWanted(job) && task.index >= 0 && task.cause == TaskEndCause.DONE && !job.durable.get(task.index)
 
         private fun counts(
             task: TaskState,
--- a/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
@@ -18,7 +18,7 @@
 
 /**
  * A direct order that gets no answer and is executed long after, while the worker's fencing token and agent epoch would still match. Seen
- * by users: the start of a task landed 73 s after it was sent, of a job that was cancelled meanwhile.
+ * by users: the start of a task was executed 73 s after it was sent, of a job that was cancelled meanwhile.
  */
 class LateOrdersTest {
     /** A partition with one worker that sends a heartbeat every 3 s, on virtual time. */
--- a/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
@@ -185,8 +185,8 @@
     }
 
     /**
-     * Guards against a task that ran twice. The whole frame that told of its start was lost; then more machines changed than one frame
-     * holds, and the first piece said again that all was told up to the start, without its machine.
+     * Guards against a task that ran twice. The whole frame that carried its start was lost; then more machines changed than one
+     * frame carries, and the first partial frame claimed to be complete up to the start, without its machine.
      */
     @Example
     fun `a partial frame does not claim what only a whole frame that was lost has carried`() {
@@ -248,7 +248,7 @@
                     leaderFrame(1, frame.version)
                     frame.whole
                 }
-            assertEquals(ROUNDS, whole) { "$count machines: $whole of $ROUNDS frames told all" }
+            assertEquals(ROUNDS, whole) { "$count machines: $whole of $ROUNDS frames were whole" }
         }
     }
 
--- a/src/test/kotlin/lichenstage/standin/Checklist.kt
+++ b/src/test/kotlin/lichenstage/standin/Checklist.kt
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit
 
-/** Checks that are made one after the other and told as they are; how many passed and failed is told at the end. */
+/** Runs checks one after the other and prints each result, and in the end how many passed and failed. */
 internal class Checklist {
     private val beganNs = System.nanoTime()
     private var passed = 0
@@ -19,7 +19,7 @@
         if (ok) passed++ else failed++
     }
 
-    /** Tells the counts; the status to end with. */
+    /** Prints the counts and returns the status to exit with. */
     fun close(): Int {
         println("$passed passed, $failed failed")
         return if (failed == 0) 0 else 1
--- a/src/test/kotlin/lichenstage/standin/CloudStandIn.kt
+++ b/src/test/kotlin/lichenstage/standin/CloudStandIn.kt
@@ -7,27 +7,24 @@
 import java.util.concurrent.CompletableFuture
 
 /** A cloud with one machine type that boots at once; each machine is a worker of [WorkerStandIn]. */
-class CloudStandIn(
+internal class CloudStandIn(
     private val vertx: Vertx,
     private val port: Int,
     private val zones: List<String>,
     private val boot: (name: String, zone: String) -> WorkerStandIn,
 ) {
     private val machines = LinkedHashMap<String, WorkerStandIn>()
-    private val hires = HashMap<String, JsonArray>()
-    private val returned = HashSet<String>()
 
+    /** The machines that were provisioned, by the name of the request. */
+    private val provisioned = HashMap<String, JsonArray>()
+    private val terminated = HashSet<String>()
+
+    /** Begins to listen. */
     fun start() {
-        vertx
-            .createHttpServer()
-            .requestHandler(::route)
-            .listen(port, "127.0.0.1")
-            .toCompletionStage()
-            .toCompletableFuture()
-            .join()
+        vertx.serveJson(port, ::route).join()
     }
 
-    /** All machines are off: none reports any more when their event loop is closed. */
+    /** Stops all machines, so that none sends heartbeats any more when their event loop is closed. */
     fun stop() {
         val stopped = CompletableFuture<Unit>()
         vertx.runOnContext {
@@ -37,8 +34,8 @@
         stopped.join()
     }
 
-    /** Machines that are up beforehand, spread over the zones. */
-    fun stock(count: Int): List<WorkerStandIn> = List(count) { add(zones[it % zones.size]).second }
+    /** Boots machines beforehand, spread over the zones. */
+    fun bootAll(count: Int): List<WorkerStandIn> = List(count) { add(zones[it % zones.size]).second }
 
     private fun add(zone: String): Pair<String, WorkerStandIn> {
         val name = "vm-%06d".format(machines.size)
@@ -48,35 +45,18 @@
         return name to worker
     }
 
-    private fun route(request: HttpServerRequest) {
-        request.bodyHandler { buffer ->
-            val body = if (buffer.length() > 0) JsonObject(buffer) else JsonObject()
-            val answer =
-                when (request.path()) {
-                    "/flavors" -> {
-                        machineTypes()
-                    }
-
-                    "/hosts/return" -> {
-                        giveBack(body)
-                    }
-
-                    "/hosts" -> {
-                        if (buffer.length() >
-                            0
-                        ) {
-                            hire(body)
-                        } else {
-                            list(request.getParam("since") ?: "", request.getParam("most")?.toInt() ?: 500)
-                        }
-                    }
-
-                    else -> {
-                        JsonObject()
-                    }
-                }
-            request.response().end(answer.toBuffer())
-        }
+    private fun route(
+        request: HttpServerRequest,
+        body: JsonObject,
+    ) {
+        val answer =
+            when (request.path()) {
+                "/flavors" -> machineTypes()
+                "/hosts/return" -> terminate(body)
+                "/hosts" -> if (body.isEmpty) list(request) else provision(body)
+                else -> JsonObject()
+            }
+        request.response().end(answer.toBuffer())
     }
 
     private fun machineTypes() =
@@ -97,31 +77,28 @@
             ),
         )
 
-    private fun hire(body: JsonObject): JsonObject {
+    private fun provision(body: JsonObject): JsonObject {
         val names =
-            hires.getOrPut(body.getString("hire")) {
-                JsonArray(
-                    List(body.getInteger("number")) { add(body.getString("yard")).first },
-                )
+            provisioned.getOrPut(body.getString("hire")) {
+                JsonArray(List(body.getInteger("number")) { add(body.getString("yard")).first })
             }
         return JsonObject().put("holdfasts", names)
     }
 
-    private fun giveBack(body: JsonObject): JsonObject {
+    private fun terminate(body: JsonObject): JsonObject {
         body.getJsonArray("holdfasts").forEach {
-            returned += it as String
+            terminated += it as String
             machines[it]?.stop()
         }
         return JsonObject()
     }
 
-    private fun list(
-        since: String,
-        most: Int,
-    ): JsonObject {
-        val after = machines.filter { it.key > since && it.key !in returned && (it.value.up || it.value.cold) }.entries
+    private fun list(request: HttpServerRequest): JsonObject {
+        val since = request.getParam("since") ?: ""
+        val limit = request.getParam("most")?.toInt() ?: DEFAULT_PAGE
+        val after = machines.filter { it.key > since && it.key !in terminated && (it.value.up || it.value.neverBoots) }.entries
         val rows =
-            after.take(most).map { (name, worker) ->
+            after.take(limit).map { (name, worker) ->
                 JsonObject()
                     .put("uid", name)
                     .put("addr", worker.address)
@@ -131,6 +108,10 @@
                     .put("status", if (worker.up) "running" else "starting")
                     .put("age_s", 1.0)
             }
-        return JsonObject().put("holdfasts", JsonArray(rows)).put("truncated", after.size > most)
+        return JsonObject().put("holdfasts", JsonArray(rows)).put("truncated", after.size > limit)
+    }
+
+    private companion object {
+        const val DEFAULT_PAGE = 500
     }
 }
--- a/src/test/kotlin/lichenstage/standin/ControllerClient.kt
+++ b/src/test/kotlin/lichenstage/standin/ControllerClient.kt
@@ -7,7 +7,7 @@
 import java.net.http.HttpResponse
 import java.time.Duration
 
-/** Asks the controllers of a deployment on loopback, as users and the load balancer do. */
+/** Sends requests to the controllers of a deployment on loopback, as users and the load balancer do. */
 internal class ControllerClient(
     private val deployment: Deployment,
 ) {
@@ -23,13 +23,13 @@
     ): HttpResponse<String>? =
         try {
             val publisher = if (body == null) HttpRequest.BodyPublishers.noBody() else HttpRequest.BodyPublishers.ofString(body)
-            val request = HttpRequest.newBuilder(URI("http://127.0.0.1:${deployment.serve[node]}$path")).timeout(Duration.ofSeconds(5))
+            val request = HttpRequest.newBuilder(URI("http://$LOOPBACK:${deployment.serve[node]}$path")).timeout(Duration.ofSeconds(5))
             http.send(request.method(method, publisher).build(), HttpResponse.BodyHandlers.ofString())
         } catch (_: java.io.IOException) {
             null
         }
 
-    /** All say that they can take requests. */
+    /** Whether all say that they can take requests. */
     fun allHealthy() = nodes.all { status(it, "GET", "/healthz") == 200 }
 
     /** One of the controllers, tried from [first] on, has accepted the job or knows it. */
@@ -38,14 +38,14 @@
         first: Int = 0,
     ) = nodes.any { status((first + it) % deployment.zones.size, "POST", "/api/jobs", job) in 200..201 }
 
-    /** What a controller says of the job; null where it says nothing. */
+    /** The status of the job as a controller answers it; null where it does not. */
     fun jobStatus(
         node: Int,
         id: Int,
     ): String? =
         answer(node, "GET", "/api/jobs/j-$id")?.takeIf { it.statusCode() == 200 }?.let { JsonObject(it.body()).getString("status") }
 
-    /** Its status, 0 where it does not answer. */
+    /** The status code of its answer; 0 where it does not answer. */
     fun status(
         node: Int,
         method: String,
--- a/src/test/kotlin/lichenstage/standin/ControllerProcesses.kt
+++ b/src/test/kotlin/lichenstage/standin/ControllerProcesses.kt
@@ -2,6 +2,7 @@
 
 import io.vertx.core.json.JsonObject
 import java.io.File
+import java.util.concurrent.TimeUnit
 
 /**
  * The controllers of a deployment as processes on loopback, each with its settings file and its log in [folder]. [command] is the program
@@ -32,6 +33,9 @@
         processes[node] = process.start()
     }
 
+    /** The process of controller [node] that was launched last. */
+    fun process(node: Int): Process = processes.getValue(node)
+
     /** Ends the process with no signal, and starts it again. */
     fun restart(node: Int) {
         processes.getValue(node).destroyForcibly().waitFor()
@@ -51,3 +55,27 @@
         deleteRecursively()
         mkdirs()
     }
+
+/** Runs a command to its end, 30 s at most, with its output in [log]; its exit status. */
+internal fun exitStatus(
+    command: List<String>,
+    log: File,
+): Int {
+    val process = ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log).start()
+    if (!process.waitFor(LONGEST_COMMAND_S, TimeUnit.SECONDS)) process.destroyForcibly()
+    return process.waitFor()
+}
+
+private const val LONGEST_COMMAND_S = 30L
+
+/** The program and its arguments as the deploy file names them, with further [jvmFlags]; the settings file comes after. */
+internal fun deployedRun(vararg jvmFlags: String): List<String> {
+    val command =
+        File("deploy/service.toml")
+            .readLines()
+            .first { it.startsWith("run = ") }
+            .substringAfter('"')
+            .substringBeforeLast('"')
+            .split(' ')
+    return listOf(command.first()) + jvmFlags + command.drop(1)
+}
--- a/src/test/kotlin/lichenstage/standin/Deployment.kt
+++ b/src/test/kotlin/lichenstage/standin/Deployment.kt
@@ -14,7 +14,7 @@
     val statePort = freePort()
     val cloudPort = freePort()
 
-    /** What workers report to, by label. */
+    /** The ports to which workers send heartbeats, by label. */
     val labels = zones.indices.associate { "n$it" to serve[it] }
 
     fun freePort(): Int {
@@ -31,15 +31,15 @@
     ): JsonObject {
         val seeds =
             zones.indices.filter { it != node }.map {
-                JsonObject().put("label", "n$it").put("area", zones[it]).put("addr", "127.0.0.1:${cluster[it]}")
+                JsonObject().put("label", "n$it").put("area", zones[it]).put("addr", "$LOOPBACK:${cluster[it]}")
             }
         return JsonObject()
             .put("label", "n$node")
             .put("area", zones[node])
-            .put("serve_on", "127.0.0.1:${serve[node]}")
-            .put("cluster_listen", "127.0.0.1:${cluster[node]}")
+            .put("serve_on", "$LOOPBACK:${serve[node]}")
+            .put("cluster_listen", "$LOOPBACK:${cluster[node]}")
             .put("seeds", JsonArray(seeds))
-            .put("endpoints", JsonObject().put("cloud", "127.0.0.1:$cloudPort").put("state", "127.0.0.1:$statePort"))
+            .put("endpoints", JsonObject().put("cloud", "$LOOPBACK:$cloudPort").put("state", "$LOOPBACK:$statePort"))
             .put(
                 "settings",
                 limits
@@ -56,11 +56,17 @@
     JsonObject()
         .put("teams", JsonArray(teams.map { (name, cores) -> JsonObject().put("name", name).put("cpus", 0.0).put("cpus_max", cores) }))
         .put("workers", JsonObject().put("report_s", 1.0).put("lease_s", 20.0).put("cancel_s", 40.0))
-        .put(
-            "state",
-            JsonObject()
-                .put("rps", 300.0)
-                .put("write_rps", 150.0)
-                .put("value_kb", 8.0)
-                .put("txn_ops", 12),
-        ).put("cloud", JsonObject().put("rps", 8.0).put("list_lag_s", 1.0))
+        .put("state", stateLimits(writeRps = 150.0, valueKb = 8.0, txnOps = 12))
+        .put("cloud", JsonObject().put("rps", 8.0).put("list_lag_s", 1.0))
+
+/** The limits of the state service. */
+internal fun stateLimits(
+    writeRps: Double,
+    valueKb: Double,
+    txnOps: Int,
+): JsonObject =
+    JsonObject()
+        .put("rps", 300.0)
+        .put("write_rps", writeRps)
+        .put("value_kb", valueKb)
+        .put("txn_ops", txnOps)
--- a/src/test/kotlin/lichenstage/standin/DrainCheck.kt
+++ b/src/test/kotlin/lichenstage/standin/DrainCheck.kt
@@ -6,7 +6,6 @@
 import io.vertx.core.json.JsonObject
 import java.io.File
 import java.util.Random
-import java.util.concurrent.TimeUnit
 import kotlin.system.exitProcess
 
 /**
@@ -18,19 +17,19 @@
     exitProcess(DrainCheck(deployedRun(), args.firstOrNull()?.toLong() ?: 1).run())
 }
 
-/** Which jobs are held up by stops, as the workers see it. */
-internal class InterruptionObserver {
+/** Counts the jobs of each team that are interrupted by stops, as the workers see it. */
+internal class InterruptionObserver : WorkerObserver {
     private val stopped = HashMap<String, HashSet<String>>()
     private val running = HashMap<String, HashSet<String>>()
     var interruptions = 0
         private set
-    var most = HashMap<String, Int>()
+    var maxJobsInterrupted = HashMap<String, Int>()
         private set
     var ranTwice = 0
         private set
 
     @Synchronized
-    fun started(
+    override fun started(
         task: String,
         machine: String,
     ) {
@@ -41,7 +40,7 @@
     }
 
     @Synchronized
-    fun ended(
+    override fun ended(
         task: String,
         machine: String,
     ) {
@@ -49,12 +48,12 @@
     }
 
     @Synchronized
-    fun halted(task: String) {
+    override fun halted(task: String) {
         interruptions++
         val team = teamOf(task)
         val tasks = stopped.getOrPut(team) { HashSet() }
         tasks += task
-        most.merge(team, tasks.map { it.substringBefore('/') }.distinct().size, ::maxOf)
+        maxJobsInterrupted.merge(team, tasks.map { it.substringBefore('/') }.distinct().size, ::maxOf)
     }
 
     @Synchronized
@@ -101,10 +100,10 @@
                         0
                 }
             }
-            check("it is finished while controllers are killed") { goesOn() }
+            check("it is finished while controllers are killed") { finishes() }
             check("every machine that was there is gone") { before.none { it.up } }
             check("tasks were interrupted") { observer.interruptions > 0 }
-            check("no team was over its budget: ${observer.most}") { observer.most.values.all { it <= BUDGET } }
+            check("no team was over its budget: ${observer.maxJobsInterrupted}") { observer.maxJobsInterrupted.values.all { it <= BUDGET } }
             check("no task was on two machines") { observer.ranTwice == 0 }
         } finally {
             controllers.endAll()
@@ -119,42 +118,27 @@
         File(folder, "operator.hcl").writeText("drains {\n  default {\n    jobs = $BUDGET\n  }\n}\n")
         StateStandIn(vertx, deployment.statePort).start()
         cloud.start()
-        cloud.stock(MACHINES)
+        cloud.bootAll(MACHINES)
         controllers.launchAll()
         check("all become healthy") { eventually(60) { client.allHealthy() } }
         repeat(MACHINES) { submit() }
         check("tasks run on every machine") { eventually(60) { observer.runningTasks() >= MACHINES } }
     }
 
-    /** Of those that are hired later, one in four never comes up. */
+    /** Of those that are provisioned later, one in four never comes up. */
     private fun worker(
         name: String,
         zone: String,
     ): WorkerStandIn {
-        val cold = workers.size >= MACHINES && workers.size % 4 == 0
-        val port = deployment.freePort()
-        val worker =
-            WorkerStandIn(
-                vertx,
-                name,
-                zone,
-                port,
-                deployment.labels,
-                20_000,
-                RUN_MS,
-                400,
-                observer::started,
-                observer::ended,
-                observer::halted,
-                cold,
-            )
-        return worker.also { workers += it }
+        val neverBoots = workers.size >= MACHINES && workers.size % 4 == 0
+        val profile = WorkerProfile(deployment.labels, LEASE_MS, RUN_MS, HEARTBEAT_MS, neverBoots)
+        return WorkerStandIn(vertx, name, zone, deployment.freePort(), profile, observer).also { workers += it }
     }
 
     /** Until the drain is finished: work comes, and controllers are killed. */
-    private fun goesOn(): Boolean {
+    private fun finishes(): Boolean {
         var killAtS = checklist.elapsedS + 5
-        return eventually(MOST_S) {
+        return eventually(MAX_DRAIN_S) {
             submit()
             if (checklist.elapsedS >= killAtS) {
                 killAtS = checklist.elapsedS + 6 + random.nextInt(8)
@@ -179,9 +163,7 @@
     /** The command beside the service; its output is left in a file. */
     private fun drain(vararg args: String): Int {
         val line = command.dropLast(1) + "drain" + args + listOf("--config", controllers.settingsOf(0).path)
-        val process = ProcessBuilder(line).redirectErrorStream(true).redirectOutput(File(folder, "drain.log")).start()
-        if (!process.waitFor(30, TimeUnit.SECONDS)) process.destroyForcibly()
-        return process.waitFor()
+        return exitStatus(line, File(folder, "drain.log"))
     }
 
     private companion object {
@@ -189,7 +171,9 @@
         const val BUDGET = 1
         const val MACHINES = 8
         const val RUN_MS = 60_000L
-        const val MOST_S = 420L
+        const val LEASE_MS = 20_000L
+        const val HEARTBEAT_MS = 400L
+        const val MAX_DRAIN_S = 420L
         const val REFUSED = 2
     }
 }
--- a/src/test/kotlin/lichenstage/standin/Eventually.kt
+++ b/src/test/kotlin/lichenstage/standin/Eventually.kt
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit
 
-/** Asks again and again until it is so, or the time is over. */
+/** Repeats [test] until it is true; false where it is not within [withinS] seconds. */
 internal fun eventually(
     withinS: Long = 60,
     test: () -> Boolean,
--- a/src/test/kotlin/lichenstage/standin/LateOrderCheck.kt
+++ b/src/test/kotlin/lichenstage/standin/LateOrderCheck.kt
@@ -4,7 +4,6 @@
 import io.vertx.core.VertxOptions
 import io.vertx.core.json.JsonObject
 import java.util.Random
-import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.ConcurrentLinkedQueue
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.atomic.AtomicInteger
@@ -12,7 +11,7 @@
 
 /**
  * A check of held orders on loopback: `LateOrderCheckKt [SEED] [SECONDS]`. The built jar three times against the stand-ins; workers hold
- * two in five of the orders to them for longer than a cancellation may take and carry them out then, where token and session still match.
+ * two in five of the orders to them for longer than a cancellation may take and execute them then, where token and epoch still match.
  * Jobs are cancelled within a second of their submission, by the dozen. An observer at the workers counts starts after the confirmation.
  * With more than [KILLS_FROM_S] seconds of work controllers are killed as well.
  */
@@ -23,48 +22,6 @@
 private const val SHORT_S = 20L
 private const val KILLS_FROM_S = 60L
 
-/** What workers do after a user was told that a job is cancelled. */
-private class CancellationObserver(
-    private val cancelMs: Long,
-) {
-    private val confirmedNs = ConcurrentHashMap<String, Long>()
-    private val running = ConcurrentHashMap.newKeySet<String>()
-    val startsAfter = AtomicInteger()
-    val broken = ConcurrentLinkedQueue<String>()
-
-    fun confirmed(job: String) {
-        confirmedNs[job] = System.nanoTime()
-    }
-
-    /** How long ago a user was told that the job of the task is cancelled; null where none was. */
-    fun sinceMs(task: String): Long? = confirmedNs[task.substringBefore('/')]?.let { TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - it) }
-
-    fun started(
-        task: String,
-        machine: String,
-    ) {
-        running += "$task $machine"
-        val sinceMs = sinceMs(task) ?: return
-        startsAfter.incrementAndGet()
-        if (sinceMs > cancelMs) broken += "$task started on $machine $sinceMs ms after its cancellation"
-    }
-
-    fun ended(
-        task: String,
-        machine: String,
-    ) {
-        running -= "$task $machine"
-    }
-
-    /** Nothing of a cancelled job may be left after its time. */
-    fun look() {
-        for (there in running) {
-            val sinceMs = sinceMs(there.substringBefore(' ')) ?: continue
-            if (sinceMs > cancelMs) broken += "$there is on its machine $sinceMs ms after its cancellation"
-        }
-    }
-}
-
 private class LateOrderCheck(
     seed: Long,
     private val workS: Long,
@@ -75,7 +32,14 @@
     private val holds = Random(seed + 1)
     private val client = ControllerClient(deployment)
     private val observer = CancellationObserver(CANCEL_MS)
-    private val controllers = ControllerProcesses(deployment, emptyFolder("late-order-check"), { timed(deployedRun()) }, limits())
+    private val holdingObserver =
+        object : WorkerObserver by observer {
+            override fun holdOrderMs(tasks: List<String>) = holdMs(tasks)
+
+            override fun heldOrderDue(tasks: List<String>) = countOverdue(tasks)
+        }
+    private val workerProfile = WorkerProfile(deployment.labels, LEASE_MS, RUN_MS, HEARTBEAT_MS)
+    private val controllers = ControllerProcesses(deployment, emptyFolder("late-order-check"), { deployedRun(LOG_TIMES) }, limits())
     private val workers = ArrayList<WorkerStandIn>()
     private val cloud = CloudStandIn(vertx, deployment.cloudPort, deployment.zones, ::worker)
     private val checklist = Checklist()
@@ -92,7 +56,7 @@
         try {
             StateStandIn(vertx, deployment.statePort).start()
             cloud.start()
-            cloud.stock(MACHINES)
+            cloud.bootAll(MACHINES)
             controllers.launchAll()
             checklist.check("all become healthy") {
                 eventually { client.allHealthy() }
@@ -104,8 +68,8 @@
             checklist.check(
                 "held starts of cancelled jobs came when their time was over: ${overdueHolds.get()}",
             ) { overdueHolds.get() > 0 }
-            observer.broken.take(5).forEach(::println)
-            checklist.check("none of $cancelled cancelled jobs had a task after its time") { observer.broken.isEmpty() }
+            observer.violations.take(5).forEach(::println)
+            checklist.check("none of $cancelled cancelled jobs had a task after its time") { observer.violations.isEmpty() }
             checklist.check("all processes still run") { controllers.allAlive }
             println("newer tokens: ${counted("fences_unwanted_start")} for starts, ${counted("fences_clears")} for clears")
             println("orders without an answer: ${counted("orders_unanswered")}, reports withheld: ${counted("answers_withheld")}")
@@ -115,35 +79,29 @@
             cloud.stop()
             vertx.close()
         }
-        println("${observer.startsAfter} starts after the confirmation, within the time; ${workers.sumOf { it.expiries }} leases lost")
+        println(
+            "${observer.startsAfterConfirmation} starts after the confirmation, within the time; ${workers.sumOf {
+                it.expiries
+            }} leases lost",
+        )
         return checklist.close()
     }
 
-    /** With the milliseconds since its start before each line of a controller's log. */
-    private fun timed(command: List<String>) = listOf(command.first(), "-Dorg.slf4j.simpleLogger.showDateTime=true") + command.drop(1)
-
     private fun limits(): JsonObject {
-        val spans = JsonObject().put("report_s", REPORT_MS / 1000.0).put("lease_s", LEASE_MS / 1000.0).put("cancel_s", CANCEL_MS / 1000.0)
+        val spans =
+            JsonObject()
+                .put(
+                    "report_s",
+                    HEARTBEAT_MS / 1000.0,
+                ).put("lease_s", LEASE_MS / 1000.0)
+                .put("cancel_s", CANCEL_MS / 1000.0)
         return smallLimits("red" to 200.0).put("workers", spans)
     }
 
     private fun worker(
         name: String,
         zone: String,
-    ) = WorkerStandIn(
-        vertx,
-        name,
-        zone,
-        deployment.freePort(),
-        deployment.labels,
-        LEASE_MS,
-        RUN_MS,
-        REPORT_MS,
-        observer::started,
-        observer::ended,
-        holdOrderMs = ::holdMs,
-        onHeldOrder = ::landed,
-    ).also { workers += it }
+    ) = WorkerStandIn(vertx, name, zone, deployment.freePort(), workerProfile, holdingObserver).also { workers += it }
 
     /** Two in five are held for longer than a cancellation may take. */
     private fun holdMs(tasks: List<String>): Long? {
@@ -153,20 +111,20 @@
     }
 
     /** Orders that were held, of a job that was cancelled. */
-    private fun heldOfCancelled() = held.count { tasks -> tasks.any { observer.sinceMs(it) != null } }
+    private fun heldOfCancelled() = held.count { tasks -> tasks.any { observer.sinceConfirmationMs(it) != null } }
 
-    private fun landed(tasks: List<String>) {
-        if (tasks.any { task -> (observer.sinceMs(task) ?: 0) > CANCEL_MS }) overdueHolds.incrementAndGet()
+    private fun countOverdue(tasks: List<String>) {
+        if (tasks.any { task -> (observer.sinceConfirmationMs(task) ?: 0) > CANCEL_MS }) overdueHolds.incrementAndGet()
     }
 
-    /** Jobs come, and most are called off within a second; controllers may be killed. */
+    /** Submits jobs, of which most are cancelled within a second; controllers may be killed. */
     private fun work() {
         val began = checklist.elapsedS
         var killAtS = checklist.elapsedS + KILL_EVERY_S
         var id = 0
-        while (checklist.elapsedS < began + workS || (heldOfCancelled() < LEAST_HOLDS && checklist.elapsedS < began + 3 * workS)) {
+        while (checklist.elapsedS < began + workS || (heldOfCancelled() < MIN_HOLDS && checklist.elapsedS < began + 3 * workS)) {
             submitSome(id)
-            id += AT_ONCE
+            id += JOBS_AT_ONCE
             look()
             if (workS < KILLS_FROM_S || checklist.elapsedS < killAtS) continue
             killAtS += KILL_EVERY_S
@@ -174,12 +132,12 @@
         }
     }
 
-    /** Some jobs at once, of which most are called off soon after. */
+    /** Submits some jobs at once, of which most are cancelled soon after. */
     private fun submitSome(first: Int) {
-        val accepted = (first until first + AT_ONCE).filter(::submit)
-        val (kept, unwanted) = accepted.partition { it % AT_ONCE == 0 }
+        val accepted = (first until first + JOBS_AT_ONCE).filter(::submit)
+        val (kept, unwanted) = accepted.partition { it % JOBS_AT_ONCE == 0 }
         open += kept
-        Thread.sleep(LEAST_CANCEL_MS + random.nextInt(MORE_CANCEL_MS))
+        Thread.sleep(MIN_CANCEL_DELAY_MS + random.nextInt(CANCEL_DELAY_SPREAD_MS))
         unwanted.forEach(::cancel)
     }
 
@@ -197,8 +155,8 @@
     }
 
     private fun look() {
-        observer.look()
-        Thread.sleep(LOOK_MS)
+        observer.check()
+        Thread.sleep(CHECK_INTERVAL_MS)
     }
 
     private fun allDone(): Boolean {
@@ -221,24 +179,26 @@
         }
 
     private companion object {
+        /** Writes the milliseconds since its start before each line of a controller's log. */
+        const val LOG_TIMES = "-Dorg.slf4j.simpleLogger.showDateTime=true"
         const val MACHINES = 12
 
         /** So many orders with starts of cancelled jobs have to be held: a check that can't fail is none. */
-        const val LEAST_HOLDS = 3
+        const val MIN_HOLDS = 3
         const val TASKS = 2
 
-        /** Jobs that come together; one of them is not called off. */
-        const val AT_ONCE = 4
-        const val REPORT_MS = 2_000L
+        /** Jobs that come together; one of them is not cancelled. */
+        const val JOBS_AT_ONCE = 4
+        const val HEARTBEAT_MS = 2_000L
         const val LEASE_MS = 10_000L
         const val CANCEL_MS = 20_000L
         const val SHORTEST_HOLD_MS = 22_000L
         const val LONGEST_HOLD_MS = 26_000L
         const val RUN_MS = 3_000L
         const val LONGEST_RUN_S = 60L
-        const val LEAST_CANCEL_MS = 100L
-        const val MORE_CANCEL_MS = 500
-        const val LOOK_MS = 100L
+        const val MIN_CANCEL_DELAY_MS = 100L
+        const val CANCEL_DELAY_SPREAD_MS = 500
+        const val CHECK_INTERVAL_MS = 100L
         const val KILL_EVERY_S = 15L
     }
 }
--- a/src/test/kotlin/lichenstage/standin/Load.kt
+++ b/src/test/kotlin/lichenstage/standin/Load.kt
@@ -36,7 +36,7 @@
     exitProcess(Load(LoadOptions(arguments)).run())
 }
 
-/** What is played. */
+/** The size and length of the check, from the command line. */
 private class LoadOptions(
     arguments: ParsedArguments,
 ) {
@@ -61,44 +61,32 @@
     private val polls = AtomicInteger()
     private val failedPolls = AtomicInteger()
     private var submitted = 0
-    private val processes = ArrayList<Process>()
+    private val controllers = ControllerProcesses(deployment, folder, { deployedRun(*options.jvm.toTypedArray()) }, limits())
 
     /** The one that is measured, and killed. */
-    private val process get() = processes.first()
+    private val process get() = controllers.process(0)
 
     fun run(): Int {
         try {
             StateStandIn(vertx, deployment.statePort).start()
             val cloud =
                 CloudStandIn(vertx, deployment.cloudPort, deployment.zones) { name, zone ->
-                    val reportMs = 3_000L + random.nextInt(2_000)
-                    WorkerStandIn(
-                        vertx,
-                        name,
-                        zone,
-                        deployment.freePort(),
-                        deployment.labels,
-                        LEASE_MS,
-                        RUN_MS,
-                        reportMs,
-                        { _, _ -> },
-                        { _, _ -> },
-                    )
+                    val profile = WorkerProfile(deployment.labels, LEASE_MS, RUN_MS, heartbeatMs = 3_000L + random.nextInt(2_000))
+                    WorkerStandIn(vertx, name, zone, deployment.freePort(), profile, object : WorkerObserver {})
                 }
             cloud.start()
-            repeat(options.controllers) { processes += launch(it) }
-            val workers = cloud.stock(options.workers)
+            repeat(options.controllers, controllers::launch)
+            val workers = cloud.bootAll(options.workers)
             phase("all workers arrive", workers)
             workers.forEach { it.reconnect() }
             phase("all workers reconnect", workers)
-            process.destroyForcibly().waitFor()
-            processes[0] = launch(0)
+            controllers.restart(0)
             phase("the process was killed and is back", workers)
-            println("sessions that ran out: ${workers.sumOf { it.expiries }}; polls: ${polls.get()}, failed: ${failedPolls.get()}")
+            println("expired leases: ${workers.sumOf { it.expiries }}; polls: ${polls.get()}, failed: ${failedPolls.get()}")
             println("submissions: $submitted, refused: ${refused.get()}")
             return if (process.isAlive) 0 else 1
         } finally {
-            processes.forEach { it.destroyForcibly() }
+            controllers.endAll()
             vertx.close()
         }
     }
@@ -110,18 +98,18 @@
     ) {
         val beganMs = System.currentTimeMillis()
         var allMs = -1L
-        var most = Taken(0, 0, 0)
+        var peak = ProcessUsage(0, 0, 0)
         val before = cpuMs()
         for (second in 1..options.phaseS) {
             Thread.sleep(1_000)
             submit()
             repeat(POLLS) { poll() }
-            val now = taken(process.pid())
-            most = Taken(maxOf(most.mb, now.mb), maxOf(most.threads, now.threads), maxOf(most.sockets, now.sockets))
+            val now = processUsage(process.pid())
+            peak = ProcessUsage(maxOf(peak.mb, now.mb), maxOf(peak.threads, now.threads), maxOf(peak.sockets, now.sockets))
             if (allMs < 0 && workers.all { it.lastAnsweredMs > beganMs }) allMs = System.currentTimeMillis() - beganMs
         }
         val cpu = (cpuMs() - before) / 1000.0
-        println("$what: all answered after $allMs ms; $most; $cpu s of processor time in ${options.phaseS} s")
+        println("$what: all answered after $allMs ms; $peak; $cpu s of processor time in ${options.phaseS} s")
     }
 
     private fun submit() {
@@ -129,7 +117,7 @@
         repeat(2) {
             val id = ++submitted
             users
-                .request(HttpMethod.POST, serve[0], "127.0.0.1", "/api/jobs")
+                .request(HttpMethod.POST, serve[0], LOOPBACK, "/api/jobs")
                 .compose { it.send(submission(id, tasks, "red", RUN_MS / 1000.0).toBuffer()) }
                 .compose { response -> response.body().map { response.statusCode() } }
                 .onComplete { if (!it.succeeded() || it.result() != 201) refused.incrementAndGet() }
@@ -139,13 +127,13 @@
     private fun poll() {
         polls.incrementAndGet()
         users
-            .request(HttpMethod.GET, serve[0], "127.0.0.1", "/api/jobs/j-${1 + random.nextInt(submitted)}")
+            .request(HttpMethod.GET, serve[0], LOOPBACK, "/api/jobs/j-${1 + random.nextInt(submitted)}")
             .compose { it.send() }
             .compose { response -> response.body().map { response.statusCode() } }
             .onComplete { if (!it.succeeded() || it.result() !in setOf(200, 404)) failedPolls.incrementAndGet() }
     }
 
-    private data class Taken(
+    private data class ProcessUsage(
         val mb: Long,
         val threads: Long,
         val sockets: Int,
@@ -153,7 +141,7 @@
         override fun toString() = "$mb MB, $threads threads, $sockets sockets at the most"
     }
 
-    private fun taken(pid: Long): Taken {
+    private fun processUsage(pid: Long): ProcessUsage {
         val status = File("/proc/$pid/status").readLines()
 
         fun number(key: String) =
@@ -165,7 +153,7 @@
             File("/proc/$pid/fd").list().orEmpty().count {
                 runCatching { Files.readSymbolicLink(Path.of("/proc/$pid/fd/$it")).toString().startsWith("socket") }.getOrDefault(false)
             }
-        return Taken(number("VmRSS") / 1024, number("Threads"), sockets)
+        return ProcessUsage(number("VmRSS") / 1024, number("Threads"), sockets)
     }
 
     private fun cpuMs(): Long =
@@ -175,30 +163,13 @@
             .map { it.toMillis() }
             .orElse(0)
 
-    private fun launch(node: Int): Process {
-        val run = deployedRun()
-        val file = File(folder, "n$node.json").apply { writeText(settings(node).encodePrettily()) }
-        val command = listOf(run.first()) + options.jvm + run.drop(1) + file.path
-        val log = ProcessBuilder.Redirect.appendTo(File(folder, "n$node.log"))
-        return ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log).start()
-    }
-
-    private fun settings(node: Int) =
-        deployment.settings(
-            node,
-            JsonObject()
-                .put("teams", JsonArray().add(JsonObject().put("name", "red")))
-                .put("workers", JsonObject().put("report_s", 4.0).put("lease_s", LEASE_MS / 1000.0).put("cancel_s", 50.0))
-                .put(
-                    "state",
-                    JsonObject()
-                        .put("rps", 300.0)
-                        .put("write_rps", 120.0)
-                        .put("value_kb", 16.0)
-                        .put("txn_ops", 48),
-                ).put("cloud", JsonObject().put("rps", 10.0).put("list_lag_s", 1.0))
-                .put("machine_limits", JsonObject().put("core_share", 0.187).put("memory_mb", 365.0).put("max_sockets", options.sockets)),
-        )
+    private fun limits(): JsonObject =
+        JsonObject()
+            .put("teams", JsonArray().add(JsonObject().put("name", "red")))
+            .put("workers", JsonObject().put("report_s", 4.0).put("lease_s", LEASE_MS / 1000.0).put("cancel_s", 50.0))
+            .put("state", stateLimits(writeRps = 120.0, valueKb = 16.0, txnOps = 48))
+            .put("cloud", JsonObject().put("rps", 10.0).put("list_lag_s", 1.0))
+            .put("machine_limits", JsonObject().put("core_share", 0.187).put("memory_mb", 365.0).put("max_sockets", options.sockets))
 
     private companion object {
         const val LEASE_MS = 22_000L
--- a/src/test/kotlin/lichenstage/standin/Smoke.kt
+++ b/src/test/kotlin/lichenstage/standin/Smoke.kt
@@ -6,7 +6,6 @@
 import io.vertx.core.json.JsonObject
 import java.io.File
 import java.util.concurrent.ConcurrentHashMap
-import java.util.concurrent.TimeUnit
 import kotlin.system.exitProcess
 
 /**
@@ -17,14 +16,27 @@
     exitProcess(Smoke(deployedRun()).run())
 }
 
-/** The program and its arguments as the deploy file names them; the settings file comes after. */
-internal fun deployedRun(): List<String> =
-    File("deploy/service.toml")
-        .readLines()
-        .first { it.startsWith("run = ") }
-        .substringAfter('"')
-        .substringBeforeLast('"')
-        .split(' ')
+/** Finds tasks that run on two machines at once. */
+private class DuplicateRunObserver : WorkerObserver {
+    private val running = ConcurrentHashMap<String, MutableSet<String>>()
+    val duplicates: MutableSet<String> = ConcurrentHashMap.newKeySet()
+
+    override fun started(
+        task: String,
+        machine: String,
+    ) {
+        val machines = running.computeIfAbsent(task) { ConcurrentHashMap.newKeySet() }
+        machines += machine
+        if (machines.size > 1) duplicates += task
+    }
+
+    override fun ended(
+        task: String,
+        machine: String,
+    ) {
+        running[task]?.remove(machine)
+    }
+}
 
 private class Smoke(
     private val command: List<String>,
@@ -34,12 +46,12 @@
     private val zones = deployment.zones
     private val folder = emptyFolder("smoke")
     private val client = ControllerClient(deployment)
+    private val observer = DuplicateRunObserver()
+    private val workerProfile = WorkerProfile(deployment.labels, leaseMs = 20_000, runMs = 400, heartbeatMs = 300)
     private val cloud =
         CloudStandIn(vertx, deployment.cloudPort, zones) { name, zone ->
-            WorkerStandIn(vertx, name, zone, deployment.freePort(), deployment.labels, 20_000, 400, 300, ::started, ::ended)
+            WorkerStandIn(vertx, name, zone, deployment.freePort(), workerProfile, observer)
         }
-    private val running = ConcurrentHashMap<String, MutableSet<String>>()
-    private val twice = ConcurrentHashMap.newKeySet<String>()
     private val controllers = ControllerProcesses(deployment, folder, ::traced, smallLimits("red" to 24.0), { LEVELS[it] })
     private val checklist = Checklist()
 
@@ -84,9 +96,9 @@
                     accepted && eventually { state((node + 1) % 3, id) == "done" }
                 }
             }
-            check("no task was on two machines") { twice.isEmpty() }
+            check("no task was on two machines") { observer.duplicates.isEmpty() }
             check("a start takes its classes from the archive") { classesComeFromTheArchive() }
-            check("LOG_LEVEL is heard") { levelsAreHeard() }
+            check("LOG_LEVEL is obeyed") { levelsAreObeyed() }
             check("all processes still run") { controllers.allAlive }
         } finally {
             controllers.endAll()
@@ -110,36 +122,15 @@
         dependencies: Int,
     ) = JsonObject(job(id, tasks)).put("waits_on", JsonArray().add("j-$dependencies")).encode()
 
-    private fun started(
-        task: String,
-        machine: String,
-    ) {
-        val there = running.computeIfAbsent(task) { ConcurrentHashMap.newKeySet() }
-        there += machine
-        if (there.size > 1) twice += task
-    }
-
-    private fun ended(
-        task: String,
-        machine: String,
-    ) {
-        running[task]?.remove(machine)
-    }
-
     private fun check(
         what: String,
         test: () -> Boolean,
     ) = checklist.check(what, test)
 
-    private fun exitOf(vararg args: String): Int {
-        val process =
-            ProcessBuilder(command.dropLast(1) + args).redirectErrorStream(true).redirectOutput(File(folder, "exit.log")).start()
-        if (!process.waitFor(30, TimeUnit.SECONDS)) process.destroyForcibly()
-        return process.waitFor()
-    }
+    private fun exitOf(vararg args: String): Int = exitStatus(command.dropLast(1) + args, File(folder, "exit.log"))
 
     /** With a log of where each class came from. */
-    private fun traced(node: Int) = listOf(command.first(), "-Xlog:class+load:file=${classLogOf(node).path}") + command.drop(1)
+    private fun traced(node: Int) = deployedRun("-Xlog:class+load:file=${classLogOf(node).path}")
 
     private fun logOf(node: Int) = controllers.logOf(node)
 
@@ -153,11 +144,11 @@
         val elsewhere = zones.indices.flatMap { classLogOf(it).readLines() }.filter { "shared objects file" !in it }
         val own = elsewhere.filter { " lichenstage." in it }
         own.take(5).forEach(::println)
-        return own.isEmpty() && elsewhere.size <= MOST_CLASSES_ELSEWHERE * zones.size
+        return own.isEmpty() && elsewhere.size <= MAX_CLASSES_ELSEWHERE * zones.size
     }
 
-    /** Guards against a level that is set after the first logger was made, and so never heard. */
-    private fun levelsAreHeard() =
+    /** Guards against a level that is set after the first logger was made, and so never obeyed. */
+    private fun levelsAreObeyed() =
         logOf(0).readText().contains("DEBUG lichenstage") && logOf(1).readText().contains("INFO lichenstage") &&
             !logOf(1).readText().contains("DEBUG lichenstage") && !logOf(2).readText().contains("INFO lichenstage")
 
@@ -183,6 +174,6 @@
         val LEVELS = listOf("debug", "info", "error")
 
         /** Classes of libraries, and generated ones, that a process loads from elsewhere; 79 were counted. */
-        const val MOST_CLASSES_ELSEWHERE = 140
+        const val MAX_CLASSES_ELSEWHERE = 140
     }
 }
--- a/src/test/kotlin/lichenstage/standin/StateStandIn.kt
+++ b/src/test/kotlin/lichenstage/standin/StateStandIn.kt
@@ -7,8 +7,8 @@
 import io.vertx.core.json.JsonObject
 import java.util.TreeMap
 
-/** A state service for tests and the smoke start, written from the protocol: keys, guards, leases, watches. */
-class StateStandIn(
+/** A key-value store for tests and the smoke check, written from the protocol: keys, preconditions, leases, watches. */
+internal class StateStandIn(
     private val vertx: Vertx,
     private val port: Int,
 ) {
@@ -18,6 +18,11 @@
         val lease: Long?,
     )
 
+    private class Lease(
+        val lifeMs: Long,
+        val expiresMs: Long,
+    )
+
     private class Change(
         val key: String,
         val stamp: Long,
@@ -33,36 +38,31 @@
 
     private val rows = TreeMap<String, Row>()
     private val changes = ArrayList<Change>()
-    private val leases = HashMap<Long, Pair<Long, Long>>()
+    private val leases = HashMap<Long, Lease>()
     private val watches = ArrayList<Watch>()
     private var revision = 0L
     private var lastLease = 0L
 
+    /** Begins to listen, and to expire leases. */
     fun start() {
-        vertx
-            .createHttpServer()
-            .requestHandler(::route)
-            .listen(port, "127.0.0.1")
-            .toCompletionStage()
-            .toCompletableFuture()
-            .join()
-        vertx.setPeriodic(50) { expire() }
-    }
-
-    private fun route(request: HttpServerRequest) {
-        request.bodyHandler { buffer ->
-            val path = request.path()
-            val body = if (buffer.length() > 0) JsonObject(buffer) else JsonObject()
-            when {
-                path == "/txn" -> txn(request, body)
-                path == "/changes" -> watch(request)
-                path == "/kv" -> scan(request)
-                path.startsWith("/kv/") -> get(request, path.removePrefix("/kv/"))
-                path == "/leases" -> grant(request, body.getLong("life_ms"))
-                path.endsWith("/renew") -> renew(request, path.split('/')[2].toLong())
-                path.startsWith("/leases/") && request.method() == HttpMethod.DELETE -> end(request, path.split('/')[2].toLong())
-                else -> reply(request, 404, JsonObject())
-            }
+        vertx.serveJson(port, ::route).join()
+        vertx.setPeriodic(EXPIRY_CHECK_MS) { expireLeases() }
+    }
+
+    private fun route(
+        request: HttpServerRequest,
+        body: JsonObject,
+    ) {
+        val path = request.path()
+        when {
+            path == "/txn" -> transact(request, body)
+            path == "/changes" -> watch(request)
+            path == "/kv" -> scan(request)
+            path.startsWith("/kv/") -> get(request, path.removePrefix("/kv/"))
+            path == "/leases" -> grantLease(request, body.getLong("life_ms"))
+            path.endsWith("/renew") -> renewLease(request, path.split('/')[2].toLong())
+            path.startsWith("/leases/") && request.method() == HttpMethod.DELETE -> endLease(request, path.split('/')[2].toLong())
+            else -> reply(request, 404, JsonObject())
         }
     }
 
@@ -90,18 +90,18 @@
     private fun scan(request: HttpServerRequest) {
         val prefix = request.getParam("prefix")
         val since = request.getParam("since") ?: ""
-        val most = request.getParam("most")?.toInt() ?: 1000
+        val limit = request.getParam("most")?.toInt() ?: DEFAULT_PAGE
         val all = rows.filterKeys { it.startsWith(prefix) && it > since }.entries.toList()
-        val page = JsonArray(all.take(most).map { row(it.key, it.value) })
-        reply(request, 200, JsonObject().put("rows", page).put("truncated", all.size > most).put("ledger_rev", revision))
+        val page = JsonArray(all.take(limit).map { row(it.key, it.value) })
+        reply(request, 200, JsonObject().put("rows", page).put("truncated", all.size > limit).put("ledger_rev", revision))
     }
 
-    private fun txn(
+    private fun transact(
         request: HttpServerRequest,
         body: JsonObject,
     ) {
-        val guards = (body.getJsonArray("guards") ?: JsonArray()).map { it as JsonObject }
-        val failed = guards.filter { (rows[it.getString("k")]?.stamp ?: 0L) != it.getLong("stamp") }.map { it.getString("k") }
+        val preconditions = (body.getJsonArray("guards") ?: JsonArray()).map { it as JsonObject }
+        val failed = preconditions.filter { (rows[it.getString("k")]?.stamp ?: 0L) != it.getLong("stamp") }.map { it.getString("k") }
         if (failed.isNotEmpty()) {
             return reply(request, 409, JsonObject().put("failed", JsonArray(failed)).put("ledger_rev", revision))
         }
@@ -120,48 +120,48 @@
             }
         }
         reply(request, 200, JsonObject().put("ledger_rev", revision))
-        wake()
+        notifyWatches()
     }
 
     private fun delete(key: String) {
         if (rows.remove(key) != null) changes += Change(key, revision, null)
     }
 
-    private fun grant(
+    private fun grantLease(
         request: HttpServerRequest,
         lifeMs: Long,
     ) {
-        leases[++lastLease] = lifeMs to System.currentTimeMillis() + lifeMs
+        leases[++lastLease] = Lease(lifeMs, System.currentTimeMillis() + lifeMs)
         reply(request, 200, JsonObject().put("tenancy", lastLease))
     }
 
-    private fun renew(
+    private fun renewLease(
         request: HttpServerRequest,
         lease: Long,
     ) {
-        val life = leases[lease]?.first ?: return reply(request, 404, JsonObject())
-        leases[lease] = life to System.currentTimeMillis() + life
+        val lifeMs = leases[lease]?.lifeMs ?: return reply(request, 404, JsonObject())
+        leases[lease] = Lease(lifeMs, System.currentTimeMillis() + lifeMs)
         reply(request, 200, JsonObject())
     }
 
-    private fun end(
+    private fun endLease(
         request: HttpServerRequest,
         lease: Long,
     ) {
-        if (leases.containsKey(lease)) drop(lease)
+        if (leases.containsKey(lease)) removeLease(lease)
         reply(request, 200, JsonObject())
     }
 
-    private fun expire() {
+    private fun expireLeases() {
         val now = System.currentTimeMillis()
         leases
-            .filterValues { it.second < now }
+            .filterValues { it.expiresMs < now }
             .keys
             .toList()
-            .forEach(::drop)
+            .forEach(::removeLease)
     }
 
-    private fun drop(lease: Long) {
+    private fun removeLease(lease: Long) {
         leases.remove(lease)
         revision++
         rows
@@ -169,7 +169,7 @@
             .keys
             .toList()
             .forEach(::delete)
-        wake()
+        notifyWatches()
     }
 
     private fun watch(request: HttpServerRequest) {
@@ -185,7 +185,7 @@
         answer(watch, true)
     }
 
-    private fun wake() =
+    private fun notifyWatches() =
         watches.toList().forEach {
             if (answer(it, false)) {
                 vertx.cancelTimer(it.timer)
@@ -195,15 +195,20 @@
 
     private fun answer(
         watch: Watch,
-        evenEmpty: Boolean,
+        evenIfEmpty: Boolean,
     ): Boolean {
         val events =
             changes.filter { it.stamp > watch.since && it.key.startsWith(watch.prefix) }.map {
                 val event = JsonObject().put("stamp", it.stamp)
                 if (it.value != null) event.put("put", it.key).put("value", it.value) else event.put("delete", it.key)
             }
-        if (events.isEmpty() && !evenEmpty) return false
+        if (events.isEmpty() && !evenIfEmpty) return false
         reply(watch.request, 200, JsonObject().put("ledger_rev", revision).put("events", JsonArray(events)))
         return true
     }
+
+    private companion object {
+        const val EXPIRY_CHECK_MS = 50L
+        const val DEFAULT_PAGE = 1000
+    }
 }
--- a/src/test/kotlin/lichenstage/standin/WorkerStandIn.kt
+++ b/src/test/kotlin/lichenstage/standin/WorkerStandIn.kt
@@ -4,32 +4,22 @@
 import io.vertx.core.http.HttpClient
 import io.vertx.core.http.HttpMethod
 import io.vertx.core.http.HttpServer
+import io.vertx.core.http.HttpServerRequest
 import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
+import lichenstage.cluster.TaskEndCause
 
 /**
- * A worker on loopback: reports every [reportMs] and half a second after a change, obeys orders under the highest token, and
- * runs tasks of [runMs].
+ * A worker on loopback: sends heartbeats regularly and soon after a change, executes orders under the highest fencing token, and runs
+ * tasks for a fixed time.
  */
-class WorkerStandIn(
+internal class WorkerStandIn(
     private val vertx: Vertx,
     private val name: String,
     val zone: String,
     private val port: Int,
-    private val controllers: Map<String, Int>,
-    private val leaseMs: Long,
-    private val runMs: Long,
-    private val reportMs: Long,
-    private val onStart: (task: String, machine: String) -> Unit,
-    private val onEnd: (task: String, machine: String) -> Unit,
-    /** A running task was stopped by command. */
-    private val onHalt: (task: String) -> Unit = {},
-    /** It never comes up. */
-    val cold: Boolean = false,
-    /** For how long an order with these starts is held, unanswered, before it is carried out; null where it is not. */
-    private val holdOrderMs: (tasks: List<String>) -> Long? = { null },
-    /** A held order comes to be carried out; its starts. */
-    private val onHeldOrder: (tasks: List<String>) -> Unit = {},
+    private val profile: WorkerProfile,
+    private val observer: WorkerObserver,
 ) {
     private class Task(
         var status: String,
@@ -38,7 +28,7 @@
 
     private var client: HttpClient = vertx.createHttpClient()
     private var server: HttpServer? = null
-    private val labels = controllers.keys.toList()
+    private val labels = profile.controllers.keys.toList()
     private var target = labels.first()
     private var fencingToken = 0L
     private var agentEpoch = 1L
@@ -46,49 +36,42 @@
     private var answeredMs = System.currentTimeMillis()
     private val tasks = LinkedHashMap<Pair<String, Long>, Task>()
     private var timer = 0L
-    private var beatMs = 0L
-    private var underWay = false
+    private var lastHeartbeatMs = 0L
+    private var isHeartbeatInFlight = false
 
-    /** How often its lease ran out, and when a report was last answered. */
+    /** How often its lease has expired, and when a heartbeat was last answered. */
     val expiries get() = agentEpoch - 1
     val lastAnsweredMs get() = answeredMs
-    val address = "127.0.0.1:$port"
+    val address = "$LOOPBACK:$port"
+    val neverBoots get() = profile.neverBoots
     var up = false
         private set
 
+    /** Boots the machine, unless it never comes up. */
     fun start() {
-        up = !cold
-        if (cold) return
-        vertx
-            .createHttpServer()
-            .requestHandler { request ->
-                request.bodyHandler { buffer ->
-                    val body = if (buffer.length() > 0) JsonObject(buffer) else JsonObject()
-                    val heldMs = starts(body).takeIf { request.path() == "/orders" && it.isNotEmpty() }?.let(holdOrderMs)
-                    if (heldMs == null) {
-                        val valid = isValid(body)
-                        if (request.path() == "/orders" && valid) obey(body)
-                        request
-                            .response()
-                            .setStatusCode(
-                                if (request.path() == "/orders" &&
-                                    !valid
-                                ) {
-                                    409
-                                } else {
-                                    200
-                                },
-                            ).end(heartbeat().toBuffer())
-                    } else {
-                        vertx.setTimer(heldMs) {
-                            onHeldOrder(starts(body))
-                            if (up && isValid(body)) obey(body)
-                        }
-                    }
-                }
-            }.listen(port, "127.0.0.1")
-            .onSuccess { server = it }
-        beat()
+        up = !neverBoots
+        if (neverBoots) return
+        vertx.serveJson(port, ::receive).onSuccess { server = it }
+        sendHeartbeat()
+    }
+
+    private fun receive(
+        request: HttpServerRequest,
+        body: JsonObject,
+    ) {
+        val isOrder = request.path() == "/orders"
+        val starts = starts(body)
+        val heldMs = if (isOrder && starts.isNotEmpty()) observer.holdOrderMs(starts) else null
+        if (heldMs != null) {
+            vertx.setTimer(heldMs) {
+                observer.heldOrderDue(starts)
+                if (up && isValid(body)) execute(body)
+            }
+            return
+        }
+        val isRefused = isOrder && !isValid(body)
+        if (isOrder && !isRefused) execute(body)
+        request.response().setStatusCode(if (isRefused) CONFLICT else OK).end(heartbeat().toBuffer())
     }
 
     private fun isValid(order: JsonObject) = (order.getLong("warrant") ?: 0) >= fencingToken && order.getLong("tenure") == agentEpoch
@@ -101,12 +84,12 @@
 
     fun stop() {
         up = false
-        forget()
+        clearTasks()
         server?.close()
     }
 
-    private fun forget() {
-        tasks.filterValues { it.status != "ended" }.keys.forEach { onEnd(it.first, name) }
+    private fun clearTasks() {
+        tasks.filterValues { it.status != "ended" }.keys.forEach { observer.ended(it.first, name) }
         tasks.clear()
     }
 
@@ -132,89 +115,90 @@
             .put("parts", JsonArray(rows))
     }
 
-    /** Drops the connection to its controller and reports at once over a new one, as after a restart of the network. */
+    /** Drops the connection to its controller and sends a heartbeat at once over a new one, as after a restart of the network. */
     fun reconnect() {
         client.close()
         client = vertx.createHttpClient()
-        underWay = false
-        beat()
+        isHeartbeatInFlight = false
+        sendHeartbeat()
     }
 
-    /** A change is reported sooner than the next report is due, but not more often than every half second. */
-    private fun changed() {
-        if (reportMs > CHANGE_MS) nextBeat(maxOf(1, beatMs + CHANGE_MS - System.currentTimeMillis()))
+    /** A change is reported before the next heartbeat is due, but not more often than every half second. */
+    private fun onChange() {
+        if (profile.heartbeatMs <= CHANGE_INTERVAL_MS) return
+        scheduleHeartbeat(maxOf(1, lastHeartbeatMs + CHANGE_INTERVAL_MS - System.currentTimeMillis()))
     }
 
-    private fun nextBeat(ms: Long) {
+    private fun scheduleHeartbeat(ms: Long) {
         vertx.cancelTimer(timer)
-        timer = vertx.setTimer(ms) { beat() }
+        timer = vertx.setTimer(ms) { sendHeartbeat() }
     }
 
-    private fun beat() {
-        if (!up || underWay) return
+    private fun sendHeartbeat() {
+        if (!up || isHeartbeatInFlight) return
         val sentMs = System.currentTimeMillis()
-        underWay = true
-        beatMs = sentMs
-        if (sentMs - answeredMs > leaseMs) {
-            forget()
+        isHeartbeatInFlight = true
+        lastHeartbeatMs = sentMs
+        if (sentMs - answeredMs > profile.leaseMs) {
+            clearTasks()
             agentEpoch++
             sequence = 0
             answeredMs = sentMs
         }
-        val forSession = agentEpoch
-        val over = client
+        val sentEpoch = agentEpoch
+        val sentBy = client
         client
-            .request(HttpMethod.POST, controllers.getValue(target), "127.0.0.1", "/agent/beat")
+            .request(HttpMethod.POST, profile.controllers.getValue(target), LOOPBACK, "/agent/beat")
             .compose { it.send(heartbeat().toBuffer()) }
             .compose { response -> response.body().map { response.statusCode() to it } }
             .onComplete { answer ->
-                // Of a connection that was dropped meanwhile nothing is heard.
-                if (over !== client) return@onComplete
-                underWay = false
+                // An answer over a connection that was dropped meanwhile is lost.
+                if (sentBy !== client) return@onComplete
+                isHeartbeatInFlight = false
                 val (status, body) = if (answer.succeeded()) answer.result() else (0 to null)
                 when {
-                    status == 200 && JsonObject(body).getLong("warrant") >= fencingToken && forSession == agentEpoch -> {
+                    status == OK && JsonObject(body).getLong("warrant") >= fencingToken && sentEpoch == agentEpoch -> {
                         answeredMs = sentMs
-                        obey(JsonObject(body))
-                        nextBeat(reportMs)
+                        execute(JsonObject(body))
+                        scheduleHeartbeat(profile.heartbeatMs)
                     }
 
-                    status == 421 && JsonObject(body).getString("steward") in controllers -> {
+                    status == MISDIRECTED && JsonObject(body).getString("steward") in profile.controllers -> {
                         target = JsonObject(body).getString("steward")
-                        nextBeat(50)
+                        scheduleHeartbeat(50)
                     }
 
                     else -> {
                         target = labels[(labels.indexOf(target) + 1) % labels.size]
-                        nextBeat(minOf(reportMs, 1000))
+                        scheduleHeartbeat(minOf(profile.heartbeatMs, 1000))
                     }
                 }
             }
     }
 
-    private fun obey(body: JsonObject) {
+    private fun execute(body: JsonObject) {
         fencingToken = body.getLong("warrant")
         for (row in body.getJsonArray("orders") ?: JsonArray()) {
             row as JsonObject
             val key = row.getString("part") to row.getLong("try")
             when (row.getString("verb")) {
-                "start" -> begin(key)
-                "stop" -> tasks[key]?.let { end(key, it, "halted") }
+                "start" -> startTask(key)
+                "stop" -> tasks[key]?.let { endTask(key, it, TaskEndCause.HALTED) }
                 "clear" -> if (tasks[key]?.status == "ended") tasks.remove(key)
             }
         }
     }
 
-    private fun begin(key: Pair<String, Long>) {
+    private fun startTask(key: Pair<String, Long>) {
         if (key in tasks) return
         val task = Task("running", null)
         tasks[key] = task
-        onStart(key.first, name)
-        changed()
-        vertx.setTimer(runMs) { if (tasks[key] === task) end(key, task, "done") }
+        observer.started(key.first, name)
+        onChange()
+        vertx.setTimer(profile.runMs) { if (tasks[key] === task) endTask(key, task, TaskEndCause.DONE) }
     }
 
-    private fun end(
+    private fun endTask(
         key: Pair<String, Long>,
         task: Task,
         cause: String,
@@ -222,12 +206,15 @@
         if (task.status == "ended") return
         task.status = "ended"
         task.cause = cause
-        onEnd(key.first, name)
-        if (cause == "halted") onHalt(key.first)
-        changed()
+        observer.ended(key.first, name)
+        if (cause == TaskEndCause.HALTED) observer.halted(key.first)
+        onChange()
     }
 
     private companion object {
-        const val CHANGE_MS = 500L
+        const val CHANGE_INTERVAL_MS = 500L
+        const val OK = 200
+        const val CONFLICT = 409
+        const val MISDIRECTED = 421
     }
 }
--- a/src/test/kotlin/lichenstage/world/ConcurrentFaultsTest.kt
+++ b/src/test/kotlin/lichenstage/world/ConcurrentFaultsTest.kt
@@ -200,8 +200,8 @@
         }
 
     /**
-     * Found on several hundred machines, where more of them change between two acknowledgements than one frame can tell of: the frame that
-     * alone told of a start was lost, a piece of the next one claimed that all of it had been told, and the task was started again.
+     * Found on several hundred machines, where more of them change between two acknowledgements than one frame carries: the frame that
+     * alone carried a start was lost, a partial frame after it claimed to be complete, and the task was started again.
      */
     @Example
     fun `frames that need several pieces are lost between controllers`() =
--- a/src/test/kotlin/lichenstage/world/RefusedLeaderTest.kt
+++ b/src/test/kotlin/lichenstage/world/RefusedLeaderTest.kt
@@ -61,7 +61,7 @@
             cancel("j-0", by)
             variant.besides(this, leads, by)
         }
-        // The frame that tells of the cancellation is lost: nothing may rest on it.
+        // The frame with the cancellation is lost: nothing may rest on it.
         world.script(40 * SECOND + 690 * MILLI) { (0..2).filter { it != leader }.forEach { disconnect(leader, it, 200 * MILLI) } }
         world.script(41 * SECOND) { outage(variant.outageUs) }
         world.run(120 * SECOND, 30 * SECOND)
--- a/src/test/kotlin/lichenstage/world/RuleChecker.kt
+++ b/src/test/kotlin/lichenstage/world/RuleChecker.kt
@@ -57,7 +57,7 @@
     var starts = 0
         private set
 
-    /** Starts of tasks that had been done already, and starts of jobs whose user was told that they are cancelled. */
+    /** Starts of tasks that had been done already, and starts of jobs whose cancellation had been confirmed. */
     var reruns = 0
     var startsAfterCancellation = 0
 
@@ -141,7 +141,7 @@
         }
     }
 
-    /** When a user was first told that a job that this one needs, directly or through others, is cancelled. */
+    /** When the cancellation of a dependency of this job, direct or indirect, was first confirmed to a user. */
     private fun cancelledBefore(job: SimulatedJob): Long? {
         val due = ArrayDeque(job.dependencies)
         val seen = HashSet<String>()
--- a/src/test/kotlin/lichenstage/world/SeedSweep.kt
+++ b/src/test/kotlin/lichenstage/world/SeedSweep.kt
@@ -22,12 +22,12 @@
 fun main(args: Array<String>) {
     val play =
         when (args[0]) {
-            "small" -> { seed -> played(seed, ClusterProfile()) }
-            "unkind" -> { seed -> played(seed, ClusterProfile.ADVERSE) }
+            "small" -> { seed -> simulated(seed, ClusterProfile()) }
+            "unkind" -> { seed -> simulated(seed, ClusterProfile.ADVERSE) }
             "late-orders" -> ::lateOrders
-            "large" -> { seed -> played(seed, ClusterProfile.LARGE) }
-            "4000" -> { seed -> played(seed, ClusterProfile.ofMachines(4_000)) }
-            "6000" -> { seed -> played(seed, ClusterProfile.ofMachines(6_000)) }
+            "large" -> { seed -> simulated(seed, ClusterProfile.LARGE) }
+            "4000" -> { seed -> simulated(seed, ClusterProfile.ofMachines(4_000)) }
+            "6000" -> { seed -> simulated(seed, ClusterProfile.ofMachines(6_000)) }
             else -> ::drained
         }
     val first = args[1].toLong()
@@ -58,13 +58,13 @@
             controllersWithoutFencing = setOf((seed % 3).toInt()),
         )
     return when (seed % 4) {
-        0L -> played(seed, mixed, LATE_ORDERS_CALM_US)
-        1L -> played(seed, ClusterProfile.LATE_ORDERS.copy(tokensReserved = 1), LATE_ORDERS_CALM_US)
-        else -> played(seed, ClusterProfile.LATE_ORDERS, LATE_ORDERS_CALM_US)
+        0L -> simulated(seed, mixed, LATE_ORDERS_CALM_US)
+        1L -> simulated(seed, ClusterProfile.LATE_ORDERS.copy(tokensReserved = 1), LATE_ORDERS_CALM_US)
+        else -> simulated(seed, ClusterProfile.LATE_ORDERS, LATE_ORDERS_CALM_US)
     }
 }
 
-private fun played(
+private fun simulated(
     seed: Long,
     profile: ClusterProfile,
     calmUs: Long = CALM_US,
--- a/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
@@ -116,7 +116,7 @@
         checker.polled(job, if (controller.reachesState) answerOf(controller, job) else null, context.now)
     }
 
-    /** What the user API says of the job; null where it tells the user to come again. */
+    /** The answer of the user API about the job; null where it asks the user to retry. */
     private fun answerOf(
         controller: SimulatedController,
         job: SimulatedJob,
