--- a/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
@@ -13,7 +13,6 @@
     val hasUnaccountedTasks: Boolean,
 ) {
     companion object {
-
         /** Compares a machine's task list with the jobs. */
         fun of(
             machine: MachineState,
