--- a/src/main/kotlin/lichenstage/app/WarmUp.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUp.kt
@@ -105,26 +105,30 @@
       "cloud":{"rps":4,"list_lag_s":4}}}
     """
 
+/** A leader whose frames are encoded, decoded and added to [sent]. */
+private fun warmUpLeader(
+    resources: Resources,
+    sent: MutableList<PlacementFrame>,
+) = LeaderCore(
+    LeaderTerm(1, 1),
+    LeaderSettings(
+        PartitionAssignment(listOf("z"), emptyMap()),
+        mapOf("t" to Team("t", 0.0, 99.0, 0.0, 99.0)),
+        SECOND,
+        PlacementSettings(),
+        ServiceObjectives(emptyList()),
+        transactionOperations = 10,
+    ),
+    LeaderLookups({ resources }),
+) {
+    if (it is LeaderEffect.SendFrame) sent += FrameCodec.decode(FrameCodec.encode(it.frame)) as PlacementFrame
+}
+
 /** Has the decisions of a leader and a partition run once, with their frames, so that their classes are in the archive too. */
 private fun decide() {
     val resources = Resources(1.0, 0.0, 1.0)
-    val team = Team("t", 0.0, 99.0, 0.0, 99.0)
     val sent = ArrayList<PlacementFrame>()
-    val leader =
-        LeaderCore(
-            LeaderTerm(1, 1),
-            LeaderSettings(
-                PartitionAssignment(listOf("z"), emptyMap()),
-                mapOf("t" to team),
-                SECOND,
-                PlacementSettings(),
-                ServiceObjectives(emptyList()),
-                transactionOperations = 10,
-            ),
-            LeaderLookups({ resources }),
-        ) {
-            if (it is LeaderEffect.SendFrame) sent += FrameCodec.decode(FrameCodec.encode(it.frame)) as PlacementFrame
-        }
+    val leader = warmUpLeader(resources, sent)
     val spec =
         JobSpec("j-1", "c", "t", Priority.HIGH, 1, resources, null, null, false, false, true, "i", 1.0, SECOND, 0, 0, null, 0)
     leader.jobAdded(Job(JobRecordCodec.decode(JobRecordCodec.encode(spec)), 1, 0))
--- a/src/main/kotlin/lichenstage/drain/DrainDriver.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainDriver.kt
@@ -13,6 +13,7 @@
 import lichenstage.state.ScanResult
 import lichenstage.state.SingleWriterKeys
 import lichenstage.state.TransactionResult
+import lichenstage.state.UnreadableRecord
 import org.slf4j.LoggerFactory
 import java.time.Instant
 import java.time.ZoneOffset
--- a/src/main/kotlin/lichenstage/drain/DrainOperations.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainOperations.kt
@@ -11,6 +11,7 @@
 import lichenstage.state.ReadResult
 import lichenstage.state.ScanResult
 import lichenstage.state.TransactionResult
+import lichenstage.state.UnreadableRecord
 
 /** Which of the recorded machines are meant; a field that is null does not choose. */
 data class DrainSelection(
--- a/src/main/kotlin/lichenstage/drain/DrainRecords.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainRecords.kt
@@ -5,12 +5,7 @@
 import kotlinx.collections.immutable.toPersistentMap
 import lichenstage.state.Change
 import lichenstage.state.Entry
-
-/** A record that can't be read, or is of a later form than this program knows. */
-class UnreadableRecord(
-    key: String,
-    cause: Exception,
-) : Exception("$key: ${cause.message}", cause)
+import lichenstage.state.UnreadableRecord
 
 /**
  * The records of drains in the state service. Versions that do not know the prefix leave it alone.
--- a/src/main/kotlin/lichenstage/model/RegisteredMachine.kt
+++ b/src/main/kotlin/lichenstage/model/RegisteredMachine.kt
@@ -2,6 +2,7 @@
 
 import io.vertx.core.json.JsonArray
 import io.vertx.core.json.JsonObject
+import lichenstage.common.JsonDecodingException
 
 /**
  * A machine as the state service records it.
@@ -42,9 +43,23 @@
             ),
         )
 
-    /** The machines on a page. */
-    fun decode(value: JsonObject): List<RegisteredMachine> =
-        value.getJsonArray(MACHINES).map { it as JsonArray }.map {
-            RegisteredMachine(it.getString(0), it.getString(1), it.getString(2), it.getBoolean(3), it.getString(4))
-        }
+    /** The machines on a page. Throws [JsonDecodingException] at the first one that can't be read. */
+    fun decode(value: JsonObject): List<RegisteredMachine> {
+        val rows = value.getValue(MACHINES) as? JsonArray ?: throw JsonDecodingException(MACHINES, "a list")
+        return rows.mapIndexed { index, row -> machine(row as? JsonArray, "$MACHINES[$index]") }
+    }
+
+    private fun machine(
+        row: JsonArray?,
+        field: String,
+    ): RegisteredMachine {
+        if (row == null || row.size() < FIELDS || row.any { it == null }) throw JsonDecodingException(field, MACHINE_FORM)
+        val spot = row.getValue(SPOT) as? Boolean ?: throw JsonDecodingException(field, MACHINE_FORM)
+        return RegisteredMachine(row.getString(0), row.getString(1), row.getString(2), spot, row.getString(ADDRESS))
+    }
+
+    private const val MACHINE_FORM = "a list of name, type, zone, whether it is a spot instance, and address"
+    private const val FIELDS = 5
+    private const val SPOT = 3
+    private const val ADDRESS = 4
 }
--- a/src/main/kotlin/lichenstage/placement/Registry.kt
+++ b/src/main/kotlin/lichenstage/placement/Registry.kt
@@ -1,9 +1,11 @@
 package lichenstage.placement
 
+import lichenstage.common.JsonDecodingException
 import lichenstage.model.MachineRecordCodec
 import lichenstage.model.RegisteredMachine
 import lichenstage.state.Change
 import lichenstage.state.Entry
+import lichenstage.state.UnreadableRecord
 
 /** One key of the registry as it is to be written; without machines it is deleted. */
 data class RegistryPage(
@@ -33,9 +35,9 @@
     /** The machine is recorded, or due to be. */
     operator fun contains(name: String) = pageOf.containsKey(name)
 
-    /** Loads a page that an earlier leader wrote. */
+    /** Loads a page that an earlier leader wrote; throws [UnreadableRecord]. */
     fun load(entry: Entry): List<RegisteredMachine> {
-        val machines = MachineRecordCodec.decode(entry.value)
+        val machines = decode(entry)
         val page = LinkedHashMap<String, RegisteredMachine>()
         pages[entry.key] = page
         for (machine in machines) {
@@ -45,6 +47,13 @@
         return machines
     }
 
+    private fun decode(entry: Entry) =
+        try {
+            MachineRecordCodec.decode(entry.value)
+        } catch (e: JsonDecodingException) {
+            throw UnreadableRecord(entry.key, e)
+        }
+
     /**
      * To be called once all is loaded: pages that were written under a larger limit are split. What is on them stays readable, but could
      * not be written again. An earlier version reads the pages as well as the one that they were.
--- a/src/test/kotlin/lichenstage/drain/DrainRecordsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainRecordsTest.kt
@@ -4,6 +4,7 @@
 import kotlinx.collections.immutable.toPersistentMap
 import lichenstage.state.Change
 import lichenstage.state.Entry
+import lichenstage.state.UnreadableRecord
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
--- a/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
@@ -15,7 +15,7 @@
 /** What the leader alone must keep. */
 class LeaderCoreTest : LeaderFixture() {
     @Example
-    fun `older jobs wait until every registered machine is accounted for, fresh ones do not`() {
+    fun `when a registered machine is not accounted for then older jobs wait and those of this term do not`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1", "m2"))
         leader.jobAdded(job("j-1", createRevision = 50))
@@ -28,7 +28,7 @@
     }
 
     @Example
-    fun `while a machine is unheard it counts at its full size against a limited team`() {
+    fun `while a machine is not accounted for it counts at its full size against a limited team`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1", "m2"))
         leader.jobAdded(job("j-2", createRevision = 101))
@@ -38,7 +38,7 @@
     }
 
     @Example
-    fun `an unheard machine is accounted for by its lease, and blocks only so long`() {
+    fun `a machine without heartbeats is accounted for once its lease has expired, and delays the failover until then`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.jobAdded(job("j-1"))
@@ -51,7 +51,7 @@
     }
 
     @Example
-    fun `a machine that was answered but has not shown the token is not accounted for by time`() {
+    fun `a machine that was answered but has not shown the fencing token is not accounted for by time`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.jobAdded(job("j-1"))
@@ -73,7 +73,7 @@
     }
 
     @Example
-    fun `only a machine that has shown the token is recorded, and one that was returned never again`() {
+    fun `only a machine that has shown the fencing token is to be recorded, and one that was terminated never again`() {
         val leader = leader()
         leader.partitionFrameReceived(partition("z", 0, view("m1"), view("m2", tokenConfirmed = false), view("m3")), SECOND)
         leader.machineTerminated("m3")
@@ -82,7 +82,7 @@
     }
 
     @Example
-    fun `tasks of a machine that was returned are not taken for those that run elsewhere`() {
+    fun `attempts on a terminated machine do not count in place of those that run elsewhere`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.jobAdded(job("j-1"))
@@ -102,7 +102,7 @@
 
     /** Found by an own day of concurrent faults: a machine was given back a second before the leader ended, and was still in the record. */
     @Example
-    fun `of two tries of a task the newer is the real one, in whatever order they come to light`() {
+    fun `when two attempts of a task are listed then the newer counts, in whatever order they are found`() {
         for (newerFirst in listOf(false, true)) {
             effects.clear()
             val leader = leader()
@@ -128,7 +128,7 @@
     }
 
     @Example
-    fun `a late copy that names a machine without record keeps nobody waiting`() {
+    fun `a late frame that names a machine without record does not delay the failover`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.jobAdded(job("j-1"))
@@ -137,7 +137,7 @@
     }
 
     @Example
-    fun `tasks found running are adopted and not started again`() {
+    fun `tasks that are found running are tracked and not started again`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.jobAdded(job("j-1"))
@@ -158,7 +158,7 @@
 
     /** Counted, not timed: [looks] are questions for a machine's size, of which whoever goes through all machines asks one each. */
     @Example
-    fun `a frame costs by what it tells, also while hundreds of machines are taken over`() {
+    fun `the cost of a frame depends on what it changes, also during a failover of hundreds of machines`() {
         for (machines in listOf(400, 1600)) {
             var looks = 0
             val leader =
@@ -187,16 +187,4 @@
             assertEquals(before, looks) { "${looks - before} looks at $machines machines for 20 frames of one" }
         }
     }
-
-    @Example
-    fun `a guarantee covers the earliest jobs that fit into it together`() {
-        val serviceObjectives = ServiceObjectives(listOf(Objective(ObjectiveKind.GUARANTEE, null, 5 * SECOND)))
-        val team = mapOf("red" to Team("red", 12.0, 99.0, 0.0, 9.0))
-        val jobs = listOf(Job(spec("j-1"), 1, 30), Job(spec("j-2"), 2, 10), Job(spec("j-3"), 3, 20))
-        val within = serviceObjectives.guaranteed(jobs, team).map { it.spec.id }
-        assertEquals(listOf("j-2"), within) { "8 of 12 cores are j-2's, with j-3 it would be 16: $within" }
-        assertEquals(10 + 5 * SECOND, serviceObjectives.startObjectives(jobs[1], SECOND, 0, guaranteed = true).first().startByUs) {
-            "no promise of it"
-        }
-    }
 }
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -15,7 +15,7 @@
 class LeaderRequestsTest : LeaderFixture() {
     /** The order goes out with the next frame, the progress counts once the task is seen stopped, and the task is queued again. */
     @Example
-    fun `tasks with checkpoints on a machine with a notice are ordered to save, and go on elsewhere`() {
+    fun `when a machine has a spot notice then its tasks with checkpoints are ordered to save, and go on elsewhere`() {
         val spec =
             spec("j-1", tasks = 1).copy(
                 estimatedRunTimeUs = 100 * SECOND,
@@ -48,7 +48,7 @@
     }
 
     @Example
-    fun `a start is given up only when its part has seen it and does not list it`() {
+    fun `a start is dropped only when its partition has received it and does not list it`() {
         val leader = placed()
         val seq = sent("z").last { it.starts.isNotEmpty() }.seq
         leader.partitionFrameReceived(partition("z", seq - 1, view("m1")), 2 * SECOND)
@@ -67,7 +67,7 @@
 
     /** A version before this one says in pieces what it told in whole frames that were lost. */
     @Example
-    fun `a piece of a frame gives up no start, whatever it claims`() {
+    fun `a piece of a frame ends no attempt, whatever it claims`() {
         val leader = placed()
         val seq = sent("z").last { it.starts.isNotEmpty() }.seq
         leader.partitionFrameReceived(partition("z", seq, view("m2"), whole = false), 2 * SECOND)
@@ -79,7 +79,7 @@
     }
 
     @Example
-    fun `a start refused for another attempt on the machine leaves the task to that one, in whatever order they are listed`() {
+    fun `when a start is refused for another attempt on the machine then that one counts, in whatever order they are listed`() {
         for (refusedFirst in listOf(true, false)) {
             effects.clear()
             val job = job("j-1", tasks = 1)
@@ -105,7 +105,7 @@
     }
 
     @Example
-    fun `a task on a machine that is recorded only later is taken up then`() {
+    fun `a task on a machine that is recorded only later is tracked from then on`() {
         val leader = leader()
         leader.jobAdded(job("j-1", tasks = 1))
         leader.partitionFrameReceived(partition("z", 0, view("m1", TaskState("j-1/0", 9, TaskPhase.RUNNING))), SECOND)
@@ -115,7 +115,7 @@
     }
 
     @Example
-    fun `under a new owner nothing is given up before the worker has shown the new token`() {
+    fun `under a new owner no attempt ends before the worker has shown the new fencing token`() {
         val leader = placed()
         leader.partitionFrameReceived(partition("z", 0, view("m1", tokenConfirmed = false), term = 4), 3 * SECOND)
         assertEquals(2, leader.machines.attemptsOn("m1").size) { "given up too early" }
@@ -133,7 +133,7 @@
     }
 
     @Example
-    fun `done is written before it is cleared, and the job is over only with the record`() {
+    fun `a done task is recorded before it is cleared, and the job is closed only with its record`() {
         val leader = placed()
         val ended = starts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.ENDED, "done") }
         val seq = sent("z").last().seq
@@ -148,7 +148,7 @@
     }
 
     @Example
-    fun `what runs of a cancelled job is stopped and stays counted until it is gone`() {
+    fun `attempts of a cancelled job are stopped and count until they have ended`() {
         val leader = placed()
         val running = starts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.RUNNING) }.toTypedArray()
         leader.partitionFrameReceived(partition("z", sent("z").last().seq, view("m1", *running)), 2 * SECOND)
@@ -173,7 +173,7 @@
     }
 
     @Example
-    fun `a job that waits for others asks for nothing and holds nothing until all of them are recorded as done`() {
+    fun `a job with open dependencies requests nothing and counts for no limit until all of them are recorded as done`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         val waiting = Job(spec("j-2").copy(dependencies = listOf("j-1")), 101, 0)
--- a/src/test/kotlin/lichenstage/placement/RegistryTest.kt
+++ b/src/test/kotlin/lichenstage/placement/RegistryTest.kt
@@ -1,12 +1,17 @@
 package lichenstage.placement
 
+import io.vertx.core.json.JsonArray
+import io.vertx.core.json.JsonObject
 import lichenstage.model.MachineRecordCodec
 import lichenstage.model.RegisteredMachine
 import lichenstage.state.Change
 import lichenstage.state.Entry
+import lichenstage.state.UnreadableRecord
+import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
 import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
 
 class RegistryTest {
@@ -91,4 +96,22 @@
         assertEquals(there.map(::machine).toSet(), read.toSet()) { "$read, not $there" }
         assertTrue(changes <= steps.size + 30) { "$changes changes for ${steps.size} steps" }
     }
+
+    @Example
+    fun `when a page can't be read then the error names its key and the machine on it`() {
+        val readable =
+            JsonArray()
+                .add("m1")
+                .add("type")
+                .add("zone")
+                .add(true)
+                .add("10.0.0.1:1")
+        for (broken in listOf(JsonArray().add("m2"), JsonArray(readable.list).copy().set(3, "yes"), "m2")) {
+            val entry = Entry("m/4", JsonObject().put("machines", JsonArray().add(readable).add(broken)), 1)
+            val error = assertThrows(UnreadableRecord::class.java) { Registry(8192).load(entry) }
+            assertTrue(error.message!!.startsWith("m/4: field 'machines[1]' must be a list of name, type, zone")) { "${error.message}" }
+        }
+        val none = assertThrows(UnreadableRecord::class.java) { Registry(8192).load(Entry("m/0", JsonObject(), 1)) }
+        assertEquals("m/0: field 'machines' must be a list", none.message)
+    }
 }
--- a/src/test/kotlin/lichenstage/placement/ServiceObjectivesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ServiceObjectivesTest.kt
@@ -3,7 +3,9 @@
 import lichenstage.common.SECOND
 import lichenstage.config.Objective
 import lichenstage.config.ObjectiveKind
+import lichenstage.config.Team
 import lichenstage.model.Priority
+import lichenstage.model.Resources
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -62,4 +64,18 @@
         assertFalse(serviceObjectives.startsWithin("c", 15 * SECOND))
         assertFalse(serviceObjectives.startsWithin("other", Long.MAX_VALUE))
     }
+
+    private fun fourCoreSpec(number: Int) = oneCoreSpec(number, "c", Priority.HIGH, 2).copy(resources = Resources(4.0, 0.0, 1.0))
+
+    @Example
+    fun `a guarantee applies to the earliest jobs that fit into it together`() {
+        val serviceObjectives = ServiceObjectives(listOf(Objective(ObjectiveKind.GUARANTEE, null, 5 * SECOND)))
+        val team = mapOf("red" to Team("red", 12.0, 99.0, 0.0, 9.0))
+        val jobs = listOf(Job(fourCoreSpec(1), 1, 30), Job(fourCoreSpec(2), 2, 10), Job(fourCoreSpec(3), 3, 20))
+        val within = serviceObjectives.guaranteed(jobs, team).map { it.spec.id }
+        assertEquals(listOf("j-2"), within) { "8 of 12 cores are j-2's, with j-3 it would be 16: $within" }
+        assertEquals(10 + 5 * SECOND, serviceObjectives.startObjectives(jobs[1], SECOND, 0, guaranteed = true).first().startByUs) {
+            "no promise of it"
+        }
+    }
 }
