--- a/src/main/kotlin/lichenstage/drain/DrainDriver.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainDriver.kt
@@ -8,59 +8,14 @@
 import lichenstage.common.SECOND
 import lichenstage.state.Change
 import lichenstage.state.Entry
-import lichenstage.state.KeyValueStore
 import lichenstage.state.Precondition
 import lichenstage.state.ScanResult
-import lichenstage.state.SingleWriterKeys
 import lichenstage.state.TransactionResult
 import lichenstage.state.UnreadableRecord
 import org.slf4j.LoggerFactory
 import java.time.Instant
 import java.time.ZoneOffset
 
-/** Results of what [DrainDriver] has started. */
-sealed interface DrainMessage {
-    /** All records of drains; [entries] is null where the state service did not answer. */
-    data class RecordsRead(
-        val entries: List<Entry>?,
-    ) : DrainMessage
-
-    /** The state of the last step is recorded, or not. */
-    data class StateRecorded(
-        val written: Map<String, JsonObject>,
-        val ok: Boolean,
-    ) : DrainMessage
-
-    /** The record of a drain was changed, or not. */
-    data class StatusChanged(
-        val drain: String,
-        val ok: Boolean,
-    ) : DrainMessage
-}
-
-/** Carries out the actions of drains for the leader. */
-interface DrainActionHandler {
-    /** Stops these tasks gracefully: with time to save a checkpoint where they can. */
-    fun evict(tasks: List<RunningTask>)
-
-    /** Provisions a machine like the one that [key] names; [DrainDriver.replacementProvisioned] is called with its name. */
-    fun provisionReplacement(key: DrainKey)
-
-    /** Terminates a machine on which no task is left. */
-    fun terminate(machine: String)
-}
-
-/** How the driver reads and writes the records of drains: [scan] reads all keys with a prefix. */
-class DrainRecordAccess(
-    val codec: DrainRecords,
-    val store: KeyValueStore,
-    val owned: SingleWriterKeys,
-    /** The revision of the leadership's key: nothing is written but under it. */
-    val leaderGuard: List<Precondition>,
-    val txnOps: Int,
-    val scan: suspend (String) -> ScanResult,
-)
-
 /** Advances drains during one term of leadership: reads what operators requested, records each step, and has it carried out. */
 class DrainDriver(
     private val policy: DrainPolicy,
--- a/src/main/kotlin/lichenstage/drain/DrainReport.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainReport.kt
@@ -47,7 +47,8 @@
         val lines = ArrayList<String>()
         val why = drain.reason?.let { " ($it)" }.orEmpty()
         lines +=
-            "${drain.name}: ${drain.status.name.lowercase()}$why, at most ${drain.maxConcurrent} at once${if (drain.replace) ", replaced" else ""}"
+            "${drain.name}: ${drain.status.name.lowercase()}$why, at most ${drain.maxConcurrent} at once" +
+            if (drain.replace) ", replaced" else ""
         drain.deadlineUs?.let { lines += "  deadline ${time(it)}${if (isLate) ": it can't be kept" else ""}" }
         lines += "  " + stages.entries.joinToString { "${it.value} ${it.key.name.lowercase()}" }
         for (machine in inProgress) {
--- a/src/main/kotlin/lichenstage/jobs/CompletedTaskRanges.kt
+++ b/src/main/kotlin/lichenstage/jobs/CompletedTaskRanges.kt
@@ -10,13 +10,13 @@
  */
 object CompletedTaskRanges {
     /** A bitmap of this many tasks takes 2,732 characters. */
-    const val CHUNK = 16_384
+    const val TASKS_PER_CHUNK = 16_384
 
     /** What a value takes beside the text. */
-    private const val FORM_BYTES = 16
+    private const val FIELD_BYTES = 16
 
     /** How many chunks a job of so many tasks has. */
-    fun chunks(tasks: Int) = (tasks + CHUNK - 1) / CHUNK
+    fun chunks(tasks: Int) = (tasks + TASKS_PER_CHUNK - 1) / TASKS_PER_CHUNK
 
     /** The key of a chunk. */
     fun key(
@@ -29,42 +29,42 @@
         done: BitSet,
         chunk: Int,
     ): JsonObject {
-        val partition = done.get(chunk * CHUNK, (chunk + 1) * CHUNK)
-        val ranges = ranges(partition)
-        val bitmap = Base64.getEncoder().encodeToString(partition.toByteArray())
+        val chunkTasks = done.get(chunk * TASKS_PER_CHUNK, (chunk + 1) * TASKS_PER_CHUNK)
+        val ranges = ranges(chunkTasks)
+        val bitmap = Base64.getEncoder().encodeToString(chunkTasks.toByteArray())
         return if (ranges.length <= bitmap.length) JsonObject().put("ranges", ranges) else JsonObject().put("bits", bitmap)
     }
 
     /**
-     * As much of the done tasks of [chunk] as a value of [mostBytes] holds, the first of them: a chunk is sized for larger values than
+     * As much of the done tasks of [chunk] as a value of [maxBytes] holds, the first of them: a chunk is sized for larger values than
      * the state service may take one day. What is left out is told by its worker until a later record holds it.
      */
-    fun fitting(
+    fun truncateToFit(
         done: BitSet,
         chunk: Int,
-        mostBytes: Int,
+        maxBytes: Int,
     ): BitSet {
-        val partition = done.get(chunk * CHUNK, (chunk + 1) * CHUNK)
-        val room = mostBytes - FORM_BYTES
-        if (minOf(ranges(partition).length, (partition.length() + 7) / 8 * 4 / 3 + 4) <= room) return partition
-        val asBits = partition.get(0, room * 3 / 4 / 3 * 3 * 8)
-        val asRanges = firstRanges(partition, room)
+        val chunkTasks = done.get(chunk * TASKS_PER_CHUNK, (chunk + 1) * TASKS_PER_CHUNK)
+        val room = maxBytes - FIELD_BYTES
+        if (minOf(ranges(chunkTasks).length, (chunkTasks.length() + 7) / 8 * 4 / 3 + 4) <= room) return chunkTasks
+        val asBits = chunkTasks.get(0, room * 3 / 4 / 3 * 3 * 8)
+        val asRanges = firstRanges(chunkTasks, room)
         return if (asBits.cardinality() >= asRanges.cardinality()) asBits else asRanges
     }
 
     private fun firstRanges(
-        partition: BitSet,
+        chunkTasks: BitSet,
         room: Int,
     ): BitSet {
         val first = BitSet()
         var left = room
-        var from = partition.nextSetBit(0)
+        var from = chunkTasks.nextSetBit(0)
         while (from >= 0) {
-            val end = partition.nextClearBit(from)
+            val end = chunkTasks.nextClearBit(from)
             left -= "$from-${end - 1},".length
             if (left < 0) break
             first.set(from, end)
-            from = partition.nextSetBit(end)
+            from = chunkTasks.nextSetBit(end)
         }
         return first
     }
@@ -75,14 +75,14 @@
         chunk: Int,
         done: BitSet,
     ) {
-        val base = chunk * CHUNK
+        val base = chunk * TASKS_PER_CHUNK
         val bits = value.getString("bits")
         if (bits != null) {
-            val partition = BitSet.valueOf(Base64.getDecoder().decode(bits))
-            var i = partition.nextSetBit(0)
+            val chunkTasks = BitSet.valueOf(Base64.getDecoder().decode(bits))
+            var i = chunkTasks.nextSetBit(0)
             while (i >= 0) {
                 done.set(base + i)
-                i = partition.nextSetBit(i + 1)
+                i = chunkTasks.nextSetBit(i + 1)
             }
             return
         }
@@ -93,15 +93,15 @@
         }
     }
 
-    private fun ranges(partition: BitSet): String {
+    private fun ranges(chunkTasks: BitSet): String {
         val text = StringBuilder()
-        var from = partition.nextSetBit(0)
+        var from = chunkTasks.nextSetBit(0)
         while (from >= 0) {
-            val end = partition.nextClearBit(from)
+            val end = chunkTasks.nextClearBit(from)
             if (text.isNotEmpty()) text.append(',')
             text.append(from)
             if (end - 1 > from) text.append('-').append(end - 1)
-            from = partition.nextSetBit(end)
+            from = chunkTasks.nextSetBit(end)
         }
         return text.toString()
     }
--- a/src/main/kotlin/lichenstage/jobs/JobCompletions.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobCompletions.kt
@@ -12,8 +12,8 @@
     fun confirmedOpenUs(job: String): Long?
 
     /**
-     * How stale the knowledge of ends may be, in microseconds: how long after a user may have seen a job's end an answer may still renew the lease of a worker that may run its tasks: the
-     * lease then ends before the cancellation has had its time.
+     * How stale the knowledge of ends may be, in microseconds: for so long after a user may have seen a job's end an answer may still
+     * renew the lease of a worker that may run its tasks. The lease then ends before the cancellation has had its time.
      */
     val maxStalenessUs: Long
 
--- a/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
@@ -100,13 +100,13 @@
 
         fun whole(
             field: String,
-            least: Int,
-            most: Int,
+            min: Int,
+            max: Int,
         ): Int {
             val value = json.getValue(field) as? Number
             val whole = value?.toDouble()
-            if (whole == null || whole != Math.rint(whole) || whole < least || whole > most) {
-                throw InvalidSubmission(field, "a whole number from $least to $most is needed")
+            if (whole == null || whole != Math.rint(whole) || whole < min || whole > max) {
+                throw InvalidSubmission(field, "a whole number from $min to $max is needed")
             }
             return whole.toInt()
         }
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -84,13 +84,13 @@
         chunk: Int,
         recordedTasks: BitSet,
     ): Boolean {
-        val fitting = CompletedTaskRanges.fitting(job.done, chunk, valueBytes)
-        val durable = job.durable.get(chunk * CompletedTaskRanges.CHUNK, (chunk + 1) * CompletedTaskRanges.CHUNK)
+        val fitting = CompletedTaskRanges.truncateToFit(job.done, chunk, valueBytes)
+        val durable = job.durable.get(chunk * CompletedTaskRanges.TASKS_PER_CHUNK, (chunk + 1) * CompletedTaskRanges.TASKS_PER_CHUNK)
         val lost = (durable.clone() as BitSet).apply { andNot(fitting) }
         if (!lost.isEmpty || fitting == durable) return false
         var next = fitting.nextSetBit(0)
         while (next >= 0) {
-            recordedTasks.set(chunk * CompletedTaskRanges.CHUNK + next)
+            recordedTasks.set(chunk * CompletedTaskRanges.TASKS_PER_CHUNK + next)
             next = fitting.nextSetBit(next + 1)
         }
         return true
@@ -99,8 +99,8 @@
     private fun changedChunks(job: Job): List<Int> {
         val unrecordedTasks = (job.done.clone() as BitSet).apply { andNot(job.durable) }
         return (0 until CompletedTaskRanges.chunks(job.spec.tasks)).filter {
-            val next = unrecordedTasks.nextSetBit(it * CompletedTaskRanges.CHUNK)
-            next >= 0 && next < (it + 1) * CompletedTaskRanges.CHUNK
+            val next = unrecordedTasks.nextSetBit(it * CompletedTaskRanges.TASKS_PER_CHUNK)
+            next >= 0 && next < (it + 1) * CompletedTaskRanges.TASKS_PER_CHUNK
         }
     }
 
--- a/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
@@ -51,8 +51,8 @@
     ) {
         val random = java.util.Random(seed)
         val done = BitSet()
-        for (i in 0 until CompletedTaskRanges.CHUNK) if (random.nextInt(100) < percent) done.set(i)
-        val fitting = CompletedTaskRanges.fitting(done, 0, 2048)
+        for (i in 0 until CompletedTaskRanges.TASKS_PER_CHUNK) if (random.nextInt(100) < percent) done.set(i)
+        val fitting = CompletedTaskRanges.truncateToFit(done, 0, 2048)
         val text = CompletedTaskRanges.encode(fitting, 0).encode()
         assertTrue(text.length <= 2048) { "$percent percent take ${text.length}" }
         val read = BitSet().also { CompletedTaskRanges.decode(JsonObject(text), 0, it) }
