--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -3,28 +3,14 @@
 import io.vertx.core.Vertx
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
-import kotlinx.coroutines.isActive
 import kotlinx.coroutines.launch
 import lichenstage.authority.Authority
 import lichenstage.authority.OwnershipView
 import lichenstage.cloud.CloudClient
 import lichenstage.cloud.MachineCatalog
-import lichenstage.cluster.CompletionSyncReply
-import lichenstage.cluster.CompletionSyncRequest
-import lichenstage.cluster.ForwardedReply
-import lichenstage.cluster.ForwardedRequest
-import lichenstage.cluster.Frame
-import lichenstage.cluster.Hello
-import lichenstage.cluster.JobsEnded
-import lichenstage.cluster.MoratoriumGrant
-import lichenstage.cluster.MoratoriumRequest
 import lichenstage.cluster.PartitionFrame
 import lichenstage.cluster.PeerLinks
-import lichenstage.cluster.Ping
-import lichenstage.cluster.PlacementFrame
-import lichenstage.cluster.RelayedFrame
 import lichenstage.cluster.RequestForwarder
-import lichenstage.cluster.TaskCounts
 import lichenstage.common.Clock
 import lichenstage.common.ConnectionBudget
 import lichenstage.common.Metrics
@@ -38,7 +24,6 @@
 import lichenstage.jobs.JobReplica
 import lichenstage.jobs.JobReplicaSync
 import lichenstage.jobs.JobsActor
-import lichenstage.jobs.JobsMessage
 import lichenstage.jobs.OpenJobs
 import lichenstage.jobs.PeerChannel
 import lichenstage.jobs.PeerFallback
@@ -46,7 +31,6 @@
 import lichenstage.partition.OrderJournal
 import lichenstage.partition.OwnedPartitions
 import lichenstage.partition.PartitionActor
-import lichenstage.partition.PartitionMessage
 import lichenstage.partition.WorkerClient
 import lichenstage.placement.LeaderActor
 import lichenstage.placement.LeaderMessage
@@ -56,7 +40,7 @@
 import lichenstage.state.KeyValueStoreClient
 import org.slf4j.LoggerFactory
 
-/** Wires the actors of one process together. */
+/** One controller process: creates its actors and clients and connects them. */
 class Controller(
     vertx: Vertx,
     private val settings: Settings,
@@ -87,7 +71,7 @@
             authority::isStateServiceAvailable,
             metrics.counter("frames"),
             metrics.counter("frame_bytes"),
-            ::received,
+            { from, frame -> router.onFrame(from, frame) },
         )
     private val forwarder = RequestForwarder({ links.healthyPeer() }) { to, frame -> links.send(to, frame) }
     private val others = settings.peers.map { it.label }
@@ -133,14 +117,26 @@
             authority,
             ::toLeader,
         )
+    private val router = FrameRouter(authority, partition, jobs, replicaSync, forwarder, links::send) { leader }
     private val api = HttpApi(vertx, settings.listen, jobs, partition, metrics, clock, connectionBudget, ::isHealthy)
     private var leader: LeaderActor? = null
 
     /** Starts serving, and takes part in the cluster from now on. */
     fun start() {
         if (settings.count != controllers) {
-            log.error("settings.count is {}, but with this one seeds name {} controllers", settings.count, controllers)
+            log.error("Number of controllers differs from the seeds count={} controllers={}", settings.count, controllers)
         }
+        registerGauges()
+        links.start()
+        authority.start()
+        catalog.start()
+        replicaSync.start()
+        scope.launch { serveOnceReady() }
+        if (log.isDebugEnabled) scope.launch { logMetrics() }
+        scope.launch { returnPartitions() }
+    }
+
+    private fun registerGauges() {
         metrics.gauge("leading") { if (leader != null) 1 else 0 }
         metrics.gauge("open_jobs") { leader?.openJobs ?: 0 }
         metrics.gauge("machines") { partition.machineCount }
@@ -148,54 +144,50 @@
         metrics.gauge("oldest_unanswered_start_s") { partition.oldestIndeterminateStartUs?.let { (clock.now() - it) / SECOND } ?: 0 }
         metrics.gauge("served_connections") { connectionBudget.servedConnections }
         metrics.gauge("heap_bytes") { Runtime.getRuntime().let { it.totalMemory() - it.freeMemory() } }
-        links.start()
-        authority.start()
-        catalog.start()
-        replicaSync.start()
-        scope.launch { serveOnceReady() }
-        if (log.isDebugEnabled) scope.launch { describe() }
-        scope.launch {
-            while (isActive) {
-                delay(HAND_BACK_MS)
-                for (partition in settings.assignment.partitions) {
-                    val home = settings.assignment.home(partition)
-                    if (home != null && home != settings.label && links.isStable(home)) authority.releasePartition(partition)
-                }
+    }
+
+    /** Releases partitions whose home controller has been healthy for a while. */
+    private suspend fun returnPartitions() {
+        while (true) {
+            delay(RETURN_CHECK_MS)
+            for (partition in settings.assignment.partitions) {
+                val home = settings.assignment.home(partition)
+                if (home != null && home != settings.label && links.isStable(home)) authority.releasePartition(partition)
             }
         }
     }
 
     /**
-     * Listens from when something can be answered. Guards against a start that is held up by those who wait for it: hundreds of workers
-     * that connect at once, to be told that nothing can be said yet, came before the process's own lease. (Seen on Baile's lean "rough"
-     * day: 12 s from the start of listening to the lease.) Who finds nobody listening tries another controller.
+     * Starts the HTTP server once requests can be answered. Guards against a start that is delayed by its own clients: hundreds of workers
+     * that connect at once, only to be refused, took the processor time that the process lease needed. (Seen on Baile's lean "rough" day:
+     * 12 s from the start of listening to the lease.) Clients that find no server try another controller.
      */
     private suspend fun serveOnceReady() {
         while (!authority.isReady() || !replica.isCurrent(clock.now())) delay(READY_CHECK_MS)
         api.start()
     }
 
-    private suspend fun describe() {
+    private suspend fun logMetrics() {
         while (true) {
-            delay(DESCRIBE_MS)
+            delay(METRICS_LOG_MS)
             log.debug("{}", metrics.render().replace('\n', ';'))
         }
     }
 
-    /** The leader records what is done and which machines there are; the others write for their users alone. */
+    /** This controller's share of the allowed changes: the leader also records completions and machines, the others write for users only. */
     private fun writeShare(): Double {
         val other = OTHERS_SHARE / controllers
         return if (leader != null) 1 - other * (controllers - 1) else other
     }
 
     /**
-     * While the state service is away from everybody, all stay healthy, so that users come back to somebody as soon as it
-     * is back; a node that it alone does not answer sends its users to the others.
+     * During an outage of the state service all controllers stay healthy, so that users find one as soon as it is over. A controller that
+     * alone gets no answer is unhealthy, which sends its users to the others.
      */
     private fun isHealthy() =
         authority.isReady() && catalog.isLoaded && (authority.isStateServiceAvailable() || links.healthyPeer() == null)
 
-    /** Leadership lasts while its key does; a pause of authority doesn't end it, a new term does. */
+    /** Leadership lasts as long as its key: a pause of authority does not end it, a new term does. */
     private fun ownershipChanged(ownership: OwnershipView) {
         val current = leader
         val holder = ownership.leader
@@ -220,46 +212,18 @@
         links.send(holder.label, frame)
     }
 
-    private fun answer(
-        from: String,
-        frame: ForwardedRequest,
-    ) = jobs.tell(
-        JobsMessage.UserRequest(frame.verb, frame.text, forwarded = true) {
-            links.send(from, ForwardedReply(frame.number, it.status, it.body.encode(), it.retryAfterS))
-        },
-    )
-
-    private fun received(
-        from: String,
-        frame: Frame,
-    ) {
-        when (frame) {
-            is Hello, is Ping, is RelayedFrame -> Unit
-            is PlacementFrame -> partition.tell(PartitionMessage.LeaderFrameReceived(frame))
-            is PartitionFrame -> leader?.tell(LeaderMessage.PartitionFrameReceived(frame))
-            is ForwardedRequest -> answer(from, frame)
-            is ForwardedReply -> forwarder.onReply(frame)
-            is MoratoriumRequest -> authority.onMoratoriumRequest(from, frame)
-            is MoratoriumGrant -> authority.onMoratoriumGrant(from, frame)
-            is CompletionSyncRequest -> replicaSync.onSyncRequest(from, frame)
-            is CompletionSyncReply -> replicaSync.onSyncReply(from, frame)
-            is JobsEnded -> replicaSync.onJobsEnded(frame)
-            is TaskCounts -> jobs.tell(JobsMessage.TaskCountsReceived(frame))
-        }
-    }
-
     private companion object {
-        const val HAND_BACK_MS = 3_000L
+        const val RETURN_CHECK_MS = 3_000L
         const val READY_CHECK_MS = 50L
-        const val DESCRIBE_MS = 10_000L
+        const val METRICS_LOG_MS = 10_000L
 
-        /** Both ways to another controller, each with one that is just being replaced. */
+        /** A connection in each direction, and for each one that is being replaced. */
         const val PEER_SOCKETS = 4
 
-        /** What listens, and some that are closing. */
+        /** Listening sockets, and some that are closing. */
         const val SPARE_SOCKETS = 24
 
-        /** The part of the state service's changes that is shared equally; the leader has the rest. */
+        /** The part of the state service's allowed changes that is divided equally; the leader has the rest. */
         const val OTHERS_SHARE = 0.5
     }
 }
--- /dev/null
+++ b/src/main/kotlin/lichenstage/app/FrameRouter.kt
@@ -0,0 +1,77 @@
+package lichenstage.app
+
+import lichenstage.authority.Authority
+import lichenstage.cluster.CompletionSyncReply
+import lichenstage.cluster.CompletionSyncRequest
+import lichenstage.cluster.ForwardedReply
+import lichenstage.cluster.ForwardedRequest
+import lichenstage.cluster.Frame
+import lichenstage.cluster.Hello
+import lichenstage.cluster.JobsEnded
+import lichenstage.cluster.MoratoriumGrant
+import lichenstage.cluster.MoratoriumRequest
+import lichenstage.cluster.PartitionFrame
+import lichenstage.cluster.Ping
+import lichenstage.cluster.PlacementFrame
+import lichenstage.cluster.RelayedFrame
+import lichenstage.cluster.RequestForwarder
+import lichenstage.cluster.TaskCounts
+import lichenstage.jobs.JobReplicaSync
+import lichenstage.jobs.JobsActor
+import lichenstage.jobs.JobsMessage
+import lichenstage.partition.PartitionActor
+import lichenstage.partition.PartitionMessage
+import lichenstage.placement.LeaderActor
+import lichenstage.placement.LeaderMessage
+
+/** Passes each frame of another controller to the actor that it is for. */
+internal class FrameRouter(
+    private val authority: Authority,
+    private val partition: PartitionActor,
+    private val jobs: JobsActor,
+    private val replicaSync: JobReplicaSync,
+    private val forwarder: RequestForwarder,
+    private val send: (String, Frame) -> Unit,
+    /** The actor of this process's leadership; null while it does not lead. */
+    private val leader: () -> LeaderActor?,
+) {
+    /** Handles a frame that the controller [from] has sent. */
+    fun onFrame(
+        from: String,
+        frame: Frame,
+    ) {
+        when (frame) {
+            // Handled by the links themselves.
+            is Hello, is Ping, is RelayedFrame -> Unit
+
+            is PlacementFrame -> partition.tell(PartitionMessage.LeaderFrameReceived(frame))
+
+            is PartitionFrame -> leader()?.tell(LeaderMessage.PartitionFrameReceived(frame))
+
+            is ForwardedRequest -> onForwardedRequest(from, frame)
+
+            is ForwardedReply -> forwarder.onReply(frame)
+
+            is MoratoriumRequest -> authority.onMoratoriumRequest(from, frame)
+
+            is MoratoriumGrant -> authority.onMoratoriumGrant(from, frame)
+
+            is CompletionSyncRequest -> replicaSync.onSyncRequest(from, frame)
+
+            is CompletionSyncReply -> replicaSync.onSyncReply(from, frame)
+
+            is JobsEnded -> replicaSync.onJobsEnded(frame)
+
+            is TaskCounts -> jobs.tell(JobsMessage.TaskCountsReceived(frame))
+        }
+    }
+
+    private fun onForwardedRequest(
+        from: String,
+        frame: ForwardedRequest,
+    ) = jobs.tell(
+        JobsMessage.UserRequest(frame.verb, frame.text, forwarded = true) {
+            send(from, ForwardedReply(frame.number, it.status, it.body.encode(), it.retryAfterS))
+        },
+    )
+}
--- a/src/main/kotlin/lichenstage/app/HclBlock.kt
+++ b/src/main/kotlin/lichenstage/app/HclBlock.kt
@@ -4,8 +4,8 @@
 import lichenstage.drain.Hours
 
 /**
- * One block of an HCL file at [path]. Each accessor reads one key; [finish] then rejects every key that no accessor has read. All errors are
- * [InvalidSettingsException]s that name the path of the key and its value.
+ * One block of an HCL file at [path]. Each accessor reads one key; [finish] then rejects every key that no accessor has read. All
+ * errors are [InvalidSettingsException]s that name the path of the key and its value.
  */
 internal class HclBlock(
     private val values: Map<String, Any?>,
--- a/src/main/kotlin/lichenstage/app/Logging.kt
+++ b/src/main/kotlin/lichenstage/app/Logging.kt
@@ -1,8 +1,8 @@
 package lichenstage.app
 
 /**
- * Configures slf4j-simple for [level] (`error`, `warn`, `info` or `debug`; `info` if it is null or unknown). Must run before the first logger
- * is created: slf4j-simple reads these properties once.
+ * Configures slf4j-simple for [level] (`error`, `warn`, `info` or `debug`; `info` if it is null or unknown). Must run before the first
+ * logger is created: slf4j-simple reads these properties once.
  */
 internal fun configureLogging(level: String?) {
     val known = level?.lowercase()?.takeIf { it in LEVELS } ?: "info"
--- a/src/main/kotlin/lichenstage/cluster/MoratoriumFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/MoratoriumFrames.kt
@@ -4,8 +4,8 @@
 import kotlinx.serialization.Serializable
 
 /**
- * Asks the receiver for an acquisition moratorium: to acquire no key for a moment. [incarnation] and [requestedAtUs], by the sender's clock,
- * come back with the grant.
+ * Asks the receiver for an acquisition moratorium: to acquire no key for a moment. [incarnation] and [requestedAtUs], by the sender's
+ * clock, come back with the grant.
  */
 @Serializable
 @SerialName("lichenstage.cluster.Bind")
--- a/src/main/kotlin/lichenstage/common/Address.kt
+++ b/src/main/kotlin/lichenstage/common/Address.kt
@@ -1,6 +1,6 @@
 package lichenstage.common
 
-/** Where a host can be reached: numbers only, since no name look-up exists on the machines. */
+/** A numeric IP address and a port: the machines have no name resolution. */
 data class Address(
     val host: String,
     val port: Int,
@@ -8,9 +8,11 @@
     override fun toString() = "$host:$port"
 }
 
-/** HOST:PORT, or null where it is neither. */
+private const val MAX_PORT = 65_535
+
+/** Parses HOST:PORT; null if [text] has another form. */
 fun parseAddress(text: String): Address? {
     val host = text.substringBeforeLast(':', "")
     val port = text.substringAfterLast(':').toIntOrNull()
-    return if (host.isEmpty() || port == null || port !in 1..65535) null else Address(host, port)
+    return if (host.isEmpty() || port == null || port !in 1..MAX_PORT) null else Address(host, port)
 }
--- a/src/main/kotlin/lichenstage/common/Clock.kt
+++ b/src/main/kotlin/lichenstage/common/Clock.kt
@@ -22,8 +22,8 @@
 private const val DRIFT_DIVISOR = 500
 
 /**
- * An upper bound for how long [micros] of one machine last on the clock of another. Steady clocks drift by up to 0.05% each; 0.2% allows for
- * two of them and a margin.
+ * An upper bound for how long [micros] of one machine last on the clock of another. Steady clocks drift by up to 0.05% each; 0.2%
+ * allows for two of them and a margin.
  */
 fun withDrift(micros: Long) = micros + micros / DRIFT_DIVISOR
 
--- a/src/main/kotlin/lichenstage/common/ConnectionBudget.kt
+++ b/src/main/kotlin/lichenstage/common/ConnectionBudget.kt
@@ -25,7 +25,7 @@
     private val shared get() = maxSockets - reserved
 
     /** The part of [shared] that is kept free for users: a user who can't connect can't be asked to retry later either. */
-    private val forUsers = (shared / 8).coerceAtLeast(1)
+    private val forUsers = (shared / USERS_DIVISOR).coerceAtLeast(1)
 
     /** A connection was accepted. */
     fun opened() {
@@ -54,9 +54,15 @@
         return exhausted
     }
 
-    private fun minOrderConnections() = (shared / 16).coerceIn(1, MAX_ORDER_CONNECTIONS)
+    private fun minOrderConnections() = (shared / ORDERS_DIVISOR).coerceIn(1, MAX_ORDER_CONNECTIONS)
 
     private companion object {
+        /** Users get one part in so many of the shared sockets. */
+        const val USERS_DIVISOR = 8
+
+        /** Orders get at least one part in so many of the shared sockets. */
+        const val ORDERS_DIVISOR = 16
+
         /** Keeping a connection open for each of thousands of machines would take more memory than reopening some is worth. */
         const val MAX_ORDER_CONNECTIONS = 700
     }
--- a/src/main/kotlin/lichenstage/common/JsonHttpClient.kt
+++ b/src/main/kotlin/lichenstage/common/JsonHttpClient.kt
@@ -21,9 +21,9 @@
 /**
  * Sends one request and reads its response with [handle]; null after [timeoutMs].
  *
- * Guards against a pool that never recovers from a network partition: a request that was given up while it waited for a connection is handed
- * one later, and would keep it forever. (Seen on Baile's grown "troubles" day: after a partition of 40 s a controller renewed its lease and
- * did nothing else until it was restarted.)
+ * Guards against a pool that never recovers from a network partition: a request that was given up while it waited for a connection is
+ * handed one later, and would keep it forever. (Seen on Baile's grown "troubles" day: after a partition of 40 s a controller renewed its
+ * lease and did nothing else until it was restarted.)
  */
 suspend fun <T : Any> HttpClient.exchange(
     method: HttpMethod,
--- a/src/main/kotlin/lichenstage/common/Mailbox.kt
+++ b/src/main/kotlin/lichenstage/common/Mailbox.kt
@@ -10,9 +10,9 @@
  * The bounded mailbox of an actor: messages are handled one at a time, in the order of arrival.
  *
  * An actor that throws ends the process, which the platform restarts: a half-dead process would be worse, and all durable state is in the
- * state service or on the workers. If the mailbox is full, [shed] decides whether the message may be dropped, and answers its sender if there
- * is one to answer: thousands of heartbeats that a network partition held back are no reason to restart. A message that may not be dropped
- * is bounded elsewhere, so a mailbox that overflows with it ends the process.
+ * state service or on the workers. If the mailbox is full, [shed] decides whether the message may be dropped, and answers its sender if
+ * there is one to answer: thousands of heartbeats that a network partition held back are no reason to restart. A message that may not be
+ * dropped is bounded elsewhere, so a mailbox that overflows with it ends the process.
  */
 class Mailbox<M : Any>(
     private val name: String,
--- a/src/main/kotlin/lichenstage/model/PartitionAssignment.kt
+++ b/src/main/kotlin/lichenstage/model/PartitionAssignment.kt
@@ -44,11 +44,19 @@
         return if (partitions.size == 1) partitions[0] else partitions[Math.floorMod(spread(machine), partitions.size)]
     }
 
-    /** Names that differ only in their last digit must not fall into one partition. */
+    /** Mixes the hash of a name: names that differ only in their last digit must not fall into one partition. */
     private fun spread(name: String): Int {
         var hash = name.hashCode()
-        hash = (hash xor (hash ushr 16)) * -0x7a143595
-        hash = (hash xor (hash ushr 13)) * -0x3d4d51cb
-        return hash xor (hash ushr 16)
+        hash = (hash xor (hash ushr FIRST_SHIFT)) * FIRST_FACTOR
+        hash = (hash xor (hash ushr SECOND_SHIFT)) * SECOND_FACTOR
+        return hash xor (hash ushr FIRST_SHIFT)
+    }
+
+    /** The finalizer of MurmurHash3. All versions must agree on it: it decides to which partition a machine belongs. */
+    private companion object {
+        const val FIRST_SHIFT = 16
+        const val SECOND_SHIFT = 13
+        const val FIRST_FACTOR = -0x7a143595
+        const val SECOND_FACTOR = -0x3d4d51cb
     }
 }
--- a/src/test/kotlin/lichenstage/architecture/WireNamesTest.kt
+++ b/src/test/kotlin/lichenstage/architecture/WireNamesTest.kt
@@ -71,7 +71,6 @@
                 "due_s",
                 "waits_on",
                 "uid",
-               
                 "hourly",
                 "low_price",
                 "boot_s",
