--- a/src/main/kotlin/lichenstage/common/JsonHttpClient.kt
+++ b/src/main/kotlin/lichenstage/common/JsonHttpClient.kt
@@ -82,15 +82,5 @@
         private val log = LoggerFactory.getLogger("lichenstage.app")
         private const val KEEP_S = 60
         private const val CONNECT_MS = 1500
-
-        /** Reads an answer; one of another form than the protocol's counts as none. */
-        fun <T : Any> parsed(read: () -> T): T? =
-            @Suppress("TooGenericExceptionCaught") // Missing fields, wrong types and casts all mean the same.
-            try {
-                read()
-            } catch (e: RuntimeException) {
-                log.info("an answer that can't be read: {}", e.message)
-                null
-            }
     }
 }
