--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -174,7 +174,7 @@
         }
     }
 
-    /** This controller's share of the allowed changes: the leader also records completions and machines, the others write for users only. */
+    /** This controller's share of the allowed changes: the leader also records completions and machines, the others serve users only. */
     private fun writeShare(): Double {
         val other = OTHERS_SHARE / controllers
         return if (leader != null) 1 - other * (controllers - 1) else other
--- a/src/main/kotlin/lichenstage/drain/DrainRecords.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainRecords.kt
@@ -72,8 +72,15 @@
         reading(entry) { value ->
             val drain = entry.key.removePrefix(MACHINES).substringBeforeLast('/')
             rows(value).map {
-                val replacement = if (it.size() > 4) it.getString(4) else null
-                DrainedMachine(it.getString(0), drain, Stage.valueOf(it.getString(1)), it.getLong(2), replacement, it.getInteger(3))
+                val replacement = if (it.size() > MACHINE_REPLACEMENT) it.getString(MACHINE_REPLACEMENT) else null
+                DrainedMachine(
+                    it.getString(MACHINE_NAME),
+                    drain,
+                    Stage.valueOf(it.getString(MACHINE_STAGE)),
+                    it.getLong(MACHINE_SINCE),
+                    replacement,
+                    it.getInteger(MACHINE_FAILURES),
+                )
             }
         }
 
@@ -98,11 +105,11 @@
         reading(entry) { value ->
             rows(value).map {
                 Interruption(
-                    TaskId.parse(it.getString(0))!!,
-                    it.getLong(1),
-                    it.getString(2),
-                    InterruptionCause.valueOf(it.getString(3)),
-                    it.getLong(4),
+                    TaskId.parse(it.getString(INTERRUPTION_TASK))!!,
+                    it.getLong(INTERRUPTION_ATTEMPT),
+                    it.getString(INTERRUPTION_TEAM),
+                    InterruptionCause.valueOf(it.getString(INTERRUPTION_CAUSE)),
+                    it.getLong(INTERRUPTION_AT),
                 )
             }
         }
@@ -149,6 +156,20 @@
         const val INTERRUPTIONS = "drain/i/"
         private const val FORM = "form"
         private const val ROWS = "rows"
+
+        // Positions in the array that records a machine.
+        private const val MACHINE_NAME = 0
+        private const val MACHINE_STAGE = 1
+        private const val MACHINE_SINCE = 2
+        private const val MACHINE_FAILURES = 3
+        private const val MACHINE_REPLACEMENT = 4
+
+        // Positions in the array that records an interruption.
+        private const val INTERRUPTION_TASK = 0
+        private const val INTERRUPTION_ATTEMPT = 1
+        private const val INTERRUPTION_TEAM = 2
+        private const val INTERRUPTION_CAUSE = 3
+        private const val INTERRUPTION_AT = 4
         private const val CURRENT_FORM = 1
 
         /** What a machine or an interruption takes of a value at the most, with names of usual length. */
--- a/src/main/kotlin/lichenstage/jobs/CompletedTaskRanges.kt
+++ b/src/main/kotlin/lichenstage/jobs/CompletedTaskRanges.kt
@@ -46,12 +46,18 @@
     ): BitSet {
         val chunkTasks = done.get(chunk * TASKS_PER_CHUNK, (chunk + 1) * TASKS_PER_CHUNK)
         val room = maxBytes - FIELD_BYTES
-        if (minOf(ranges(chunkTasks).length, (chunkTasks.length() + 7) / 8 * 4 / 3 + 4) <= room) return chunkTasks
-        val asBits = chunkTasks.get(0, room * 3 / 4 / 3 * 3 * 8)
+        if (minOf(ranges(chunkTasks).length, maxBitmapLength(chunkTasks.length())) <= room) return chunkTasks
+        val asBits = chunkTasks.get(0, bitmapTasks(room))
         val asRanges = firstRanges(chunkTasks, room)
         return if (asBits.cardinality() >= asRanges.cardinality()) asBits else asRanges
     }
 
+    /** An upper bound for the Base64 characters of a bitmap of so many tasks. */
+    private fun maxBitmapLength(tasks: Int) = (tasks + BITS_PER_BYTE - 1) / BITS_PER_BYTE * BASE64_CHARS / BASE64_BYTES + BASE64_CHARS
+
+    /** How many tasks a bitmap of [length] Base64 characters holds, in whole groups of Base64. */
+    private fun bitmapTasks(length: Int) = length * BASE64_BYTES / BASE64_CHARS / BASE64_BYTES * BASE64_BYTES * BITS_PER_BYTE
+
     private fun firstRanges(
         chunkTasks: BitSet,
         room: Int,
@@ -105,4 +111,10 @@
         }
         return text.toString()
     }
+
+    private const val BITS_PER_BYTE = 8
+
+    /** Base64 writes groups of [BASE64_BYTES] bytes as [BASE64_CHARS] characters. */
+    private const val BASE64_BYTES = 3
+    private const val BASE64_CHARS = 4
 }
--- a/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
@@ -26,6 +26,8 @@
 object SubmissionCodec {
     private val idForm = Regex("j-[0-9]{1,20}")
     private const val MAX_TASKS = 100_000
+    private const val MAX_TEXT_LENGTH = 200
+    private const val MAX_LIST_SIZE = 100
 
     /** The id has the form that users give their jobs. */
     fun validId(id: String) = idForm.matches(id)
@@ -80,7 +82,11 @@
     ) {
         fun text(field: String): String {
             val value = json.getValue(field) as? String ?: throw InvalidSubmission(field, "a text is needed")
-            if (value.isEmpty() || value.length > 200) throw InvalidSubmission(field, "a text of 1 to 200 characters is needed")
+            if (value.isEmpty() ||
+                value.length > MAX_TEXT_LENGTH
+            ) {
+                throw InvalidSubmission(field, "a text of 1 to $MAX_TEXT_LENGTH characters is needed")
+            }
             return value
         }
 
@@ -121,7 +127,7 @@
         fun texts(field: String): List<String>? {
             val value = json.getValue(field) ?: return null
             val array = value as? JsonArray ?: throw InvalidSubmission(field, "a list of texts or null is needed")
-            if (array.size() > 100) throw InvalidSubmission(field, "at most 100 are allowed")
+            if (array.size() > MAX_LIST_SIZE) throw InvalidSubmission(field, "at most $MAX_LIST_SIZE are allowed")
             return array.map { it as? String ?: throw InvalidSubmission(field, "a list of texts or null is needed") }
         }
     }
