--- a/src/main/kotlin/lichenstage/jobs/CompletedTaskRanges.kt
+++ b/src/main/kotlin/lichenstage/jobs/CompletedTaskRanges.kt
@@ -37,7 +37,7 @@
 
     /**
      * As much of the done tasks of [chunk] as a value of [maxBytes] holds, the first of them: a chunk is sized for larger values than
-     * the state service may take one day. What is left out is told by its worker until a later record holds it.
+     * the state service may take one day. What is left out stays in its worker's task list until a later record holds it.
      */
     fun truncateToFit(
         done: BitSet,
--- a/src/main/kotlin/lichenstage/jobs/DependencyGraph.kt
+++ b/src/main/kotlin/lichenstage/jobs/DependencyGraph.kt
@@ -1,24 +1,24 @@
 package lichenstage.jobs
 
-/** Where a job with an open record stands by what is known of the jobs that it needs. */
+/** Whether a job with an open record may start, by what is known of its dependencies. */
 enum class Readiness {
-    /** All that it needs is done. */
+    /** All of its dependencies are done. */
     READY,
 
-    /** It waits for jobs that may yet be done. */
+    /** Some of its dependencies may yet be done. */
     WAITING,
 
-    /** A job that it needs, directly or through others, is cancelled. */
+    /** A dependency, direct or transitive, is cancelled. */
     CANCELLED,
 
-    /** A job that it needs, directly or through others, has ended, and it is not known how. */
+    /** A dependency, direct or transitive, has ended, and it is not known how. */
     UNKNOWN,
 }
 
 /**
- * Who waits for whom: the open jobs that need others, and what became of those.
+ * The dependencies between jobs: the open jobs that have any, and the outcomes of those that have ended (invariant 16).
  *
- * Everything here follows from records: a job may start once every job that it needs is **recorded** as done (`too_early`), and is as
+ * Everything here follows from records: a job may start once all of its dependencies are **recorded** as done (`too_early`), and is as
  * good as cancelled once one that it needs, directly or through others, is recorded as cancelled (`orphaned`). Either never goes back,
  * so each controller may find it out for itself, at any time and after any change of leader. A change costs by the jobs that wait for
  * what has changed.
@@ -27,17 +27,17 @@
     private val dependenciesByJob = HashMap<String, List<String>>()
     private val dependentsByJob = HashMap<String, LinkedHashSet<String>>()
 
-    /** Of jobs that others need and that are over. */
+    /** Outcomes of ended jobs that others depend on. */
     private val outcomes = HashMap<String, JobOutcome>()
     private val open = HashSet<String>()
 
-    /** Needed jobs that are over, of which it is not known how they ended. */
+    /** Ended jobs that others depend on, of which it is not known how they ended. */
     private val unresolvedJobs = LinkedHashSet<String>()
 
-    /** Open jobs of which one that they need is cancelled, directly or through others. */
+    /** Open jobs with a cancelled dependency, direct or transitive. */
     private val orphaned = LinkedHashSet<String>()
 
-    /** There is an open record of the job. */
+    /** The job has an open record. */
     fun jobOpened(
         job: String,
         dependencies: List<String>,
@@ -81,7 +81,7 @@
 
     private fun isCancelled(job: String) = job in orphaned || outcomes[job]?.isDone == false
 
-    /** With all that need it: theirs can never be done. */
+    /** Marks the job and its transitive dependents: none of them can ever be done. */
     private fun orphan(first: String) {
         val due = ArrayDeque(listOf(first))
         while (due.isNotEmpty()) {
@@ -91,9 +91,9 @@
     }
 
     /**
-     * Where [job], which needs [dependencies], stands. Guards against a user who hears of a waiting job long after what it needs was
-     * cancelled: between the word that a job has ended and the word how, nothing may be said of what waits for it. That holds too
-     * where the job itself is not known yet: another controller's word of an end can come before the watch has brought its record.
+     * Whether [job], which has [dependencies], may start. Guards against a user who sees a job as waiting long after a dependency was
+     * cancelled: from when a job is known to have ended until its outcome is known, the state of its dependents is unknown. That holds
+     * too where the job itself is not known yet: another controller can report an end before the watch has brought the record.
      * (Found in the simulated cluster: a job submitted right after an outage was called open although its chain was cancelled.)
      */
     fun readiness(
@@ -119,22 +119,22 @@
         return false
     }
 
-    /** The jobs that this one needs, where its record is known. */
+    /** The direct dependencies of a job; none where its record is not known. */
     fun dependenciesOf(job: String): List<String> = dependenciesByJob[job].orEmpty()
 
-    /** The jobs that wait for this one directly. */
+    /** The jobs that depend on this one directly. */
     fun dependentsOf(job: String): Collection<String> = dependentsByJob[job].orEmpty()
 
-    /** Jobs of which it is to be found out how they ended. */
+    /** Up to [limit] ended jobs whose outcome is still to be read. */
     fun unresolved(limit: Int): List<String> = unresolvedJobs.take(limit)
 
-    /** Open jobs that are to be recorded as cancelled, those that others need first. */
+    /** Up to [limit] open jobs that are to be recorded as cancelled, dependencies before their dependents. */
     fun orphans(limit: Int): List<String> = orphaned.take(limit)
 
-    /** One that the job needs, directly or through others, is cancelled. */
+    /** A dependency of the job, direct or transitive, is cancelled. */
     fun isOrphan(job: String) = job in orphaned
 
-    /** When the last of [dependencies] was done, in time of day; null while one isn't. 0 where none says when. */
+    /** Time of day in microseconds at which the last of [dependencies] was done; null while one is not, 0 where no record says when. */
     fun readySinceUs(dependencies: List<String>): Long? {
         var last = 0L
         for (dependency in dependencies) {
--- a/src/main/kotlin/lichenstage/jobs/JobLookup.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobLookup.kt
@@ -9,7 +9,7 @@
 import lichenstage.state.ReadResult
 import lichenstage.state.TransactionResult
 
-/** Answers where a job stands, and cancels jobs. */
+/** Reads the state of jobs for users, and cancels jobs. */
 class JobLookup(
     private val state: KeyValueStore,
     private val cache: JobCache,
@@ -20,7 +20,7 @@
     /** Called with the id and the revision of the cancellation before its user is answered. */
     private val onCancelled: (String, Long) -> Unit,
 ) {
-    /** The job's state, for a user who asks. */
+    /** The reply to a user's request for the state of a job. */
     suspend fun status(id: String): Reply = if (SubmissionCodec.validId(id)) find(id) else Reply.unknownJob()
 
     /** The current state of a job that is known, else [otherwise]. */
@@ -82,9 +82,8 @@
         }
 
     /**
-     * The record is open; what the job needs may say otherwise. One that is cancelled by that is recorded as such before its user hears
-     * it: another controller may not know yet, and must not give an older answer. While this one has not heard of ends for long, it
-     * can't tell, and says so.
+     * The record is open, but a dependency may be cancelled. The job is then recorded as cancelled before its user sees that: another
+     * controller may not know yet, and must not give an older answer. While the replica of this one is stale the state is not known.
      */
     private suspend fun open(
         id: String,
--- a/src/main/kotlin/lichenstage/jobs/JobReplica.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplica.kt
@@ -8,9 +8,9 @@
 /**
  * This process's copy of the keys of the open jobs, and how stale it may be (invariant 15).
  *
- * Guards against tasks of a cancelled job that are kept alive by an owner who has not heard of the cancellation. Authority can outlast
- * every answer of the state service, since it only says that nobody else may act; it says nothing of what its holder knows. So what
- * renews the leases of workers asks [isCurrent]: every end of a job that a user may have been told of until [maxStalenessUs] ago is known
+ * Guards against tasks of a cancelled job that are kept alive by an owner that does not know of the cancellation. Authority can outlast
+ * every answer of the state service: it means that nobody else may act, not that its holder's data is fresh. So heartbeats are answered,
+ * which renews the leases of workers, only while [isCurrent]: every end that a user may have seen until [maxStalenessUs] ago is known
  * here. Two things show that:
  * - a read of the state service, as of when it was asked;
  * - where that is away, the word of **all** other controllers, each of which hands over all the ends that it has learned of after the
--- a/src/main/kotlin/lichenstage/jobs/JobsActor.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsActor.kt
@@ -48,7 +48,7 @@
     /** Takes a message; a request is answered through its callback. */
     fun tell(message: JobsMessage) = mailbox.tell(message)
 
-    /** Users are told to come again, counts come again. */
+    /** Users are asked to retry; counts are sent again anyway. */
     private fun shed(message: JobsMessage): Boolean {
         if (message is JobsMessage.UserRequest) message.reply(Reply.unavailable(BUSY, BUSY_RETRY_S))
         return true
@@ -79,7 +79,7 @@
 
     /**
      * While the state service does not answer this process, another controller is asked. If there is none, a short try of its
-     * own finds out whether the service is back, and else the user is told at once when to come again.
+     * own finds out whether the service is back, and else the reply says at once when to retry.
      */
     private suspend fun answer(request: JobsMessage.UserRequest): Reply {
         if (fallback.isStateServiceAvailable() || cache.finished(request.text) != null) return decide(request)
