--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -160,7 +160,7 @@
         log.info("Attempt failed task={} attempt={} machine={} cause={}", task.task, task.attempt, machine.name, task.cause)
         if (task.cause == TaskEndCause.ERROR) failedJobs.getOrPut(machine.name) { HashSet() }.add(job.spec.id)
         job.failures++
-        // A job that fails everywhere must not take the places of others over and over.
+        // A job that fails everywhere must not use the slots of others again and again.
         val backoffUs = (SECOND shl minOf(job.failures, MAX_BACKOFF_DOUBLINGS)).coerceAtMost(MAX_BACKOFF_US)
         job.backoffUntilUs = maxOf(job.backoffUntilUs, now + backoffUs / 2)
     }
@@ -190,7 +190,7 @@
         attemptsLost(absent)
     }
 
-    /** Its partition has seen its start, and its machine does not list it or is gone. */
+    /** Its partition has received its start, and its machine does not list it or is lost (see [MachineKnowledge]). */
     private fun isAbsent(
         attempt: Attempt,
         partition: PartitionState,
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -52,7 +52,7 @@
     private fun nextBatch(now: Long): List<CompletionDelta> {
         val deltas = ArrayList<CompletionDelta>()
         var writes = 0
-        // The oldest come first, and this is asked after every message: what is not due yet is not looked at.
+        // The oldest come first, and this runs after every message: what is not due yet is not looked at.
         val due = unrecorded.entries.takeWhile { now - it.value >= flushUs }.map { it.key }
         for (job in due.filter { !it.allTasksDone }) {
             if (writes >= batch) break
--- a/src/main/kotlin/lichenstage/placement/Job.kt
+++ b/src/main/kotlin/lichenstage/placement/Job.kt
@@ -55,7 +55,7 @@
     /** Its tasks have been queued: it is ready, and no earlier leader's attempts can be unknown any more. */
     var placeable = false
 
-    /** When its tasks were last given a place and when one last began to run, for the log. */
+    /** When one of its tasks was last placed and when one last began to run; 0 before that. */
     var placedUs = 0L
     var runningUs = 0L
     var backoffUntilUs = Long.MIN_VALUE
@@ -116,7 +116,7 @@
         if (placeable && phase == JobPhase.OPEN && !done.get(index)) pending.add(index)
     }
 
-    /** The next task that waits; tasks that were done meanwhile are passed over. */
+    /** Removes and returns the next queued task that is not done and has no attempt, or -1 where there is none. */
     fun nextPendingTask(): Int {
         while (!pending.isEmpty) {
             val index = pending.removeInt(pending.size - 1)
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -101,7 +101,7 @@
             .driver(policy, store, scope) { mailbox.tell(LeaderMessage.DrainEvent(it)) }
     }
 
-    /** Takes a message. */
+    /** Puts a message into the inbox. */
     fun tell(message: LeaderMessage) = mailbox.tell(message)
 
     /** Ends the term: nothing of it goes on. */
--- a/src/main/kotlin/lichenstage/placement/LeaderJobRecords.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderJobRecords.kt
@@ -23,7 +23,7 @@
     var isLoaded = false
         private set
 
-    /** Takes the records with which the term begins. */
+    /** Adds the jobs and done tasks that were recorded before the term. */
     fun load(
         jobs: List<Entry>,
         doneRanges: List<Entry>,
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordReader.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordReader.kt
@@ -27,7 +27,7 @@
             when (val seen = state.watch(JobRecordCodec.OPEN, since, WATCH_MS)) {
                 is WatchResult.Events -> {
                     since = seen.revision
-                    // A job that was put and deleted in one batch is gone: within a prefix, the delete is the newer.
+                    // A job whose record was put and deleted in one batch has ended: of the two changes of a key the delete is the later.
                     val removed = seen.deletes.map { it.key }
                     if (seen.puts.isNotEmpty() || removed.isNotEmpty()) tell(LeaderMessage.OpenJobsChanged(seen.puts, removed))
                 }
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Reads all keys with a prefix, as often as it takes. */
+    /** Reads all keys with a prefix; retries until the key-value store answers. */
     private suspend fun scan(prefix: String): ScanResult.Complete {
         while (true) {
             val result = state.scan(prefix)
--- a/src/main/kotlin/lichenstage/placement/MachineReconciler.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciler.kt
@@ -4,7 +4,7 @@
 
 /**
  * Keeps, for each machine, what it still has to stop and to clear, and whether something runs on it that counts for no team. To be
- * asked again whenever the machine's task list or one of its jobs has changed.
+ * compared again whenever the machine's task list or one of its jobs has changed.
  */
 internal class MachineReconciler(
     private val partitions: PartitionTable,
--- a/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
@@ -32,7 +32,7 @@
                     if (!counted || !isWanted(job)) stops += order(machine, task)
                 }
             }
-            // Nothing is ordered of a worker that has not shown the token.
+            // A worker that has not shown the fencing token gets no orders.
             return if (machine.tokenConfirmed) {
                 MachineReconciliation(
                     stops,
--- a/src/main/kotlin/lichenstage/placement/Registry.kt
+++ b/src/main/kotlin/lichenstage/placement/Registry.kt
@@ -16,8 +16,8 @@
 }
 
 /**
- * The durable list of machines, several to a key: hundreds come and go within seconds, and the changes that the state service
- * takes in a second are few. Only the leader writes it, under its own guard.
+ * The durable list of machines, several to a key: hundreds come and go within seconds, and the key-value store accepts few changes
+ * in a second. Only the leader writes it, under its own guard.
  */
 class Registry(
     valueBytes: Int,
@@ -108,7 +108,7 @@
     }
 
     private companion object {
-        /** What one machine takes of a value at the most, with names of usual length. */
+        /** The size of one machine in a value at most, with names of usual length. */
         const val MAX_MACHINE_BYTES = 120
         const val MAX_MACHINES_PER_PAGE = 100
     }
