--- a/src/main/kotlin/lichenstage/cloud/Provisioning.kt
+++ b/src/main/kotlin/lichenstage/cloud/Provisioning.kt
@@ -1,6 +1,6 @@
 package lichenstage.cloud
 
-/** A request for [count] machines of one type in one zone, under a [name] that no other request ever has (invariant 12). */
+/** A request for [count] machines of one type in one zone, under a [name] that no other request ever has (invariant 14). */
 data class ProvisionRequest(
     val name: String,
     val typeName: String,
--- a/src/main/kotlin/lichenstage/fleet/ScaleOut.kt
+++ b/src/main/kotlin/lichenstage/fleet/ScaleOut.kt
@@ -10,7 +10,7 @@
  * Decides which machines to provision next.
  *
  * Names of requests are unique over all leaders, and a request with an indeterminate outcome is repeated under its name until it is
- * answered (invariant 12).
+ * answered (invariant 14).
  */
 internal class ScaleOut(
     private val term: Long,
--- a/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
@@ -37,7 +37,7 @@
     ) = MachineStatus(up = !lost, silent = false, lost = lost, tasks = tasks, faulty = false)
 
     @Example
-    fun `a hire without an answer is repeated under its name, and its name is never used again`() {
+    fun `a request with an indeterminate outcome is repeated under its name, and its name is never used again`() {
         val fleet = fleet()
         fleet.observeDemand(demand(4.0), { null }, SECOND)
         val first = fleet.nextProvision(SECOND)!!
@@ -49,15 +49,15 @@
     }
 
     @Example
-    fun `nothing is rented before the list was read once`() {
+    fun `nothing is provisioned before the list was read once`() {
         val fleet = FleetCore(3, FleetPolicy(), DemandForecast(0))
         fleet.observeDemand(demand(4.0), { null }, SECOND)
         assertEquals(CloudCall.ListAll, fleet.nextCall(SECOND)) { "the list comes first" }
-        assertNull(fleet.nextCall(2 * SECOND)) { "rented without knowing what there is" }
+        assertNull(fleet.nextCall(2 * SECOND)) { "provisioned without knowing what there is" }
     }
 
     @Example
-    fun `cheap machines come first, dear ones where there are none`() {
+    fun `spot instances come first, on-demand ones where no spot capacity is left`() {
         val fleet = fleet()
         fleet.observeDemand(demand(4.0), { null }, SECOND)
         val kinds = ArrayList<Boolean>()
@@ -71,7 +71,7 @@
 
     /** As work that waits now they were counted beside what is expected of their classes, and a tenth more was paid for nothing. */
     @Example
-    fun `jobs that wait for others are had machines for, but not beside what is expected anyway`() {
+    fun `machines are provisioned for jobs that wait for dependencies, but not beside what is expected anyway`() {
         val foreseen = Demand("t", true, 4.0, 4.0 * 45 * SECOND, null, foreseenInUs = 45 * SECOND)
         val idle = fleet()
         idle.observeDemand(listOf(foreseen), { null }, SECOND)
@@ -81,18 +81,18 @@
         for (s in 1L..200L step 10) forecast.recordArrival(JobArrival("t", s * SECOND, 5.0, 20 * SECOND, urgent = false))
         repeat(14) { fleet.addMachine("m$it", "t", "z", true, 200 * SECOND) }
         fleet.observeDemand(listOf(foreseen), { status(1) }, 200 * SECOND)
-        assertTrue(fleet.nextCall(202 * SECOND) !is CloudCall.Provision) { "rented beside the 10 that are expected" }
+        assertTrue(fleet.nextCall(202 * SECOND) !is CloudCall.Provision) { "provisioned beside the 10 that are expected" }
     }
 
     @Example
-    fun `jobs that may not run on cheap machines get dear ones`() {
+    fun `jobs that may not run on spot instances get on-demand ones`() {
         val fleet = fleet()
         fleet.observeDemand(listOf(Demand("t", false, 4.0, 400.0 * SECOND, null)), { null }, SECOND)
-        assertEquals(false, fleet.nextProvision(SECOND)?.spot) { "rented a cheap one" }
+        assertEquals(false, fleet.nextProvision(SECOND)?.spot) { "provisioned a spot instance" }
     }
 
     @Example
-    fun `a machine without work drains and is given back, one that is lost or never came up too`() {
+    fun `a machine without work is drained and terminated, and one that never came up is terminated`() {
         val fleet = fleet()
         listOf("a", "b", "c").forEach { fleet.addMachine(it, "t", "z", false, 0) }
         var now = 100 * SECOND
--- a/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 class CheckpointPreemptionTest {
-    private val stops = CheckpointPreemption(RunTimeEstimates())
+    private val preemption = CheckpointPreemption(RunTimeEstimates())
 
     private fun job(
         runS: Long,
@@ -37,7 +37,7 @@
     private fun notice(
         leftS: Long,
         nowS: Long,
-    ) = stops.machineUpdated(
+    ) = preemption.machineUpdated(
         MachineState("m", "1.2.3.4:5", "t", true, true, false, false, false, leftS * SECOND, emptyList()),
         nowS * SECOND,
     )
@@ -45,24 +45,24 @@
     private fun saveOrders(
         nowS: Long,
         vararg attempts: Attempt,
-    ) = stops.saveOrders("m", attempts.toList(), isDrained = false, nowS * SECOND)
+    ) = preemption.saveOrders("m", attempts.toList(), isDrained = false, nowS * SECOND)
 
     @Example
     fun `on a machine that an operator drains only what was requested is stopped, also where it can't save`() {
         val long = running(job(runS = 120), sinceS = 1)
         val unsaved = running(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)
 
-        fun drained(nowS: Long) = stops.saveOrders("m", listOf(long, unsaved), isDrained = true, nowS * SECOND)
+        fun drained(nowS: Long) = preemption.saveOrders("m", listOf(long, unsaved), isDrained = true, nowS * SECOND)
         assertTrue(drained(40).isEmpty()) { "stopped beside the budget of its team" }
-        stops.requestStop(listOf(unsaved))
-        assertTrue("m" in stops.affectedMachines) { "nobody would ask" }
+        preemption.requestStop(listOf(unsaved))
+        assertTrue("m" in preemption.affectedMachines) { "nobody would ask" }
         assertEquals(listOf(SaveOrder("m", "j-1/1", 11, 0)), drained(41)) { "${drained(44)}" }
         assertEquals(0L, unsaved.saveOrderedUs) { "its progress would count as saved" }
-        stops.requestStop(listOf(long))
+        preemption.requestStop(listOf(long))
         assertTrue(drained(42).map { it.attempt } == listOf(10L) && long.saveOrderedUs > 0) { "not stopped with time to save" }
-        stops.attemptEnded(unsaved)
-        stops.attemptEnded(long)
-        assertTrue(drained(60).isEmpty() && "m" !in stops.affectedMachines) { "ordered after its end" }
+        preemption.attemptEnded(unsaved)
+        preemption.attemptEnded(long)
+        assertTrue(drained(60).isEmpty() && "m" !in preemption.affectedMachines) { "ordered after its end" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/placement/DemandEstimateTest.kt
+++ b/src/test/kotlin/lichenstage/placement/DemandEstimateTest.kt
@@ -38,7 +38,7 @@
 
     /** Neither as work due now nor first when it is ready: a machine needs a boot time. */
     @Example
-    fun `a job that waits asks for machines from a boot time before it is ready`() {
+    fun `a job that waits for dependencies asks for machines from one and a half boot times before it is ready`() {
         val next = job(2, dependencies = listOf("j-1"))
 
         fun asked(readyInS: Long) = DemandEstimate.demand(listOf(next), machineTypes, inputs(readyInS))
--- a/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
@@ -27,13 +27,13 @@
     private fun ids(jobs: List<Job>) = jobs.map { it.spec.id }
 
     @Example
-    fun `where all can be kept the earliest due comes first whatever its priority`() {
+    fun `where all objectives can be met the earliest due comes first whatever its priority`() {
         val order = ObjectiveOrder.order(listOf(waiting(1, 5.0, 100), waiting(2, 5.0, 50, priority = Priority.LOW)), 1.0, 0)
         assertEquals(listOf("j-2", "j-1"), ids(order)) { "${ids(order)}" }
     }
 
     @Example
-    fun `the largest of the lowest priority gives way`() {
+    fun `the largest of the lowest priority is postponed`() {
         val rows =
             listOf(
                 waiting(1, 60.0, 70),
@@ -48,14 +48,14 @@
     }
 
     @Example
-    fun `where starts are counted by tasks a large job does not give way for its size`() {
+    fun `where starts are counted by tasks a large job is not postponed for its size`() {
         val large = QueuedJob(Job(spec(1, Priority.HIGH), 1, 0), 60.0, listOf(PlannedObjective(70, 6.0)), SECOND)
         val small = QueuedJob(Job(spec(2, Priority.HIGH), 2, 0), 20.0, listOf(PlannedObjective(75, 1.0)), SECOND)
-        assertEquals(listOf("j-1", "j-2"), ids(ObjectiveOrder.order(listOf(large, small), 1.0, 0))) { "the large one gave way" }
+        assertEquals(listOf("j-1", "j-2"), ids(ObjectiveOrder.order(listOf(large, small), 1.0, 0))) { "the large one was postponed" }
     }
 
     @Example
-    fun `a job that gives way is kept to its next promise`() {
+    fun `a job that is postponed is planned for its next objective`() {
         val rows = listOf(waiting(1, 60.0, 70, 200), waiting(2, 20.0, 75), waiting(3, 30.0, 300))
         assertEquals(
             listOf("j-2", "j-1", "j-3"),
--- a/src/test/kotlin/lichenstage/placement/OfferSelectionTest.kt
+++ b/src/test/kotlin/lichenstage/placement/OfferSelectionTest.kt
@@ -31,7 +31,7 @@
     ) = liveAttempts.put(index, Attempt(this, index, 10L + index, "m", partition))
 
     @Example
-    fun `one zone jobs keep to the zone they are in and spread jobs to half`() {
+    fun `a zone gets no more tasks than it may, and single-zone jobs the zone that offers most`() {
         val spread = OfferSelection.selectRoomiest(offers, 9, ::zoneOf) { 5 }
         assertTrue(spread.count { zoneOf(it.partition) == "z" } == 5 && spread.size == 9) { "$spread" }
         assertEquals("z", OfferSelection.bestZone(offers, ::zoneOf)) { "not the larger offer" }
--- a/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
@@ -8,8 +8,8 @@
 
 class PipelineDeadlinesTest {
     private val serviceObjectives = ServiceObjectives(emptyList())
-    private val waiters = HashMap<Job, List<Job>>()
-    private val pipelineDeadlines = PipelineDeadlines(serviceObjectives, RunTimeEstimates()) { waiters[it].orEmpty() }
+    private val dependents = HashMap<Job, List<Job>>()
+    private val pipelineDeadlines = PipelineDeadlines(serviceObjectives, RunTimeEstimates()) { dependents[it].orEmpty() }
 
     private fun job(
         number: Int,
@@ -24,9 +24,9 @@
         val thumbs = job(2, 25)
         val drafts = job(3, 60)
         val last = job(4, 8, dueS = 200, priority = Priority.HIGH)
-        waiters[first] = listOf(thumbs, drafts)
-        waiters[thumbs] = listOf(last)
-        waiters[drafts] = listOf(last)
+        dependents[first] = listOf(thumbs, drafts)
+        dependents[thumbs] = listOf(last)
+        dependents[drafts] = listOf(last)
         val plan = pipelineDeadlines.Snapshot()
         assertEquals(InheritedPriority(null, Priority.HIGH), plan.of(last)) { "${plan.of(last)}" }
         assertEquals(InheritedPriority((200 - 8 - 4) * SECOND, Priority.HIGH), plan.of(drafts)) { "${plan.of(drafts)}" }
@@ -36,7 +36,7 @@
     @Example
     fun `deep chains are walked without recursion, and each job once`() {
         val jobs = List(20_000) { job(it, 1, dueS = if (it == 19_999) 100 else null) }
-        jobs.zipWithNext { a, b -> waiters[a] = listOf(b) }
+        jobs.zipWithNext { a, b -> dependents[a] = listOf(b) }
         assertNotNull(pipelineDeadlines.Snapshot().of(jobs[0]).dueUs) { "the last deadline is lost" }
     }
 
@@ -44,7 +44,7 @@
     fun `a first stage of low priority is placed before what has more time`() {
         val first = job(1, 10)
         val last = job(2, 8, dueS = 60, priority = Priority.HIGH)
-        waiters[first] = listOf(last)
+        dependents[first] = listOf(last)
         val other = job(3, 10, dueS = 400, priority = Priority.HIGH)
         val queue = JobQueue(serviceObjectives, emptyMap(), RunTimeEstimates(), pipelineDeadlines = pipelineDeadlines)
         listOf(other, first).forEach {
--- a/src/test/kotlin/lichenstage/placement/ServiceObjectivesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ServiceObjectivesTest.kt
@@ -24,7 +24,7 @@
     private fun job(deadlineUs: Long? = null) = Job(oneCoreSpec(1, "c", Priority.HIGH, 2).copy(deadlineUs = deadlineUs), 1, 0)
 
     @Example
-    fun `a promise that can't be kept any more does not come first`() {
+    fun `an objective that can't be met any more is left out`() {
         val job = job()
         val start = StartObjective(15 * SECOND, perTask = true)
         val finish = StartObjective(89 * SECOND, perTask = false)
