--- a/src/main/kotlin/lichenstage/authority/OwnershipRecords.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipRecords.kt
@@ -28,7 +28,7 @@
     /** The key of a partition's ownership. */
     fun partitionKey(partition: String) = PARTITION + partition
 
-    /** The partition of a key that [partitionKey] has made; other keys are given back as they are. */
+    /** The partition of a key that [partitionKey] has made; other keys are returned unchanged. */
     internal fun partitionOf(key: String) = key.removePrefix(PARTITION)
 
     /** The record of an ownership or a leadership. */
--- a/src/main/kotlin/lichenstage/authority/OwnershipTable.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipTable.kt
@@ -36,7 +36,7 @@
 
     /**
      * Takes in changes in any order. A key that was put and then deleted is gone: as it once was after a watch that had been interrupted,
-     * a key that is taken for held here would be acquired by nobody.
+     * a key that this table wrongly shows as held would be acquired by no controller.
      */
     fun change(
         puts: List<Entry>,
--- a/src/main/kotlin/lichenstage/cluster/RequestForwarder.kt
+++ b/src/main/kotlin/lichenstage/cluster/RequestForwarder.kt
@@ -33,7 +33,7 @@
         }
     }
 
-    /** The other controller's reply has come; one that nobody waits for any more is dropped. */
+    /** Handles the other controller's reply; one whose request has timed out is dropped. */
     fun onReply(frame: ForwardedReply) {
         pending[frame.number]?.complete(frame)
     }
--- a/src/main/kotlin/lichenstage/drain/DrainDriver.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainDriver.kt
@@ -166,7 +166,7 @@
         machines: Map<String, List<DrainedMachine>>,
     ) {
         val pages = entries.filter { it.key.startsWith(DrainRecords.INTERRUPTIONS) }
-        // Without them nobody knows what is interrupted, so nothing more is.
+        // Without these pages the interruptions in progress are unknown, so no more are started.
         val interruptions = pages.map { page -> readable(page) { recordAccess.codec.decodeInterruptions(it) } ?: return }
         recordAccess.owned.load(pages)
         recorded = pages.associate { it.key to it.value }
--- a/src/main/kotlin/lichenstage/drain/DrainPlan.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainPlan.kt
@@ -96,10 +96,10 @@
         }
     }
 
-    /** All who place tasks know that the machine takes no more: what is stopped there does not come back, and empty it stays. */
+    /** The cordon has reached every controller: a task that is stopped there is not placed there again, and an empty machine stays empty. */
     private fun isCordonEffective(machine: DrainedMachine) = nowUs - machine.sinceUs >= CORDON_PROPAGATION_US
 
-    /** A replacement that does not come up, is faulty or gets lost is given back, and another one asked for after a growing pause. */
+    /** A replacement that does not come up, is faulty or is lost is terminated, and another one is requested after a growing delay. */
     private fun prepare(
         drain: Drain,
         machine: DrainedMachine,
--- a/src/main/kotlin/lichenstage/jobs/JobReplica.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplica.kt
@@ -8,21 +8,21 @@
 /**
  * This process's copy of the keys of the open jobs, and how stale it may be (invariant 15).
  *
- * Guards against tasks of a cancelled job that are kept alive by an owner that does not know of the cancellation. Authority can outlast
- * every answer of the state service: it means that nobody else may act, not that its holder's data is fresh. So heartbeats are answered,
- * which renews the leases of workers, only while [isCurrent]: every end that a user may have seen until [maxStalenessUs] ago is known
- * here. Two things show that:
- * - a read of the state service, as of when it was asked;
- * - where that is away, the word of **all** other controllers, each of which hands over all the ends that it has learned of after the
- *   revision up to which this one has read. Only a controller tells users, and only of what it has learned.
+ * Guards against an owner that keeps tasks of a cancelled job alive because it does not know of the cancellation. Authority can outlast
+ * the answers of the state service: it means that no other controller may act, not that its holder's data is fresh. So heartbeats are
+ * answered, which renews the leases of workers, only while [isCurrent]: every end that a user may have seen until [maxStalenessUs] ago
+ * is known here. There are two proofs of that:
+ * - a read of the state service, as of when the request was sent;
+ * - during an outage, replies of **all** other controllers, each with all the ends that it has learned of after the revision up to which
+ *   this one has read. Users are answered by controllers only, and only with what those have learned.
  *
- * A controller that has not read the state service itself since before that revision cannot know what the process before it has told,
- * and hands over nothing. Where nobody can say, answers stop, and the workers' leases end the tasks in time.
+ * A controller that has not read the state service itself since before that revision cannot know what an earlier process of its own has
+ * answered to users, and replies with nothing. Without either proof heartbeats go unanswered, and lease expiry ends the tasks in time.
  */
 class JobReplica(
-    /** Rises from process to process: names the log of this one. */
+    /** Identifies the log of this process; increases with each process of the controller. */
     private val incarnation: Long,
-    /** Null where they are not all known, so that nobody can speak for all. */
+    /** The labels of all other controllers; null if they are not all known, so that an outage cannot be bridged. */
     private val others: Set<String>?,
     override val maxStalenessUs: Long,
 ) : JobCompletions {
@@ -31,7 +31,7 @@
         val revision: Long,
     )
 
-    /** How far another controller's log was taken over, and as of when that was all of it. */
+    /** How much of another controller's log has been applied, and as of when that was all of it. */
     private class PeerProgress(
         val incarnation: Long,
         var upTo: Long,
@@ -40,7 +40,7 @@
 
     private val openRevisions = HashMap<String, Long>()
 
-    /** Ends that became known lately, from whatever source. */
+    /** The ends that became known last, from any source. */
     private val endedJobs =
         object : LinkedHashMap<String, Unit>() {
             override fun removeEldestEntry(eldest: MutableMap.MutableEntry<String, Unit>) = size > MAX_REMEMBERED_ENDS
@@ -180,8 +180,8 @@
     ) = revision >= 0 && now - readUs <= us
 
     /**
-     * The job is over for certain, where a task of it has been known since [sinceUs]: it was accepted before, so a record that a
-     * later read does not find has ended.
+     * Whether the job has certainly ended, given that a task of it has been known since [sinceUs]: it was accepted before that, so if a
+     * later read does not find its open record, it has ended.
      */
     override fun hasEnded(
         job: String,
--- a/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
+++ b/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
@@ -9,8 +9,8 @@
 )
 
 /**
- * What one record and one transaction can bear. A submission that is over it could never be written, now or once the state service
- * lowers its limits, so it is refused at once instead of being tried over and over.
+ * The limits of one record and of one transaction. A submission that exceeds them could never be written, now or once the state service
+ * lowers its limits, so it is refused at once instead of being retried forever.
  */
 class RecordLimits(
     txnOps: Int,
--- a/src/main/kotlin/lichenstage/partition/WorkerCodec.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerCodec.kt
@@ -105,7 +105,7 @@
     const val VERB = "verb"
     const val LEEWAY_S = "leeway_s"
 
-    /** The phase that a word of the protocol stands for. One that isn't known means that the task is there in some way: it is running. */
+    /** The phase for a state of the protocol. An unknown state counts as running: the task is on the machine in some form. */
     fun phase(word: String) =
         when (word) {
             "pulling" -> TaskPhase.FETCHING
--- a/src/main/kotlin/lichenstage/placement/BlockedJobs.kt
+++ b/src/main/kotlin/lichenstage/placement/BlockedJobs.kt
@@ -37,7 +37,7 @@
         return jobs
     }
 
-    /** The write of the last ones is over, whether or not it succeeded. */
+    /** The write of the last cancellations has ended, successfully or not. */
     fun orphansCancelled() {
         cancellationInFlight = false
     }
--- a/src/main/kotlin/lichenstage/placement/OfferSelection.kt
+++ b/src/main/kotlin/lichenstage/placement/OfferSelection.kt
@@ -11,7 +11,7 @@
 
 /**
  * Chooses among the offers for one request. The "roomiest offer" of the paper that docs/design.md follows is worst fit: the machine with
- * room for most of the request's tasks is filled first. [PlacementScore] tells how machines with the same room are told apart.
+ * room for most of the request's tasks is filled first. [PlacementScore] decides between machines with the same room.
  */
 object OfferSelection {
     /**
