--- a/src/main/kotlin/lichenstage/drain/DrainPlan.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainPlan.kt
@@ -96,7 +96,7 @@
         }
     }
 
-    /** The cordon has reached every controller: a task that is stopped there is not placed there again, and an empty machine stays empty. */
+    /** The cordon has reached every controller: a stopped task is not placed there again, and an empty machine stays empty. */
     private fun isCordonEffective(machine: DrainedMachine) = nowUs - machine.sinceUs >= CORDON_PROPAGATION_US
 
     /** A replacement that does not come up, is faulty or is lost is terminated, and another one is requested after a growing delay. */
