--- a/src/main/kotlin/lichenstage/jobs/AdmissionPolicy.kt
+++ b/src/main/kotlin/lichenstage/jobs/AdmissionPolicy.kt
@@ -1,5 +1,6 @@
 package lichenstage.jobs
 
+import lichenstage.common.HttpStatus
 import lichenstage.config.Team
 import lichenstage.model.JobSpec
 import lichenstage.model.MachineFit
@@ -16,13 +17,13 @@
     fun refusal(spec: JobSpec): Reply? = teamRefusal(spec) ?: machineRefusal(spec) ?: sizeRefusal(spec)
 
     private fun teamRefusal(spec: JobSpec): Reply? {
-        val team = teams[spec.team] ?: return Reply.rejected(Reply.UNPROCESSABLE, SubmissionFields.TEAM, "unknown team")
+        val team = teams[spec.team] ?: return Reply.rejected(HttpStatus.UNPROCESSABLE_ENTITY, SubmissionFields.TEAM, "unknown team")
         val isWithinLimits = spec.resources.cores <= team.coresMax && spec.resources.gpus <= team.gpusMax
         return if (isWithinLimits) {
             null
         } else {
             Reply.rejected(
-                Reply.UNPROCESSABLE,
+                HttpStatus.UNPROCESSABLE_ENTITY,
                 SubmissionFields.CORES,
                 "one task is over the team's limit",
             )
@@ -38,8 +39,9 @@
         }
     }
 
-    private fun noMachineFits() = Reply.rejected(Reply.UNPROCESSABLE, SubmissionFields.ALLOWED_TYPES, "a task fits no allowed machine type")
+    private fun noMachineFits() =
+        Reply.rejected(HttpStatus.UNPROCESSABLE_ENTITY, SubmissionFields.ALLOWED_TYPES, "a task fits no allowed machine type")
 
     private fun sizeRefusal(spec: JobSpec): Reply? =
-        recordLimits.refusal(spec)?.let { (field, reason) -> Reply.rejected(Reply.BAD_REQUEST, field, reason) }
+        recordLimits.refusal(spec)?.let { (field, reason) -> Reply.rejected(HttpStatus.BAD_REQUEST, field, reason) }
 }
--- a/src/main/kotlin/lichenstage/jobs/JobLookup.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobLookup.kt
@@ -1,6 +1,7 @@
 package lichenstage.jobs
 
 import lichenstage.common.Clock
+import lichenstage.common.HttpStatus
 import lichenstage.common.SECOND
 import lichenstage.common.timeOfDayUs
 import lichenstage.state.Change
@@ -29,7 +30,7 @@
         otherwise: () -> Reply,
     ): Reply {
         if (!SubmissionCodec.validId(id)) return otherwise()
-        return find(id).let { if (it.status == Reply.NOT_FOUND) otherwise() else it }
+        return find(id).let { if (it.status == HttpStatus.NOT_FOUND) otherwise() else it }
     }
 
     /**
--- a/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
@@ -1,6 +1,7 @@
 package lichenstage.jobs
 
 import io.vertx.core.json.JsonObject
+import lichenstage.common.HttpStatus
 import lichenstage.common.timeOfDayUs
 import lichenstage.model.JobSpec
 import lichenstage.state.Change
@@ -26,7 +27,7 @@
             } catch (e: InvalidSubmission) {
                 // A job that is known is answered as such, whatever its repeat looks like.
                 val id = json.getValue(SubmissionFields.ID) as? String
-                return lookup.existingOr(id.orEmpty()) { Reply.rejected(Reply.BAD_REQUEST, e.field, e.message!!) }
+                return lookup.existingOr(id.orEmpty()) { Reply.rejected(HttpStatus.BAD_REQUEST, e.field, e.message!!) }
             }
         cache.finished(spec.id)?.let { return Reply.ofFinished(spec.id, it) }
         val refusal = admission.refusal(spec)
@@ -44,7 +45,7 @@
             dependencies.entries.firstOrNull { it.value is Dependency.NeverAccepted }?.let { (id, _) ->
                 return lookup.existingOr(
                     spec.id,
-                ) { Reply.rejected(Reply.UNPROCESSABLE, SubmissionFields.DEPENDENCIES, "$id was never accepted") }
+                ) { Reply.rejected(HttpStatus.UNPROCESSABLE_ENTITY, SubmissionFields.DEPENDENCIES, "$id was never accepted") }
             }
             if (Dependency.Indeterminate in dependencies.values) return Reply.stateUnavailable()
             write(spec, dependencies)?.let { return it }
@@ -73,7 +74,7 @@
 
             is TransactionResult.Conflict -> {
                 val reply = lookup.existingOr(spec.id) { Reply.unavailable(JobLookup.UNDECIDED) }
-                reply.takeIf { spec.dependencies.isEmpty() || it.status == Reply.OK }
+                reply.takeIf { spec.dependencies.isEmpty() || it.status == HttpStatus.OK }
             }
 
             TransactionResult.LeaseExpired, TransactionResult.Rejected, TransactionResult.Indeterminate -> {
@@ -131,7 +132,7 @@
             }
 
         /** The answer to a body that is not a JSON object. */
-        fun notAnObject() = Reply.rejected(Reply.BAD_REQUEST, "body", "not a JSON object")
+        fun notAnObject() = Reply.rejected(HttpStatus.BAD_REQUEST, "body", "not a JSON object")
 
         private const val MAX_TRIES = 3
         private const val SUBMIT_TIMEOUT_MS = 3000L
--- a/src/main/kotlin/lichenstage/jobs/Reply.kt
+++ b/src/main/kotlin/lichenstage/jobs/Reply.kt
@@ -1,6 +1,7 @@
 package lichenstage.jobs
 
 import io.vertx.core.json.JsonObject
+import lichenstage.common.HttpStatus
 
 /**
  * An answer to a user.
@@ -32,7 +33,7 @@
             status: String,
             counts: TaskProgress,
         ) = Reply(
-            OK,
+            HttpStatus.OK,
             JsonObject()
                 .put(SubmissionFields.ID, id)
                 .put("status", status)
@@ -44,7 +45,7 @@
         fun accepted(
             id: String,
             status: String,
-        ) = Reply(CREATED, JsonObject().put(SubmissionFields.ID, id).put("status", status))
+        ) = Reply(HttpStatus.CREATED, JsonObject().put(SubmissionFields.ID, id).put("status", status))
 
         /** A request that is wrong in [field]. */
         fun rejected(
@@ -54,13 +55,13 @@
         ) = Reply(status, JsonObject().put("error", what).put("field", field))
 
         /** A job that was never accepted. */
-        fun unknownJob() = rejected(NOT_FOUND, SubmissionFields.ID, "no such job")
+        fun unknownJob() = rejected(HttpStatus.NOT_FOUND, SubmissionFields.ID, "no such job")
 
         /** The request can't be answered now; it can be repeated after [seconds]. */
         fun unavailable(
             why: String,
             seconds: Int = 1,
-        ) = Reply(UNAVAILABLE, JsonObject().put("error", why), seconds)
+        ) = Reply(HttpStatus.SERVICE_UNAVAILABLE, JsonObject().put("error", why), seconds)
 
         /** The state service did not answer. */
         fun stateUnavailable() = unavailable("the state service can't be asked")
@@ -68,12 +69,6 @@
         /** Status of a job none of whose tasks runs. */
         const val PENDING = "pending"
         private const val RUNNING = "running"
-        const val OK = 200
-        const val CREATED = 201
-        const val BAD_REQUEST = 400
-        const val NOT_FOUND = 404
-        const val UNPROCESSABLE = 422
-        const val UNAVAILABLE = 503
     }
 }
 
--- a/src/main/kotlin/lichenstage/partition/WorkerClient.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerClient.kt
@@ -13,6 +13,7 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import lichenstage.common.Address
 import lichenstage.common.Clock
+import lichenstage.common.HttpStatus
 import lichenstage.common.SECOND
 import lichenstage.common.parseAddress
 
@@ -78,8 +79,8 @@
         // A connection attempt that was given up does not complete later; everything else may still arrive.
         if (response == null) return if (sent) OrderOutcome.Indeterminate else OrderOutcome.NotSent
         return when (response.status) {
-            OK -> OrderOutcome.Answered(true, heartbeatOrNull(response.body))
-            CONFLICT, BAD_REQUEST -> OrderOutcome.Answered(false, heartbeatOrNull(response.body))
+            HttpStatus.OK -> OrderOutcome.Answered(true, heartbeatOrNull(response.body))
+            HttpStatus.CONFLICT, HttpStatus.BAD_REQUEST -> OrderOutcome.Answered(false, heartbeatOrNull(response.body))
             else -> OrderOutcome.Indeterminate
         }
     }
@@ -132,9 +133,6 @@
         const val CONNECT_TIMEOUT_MS = 1500
         const val IDLE_CHECK_INTERVAL_MS = 5000L
         const val MAX_IDLE_US = 20 * SECOND
-        const val OK = 200
-        const val BAD_REQUEST = 400
-        const val CONFLICT = 409
         val REQUEST: RequestOptions = RequestOptions().setMethod(HttpMethod.POST).setURI("/orders")
     }
 }
