--- a/src/main/kotlin/lichenstage/cloud/CloudClient.kt
+++ b/src/main/kotlin/lichenstage/cloud/CloudClient.kt
@@ -5,8 +5,8 @@
 import io.vertx.core.json.JsonObject
 import lichenstage.common.Address
 import lichenstage.common.HttpStatus
-import lichenstage.common.JsonDecodingException
 import lichenstage.common.JsonHttpClient
+import lichenstage.common.decodeOrNull
 import lichenstage.model.MachineType
 import org.slf4j.LoggerFactory
 
@@ -45,12 +45,7 @@
 
     /** An answer of another form than the protocol's counts as none. */
     private inline fun <T : Any> decode(decodeAnswer: () -> T): T? =
-        try {
-            decodeAnswer()
-        } catch (e: JsonDecodingException) {
-            log.info("Answer of the cloud could not be decoded: {}", e.message)
-            null
-        }
+        decodeOrNull({ log.info("Answer of the cloud could not be decoded: {}", it.message) }, decodeAnswer)
 
     companion object {
         /** The most connections that this client has. */
--- a/src/main/kotlin/lichenstage/common/JsonFields.kt
+++ b/src/main/kotlin/lichenstage/common/JsonFields.kt
@@ -67,3 +67,15 @@
 
 /** The texts of a list that may be missing. Throws [JsonDecodingException] where it is something else. */
 fun JsonObject.optionalStrings(field: String): List<String>? = if (getValue(field) == null) null else requiredStrings(field)
+
+/** The result of [decode]; null, after [onInvalid], where the document does not have the form that [decode] expects. */
+inline fun <T : Any> decodeOrNull(
+    onInvalid: (JsonDecodingException) -> Unit,
+    decode: () -> T,
+): T? =
+    try {
+        decode()
+    } catch (e: JsonDecodingException) {
+        onInvalid(e)
+        null
+    }
--- a/src/main/kotlin/lichenstage/partition/PartitionCore.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionCore.kt
@@ -16,7 +16,7 @@
  *
  * All times are in microseconds of the controller's clock.
  *
- * @param jobEnds which jobs are known to be over
+ * @param jobCompletions which jobs are known to have ended
  * @param events receives what operators need to know of orders
  * @param limitsOf the limits of a machine type; null where the type is not known
  */
--- a/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
+++ b/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
@@ -6,8 +6,8 @@
 import lichenstage.common.Address
 import lichenstage.common.Clock
 import lichenstage.common.HttpStatus
-import lichenstage.common.JsonDecodingException
 import lichenstage.common.JsonHttpClient
+import lichenstage.common.decodeOrNull
 import org.slf4j.LoggerFactory
 
 /**
@@ -152,12 +152,7 @@
 
     /** An answer of another form than the protocol's counts as none. */
     private inline fun <T : Any> decode(read: () -> T): T? =
-        try {
-            read()
-        } catch (e: JsonDecodingException) {
-            log.info("Answer of the state service could not be decoded: {}", e.message)
-            null
-        }
+        decodeOrNull({ log.info("Answer of the state service could not be decoded: {}", it.message) }, read)
 
     companion object {
         private const val REQUEST_CONNECTIONS = 24
