--- a/src/main/kotlin/lichenstage/app/WarmUp.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUp.kt
@@ -131,8 +131,8 @@
     val leader = warmUpLeader(resources, sent)
     val spec =
         JobSpec("j-1", "c", "t", Priority.HIGH, 1, resources, null, null, false, false, true, "i", 1.0, SECOND, 0, 0, null, 0)
-    leader.jobAdded(Job(JobRecordCodec.decode(JobRecordCodec.encode(spec)), 1, 0))
-    leader.machinesRegistered(mapOf("m" to "z/0"))
+    leader.addJob(Job(JobRecordCodec.decode(JobRecordCodec.encode(spec)), 1, 0))
+    leader.onMachinesRegistered(mapOf("m" to "z/0"))
     val partition = PartitionCore(PartitionParameters("z/0", "z", 2, 20 * SECOND, SECOND, 0)) { MachineLimits("b", resources) }
     for (now in 1L..6L) {
         val tasks = if (now < 5) "" else """{"part":"j-1/0","try":4294967297,"status":"ended","cause":"done"}"""
@@ -145,7 +145,7 @@
         partition.nextDirectOrders(now * SECOND)
         partition.tick(now * SECOND)
         partition.nextFrame(now * SECOND)?.let {
-            leader.partitionFrameReceived(
+            leader.onPartitionFrame(
                 FrameCodec.decode(FrameCodec.encode(it)) as PartitionFrame,
                 now * SECOND,
             )
--- a/src/main/kotlin/lichenstage/placement/Attempt.kt
+++ b/src/main/kotlin/lichenstage/placement/Attempt.kt
@@ -14,20 +14,20 @@
     var partitionTerm = 0L
 
     /** The number of the leader's frame with the start: a state that does not reflect that frame says nothing of the attempt. */
-    var seq = 0L
+    var startSeq = 0L
     var phase = TaskPhase.PENDING
 
     /** The task's name in the worker protocol. */
     val task get() = taskName(job.spec.id, index)
 
     /** When it was first listed as running; 0 before that. */
-    var runningUs = 0L
+    var firstRunningAtUs = 0L
 
     /** When it was first ordered to save its progress and stop; 0 where it was not. */
-    var saveOrderedUs = 0L
+    var saveCommandedAtUs = 0L
 
-    /** Progress of the task at [now] in microseconds of run time, with the checkpoints of earlier attempts. */
-    fun progressUs(now: Long) = job.savedUs(index) + if (runningUs > 0) now - runningUs else 0
+    /** Progress of the task at [nowUs] in microseconds of run time, with the checkpoints of earlier attempts. */
+    fun progressUs(nowUs: Long) = job.savedProgressUs(index) + if (firstRunningAtUs > 0) nowUs - firstRunningAtUs else 0
 }
 
 /** The name of a task in the worker protocol. */
--- a/src/main/kotlin/lichenstage/placement/AttemptRecovery.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptRecovery.kt
@@ -21,7 +21,7 @@
         val machine = partition.machines[machineName] ?: return
         for (task in machine.tasks) {
             if (task.phase == TaskPhase.ENDED) continue
-            jobs.byId[task.job]?.let { tracker.listed(PartitionRef(partitionId, partition), machine, task, it, 0) }
+            jobs.byId[task.job]?.let { tracker.onTaskListed(PartitionRef(partitionId, partition), machine, task, it, 0) }
         }
         if (machine.tasks.isNotEmpty()) reconciler.reconcile(partitionId, machine)
     }
@@ -36,7 +36,7 @@
         for (machine in partition.state.machines.values) {
             val tasks = machine.tasks.filter { it.job == job.spec.id }
             if (tasks.isEmpty()) continue
-            tasks.forEach { tracker.listed(partition, machine, it, job, 0) }
+            tasks.forEach { tracker.onTaskListed(partition, machine, it, job, 0) }
             reconciler.reconcile(partition.id, machine)
         }
     }
--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -10,16 +10,16 @@
 /** Events of attempts that an [AttemptTracker] follows. */
 internal interface AttemptListener {
     /** The task is done; called once for each task. */
-    fun taskDone(
+    fun onTaskDone(
         job: Job,
-        now: Long,
+        nowUs: Long,
     )
 
     /** The attempt has ended, whether or not its task is done. */
-    fun attemptEnded(attempt: Attempt)
+    fun onAttemptEnded(attempt: Attempt)
 
     /** A newer attempt of the task was found on another machine: this one is to be stopped where it is still listed. */
-    fun attemptSuperseded(attempt: Attempt)
+    fun onAttemptSuperseded(attempt: Attempt)
 }
 
 /** Follows attempts by the task lists of their machines, as the frames of partitions bring them. */
@@ -34,66 +34,66 @@
     private val log = LoggerFactory.getLogger("lichenstage.placement")
 
     /** Jobs whose tasks failed on a machine: several point at the machine. */
-    val failedJobs = HashMap<String, HashSet<String>>()
+    val failedJobsByMachine = HashMap<String, HashSet<String>>()
 
     /** As of when what is lost is counted: the progress of tasks that save by themselves depends on it. */
-    private var nowUs = 0L
+    private var currentTimeUs = 0L
 
-    fun timePassed(now: Long) {
-        nowUs = now
+    fun updateTime(nowUs: Long) {
+        currentTimeUs = nowUs
     }
 
     /** A machine lists a task of [job]. */
-    fun listed(
+    fun onTaskListed(
         partition: PartitionRef,
         machine: MachineState,
         task: TaskState,
         job: Job,
-        now: Long,
+        nowUs: Long,
     ) {
         val index = task.index
         if (index !in 0 until job.spec.tasks) return
         job.listedOnMachines += machine.name
-        val known = job.liveAttempts.get(index)
-        val mine = known?.takeIf { it.number == task.attempt && it.machine == machine.name }
+        val currentAttempt = job.liveAttempts.get(index)
+        val matchingAttempt = currentAttempt?.takeIf { it.number == task.attempt && it.machine == machine.name }
         when {
-            task.phase == TaskPhase.ENDED -> ended(partition, machine, task, job, mine, now)
-            mine != null -> progressed(mine, task.phase, now)
-            else -> recover(partition, machine, task, job, known)
+            task.phase == TaskPhase.ENDED -> handleTaskEnd(partition, machine, task, job, matchingAttempt, nowUs)
+            matchingAttempt != null -> updatePhase(matchingAttempt, task.phase, nowUs)
+            else -> recoverAttempt(partition, machine, task, job, currentAttempt)
         }
     }
 
-    private fun progressed(
+    private fun updatePhase(
         attempt: Attempt,
         phase: TaskPhase,
-        now: Long,
+        nowUs: Long,
     ) {
         if (attempt.phase != phase && phase == TaskPhase.RUNNING) {
-            attempt.runningUs = now
-            attempt.job.runningUs = now
+            attempt.firstRunningAtUs = nowUs
+            attempt.job.lastRunningAtUs = nowUs
         }
         attempt.phase = phase
     }
 
-    private fun ended(
+    private fun handleTaskEnd(
         partition: PartitionRef,
         machine: MachineState,
         task: TaskState,
         job: Job,
         attempt: Attempt?,
-        now: Long,
+        nowUs: Long,
     ) {
         if (task.cause == TaskEndCause.DONE) {
-            val ranUs = attempt?.takeIf { it.runningUs > 0 }?.progressUs(now)
-            if (job.markDone(task.index)) {
+            val ranUs = attempt?.takeIf { it.firstRunningAtUs > 0 }?.progressUs(nowUs)
+            if (job.markTaskDone(task.index)) {
                 if (ranUs != null) runTimes.recordCompletion(job.spec, ranUs)
-                listener.taskDone(job, now)
+                listener.onTaskDone(job, nowUs)
             }
         } else if (attempt != null) {
-            failed(job, machine, task, now)
+            recordFailure(job, machine, task, nowUs)
         }
         if (attempt == null) return
-        end(attempt, stoppedProgressUs(attempt))
+        endAttempt(attempt, progressAtStopUs(attempt))
         if (task.cause == TaskEndCause.BUSY) recoverConflictingAttempt(partition, machine, task, job)
     }
 
@@ -104,11 +104,11 @@
     private fun recoverConflictingAttempt(
         partition: PartitionRef,
         machine: MachineState,
-        refused: TaskState,
+        refusedTask: TaskState,
         job: Job,
     ) {
-        val other = machine.tasks.firstOrNull { it.task == refused.task && it.phase != TaskPhase.ENDED } ?: return
-        recover(partition, machine, other, job, job.liveAttempts.get(other.index))
+        val conflictingTask = machine.tasks.firstOrNull { it.task == refusedTask.task && it.phase != TaskPhase.ENDED } ?: return
+        recoverAttempt(partition, machine, conflictingTask, job, job.liveAttempts.get(conflictingTask.index))
     }
 
     /**
@@ -117,77 +117,77 @@
      * stopped.) Of two attempts the newer counts: it was started only once the older was proven to have ended, and what lists the older
      * is a machine that was terminated with no time left to record that.
      */
-    private fun recover(
+    private fun recoverAttempt(
         partition: PartitionRef,
         machine: MachineState,
         task: TaskState,
         job: Job,
-        known: Attempt?,
+        currentAttempt: Attempt?,
     ) {
-        if (machine.tokenConfirmed && isRegistered(machine.name) && (known == null || task.attempt > known.number)) {
+        if (machine.tokenConfirmed && isRegistered(machine.name) && (currentAttempt == null || task.attempt > currentAttempt.number)) {
             val attempt = Attempt(job, task.index, task.attempt, machine.name, partition.id)
             attempt.partitionTerm = partition.state.term
-            attempt.seq = partition.state.reflectedSeq
+            attempt.startSeq = partition.state.reflectedSeq
             attempt.phase = task.phase
-            if (known != null) supersede(known)
+            if (currentAttempt != null) supersedeAttempt(currentAttempt)
             attempts.track(attempt)
-        } else if (known != null) {
+        } else if (currentAttempt != null) {
             log.info(
                 "Conflicting attempt ignored task={} attempt={} machine={} currentAttempt={} currentMachine={}",
                 task.task,
                 task.attempt,
                 machine.name,
-                known.number,
-                known.machine,
+                currentAttempt.number,
+                currentAttempt.machine,
             )
         }
     }
 
-    private fun supersede(attempt: Attempt) {
+    private fun supersedeAttempt(attempt: Attempt) {
         log.info("Attempt superseded task={} attempt={} machine={}", attempt.task, attempt.number, attempt.machine)
         attempts.remove(attempt)
-        checkpointPreemption.attemptEnded(attempt)
-        listener.attemptSuperseded(attempt)
+        checkpointPreemption.onAttemptEnded(attempt)
+        listener.onAttemptSuperseded(attempt)
     }
 
-    private fun failed(
+    private fun recordFailure(
         job: Job,
         machine: MachineState,
         task: TaskState,
-        now: Long,
+        nowUs: Long,
     ) {
         if (task.cause == TaskEndCause.HALTED) return
         log.info("Attempt failed task={} attempt={} machine={} cause={}", task.task, task.attempt, machine.name, task.cause)
-        if (task.cause == TaskEndCause.ERROR) failedJobs.getOrPut(machine.name) { HashSet() }.add(job.spec.id)
-        job.failures++
+        if (task.cause == TaskEndCause.ERROR) failedJobsByMachine.getOrPut(machine.name) { HashSet() }.add(job.spec.id)
+        job.failureCount++
         // A job that fails everywhere must not use the slots of others again and again.
-        val backoffUs = (SECOND shl minOf(job.failures, MAX_BACKOFF_DOUBLINGS)).coerceAtMost(MAX_BACKOFF_US)
-        job.backoffUntilUs = maxOf(job.backoffUntilUs, now + backoffUs / 2)
+        val backoffUs = (SECOND shl minOf(job.failureCount, MAX_BACKOFF_DOUBLINGS)).coerceAtMost(MAX_BACKOFF_US)
+        job.backoffUntilUs = maxOf(job.backoffUntilUs, nowUs + backoffUs / 2)
     }
 
-    /** Nothing of the attempt is left but [savedUs] of progress. */
-    private fun end(
+    /** Nothing of the attempt is left but [savedProgressUs] of progress. */
+    private fun endAttempt(
         attempt: Attempt,
-        savedUs: Long,
+        savedProgressUs: Long,
     ) {
         attempts.remove(attempt)
-        checkpointPreemption.attemptEnded(attempt)
-        attempt.job.recordSavedProgress(attempt.index, savedUs)
-        attempt.job.requeue(attempt.index)
-        listener.attemptEnded(attempt)
+        checkpointPreemption.onAttemptEnded(attempt)
+        attempt.job.recordSavedProgress(attempt.index, savedProgressUs)
+        attempt.job.requeueTask(attempt.index)
+        listener.onAttemptEnded(attempt)
     }
 
     /** Attempts that were lost with their machine, or never got there. */
-    fun attemptsLost(attempts: List<Attempt>) = attempts.forEach { end(it, checkpointedUs(it)) }
+    fun endLostAttempts(attempts: List<Attempt>) = attempts.forEach { endAttempt(it, checkpointedProgressUs(it)) }
 
-    /** Ends those of [among] that are proven to be nowhere any more. */
-    fun removeAbsent(
-        among: Sequence<Attempt>,
+    /** Ends those of [candidates] that are proven to be nowhere any more. */
+    fun endAbsentAttempts(
+        candidates: Sequence<Attempt>,
         partition: (String) -> PartitionState?,
     ) {
-        val absent = among.filter { attempt -> partition(attempt.partition)?.let { isAbsent(attempt, it) } == true }.toList()
+        val absent = candidates.filter { attempt -> partition(attempt.partition)?.let { isAbsent(attempt, it) } == true }.toList()
         absent.forEach { log.debug("Attempt no longer on its machine task={} attempt={} machine={}", it.task, it.number, it.machine) }
-        attemptsLost(absent)
+        endLostAttempts(absent)
     }
 
     /** Its partition has received its start, and its machine does not list it or is lost (see [MachineKnowledge]). */
@@ -195,7 +195,7 @@
         attempt: Attempt,
         partition: PartitionState,
     ): Boolean {
-        if (attempt.partitionTerm >= partition.term && attempt.seq > partition.reflectedSeq) return false
+        if (attempt.partitionTerm >= partition.term && attempt.startSeq > partition.reflectedSeq) return false
         return when (MachineKnowledge.of(attempt.machine, partition, leaseUs)) {
             MachineKnowledge.UNKNOWN -> false
             MachineKnowledge.LEASE_EXPIRED -> true
@@ -212,14 +212,14 @@
         .any { it.attempt == attempt.number && it.task == attempt.task }
 
     /** Progress of a task that was stopped by command. */
-    private fun stoppedProgressUs(attempt: Attempt) =
-        if (attempt.saveOrderedUs > 0) attempt.progressUs(attempt.saveOrderedUs) else checkpointedUs(attempt)
+    private fun progressAtStopUs(attempt: Attempt) =
+        if (attempt.saveCommandedAtUs > 0) attempt.progressUs(attempt.saveCommandedAtUs) else checkpointedProgressUs(attempt)
 
     /** A task that saves by itself now and then has kept its progress up to the last time. */
-    private fun checkpointedUs(attempt: Attempt): Long {
-        val everyUs = attempt.job.spec.checkpointIntervalUs
-        if (everyUs <= 0 || attempt.phase != TaskPhase.RUNNING) return 0
-        return attempt.progressUs(nowUs) / everyUs * everyUs
+    private fun checkpointedProgressUs(attempt: Attempt): Long {
+        val intervalUs = attempt.job.spec.checkpointIntervalUs
+        if (intervalUs <= 0 || attempt.phase != TaskPhase.RUNNING) return 0
+        return attempt.progressUs(currentTimeUs) / intervalUs * intervalUs
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
@@ -20,29 +20,29 @@
     private val reclaimDeadlineUs = HashMap<String, Long>()
 
     /** When an attempt was last ordered to stop, by its number. */
-    private val orderedUs = HashMap<Long, Long>()
+    private val lastSentAtUs = HashMap<Long, Long>()
 
     /** Attempts that drains have stopped, whether or not they can save, by number. */
-    private val requested = LinkedHashMap<Long, Attempt>()
+    private val requestedStops = LinkedHashMap<Long, Attempt>()
 
     /** Machines that have a spot notice, or on which an attempt is to be stopped for a drain. */
     val affectedMachines: Set<String>
-        get() = if (requested.isEmpty()) reclaimDeadlineUs.keys else reclaimDeadlineUs.keys + requested.values.map { it.machine }
+        get() = if (requestedStops.isEmpty()) reclaimDeadlineUs.keys else reclaimDeadlineUs.keys + requestedStops.values.map { it.machine }
 
     /** Has attempts stopped for a drain, with time to save where they can. */
-    fun requestStop(attempts: Collection<Attempt>) = attempts.forEach { requested[it.number] = it }
+    fun requestStop(attempts: Collection<Attempt>) = attempts.forEach { requestedStops[it.number] = it }
 
-    /** Takes a machine as its partition shows it at [now]. Its notice may be older than the frame, never younger. */
-    fun machineUpdated(
+    /** Takes a machine as its partition shows it at [nowUs]. Its notice may be older than the frame, never younger. */
+    fun onMachineUpdate(
         machine: MachineState,
-        now: Long,
+        nowUs: Long,
     ) {
         val leftUs = machine.recallUs ?: return
-        reclaimDeadlineUs.merge(machine.name, now + leftUs, ::minOf)
+        reclaimDeadlineUs.merge(machine.name, nowUs + leftUs, ::minOf)
     }
 
     /** The machine is proven gone. */
-    fun machineTerminated(machine: String) {
+    fun onMachineTerminated(machine: String) {
         reclaimDeadlineUs.remove(machine)
     }
 
@@ -50,50 +50,50 @@
      * The orders to send now to a machine that goes away, with the [attempts] that may be running there. Where it [isDrained] by an
      * operator, only requested attempts are stopped, since that is within the disruption budget of their team.
      */
-    fun saveOrders(
+    fun saveCommands(
         machine: String,
         attempts: Collection<Attempt>,
         isDrained: Boolean,
-        now: Long,
+        nowUs: Long,
     ): List<SaveOrder> {
         val reclaimDeadlineUs = reclaimDeadlineUs[machine]
         val preempted =
             when {
-                reclaimDeadlineUs != null -> beforeReclaim(attempts, reclaimDeadlineUs - now, now)
+                reclaimDeadlineUs != null -> selectBeforeReclaim(attempts, reclaimDeadlineUs - nowUs, nowUs)
                 isDrained -> emptyList()
-                else -> forScaleIn(attempts, now)
+                else -> selectForScaleIn(attempts, nowUs)
             }
-        val requestedHere = attempts.filter { it.number in requested && it.phase == TaskPhase.RUNNING }
-        return (preempted + requestedHere)
+        val requestedOnMachine = attempts.filter { it.number in requestedStops && it.phase == TaskPhase.RUNNING }
+        return (preempted + requestedOnMachine)
             .distinct()
             .filter {
-                markOrderedIfDue(it, now)
+                markSentIfDue(it, nowUs)
             }.map { SaveOrder(machine, it.task, it.number, graceUs(it)) }
     }
 
-    private fun beforeReclaim(
+    private fun selectBeforeReclaim(
         attempts: Collection<Attempt>,
         leftUs: Long,
-        now: Long,
+        nowUs: Long,
     ) = attempts.filter {
         val checkpointSaveUs = it.job.spec.checkpointSaveUs
-        canSave(it) && leftUs in checkpointSaveUs + MIN_MARGIN_US..checkpointSaveUs + NOTICE_MARGIN_US &&
-            remainingUs(it, now) + MIN_MARGIN_US > leftUs
+        canSave(it) && leftUs in checkpointSaveUs + MIN_MARGIN_US..checkpointSaveUs + MAX_MARGIN_US &&
+            remainingUs(it, nowUs) + MIN_MARGIN_US > leftUs
     }
 
-    private fun forScaleIn(
+    private fun selectForScaleIn(
         attempts: Collection<Attempt>,
-        now: Long,
+        nowUs: Long,
     ): List<Attempt> {
-        if (attempts.isEmpty() || attempts.any { !isWorthMoving(it, now) }) return emptyList()
+        if (attempts.isEmpty() || attempts.any { !isWorthMoving(it, nowUs) }) return emptyList()
         return attempts.toList()
     }
 
     private fun isWorthMoving(
         attempt: Attempt,
-        now: Long,
-    ) = canSave(attempt) && attempt.runningUs > 0 && now - attempt.runningUs >= MIN_RUN_US &&
-        remainingUs(attempt, now) > attempt.job.spec.checkpointSaveUs + MOVE_COST_US
+        nowUs: Long,
+    ) = canSave(attempt) && attempt.firstRunningAtUs > 0 && nowUs - attempt.firstRunningAtUs >= MIN_RUN_US &&
+        remainingUs(attempt, nowUs) > attempt.job.spec.checkpointSaveUs + MOVE_COST_US
 
     private fun canSave(attempt: Attempt) = savesCheckpoints(attempt) && attempt.phase == TaskPhase.RUNNING
 
@@ -103,10 +103,10 @@
      */
     fun remainingUs(
         attempt: Attempt,
-        now: Long,
+        nowUs: Long,
     ): Long {
-        val progressUs = attempt.progressUs(now)
-        return maxOf(runTimes.expectedUs(attempt.job.spec) - progressUs, progressUs / OVERRUN_SHARE)
+        val progressUs = attempt.progressUs(nowUs)
+        return maxOf(runTimes.expectedUs(attempt.job.spec) - progressUs, progressUs / OVERRUN_DIVISOR)
     }
 
     private fun savesCheckpoints(attempt: Attempt) = attempt.job.spec.checkpointIntervalUs > 0
@@ -115,21 +115,21 @@
     private fun graceUs(attempt: Attempt) = if (savesCheckpoints(attempt)) attempt.job.spec.checkpointSaveUs + MIN_MARGIN_US else 0
 
     /** Frames get lost, so that an order is repeated while the task is still shown as running. Notes the order as sent where it is due. */
-    private fun markOrderedIfDue(
+    private fun markSentIfDue(
         attempt: Attempt,
-        now: Long,
+        nowUs: Long,
     ): Boolean {
-        val last = orderedUs[attempt.number]
-        if (last != null && now - last < REPEAT_INTERVAL_US) return false
-        orderedUs[attempt.number] = now
-        if (attempt.saveOrderedUs == 0L && savesCheckpoints(attempt)) attempt.saveOrderedUs = now
+        val previousSentAtUs = lastSentAtUs[attempt.number]
+        if (previousSentAtUs != null && nowUs - previousSentAtUs < REPEAT_INTERVAL_US) return false
+        lastSentAtUs[attempt.number] = nowUs
+        if (attempt.saveCommandedAtUs == 0L && savesCheckpoints(attempt)) attempt.saveCommandedAtUs = nowUs
         return true
     }
 
     /** The attempt has ended. */
-    fun attemptEnded(attempt: Attempt) {
-        orderedUs.remove(attempt.number)
-        requested.remove(attempt.number)
+    fun onAttemptEnded(attempt: Attempt) {
+        lastSentAtUs.remove(attempt.number)
+        requestedStops.remove(attempt.number)
     }
 
     private companion object {
@@ -137,7 +137,7 @@
         const val MIN_MARGIN_US = SECOND
 
         /** The time left beside the saving at which a task is stopped: two repeats of a lost order fit in. */
-        const val NOTICE_MARGIN_US = 6 * SECOND
+        const val MAX_MARGIN_US = 6 * SECOND
 
         /** A start that is stopped sooner does not count for its job's objectives. */
         const val MIN_RUN_US = 35 * SECOND
@@ -146,7 +146,7 @@
         const val MOVE_COST_US = 15 * SECOND
 
         /** A task that has run for longer than expected goes on for one part in so many of its progress. */
-        const val OVERRUN_SHARE = 4
+        const val OVERRUN_DIVISOR = 4
         const val REPEAT_INTERVAL_US = 2 * SECOND
     }
 }
--- a/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
@@ -9,13 +9,13 @@
     private val attempts: RunningAttempts,
 ) {
     /** The orders to save a checkpoint and stop, by partition. */
-    fun ordersByPartition(now: Long): Map<String, List<SaveOrder>> {
-        val orders = HashMap<String, List<SaveOrder>>()
+    fun commandsByPartition(nowUs: Long): Map<String, List<SaveOrder>> {
+        val commands = HashMap<String, List<SaveOrder>>()
         for (machine in directory.cordoned + preemption.affectedMachines) {
-            val partition = directory.partition(machine) ?: continue
-            val ofMachine = preemption.saveOrders(machine, attempts.on(machine), machine in directory.drained, now)
-            if (ofMachine.isNotEmpty()) orders.merge(partition, ofMachine) { before, more -> before + more }
+            val partition = directory.partitionOf(machine) ?: continue
+            val machineCommands = preemption.saveCommands(machine, attempts.onMachine(machine), machine in directory.drained, nowUs)
+            if (machineCommands.isNotEmpty()) commands.merge(partition, machineCommands) { existing, added -> existing + added }
         }
-        return orders
+        return commands
     }
 }
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -33,8 +33,8 @@
      */
     fun writeDue(now: Long) {
         if (unrecorded.isEmpty()) return
-        for (job in unrecorded.keys.filter { it.allTasksDone && !it.completionWriteInFlight }) {
-            job.completionWriteInFlight = true
+        for (job in unrecorded.keys.filter { it.allTasksDone && !it.isCompletionWriteInFlight }) {
+            job.isCompletionWriteInFlight = true
             emit(LeaderEffect.RecordCompletion(job))
         }
         if (rangesWriteInFlight) return
@@ -43,7 +43,7 @@
         rangesWriteInFlight = true
         deltas.forEach {
             unrecorded.remove(it.job)
-            it.job.rangesWriteInFlight = true
+            it.job.isRangesWriteInFlight = true
         }
         emit(LeaderEffect.WriteDoneRanges(deltas))
     }
@@ -70,7 +70,7 @@
     }
 
     private fun delta(job: Job): CompletionDelta {
-        val recordedTasks = job.durable.clone() as BitSet
+        val recordedTasks = job.recordedTasks.clone() as BitSet
         val chunks = changedChunks(job).filter { addWritable(job, it, recordedTasks) }
         return CompletionDelta(job, recordedTasks, chunks)
     }
@@ -84,8 +84,8 @@
         chunk: Int,
         recordedTasks: BitSet,
     ): Boolean {
-        val fitting = CompletedTaskRanges.truncateToFit(job.done, chunk, valueBytes)
-        val durable = job.durable.get(chunk * CompletedTaskRanges.TASKS_PER_CHUNK, (chunk + 1) * CompletedTaskRanges.TASKS_PER_CHUNK)
+        val fitting = CompletedTaskRanges.truncateToFit(job.doneTasks, chunk, valueBytes)
+        val durable = job.recordedTasks.get(chunk * CompletedTaskRanges.TASKS_PER_CHUNK, (chunk + 1) * CompletedTaskRanges.TASKS_PER_CHUNK)
         val lost = (durable.clone() as BitSet).apply { andNot(fitting) }
         if (!lost.isEmpty || fitting == durable) return false
         var next = fitting.nextSetBit(0)
@@ -97,7 +97,7 @@
     }
 
     private fun changedChunks(job: Job): List<Int> {
-        val unrecordedTasks = (job.done.clone() as BitSet).apply { andNot(job.durable) }
+        val unrecordedTasks = (job.doneTasks.clone() as BitSet).apply { andNot(job.recordedTasks) }
         return (0 until CompletedTaskRanges.chunks(job.spec.tasks)).filter {
             val next = unrecordedTasks.nextSetBit(it * CompletedTaskRanges.TASKS_PER_CHUNK)
             next >= 0 && next < (it + 1) * CompletedTaskRanges.TASKS_PER_CHUNK
@@ -112,9 +112,9 @@
     ) {
         rangesWriteInFlight = false
         for ((job, recordedTasks) in deltas) {
-            job.rangesWriteInFlight = false
-            if (ok) job.durable.or(recordedTasks)
-            if (job.phase == JobPhase.OPEN && job.done.cardinality() != job.durable.cardinality()) markUnrecorded(job, now)
+            job.isRangesWriteInFlight = false
+            if (ok) job.recordedTasks.or(recordedTasks)
+            if (job.phase == JobPhase.OPEN && job.doneTasks.cardinality() != job.recordedTasks.cardinality()) markUnrecorded(job, now)
         }
     }
 }
--- a/src/main/kotlin/lichenstage/placement/DemandEstimate.kt
+++ b/src/main/kotlin/lichenstage/placement/DemandEstimate.kt
@@ -36,9 +36,9 @@
         return jobs.filter { it.remainingTasks > 0 && it.phase == JobPhase.OPEN }.mapNotNull { job ->
             val spec = job.spec
             val machineType = MachineFit.cheapestType(spec, machineTypes)
-            val leadTimeUs = if (job.ready || machineType == null) 0 else (machineType.bootUs * BOOT_TIME_MARGIN).toLong()
+            val leadTimeUs = if (job.isReady || machineType == null) 0 else (machineType.bootUs * BOOT_TIME_MARGIN).toLong()
             val tasks = concurrentTasks(job, inputs.maxCores(spec.team) - (coresOfTeams[spec.team] ?: 0.0))
-            if (machineType == null || tasks <= 0.0 || (!job.ready && inputs.readyInUs(job) > leadTimeUs)) return@mapNotNull null
+            if (machineType == null || tasks <= 0.0 || (!job.isReady && inputs.readyInUs(job) > leadTimeUs)) return@mapNotNull null
             coresOfTeams.merge(spec.team, tasks * spec.resources.cores, Double::plus)
             remainingDemand(job, machineType, tasks, inputs.runUs(spec)).copy(dueUs = inputs.dueUs(job), foreseenInUs = leadTimeUs)
         }
@@ -63,7 +63,7 @@
         val spec = job.spec
         val perMachine = MachineFit.tasksPerMachine(machineType, spec.resources).toDouble()
         val machineUsPerTask = (runUs + machineType.fetchUs(spec.imageGb)) / perMachine
-        val waitingTasks = if (job.placeable) job.pending.size else job.remainingTasks
+        val waitingTasks = if (job.isPlaceable) job.pendingTasks.size else job.remainingTasks
         val waitingUs = minOf(waitingTasks.toDouble(), concurrentTasks) * machineUsPerTask
         return Demand(
             typeName = machineType.name,
@@ -72,7 +72,7 @@
             workUs = job.remainingTasks * machineUsPerTask,
             dueUs = null,
             busy = job.liveAttempts.size / perMachine,
-            waitingUs = maxOf(waitingUs - job.totalSavedUs / perMachine, 0.0),
+            waitingUs = maxOf(waitingUs - job.totalSavedProgressUs / perMachine, 0.0),
         )
     }
 
@@ -89,7 +89,7 @@
         val spec = job.spec
         val machineType = MachineFit.cheapestType(spec, machineTypes) ?: return null
         val machines = spec.tasks.toDouble() / MachineFit.tasksPerMachine(machineType, spec.resources)
-        return JobArrival(machineType.name, job.readyUs, machines, runUs + machineType.fetchUs(spec.imageGb), isUrgent(machineType))
+        return JobArrival(machineType.name, job.readyAtUs, machines, runUs + machineType.fetchUs(spec.imageGb), isUrgent(machineType))
     }
 
     /** Machines usually boot within one and a half times the boot time of their type. */
--- a/src/main/kotlin/lichenstage/placement/FailoverRecovery.kt
+++ b/src/main/kotlin/lichenstage/placement/FailoverRecovery.kt
@@ -19,27 +19,27 @@
     private val leaseUs: Long,
     private val partitionOf: (String) -> PartitionState?,
 ) {
-    private val awaited = HashMap<String, RecoveredMachine>()
-    private var completionReported = false
+    private val awaitedMachines = HashMap<String, RecoveredMachine>()
+    private var isCompletionReported = false
 
     /** Every machine is accounted for. */
-    val isComplete get() = awaited.isEmpty()
+    val isComplete get() = awaitedMachines.isEmpty()
 
     /** The machine has to be accounted for. */
-    fun await(machine: RecoveredMachine) {
-        awaited[machine.name] = machine
+    fun awaitMachine(machine: RecoveredMachine) {
+        awaitedMachines[machine.name] = machine
     }
 
     /** The machine is proven to be terminated. */
-    fun machineTerminated(name: String) {
-        awaited.remove(name)
+    fun onMachineTerminated(name: String) {
+        awaitedMachines.remove(name)
     }
 
     /** Drops the machines that are accounted for by now; true once, at the first call that finds none left. */
-    fun completedNow(): Boolean {
-        if (awaited.isNotEmpty()) awaited.values.removeIf(::isAccountedFor)
-        if (completionReported || awaited.isNotEmpty()) return false
-        completionReported = true
+    fun checkCompletion(): Boolean {
+        if (awaitedMachines.isNotEmpty()) awaitedMachines.values.removeIf(::isAccountedFor)
+        if (isCompletionReported || awaitedMachines.isNotEmpty()) return false
+        isCompletionReported = true
         return true
     }
 
@@ -58,21 +58,21 @@
      * large deployment always has some that just went away), more of them later; where many are silent, the network is at fault.
      */
     fun machinesToFence(registered: Int): List<String> {
-        if (awaited.isEmpty()) return emptyList()
+        if (awaitedMachines.isEmpty()) return emptyList()
         val afterUs =
             when {
-                awaited.size <= maxOf(FEW_MACHINES, registered / FEW_SHARE) -> FENCE_FEW_AFTER_US
-                awaited.size <= registered / SOME_SHARE -> FENCE_SOME_AFTER_US
+                awaitedMachines.size <= maxOf(FEW_MACHINES, registered / FEW_DIVISOR) -> FENCE_FEW_AFTER_US
+                awaitedMachines.size <= registered / SOME_DIVISOR -> FENCE_SOME_AFTER_US
                 else -> return emptyList()
             }
-        return awaited.values.filter { (partitionOf(it.partition)?.ageUs ?: 0) > afterUs }.map { it.name }
+        return awaitedMachines.values.filter { (partitionOf(it.partition)?.ownershipAgeUs ?: 0) > afterUs }.map { it.name }
     }
 
     /** What may be in use on the machines of which nothing is known yet: each counts at its full size. */
-    fun unknownUse(capacityOf: (String) -> Resources?): Resources {
+    fun awaitedCapacity(capacityOf: (String) -> Resources?): Resources {
         var cores = 0.0
         var gpus = 0.0
-        for (machine in awaited.values) {
+        for (machine in awaitedMachines.values) {
             cores += capacityOf(machine.typeName)?.cores ?: Double.MAX_VALUE
             gpus += capacityOf(machine.typeName)?.gpus ?: Double.MAX_VALUE
         }
@@ -81,8 +81,8 @@
 
     private companion object {
         const val FEW_MACHINES = 2
-        const val FEW_SHARE = 50
-        const val SOME_SHARE = 16
+        const val FEW_DIVISOR = 50
+        const val SOME_DIVISOR = 16
         const val FENCE_FEW_AFTER_US = 5 * SECOND / 2
         const val FENCE_SOME_AFTER_US = 6 * SECOND
     }
--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -81,7 +81,7 @@
 
     /** Requests a machine of the type, zone and kind of the one that [key] names. */
     fun requestReplacement(key: DrainKey) {
-        val machine = core.machines.state(key.machine) ?: return
+        val machine = core.machines.stateOf(key.machine) ?: return
         val zone = core.machines.zoneOf(key.machine) ?: return
         val id = "${key.drain} ${key.machine}"
         replacementKeys[id] = key
@@ -93,7 +93,7 @@
 
     private fun callCloud(now: Long) {
         if (!caller.isReady(now)) return
-        if (!core.failoverComplete && observer.machineTypes.isEmpty()) return
+        if (!core.isFailoverComplete && observer.machineTypes.isEmpty()) return
         // The decision looks at every machine, so it is not made anew after every message.
         if (now - decidedUs < DECIDE_INTERVAL_US) return
         decidedUs = now
--- a/src/main/kotlin/lichenstage/placement/FleetObserver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetObserver.kt
@@ -64,7 +64,7 @@
 
         /** Of a job that waits for dependencies only the deadline is known. */
         override fun dueUs(job: Job): Long? {
-            if (!job.ready) return objectives.deadlineUs(job)
+            if (!job.isReady) return objectives.deadlineUs(job)
             val runUs = runUs(job.spec)
             return objectives.startObjectives(job, runUs, now).firstOrNull()?.let { it.startByUs + runUs }
         }
--- a/src/main/kotlin/lichenstage/placement/Job.kt
+++ b/src/main/kotlin/lichenstage/placement/Job.kt
@@ -18,30 +18,30 @@
     val submittedAtUs: Long,
 ) {
     /** All of its dependencies are recorded as done. Until then it has nothing to place and counts for no limit. */
-    var ready = spec.dependencies.isEmpty()
+    var isReady = spec.dependencies.isEmpty()
         private set
 
     /** When it became ready: all its times but the deadline count from here. */
-    var readyUs = submittedAtUs
+    var readyAtUs = submittedAtUs
         private set
 
     /** All of its dependencies are recorded as done, since [atUs]. */
     fun markReady(atUs: Long) {
-        ready = true
-        readyUs = maxOf(atUs, submittedAtUs)
+        isReady = true
+        readyAtUs = maxOf(atUs, submittedAtUs)
     }
 
     var phase = JobPhase.OPEN
-    val done = BitSet()
+    val doneTasks = BitSet()
 
-    /** The tasks of [done] that are recorded in the key-value store. */
-    val durable = BitSet()
+    /** The tasks of [doneTasks] that are recorded in the key-value store. */
+    val recordedTasks = BitSet()
 
     /** A record of its done ranges is being written. */
-    var rangesWriteInFlight = false
+    var isRangesWriteInFlight = false
 
     /** The record of its completion is being written. */
-    var completionWriteInFlight = false
+    var isCompletionWriteInFlight = false
 
     /** Machines whose task lists have named a task of it. */
     val listedOnMachines = HashSet<String>()
@@ -50,34 +50,34 @@
     val liveAttempts = Int2ObjectLinkedOpenHashMap<Attempt>()
 
     /** Indices of tasks that wait to be placed; empty until the job may be placed. */
-    val pending = IntArrayList()
+    val pendingTasks = IntArrayList()
 
     /** Its tasks have been queued: it is ready, and no earlier leader's attempts can be unknown any more. */
-    var placeable = false
+    var isPlaceable = false
 
     /** When one of its tasks was last placed and when one last began to run; 0 before that. */
-    var placedUs = 0L
-    var runningUs = 0L
+    var lastPlacedAtUs = 0L
+    var lastRunningAtUs = 0L
     var backoffUntilUs = Long.MIN_VALUE
-    var failures = 0
+    var failureCount = 0
 
     /** Progress that tasks have saved, as far as this leader knows. */
-    private val saved = Int2LongOpenHashMap()
+    private val savedProgressByTask = Int2LongOpenHashMap()
 
     /** All progress that is saved of tasks that are not done. */
-    var totalSavedUs = 0L
+    var totalSavedProgressUs = 0L
         private set
 
     /** Progress that the task has saved. */
-    fun savedUs(index: Int) = saved.get(index)
+    fun savedProgressUs(index: Int) = savedProgressByTask.get(index)
 
     /** The task has saved so much progress. */
     fun recordSavedProgress(
         index: Int,
         progressUs: Long,
     ) {
-        if (done.get(index) || progressUs <= saved.get(index)) return
-        totalSavedUs += progressUs - saved.put(index, progressUs)
+        if (doneTasks.get(index) || progressUs <= savedProgressByTask.get(index)) return
+        totalSavedProgressUs += progressUs - savedProgressByTask.put(index, progressUs)
     }
 
     private var doneCount = 0
@@ -89,38 +89,38 @@
     val remainingTasks get() = spec.tasks - doneCount
 
     /** The task is done; false where that was known already. */
-    fun markDone(index: Int): Boolean {
-        if (done.get(index)) return false
-        done.set(index)
-        totalSavedUs -= saved.remove(index)
+    fun markTaskDone(index: Int): Boolean {
+        if (doneTasks.get(index)) return false
+        doneTasks.set(index)
+        totalSavedProgressUs -= savedProgressByTask.remove(index)
         doneCount++
         return true
     }
 
     /** Adds tasks that an earlier leader has recorded as done. */
-    fun restoreDone(tasks: BitSet) {
-        done.or(tasks)
-        durable.or(tasks)
-        doneCount = done.cardinality()
+    fun restoreDoneTasks(tasks: BitSet) {
+        doneTasks.or(tasks)
+        recordedTasks.or(tasks)
+        doneCount = doneTasks.cardinality()
     }
 
     /** Fills the queue with every task that is neither done nor possibly on a machine. */
     fun enqueueTasks() {
-        placeable = true
-        pending.clear()
-        for (i in spec.tasks - 1 downTo 0) if (!done.get(i) && !liveAttempts.containsKey(i)) pending.add(i)
+        isPlaceable = true
+        pendingTasks.clear()
+        for (i in spec.tasks - 1 downTo 0) if (!doneTasks.get(i) && !liveAttempts.containsKey(i)) pendingTasks.add(i)
     }
 
     /** Queues the task again, unless it is done. */
-    fun requeue(index: Int) {
-        if (placeable && phase == JobPhase.OPEN && !done.get(index)) pending.add(index)
+    fun requeueTask(index: Int) {
+        if (isPlaceable && phase == JobPhase.OPEN && !doneTasks.get(index)) pendingTasks.add(index)
     }
 
     /** Removes and returns the next queued task that is not done and has no attempt, or -1 where there is none. */
     fun nextPendingTask(): Int {
-        while (!pending.isEmpty) {
-            val index = pending.removeInt(pending.size - 1)
-            if (!done.get(index) && !liveAttempts.containsKey(index)) return index
+        while (!pendingTasks.isEmpty) {
+            val index = pendingTasks.removeInt(pendingTasks.size - 1)
+            if (!doneTasks.get(index) && !liveAttempts.containsKey(index)) return index
         }
         return -1
     }
--- a/src/main/kotlin/lichenstage/placement/JobQueue.kt
+++ b/src/main/kotlin/lichenstage/placement/JobQueue.kt
@@ -62,7 +62,7 @@
         return ordered.filter { isWaiting(it) && now >= it.backoffUntilUs }
     }
 
-    private fun isWaiting(job: Job) = job.phase == JobPhase.OPEN && job.placeable && !job.pending.isEmpty
+    private fun isWaiting(job: Job) = job.phase == JobPhase.OPEN && job.isPlaceable && !job.pendingTasks.isEmpty
 
     private fun computeOrder(
         jobs: Collection<Job>,
@@ -74,7 +74,7 @@
         val pipelines = pipelineDeadlines.Snapshot()
         val queued = waiting.map { queued(it, it in guaranteed, pipelines.of(it), now) }
         val byObjective = ObjectiveOrder.order(queued, maxOf(cores, 1.0) * TARGET_UTILIZATION, now)
-        val aged = waiting.filter { now - it.readyUs > agingThresholdUs }.sortedBy { it.readyUs }
+        val aged = waiting.filter { now - it.readyAtUs > agingThresholdUs }.sortedBy { it.readyAtUs }
         return if (aged.isEmpty()) byObjective else interleave(aged, byObjective)
     }
 
@@ -85,12 +85,12 @@
         now: Long,
     ): QueuedJob {
         val runUs = runTimes.expectedUs(job.spec)
-        val shareOfMeanJob = job.pending.size / meanTasks.getValue(job.spec.jobClass).value
+        val shareOfMeanJob = job.pendingTasks.size / meanTasks.getValue(job.spec.jobClass).value
         val objectives =
             serviceObjectives
                 .startObjectives(job, runUs, now, isGuaranteed, inherited.dueUs)
                 .map { PlannedObjective(it.startByUs + runUs, if (it.perTask) shareOfMeanJob else 1.0) }
-        val workUs = maxOf(job.pending.size * runUs - job.totalSavedUs, 1)
+        val workUs = maxOf(job.pendingTasks.size * runUs - job.totalSavedProgressUs, 1)
         return QueuedJob(job, workUs * job.spec.resources.cores, objectives, runUs, inherited.priority)
     }
 
--- a/src/main/kotlin/lichenstage/placement/JobTable.kt
+++ b/src/main/kotlin/lichenstage/placement/JobTable.kt
@@ -25,11 +25,11 @@
 
     /** Queues the tasks of a job where it is ready and they may be placed. */
     fun enqueueIfPlaceable(job: Job) {
-        if (job.ready && (isFailoverComplete() || isFromThisTerm(job))) job.enqueueTasks()
+        if (job.isReady && (isFailoverComplete() || isFromThisTerm(job))) job.enqueueTasks()
     }
 
     /** The failover is complete: queues the tasks of all ready jobs that had to wait for it. */
-    fun enqueueAllReady() = byId.values.forEach { if (it.ready && !it.placeable) it.enqueueTasks() }
+    fun enqueueAllReady() = byId.values.forEach { if (it.isReady && !it.isPlaceable) it.enqueueTasks() }
 
     /** Forgets a closed job of which nothing can run any more. */
     fun removeIfClosed(job: Job) {
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -113,7 +113,7 @@
         val now = services.clock.now()
         when (message) {
             is LeaderMessage.RecordsLoaded -> load(message, now)
-            is LeaderMessage.PartitionFrameReceived -> if (jobRecords.isLoaded) core.partitionFrameReceived(message.frame, now)
+            is LeaderMessage.PartitionFrameReceived -> if (jobRecords.isLoaded) core.onPartitionFrame(message.frame, now)
             is LeaderMessage.ProvisionAnswered -> fleet.provisionAnswered(message, now)
             is LeaderMessage.TerminateAnswered -> if (fleet.terminateAnswered(message)) machinesTerminated(message.machines)
             is LeaderMessage.ListAnswered -> fleet.listAnswered(message, now)
@@ -160,7 +160,7 @@
     }
 
     private fun machinesTerminated(machines: List<String>) {
-        machines.forEach(core::machineTerminated)
+        machines.forEach(core::onMachineTerminated)
         registry.removed(machines)
     }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -14,14 +14,14 @@
  *
  * Plain code: events come in with the time, effects go out. A start goes out only for a task of which it is known that no other
  * attempt can be running, and within the limits counted over all that may be running (invariant 11). The work for a frame depends on
- * what it changes; what must look at everything is done once in [SWEEP_US].
+ * what it changes; what must look at everything is done once in [SWEEP_INTERVAL_US].
  */
 class LeaderCore(
     leadership: LeaderTerm,
     private val settings: LeaderSettings,
     private val lookups: LeaderLookups,
     /** Called for each attempt that ran and ended although its task is not done. */
-    private val attemptInterrupted: (Attempt) -> Unit = {},
+    private val onAttemptInterrupted: (Attempt) -> Unit = {},
     emit: (LeaderEffect) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.placement")
@@ -32,7 +32,7 @@
     /** How long tasks really run, as completions show. */
     val runTimes = RunTimeEstimates()
 
-    private val partitionTable = PartitionTable(term, settings.assignment) { outbox.newOwner(it) }
+    private val partitionTable = PartitionTable(term, settings.assignment) { outbox.resetForNewOwner(it) }
     private val directory = MachineDirectory()
     private val failover = FailoverRecovery(settings.workerLeaseUs) { partitionTable[it] }
     private val jobTable = JobTable(leadership.keyRevision) { failover.isComplete }
@@ -54,7 +54,7 @@
 
     /** The machines, and what may run on them. */
     val machines = LeaderMachines(directory, partitionTable, attempts, tracker, settings.assignment)
-    private var sweptUs = Long.MIN_VALUE / 2
+    private var lastSweepAtUs = Long.MIN_VALUE / 2
     private var totalCores = 0.0
 
     private fun requestRounds(): RequestRounds {
@@ -68,9 +68,9 @@
 
         override fun requirementsOfJobs(): Map<String, JobRequirements> = jobs.values.associate { it.spec.id to it.spec.requirements }
 
-        override fun addresses(partition: String) = directory.addresses(partition)
+        override fun addresses(partition: String) = directory.addressesIn(partition)
 
-        override fun takesNoTasks(machine: String) = !directory.mayGetTasks(machine)
+        override fun isExcludedFromPlacement(machine: String) = !directory.canReceiveTasks(machine)
     }
 
     private inner class RoundView : RoundContext {
@@ -79,30 +79,30 @@
         override fun usableSlots(
             machine: String,
             held: Int,
-        ) = directory.usableSlots(machine, held) { attempts.on(machine).size }
+        ) = directory.usableSlots(machine, held) { attempts.onMachine(machine).size }
 
-        override fun unaccountedUse() = unaccountedUse.resources()
+        override fun unaccountedUse() = unaccountedUse.total()
 
-        override fun reachablePartitions(now: Long) = partitionTable.reachable(now)
+        override fun reachablePartitions(now: Long) = partitionTable.reachablePartitions(now)
     }
 
     private inner class AttemptEvents : AttemptListener {
-        override fun taskDone(
+        override fun onTaskDone(
             job: Job,
-            now: Long,
+            nowUs: Long,
         ) {
-            if (job.phase == JobPhase.OPEN) recorder.markUnrecorded(job, now)
+            if (job.phase == JobPhase.OPEN) recorder.markUnrecorded(job, nowUs)
         }
 
-        override fun attemptEnded(attempt: Attempt) {
+        override fun onAttemptEnded(attempt: Attempt) {
             rounds.markChanged()
             val job = attempt.job
-            val ran = attempt.runningUs > 0
-            if (ran && job.phase == JobPhase.OPEN && !job.done.get(attempt.index)) attemptInterrupted(attempt)
+            val hasRun = attempt.firstRunningAtUs > 0
+            if (hasRun && job.phase == JobPhase.OPEN && !job.doneTasks.get(attempt.index)) onAttemptInterrupted(attempt)
             jobTable.removeIfClosed(job)
         }
 
-        override fun attemptSuperseded(attempt: Attempt) = reconciler.reconcileMachineOf(attempt)
+        override fun onAttemptSuperseded(attempt: Attempt) = reconciler.reconcileMachineOf(attempt)
     }
 
     /** Open jobs, and closed ones of which something may still run, by id. */
@@ -112,38 +112,38 @@
     val partitions: Map<String, PartitionState> get() = partitionTable.byId
 
     /** Every registered machine is accounted for, so what isn't known to run doesn't (invariant 5). */
-    val failoverComplete get() = failover.isComplete
+    val isFailoverComplete get() = failover.isComplete
 
     /** Adds machines that were registered before this term: each has to be accounted for. */
     fun addRecoveredMachines(machines: Collection<RecoveredMachine>) {
         directory.register(machines.associate { it.name to it.partition })
         machines.forEach {
-            failover.await(it)
+            failover.awaitMachine(it)
             it.address?.let { address -> directory.setAddress(it.name, address) }
         }
     }
 
     /** These machines, each with its partition, have a record from now on. */
-    fun machinesRegistered(machines: Map<String, String>) {
+    fun onMachinesRegistered(machines: Map<String, String>) {
         directory.register(machines)
         rounds.markChanged()
         machines.forEach { (name, partition) -> recovery.recoverAttemptsOn(name, partition) }
     }
 
     /** Requests that these attempts are stopped, with time to save a checkpoint where they can. */
-    fun interrupt(interrupted: Collection<Attempt>) = checkpointPreemption.requestStop(interrupted)
+    fun requestStops(attemptsToStop: Collection<Attempt>) = checkpointPreemption.requestStop(attemptsToStop)
 
     /** How long an attempt is expected to go on, in microseconds. */
     fun remainingUs(
         attempt: Attempt,
-        now: Long,
-    ) = checkpointPreemption.remainingUs(attempt, now)
+        nowUs: Long,
+    ) = checkpointPreemption.remainingUs(attempt, nowUs)
 
     /** For display: done and running tasks of each open job. */
     fun taskCounts(): Map<String, List<Int>> = jobTable.taskCounts()
 
     /** A job has been accepted, or was read from its record. */
-    fun jobAdded(job: Job) {
+    fun addJob(job: Job) {
         if (!jobTable.add(job)) return
         queue.jobAdded(job)
         rounds.markChanged()
@@ -153,29 +153,29 @@
     }
 
     /** All dependencies of the job are recorded as done, since [atUs]. */
-    fun jobReady(
+    fun onJobReady(
         job: Job,
         atUs: Long,
     ) {
-        if (job.ready || job.phase == JobPhase.CLOSED) return
+        if (job.isReady || job.phase == JobPhase.CLOSED) return
         job.markReady(atUs)
         jobTable.enqueueIfPlaceable(job)
         queue.invalidate()
         rounds.markChanged()
     }
 
-    /** When jobs with open dependencies are expected to be ready, as of [now]. */
-    fun expectedReadiness(now: Long) = readiness.Snapshot(now)
+    /** When jobs with open dependencies are expected to be ready, as of [nowUs]. */
+    fun expectedReadiness(nowUs: Long) = readiness.Snapshot(nowUs)
 
     /** The record of the job was deleted: it is cancelled, or done by what an earlier leader wrote. */
-    fun jobClosed(id: String) {
+    fun onJobClosed(id: String) {
         val job = jobs[id] ?: return
         if (job.phase == JobPhase.CLOSED) return
-        job.pending.clear()
-        close(job)
+        job.pendingTasks.clear()
+        closeJob(job)
     }
 
-    private fun close(job: Job) {
+    private fun closeJob(job: Job) {
         job.phase = JobPhase.CLOSED
         recorder.completionRecorded(job)
         reconciler.reconcileMachinesOf(job)
@@ -183,52 +183,52 @@
     }
 
     /** A frame of a partition's owner; ignored where it is older than what is known. */
-    fun partitionFrameReceived(
+    fun onPartitionFrame(
         frame: PartitionFrame,
-        now: Long,
+        nowUs: Long,
     ) {
-        val state = partitionTable.accept(frame, now) ?: return
+        val state = partitionTable.acceptFrame(frame, nowUs) ?: return
         val partition = PartitionRef(frame.partition, state)
-        tracker.timePassed(now)
-        frame.machines.filter { !directory.isRetired(it.name) }.forEach { machineChanged(partition, it, now) }
-        frame.offers.forEach { rounds.addOffer(frame.partition, it, now) }
+        tracker.updateTime(nowUs)
+        frame.machines.filter { !directory.isTerminated(it.name) }.forEach { applyMachineState(partition, it, nowUs) }
+        frame.offers.forEach { rounds.addOffer(frame.partition, it, nowUs) }
         updateFailover()
     }
 
-    private fun machineChanged(
+    private fun applyMachineState(
         partition: PartitionRef,
         delta: MachineState,
-        now: Long,
+        nowUs: Long,
     ) {
         val machine = delta.appliedTo(partition.state.machines[delta.name])
         partition.state.machines[machine.name] = machine
         directory.setAddress(machine.name, machine.address)
-        checkpointPreemption.machineUpdated(machine, now)
+        checkpointPreemption.onMachineUpdate(machine, nowUs)
         rounds.markChanged()
-        outbox.touch(partition.id)
-        for (task in delta.tasks) jobs[task.job]?.let { tracker.listed(partition, machine, task, it, now) }
-        val onMachine = attempts.on(machine.name).asSequence().filter { it.partition == partition.id }
-        tracker.removeAbsent(onMachine) { partitionTable[it] }
+        outbox.markDue(partition.id)
+        for (task in delta.tasks) jobs[task.job]?.let { tracker.onTaskListed(partition, machine, task, it, nowUs) }
+        val onMachine = attempts.onMachine(machine.name).asSequence().filter { it.partition == partition.id }
+        tracker.endAbsentAttempts(onMachine) { partitionTable[it] }
         reconciler.reconcile(partition.id, machine)
     }
 
     /** The cloud has confirmed the termination of the machine: all that ran there has ended. */
-    fun machineTerminated(name: String) {
-        tracker.attemptsLost(attempts.on(name).toList())
-        tracker.failedJobs.remove(name)
+    fun onMachineTerminated(name: String) {
+        tracker.endLostAttempts(attempts.onMachine(name).toList())
+        tracker.failedJobsByMachine.remove(name)
         partitions.forEach { (id, partition) ->
             partition.machines.remove(name)
-            outbox.forget(id, name)
+            outbox.removeMachine(id, name)
         }
         unaccountedUse.remove(name)
-        checkpointPreemption.machineTerminated(name)
-        directory.retire(name)
-        failover.machineTerminated(name)
+        checkpointPreemption.onMachineTerminated(name)
+        directory.markTerminated(name)
+        failover.onMachineTerminated(name)
         updateFailover()
     }
 
     private fun updateFailover() {
-        if (!failover.completedNow()) return
+        if (!failover.checkCompletion()) return
         log.info("Failover complete, every machine is accounted for term={} jobs={}", term, jobs.size)
         jobTable.enqueueAllReady()
         rounds.markChanged()
@@ -238,59 +238,59 @@
     fun machinesToFence() = failover.machinesToFence(directory.size)
 
     /** Time has passed. */
-    fun tick(now: Long) {
-        if (now - sweptUs >= SWEEP_US) sweep(now)
-        rounds.tick(now) { queue.order(jobs.values, { totalCores }, now) }
-        recorder.writeDue(now)
+    fun tick(nowUs: Long) {
+        if (nowUs - lastSweepAtUs >= SWEEP_INTERVAL_US) sweep(nowUs)
+        rounds.tick(nowUs) { queue.order(jobs.values, { totalCores }, nowUs) }
+        recorder.writeDue(nowUs)
         settings.assignment.partitions
-            .filter { outbox.isDue(it, now) }
-            .forEach { outbox.send(it, now) }
+            .filter { outbox.isDue(it, nowUs) }
+            .forEach { outbox.send(it, nowUs) }
     }
 
     /** Looks at everything: leases expire with time alone, and a frame that was lost leaves no other trace. */
-    private fun sweep(now: Long) {
-        sweptUs = now
-        tracker.timePassed(now)
+    private fun sweep(nowUs: Long) {
+        lastSweepAtUs = nowUs
+        tracker.updateTime(nowUs)
         updateFailover()
-        tracker.removeAbsent(attempts.all()) { partitionTable[it] }
+        tracker.endAbsentAttempts(attempts.all()) { partitionTable[it] }
         totalCores = partitionTable.totalCores { lookups.capacityOf(it)?.cores ?: 0.0 }
-        outbox.setSaves(checkpointStops.ordersByPartition(now))
+        outbox.setSaveCommands(checkpointStops.commandsByPartition(nowUs))
     }
 
     /** The transaction with [deltas] is committed, where [ok]; workers may now forget these tasks (invariant 9). */
-    fun rangesWritten(
+    fun onRangesWritten(
         deltas: List<CompletionDelta>,
         ok: Boolean,
-        now: Long,
+        nowUs: Long,
     ) {
-        recorder.rangesWritten(deltas, ok, now)
+        recorder.rangesWritten(deltas, ok, nowUs)
         if (ok) deltas.forEach { if (it.job.phase == JobPhase.OPEN) reconciler.reconcileMachinesOf(it.job) }
     }
 
     /** The completion of the job is recorded. */
-    fun completionRecorded(
+    fun onCompletionRecorded(
         job: Job,
-        now: Long,
+        nowUs: Long,
     ) {
         log.info(
             "Job completed job={} class={} tasks={} allPlacedAfterMs={} runningAfterMs={} completedAfterMs={}",
             job.spec.id,
             job.spec.jobClass,
             job.spec.tasks,
-            (job.placedUs - job.readyUs).coerceAtLeast(0) / MILLI,
-            (job.runningUs - job.readyUs).coerceAtLeast(0) / MILLI,
-            (now - job.readyUs) / MILLI,
+            (job.lastPlacedAtUs - job.readyAtUs).coerceAtLeast(0) / MILLI,
+            (job.lastRunningAtUs - job.readyAtUs).coerceAtLeast(0) / MILLI,
+            (nowUs - job.readyAtUs) / MILLI,
         )
-        job.completionWriteInFlight = false
-        close(job)
+        job.isCompletionWriteInFlight = false
+        closeJob(job)
     }
 
     /** The completion of the job could not be recorded. */
-    fun completionFailed(job: Job) {
-        job.completionWriteInFlight = false
+    fun onCompletionFailed(job: Job) {
+        job.isCompletionWriteInFlight = false
     }
 
     private companion object {
-        const val SWEEP_US = SECOND
+        const val SWEEP_INTERVAL_US = SECOND
     }
 }
--- a/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
@@ -14,11 +14,11 @@
     private val core: LeaderCore,
     private val now: () -> Long,
 ) : DrainView {
-    override val isComplete get() = core.failoverComplete
+    override val isComplete get() = core.isFailoverComplete
 
     override fun condition(machine: String): MachineCondition {
-        if (core.machines.isRetired(machine)) return MachineCondition.GONE
-        val known = core.machines.state(machine)
+        if (core.machines.isTerminated(machine)) return MachineCondition.GONE
+        val known = core.machines.stateOf(machine)
         return when {
             known == null -> if (core.machines.isRegistered(machine)) MachineCondition.UNCONFIRMED else MachineCondition.ABSENT
             known.lost -> MachineCondition.LOST
@@ -33,7 +33,7 @@
         val counted = attempts.mapTo(HashSet()) { it.number }
         val others =
             core.machines
-                .state(machine)
+                .stateOf(machine)
                 ?.tasks
                 .orEmpty()
                 .filter { it.phase != TaskPhase.ENDED && it.attempt !in counted }
@@ -56,7 +56,7 @@
 
     override fun execution(task: TaskId): TaskExecution {
         val job = core.jobs[task.job]
-        if (job == null || job.phase == JobPhase.CLOSED || job.done.get(task.index)) return TaskExecution.Finished
+        if (job == null || job.phase == JobPhase.CLOSED || job.doneTasks.get(task.index)) return TaskExecution.Finished
         val attempt = job.liveAttempts.get(task.index)
         val runs = attempt != null && (attempt.phase == TaskPhase.RUNNING || attempt.phase == TaskPhase.SAVING)
         return if (runs) TaskExecution.Running(attempt.number) else TaskExecution.NotRunning
--- a/src/main/kotlin/lichenstage/placement/LeaderDrains.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrains.kt
@@ -36,7 +36,7 @@
 
     private fun actions(view: LeaderDrainView) =
         object : DrainActionHandler {
-            override fun evict(tasks: List<RunningTask>) = core.interrupt(view.attemptsOf(tasks))
+            override fun evict(tasks: List<RunningTask>) = core.requestStops(view.attemptsOf(tasks))
 
             override fun provisionReplacement(key: DrainKey) = fleet.requestReplacement(key)
 
--- a/src/main/kotlin/lichenstage/placement/LeaderJobRecords.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderJobRecords.kt
@@ -37,7 +37,7 @@
             if (job == null) {
                 orphanedRanges += entry.key
             } else {
-                job.restoreDone(BitSet().also { CompletedTaskRanges.decode(entry.value, chunk.toInt(), it) })
+                job.restoreDoneTasks(BitSet().also { CompletedTaskRanges.decode(entry.value, chunk.toInt(), it) })
             }
         }
         isLoaded = true
@@ -74,7 +74,7 @@
             }
 
             is LeaderMessage.DoneRangesWritten -> {
-                core.rangesWritten(message.deltas, message.ok, now)
+                core.onRangesWritten(message.deltas, message.ok, now)
                 message.deltas.filter { it.job.phase == JobPhase.CLOSED }.forEach { writer.deleteRanges(it.job) }
             }
 
@@ -99,8 +99,8 @@
             }
         if (spec.id in core.jobs) return
         val job = Job(spec, entry.modRevision, services.steadyUs(spec.submittedUs))
-        core.jobAdded(job)
-        if (job.ready) {
+        core.addJob(job)
+        if (job.isReady) {
             fleet.jobReady(job)
         } else {
             blockedJobs.add(job)
@@ -111,13 +111,13 @@
     /** Releases jobs of which all dependencies are recorded as done; their times count from the last of these records. */
     private fun releaseReadyJobs() =
         blockedJobs.release { job, recordedAtUs ->
-            core.jobReady(job, if (recordedAtUs == 0L) services.clock.now() else services.steadyUs(recordedAtUs))
+            core.onJobReady(job, if (recordedAtUs == 0L) services.clock.now() else services.steadyUs(recordedAtUs))
             fleet.jobReady(job)
         }
 
     private fun close(id: String) {
         val job = core.jobs[id] ?: return
-        core.jobClosed(id)
+        core.onJobClosed(id)
         writer.deleteRanges(job)
     }
 
@@ -135,10 +135,10 @@
     ) {
         val job = message.job
         if (message.outcome is TransactionResult.Committed) {
-            core.completionRecorded(job, now)
+            core.onCompletionRecorded(job, now)
             writer.deleteRanges(job)
         } else {
-            core.completionFailed(job)
+            core.onCompletionFailed(job)
             if (!message.stillOpen) close(job.spec.id)
         }
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
@@ -15,32 +15,32 @@
     fun isRegistered(machine: String) = directory.isRegistered(machine)
 
     /** The machine is proven to be terminated. */
-    fun isRetired(machine: String) = directory.isRetired(machine)
+    fun isTerminated(machine: String) = directory.isTerminated(machine)
 
     /** What is known of a machine, or null. */
-    fun state(machine: String): MachineState? {
-        val partition = directory.partition(machine) ?: return partitions.findMachine(machine)
+    fun stateOf(machine: String): MachineState? {
+        val partition = directory.partitionOf(machine) ?: return partitions.findMachine(machine)
         return partitions[partition]?.machines?.get(machine)
     }
 
     /** The zone of a recorded machine, or null. */
-    fun zoneOf(machine: String): String? = directory.partition(machine)?.let(assignment::zone)
+    fun zoneOf(machine: String): String? = directory.partitionOf(machine)?.let(assignment::zone)
 
     /**
      * Machines without a record, each with its partition. Only those that have shown their partition's fencing token in this term: a
      * late copy of a heartbeat must not bring back a machine that was terminated (invariant 4).
      */
-    fun unregistered(): List<PartitionMachine> =
+    fun unregisteredMachines(): List<PartitionMachine> =
         partitions.machinesWhere {
             it.tokenConfirmed && !it.lost &&
                 !directory.isRegistered(it.name)
         }
 
     /** Attempts that may be running on a machine. */
-    fun attemptsOn(machine: String): Collection<Attempt> = attempts.on(machine)
+    fun attemptsOn(machine: String): Collection<Attempt> = attempts.onMachine(machine)
 
     /** Jobs whose tasks failed on a machine: several point at the machine. */
-    fun failedJobsOn(machine: String): Set<String> = tracker.failedJobs[machine].orEmpty()
+    fun failedJobsOn(machine: String): Set<String> = tracker.failedJobsByMachine[machine].orEmpty()
 
     /** How many tasks of each team run. */
     fun runningByTeam(): Map<String, Int> = attempts.runningByTeam()
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -107,7 +107,7 @@
 
     /** Deletes the done ranges of a job that has ended. Where some are still being written, that is done after it. */
     fun deleteRanges(job: Job) {
-        if (job.rangesWriteInFlight || job.durable.isEmpty) return
+        if (job.isRangesWriteInFlight || job.recordedTasks.isEmpty) return
         delete((0 until CompletedTaskRanges.chunks(job.spec.tasks)).map { CompletedTaskRanges.key(job.spec.id, it) })
     }
 
--- a/src/main/kotlin/lichenstage/placement/MachineDirectory.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineDirectory.kt
@@ -7,7 +7,7 @@
     private val addresses = HashMap<String, String>()
 
     /** Machines that are proven to be terminated: late frames that name one are ignored. */
-    private val retired = HashSet<String>()
+    private val terminated = HashSet<String>()
 
     /** Machines that get no more tasks. */
     var cordoned: Set<String> = emptySet()
@@ -23,31 +23,31 @@
 
     fun isRegistered(machine: String) = machine in registered
 
-    fun isRetired(machine: String) = machine in retired
+    fun isTerminated(machine: String) = machine in terminated
 
     /** The partition of a recorded machine. */
-    fun partition(machine: String): String? = registered[machine]
+    fun partitionOf(machine: String): String? = registered[machine]
 
-    /** How many of the [held] slots of a machine may be used; [attemptCount] gives the attempts that may be running on it. */
+    /** How many of the [heldSlots] of a machine may be used; [attemptCount] gives the attempts that may be running on it. */
     inline fun usableSlots(
         machine: String,
-        held: Int,
+        heldSlots: Int,
         attemptCount: () -> Int,
     ) = when {
-        !mayGetTasks(machine) -> 0
-        machine !in onProbation -> held
-        else -> minOf(held, 1 - attemptCount()).coerceAtLeast(0)
+        !canReceiveTasks(machine) -> 0
+        machine !in onProbation -> heldSlots
+        else -> minOf(heldSlots, 1 - attemptCount()).coerceAtLeast(0)
     }
 
     /** The machine has a record and is not cordoned. */
-    fun mayGetTasks(machine: String) = machine in registered && machine !in cordoned
+    fun canReceiveTasks(machine: String) = machine in registered && machine !in cordoned
 
     /** Addresses of the recorded machines of a partition. */
-    fun addresses(partition: String): Map<String, String> = addresses.filterKeys { registered[it] == partition }
+    fun addressesIn(partition: String): Map<String, String> = addresses.filterKeys { registered[it] == partition }
 
     /** These machines, each with its partition, have a record. */
     fun register(machines: Map<String, String>) {
-        registered += machines.filterKeys { it !in retired }
+        registered += machines.filterKeys { it !in terminated }
     }
 
     fun setAddress(
@@ -57,9 +57,9 @@
         addresses[machine] = address
     }
 
-    fun retire(machine: String) {
+    fun markTerminated(machine: String) {
         registered.remove(machine)
         addresses.remove(machine)
-        retired += machine
+        terminated += machine
     }
 }
--- a/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
@@ -27,12 +27,29 @@
             partition: PartitionState,
             leaseUs: Long,
         ): MachineKnowledge {
-            val view = partition.machines[machine]
+            val machineState = partition.machines[machine]
             return when {
-                view == null -> if (partition.ageUs > withDrift(leaseUs) + NO_HEARTBEAT_MARGIN_US) LEASE_EXPIRED else UNKNOWN
-                view.lost -> LEASE_EXPIRED
-                view.tokenConfirmed -> LISTED
-                else -> UNKNOWN
+                machineState == null -> {
+                    if (partition.ownershipAgeUs >
+                        withDrift(leaseUs) + NO_HEARTBEAT_MARGIN_US
+                    ) {
+                        LEASE_EXPIRED
+                    } else {
+                        UNKNOWN
+                    }
+                }
+
+                machineState.lost -> {
+                    LEASE_EXPIRED
+                }
+
+                machineState.tokenConfirmed -> {
+                    LISTED
+                }
+
+                else -> {
+                    UNKNOWN
+                }
             }
         }
     }
--- a/src/main/kotlin/lichenstage/placement/MachineReconciler.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciler.kt
@@ -19,8 +19,8 @@
         machine: MachineState,
     ) {
         val result = MachineReconciliation.of(machine, jobs.byId)
-        unaccountedUse.set(machine.name, machine.typeName, result.hasUnaccountedTasks && isRegistered(machine.name))
-        outbox.setTaskOrders(partition, machine.name, result.stops, result.clears)
+        unaccountedUse.setUnaccounted(machine.name, machine.typeName, result.hasUnaccountedTasks && isRegistered(machine.name))
+        outbox.setStopsAndClears(partition, machine.name, result.stops, result.clears)
     }
 
     /** Compares the task list of the machine on which an attempt is. */
--- a/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
@@ -21,15 +21,15 @@
             if (machine.lost) return MachineReconciliation(emptyList(), emptyList(), hasUnaccountedTasks = false)
             val stops = ArrayList<AttemptOrder>()
             val clears = ArrayList<AttemptOrder>()
-            var unaccounted = false
+            var hasUnaccountedTasks = false
             for (task in machine.tasks) {
                 val job = jobs[task.job]
                 if (task.phase == TaskPhase.ENDED) {
-                    if (!mustBeKept(task, job)) clears += order(machine, task)
+                    if (!mustBeKept(task, job)) clears += orderFor(machine, task)
                 } else {
-                    val counted = counts(task, machine.name, job)
-                    if (!counted) unaccounted = true
-                    if (!counted || !isWanted(job)) stops += order(machine, task)
+                    val isTrackedAttempt = isTracked(task, machine.name, job)
+                    if (!isTrackedAttempt) hasUnaccountedTasks = true
+                    if (!isTrackedAttempt || !isOpen(job)) stops += orderFor(machine, task)
                 }
             }
             // A worker that has not shown the fencing token gets no orders.
@@ -37,27 +37,27 @@
                 MachineReconciliation(
                     stops,
                     clears,
-                    unaccounted,
+                    hasUnaccountedTasks,
                 )
             } else {
-                MachineReconciliation(emptyList(), emptyList(), unaccounted)
+                MachineReconciliation(emptyList(), emptyList(), hasUnaccountedTasks)
             }
         }
 
-        private fun order(
+        private fun orderFor(
             machine: MachineState,
             task: TaskState,
         ) = AttemptOrder(machine.name, task.task, task.attempt)
 
-        private fun isWanted(job: Job?) = job != null && job.phase != JobPhase.CLOSED
+        private fun isOpen(job: Job?) = job != null && job.phase != JobPhase.CLOSED
 
         /** The task is done and that is not recorded yet (invariant 9). */
         private fun mustBeKept(
             task: TaskState,
             job: Job?,
-        ) = job != null && isWanted(job) && task.index >= 0 && task.cause == TaskEndCause.DONE && !job.durable.get(task.index)
+        ) = job != null && isOpen(job) && task.index >= 0 && task.cause == TaskEndCause.DONE && !job.recordedTasks.get(task.index)
 
-        private fun counts(
+        private fun isTracked(
             task: TaskState,
             machine: String,
             job: Job?,
--- a/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
@@ -18,7 +18,7 @@
     /** Addresses of the machines of a partition. */
     fun addresses(partition: String): Map<String, String>
 
-    fun takesNoTasks(machine: String): Boolean
+    fun isExcludedFromPlacement(machine: String): Boolean
 }
 
 /**
@@ -30,92 +30,92 @@
     private val source: OutboxSource,
     private val emit: (LeaderEffect) -> Unit,
 ) {
-    private val sequences = HashMap<String, Long>()
-    private val sentUs = HashMap<String, Long>()
-    private val due = HashSet<String>()
-    private val sync = PartitionSync()
+    private val lastSeqs = HashMap<String, Long>()
+    private val lastSentAtUs = HashMap<String, Long>()
+    private val duePartitions = HashSet<String>()
+    private val partitionSync = PartitionSync()
     private val orders = TaskOrders()
     private val saves = HashMap<String, List<SaveOrder>>()
 
     /** There is news for the partition: its next frame is due soon. */
-    fun touch(partition: String) {
-        due += partition
+    fun markDue(partition: String) {
+        duePartitions += partition
     }
 
     /** A new owner of the partition gets all orders anew. */
-    fun newOwner(partition: String) {
+    fun resetForNewOwner(partition: String) {
         orders.forget(partition)
-        touch(partition)
+        markDue(partition)
     }
 
-    fun forget(
+    fun removeMachine(
         partition: String,
         machine: String,
     ) = orders.forget(partition, machine)
 
     /** What a machine has to stop and to clear now. */
-    fun setTaskOrders(
+    fun setStopsAndClears(
         partition: String,
         machine: String,
         stops: List<AttemptOrder>,
         clears: List<AttemptOrder>,
     ) {
-        if (orders.set(partition, machine, stops, clears)) touch(partition)
+        if (orders.set(partition, machine, stops, clears)) markDue(partition)
     }
 
     /** Tasks that are to save, by partition, in place of those before. */
-    fun setSaves(byPartition: Map<String, List<SaveOrder>>) {
+    fun setSaveCommands(byPartition: Map<String, List<SaveOrder>>) {
         saves.clear()
         saves += byPartition
-        due += byPartition.keys
+        duePartitions += byPartition.keys
     }
 
     fun isDue(
         partition: String,
-        now: Long,
+        nowUs: Long,
     ): Boolean {
-        val waitedUs = now - (sentUs[partition] ?: (Long.MIN_VALUE / 2))
-        return (partition in due && waitedUs >= ACK_US) || waitedUs >= HEARTBEAT_US
+        val sinceLastSentUs = nowUs - (lastSentAtUs[partition] ?: (Long.MIN_VALUE / 2))
+        return (partition in duePartitions && sinceLastSentUs >= MIN_FRAME_INTERVAL_US) || sinceLastSentUs >= HEARTBEAT_INTERVAL_US
     }
 
     /** Sends a frame to a partition, with the stops and clears that its machines still need. Returns its number. */
     fun send(
         id: String,
-        now: Long,
+        nowUs: Long,
         requests: List<PlacementRequest> = emptyList(),
         starts: List<StartOrder> = emptyList(),
         releases: List<Long> = emptyList(),
     ): Long {
-        val sequence = (sequences[id] ?: 0) + 1
-        sequences[id] = sequence
-        sentUs[id] = now
-        due -= id
+        val seq = (lastSeqs[id] ?: 0) + 1
+        lastSeqs[id] = seq
+        lastSentAtUs[id] = nowUs
+        duePartitions -= id
         val partition = source.partition(id)
-        val inform = !sync.hasInitialState(id, partition, sequence)
-        val (stops, clears) = orders.take(id, now)
+        val needsInitialState = !partitionSync.hasInitialState(id, partition, seq)
+        val (stops, clears) = orders.take(id, nowUs)
         val frame =
             PlacementFrame(
                 partition = id,
                 term = term,
-                seq = sequence,
+                seq = seq,
                 ackTerm = partition?.term ?: 0,
                 ackVersion = partition?.version ?: 0,
-                requirements = if (inform) source.requirementsOfJobs() else emptyMap(),
-                addresses = if (inform) source.addresses(id) else emptyMap(),
+                requirements = if (needsInitialState) source.requirementsOfJobs() else emptyMap(),
+                addresses = if (needsInitialState) source.addresses(id) else emptyMap(),
                 requests = requests,
                 starts = starts,
                 releases = releases,
                 stops = stops,
                 clears = clears,
-                cordoned = sync.cordonDelta(id, partition, now, source::takesNoTasks),
+                cordoned = partitionSync.cordonedIfDue(id, partition, nowUs, source::isExcludedFromPlacement),
                 saves = saves.remove(id).orEmpty(),
             )
         emit(LeaderEffect.SendFrame(id, frame))
-        return sequence
+        return seq
     }
 
     private companion object {
-        const val HEARTBEAT_US = 800 * MILLI
-        const val ACK_US = 100 * MILLI
+        const val HEARTBEAT_INTERVAL_US = 800 * MILLI
+        const val MIN_FRAME_INTERVAL_US = 100 * MILLI
     }
 }
--- a/src/main/kotlin/lichenstage/placement/PartitionState.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionState.kt
@@ -23,10 +23,10 @@
     var receivedSeq = 0L
 
     /** How long the owner has had the partition, as of its last whole frame: before one, a missing machine means nothing. */
-    var ageUs = 0L
+    var ownershipAgeUs = 0L
 
     /** When the owner's last frame came. */
-    var lastFrameUs = 0L
+    var lastFrameAtUs = 0L
 
     /** Its machines by name. */
     val machines = LinkedHashMap<String, MachineState>()
--- a/src/main/kotlin/lichenstage/placement/PartitionSync.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionSync.kt
@@ -6,8 +6,8 @@
 /** What each partition has received beside requests and orders: the jobs and machines that were there, and which get no tasks. */
 class PartitionSync {
     private val initialStateSeq = HashMap<String, Long>()
-    private val cordonedSent = HashMap<String, Set<String>>()
-    private val cordonedSentUs = HashMap<String, Long>()
+    private val lastSentCordoned = HashMap<String, Set<String>>()
+    private val cordonedLastSentAtUs = HashMap<String, Long>()
 
     /** The known jobs and machines are sent to a partition until it has acknowledged them; later jobs come with requests. */
     fun hasInitialState(
@@ -15,25 +15,25 @@
         partition: PartitionState?,
         seq: Long,
     ): Boolean {
-        val first = initialStateSeq.getOrPut("$id ${partition?.term}") { seq }
-        return partition != null && partition.receivedSeq >= first
+        val firstSeq = initialStateSeq.getOrPut("$id ${partition?.term}") { seq }
+        return partition != null && partition.receivedSeq >= firstSeq
     }
 
     /** The machines of a partition that get no tasks; null where that has not changed and was sent a short while ago. */
-    fun cordonDelta(
+    fun cordonedIfDue(
         id: String,
         partition: PartitionState?,
-        now: Long,
-        cordoned: (String) -> Boolean,
+        nowUs: Long,
+        isCordoned: (String) -> Boolean,
     ): Set<String>? {
         if (partition == null) return null
-        val due = now - (cordonedSentUs[id] ?: (Long.MIN_VALUE / 2))
-        if (due < MIN_CORDON_INTERVAL_US) return null
-        val here = partition.machines.keys.filterTo(HashSet(), cordoned)
-        if (here == cordonedSent[id] && due < CORDON_RESEND_US) return null
-        cordonedSent[id] = here
-        cordonedSentUs[id] = now
-        return here
+        val sinceLastSentUs = nowUs - (cordonedLastSentAtUs[id] ?: (Long.MIN_VALUE / 2))
+        if (sinceLastSentUs < MIN_CORDON_INTERVAL_US) return null
+        val cordonedMachines = partition.machines.keys.filterTo(HashSet(), isCordoned)
+        if (cordonedMachines == lastSentCordoned[id] && sinceLastSentUs < CORDON_RESEND_US) return null
+        lastSentCordoned[id] = cordonedMachines
+        cordonedLastSentAtUs[id] = nowUs
+        return cordonedMachines
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/PartitionTable.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionTable.kt
@@ -10,7 +10,7 @@
     private val term: Long,
     private val assignment: PartitionAssignment,
     /** Called with the name of a partition before the first frame of a new owner counts. */
-    private val ownerChanged: (String) -> Unit,
+    private val onOwnerChange: (String) -> Unit,
 ) {
     /** What is known of each partition, by its name. */
     val byId = HashMap<String, PartitionState>()
@@ -21,9 +21,9 @@
      * The partition of a frame as of that frame, but for its machines. Null where the frame has to be ignored: it is for another term of
      * leadership, of an earlier owner or older than what is known, or it builds on a version that is not known here.
      */
-    fun accept(
+    fun acceptFrame(
         frame: PartitionFrame,
-        now: Long,
+        nowUs: Long,
     ): PartitionState? {
         if (frame.leaderTerm != term || assignment.zone(frame.partition) == null) return null
         val partition = stateFor(frame) ?: return null
@@ -35,22 +35,22 @@
         if (frame.whole) {
             // Never by a piece (invariant 17): earlier versions count there what was sent in whole frames that were lost.
             partition.reflectedSeq = frame.seq
-            partition.ageUs = frame.ageUs
+            partition.ownershipAgeUs = frame.ageUs
         }
-        partition.lastFrameUs = now
+        partition.lastFrameAtUs = nowUs
         return partition
     }
 
     private fun stateFor(frame: PartitionFrame): PartitionState? {
-        val known = byId[frame.partition]
-        if (known != null && frame.term < known.term) return null
-        if (known != null && frame.term == known.term) return known
-        ownerChanged(frame.partition)
+        val current = byId[frame.partition]
+        if (current != null && frame.term < current.term) return null
+        if (current != null && frame.term == current.term) return current
+        onOwnerChange(frame.partition)
         return PartitionState(frame.term).also { byId[frame.partition] = it }
     }
 
     /** Partitions of which a frame came a short while ago. */
-    fun reachable(now: Long): Set<String> = byId.filterValues { now - it.lastFrameUs < REACHABLE_US }.keys
+    fun reachablePartitions(nowUs: Long): Set<String> = byId.filterValues { nowUs - it.lastFrameAtUs < REACHABLE_TIMEOUT_US }.keys
 
     /** The machine in whichever partition has it, or null. */
     fun findMachine(name: String): MachineState? = byId.values.firstNotNullOfOrNull { it.machines[name] }
@@ -68,6 +68,6 @@
         byId.values.sumOf { partition -> partition.machines.values.sumOf { if (it.lost) 0.0 else coresOf(it.typeName) } }
 
     private companion object {
-        const val REACHABLE_US = 2500 * MILLI
+        const val REACHABLE_TIMEOUT_US = 2500 * MILLI
     }
 }
--- a/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
+++ b/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
@@ -30,7 +30,7 @@
 
         /** Dependencies that are not open any more delay nothing. */
         private fun openDependencies(job: Job): List<Job> =
-            if (job.ready) {
+            if (job.isReady) {
                 emptyList()
             } else {
                 job.spec.dependencies
@@ -43,9 +43,9 @@
             dependenciesEndUs: Long,
         ): Long {
             val runUs = runTimes.expectedUs(job.spec)
-            if (!job.ready) return maxOf(dependenciesEndUs + STAGE_TRANSITION_US, now) + fetchUs(job.spec) + runUs
-            val isWaiting = !job.placeable || !job.pending.isEmpty
-            val startedUs = if (isWaiting) now else job.placedUs
+            if (!job.isReady) return maxOf(dependenciesEndUs + STAGE_TRANSITION_US, now) + fetchUs(job.spec) + runUs
+            val isWaiting = !job.isPlaceable || !job.pendingTasks.isEmpty
+            val startedUs = if (isWaiting) now else job.lastPlacedAtUs
             return maxOf(startedUs + fetchUs(job.spec) + runUs, now)
         }
     }
--- a/src/main/kotlin/lichenstage/placement/RegistryDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/RegistryDriver.kt
@@ -48,7 +48,7 @@
         // Also where nothing is due: the search looks at every machine, and this runs after every message.
         steppedUs = now
         val leaving = cordoned()
-        for ((id, machine) in core.machines.unregistered()) {
+        for ((id, machine) in core.machines.unregisteredMachines()) {
             if (machine.name in leaving || machine.name in registry) continue
             registry.add(RegisteredMachine(machine.name, machine.typeName, settings.assignment.zone(id)!!, machine.spot, machine.address))
         }
@@ -62,7 +62,7 @@
         writing = false
         if (!message.ok) return registry.writeFailed(message.pages)
         val added = message.pages.flatMap { it.machines }.filter { !core.machines.isRegistered(it.name) }
-        core.machinesRegistered(added.associate { it.name to settings.assignment.partitionOf(it.name, it.zone)!! })
+        core.onMachinesRegistered(added.associate { it.name to settings.assignment.partitionOf(it.name, it.zone)!! })
     }
 
     fun removed(machines: List<String>) = registry.remove(machines)
--- a/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
@@ -42,8 +42,8 @@
         for (job in jobs) {
             if (selected.size >= settings.jobsPerRound) break
             val spec = job.spec
-            val before = plannedByTeam[spec.team] ?: RunningAttempts.NONE
-            val count = minOf(job.pending.size, settings.tasksPerRequest, allowance(spec, before))
+            val before = plannedByTeam[spec.team] ?: RunningAttempts.NO_RESOURCES
+            val count = minOf(job.pendingTasks.size, settings.tasksPerRequest, allowance(spec, before))
             if (count <= 0) continue
             plannedByTeam[spec.team] = before - spec.resources * -count
             selected += PlannedRequest(job, count)
@@ -105,7 +105,7 @@
     ): Boolean {
         if (isUrgent(job)) return false
         val maxWaitUs = (fetchUs(job.spec) / IMAGE_WAIT_SHARE).coerceAtMost(MAX_IMAGE_WAIT_US)
-        return now - maxOf(job.readyUs, job.placedUs) < maxWaitUs
+        return now - maxOf(job.readyAtUs, job.lastPlacedAtUs) < maxWaitUs
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/RequestRounds.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRounds.kt
@@ -75,7 +75,10 @@
         roundStartedUs = now
         val unaccountedUse = context.unaccountedUse()
         val requests =
-            planner.requests(waiting(), now) { spec, planned -> attempts.allowance(spec.team, spec.resources, unaccountedUse, planned) }
+            planner.requests(
+                waiting(),
+                now,
+            ) { spec, planned -> attempts.allowedTaskCount(spec.team, spec.resources, unaccountedUse, planned) }
         if (requests.isEmpty()) return
         round = RequestRound(requests, now, settings.alphaUs)
         val frames = requests.map { it.request }
@@ -104,7 +107,7 @@
             val partitionStarts = starts[id].orEmpty()
             val chosen = partitionStarts.mapTo(HashSet()) { it.stamp }
             val seq = outbox.send(id, now, starts = partitionStarts, releases = releases.filter { it !in chosen })
-            started.forEach { if (it.partition == id) it.seq = seq }
+            started.forEach { if (it.partition == id) it.startSeq = seq }
         }
         if (started.isNotEmpty()) changedSinceRound = true
     }
@@ -117,7 +120,7 @@
         now: Long,
     ): List<Attempt> {
         val job = jobRequest.job
-        val maxTasks = minOf(jobRequest.request.count, attempts.allowance(job.spec.team, job.spec.resources, unaccountedUse))
+        val maxTasks = minOf(jobRequest.request.count, attempts.allowedTaskCount(job.spec.team, job.spec.resources, unaccountedUse))
         val offers = current.offersFor(jobRequest.request.stamp).mapValues { (_, held) -> held.mapNotNull(::usableSlots) }
         val placed = ArrayList<Attempt>()
         for (slot in OfferSelection.selectRoomiest(offers, maxTasks, zones::zoneOf, zones.remainingTasksByZone(job, offers))) {
@@ -126,9 +129,9 @@
             val attempt = Attempt(job, index, nextAttemptNumber(), slot.machine, slot.partition)
             attempt.partitionTerm = context.partition(slot.partition)!!.term
             // Until the frame with its start is sent, no frame of the partition tells anything of it.
-            attempt.seq = Long.MAX_VALUE
+            attempt.startSeq = Long.MAX_VALUE
             attempts.track(attempt)
-            job.placedUs = now
+            job.lastPlacedAtUs = now
             placed += attempt
         }
         return placed
--- a/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
+++ b/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
@@ -9,11 +9,11 @@
     private val teams: Map<String, Team>,
 ) {
     private val byMachine = HashMap<String, LinkedHashSet<Attempt>>()
-    private val usedCores = HashMap<String, Double>()
-    private val usedCards = HashMap<String, Double>()
+    private val usedCoresByTeam = HashMap<String, Double>()
+    private val usedGpusByTeam = HashMap<String, Double>()
 
     /** Attempts on a machine. */
-    fun on(machine: String): Collection<Attempt> = byMachine[machine] ?: emptyList()
+    fun onMachine(machine: String): Collection<Attempt> = byMachine[machine] ?: emptyList()
 
     /** All attempts. */
     fun all(): Sequence<Attempt> = byMachine.values.asSequence().flatten()
@@ -29,7 +29,7 @@
     fun track(attempt: Attempt) {
         attempt.job.liveAttempts.put(attempt.index, attempt)
         byMachine.getOrPut(attempt.machine) { LinkedHashSet() }.add(attempt)
-        count(attempt, 1)
+        addUse(attempt, 1)
     }
 
     /** The attempt counts no more. */
@@ -39,32 +39,32 @@
             it.remove(attempt)
             if (it.isEmpty()) byMachine.remove(attempt.machine)
         }
-        count(attempt, -1)
+        addUse(attempt, -1)
     }
 
-    private fun count(
+    private fun addUse(
         attempt: Attempt,
         sign: Int,
     ) {
         val spec = attempt.job.spec
-        usedCores.merge(spec.team, sign * spec.resources.cores, Double::plus)
-        usedCards.merge(spec.team, sign * spec.resources.gpus, Double::plus)
+        usedCoresByTeam.merge(spec.team, sign * spec.resources.cores, Double::plus)
+        usedGpusByTeam.merge(spec.team, sign * spec.resources.gpus, Double::plus)
     }
 
     /** How many tasks of [resources] a team may still start, beside what is [planned] for it and what [unaccountedUse] may be using. */
-    fun allowance(
+    fun allowedTaskCount(
         team: String,
         resources: Resources,
         unaccountedUse: Resources,
-        planned: Resources = NONE,
+        planned: Resources = NO_RESOURCES,
     ): Int {
         val limit = teams[team] ?: return 0
-        val cores = limit.coresMax - unaccountedUse.cores - (usedCores[team] ?: 0.0) - planned.cores
-        val gpus = limit.gpusMax - unaccountedUse.gpus - (usedCards[team] ?: 0.0) - planned.gpus
+        val cores = limit.coresMax - unaccountedUse.cores - (usedCoresByTeam[team] ?: 0.0) - planned.cores
+        val gpus = limit.gpusMax - unaccountedUse.gpus - (usedGpusByTeam[team] ?: 0.0) - planned.gpus
         return Resources(cores, gpus, Double.POSITIVE_INFINITY).fits(resources)
     }
 
     companion object {
-        val NONE = Resources(0.0, 0.0, 0.0)
+        val NO_RESOURCES = Resources(0.0, 0.0, 0.0)
     }
 }
--- a/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
+++ b/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
@@ -32,8 +32,8 @@
         val cores = HashMap<String, Double>()
         val gpus = HashMap<String, Double>()
         return jobs
-            .filter { it.phase == JobPhase.OPEN && it.ready }
-            .sortedBy { it.readyUs }
+            .filter { it.phase == JobPhase.OPEN && it.isReady }
+            .sortedBy { it.readyAtUs }
             .filterTo(HashSet()) {
                 val spec = it.spec
                 val team = teams[spec.team]
@@ -55,7 +55,7 @@
     /** The times by which the job should be complete, the earliest first. */
     private fun dueTimesUs(job: Job): List<Long> {
         val finish = byClass[ObjectiveKind.FINISHED to job.spec.jobClass].orEmpty()
-        return (listOfNotNull(deadlineUs(job)) + finish.map { job.readyUs + it }).sorted()
+        return (listOfNotNull(deadlineUs(job)) + finish.map { job.readyAtUs + it }).sorted()
     }
 
     /**
@@ -75,7 +75,7 @@
     ): List<StartObjective> {
         val waits = byClass[ObjectiveKind.WAIT to job.spec.jobClass].orEmpty() + listOfNotNull(guaranteeUs?.takeIf { guaranteed })
         return (
-            waits.map { StartObjective(job.readyUs + it, perTask = true) } +
+            waits.map { StartObjective(job.readyAtUs + it, perTask = true) } +
                 (dueTimesUs(job) + listOfNotNull(inheritedDueUs)).map { StartObjective(it - runUs, perTask = false) }
         ).filter { it.startByUs + runUs / TOLERANCE_SHARE >= now }
             .map { it.copy(startByUs = maxOf(it.startByUs, now)) }
--- a/src/main/kotlin/lichenstage/placement/UnaccountedUse.kt
+++ b/src/main/kotlin/lichenstage/placement/UnaccountedUse.kt
@@ -11,25 +11,25 @@
     private val capacityOf: (String) -> Resources?,
 ) {
     /** Machines with the names of their types. */
-    private val machines = HashMap<String, String>()
+    private val typeNamesByMachine = HashMap<String, String>()
 
-    fun set(
+    fun setUnaccounted(
         machine: String,
         typeName: String,
-        unaccounted: Boolean,
+        isUnaccounted: Boolean,
     ) {
-        if (unaccounted) machines[machine] = typeName else machines.remove(machine)
+        if (isUnaccounted) typeNamesByMachine[machine] = typeName else typeNamesByMachine.remove(machine)
     }
 
     fun remove(machine: String) {
-        machines.remove(machine)
+        typeNamesByMachine.remove(machine)
     }
 
-    fun resources(): Resources {
-        val unknown = failover.unknownUse(capacityOf)
-        var cores = unknown.cores
-        var gpus = unknown.gpus
-        for (typeName in machines.values) {
+    fun total(): Resources {
+        val awaited = failover.awaitedCapacity(capacityOf)
+        var cores = awaited.cores
+        var gpus = awaited.gpus
+        for (typeName in typeNamesByMachine.values) {
             val capacity = capacityOf(typeName)
             cores += capacity?.cores ?: Double.MAX_VALUE
             gpus += capacity?.gpus ?: Double.MAX_VALUE
--- a/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
@@ -31,37 +31,37 @@
         index: Int = 0,
     ) = Attempt(job, index, 10L + index, "m", "z/0").apply {
         phase = TaskPhase.RUNNING
-        runningUs = sinceS * SECOND
+        firstRunningAtUs = sinceS * SECOND
     }
 
     private fun notice(
         leftS: Long,
         nowS: Long,
-    ) = preemption.machineUpdated(
+    ) = preemption.onMachineUpdate(
         MachineState("m", "1.2.3.4:5", "t", true, true, false, false, false, leftS * SECOND, emptyList()),
         nowS * SECOND,
     )
 
-    private fun saveOrders(
+    private fun saveCommands(
         nowS: Long,
         vararg attempts: Attempt,
-    ) = preemption.saveOrders("m", attempts.toList(), isDrained = false, nowS * SECOND)
+    ) = preemption.saveCommands("m", attempts.toList(), isDrained = false, nowS * SECOND)
 
     @Example
     fun `on a machine that an operator drains only what was requested is stopped, also where it can't save`() {
         val long = running(job(runS = 120), sinceS = 1)
         val unsaved = running(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)
 
-        fun drained(nowS: Long) = preemption.saveOrders("m", listOf(long, unsaved), isDrained = true, nowS * SECOND)
+        fun drained(nowS: Long) = preemption.saveCommands("m", listOf(long, unsaved), isDrained = true, nowS * SECOND)
         assertTrue(drained(40).isEmpty()) { "stopped beside the budget of its team" }
         preemption.requestStop(listOf(unsaved))
         assertTrue("m" in preemption.affectedMachines) { "nobody would ask" }
         assertEquals(listOf(SaveOrder("m", "j-1/1", 11, 0)), drained(41)) { "${drained(44)}" }
-        assertEquals(0L, unsaved.saveOrderedUs) { "its progress would count as saved" }
+        assertEquals(0L, unsaved.saveCommandedAtUs) { "its progress would count as saved" }
         preemption.requestStop(listOf(long))
-        assertTrue(drained(42).map { it.attempt } == listOf(10L) && long.saveOrderedUs > 0) { "not stopped with time to save" }
-        preemption.attemptEnded(unsaved)
-        preemption.attemptEnded(long)
+        assertTrue(drained(42).map { it.attempt } == listOf(10L) && long.saveCommandedAtUs > 0) { "not stopped with time to save" }
+        preemption.onAttemptEnded(unsaved)
+        preemption.onAttemptEnded(long)
         assertTrue(drained(60).isEmpty() && "m" !in preemption.affectedMachines) { "ordered after its end" }
     }
 
@@ -69,13 +69,13 @@
     fun `after a notice a task runs on for as long as it can still save, and the order is repeated`() {
         val attempt = running(job(runS = 60), sinceS = 1)
         notice(leftS = 20, nowS = 10)
-        assertTrue(saveOrders(15, attempt).isEmpty()) { "stopped with 15 s left" }
+        assertTrue(saveCommands(15, attempt).isEmpty()) { "stopped with 15 s left" }
         val order = SaveOrder("m", "j-1/0", 10, 5 * SECOND)
-        assertEquals(listOf(order), saveOrders(21, attempt)) { "not stopped with 9 s left" }
-        assertTrue(saveOrders(22, attempt).isEmpty()) { "repeated at once" }
-        assertEquals(listOf(order), saveOrders(24, attempt)) { "not repeated" }
+        assertEquals(listOf(order), saveCommands(21, attempt)) { "not stopped with 9 s left" }
+        assertTrue(saveCommands(22, attempt).isEmpty()) { "repeated at once" }
+        assertEquals(listOf(order), saveCommands(24, attempt)) { "not repeated" }
         attempt.phase = TaskPhase.SAVING
-        assertTrue(saveOrders(25, attempt).isEmpty()) { "stopped while it saves" }
+        assertTrue(saveCommands(25, attempt).isEmpty()) { "stopped while it saves" }
     }
 
     @Example
@@ -83,28 +83,28 @@
         val attempt = running(job(runS = 60), sinceS = 1)
         notice(leftS = 20, nowS = 10)
         notice(leftS = 20, nowS = 14)
-        assertTrue(saveOrders(21, attempt).isNotEmpty()) { "the notice was taken for a later one" }
+        assertTrue(saveCommands(21, attempt).isNotEmpty()) { "the notice was taken for a later one" }
     }
 
     @Example
     fun `a task that ends by itself before, one that can't save and one with no time to save are left alone`() {
         notice(leftS = 20, nowS = 10)
-        assertTrue(saveOrders(21, running(job(runS = 24), sinceS = 1)).isEmpty()) { "it ends in 4 s" }
-        assertTrue(saveOrders(21, running(job(runS = 60, checkpointS = 0), sinceS = 1)).isEmpty()) { "it can't save" }
-        assertTrue(saveOrders(26, running(job(runS = 60), sinceS = 1)).isEmpty()) { "4 s are too few for 4 s of saving" }
+        assertTrue(saveCommands(21, running(job(runS = 24), sinceS = 1)).isEmpty()) { "it ends in 4 s" }
+        assertTrue(saveCommands(21, running(job(runS = 60, checkpointS = 0), sinceS = 1)).isEmpty()) { "it can't save" }
+        assertTrue(saveCommands(26, running(job(runS = 60), sinceS = 1)).isEmpty()) { "4 s are too few for 4 s of saving" }
         val fetching = running(job(runS = 60), sinceS = 1).apply { phase = TaskPhase.FETCHING }
-        assertTrue(saveOrders(21, fetching).isEmpty()) { "it has nothing to save" }
+        assertTrue(saveCommands(21, fetching).isEmpty()) { "it has nothing to save" }
     }
 
     @Example
     fun `a draining machine is emptied only where nothing but long tasks that can save is left`() {
         val long = running(job(runS = 120), sinceS = 1)
-        assertTrue(saveOrders(20, long).isEmpty()) { "its start would not count" }
+        assertTrue(saveCommands(20, long).isEmpty()) { "its start would not count" }
         assertTrue(
-            saveOrders(40, long, running(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)).isEmpty(),
+            saveCommands(40, long, running(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)).isEmpty(),
         ) { "the other holds it" }
-        assertTrue(saveOrders(40, long, running(job(runS = 50), sinceS = 1, index = 1)).isEmpty()) { "the other ends soon" }
-        assertEquals(listOf(10L), saveOrders(40, long).map { it.attempt }) { "not moved" }
+        assertTrue(saveCommands(40, long, running(job(runS = 50), sinceS = 1, index = 1)).isEmpty()) { "the other ends soon" }
+        assertEquals(listOf(10L), saveCommands(40, long).map { it.attempt }) { "not moved" }
     }
 
     @Example
@@ -113,11 +113,11 @@
         job.recordSavedProgress(0, 30 * SECOND)
         job.recordSavedProgress(0, 20 * SECOND)
         job.recordSavedProgress(1, 5 * SECOND)
-        assertEquals(35 * SECOND, job.totalSavedUs) { "${job.totalSavedUs}" }
+        assertEquals(35 * SECOND, job.totalSavedProgressUs) { "${job.totalSavedProgressUs}" }
         assertEquals(35 * SECOND, running(job, sinceS = 10).progressUs(15 * SECOND)) { "an attempt goes on from there" }
-        job.markDone(0)
-        assertEquals(5 * SECOND, job.totalSavedUs) { "${job.totalSavedUs}" }
+        job.markTaskDone(0)
+        assertEquals(5 * SECOND, job.totalSavedProgressUs) { "${job.totalSavedProgressUs}" }
         job.recordSavedProgress(0, 50 * SECOND)
-        assertEquals(5 * SECOND, job.totalSavedUs) { "what is done has nothing saved" }
+        assertEquals(5 * SECOND, job.totalSavedProgressUs) { "what is done has nothing saved" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/DemandEstimateTest.kt
+++ b/src/test/kotlin/lichenstage/placement/DemandEstimateTest.kt
@@ -19,7 +19,7 @@
         tasks: Int = 2,
         dependencies: List<String> = emptyList(),
     ) = Job(oneCoreSpec(number, "c", Priority.LOW, tasks, 50 * SECOND).copy(dependencies = dependencies), number.toLong(), 0).apply {
-        if (ready) enqueueTasks()
+        if (isReady) enqueueTasks()
     }
 
     private fun inputs(
--- a/src/test/kotlin/lichenstage/placement/FailoverRecoveryTest.kt
+++ b/src/test/kotlin/lichenstage/placement/FailoverRecoveryTest.kt
@@ -13,30 +13,30 @@
 
     @Example
     fun `completion is reported once, also where there was nothing to wait for`() {
-        assertTrue(recovery.isComplete && recovery.completedNow()) { "waits for nothing" }
-        assertFalse(recovery.completedNow()) { "reported twice" }
+        assertTrue(recovery.isComplete && recovery.checkCompletion()) { "waits for nothing" }
+        assertFalse(recovery.checkCompletion()) { "reported twice" }
     }
 
     @Example
     fun `completion is reported with the last machine that is accounted for`() {
-        recoveredMachines("m1", "m2").forEach(recovery::await)
-        partition.machines["m1"] = view("m1")
-        assertFalse(recovery.completedNow()) { "m2 is not accounted for" }
-        recovery.machineTerminated("m2")
-        assertTrue(recovery.completedNow()) { "still waiting" }
+        recoveredMachines("m1", "m2").forEach(recovery::awaitMachine)
+        partition.machines["m1"] = machineState("m1")
+        assertFalse(recovery.checkCompletion()) { "m2 is not accounted for" }
+        recovery.onMachineTerminated("m2")
+        assertTrue(recovery.checkCompletion()) { "still waiting" }
     }
 
     @Example
     fun `few silent machines are terminated soon, more of them later, many never`() {
         val registered = 100
-        recoveredMachines("m1", "m2").forEach(recovery::await)
-        partition.ageUs = 3 * SECOND
+        recoveredMachines("m1", "m2").forEach(recovery::awaitMachine)
+        partition.ownershipAgeUs = 3 * SECOND
         assertEquals(setOf("m1", "m2"), recovery.machinesToFence(registered).toSet()) { "two of a hundred are few" }
-        recoveredMachines("m3").forEach(recovery::await)
+        recoveredMachines("m3").forEach(recovery::awaitMachine)
         assertTrue(recovery.machinesToFence(registered).isEmpty()) { "three of a hundred are terminated too soon" }
-        partition.ageUs = 7 * SECOND
+        partition.ownershipAgeUs = 7 * SECOND
         assertEquals(3, recovery.machinesToFence(registered).size) { "not terminated later" }
-        recoveredMachines(*Array(10) { "n$it" }).forEach(recovery::await)
+        recoveredMachines(*Array(10) { "n$it" }).forEach(recovery::awaitMachine)
         assertTrue(recovery.machinesToFence(registered).isEmpty()) { "where many are silent the network is at fault" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
+++ b/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
@@ -45,7 +45,7 @@
                 while (free > 0 && job.nextPendingTask() >= 0) free--
                 if (free == 0) break
             }
-            jobs.values.removeIf { it.pending.isEmpty }
+            jobs.values.removeIf { it.pendingTasks.isEmpty }
         }
         return null
     }
--- a/src/test/kotlin/lichenstage/placement/JobTableTest.kt
+++ b/src/test/kotlin/lichenstage/placement/JobTableTest.kt
@@ -18,8 +18,8 @@
             assertTrue(table.add(it)) { "${it.spec.id} was known" }
             table.enqueueIfPlaceable(it)
         }
-        assertFalse(older.placeable) { "an earlier leader may have started it" }
-        assertEquals(2, fresh.pending.size) { "not queued" }
+        assertFalse(older.isPlaceable) { "an earlier leader may have started it" }
+        assertEquals(2, fresh.pendingTasks.size) { "not queued" }
     }
 
     @Example
@@ -31,8 +31,8 @@
         fresh.nextPendingTask()
         failoverComplete = true
         table.enqueueAllReady()
-        assertEquals(2, older.pending.size) { "not queued" }
-        assertEquals(1, fresh.pending.size) { "queued again" }
+        assertEquals(2, older.pendingTasks.size) { "not queued" }
+        assertEquals(1, fresh.pendingTasks.size) { "queued again" }
     }
 
     @Example
@@ -42,7 +42,7 @@
         table.add(blocked)
         table.enqueueIfPlaceable(blocked)
         table.enqueueAllReady()
-        assertTrue(blocked.pending.isEmpty && !blocked.placeable) { "queued" }
+        assertTrue(blocked.pendingTasks.isEmpty && !blocked.isPlaceable) { "queued" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
@@ -18,76 +18,88 @@
     fun `when a registered machine is not accounted for then older jobs wait and those of this term do not`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1", "m2"))
-        leader.jobAdded(job("j-1", createRevision = 50))
-        leader.partitionFrameReceived(partition("z", 0, view("m1")), SECOND)
+        leader.addJob(job("j-1", createRevision = 50))
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1")), SECOND)
         leader.tick(2 * SECOND)
-        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "asked while m2 was not accounted for" }
-        leader.partitionFrameReceived(partition("z", 0, view("m1"), view("m2")), 3 * SECOND)
+        assertTrue(framesTo("z").none { it.requests.isNotEmpty() }) { "asked while m2 was not accounted for" }
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1"), machineState("m2")), 3 * SECOND)
         leader.tick(3 * SECOND)
-        assertEquals("j-1", lastAsk().requests.single().job) { "not asked" }
+        assertEquals("j-1", lastRequestFrame().requests.single().job) { "not asked" }
     }
 
     @Example
     fun `while a machine is not accounted for it counts at its full size against a limited team`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1", "m2"))
-        leader.jobAdded(job("j-2", createRevision = 101))
-        leader.partitionFrameReceived(partition("z", 0, view("m1")), SECOND)
+        leader.addJob(job("j-2", createRevision = 101))
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1")), SECOND)
         leader.tick(2 * SECOND)
-        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "16 unheard cores leave nothing of a limit of 8" }
+        assertTrue(framesTo("z").none { it.requests.isNotEmpty() }) { "16 unheard cores leave nothing of a limit of 8" }
     }
 
     @Example
     fun `a machine without heartbeats is accounted for once its lease has expired, and delays the failover until then`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
-        leader.jobAdded(job("j-1"))
-        leader.partitionFrameReceived(partition("z", 0, age = 21 * SECOND), SECOND)
-        assertTrue(!leader.failoverComplete && leader.machinesToFence() == listOf("m1")) {
-            "${leader.failoverComplete} ${leader.machinesToFence()}"
+        leader.addJob(job("j-1"))
+        leader.onPartitionFrame(partitionFrame("z", 0, ageUs = 21 * SECOND), SECOND)
+        assertTrue(!leader.isFailoverComplete && leader.machinesToFence() == listOf("m1")) {
+            "${leader.isFailoverComplete} ${leader.machinesToFence()}"
         }
-        leader.partitionFrameReceived(partition("z", 0, age = 23 * SECOND), 3 * SECOND)
-        assertTrue(leader.failoverComplete) { "still waiting" }
+        leader.onPartitionFrame(partitionFrame("z", 0, ageUs = 23 * SECOND), 3 * SECOND)
+        assertTrue(leader.isFailoverComplete) { "still waiting" }
     }
 
     @Example
     fun `a machine that was answered but has not shown the fencing token is not accounted for by time`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
-        leader.jobAdded(job("j-1"))
-        leader.partitionFrameReceived(partition("z", 0, view("m1", tokenConfirmed = false), age = 60 * SECOND), SECOND)
-        assertFalse(leader.failoverComplete) { "an answer may have renewed its lease" }
-        leader.partitionFrameReceived(partition("z", 0, view("m1", tokenConfirmed = false, lost = true), age = 61 * SECOND), 2 * SECOND)
-        assertTrue(leader.failoverComplete) { "still waiting" }
+        leader.addJob(job("j-1"))
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1", tokenConfirmed = false), ageUs = 60 * SECOND), SECOND)
+        assertFalse(leader.isFailoverComplete) { "an answer may have renewed its lease" }
+        leader.onPartitionFrame(
+            partitionFrame("z", 0, machineState("m1", tokenConfirmed = false, lost = true), ageUs = 61 * SECOND),
+            2 * SECOND,
+        )
+        assertTrue(leader.isFailoverComplete) { "still waiting" }
     }
 
     @Example
     fun `nothing is concluded from a frame that leaves machines out`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1", "m2"))
-        leader.jobAdded(job("j-1"))
-        leader.partitionFrameReceived(partition("z", 0, view("m1"), age = 60 * SECOND, whole = false), SECOND)
-        assertFalse(leader.failoverComplete) { "m2 may be in the next piece" }
-        leader.partitionFrameReceived(partition("z", 0, age = 60 * SECOND), 2 * SECOND)
-        assertTrue(leader.failoverComplete) { "still waiting" }
+        leader.addJob(job("j-1"))
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1"), ageUs = 60 * SECOND, isFinal = false), SECOND)
+        assertFalse(leader.isFailoverComplete) { "m2 may be in the next piece" }
+        leader.onPartitionFrame(partitionFrame("z", 0, ageUs = 60 * SECOND), 2 * SECOND)
+        assertTrue(leader.isFailoverComplete) { "still waiting" }
     }
 
     @Example
     fun `only a machine that has shown the fencing token is to be recorded, and one that was terminated never again`() {
         val leader = leader()
-        leader.partitionFrameReceived(partition("z", 0, view("m1"), view("m2", tokenConfirmed = false), view("m3")), SECOND)
-        leader.machineTerminated("m3")
-        leader.partitionFrameReceived(partition("z", 0, view("m3")), 2 * SECOND)
-        assertEquals(listOf("m1"), leader.machines.unregistered().map { it.machine.name }) { "${leader.machines.unregistered()}" }
+        leader.onPartitionFrame(
+            partitionFrame("z", 0, machineState("m1"), machineState("m2", tokenConfirmed = false), machineState("m3")),
+            SECOND,
+        )
+        leader.onMachineTerminated("m3")
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m3")), 2 * SECOND)
+        assertEquals(
+            listOf("m1"),
+            leader.machines.unregisteredMachines().map { it.machine.name },
+        ) { "${leader.machines.unregisteredMachines()}" }
     }
 
     @Example
     fun `attempts on a terminated machine do not count in place of those that run elsewhere`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
-        leader.jobAdded(job("j-1"))
-        val ghost = view("ghost", TaskState("j-1/0", 3, TaskPhase.RUNNING))
-        leader.partitionFrameReceived(partition("z", 0, ghost, view("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING))), SECOND)
+        leader.addJob(job("j-1"))
+        val unregisteredMachine = machineState("ghost", TaskState("j-1/0", 3, TaskPhase.RUNNING))
+        leader.onPartitionFrame(
+            partitionFrame("z", 0, unregisteredMachine, machineState("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING))),
+            SECOND,
+        )
         assertTrue(leader.machines.attemptsOn("ghost").isEmpty()) { "adopted" }
         assertEquals(
             4L,
@@ -97,7 +109,7 @@
                 .number,
         ) { "the real one is not known" }
         leader.tick(SECOND)
-        assertTrue(sent("z").flatMap { it.stops }.none { it.machine == "m1" }) { "the real one was stopped" }
+        assertTrue(framesTo("z").flatMap { it.stops }.none { it.machine == "m1" }) { "the real one was stopped" }
     }
 
     /** Found by an own day of concurrent faults: a machine was given back a second before the leader ended, and was still in the record. */
@@ -107,9 +119,13 @@
             effects.clear()
             val leader = leader()
             leader.addRecoveredMachines(recoveredMachines("back", "m1"))
-            leader.jobAdded(job("j-1"))
-            val views = listOf(view("back", TaskState("j-1/0", 3, TaskPhase.RUNNING)), view("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING)))
-            leader.partitionFrameReceived(partition("z", 0, *(if (newerFirst) views.reversed() else views).toTypedArray()), SECOND)
+            leader.addJob(job("j-1"))
+            val views =
+                listOf(
+                    machineState("back", TaskState("j-1/0", 3, TaskPhase.RUNNING)),
+                    machineState("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING)),
+                )
+            leader.onPartitionFrame(partitionFrame("z", 0, *(if (newerFirst) views.reversed() else views).toTypedArray()), SECOND)
             assertTrue(leader.machines.attemptsOn("back").isEmpty()) { "the older is still counted" }
             assertEquals(
                 4L,
@@ -119,11 +135,14 @@
                     .number,
             ) { "the newer is not known" }
             leader.tick(SECOND)
-            assertEquals(listOf("back"), sent("z").flatMap { it.stops }.map { it.machine }) { "${sent("z").flatMap { it.stops }}" }
-            leader.partitionFrameReceived(partition("z", 0, view("back", lost = true)), 2 * SECOND)
+            assertEquals(listOf("back"), framesTo("z").flatMap { it.stops }.map { it.machine }) { "${framesTo("z").flatMap { it.stops }}" }
+            leader.onPartitionFrame(partitionFrame("z", 0, machineState("back", lost = true)), 2 * SECOND)
             leader.tick(2 * SECOND)
             leader.tick(3 * SECOND)
-            assertEquals(1, lastAsk().requests.single().count) { "more than the other task is asked for: ${lastAsk().requests}" }
+            assertEquals(
+                1,
+                lastRequestFrame().requests.single().count,
+            ) { "more than the other task is asked for: ${lastRequestFrame().requests}" }
         }
     }
 
@@ -131,60 +150,63 @@
     fun `a late frame that names a machine without record does not delay the failover`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
-        leader.jobAdded(job("j-1"))
-        leader.partitionFrameReceived(partition("z", 0, view("m1"), view("ghost", tokenConfirmed = false)), SECOND)
-        assertTrue(leader.failoverComplete) { "waiting for a machine that is gone" }
+        leader.addJob(job("j-1"))
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1"), machineState("ghost", tokenConfirmed = false)), SECOND)
+        assertTrue(leader.isFailoverComplete) { "waiting for a machine that is gone" }
     }
 
     @Example
     fun `tasks that are found running are tracked and not started again`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
-        leader.jobAdded(job("j-1"))
-        leader.partitionFrameReceived(partition("z", 0, view("m1", TaskState("j-1/0", 3, TaskPhase.RUNNING))), SECOND)
+        leader.addJob(job("j-1"))
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1", TaskState("j-1/0", 3, TaskPhase.RUNNING))), SECOND)
         leader.tick(2 * SECOND)
-        assertEquals(1, lastAsk().requests.single().count) { "${lastAsk().requests}" }
+        assertEquals(1, lastRequestFrame().requests.single().count) { "${lastRequestFrame().requests}" }
     }
 
     @Example
     fun `tasks whose job has no record count at the size of their machine`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
-        leader.jobAdded(job("j-2"))
-        leader.partitionFrameReceived(partition("z", 0, view("m1", TaskState("j-9/0", 3, TaskPhase.RUNNING))), SECOND)
+        leader.addJob(job("j-2"))
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1", TaskState("j-9/0", 3, TaskPhase.RUNNING))), SECOND)
         leader.tick(SECOND)
-        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "a stranger's cores were given away" }
+        assertTrue(framesTo("z").none { it.requests.isNotEmpty() }) { "a stranger's cores were given away" }
     }
 
-    /** Counted, not timed: [looks] are questions for a machine's size, of which whoever goes through all machines asks one each. */
+    /** Counted, not timed: [capacityLookups] are questions for a machine's size, of which whoever goes through all machines asks one each. */
     @Example
     fun `the cost of a frame depends on what it changes, also during a failover of hundreds of machines`() {
         for (machines in listOf(400, 1600)) {
-            var looks = 0
+            var capacityLookups = 0
             val leader =
                 leader(
                     lookups =
                         LeaderLookups({
-                            looks++
+                            capacityLookups++
                             Resources(16.0, 0.0, 64.0)
                         }),
                 )
             val names = List(machines) { "m$it" }
             leader.addRecoveredMachines(recoveredMachines(*names.toTypedArray()))
-            leader.jobAdded(job("j-1"))
-            for (piece in names.chunked(100)) {
-                val last = piece.last() == names.last()
-                leader.partitionFrameReceived(partition("z", 0, *piece.map { view(it) }.toTypedArray(), whole = last), SECOND)
+            leader.addJob(job("j-1"))
+            for (chunk in names.chunked(100)) {
+                val isLastChunk = chunk.last() == names.last()
+                leader.onPartitionFrame(
+                    partitionFrame("z", 0, *chunk.map { machineState(it) }.toTypedArray(), isFinal = isLastChunk),
+                    SECOND,
+                )
             }
-            assertTrue(leader.failoverComplete && looks == 0) { "$looks looks at $machines machines in a takeover" }
+            assertTrue(leader.isFailoverComplete && capacityLookups == 0) { "$capacityLookups lookups at $machines machines in a takeover" }
             leader.tick(SECOND)
-            val before = looks
-            assertTrue(before <= machines + 10) { "$before looks at $machines machines in the first turn" }
+            val before = capacityLookups
+            assertTrue(before <= machines + 10) { "$before lookups at $machines machines in the first turn" }
             repeat(20) {
-                leader.partitionFrameReceived(partition("z", 0, view("m$it")), SECOND + it * 10_000)
+                leader.onPartitionFrame(partitionFrame("z", 0, machineState("m$it")), SECOND + it * 10_000)
                 leader.tick(SECOND + it * 10_000)
             }
-            assertEquals(before, looks) { "${looks - before} looks at $machines machines for 20 frames of one" }
+            assertEquals(before, capacityLookups) { "${capacityLookups - before} lookups at $machines machines for 20 frames of one" }
         }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -64,31 +64,31 @@
         spread: Boolean = false,
     ) = Job(spec(id, tasks, same, spread), createRevision, 0)
 
-    protected fun view(
+    protected fun machineState(
         name: String,
         vararg tasks: TaskState,
         tokenConfirmed: Boolean = true,
         lost: Boolean = false,
     ) = MachineState(name, "1.2.3.4:5", "t", false, tokenConfirmed, false, false, lost, null, tasks.toList())
 
-    protected fun partition(
+    protected fun partitionFrame(
         zone: String,
         seq: Long,
         vararg views: MachineState,
         offers: List<Offer> = emptyList(),
         term: Long = 3,
-        age: Long = SECOND,
-        whole: Boolean = true,
-    ) = PartitionFrame("$zone/0", term, age, 7, seq, seq, 0, ++version, whole, views.toList(), offers)
+        ageUs: Long = SECOND,
+        isFinal: Boolean = true,
+    ) = PartitionFrame("$zone/0", term, ageUs, 7, seq, seq, 0, ++version, isFinal, views.toList(), offers)
 
-    protected fun sent(zone: String) =
+    protected fun framesTo(zone: String) =
         effects.filterIsInstance<LeaderEffect.SendFrame>().filter { it.partition == "$zone/0" }.map { it.frame }
 
-    protected fun lastAsk(): PlacementFrame = sent("z").last { it.requests.isNotEmpty() }
+    protected fun lastRequestFrame(): PlacementFrame = framesTo("z").last { it.requests.isNotEmpty() }
 
-    protected fun starts() = effects.filterIsInstance<LeaderEffect.SendFrame>().flatMap { it.frame.starts }
+    protected fun sentStarts() = effects.filterIsInstance<LeaderEffect.SendFrame>().flatMap { it.frame.starts }
 
-    protected fun offer(
+    protected fun offersFor(
         frame: PlacementFrame,
         machine: String,
         count: Int,
@@ -99,21 +99,21 @@
     protected fun recoveredMachines(vararg names: String) = names.map { RecoveredMachine(it, "z/0", "t", null) }
 
     /** Brings all tasks of a job, two where none is given, on m1 in partition z. */
-    protected fun placed(job: Job = job("j-1")): LeaderCore {
+    protected fun leaderWithPlacedJob(job: Job = job("j-1")): LeaderCore {
         val leader = leader()
-        leader.machinesRegistered(mapOf("m1" to "z/0"))
-        leader.jobAdded(job)
-        leader.partitionFrameReceived(partition("y", 0), SECOND)
-        leader.partitionFrameReceived(partition("z", 0, view("m1")), SECOND)
+        leader.onMachinesRegistered(mapOf("m1" to "z/0"))
+        leader.addJob(job)
+        leader.onPartitionFrame(partitionFrame("y", 0), SECOND)
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1")), SECOND)
         leader.tick(SECOND)
-        val ask = lastAsk()
-        leader.partitionFrameReceived(
-            partition("y", sent("y").last().seq, offers = ask.requests.map { Offer(it.stamp, emptyList()) }),
+        val requestFrame = lastRequestFrame()
+        leader.onPartitionFrame(
+            partitionFrame("y", framesTo("y").last().seq, offers = requestFrame.requests.map { Offer(it.stamp, emptyList()) }),
             SECOND,
         )
-        leader.partitionFrameReceived(partition("z", ask.seq, offers = offer(ask, "m1", job.spec.tasks)), SECOND)
+        leader.onPartitionFrame(partitionFrame("z", requestFrame.seq, offers = offersFor(requestFrame, "m1", job.spec.tasks)), SECOND)
         leader.tick(SECOND)
-        assertEquals((0 until job.spec.tasks).toSet(), starts().map { it.index }.toSet()) { "${starts()}" }
+        assertEquals((0 until job.spec.tasks).toSet(), sentStarts().map { it.index }.toSet()) { "${sentStarts()}" }
         return leader
     }
 }
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -24,9 +24,9 @@
                     4 * SECOND,
             )
         val job = Job(spec, 101, 0)
-        val leader = placed(job)
-        val attempt = starts().single().attempt
-        val seq = sent("z").last().seq
+        val leader = leaderWithPlacedJob(job)
+        val attempt = sentStarts().single().attempt
+        val seq = framesTo("z").last().seq
 
         fun shown(
             phase: TaskPhase,
@@ -34,31 +34,35 @@
             nowS: Long,
         ) {
             val cause = if (phase == TaskPhase.ENDED) "halted" else null
-            val machine = view("m1", TaskState("j-1/0", attempt, phase, cause)).copy(recallUs = recallS?.let { it * SECOND })
-            leader.partitionFrameReceived(partition("z", seq, machine), nowS * SECOND)
+            val machine = machineState("m1", TaskState("j-1/0", attempt, phase, cause)).copy(recallUs = recallS?.let { it * SECOND })
+            leader.onPartitionFrame(partitionFrame("z", seq, machine), nowS * SECOND)
             leader.tick(nowS * SECOND)
         }
         shown(TaskPhase.RUNNING, null, 2)
         shown(TaskPhase.RUNNING, 9, 40)
         leader.tick(41 * SECOND)
-        assertEquals(listOf(attempt), sent("z").flatMap { it.saves }.map { it.attempt }) { "${sent("z").last()}" }
+        assertEquals(listOf(attempt), framesTo("z").flatMap { it.saves }.map { it.attempt }) { "${framesTo("z").last()}" }
         shown(TaskPhase.ENDED, 4, 45)
-        assertTrue(job.totalSavedUs in 37 * SECOND..39 * SECOND) { "${job.totalSavedUs}" }
-        assertTrue(leader.machines.attemptsOn("m1").isEmpty() && job.pending.size == 1) { "not queued again" }
+        assertTrue(job.totalSavedProgressUs in 37 * SECOND..39 * SECOND) { "${job.totalSavedProgressUs}" }
+        assertTrue(leader.machines.attemptsOn("m1").isEmpty() && job.pendingTasks.size == 1) { "not queued again" }
     }
 
     @Example
     fun `a start is dropped only when its partition has received it and does not list it`() {
-        val leader = placed()
-        val seq = sent("z").last { it.starts.isNotEmpty() }.seq
-        leader.partitionFrameReceived(partition("z", seq - 1, view("m1")), 2 * SECOND)
+        val leader = leaderWithPlacedJob()
+        val seq = framesTo("z").last { it.starts.isNotEmpty() }.seq
+        leader.onPartitionFrame(partitionFrame("z", seq - 1, machineState("m1")), 2 * SECOND)
         assertEquals(2, leader.machines.attemptsOn("m1").size) { "given up by a frame from before it" }
-        leader.partitionFrameReceived(
-            partition("z", seq, view("m1", TaskState("j-1/${starts()[0].index}", starts()[0].attempt, TaskPhase.PENDING))),
+        leader.onPartitionFrame(
+            partitionFrame(
+                "z",
+                seq,
+                machineState("m1", TaskState("j-1/${sentStarts()[0].index}", sentStarts()[0].attempt, TaskPhase.PENDING)),
+            ),
             2 * SECOND,
         )
         assertEquals(
-            listOf(starts()[0].index),
+            listOf(sentStarts()[0].index),
             leader.machines.attemptsOn("m1").map {
                 it.index
             },
@@ -68,13 +72,13 @@
     /** A version before this one says in pieces what it told in whole frames that were lost. */
     @Example
     fun `a piece of a frame ends no attempt, whatever it claims`() {
-        val leader = placed()
-        val seq = sent("z").last { it.starts.isNotEmpty() }.seq
-        leader.partitionFrameReceived(partition("z", seq, view("m2"), whole = false), 2 * SECOND)
-        leader.partitionFrameReceived(partition("z", seq, view("m1"), whole = false), 3 * SECOND)
+        val leader = leaderWithPlacedJob()
+        val seq = framesTo("z").last { it.starts.isNotEmpty() }.seq
+        leader.onPartitionFrame(partitionFrame("z", seq, machineState("m2"), isFinal = false), 2 * SECOND)
+        leader.onPartitionFrame(partitionFrame("z", seq, machineState("m1"), isFinal = false), 3 * SECOND)
         leader.tick(4 * SECOND)
         assertEquals(2, leader.machines.attemptsOn("m1").size) { "given up by a frame that leaves out machines" }
-        leader.partitionFrameReceived(partition("z", seq, view("m1")), 5 * SECOND)
+        leader.onPartitionFrame(partitionFrame("z", seq, machineState("m1")), 5 * SECOND)
         assertTrue(leader.machines.attemptsOn("m1").isEmpty()) { "kept although all is told" }
     }
 
@@ -83,21 +87,21 @@
         for (refusedFirst in listOf(true, false)) {
             effects.clear()
             val job = job("j-1", tasks = 1)
-            val leader = placed(job)
-            val attempt = starts().single().attempt
-            val seq = sent("z").last().seq
+            val leader = leaderWithPlacedJob(job)
+            val attempt = sentStarts().single().attempt
+            val seq = framesTo("z").last().seq
             val refused = TaskState("j-1/0", attempt, TaskPhase.ENDED, "busy")
             val other = TaskState("j-1/0", attempt - 1, TaskPhase.RUNNING)
             val rows = if (refusedFirst) arrayOf(refused, other) else arrayOf(other, refused)
-            leader.partitionFrameReceived(partition("z", seq, view("m1", *rows)), 2 * SECOND)
+            leader.onPartitionFrame(partitionFrame("z", seq, machineState("m1", *rows)), 2 * SECOND)
             assertEquals(
                 listOf(attempt - 1),
                 leader.machines.attemptsOn("m1").map { it.number },
             ) { "${leader.machines.attemptsOn("m1").map { it.number }}" }
             leader.tick(60 * SECOND)
-            assertTrue(sent("z").none { frame -> frame.stops.any { it.attempt == attempt - 1 } }) { "the one that runs is stopped" }
-            leader.partitionFrameReceived(
-                partition("z", seq, view("m1", refused, other.copy(phase = TaskPhase.ENDED, cause = "done"))),
+            assertTrue(framesTo("z").none { frame -> frame.stops.any { it.attempt == attempt - 1 } }) { "the one that runs is stopped" }
+            leader.onPartitionFrame(
+                partitionFrame("z", seq, machineState("m1", refused, other.copy(phase = TaskPhase.ENDED, cause = "done"))),
                 61 * SECOND,
             )
             assertTrue(job.allTasksDone) { "its end does not count" }
@@ -107,69 +111,69 @@
     @Example
     fun `a task on a machine that is recorded only later is tracked from then on`() {
         val leader = leader()
-        leader.jobAdded(job("j-1", tasks = 1))
-        leader.partitionFrameReceived(partition("z", 0, view("m1", TaskState("j-1/0", 9, TaskPhase.RUNNING))), SECOND)
+        leader.addJob(job("j-1", tasks = 1))
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1", TaskState("j-1/0", 9, TaskPhase.RUNNING))), SECOND)
         assertTrue(leader.machines.attemptsOn("m1").isEmpty()) { "believed of a machine without record" }
-        leader.machinesRegistered(mapOf("m1" to "z/0"))
+        leader.onMachinesRegistered(mapOf("m1" to "z/0"))
         assertEquals(listOf(9L), leader.machines.attemptsOn("m1").map { it.number }) { "not looked at again" }
     }
 
     @Example
     fun `under a new owner no attempt ends before the worker has shown the new fencing token`() {
-        val leader = placed()
-        leader.partitionFrameReceived(partition("z", 0, view("m1", tokenConfirmed = false), term = 4), 3 * SECOND)
+        val leader = leaderWithPlacedJob()
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1", tokenConfirmed = false), term = 4), 3 * SECOND)
         assertEquals(2, leader.machines.attemptsOn("m1").size) { "given up too early" }
-        leader.partitionFrameReceived(partition("z", 0, view("m1"), term = 4), 4 * SECOND)
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1"), term = 4), 4 * SECOND)
         assertTrue(leader.machines.attemptsOn("m1").isEmpty()) { "kept" }
     }
 
     @Example
     fun `limits count what is started`() {
-        val leader = placed()
-        leader.jobAdded(job("j-2"))
+        val leader = leaderWithPlacedJob()
+        leader.addJob(job("j-2"))
         effects.clear()
         leader.tick(5 * SECOND)
-        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "asked beyond the limit of 8 cores" }
+        assertTrue(framesTo("z").none { it.requests.isNotEmpty() }) { "asked beyond the limit of 8 cores" }
     }
 
     @Example
     fun `a done task is recorded before it is cleared, and the job is closed only with its record`() {
-        val leader = placed()
-        val ended = starts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.ENDED, "done") }
-        val seq = sent("z").last().seq
-        leader.partitionFrameReceived(partition("z", seq, view("m1", *ended.toTypedArray())), 2 * SECOND)
+        val leader = leaderWithPlacedJob()
+        val ended = sentStarts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.ENDED, "done") }
+        val seq = framesTo("z").last().seq
+        leader.onPartitionFrame(partitionFrame("z", seq, machineState("m1", *ended.toTypedArray())), 2 * SECOND)
         effects.clear()
         leader.tick(2 * SECOND)
         val end = effects.filterIsInstance<LeaderEffect.RecordCompletion>().single()
-        assertTrue(sent("z").all { it.clears.isEmpty() }) { "cleared before the record was written" }
-        leader.completionRecorded(end.job, 3 * SECOND)
+        assertTrue(framesTo("z").all { it.clears.isEmpty() }) { "cleared before the record was written" }
+        leader.onCompletionRecorded(end.job, 3 * SECOND)
         leader.tick(4 * SECOND)
-        assertTrue(sent("z").last().clears.size == 2 && "j-1" !in leader.jobs) { "not cleared" }
+        assertTrue(framesTo("z").last().clears.size == 2 && "j-1" !in leader.jobs) { "not cleared" }
     }
 
     @Example
     fun `attempts of a cancelled job are stopped and count until they have ended`() {
-        val leader = placed()
-        val running = starts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.RUNNING) }.toTypedArray()
-        leader.partitionFrameReceived(partition("z", sent("z").last().seq, view("m1", *running)), 2 * SECOND)
-        leader.jobClosed("j-1")
-        leader.jobAdded(job("j-2"))
+        val leader = leaderWithPlacedJob()
+        val running = sentStarts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.RUNNING) }.toTypedArray()
+        leader.onPartitionFrame(partitionFrame("z", framesTo("z").last().seq, machineState("m1", *running)), 2 * SECOND)
+        leader.onJobClosed("j-1")
+        leader.addJob(job("j-2"))
         effects.clear()
         leader.tick(3 * SECOND)
-        assertEquals(2, sent("z").last().stops.size) { "not stopped" }
-        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "its cores were given away" }
-        leader.partitionFrameReceived(
-            partition("z", sent("z").last().seq, view("m1").copy(removedAttempts = running.map { it.attempt })),
+        assertEquals(2, framesTo("z").last().stops.size) { "not stopped" }
+        assertTrue(framesTo("z").none { it.requests.isNotEmpty() }) { "its cores were given away" }
+        leader.onPartitionFrame(
+            partitionFrame("z", framesTo("z").last().seq, machineState("m1").copy(removedAttempts = running.map { it.attempt })),
             4 * SECOND,
         )
         leader.tick(4 * SECOND)
-        assertEquals("j-2", lastAsk().requests.single().job) { "its cores were not freed" }
+        assertEquals("j-2", lastRequestFrame().requests.single().job) { "its cores were not freed" }
     }
 
     @Example
     fun `attempts rise from leader to leader`() {
-        placed()
-        assertTrue(starts().all { it.attempt > (6L shl 32) + 0xffff_ffffL }) { "${starts()}" }
+        leaderWithPlacedJob()
+        assertTrue(sentStarts().all { it.attempt > (6L shl 32) + 0xffff_ffffL }) { "${sentStarts()}" }
     }
 
     @Example
@@ -177,20 +181,20 @@
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         val waiting = Job(spec("j-2").copy(dependencies = listOf("j-1")), 101, 0)
-        leader.jobAdded(waiting)
-        leader.partitionFrameReceived(partition("z", 0, view("m1")), SECOND)
+        leader.addJob(waiting)
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1")), SECOND)
         leader.tick(2 * SECOND)
-        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "asked before all that it needs was done" }
-        leader.jobAdded(job("j-3", createRevision = 102))
+        assertTrue(framesTo("z").none { it.requests.isNotEmpty() }) { "asked before all that it needs was done" }
+        leader.addJob(job("j-3", createRevision = 102))
         leader.tick(3 * SECOND)
-        assertEquals("j-3", lastAsk().requests.single().job) { "the other job is held up" }
-        leader.partitionFrameReceived(partition("z", 1, view("m1"), offers = offer(lastAsk(), "m1", 2)), 3 * SECOND)
+        assertEquals("j-3", lastRequestFrame().requests.single().job) { "the other job is held up" }
+        leader.onPartitionFrame(partitionFrame("z", 1, machineState("m1"), offers = offersFor(lastRequestFrame(), "m1", 2)), 3 * SECOND)
         leader.tick(4 * SECOND)
-        leader.jobReady(waiting, 4 * SECOND)
+        leader.onJobReady(waiting, 4 * SECOND)
         leader.tick(5 * SECOND)
-        assertTrue(waiting.placeable && waiting.readyUs == 4 * SECOND) { "not let go" }
-        leader.jobReady(waiting, 9 * SECOND)
-        assertEquals(4 * SECOND, waiting.readyUs) { "ready twice" }
+        assertTrue(waiting.isPlaceable && waiting.readyAtUs == 4 * SECOND) { "not let go" }
+        leader.onJobReady(waiting, 9 * SECOND)
+        assertEquals(4 * SECOND, waiting.readyAtUs) { "ready twice" }
     }
 
     @Example
@@ -203,11 +207,11 @@
                 lookups = LeaderLookups({ Resources(16.0, 0.0, 64.0) }, fetchUs = { SECOND }),
             )
         for ((id, jobClass) in listOf("j-1" to "quick", "j-2" to "quick", "j-3" to "c")) {
-            leader.jobAdded(Job(spec(id).copy(jobClass = jobClass), 1, 0))
+            leader.addJob(Job(spec(id).copy(jobClass = jobClass), 1, 0))
         }
-        leader.partitionFrameReceived(partition("z", 0, view("m1")), 5 * SECOND)
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1")), 5 * SECOND)
         leader.tick(5 * SECOND)
-        val requests = lastAsk().requests.sortedBy { it.stamp }
+        val requests = lastRequestFrame().requests.sortedBy { it.stamp }
         assertEquals(listOf(true, true, false, false, true, false), requests.map { it.imageOnly }) { "$requests" }
         assertTrue(requests.takeLast(2).all { it.job == "j-3" }) { "$requests" }
     }
--- a/src/test/kotlin/lichenstage/placement/MachineDirectoryTest.kt
+++ b/src/test/kotlin/lichenstage/placement/MachineDirectoryTest.kt
@@ -13,7 +13,7 @@
     private fun usable(
         machine: String,
         attempts: Int = 0,
-    ) = directory.usableSlots(machine, held = 4) { attempts }
+    ) = directory.usableSlots(machine, heldSlots = 4) { attempts }
 
     @Example
     fun `only a recorded machine that is not cordoned may get tasks`() {
@@ -32,12 +32,12 @@
     @Example
     fun `a retired machine is never recorded again`() {
         directory.setAddress("m1", "10.0.0.1:1")
-        directory.retire("m1")
+        directory.markTerminated("m1")
         directory.register(mapOf("m1" to "z/0"))
         assertFalse(directory.isRegistered("m1")) { "brought back" }
-        assertTrue(directory.isRetired("m1")) { "forgotten" }
-        assertNull(directory.partition("m1"))
-        assertTrue(directory.addresses("z/0").isEmpty()) { "address kept" }
+        assertTrue(directory.isTerminated("m1")) { "forgotten" }
+        assertNull(directory.partitionOf("m1"))
+        assertTrue(directory.addressesIn("z/0").isEmpty()) { "address kept" }
     }
 
     @Example
@@ -45,6 +45,6 @@
         directory.setAddress("m1", "10.0.0.1:1")
         directory.setAddress("m2", "10.0.0.2:1")
         directory.setAddress("m3", "10.0.0.3:1")
-        assertEquals(mapOf("m1" to "10.0.0.1:1"), directory.addresses("z/0"))
+        assertEquals(mapOf("m1" to "10.0.0.1:1"), directory.addressesIn("z/0"))
     }
 }
--- a/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
@@ -23,7 +23,7 @@
         0,
     ).also {
         jobs[it.spec.id] = it
-        if (it.ready) it.enqueueTasks()
+        if (it.isReady) it.enqueueTasks()
     }
 
     private fun readyInS(
@@ -45,7 +45,7 @@
     fun `what runs counts from its start, and what is over holds nothing up`() {
         val first = job(1, 10)
         val next = job(2, 5, 1, 77)
-        while (first.nextPendingTask() >= 0) first.placedUs = 20 * SECOND
+        while (first.nextPendingTask() >= 0) first.lastPlacedAtUs = 20 * SECOND
         assertEquals(1 + 10 - 5 + 4L, readyInS(next, nowS = 25)) { "${readyInS(next, nowS = 25)}" }
         assertEquals(4L, readyInS(next, nowS = 99)) { "an overdue end is expected now" }
         first.phase = JobPhase.CLOSED
--- a/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
@@ -79,9 +79,9 @@
         controllers.joinToString("\n") { controller ->
             val leader = controller.leadership.leader
             "n${controller.id} partitions ${controller.partitions.mapValues { it.value.term }} leader ${leader?.term} " +
-                "complete ${leader?.failoverComplete} " +
+                "complete ${leader?.isFailoverComplete} " +
                 leader?.jobs?.values?.joinToString {
-                    "${it.spec.id} ${it.phase} pending ${it.pending} alive ${it.liveAttempts.keys} done ${it.done}"
+                    "${it.spec.id} ${it.phase} pending ${it.pendingTasks} alive ${it.liveAttempts.keys} done ${it.doneTasks}"
                 } +
                 leader?.partitions?.map { (id, known) -> "\n  $id term ${known.term} v${known.version} ${known.machines.values}" }
         } + "\nowners ${state.owners}"
--- a/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
@@ -78,7 +78,7 @@
     private fun execute(action: DrainAction) {
         when (action) {
             is DrainAction.EvictTasks -> {
-                leader.interrupt(view.attemptsOf(action.tasks))
+                leader.requestStops(view.attemptsOf(action.tasks))
             }
 
             is DrainAction.ProvisionReplacement -> {
--- a/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
@@ -76,14 +76,14 @@
     private fun register() {
         val due =
             leader.machines
-                .unregistered()
+                .unregisteredMachines()
                 .map { it.machine.name }
                 .filter { it !in draining }
         if (isRegistering || due.isEmpty()) return
         isRegistering = true
         site.write({ registry.add(due) }) { ok ->
             isRegistering = false
-            if (ok) leader.machinesRegistered(due.associateWith { site.recoveredMachine(it).partition })
+            if (ok) leader.onMachinesRegistered(due.associateWith { site.recoveredMachine(it).partition })
         }
     }
 
@@ -129,7 +129,7 @@
     private fun terminated(names: List<String>) {
         isTerminating = false
         if (!site.leads(leader)) return
-        names.forEach(leader::machineTerminated)
+        names.forEach(leader::onMachineTerminated)
         draining -= names.toSet()
         emptied -= names.toSet()
         site.write({ registry.remove(names) }) { }
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -43,10 +43,10 @@
         leader = null
     }
 
-    fun jobClosed(job: String) = leader?.jobClosed(job) ?: Unit
+    fun jobClosed(job: String) = leader?.onJobClosed(job) ?: Unit
 
     fun frame(frame: PartitionFrame) {
-        leader?.partitionFrameReceived(frame, now)
+        leader?.onPartitionFrame(frame, now)
         if (controller.hasAuthority) leader?.tick(now)
     }
 
@@ -70,15 +70,15 @@
         if (mutation == Mutation.CANCEL_UNHEARD) return
         leader.jobs.keys
             .filter { it !in state.open }
-            .forEach(leader::jobClosed)
+            .forEach(leader::onJobClosed)
     }
 
     private fun markReady(leader: LeaderCore) =
         leader.jobs.values
             .filter {
-                !it.ready &&
+                !it.isReady &&
                     (mutation == Mutation.NEEDS_IGNORED || controller.dependencyGraph.readySinceUs(it.spec.dependencies) != null)
-            }.forEach { leader.jobReady(it, now) }
+            }.forEach { leader.onJobReady(it, now) }
 
     /** Jobs of which one that they need is cancelled are recorded as such. */
     private fun cancelOrphans(leader: LeaderCore) {
@@ -87,7 +87,7 @@
         isCancellingOrphans = true
         write(leader.term, { due.filter { it in state.open }.forEach { state.end(it, isDone = false) } }) { current, ok ->
             isCancellingOrphans = false
-            if (ok) due.forEach(current::jobClosed)
+            if (ok) due.forEach(current::onJobClosed)
         }
     }
 
@@ -148,8 +148,8 @@
         seenJobs += job.id
         if (mutation == Mutation.JOB_FORGOTTEN && job.id == "j-3") return
         val added = Job(spec(job), job.stamp, now)
-        if (mutation != Mutation.RANGES_LOST) added.restoreDone(state.durable.getValue(job.id))
-        leader.jobAdded(added)
+        if (mutation != Mutation.RANGES_LOST) added.restoreDoneTasks(state.durable.getValue(job.id))
+        leader.addJob(added)
     }
 
     private fun spec(job: SimulatedJob) =
@@ -187,12 +187,12 @@
             }
 
             is LeaderEffect.WriteDoneRanges -> {
-                write(term, { effect.deltas.forEach(::recorded) }) { leader, ok -> leader.rangesWritten(effect.deltas, ok, now) }
+                write(term, { effect.deltas.forEach(::recorded) }) { leader, ok -> leader.onRangesWritten(effect.deltas, ok, now) }
             }
 
             is LeaderEffect.RecordCompletion -> {
                 write(term, { state.finish(effect.job.spec.id) }) { leader, ok ->
-                    if (ok) leader.completionRecorded(effect.job, now) else leader.completionFailed(effect.job)
+                    if (ok) leader.onCompletionRecorded(effect.job, now) else leader.onCompletionFailed(effect.job)
                 }
             }
         }
