--- a/src/main/kotlin/lichenstage/app/OperatorSettings.kt
+++ b/src/main/kotlin/lichenstage/app/OperatorSettings.kt
@@ -52,8 +52,8 @@
                 PlacementSettings(
                     alphaUs = block.wholeNumber("alpha_ms", 10, MAX_TIMER_MS)?.times(MILLI) ?: defaults.alphaUs,
                     betaUs = block.wholeNumber("beta_ms", 0, MAX_TIMER_MS)?.times(MILLI) ?: defaults.betaUs,
-                    jobsPerRound = block.wholeNumber("batch_jobs", 1, 1000)?.toInt() ?: defaults.jobsPerRound,
-                    tasksPerRequest = block.wholeNumber("batch_tasks", 1, 10_000)?.toInt() ?: defaults.tasksPerRequest,
+                    maxJobsPerRound = block.wholeNumber("batch_jobs", 1, 1000)?.toInt() ?: defaults.maxJobsPerRound,
+                    maxTasksPerRequest = block.wholeNumber("batch_tasks", 1, 10_000)?.toInt() ?: defaults.maxTasksPerRequest,
                 )
             block.finish()
             return settings
--- a/src/main/kotlin/lichenstage/placement/BlockedJobs.kt
+++ b/src/main/kotlin/lichenstage/placement/BlockedJobs.kt
@@ -7,38 +7,38 @@
     private val dependencyGraph: DependencyGraph,
     private val core: LeaderCore,
     /** How many jobs one transaction records as cancelled, at the most. */
-    private val cancellationBatch: Int,
+    private val maxCancellationsPerTransaction: Int,
 ) {
-    private val blocked = LinkedHashSet<Job>()
-    private var cancellationInFlight = false
+    private val waitingJobs = LinkedHashSet<Job>()
+    private var isCancellationInFlight = false
 
     /** The job has dependencies that are not recorded as done. */
     fun add(job: Job) {
-        blocked += job
+        waitingJobs += job
     }
 
     /**
      * Releases the jobs whose dependencies are all recorded as done, with the time of day of the last of these records in microseconds,
      * or 0 where no record says.
      */
-    fun release(ready: (job: Job, recordedAtUs: Long) -> Unit) {
-        blocked.removeIf { job ->
+    fun releaseReady(onReady: (job: Job, recordedAtUs: Long) -> Unit) {
+        waitingJobs.removeIf { job ->
             val recordedAtUs = dependencyGraph.readySinceUs(job.spec.dependencies)
-            if (recordedAtUs != null) ready(job, recordedAtUs)
+            if (recordedAtUs != null) onReady(job, recordedAtUs)
             recordedAtUs != null || job.phase == JobPhase.CLOSED
         }
     }
 
     /** Jobs to record as cancelled next, since a dependency was; none while a record of some is being written. */
-    fun takeOrphans(): List<Job> {
-        if (cancellationInFlight) return emptyList()
-        val jobs = dependencyGraph.orphans(cancellationBatch).mapNotNull { core.jobs[it] }.filter { it.phase == JobPhase.OPEN }
-        cancellationInFlight = jobs.isNotEmpty()
+    fun takeJobsToCancel(): List<Job> {
+        if (isCancellationInFlight) return emptyList()
+        val jobs = dependencyGraph.orphans(maxCancellationsPerTransaction).mapNotNull { core.jobs[it] }.filter { it.phase == JobPhase.OPEN }
+        isCancellationInFlight = jobs.isNotEmpty()
         return jobs
     }
 
     /** The write of the last cancellations has ended, successfully or not. */
-    fun orphansCancelled() {
-        cancellationInFlight = false
+    fun onCancellationsWritten() {
+        isCancellationInFlight = false
     }
 }
--- a/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
@@ -106,7 +106,7 @@
         now: Long,
     ): Long {
         val progressUs = attempt.progressUs(now)
-        return maxOf(runTimes.expectedUs(attempt.job.spec) - progressUs, progressUs / OVERRUN_SHARE)
+        return maxOf(runTimes.expectedRunTimeUs(attempt.job.spec) - progressUs, progressUs / OVERRUN_SHARE)
     }
 
     private fun savesCheckpoints(attempt: Attempt) = attempt.job.spec.checkpointIntervalUs > 0
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -3,15 +3,18 @@
 import lichenstage.jobs.CompletedTaskRanges
 import java.util.BitSet
 
-/** Decides which done tasks are recorded next, in batches of at most [batch] changes, those of a job after [flushUs] at the earliest. */
+/**
+ * Decides which done tasks are recorded next. One transaction holds at most [maxWritesPerTransaction] changes, and the done tasks of a job
+ * are recorded [recordDelayUs] microseconds after the first of them at the earliest.
+ */
 class CompletionRecorder(
-    private val batch: Int,
-    private val flushUs: Long,
+    private val maxWritesPerTransaction: Int,
+    private val recordDelayUs: Long,
     private val valueBytes: Int,
     private val emit: (LeaderEffect) -> Unit,
 ) {
     /** Jobs with tasks that are done but not recorded, with when that began, the oldest first. */
-    private val unrecorded = LinkedHashMap<Job, Long>()
+    private val unrecordedSinceUs = LinkedHashMap<Job, Long>()
     private var rangesWriteInFlight = false
 
     /** Something of the job is done that is not recorded, since [sinceUs] unless it was known already. */
@@ -19,49 +22,49 @@
         job: Job,
         sinceUs: Long,
     ) {
-        unrecorded.putIfAbsent(job, sinceUs)
+        unrecordedSinceUs.putIfAbsent(job, sinceUs)
     }
 
     /** The job's completion is recorded. */
-    fun completionRecorded(job: Job) {
-        unrecorded.remove(job)
+    fun onCompletionRecorded(job: Job) {
+        unrecordedSinceUs.remove(job)
     }
 
     /**
      * Has recorded what is done: the end of a job at once, ranges in one batch after the other, the oldest first. Ranges take
      * what writes the rest leaves, so that the more jobs there are, the longer each waits.
      */
-    fun writeDue(now: Long) {
-        if (unrecorded.isEmpty()) return
-        for (job in unrecorded.keys.filter { it.allTasksDone && !it.completionWriteInFlight }) {
+    fun writeDueCompletions(nowUs: Long) {
+        if (unrecordedSinceUs.isEmpty()) return
+        for (job in unrecordedSinceUs.keys.filter { it.allTasksDone && !it.completionWriteInFlight }) {
             job.completionWriteInFlight = true
             emit(LeaderEffect.RecordCompletion(job))
         }
         if (rangesWriteInFlight) return
-        val deltas = nextBatch(now)
+        val deltas = nextBatch(nowUs)
         if (deltas.isEmpty()) return
         rangesWriteInFlight = true
         deltas.forEach {
-            unrecorded.remove(it.job)
+            unrecordedSinceUs.remove(it.job)
             it.job.rangesWriteInFlight = true
         }
         emit(LeaderEffect.WriteDoneRanges(deltas))
     }
 
     /** What one transaction holds of the jobs that have waited long enough. */
-    private fun nextBatch(now: Long): List<CompletionDelta> {
+    private fun nextBatch(nowUs: Long): List<CompletionDelta> {
         val deltas = ArrayList<CompletionDelta>()
         var writes = 0
         // The oldest come first, and this runs after every message: what is not due yet is not looked at.
-        val due = unrecorded.entries.takeWhile { now - it.value >= flushUs }.map { it.key }
-        for (job in due.filter { !it.allTasksDone }) {
-            if (writes >= batch) break
-            val delta = delta(job)
+        val dueJobs = unrecordedSinceUs.entries.takeWhile { nowUs - it.value >= recordDelayUs }.map { it.key }
+        for (job in dueJobs.filter { !it.allTasksDone }) {
+            if (writes >= maxWritesPerTransaction) break
+            val delta = createDelta(job)
             if (delta.chunks.isEmpty()) {
                 // Too large for a record: it comes again with the next of its tasks that is done.
-                unrecorded.remove(job)
+                unrecordedSinceUs.remove(job)
             } else {
-                if (writes + delta.chunks.size > batch && deltas.isNotEmpty()) break
+                if (writes + delta.chunks.size > maxWritesPerTransaction && deltas.isNotEmpty()) break
                 writes += delta.chunks.size
                 deltas += delta
             }
@@ -69,29 +72,29 @@
         return deltas
     }
 
-    private fun delta(job: Job): CompletionDelta {
+    private fun createDelta(job: Job): CompletionDelta {
         val recordedTasks = job.durable.clone() as BitSet
-        val chunks = changedChunks(job).filter { addWritable(job, it, recordedTasks) }
+        val chunks = changedChunks(job).filter { addRecordableTasks(job, it, recordedTasks) }
         return CompletionDelta(job, recordedTasks, chunks)
     }
 
     /**
-     * Adds to [recordedTasks] what a record of the chunk can hold; false where that is nothing new. What is durable stays so: workers have
-     * forgotten it.
+     * Adds the done tasks that a record of the chunk can hold to [recordedTasks]. Returns false, and adds nothing, where the record would
+     * add no task or would lose a durable one: the workers have forgotten durable tasks, so they must stay recorded.
      */
-    private fun addWritable(
+    private fun addRecordableTasks(
         job: Job,
         chunk: Int,
         recordedTasks: BitSet,
     ): Boolean {
-        val fitting = CompletedTaskRanges.truncateToFit(job.done, chunk, valueBytes)
-        val durable = job.durable.get(chunk * CompletedTaskRanges.TASKS_PER_CHUNK, (chunk + 1) * CompletedTaskRanges.TASKS_PER_CHUNK)
-        val lost = (durable.clone() as BitSet).apply { andNot(fitting) }
-        if (!lost.isEmpty || fitting == durable) return false
-        var next = fitting.nextSetBit(0)
+        val recordableTasks = CompletedTaskRanges.truncateToFit(job.done, chunk, valueBytes)
+        val durableTasks = job.durable.get(chunk * CompletedTaskRanges.TASKS_PER_CHUNK, (chunk + 1) * CompletedTaskRanges.TASKS_PER_CHUNK)
+        val droppedTasks = (durableTasks.clone() as BitSet).apply { andNot(recordableTasks) }
+        if (!droppedTasks.isEmpty || recordableTasks == durableTasks) return false
+        var next = recordableTasks.nextSetBit(0)
         while (next >= 0) {
             recordedTasks.set(chunk * CompletedTaskRanges.TASKS_PER_CHUNK + next)
-            next = fitting.nextSetBit(next + 1)
+            next = recordableTasks.nextSetBit(next + 1)
         }
         return true
     }
@@ -105,16 +108,16 @@
     }
 
     /** The outcome of a transaction with done ranges. */
-    fun rangesWritten(
+    fun onRangesWritten(
         deltas: List<CompletionDelta>,
-        ok: Boolean,
-        now: Long,
+        isCommitted: Boolean,
+        nowUs: Long,
     ) {
         rangesWriteInFlight = false
         for ((job, recordedTasks) in deltas) {
             job.rangesWriteInFlight = false
-            if (ok) job.durable.or(recordedTasks)
-            if (job.phase == JobPhase.OPEN && job.done.cardinality() != job.durable.cardinality()) markUnrecorded(job, now)
+            if (isCommitted) job.durable.or(recordedTasks)
+            if (job.phase == JobPhase.OPEN && job.done.cardinality() != job.durable.cardinality()) markUnrecorded(job, nowUs)
         }
     }
 }
--- a/src/main/kotlin/lichenstage/placement/DemandEstimate.kt
+++ b/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
@@ -7,7 +7,7 @@
 import lichenstage.model.MachineType
 
 /** Translates jobs into demand for machines, which is all that the fleet knows of them. */
-internal object DemandEstimate {
+internal object DemandEstimator {
     /** What the estimate needs to know of jobs beside their own state; all times are steady-clock microseconds. */
     interface Inputs {
         /** The most cores that the team may use at once. */
@@ -17,7 +17,7 @@
         fun runUs(spec: JobSpec): Long
 
         /** When the job should be complete; null where no objective can be met any more. */
-        fun dueUs(job: Job): Long?
+        fun dueAtUs(job: Job): Long?
 
         /** Expected time until all dependencies of the job are complete. */
         fun readyInUs(job: Job): Long
@@ -27,20 +27,25 @@
      * The remaining demand of each open job. A job that waits for dependencies counts from when a machine that is provisioned now
      * would come up too late for it.
      */
-    fun demand(
+    fun estimateDemand(
         jobs: Collection<Job>,
         machineTypes: Map<String, MachineType>,
         inputs: Inputs,
     ): List<Demand> {
-        val coresOfTeams = HashMap<String, Double>()
+        val plannedCoresByTeam = HashMap<String, Double>()
         return jobs.filter { it.remainingTasks > 0 && it.phase == JobPhase.OPEN }.mapNotNull { job ->
             val spec = job.spec
             val machineType = MachineFit.cheapestType(spec, machineTypes)
             val leadTimeUs = if (job.ready || machineType == null) 0 else (machineType.bootUs * BOOT_TIME_MARGIN).toLong()
-            val tasks = concurrentTasks(job, inputs.maxCores(spec.team) - (coresOfTeams[spec.team] ?: 0.0))
-            if (machineType == null || tasks <= 0.0 || (!job.ready && inputs.readyInUs(job) > leadTimeUs)) return@mapNotNull null
-            coresOfTeams.merge(spec.team, tasks * spec.resources.cores, Double::plus)
-            remainingDemand(job, machineType, tasks, inputs.runUs(spec)).copy(dueUs = inputs.dueUs(job), foreseenInUs = leadTimeUs)
+            val concurrentTasks = concurrentTasks(job, inputs.maxCores(spec.team) - (plannedCoresByTeam[spec.team] ?: 0.0))
+            if (machineType == null || concurrentTasks <= 0.0 || (!job.ready && inputs.readyInUs(job) > leadTimeUs)) return@mapNotNull null
+            plannedCoresByTeam.merge(spec.team, concurrentTasks * spec.resources.cores, Double::plus)
+            remainingDemand(
+                job,
+                machineType,
+                concurrentTasks,
+                inputs.runUs(spec),
+            ).copy(dueUs = inputs.dueAtUs(job), foreseenInUs = leadTimeUs)
         }
     }
 
@@ -49,9 +54,9 @@
         job: Job,
         availableCores: Double,
     ): Double {
-        val left = job.remainingTasks.toDouble()
+        val remainingTasks = job.remainingTasks.toDouble()
         val cores = job.spec.resources.cores
-        return if (cores <= 0.0) left else minOf(left, availableCores / cores)
+        return if (cores <= 0.0) remainingTasks else minOf(remainingTasks, availableCores / cores)
     }
 
     private fun remainingDemand(
@@ -61,18 +66,18 @@
         runUs: Long,
     ): Demand {
         val spec = job.spec
-        val perMachine = MachineFit.tasksPerMachine(machineType, spec.resources).toDouble()
-        val machineUsPerTask = (runUs + machineType.fetchUs(spec.imageGb)) / perMachine
+        val tasksPerMachine = MachineFit.tasksPerMachine(machineType, spec.resources).toDouble()
+        val machineUsPerTask = (runUs + machineType.fetchUs(spec.imageGb)) / tasksPerMachine
         val waitingTasks = if (job.placeable) job.pending.size else job.remainingTasks
         val waitingUs = minOf(waitingTasks.toDouble(), concurrentTasks) * machineUsPerTask
         return Demand(
             typeName = machineType.name,
             spot = spec.spot,
-            machines = concurrentTasks / perMachine,
+            machines = concurrentTasks / tasksPerMachine,
             workUs = job.remainingTasks * machineUsPerTask,
             dueUs = null,
-            busy = job.liveAttempts.size / perMachine,
-            waitingUs = maxOf(waitingUs - job.totalSavedUs / perMachine, 0.0),
+            busy = job.liveAttempts.size / tasksPerMachine,
+            waitingUs = maxOf(waitingUs - job.totalSavedUs / tasksPerMachine, 0.0),
         )
     }
 
@@ -80,7 +85,7 @@
      * The machines that the whole job uses, for the forecast of arrivals; null where no type is compatible. [isUrgent] tells whether the
      * job must start before a machine of the type could boot.
      */
-    fun arrival(
+    fun estimateArrival(
         job: Job,
         machineTypes: Map<String, MachineType>,
         runUs: Long,
--- a/src/main/kotlin/lichenstage/placement/FleetObserver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetObserver.kt
@@ -24,15 +24,15 @@
         now: Long,
     ) = FleetObservation(
         machineTypes,
-        DemandEstimate.demand(core.jobs.values, machineTypes, DemandInputs(now)),
+        DemandEstimator.estimateDemand(core.jobs.values, machineTypes, DemandInputs(now)),
         excludedMachines,
         statusOfMachines(),
     )
 
     /** What the whole job will use; null where it fits no machine type. */
     fun arrival(job: Job): JobArrival? =
-        DemandEstimate.arrival(job, machineTypes, core.runTimes.expectedUs(job.spec)) {
-            objectives.startsWithin(job.spec.jobClass, it.bootUs)
+        DemandEstimator.estimateArrival(job, machineTypes, core.runTimes.expectedRunTimeUs(job.spec)) {
+            objectives.hasStartObjectiveWithin(job.spec.jobClass, it.bootUs)
         }
 
     private fun statusOfMachines(): (String) -> MachineStatus? {
@@ -55,21 +55,21 @@
 
     private inner class DemandInputs(
         private val now: Long,
-    ) : DemandEstimate.Inputs {
+    ) : DemandEstimator.Inputs {
         private val readiness = core.expectedReadiness(now)
 
         override fun maxCores(team: String) = settings.teams[team]?.coresMax ?: 0.0
 
-        override fun runUs(spec: JobSpec) = core.runTimes.expectedUs(spec)
+        override fun runUs(spec: JobSpec) = core.runTimes.expectedRunTimeUs(spec)
 
         /** Of a job that waits for dependencies only the deadline is known. */
-        override fun dueUs(job: Job): Long? {
-            if (!job.ready) return objectives.deadlineUs(job)
+        override fun dueAtUs(job: Job): Long? {
+            if (!job.ready) return objectives.deadlineAtUs(job)
             val runUs = runUs(job.spec)
-            return objectives.startObjectives(job, runUs, now).firstOrNull()?.let { it.startByUs + runUs }
+            return objectives.findAttainableObjectives(job, runUs, now).firstOrNull()?.let { it.startByUs + runUs }
         }
 
-        override fun readyInUs(job: Job) = readiness.readyUs(job) - now
+        override fun readyInUs(job: Job) = readiness.readyAtUs(job) - now
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/GraphFold.kt
+++ b/src/main/kotlin/lichenstage/placement/GraphFold.kt
@@ -15,14 +15,14 @@
         values[node]?.let { return it }
         val stack = ArrayDeque(listOf(node))
         while (stack.isNotEmpty()) {
-            val next = stack.last()
-            val needed = dependencies(next)
-            val missing = needed.filter { it !in values }
-            if (missing.isEmpty()) {
-                values[next] = combine(next, needed, values)
+            val current = stack.last()
+            val nodeDependencies = dependencies(current)
+            val uncomputed = nodeDependencies.filter { it !in values }
+            if (uncomputed.isEmpty()) {
+                values[current] = combine(current, nodeDependencies, values)
                 stack.removeLast()
             } else {
-                stack += missing
+                stack += uncomputed
             }
         }
         return values.getValue(node)
--- a/src/main/kotlin/lichenstage/placement/JobQueue.kt
+++ b/src/main/kotlin/lichenstage/placement/JobQueue.kt
@@ -29,19 +29,19 @@
     }
 
     /** The mean number of tasks of the jobs of a class. */
-    private val meanTasks = HashMap<String, Mean>()
-    private var ordered = emptyList<Job>()
-    private var orderedUs = Long.MIN_VALUE / 2
+    private val meanTasksByClass = HashMap<String, Mean>()
+    private var cachedOrder = emptyList<Job>()
+    private var orderComputedAtUs = Long.MIN_VALUE / 2
     private var isStale = true
 
     /** A job has been accepted. */
-    fun jobAdded(job: Job) {
-        meanTasks.getOrPut(job.spec.jobClass) { Mean() }.add(job.spec.tasks)
+    fun onJobAdded(job: Job) {
+        meanTasksByClass.getOrPut(job.spec.jobClass) { Mean() }.add(job.spec.tasks)
         isStale = true
     }
 
     /** The order has to be computed anew soon. */
-    fun invalidate() {
+    fun markOrderStale() {
         isStale = true
     }
 
@@ -49,17 +49,17 @@
      * The jobs with tasks to place, in the order in which they are placed. The order is computed anew at intervals, not for every call;
      * [cores] gives the cores of all machines.
      */
-    fun order(
+    fun sortWaitingJobs(
         jobs: Collection<Job>,
         cores: () -> Double,
-        now: Long,
+        nowUs: Long,
     ): List<Job> {
-        if (now - orderedUs >= (if (isStale) STALE_ORDER_INTERVAL_US else ORDER_INTERVAL_US)) {
-            orderedUs = now
+        if (nowUs - orderComputedAtUs >= (if (isStale) STALE_ORDER_INTERVAL_US else ORDER_INTERVAL_US)) {
+            orderComputedAtUs = nowUs
             isStale = false
-            ordered = computeOrder(jobs, cores(), now)
+            cachedOrder = computeOrder(jobs, cores(), nowUs)
         }
-        return ordered.filter { isWaiting(it) && now >= it.backoffUntilUs }
+        return cachedOrder.filter { isWaiting(it) && nowUs >= it.backoffUntilUs }
     }
 
     private fun isWaiting(job: Job) = job.phase == JobPhase.OPEN && job.placeable && !job.pending.isEmpty
@@ -67,41 +67,41 @@
     private fun computeOrder(
         jobs: Collection<Job>,
         cores: Double,
-        now: Long,
+        nowUs: Long,
     ): List<Job> {
-        val guaranteed = serviceObjectives.guaranteed(jobs, teams)
-        val waiting = jobs.filter(::isWaiting)
-        val pipelines = pipelineDeadlines.Snapshot()
-        val queued = waiting.map { queued(it, it in guaranteed, pipelines.of(it), now) }
-        val byObjective = ObjectiveOrder.order(queued, maxOf(cores, 1.0) * TARGET_UTILIZATION, now)
-        val aged = waiting.filter { now - it.readyUs > agingThresholdUs }.sortedBy { it.readyUs }
-        return if (aged.isEmpty()) byObjective else interleave(aged, byObjective)
+        val guaranteedJobs = serviceObjectives.selectGuaranteedJobs(jobs, teams)
+        val waitingJobs = jobs.filter(::isWaiting)
+        val pipelineSnapshot = pipelineDeadlines.Snapshot()
+        val queuedJobs = waitingJobs.map { toQueuedJob(it, it in guaranteedJobs, pipelineSnapshot.inheritedPriorityOf(it), nowUs) }
+        val jobsByObjective = ObjectiveOrder.sort(queuedJobs, maxOf(cores, 1.0) * TARGET_UTILIZATION, nowUs)
+        val agedJobs = waitingJobs.filter { nowUs - it.readyUs > agingThresholdUs }.sortedBy { it.readyUs }
+        return if (agedJobs.isEmpty()) jobsByObjective else interleave(agedJobs, jobsByObjective)
     }
 
-    private fun queued(
+    private fun toQueuedJob(
         job: Job,
         isGuaranteed: Boolean,
-        inherited: InheritedPriority,
-        now: Long,
+        inheritedPriority: InheritedPriority,
+        nowUs: Long,
     ): QueuedJob {
-        val runUs = runTimes.expectedUs(job.spec)
-        val shareOfMeanJob = job.pending.size / meanTasks.getValue(job.spec.jobClass).value
+        val runUs = runTimes.expectedRunTimeUs(job.spec)
+        val shareOfMeanJob = job.pending.size / meanTasksByClass.getValue(job.spec.jobClass).value
         val objectives =
             serviceObjectives
-                .startObjectives(job, runUs, now, isGuaranteed, inherited.dueUs)
-                .map { PlannedObjective(it.startByUs + runUs, if (it.perTask) shareOfMeanJob else 1.0) }
-        val workUs = maxOf(job.pending.size * runUs - job.totalSavedUs, 1)
-        return QueuedJob(job, workUs * job.spec.resources.cores, objectives, runUs, inherited.priority)
+                .findAttainableObjectives(job, runUs, nowUs, isGuaranteed, inheritedPriority.dueAtUs)
+                .map { PlannedObjective(it.startByUs + runUs, if (it.isPerTask) shareOfMeanJob else 1.0) }
+        val remainingWorkUs = maxOf(job.pending.size * runUs - job.totalSavedUs, 1)
+        return QueuedJob(job, remainingWorkUs * job.spec.resources.cores, objectives, runUs, inheritedPriority.priority)
     }
 
     private fun interleave(
-        aged: List<Job>,
-        byObjective: List<Job>,
+        agedJobs: List<Job>,
+        jobsByObjective: List<Job>,
     ): List<Job> {
         val result = LinkedHashSet<Job>()
-        for (i in byObjective.indices) {
-            if (i < aged.size) result += aged[i]
-            result += byObjective[i]
+        for (i in jobsByObjective.indices) {
+            if (i < agedJobs.size) result += agedJobs[i]
+            result += jobsByObjective[i]
         }
         return result.toList()
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -43,7 +43,7 @@
             services.replicaSync::jobFinished,
             mailbox::tell,
         )
-    private val registry = RegistryDriver(settings, core, writer)
+    private val registry = MachineRegistryDriver(settings, core, writer)
     private val fleet = fleetDriver(options)
     private val drains: DrainDriver? = drainDriver(options)
     private val jobRecords = LeaderJobRecords(services, core, fleet, writer, maxOf(1, settings.txnOps / 2))
@@ -117,7 +117,7 @@
             is LeaderMessage.ProvisionAnswered -> fleet.provisionAnswered(message, now)
             is LeaderMessage.TerminateAnswered -> if (fleet.terminateAnswered(message)) machinesTerminated(message.machines)
             is LeaderMessage.ListAnswered -> fleet.listAnswered(message, now)
-            is LeaderMessage.RegistryPagesWritten -> registry.written(message)
+            is LeaderMessage.RegistryPagesWritten -> registry.onChunksWritten(message)
             is LeaderMessage.JobMessage -> jobRecords.handle(message, now)
             is LeaderMessage.DrainEvent -> drains?.handle(message.message)
             LeaderMessage.Tick -> Unit
@@ -161,7 +161,7 @@
 
     private fun machinesTerminated(machines: List<String>) {
         machines.forEach(core::machineTerminated)
-        registry.removed(machines)
+        registry.onMachinesRemoved(machines)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -10,7 +10,7 @@
 /**
  * The leader's decisions: joins jobs ([JobTable]), partitions ([PartitionTable]), machines ([MachineDirectory]), attempts that may be
  * running ([AttemptTracker]), failover ([FailoverRecovery]), reconciliation ([MachineReconciler]), checkpoint stops
- * ([CheckpointStops]), rounds of requests ([RequestRounds]) and what is recorded as done ([CompletionRecorder]).
+ * ([CheckpointStops]), rounds of requests ([RequestRoundRunner]) and what is recorded as done ([CompletionRecorder]).
  *
  * Plain code: events come in with the time, effects go out. A start goes out only for a task of which it is known that no other
  * attempt can be running, and within the limits counted over all that may be running (invariant 11). The work for a frame depends on
@@ -43,7 +43,7 @@
     private val readiness = ReadinessForecast(runTimes, lookups.fetchUs) { jobs[it] }
     private val queue = JobQueue(settings.objectives, settings.teams, runTimes, pipelineDeadlines = pipelineDeadlines)
     private val checkpointPreemption = CheckpointPreemption(runTimes)
-    private val recorder = CompletionRecorder(settings.transactionOperations, settings.placement.flushUs, settings.valueBytes, emit)
+    private val recorder = CompletionRecorder(settings.transactionOperations, settings.placement.recordDelayUs, settings.valueBytes, emit)
     private val outbox = PartitionOutbox(term, OutboxView(), emit)
     private val reconciler = MachineReconciler(partitionTable, jobTable, unaccountedUse, directory::isRegistered, outbox)
     private val tracker =
@@ -57,10 +57,10 @@
     private var sweptUs = Long.MIN_VALUE / 2
     private var totalCores = 0.0
 
-    private fun requestRounds(): RequestRounds {
+    private fun requestRounds(): RequestRoundRunner {
         val zones = ZoneConstraints(settings.assignment)
         val planner = RequestPlanner(settings.placement, settings.objectives, runTimes, zones, lookups.fetchUs)
-        return RequestRounds(term, settings.assignment, settings.placement, planner, zones, attempts, outbox, RoundView())
+        return RequestRoundRunner(term, settings.assignment, settings.placement, planner, zones, attempts, outbox, RoundView())
     }
 
     private inner class OutboxView : OutboxSource {
@@ -83,7 +83,7 @@
 
         override fun unaccountedUse() = unaccountedUse.resources()
 
-        override fun reachablePartitions(now: Long) = partitionTable.reachable(now)
+        override fun reachablePartitions(nowUs: Long) = partitionTable.reachable(nowUs)
     }
 
     private inner class AttemptEvents : AttemptListener {
@@ -145,7 +145,7 @@
     /** A job has been accepted, or was read from its record. */
     fun jobAdded(job: Job) {
         if (!jobTable.add(job)) return
-        queue.jobAdded(job)
+        queue.onJobAdded(job)
         rounds.markChanged()
         jobTable.enqueueIfPlaceable(job)
         if (!jobTable.isFromThisTerm(job)) recovery.recoverAttemptsOf(job)
@@ -160,7 +160,7 @@
         if (job.ready || job.phase == JobPhase.CLOSED) return
         job.markReady(atUs)
         jobTable.enqueueIfPlaceable(job)
-        queue.invalidate()
+        queue.markOrderStale()
         rounds.markChanged()
     }
 
@@ -177,7 +177,7 @@
 
     private fun close(job: Job) {
         job.phase = JobPhase.CLOSED
-        recorder.completionRecorded(job)
+        recorder.onCompletionRecorded(job)
         reconciler.reconcileMachinesOf(job)
         jobTable.removeIfClosed(job)
     }
@@ -240,8 +240,8 @@
     /** Time has passed. */
     fun tick(now: Long) {
         if (now - sweptUs >= SWEEP_US) sweep(now)
-        rounds.tick(now) { queue.order(jobs.values, { totalCores }, now) }
-        recorder.writeDue(now)
+        rounds.tick(now) { queue.sortWaitingJobs(jobs.values, { totalCores }, now) }
+        recorder.writeDueCompletions(now)
         settings.assignment.partitions
             .filter { outbox.isDue(it, now) }
             .forEach { outbox.send(it, now) }
@@ -263,7 +263,7 @@
         ok: Boolean,
         now: Long,
     ) {
-        recorder.rangesWritten(deltas, ok, now)
+        recorder.onRangesWritten(deltas, ok, now)
         if (ok) deltas.forEach { if (it.job.phase == JobPhase.OPEN) reconciler.reconcileMachinesOf(it.job) }
     }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderJobRecords.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderJobRecords.kt
@@ -69,7 +69,7 @@
             }
 
             is LeaderMessage.OrphansCancelled -> {
-                blockedJobs.orphansCancelled()
+                blockedJobs.onCancellationsWritten()
                 message.jobs.forEach { close(it.spec.id) }
             }
 
@@ -86,7 +86,7 @@
 
     /** Has jobs recorded as cancelled of which a dependency is cancelled. */
     fun cancelOrphans() {
-        blockedJobs.takeOrphans().takeIf { it.isNotEmpty() }?.let(writer::cancelOrphans)
+        blockedJobs.takeJobsToCancel().takeIf { it.isNotEmpty() }?.let(writer::cancelOrphans)
     }
 
     private fun add(entry: Entry) {
@@ -110,7 +110,7 @@
 
     /** Releases jobs of which all dependencies are recorded as done; their times count from the last of these records. */
     private fun releaseReadyJobs() =
-        blockedJobs.release { job, recordedAtUs ->
+        blockedJobs.releaseReady { job, recordedAtUs ->
             core.jobReady(job, if (recordedAtUs == 0L) services.clock.now() else services.steadyUs(recordedAtUs))
             fleet.jobReady(job)
         }
--- a/src/main/kotlin/lichenstage/placement/LeaderMessage.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderMessage.kt
@@ -66,7 +66,7 @@
 
     /** The outcome of a transaction with [pages] of the registry. */
     data class RegistryPagesWritten(
-        val pages: List<RegistryPage>,
+        val pages: List<RegistryChunk>,
         val ok: Boolean,
     ) : LeaderMessage
 
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -97,7 +97,7 @@
     }
 
     /** Writes pages of the registry; answered by [LeaderMessage.RegistryPagesWritten]. */
-    fun writePages(pages: List<RegistryPage>) {
+    fun writePages(pages: List<RegistryChunk>) {
         scope.launch {
             val written = owned.write(listOf(leadership), pages.map { it.change }, urgent = true)
             if (!written) delay(RETRY_MS)
--- a/src/main/kotlin/lichenstage/placement/RegistryDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineRegistryDriver.kt
@@ -11,26 +11,26 @@
  * Machines get tasks only once they have a record (invariant 4), and are recorded only once they have shown the fencing token: a
  * later leader need not wait for one that never came up, and a late copy of a heartbeat does not bring back one that was terminated.
  */
-internal class RegistryDriver(
+internal class MachineRegistryDriver(
     private val settings: Settings,
     private val core: LeaderCore,
     private val writer: LeaderRecordWriter,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.placement")
-    private val registry = Registry(settings.valueBytes)
-    private var writing = false
-    private var steppedUs = Long.MIN_VALUE / 2
+    private val registry = MachineRegistry(settings.valueBytes)
+    private var isWriteInFlight = false
+    private var lastStepAtUs = Long.MIN_VALUE / 2
 
     val size get() = registry.size
 
     /** Loads the pages of an earlier leader; returns the machines of this deployment's zones. */
-    fun load(pages: List<Entry>): List<RegisteredMachine> {
-        val machines = pages.flatMap(registry::load).filter(::recover)
-        registry.split()
+    fun load(chunks: List<Entry>): List<RegisteredMachine> {
+        val machines = chunks.flatMap(registry::load).filter(::addRecoveredMachine)
+        registry.splitOversizedChunks()
         return machines
     }
 
-    private fun recover(machine: RegisteredMachine): Boolean {
+    private fun addRecoveredMachine(machine: RegisteredMachine): Boolean {
         val partition = settings.assignment.partitionOf(machine.name, machine.zone)
         if (partition == null) {
             log.error("Recorded machine ignored, its zone is not in this deployment machine={} zone={}", machine.name, machine.zone)
@@ -42,30 +42,30 @@
 
     fun step(
         cordoned: () -> Set<String>,
-        now: Long,
+        nowUs: Long,
     ) {
-        if (writing || now - steppedUs < if (registry.hasUnwritten) BACKLOG_INTERVAL_US else STEP_INTERVAL_US) return
+        if (isWriteInFlight || nowUs - lastStepAtUs < if (registry.hasUnwritten) BACKLOG_INTERVAL_US else STEP_INTERVAL_US) return
         // Also where nothing is due: the search looks at every machine, and this runs after every message.
-        steppedUs = now
-        val leaving = cordoned()
+        lastStepAtUs = nowUs
+        val cordonedMachines = cordoned()
         for ((id, machine) in core.machines.unregistered()) {
-            if (machine.name in leaving || machine.name in registry) continue
+            if (machine.name in cordonedMachines || machine.name in registry) continue
             registry.add(RegisteredMachine(machine.name, machine.typeName, settings.assignment.zone(id)!!, machine.spot, machine.address))
         }
-        val pages = registry.takeDuePages(settings.txnOps)
-        if (pages.isEmpty()) return
-        writing = true
-        writer.writePages(pages)
+        val chunks = registry.takeDueChunks(settings.txnOps)
+        if (chunks.isEmpty()) return
+        isWriteInFlight = true
+        writer.writePages(chunks)
     }
 
-    fun written(message: LeaderMessage.RegistryPagesWritten) {
-        writing = false
-        if (!message.ok) return registry.writeFailed(message.pages)
-        val added = message.pages.flatMap { it.machines }.filter { !core.machines.isRegistered(it.name) }
-        core.machinesRegistered(added.associate { it.name to settings.assignment.partitionOf(it.name, it.zone)!! })
+    fun onChunksWritten(message: LeaderMessage.RegistryPagesWritten) {
+        isWriteInFlight = false
+        if (!message.ok) return registry.onWriteFailed(message.pages)
+        val addedMachines = message.pages.flatMap { it.machines }.filter { !core.machines.isRegistered(it.name) }
+        core.machinesRegistered(addedMachines.associate { it.name to settings.assignment.partitionOf(it.name, it.zone)!! })
     }
 
-    fun removed(machines: List<String>) = registry.remove(machines)
+    fun onMachinesRemoved(machines: List<String>) = registry.remove(machines)
 
     private companion object {
         const val STEP_INTERVAL_US = 300_000L
--- a/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
+++ b/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
@@ -6,40 +6,40 @@
 /**
  * A service objective of a waiting job, as the order of the queue sees it.
  *
- * @property dueUs when all work of the job must be done for it, on the steady clock
+ * @property dueAtUs when all work of the job must be done for it, on the steady clock
  * @property value what meeting it is worth, in jobs of the job's class
  */
 data class PlannedObjective(
-    val dueUs: Long,
+    val dueAtUs: Long,
     val value: Double,
 )
 
 /**
  * A waiting job, as the order of the queue sees it.
  *
- * @property work the work left, in core microseconds
+ * @property remainingWork the work left, in core microseconds
  * @property objectives those that can still be met, the earliest first
  * @property runUs expected run time of one task
  * @property priority the job's own, or a higher one inherited from a dependent
  */
 class QueuedJob(
     val job: Job,
-    val work: Double,
+    val remainingWork: Double,
     val objectives: List<PlannedObjective>,
     val runUs: Long,
     val priority: Priority = job.spec.priority,
 ) {
     private var objectiveIndex = 0
-    private val objective get() = objectives[objectiveIndex]
+    private val currentObjective get() = objectives[objectiveIndex]
 
     /** When the work must be done for the objective that the job is planned for. */
-    val dueUs get() = objective.dueUs
+    val dueAtUs get() = currentObjective.dueAtUs
 
     /** What meeting that objective is worth for each unit of work. */
-    val valuePerWork get() = objective.value / work
+    val valuePerWork get() = currentObjective.value / remainingWork
 
     /** Plans the job for its next objective; false where it has none left. */
-    fun postpone(): Boolean = ++objectiveIndex < objectives.size
+    fun advanceToNextObjective(): Boolean = ++objectiveIndex < objectives.size
 }
 
 /**
@@ -51,48 +51,48 @@
  * is left come last, the longest tasks first, so that all is done early.
  */
 object ObjectiveOrder {
-    /** All jobs of [waiting] in their order; [capacity] is the work that the machines do in a microsecond, in cores. */
-    fun order(
-        waiting: List<QueuedJob>,
-        capacity: Double,
-        now: Long,
+    /** All jobs of [waitingJobs] in their order; [capacityCores] is the work that the machines do in a microsecond, in cores. */
+    fun sort(
+        waitingJobs: List<QueuedJob>,
+        capacityCores: Double,
+        nowUs: Long,
     ): List<Job> {
-        val withoutObjective = waiting.filterTo(ArrayList()) { it.objectives.isEmpty() }
-        var planned = waiting.filter { it.objectives.isNotEmpty() }
+        val withoutObjective = waitingJobs.filterTo(ArrayList()) { it.objectives.isEmpty() }
+        var plannedJobs = waitingJobs.filter { it.objectives.isNotEmpty() }
         var rounds = 0
         while (rounds++ < MAX_ROUNDS) {
-            val late = selectLate(planned.sortedBy { it.dueUs }, capacity, now)
-            if (late.isEmpty()) break
-            val dropped = late.filter { !it.postpone() }.toSet()
-            withoutObjective += dropped
-            planned = planned.filter { it !in dropped }
+            val postponed = selectJobsToPostpone(plannedJobs.sortedBy { it.dueAtUs }, capacityCores, nowUs)
+            if (postponed.isEmpty()) break
+            val withoutNextObjective = postponed.filter { !it.advanceToNextObjective() }.toSet()
+            withoutObjective += withoutNextObjective
+            plannedJobs = plannedJobs.filter { it !in withoutNextObjective }
         }
-        return (planned.sortedWith(BY_DUE_TIME) + withoutObjective.sortedWith(BY_RUN_TIME)).map { it.job }
+        return (plannedJobs.sortedWith(BY_DUE_TIME) + withoutObjective.sortedWith(BY_RUN_TIME)).map { it.job }
     }
 
-    /** The jobs to postpone when [planned], in the order of their due times, are worked off. */
-    private fun selectLate(
-        planned: List<QueuedJob>,
-        capacity: Double,
-        now: Long,
+    /** The jobs to postpone when [plannedJobs], in the order of their due times, are worked off. */
+    private fun selectJobsToPostpone(
+        plannedJobs: List<QueuedJob>,
+        capacityCores: Double,
+        nowUs: Long,
     ): List<QueuedJob> {
-        val late = ArrayList<QueuedJob>()
+        val postponed = ArrayList<QueuedJob>()
         val scheduled = PriorityQueue(BY_VALUE)
-        var work = 0.0
-        for (next in planned) {
-            scheduled += next
-            work += next.work
-            while (scheduled.isNotEmpty() && now + work / capacity > next.dueUs) {
+        var scheduledWork = 0.0
+        for (queuedJob in plannedJobs) {
+            scheduled += queuedJob
+            scheduledWork += queuedJob.remainingWork
+            while (scheduled.isNotEmpty() && nowUs + scheduledWork / capacityCores > queuedJob.dueAtUs) {
                 val leastValue = scheduled.poll()
-                work -= leastValue.work
-                late += leastValue
-                if (leastValue === next) break
+                scheduledWork -= leastValue.remainingWork
+                postponed += leastValue
+                if (leastValue === queuedJob) break
             }
         }
-        return late
+        return postponed
     }
 
-    private val BY_DUE_TIME = compareBy<QueuedJob> { it.dueUs }.thenBy { it.job.createRevision }
+    private val BY_DUE_TIME = compareBy<QueuedJob> { it.dueAtUs }.thenBy { it.job.createRevision }
     private val BY_RUN_TIME =
         compareByDescending<QueuedJob> { it.priority }.thenByDescending { it.runUs }.thenBy { it.job.createRevision }
     private val BY_VALUE = compareBy<QueuedJob> { it.priority }.thenBy { it.valuePerWork }
--- a/src/main/kotlin/lichenstage/placement/OfferSelection.kt
+++ b/src/main/kotlin/lichenstage/placement/OfferSelection.kt
@@ -17,23 +17,25 @@
     /**
      * Up to [maxTasks] slots by worst fit; [offers] are by partition.
      *
-     * @param maxTasksIn how many more tasks of the job a zone may get (spread and single-zone jobs)
+     * @param maxTasksInZone how many more tasks of the job a zone may get (spread and single-zone jobs)
      */
     fun selectRoomiest(
         offers: Map<String, List<HeldSlots>>,
         maxTasks: Int,
         zoneOf: (String) -> String,
-        maxTasksIn: (String) -> Int,
+        maxTasksInZone: (String) -> Int,
     ): List<SelectedSlot> {
-        val partitionOf = HashMap<String, String>()
-        for ((partition, held) in offers) held.forEach { partitionOf[it.machine] = partition }
-        val allowed =
+        val partitionByMachine = HashMap<String, String>()
+        for ((partition, heldSlots) in offers) heldSlots.forEach { partitionByMachine[it.machine] = partition }
+        val allowedSlots =
             offers.entries
                 .groupBy({ zoneOf(it.key) }, { it.value })
-                .flatMap { (zone, held) -> PlacementScore.selectRoomiest(held.flatten(), minOf(maxTasks, maxTasksIn(zone))) }
+                .flatMap { (zone, heldSlots) -> PlacementScore.selectRoomiest(heldSlots.flatten(), minOf(maxTasks, maxTasksInZone(zone))) }
         return PlacementScore
-            .selectRoomiest(allowed, maxTasks)
-            .flatMap { held -> List(held.count) { SelectedSlot(partitionOf.getValue(held.machine), held.machine) } }
+            .selectRoomiest(allowedSlots, maxTasks)
+            .flatMap { heldSlots ->
+                List(heldSlots.count) { SelectedSlot(partitionByMachine.getValue(heldSlots.machine), heldSlots.machine) }
+            }
     }
 
     /** The zone that offers room for most tasks, for a job whose tasks must share a zone; null where none offers any. */
--- a/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
@@ -34,7 +34,7 @@
     private val sentUs = HashMap<String, Long>()
     private val due = HashSet<String>()
     private val sync = PartitionSync()
-    private val orders = TaskOrders()
+    private val pendingCommands = PendingCommands()
     private val saves = HashMap<String, List<SaveOrder>>()
 
     /** There is news for the partition: its next frame is due soon. */
@@ -44,14 +44,14 @@
 
     /** A new owner of the partition gets all orders anew. */
     fun newOwner(partition: String) {
-        orders.forget(partition)
+        pendingCommands.removePartition(partition)
         touch(partition)
     }
 
     fun forget(
         partition: String,
         machine: String,
-    ) = orders.forget(partition, machine)
+    ) = pendingCommands.removeMachine(partition, machine)
 
     /** What a machine has to stop and to clear now. */
     fun setTaskOrders(
@@ -60,7 +60,7 @@
         stops: List<AttemptOrder>,
         clears: List<AttemptOrder>,
     ) {
-        if (orders.set(partition, machine, stops, clears)) touch(partition)
+        if (pendingCommands.replace(partition, machine, stops, clears)) touch(partition)
     }
 
     /** Tasks that are to save, by partition, in place of those before. */
@@ -92,7 +92,7 @@
         due -= id
         val partition = source.partition(id)
         val inform = !sync.hasInitialState(id, partition, sequence)
-        val (stops, clears) = orders.take(id, now)
+        val (stops, clears) = pendingCommands.takeDue(id, now)
         val frame =
             PlacementFrame(
                 partition = id,
--- a/src/main/kotlin/lichenstage/placement/PipelineDeadlines.kt
+++ b/src/main/kotlin/lichenstage/placement/PipelineDeadlines.kt
@@ -5,11 +5,11 @@
 /**
  * The priority and due time that a job inherits from its dependents, direct and indirect.
  *
- * @property dueUs when it should be complete for the tightest of their deadlines; null where none has a deadline
+ * @property dueAtUs when it should be complete for the tightest of their deadlines; null where none has a deadline
  * @property priority the highest of its own and theirs
  */
 data class InheritedPriority(
-    val dueUs: Long?,
+    val dueAtUs: Long?,
     val priority: Priority,
 )
 
@@ -26,27 +26,27 @@
     /** The jobs as they are now: what several jobs share is computed once. */
     inner class Snapshot {
         // A job depends only on jobs that were accepted before it, so that there is no cycle.
-        private val fold = GraphFold({ job -> dependentsOf(job).filter { it.phase == JobPhase.OPEN } }, ::inherit)
+        private val inheritedByJob = GraphFold({ job -> dependentsOf(job).filter { it.phase == JobPhase.OPEN } }, ::inherit)
 
         /** What the job inherits. */
-        fun of(job: Job): InheritedPriority = fold.valueOf(job)
+        fun inheritedPriorityOf(job: Job): InheritedPriority = inheritedByJob.valueOf(job)
 
         private fun inherit(
             job: Job,
             dependents: List<Job>,
             inheritedBy: Map<Job, InheritedPriority>,
         ): InheritedPriority {
-            val due =
+            val dueTimesAtUs =
                 dependents.mapNotNull { dependent ->
-                    val own = serviceObjectives.deadlineUs(dependent)
-                    val inherited = inheritedBy.getValue(dependent).dueUs
-                    listOfNotNull(own, inherited).minOrNull()?.let {
-                        it - runTimes.expectedUs(dependent.spec) -
+                    val deadlineAtUs = serviceObjectives.deadlineAtUs(dependent)
+                    val inheritedDueAtUs = inheritedBy.getValue(dependent).dueAtUs
+                    listOfNotNull(deadlineAtUs, inheritedDueAtUs).minOrNull()?.let {
+                        it - runTimes.expectedRunTimeUs(dependent.spec) -
                             ReadinessForecast.STAGE_TRANSITION_US
                     }
                 }
             val priorities = dependents.map { inheritedBy.getValue(it).priority }
-            return InheritedPriority(due.minOrNull(), maxOf(job.spec.priority, priorities.maxOrNull() ?: job.spec.priority))
+            return InheritedPriority(dueTimesAtUs.minOrNull(), maxOf(job.spec.priority, priorities.maxOrNull() ?: job.spec.priority))
         }
     }
 }
--- a/src/main/kotlin/lichenstage/placement/PlacementSettings.kt
+++ b/src/main/kotlin/lichenstage/placement/PlacementSettings.kt
@@ -10,16 +10,16 @@
  * @property betaUs how long it waits for another offer after each
  * @property idleRoundIntervalUs the time between rounds when nothing has changed that a request could gain by
  * @property minRoundIntervalUs the least time between rounds
- * @property flushUs how long a completed task may wait to be recorded
- * @property jobsPerRound jobs that are requested for in one round
- * @property tasksPerRequest the most tasks that one request asks for
+ * @property recordDelayUs how long a completed task may wait to be recorded
+ * @property maxJobsPerRound jobs that are requested for in one round
+ * @property maxTasksPerRequest the most tasks that one request asks for
  */
 data class PlacementSettings(
     val alphaUs: Long = 2 * SECOND,
     val betaUs: Long = 300 * MILLI,
     val idleRoundIntervalUs: Long = SECOND,
     val minRoundIntervalUs: Long = 50 * MILLI,
-    val flushUs: Long = 2 * SECOND,
-    val jobsPerRound: Int = 24,
-    val tasksPerRequest: Int = 64,
+    val recordDelayUs: Long = 2 * SECOND,
+    val maxJobsPerRound: Int = 24,
+    val maxTasksPerRequest: Int = 64,
 )
--- a/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
+++ b/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
@@ -11,22 +11,22 @@
 class ReadinessForecast(
     private val runTimes: RunTimeEstimates,
     private val fetchUs: (JobSpec) -> Long,
-    private val jobOf: (String) -> Job?,
+    private val findJob: (String) -> Job?,
 ) {
-    /** The forecast as of [now]: what several jobs share is computed once. */
+    /** The forecast as of [nowUs]: what several jobs share is computed once. */
     inner class Snapshot(
-        private val now: Long,
+        private val nowUs: Long,
     ) {
-        private val ends =
-            GraphFold<Job, Long>(::openDependencies) { job, dependencies, endsUs ->
-                endUs(
+        private val endTimes =
+            GraphFold<Job, Long>(::openDependencies) { job, dependencies, endAtUsByJob ->
+                endAtUs(
                     job,
-                    dependencies.maxOfOrNull { endsUs.getValue(it) } ?: now,
+                    dependencies.maxOfOrNull { endAtUsByJob.getValue(it) } ?: nowUs,
                 )
             }
 
         /** When all dependencies of [job] are expected to be complete, on the steady clock. */
-        fun readyUs(job: Job): Long = openDependencies(job).maxOfOrNull { ends.valueOf(it) + STAGE_TRANSITION_US } ?: now
+        fun readyAtUs(job: Job): Long = openDependencies(job).maxOfOrNull { endTimes.valueOf(it) + STAGE_TRANSITION_US } ?: nowUs
 
         /** Dependencies that are not open any more delay nothing. */
         private fun openDependencies(job: Job): List<Job> =
@@ -34,19 +34,19 @@
                 emptyList()
             } else {
                 job.spec.dependencies
-                    .mapNotNull(jobOf)
+                    .mapNotNull(findJob)
                     .filter { it.phase == JobPhase.OPEN }
             }
 
-        private fun endUs(
+        private fun endAtUs(
             job: Job,
-            dependenciesEndUs: Long,
+            dependenciesEndAtUs: Long,
         ): Long {
-            val runUs = runTimes.expectedUs(job.spec)
-            if (!job.ready) return maxOf(dependenciesEndUs + STAGE_TRANSITION_US, now) + fetchUs(job.spec) + runUs
+            val runUs = runTimes.expectedRunTimeUs(job.spec)
+            if (!job.ready) return maxOf(dependenciesEndAtUs + STAGE_TRANSITION_US, nowUs) + fetchUs(job.spec) + runUs
             val isWaiting = !job.placeable || !job.pending.isEmpty
-            val startedUs = if (isWaiting) now else job.placedUs
-            return maxOf(startedUs + fetchUs(job.spec) + runUs, now)
+            val startedAtUs = if (isWaiting) nowUs else job.placedUs
+            return maxOf(startedAtUs + fetchUs(job.spec) + runUs, nowUs)
         }
     }
 
--- a/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
@@ -25,30 +25,30 @@
         val tasks: Int,
     )
 
-    private var stampCounter = 0L
+    private var requestCounter = 0L
 
     /**
      * Requests for the first of [jobs], within the quotas of their teams.
      *
-     * @param allowance how many tasks of a job its team may start beside the resources that are planned in this round
+     * @param allowedTasks how many tasks of a job its team may start beside the resources that are planned in this round
      */
-    fun requests(
+    fun planRequests(
         jobs: List<Job>,
-        now: Long,
-        allowance: (JobSpec, Resources) -> Int,
+        nowUs: Long,
+        allowedTasks: (JobSpec, Resources) -> Int,
     ): List<JobRequest> {
         val plannedByTeam = HashMap<String, Resources>()
         val selected = ArrayList<PlannedRequest>()
         for (job in jobs) {
-            if (selected.size >= settings.jobsPerRound) break
+            if (selected.size >= settings.maxJobsPerRound) break
             val spec = job.spec
-            val before = plannedByTeam[spec.team] ?: RunningAttempts.NONE
-            val count = minOf(job.pending.size, settings.tasksPerRequest, allowance(spec, before))
+            val plannedResources = plannedByTeam[spec.team] ?: RunningAttempts.NONE
+            val count = minOf(job.pending.size, settings.maxTasksPerRequest, allowedTasks(spec, plannedResources))
             if (count <= 0) continue
-            plannedByTeam[spec.team] = before - spec.resources * -count
+            plannedByTeam[spec.team] = plannedResources - spec.resources * -count
             selected += PlannedRequest(job, count)
         }
-        return groupConsecutive(selected) { isUrgent(it.job) }.flatMap { imageRequestsFirst(it, now) }
+        return groupConsecutive(selected) { isUrgent(it.job) }.flatMap { createImageRequestsFirst(it, nowUs) }
     }
 
     /**
@@ -56,13 +56,13 @@
      * stamps: otherwise the first would take, with a fetch before it, the room that the next could use at once. A less urgent job does
      * not come before a more urgent one because its image is there.
      */
-    private fun imageRequestsFirst(
+    private fun createImageRequestsFirst(
         planned: List<PlannedRequest>,
-        now: Long,
+        nowUs: Long,
     ): List<JobRequest> {
-        val first = planned.map { request(it, imageOnly = gainsFromImage(it.job)) }
-        val later = planned.filter { gainsFromImage(it.job) && !waitsForImage(it.job, now) }
-        return first + later.map { request(it, imageOnly = false) }
+        val firstRequests = planned.map { createRequest(it, imageOnly = benefitsFromImage(it.job)) }
+        val jobsForAnyMachine = planned.filter { benefitsFromImage(it.job) && !shouldWaitForImage(it.job, nowUs) }
+        return firstRequests + jobsForAnyMachine.map { createRequest(it, imageOnly = false) }
     }
 
     /** Splits a list into groups of consecutive items of the same kind. */
@@ -78,7 +78,7 @@
         return result
     }
 
-    private fun request(
+    private fun createRequest(
         planned: PlannedRequest,
         imageOnly: Boolean,
     ): JobRequest {
@@ -86,36 +86,36 @@
         val spec = job.spec
         val zone = zones.requestedZone(job)
         val request =
-            PlacementRequest(++stampCounter, spec.id, spec.requirements, planned.tasks, spec.allowedTypes, zone, spec.spot, imageOnly)
+            PlacementRequest(++requestCounter, spec.id, spec.requirements, planned.tasks, spec.allowedTypes, zone, spec.spot, imageOnly)
         return JobRequest(request, job)
     }
 
-    private fun isUrgent(job: Job) = objectives.startsWithin(job.spec.jobClass, URGENT_START_US)
+    private fun isUrgent(job: Job) = objectives.hasStartObjectiveWithin(job.spec.jobClass, URGENT_START_WITHIN_US)
 
     /** Room is not used while an image is fetched for it: worth avoiding where the fetch isn't short beside the run. */
-    private fun gainsFromImage(job: Job) = fetchUs(job.spec) * SHORT_FETCH_SHARE > runTimes.expectedUs(job.spec)
+    private fun benefitsFromImage(job: Job) = fetchUs(job.spec) * SHORT_FETCH_DIVISOR > runTimes.expectedRunTimeUs(job.spec)
 
     /**
      * A job that is not urgent waits a moment for room on machines that have its image: where room becomes free all the time, some of it
      * does there. Then it takes any room once, and so its image gets to more machines.
      */
-    private fun waitsForImage(
+    private fun shouldWaitForImage(
         job: Job,
-        now: Long,
+        nowUs: Long,
     ): Boolean {
         if (isUrgent(job)) return false
-        val maxWaitUs = (fetchUs(job.spec) / IMAGE_WAIT_SHARE).coerceAtMost(MAX_IMAGE_WAIT_US)
-        return now - maxOf(job.readyUs, job.placedUs) < maxWaitUs
+        val maxWaitUs = (fetchUs(job.spec) / IMAGE_WAIT_DIVISOR).coerceAtMost(MAX_IMAGE_WAIT_US)
+        return nowUs - maxOf(job.readyUs, job.placedUs) < maxWaitUs
     }
 
     private companion object {
-        const val URGENT_START_US = 8 * SECOND
+        const val URGENT_START_WITHIN_US = 8 * SECOND
         const val MAX_IMAGE_WAIT_US = 3 * SECOND
 
         /** A fetch is short where it takes less than one part in so many of the run. */
-        const val SHORT_FETCH_SHARE = 20
+        const val SHORT_FETCH_DIVISOR = 20
 
         /** A job waits for one part in so many of its fetch. */
-        const val IMAGE_WAIT_SHARE = 4
+        const val IMAGE_WAIT_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/lichenstage/placement/RequestRound.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRound.kt
@@ -10,31 +10,34 @@
  */
 class RequestRound(
     val requests: List<JobRequest>,
-    now: Long,
+    nowUs: Long,
     alphaUs: Long,
 ) {
-    private val stamps = requests.mapTo(HashSet()) { it.request.stamp }
+    private val requestNumbers = requests.mapTo(HashSet()) { it.request.stamp }
     private val offers = HashMap<Long, HashMap<String, List<HeldSlots>>>()
-    private val answered = HashSet<String>()
-    var deadlineUs = now + alphaUs
+    private val partitionsWithOffer = HashSet<String>()
+    var endsAtUs = nowUs + alphaUs
         private set
 
-    /** Adds a partition's offer for the request with this [stamp]. The first one of a partition extends the round to [betaUs] from now. */
+    /**
+     * Adds a partition's offer for the request with this [requestNumber]; offers for requests of other rounds are ignored. The first
+     * offer of each partition moves the end of the round to [betaUs] after [nowUs].
+     */
     fun addOffer(
         partition: String,
-        stamp: Long,
+        requestNumber: Long,
         held: List<HeldSlots>,
-        now: Long,
+        nowUs: Long,
         betaUs: Long,
     ) {
-        if (stamp !in stamps) return
-        offers.getOrPut(stamp) { HashMap() }[partition] = held
-        if (answered.add(partition)) deadlineUs = now + betaUs
+        if (requestNumber !in requestNumbers) return
+        offers.getOrPut(requestNumber) { HashMap() }[partition] = held
+        if (partitionsWithOffer.add(partition)) endsAtUs = nowUs + betaUs
     }
 
     /** All of [partitions] have made an offer, perhaps an empty one. */
-    fun allAnswered(partitions: Set<String>) = answered.containsAll(partitions)
+    fun hasOfferFromAll(partitions: Set<String>) = partitionsWithOffer.containsAll(partitions)
 
-    /** The offers for the request with this [stamp], by partition. */
-    fun offersFor(stamp: Long): Map<String, List<HeldSlots>> = offers[stamp] ?: emptyMap()
+    /** The offers for the request with this [requestNumber], by partition. */
+    fun offersFor(requestNumber: Long): Map<String, List<HeldSlots>> = offers[requestNumber] ?: emptyMap()
 }
--- a/src/main/kotlin/lichenstage/placement/RequestRounds.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
@@ -21,14 +21,14 @@
     fun unaccountedUse(): Resources
 
     /** Partitions of which a frame came not long ago: a round waits for no others. */
-    fun reachablePartitions(now: Long): Set<String>
+    fun reachablePartitions(nowUs: Long): Set<String>
 }
 
 /**
  * Runs rounds of placement requests, one at a time: broadcasts requests, collects offers, starts tasks on the roomiest of them (worst
  * fit), and releases the rest.
  */
-internal class RequestRounds(
+internal class RequestRoundRunner(
     private val term: Long,
     private val assignment: PartitionAssignment,
     private val settings: PlacementSettings,
@@ -38,88 +38,95 @@
     private val outbox: PartitionOutbox,
     private val context: RoundContext,
 ) {
-    private var round: RequestRound? = null
+    private var currentRound: RequestRound? = null
     private var attemptCounter = 0L
-    private var changedSinceRound = true
-    private var roundStartedUs = Long.MIN_VALUE / 2
+    private var hasChangedSinceRound = true
+    private var roundStartedAtUs = Long.MIN_VALUE / 2
 
     /** Something has changed that a request could gain by: the next round need not wait for the idle interval. */
     fun markChanged() {
-        changedSinceRound = true
+        hasChangedSinceRound = true
     }
 
     /** Takes a partition's offer; one for an earlier round is ignored. */
     fun addOffer(
         partition: String,
         offer: Offer,
-        now: Long,
-    ) = round?.addOffer(partition, offer.stamp, offer.held, now, settings.betaUs)
+        nowUs: Long,
+    ) = currentRound?.addOffer(partition, offer.stamp, offer.held, nowUs, settings.betaUs)
 
     /** Ends and begins rounds as time passes; [waiting] gives the jobs with tasks to place, in the order of the queue. */
     fun tick(
-        now: Long,
+        nowUs: Long,
         waiting: () -> List<Job>,
     ) {
-        val current = round
-        if (current != null && (current.allAnswered(context.reachablePartitions(now)) || now >= current.deadlineUs)) endRound(current, now)
-        val intervalUs = if (changedSinceRound) settings.minRoundIntervalUs else settings.idleRoundIntervalUs
-        if (round == null && now - roundStartedUs >= intervalUs) beginRound(waiting, now)
+        val openRound = currentRound
+        if (openRound != null &&
+            (openRound.hasOfferFromAll(context.reachablePartitions(nowUs)) || nowUs >= openRound.endsAtUs)
+        ) {
+            endRound(openRound, nowUs)
+        }
+        val intervalUs = if (hasChangedSinceRound) settings.minRoundIntervalUs else settings.idleRoundIntervalUs
+        if (currentRound == null && nowUs - roundStartedAtUs >= intervalUs) beginRound(waiting, nowUs)
     }
 
     /** Broadcasts requests for the first jobs of the queue. */
     private fun beginRound(
         waiting: () -> List<Job>,
-        now: Long,
+        nowUs: Long,
     ) {
-        changedSinceRound = false
-        roundStartedUs = now
+        hasChangedSinceRound = false
+        roundStartedAtUs = nowUs
         val unaccountedUse = context.unaccountedUse()
         val requests =
-            planner.requests(waiting(), now) { spec, planned -> attempts.allowance(spec.team, spec.resources, unaccountedUse, planned) }
+            planner.planRequests(
+                waiting(),
+                nowUs,
+            ) { spec, planned -> attempts.allowance(spec.team, spec.resources, unaccountedUse, planned) }
         if (requests.isEmpty()) return
-        round = RequestRound(requests, now, settings.alphaUs)
+        currentRound = RequestRound(requests, nowUs, settings.alphaUs)
         val frames = requests.map { it.request }
-        assignment.partitions.forEach { outbox.send(it, now, requests = frames) }
+        assignment.partitions.forEach { outbox.send(it, nowUs, requests = frames) }
     }
 
     /** Starts tasks on the roomiest of the held slots, and releases the rest. */
     private fun endRound(
-        current: RequestRound,
-        now: Long,
+        endingRound: RequestRound,
+        nowUs: Long,
     ) {
-        round = null
+        currentRound = null
         val unaccountedUse = context.unaccountedUse()
-        val starts = HashMap<String, ArrayList<StartOrder>>()
-        val started = ArrayList<Attempt>()
-        for (request in current.requests) {
+        val startsByPartition = HashMap<String, ArrayList<StartOrder>>()
+        val startedAttempts = ArrayList<Attempt>()
+        for (request in endingRound.requests) {
             if (request.job.phase != JobPhase.OPEN) continue
-            for (attempt in place(request, current, unaccountedUse, now)) {
-                started += attempt
-                starts.getOrPut(attempt.partition) { ArrayList() } +=
+            for (attempt in createAttempts(request, endingRound, unaccountedUse, nowUs)) {
+                startedAttempts += attempt
+                startsByPartition.getOrPut(attempt.partition) { ArrayList() } +=
                     StartOrder(request.request.stamp, attempt.machine, attempt.index, attempt.number)
             }
         }
-        val releases = current.requests.map { it.request.stamp }
+        val allRequestNumbers = endingRound.requests.map { it.request.stamp }
         for (id in assignment.partitions) {
-            val partitionStarts = starts[id].orEmpty()
-            val chosen = partitionStarts.mapTo(HashSet()) { it.stamp }
-            val seq = outbox.send(id, now, starts = partitionStarts, releases = releases.filter { it !in chosen })
-            started.forEach { if (it.partition == id) it.seq = seq }
+            val startsOfPartition = startsByPartition[id].orEmpty()
+            val startedRequests = startsOfPartition.mapTo(HashSet()) { it.stamp }
+            val seq = outbox.send(id, nowUs, starts = startsOfPartition, releases = allRequestNumbers.filter { it !in startedRequests })
+            startedAttempts.forEach { if (it.partition == id) it.seq = seq }
         }
-        if (started.isNotEmpty()) changedSinceRound = true
+        if (startedAttempts.isNotEmpty()) hasChangedSinceRound = true
     }
 
     /** Creates attempts on the roomiest of the slots that are held for a request. */
-    private fun place(
+    private fun createAttempts(
         jobRequest: JobRequest,
-        current: RequestRound,
+        endingRound: RequestRound,
         unaccountedUse: Resources,
-        now: Long,
+        nowUs: Long,
     ): List<Attempt> {
         val job = jobRequest.job
         val maxTasks = minOf(jobRequest.request.count, attempts.allowance(job.spec.team, job.spec.resources, unaccountedUse))
-        val offers = current.offersFor(jobRequest.request.stamp).mapValues { (_, held) -> held.mapNotNull(::usableSlots) }
-        val placed = ArrayList<Attempt>()
+        val offers = endingRound.offersFor(jobRequest.request.stamp).mapValues { (_, held) -> held.mapNotNull(::usableSlots) }
+        val createdAttempts = ArrayList<Attempt>()
         for (slot in OfferSelection.selectRoomiest(offers, maxTasks, zones::zoneOf, zones.remainingTasksByZone(job, offers))) {
             val index = job.nextPendingTask()
             if (index < 0) break
@@ -128,10 +135,10 @@
             // Until the frame with its start is sent, no frame of the partition tells anything of it.
             attempt.seq = Long.MAX_VALUE
             attempts.track(attempt)
-            job.placedUs = now
-            placed += attempt
+            job.placedUs = nowUs
+            createdAttempts += attempt
         }
-        return placed
+        return createdAttempts
     }
 
     private fun usableSlots(held: HeldSlots): HeldSlots? {
--- a/src/main/kotlin/lichenstage/placement/RunTimeEstimates.kt
+++ b/src/main/kotlin/lichenstage/placement/RunTimeEstimates.kt
@@ -15,26 +15,26 @@
         var weight: Double = 0.0,
     )
 
-    private val byClass = HashMap<String, LogRatio>()
+    private val logRatioByClass = HashMap<String, LogRatio>()
 
-    /** A task of the job has completed after [ranUs]. */
+    /** A task of the job has completed after [actualRunTimeUs]. */
     fun recordCompletion(
         spec: JobSpec,
-        ranUs: Long,
+        actualRunTimeUs: Long,
     ) {
-        if (spec.estimatedRunTimeUs <= 0 || ranUs <= 0) return
-        val logRatio = byClass.getOrPut(spec.jobClass) { LogRatio() }
-        val ratio = ln(ranUs.toDouble() / spec.estimatedRunTimeUs).coerceIn(-MAX_LOG_RATIO, MAX_LOG_RATIO)
+        if (spec.estimatedRunTimeUs <= 0 || actualRunTimeUs <= 0) return
+        val logRatio = logRatioByClass.getOrPut(spec.jobClass) { LogRatio() }
+        val ratio = ln(actualRunTimeUs.toDouble() / spec.estimatedRunTimeUs).coerceIn(-MAX_LOG_RATIO, MAX_LOG_RATIO)
         // One task of a large job says less than one of a small job: all of a job's tasks share its estimate.
         val weight = 1.0 / spec.tasks
-        logRatio.sum = logRatio.sum * (1 - weight / MEMORY_JOBS) + ratio * weight
-        logRatio.weight = logRatio.weight * (1 - weight / MEMORY_JOBS) + weight
+        logRatio.sum = logRatio.sum * (1 - weight / DECAY_JOBS) + ratio * weight
+        logRatio.weight = logRatio.weight * (1 - weight / DECAY_JOBS) + weight
     }
 
     /** Expected run time of one task of the job, in microseconds. */
-    fun expectedUs(spec: JobSpec): Long {
-        val logRatio = byClass[spec.jobClass] ?: return spec.estimatedRunTimeUs
-        return (spec.estimatedRunTimeUs * exp(logRatio.sum / (logRatio.weight + PRIOR_JOBS))).toLong()
+    fun expectedRunTimeUs(spec: JobSpec): Long {
+        val logRatio = logRatioByClass[spec.jobClass] ?: return spec.estimatedRunTimeUs
+        return (spec.estimatedRunTimeUs * exp(logRatio.sum / (logRatio.weight + PRIOR_WEIGHT_JOBS))).toLong()
     }
 
     private companion object {
@@ -42,9 +42,9 @@
         const val MAX_LOG_RATIO = 1.5
 
         /** After so many jobs the learned error counts half. */
-        const val PRIOR_JOBS = 3.0
+        const val PRIOR_WEIGHT_JOBS = 3.0
 
         /** After so many further jobs a completion has lost most of its weight. */
-        const val MEMORY_JOBS = 30.0
+        const val DECAY_JOBS = 30.0
     }
 }
--- a/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
+++ b/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
@@ -8,29 +8,32 @@
  * A time by which all tasks of a job should have started.
  *
  * @property startByUs on the steady clock
- * @property perTask each task counts that starts in time; otherwise the job counts as a whole
+ * @property isPerTask each task counts that starts in time; otherwise the job counts as a whole
  */
 data class StartObjective(
     val startByUs: Long,
-    val perTask: Boolean,
+    val isPerTask: Boolean,
 )
 
 /** The service-level objectives of each class of jobs, as times by which tasks must start. */
 class ServiceObjectives(
     objectives: List<Objective>,
 ) {
-    private val byClass = objectives.groupBy { it.kind to it.jobClass }.mapValues { (_, rows) -> rows.mapNotNull { it.withinUs }.sorted() }
+    private val timesByKindAndClass =
+        objectives.groupBy { it.kind to it.jobClass }.mapValues { (_, rows) ->
+            rows.mapNotNull { it.withinUs }.sorted()
+        }
 
     private val guaranteeUs = objectives.filter { it.kind == ObjectiveKind.GUARANTEE }.mapNotNull { it.withinUs }.minOrNull()
 
     /** The jobs that fit into their team's guarantee together with the team's earlier open jobs. */
-    fun guaranteed(
+    fun selectGuaranteedJobs(
         jobs: Collection<Job>,
         teams: Map<String, Team>,
     ): Set<Job> {
         if (guaranteeUs == null) return emptySet()
-        val cores = HashMap<String, Double>()
-        val gpus = HashMap<String, Double>()
+        val coresByTeam = HashMap<String, Double>()
+        val gpusByTeam = HashMap<String, Double>()
         return jobs
             .filter { it.phase == JobPhase.OPEN && it.ready }
             .sortedBy { it.readyUs }
@@ -38,24 +41,24 @@
                 val spec = it.spec
                 val team = teams[spec.team]
                 team != null &&
-                    cores.merge(spec.team, spec.tasks * spec.resources.cores, Double::plus)!! <= team.cores &&
-                    gpus.merge(spec.team, spec.tasks * spec.resources.gpus, Double::plus)!! <= team.gpus
+                    coresByTeam.merge(spec.team, spec.tasks * spec.resources.cores, Double::plus)!! <= team.cores &&
+                    gpusByTeam.merge(spec.team, spec.tasks * spec.resources.gpus, Double::plus)!! <= team.gpus
             }
     }
 
     /** Some objective of the class asks for a start within less than [withinUs]. */
-    fun startsWithin(
+    fun hasStartObjectiveWithin(
         jobClass: String,
         withinUs: Long,
-    ) = byClass[ObjectiveKind.WAIT to jobClass].orEmpty().any { it < withinUs }
+    ) = timesByKindAndClass[ObjectiveKind.WAIT to jobClass].orEmpty().any { it < withinUs }
 
     /** The job's own deadline on the steady clock, counted from its submission however long it was blocked; null where it has none. */
-    fun deadlineUs(job: Job): Long? = job.spec.deadlineUs?.let { job.submittedAtUs + it }
+    fun deadlineAtUs(job: Job): Long? = job.spec.deadlineUs?.let { job.submittedAtUs + it }
 
     /** The times by which the job should be complete, the earliest first. */
-    private fun dueTimesUs(job: Job): List<Long> {
-        val finish = byClass[ObjectiveKind.FINISHED to job.spec.jobClass].orEmpty()
-        return (listOfNotNull(deadlineUs(job)) + finish.map { job.readyUs + it }).sorted()
+    private fun dueTimesAtUs(job: Job): List<Long> {
+        val finishWithinUs = timesByKindAndClass[ObjectiveKind.FINISHED to job.spec.jobClass].orEmpty()
+        return (listOfNotNull(deadlineAtUs(job)) + finishWithinUs.map { job.readyUs + it }).sorted()
     }
 
     /**
@@ -63,27 +66,28 @@
      * are estimates; its time is then now.
      *
      * @param runUs expected run time of one task
-     * @param guaranteed the job is within its team's guarantee, which has an objective of its own
-     * @param inheritedDueUs when the job's dependents need it to be complete; null where none does
+     * @param isGuaranteed the job is within its team's guarantee, which has an objective of its own
+     * @param inheritedDueAtUs when the job's dependents need it to be complete; null where none does
      */
-    fun startObjectives(
+    fun findAttainableObjectives(
         job: Job,
         runUs: Long,
-        now: Long,
-        guaranteed: Boolean = false,
-        inheritedDueUs: Long? = null,
+        nowUs: Long,
+        isGuaranteed: Boolean = false,
+        inheritedDueAtUs: Long? = null,
     ): List<StartObjective> {
-        val waits = byClass[ObjectiveKind.WAIT to job.spec.jobClass].orEmpty() + listOfNotNull(guaranteeUs?.takeIf { guaranteed })
+        val startWithinUs =
+            timesByKindAndClass[ObjectiveKind.WAIT to job.spec.jobClass].orEmpty() + listOfNotNull(guaranteeUs?.takeIf { isGuaranteed })
         return (
-            waits.map { StartObjective(job.readyUs + it, perTask = true) } +
-                (dueTimesUs(job) + listOfNotNull(inheritedDueUs)).map { StartObjective(it - runUs, perTask = false) }
-        ).filter { it.startByUs + runUs / TOLERANCE_SHARE >= now }
-            .map { it.copy(startByUs = maxOf(it.startByUs, now)) }
+            startWithinUs.map { StartObjective(job.readyUs + it, isPerTask = true) } +
+                (dueTimesAtUs(job) + listOfNotNull(inheritedDueAtUs)).map { StartObjective(it - runUs, isPerTask = false) }
+        ).filter { it.startByUs + runUs / TOLERANCE_DIVISOR >= nowUs }
+            .map { it.copy(startByUs = maxOf(it.startByUs, nowUs)) }
             .sortedBy { it.startByUs }
     }
 
     private companion object {
         /** An objective can still be met while it is missed by no more than one part in so many of the run time. */
-        const val TOLERANCE_SHARE = 4
+        const val TOLERANCE_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/lichenstage/placement/ZoneConstraints.kt
+++ b/src/main/kotlin/lichenstage/placement/ZoneConstraints.kt
@@ -32,8 +32,8 @@
         val maxTasks = if (spec.spread) (spec.tasks + 1) / 2 else Int.MAX_VALUE
         val sharedZone = if (spec.sameZone) tasksByZone.keys.firstOrNull() ?: OfferSelection.bestZone(offers, ::zoneOf) else null
         return { zone ->
-            val allowed = !spec.sameZone || (zone == sharedZone && tasksByZone.keys.all { it == zone })
-            if (allowed) maxTasks - (tasksByZone[zone] ?: 0) else 0
+            val isAllowed = !spec.sameZone || (zone == sharedZone && tasksByZone.keys.all { it == zone })
+            if (isAllowed) maxTasks - (tasksByZone[zone] ?: 0) else 0
         }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/DemandEstimateTest.kt
+++ b/src/test/kotlin/lichenstage/placement/DemandEstimatorTest.kt
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 
-class DemandEstimateTest {
+class DemandEstimatorTest {
     private val machineType = MachineType("t", Resources(16.0, 0.0, 64.0), 1.0, 0.4, 30 * SECOND, 50.0, 0.5, listOf("z"))
     private val machineTypes = mapOf("t" to machineType)
 
@@ -25,13 +25,13 @@
     private fun inputs(
         readyInS: Long = 0,
         maxCores: Double = Double.MAX_VALUE,
-        dueUs: Long? = null,
-    ) = object : DemandEstimate.Inputs {
+        dueAtUs: Long? = null,
+    ) = object : DemandEstimator.Inputs {
         override fun maxCores(team: String) = maxCores
 
         override fun runUs(spec: JobSpec) = spec.estimatedRunTimeUs
 
-        override fun dueUs(job: Job): Long? = dueUs
+        override fun dueAtUs(job: Job): Long? = dueAtUs
 
         override fun readyInUs(job: Job) = readyInS * SECOND
     }
@@ -39,17 +39,17 @@
     /** Neither as work due now nor first when it is ready: a machine needs a boot time. */
     @Example
     fun `a job that waits for dependencies asks for machines from one and a half boot times before it is ready`() {
-        val next = job(2, dependencies = listOf("j-1"))
+        val blockedJob = job(2, dependencies = listOf("j-1"))
 
-        fun asked(readyInS: Long) = DemandEstimate.demand(listOf(next), machineTypes, inputs(readyInS))
-        assertTrue(asked(60).isEmpty()) { "asks a minute before" }
-        val soon = asked(40).single()
-        assertTrue(soon.busy == 0.0 && soon.foreseenInUs == 45 * SECOND && soon.dueUs == null) { "$soon" }
+        fun demandWhenReadyIn(readyInS: Long) = DemandEstimator.estimateDemand(listOf(blockedJob), machineTypes, inputs(readyInS))
+        assertTrue(demandWhenReadyIn(60).isEmpty()) { "asks a minute before" }
+        val demand = demandWhenReadyIn(40).single()
+        assertTrue(demand.busy == 0.0 && demand.foreseenInUs == 45 * SECOND && demand.dueUs == null) { "$demand" }
     }
 
     @Example
     fun `demand counts run and fetch time of all tasks that are left, by machine`() {
-        val demand = DemandEstimate.demand(listOf(job(1, tasks = 32)), machineTypes, inputs(dueUs = 99)).single()
+        val demand = DemandEstimator.estimateDemand(listOf(job(1, tasks = 32)), machineTypes, inputs(dueAtUs = 99)).single()
         assertEquals(2.0, demand.machines)
         assertEquals(2.0 * 52 * SECOND, demand.workUs, "50 s of run and 2 s of fetch for 16 tasks on each machine")
         assertEquals(demand.workUs, demand.waitingUs)
@@ -60,16 +60,16 @@
     @Example
     fun `jobs of a team share its quota, and one without any left asks for nothing`() {
         val jobs = listOf(job(1, tasks = 16), job(2, tasks = 16), job(3, tasks = 16))
-        val demand = DemandEstimate.demand(jobs, machineTypes, inputs(maxCores = 24.0))
+        val demand = DemandEstimator.estimateDemand(jobs, machineTypes, inputs(maxCores = 24.0))
         assertEquals(listOf(1.0, 0.5), demand.map { it.machines })
     }
 
     @Example
     fun `an arrival counts the whole job, and one that fits nowhere is none`() {
-        val arrival = DemandEstimate.arrival(job(1, tasks = 32), machineTypes, 50 * SECOND) { it.bootUs > 20 * SECOND }!!
+        val arrival = DemandEstimator.estimateArrival(job(1, tasks = 32), machineTypes, 50 * SECOND) { it.bootUs > 20 * SECOND }!!
         assertEquals(2.0, arrival.machines)
         assertEquals(52 * SECOND, arrival.runUs)
         assertTrue(arrival.urgent)
-        assertNull(DemandEstimate.arrival(job(1), emptyMap(), 50 * SECOND) { false })
+        assertNull(DemandEstimator.estimateArrival(job(1), emptyMap(), 50 * SECOND) { false })
     }
 }
--- a/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
+++ b/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
@@ -23,27 +23,27 @@
 
     /**
      * Twice as much comes as can be done, all of it promised and of higher priority; the largest job of the class without a
-     * promise still begins in time. With [agedUs] out of reach it does not: the guard is what does it.
+     * promise still begins in time. With [agingThresholdUs] out of reach it does not: the guard is what does it.
      */
-    private fun largestBeginsAfter(agedUs: Long): Long? {
-        val queue = JobQueue(serviceObjectives, emptyMap(), RunTimeEstimates(), agedUs)
-        val large = job(0, "slow", 400, 0, Priority.LOW)
+    private fun largestJobStartUs(agingThresholdUs: Long): Long? {
+        val queue = JobQueue(serviceObjectives, emptyMap(), RunTimeEstimates(), agingThresholdUs)
+        val largeJob = job(0, "slow", 400, 0, Priority.LOW)
         val jobs = LinkedHashMap<Int, Job>()
-        jobs[0] = large
-        queue.jobAdded(large)
+        jobs[0] = largeJob
+        queue.onJobAdded(largeJob)
         var number = 0
         for (s in 0L..400L) {
             repeat(2) {
-                val next = job(++number, "quick", 20, s * SECOND)
-                jobs[number] = next
-                queue.jobAdded(next)
+                val quickJob = job(++number, "quick", 20, s * SECOND)
+                jobs[number] = quickJob
+                queue.onJobAdded(quickJob)
             }
             // 20 tasks are placed in a second, for the first jobs in the order.
-            var free = 20
-            for (job in queue.order(jobs.values, { 20.0 }, s * SECOND)) {
-                if (job === large) return s * SECOND
-                while (free > 0 && job.nextPendingTask() >= 0) free--
-                if (free == 0) break
+            var freeSlots = 20
+            for (job in queue.sortWaitingJobs(jobs.values, { 20.0 }, s * SECOND)) {
+                if (job === largeJob) return s * SECOND
+                while (freeSlots > 0 && job.nextPendingTask() >= 0) freeSlots--
+                if (freeSlots == 0) break
             }
             jobs.values.removeIf { it.pending.isEmpty }
         }
@@ -52,17 +52,17 @@
 
     @Example
     fun `the largest job of the least class begins within four minutes under lasting overload`() {
-        val began = largestBeginsAfter(120 * SECOND)
-        assertTrue(began != null && began < 240 * SECOND) { "began after $began" }
-        assertNull(largestBeginsAfter(Long.MAX_VALUE / 4)) { "it would have begun without ageing" }
+        val startUs = largestJobStartUs(120 * SECOND)
+        assertTrue(startUs != null && startUs < 240 * SECOND) { "began after $startUs" }
+        assertNull(largestJobStartUs(Long.MAX_VALUE / 4)) { "it would have begun without ageing" }
     }
 
     @Example
     fun `age comes from the record, so that a new leader lets nobody wait anew`() {
         val queue = JobQueue(serviceObjectives, emptyMap(), RunTimeEstimates())
-        val old = job(1, "slow", 5, -200 * SECOND, Priority.LOW)
-        val fresh = List(5) { job(2 + it, "quick", 5, 0) }
-        (fresh + old).forEach(queue::jobAdded)
-        assertSame(old, queue.order(fresh + old, { 1.0 }, 0).first()) { "not first" }
+        val oldJob = job(1, "slow", 5, -200 * SECOND, Priority.LOW)
+        val newJobs = List(5) { job(2 + it, "quick", 5, 0) }
+        (newJobs + oldJob).forEach(queue::onJobAdded)
+        assertSame(oldJob, queue.sortWaitingJobs(newJobs + oldJob, { 1.0 }, 0).first()) { "not first" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/JobTableTest.kt
+++ b/src/test/kotlin/lichenstage/placement/JobTableTest.kt
@@ -12,37 +12,37 @@
 
     @Example
     fun `when the failover is not complete then only jobs of this term are queued`() {
-        val older = job("j-1", createRevision = 100)
-        val fresh = job("j-2", createRevision = 101)
-        listOf(older, fresh).forEach {
+        val earlierTermJob = job("j-1", createRevision = 100)
+        val currentTermJob = job("j-2", createRevision = 101)
+        listOf(earlierTermJob, currentTermJob).forEach {
             assertTrue(table.add(it)) { "${it.spec.id} was known" }
             table.enqueueIfPlaceable(it)
         }
-        assertFalse(older.placeable) { "an earlier leader may have started it" }
-        assertEquals(2, fresh.pending.size) { "not queued" }
+        assertFalse(earlierTermJob.placeable) { "an earlier leader may have started it" }
+        assertEquals(2, currentTermJob.pending.size) { "not queued" }
     }
 
     @Example
     fun `when the failover completes then all ready jobs are queued, and none twice`() {
-        val older = job("j-1", createRevision = 50)
-        val fresh = job("j-2", createRevision = 101)
-        listOf(older, fresh).forEach(table::add)
-        table.enqueueIfPlaceable(fresh)
-        fresh.nextPendingTask()
+        val earlierTermJob = job("j-1", createRevision = 50)
+        val currentTermJob = job("j-2", createRevision = 101)
+        listOf(earlierTermJob, currentTermJob).forEach(table::add)
+        table.enqueueIfPlaceable(currentTermJob)
+        currentTermJob.nextPendingTask()
         failoverComplete = true
         table.enqueueAllReady()
-        assertEquals(2, older.pending.size) { "not queued" }
-        assertEquals(1, fresh.pending.size) { "queued again" }
+        assertEquals(2, earlierTermJob.pending.size) { "not queued" }
+        assertEquals(1, currentTermJob.pending.size) { "queued again" }
     }
 
     @Example
     fun `a job that has open dependencies is not queued`() {
         failoverComplete = true
-        val blocked = Job(spec("j-2").copy(dependencies = listOf("j-1")), 101, 0)
-        table.add(blocked)
-        table.enqueueIfPlaceable(blocked)
+        val blockedJob = Job(spec("j-2").copy(dependencies = listOf("j-1")), 101, 0)
+        table.add(blockedJob)
+        table.enqueueIfPlaceable(blockedJob)
         table.enqueueAllReady()
-        assertTrue(blocked.pending.isEmpty && !blocked.placeable) { "queued" }
+        assertTrue(blockedJob.pending.isEmpty && !blockedJob.placeable) { "queued" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -28,7 +28,7 @@
         val attempt = starts().single().attempt
         val seq = sent("z").last().seq
 
-        fun shown(
+        fun receiveMachineFrame(
             phase: TaskPhase,
             recallS: Long?,
             nowS: Long,
@@ -38,11 +38,11 @@
             leader.partitionFrameReceived(partition("z", seq, machine), nowS * SECOND)
             leader.tick(nowS * SECOND)
         }
-        shown(TaskPhase.RUNNING, null, 2)
-        shown(TaskPhase.RUNNING, 9, 40)
+        receiveMachineFrame(TaskPhase.RUNNING, null, 2)
+        receiveMachineFrame(TaskPhase.RUNNING, 9, 40)
         leader.tick(41 * SECOND)
         assertEquals(listOf(attempt), sent("z").flatMap { it.saves }.map { it.attempt }) { "${sent("z").last()}" }
-        shown(TaskPhase.ENDED, 4, 45)
+        receiveMachineFrame(TaskPhase.ENDED, 4, 45)
         assertTrue(job.totalSavedUs in 37 * SECOND..39 * SECOND) { "${job.totalSavedUs}" }
         assertTrue(leader.machines.attemptsOn("m1").isEmpty() && job.pending.size == 1) { "not queued again" }
     }
@@ -87,9 +87,9 @@
             val attempt = starts().single().attempt
             val seq = sent("z").last().seq
             val refused = TaskState("j-1/0", attempt, TaskPhase.ENDED, "busy")
-            val other = TaskState("j-1/0", attempt - 1, TaskPhase.RUNNING)
-            val rows = if (refusedFirst) arrayOf(refused, other) else arrayOf(other, refused)
-            leader.partitionFrameReceived(partition("z", seq, view("m1", *rows)), 2 * SECOND)
+            val otherAttempt = TaskState("j-1/0", attempt - 1, TaskPhase.RUNNING)
+            val taskStates = if (refusedFirst) arrayOf(refused, otherAttempt) else arrayOf(otherAttempt, refused)
+            leader.partitionFrameReceived(partition("z", seq, view("m1", *taskStates)), 2 * SECOND)
             assertEquals(
                 listOf(attempt - 1),
                 leader.machines.attemptsOn("m1").map { it.number },
@@ -97,7 +97,7 @@
             leader.tick(60 * SECOND)
             assertTrue(sent("z").none { frame -> frame.stops.any { it.attempt == attempt - 1 } }) { "the one that runs is stopped" }
             leader.partitionFrameReceived(
-                partition("z", seq, view("m1", refused, other.copy(phase = TaskPhase.ENDED, cause = "done"))),
+                partition("z", seq, view("m1", refused, otherAttempt.copy(phase = TaskPhase.ENDED, cause = "done"))),
                 61 * SECOND,
             )
             assertTrue(job.allTasksDone) { "its end does not count" }
@@ -176,8 +176,8 @@
     fun `a job with open dependencies requests nothing and counts for no limit until all of them are recorded as done`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
-        val waiting = Job(spec("j-2").copy(dependencies = listOf("j-1")), 101, 0)
-        leader.jobAdded(waiting)
+        val blockedJob = Job(spec("j-2").copy(dependencies = listOf("j-1")), 101, 0)
+        leader.jobAdded(blockedJob)
         leader.partitionFrameReceived(partition("z", 0, view("m1")), SECOND)
         leader.tick(2 * SECOND)
         assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "asked before all that it needs was done" }
@@ -186,11 +186,11 @@
         assertEquals("j-3", lastAsk().requests.single().job) { "the other job is held up" }
         leader.partitionFrameReceived(partition("z", 1, view("m1"), offers = offer(lastAsk(), "m1", 2)), 3 * SECOND)
         leader.tick(4 * SECOND)
-        leader.jobReady(waiting, 4 * SECOND)
+        leader.jobReady(blockedJob, 4 * SECOND)
         leader.tick(5 * SECOND)
-        assertTrue(waiting.placeable && waiting.readyUs == 4 * SECOND) { "not let go" }
-        leader.jobReady(waiting, 9 * SECOND)
-        assertEquals(4 * SECOND, waiting.readyUs) { "ready twice" }
+        assertTrue(blockedJob.placeable && blockedJob.readyUs == 4 * SECOND) { "not let go" }
+        leader.jobReady(blockedJob, 9 * SECOND)
+        assertEquals(4 * SECOND, blockedJob.readyUs) { "ready twice" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/placement/RegistryTest.kt
+++ b/src/test/kotlin/lichenstage/placement/MachineRegistryTest.kt
@@ -14,43 +14,43 @@
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
 
-class RegistryTest {
+class MachineRegistryTest {
     /** Written under 8 KiB, read under 2: in whatever order writes fail, every machine is in the record all the time. */
     @Property(tries = 100, seed = "78")
     fun `pages of a larger limit are split without a machine being left out for a moment`(
         @ForAll outcomes: List<Boolean>,
     ) {
-        val before = Registry(8192)
+        val earlierRegistry = MachineRegistry(8192)
         val machines = (0 until 200).map(::machine)
-        machines.forEach(before::add)
+        machines.forEach(earlierRegistry::add)
         val store = HashMap<String, Entry>()
-        while (before.hasUnwritten) {
-            before.takeDuePages(12).forEach {
+        while (earlierRegistry.hasUnwritten) {
+            earlierRegistry.takeDueChunks(12).forEach {
                 store[it.key] =
                     Entry(it.key, MachineRecordCodec.encode(it.machines), 1)
             }
         }
-        val registry = Registry(2048)
+        val registry = MachineRegistry(2048)
         store.values.toList().forEach(registry::load)
-        registry.split()
-        val gone = machines.take(3).map { it.name }
-        registry.remove(gone)
+        registry.splitOversizedChunks()
+        val removedNames = machines.take(3).map { it.name }
+        registry.remove(removedNames)
         for (ok in outcomes + List(60) { true }) {
-            val pages = registry.takeDuePages(4)
-            if (!ok) registry.writeFailed(pages)
-            for (page in pages.takeIf { ok }.orEmpty()) {
-                assertTrue(MachineRecordCodec.encode(page.machines).encode().length <= 2048) { "a page over the limit" }
-                store[page.key] = Entry(page.key, MachineRecordCodec.encode(page.machines), 1)
+            val chunks = registry.takeDueChunks(4)
+            if (!ok) registry.onWriteFailed(chunks)
+            for (chunk in chunks.takeIf { ok }.orEmpty()) {
+                assertTrue(MachineRecordCodec.encode(chunk.machines).encode().length <= 2048) { "a page over the limit" }
+                store[chunk.key] = Entry(chunk.key, MachineRecordCodec.encode(chunk.machines), 1)
             }
-            val there = store.values.flatMap { MachineRecordCodec.decode(it.value) }.mapTo(HashSet()) { it.name }
-            assertTrue(machines.all { it.name in there || it.name in gone }) { "left out for a moment" }
+            val recordedNames = store.values.flatMap { MachineRecordCodec.decode(it.value) }.mapTo(HashSet()) { it.name }
+            assertTrue(machines.all { it.name in recordedNames || it.name in removedNames }) { "left out for a moment" }
         }
         assertTrue(!registry.hasUnwritten && store.values.all { it.value.encode().length <= 2048 }) { "not split" }
-        val next = Registry(2048)
+        val nextRegistry = MachineRegistry(2048)
         assertEquals(
-            machines.map { it.name }.toSet() - gone.toSet(),
+            machines.map { it.name }.toSet() - removedNames.toSet(),
             store.values
-                .flatMap(next::load)
+                .flatMap(nextRegistry::load)
                 .map { it.name }
                 .toSet(),
         ) { "lost" }
@@ -63,15 +63,15 @@
     fun `what is written is what a new leader reads, in few changes`(
         @ForAll steps: List<Int>,
     ) {
-        val registry = Registry(8192)
+        val registry = MachineRegistry(8192)
         val store = HashMap<String, Entry>()
-        val there = HashSet<Int>()
+        val expectedNumbers = HashSet<Int>()
         var changes = 0
 
         fun write(ok: Boolean) {
-            val pages = registry.takeDuePages(12)
-            if (!ok) return registry.writeFailed(pages)
-            for (change in pages.map { it.change }) {
+            val chunks = registry.takeDueChunks(12)
+            if (!ok) return registry.onWriteFailed(chunks)
+            for (change in chunks.map { it.change }) {
                 changes++
                 when (change) {
                     is Change.Put -> store[change.key] = Entry(change.key, change.value, 1)
@@ -82,18 +82,18 @@
         }
         for (step in steps) {
             val number = Math.floorMod(step, 300)
-            if (there.add(number)) {
+            if (expectedNumbers.add(number)) {
                 registry.add(machine(number))
             } else {
-                there.remove(number)
+                expectedNumbers.remove(number)
                 registry.remove(listOf(machine(number).name))
             }
             if (step % 5 == 0) write(ok = step % 2 == 0)
         }
         repeat(30) { write(ok = true) }
-        val next = Registry(8192)
-        val read = store.values.flatMap(next::load)
-        assertEquals(there.map(::machine).toSet(), read.toSet()) { "$read, not $there" }
+        val nextRegistry = MachineRegistry(8192)
+        val read = store.values.flatMap(nextRegistry::load)
+        assertEquals(expectedNumbers.map(::machine).toSet(), read.toSet()) { "$read, not $expectedNumbers" }
         assertTrue(changes <= steps.size + 30) { "$changes changes for ${steps.size} steps" }
     }
 
@@ -108,10 +108,10 @@
                 .add("10.0.0.1:1")
         for (broken in listOf(JsonArray().add("m2"), JsonArray(readable.list).copy().set(3, "yes"), "m2")) {
             val entry = Entry("m/4", JsonObject().put("machines", JsonArray().add(readable).add(broken)), 1)
-            val error = assertThrows(UnreadableRecord::class.java) { Registry(8192).load(entry) }
+            val error = assertThrows(UnreadableRecord::class.java) { MachineRegistry(8192).load(entry) }
             assertTrue(error.message!!.startsWith("m/4: field 'machines[1]' must be a list of name, type, zone")) { "${error.message}" }
         }
-        val none = assertThrows(UnreadableRecord::class.java) { Registry(8192).load(Entry("m/0", JsonObject(), 1)) }
+        val none = assertThrows(UnreadableRecord::class.java) { MachineRegistry(8192).load(Entry("m/0", JsonObject(), 1)) }
         assertEquals("m/0: field 'machines' must be a list", none.message)
     }
 }
--- a/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
@@ -17,33 +17,33 @@
         tasks: Int = 4,
     ) = oneCoreSpec(n, "c", priority, tasks, estimatedRunTimeUs = 10 * SECOND)
 
-    private fun waiting(
+    private fun queuedJob(
         n: Int,
         work: Double,
-        vararg due: Long,
+        vararg dueTimesUs: Long,
         priority: Priority = Priority.HIGH,
-    ) = QueuedJob(Job(spec(n, priority), n.toLong(), 0), work, due.map { PlannedObjective(it, 1.0) }, n * SECOND)
+    ) = QueuedJob(Job(spec(n, priority), n.toLong(), 0), work, dueTimesUs.map { PlannedObjective(it, 1.0) }, n * SECOND)
 
     private fun ids(jobs: List<Job>) = jobs.map { it.spec.id }
 
     @Example
     fun `where all objectives can be met the earliest due comes first whatever its priority`() {
-        val order = ObjectiveOrder.order(listOf(waiting(1, 5.0, 100), waiting(2, 5.0, 50, priority = Priority.LOW)), 1.0, 0)
+        val order = ObjectiveOrder.sort(listOf(queuedJob(1, 5.0, 100), queuedJob(2, 5.0, 50, priority = Priority.LOW)), 1.0, 0)
         assertEquals(listOf("j-2", "j-1"), ids(order)) { "${ids(order)}" }
     }
 
     @Example
     fun `the largest of the lowest priority is postponed`() {
-        val rows =
+        val queuedJobs =
             listOf(
-                waiting(1, 60.0, 70),
-                waiting(2, 20.0, 80),
-                waiting(3, 20.0, 90),
-                waiting(4, 5.0, 60, priority = Priority.STANDARD),
-                waiting(5, 9.0, 65, priority = Priority.STANDARD),
+                queuedJob(1, 60.0, 70),
+                queuedJob(2, 20.0, 80),
+                queuedJob(3, 20.0, 90),
+                queuedJob(4, 5.0, 60, priority = Priority.STANDARD),
+                queuedJob(5, 9.0, 65, priority = Priority.STANDARD),
             )
-        assertEquals(listOf("j-2", "j-3", "j-1", "j-5", "j-4"), ids(ObjectiveOrder.order(rows, 1.0, 0))) {
-            "${ids(ObjectiveOrder.order(rows, 1.0, 0))}"
+        assertEquals(listOf("j-2", "j-3", "j-1", "j-5", "j-4"), ids(ObjectiveOrder.sort(queuedJobs, 1.0, 0))) {
+            "${ids(ObjectiveOrder.sort(queuedJobs, 1.0, 0))}"
         }
     }
 
@@ -51,16 +51,16 @@
     fun `where starts are counted by tasks a large job is not postponed for its size`() {
         val large = QueuedJob(Job(spec(1, Priority.HIGH), 1, 0), 60.0, listOf(PlannedObjective(70, 6.0)), SECOND)
         val small = QueuedJob(Job(spec(2, Priority.HIGH), 2, 0), 20.0, listOf(PlannedObjective(75, 1.0)), SECOND)
-        assertEquals(listOf("j-1", "j-2"), ids(ObjectiveOrder.order(listOf(large, small), 1.0, 0))) { "the large one was postponed" }
+        assertEquals(listOf("j-1", "j-2"), ids(ObjectiveOrder.sort(listOf(large, small), 1.0, 0))) { "the large one was postponed" }
     }
 
     @Example
     fun `a job that is postponed is planned for its next objective`() {
-        val rows = listOf(waiting(1, 60.0, 70, 200), waiting(2, 20.0, 75), waiting(3, 30.0, 300))
+        val queuedJobs = listOf(queuedJob(1, 60.0, 70, 200), queuedJob(2, 20.0, 75), queuedJob(3, 30.0, 300))
         assertEquals(
             listOf("j-2", "j-1", "j-3"),
-            ids(ObjectiveOrder.order(rows, 1.0, 0)),
-        ) { "${ids(ObjectiveOrder.order(rows, 1.0, 0))}" }
+            ids(ObjectiveOrder.sort(queuedJobs, 1.0, 0)),
+        ) { "${ids(ObjectiveOrder.sort(queuedJobs, 1.0, 0))}" }
     }
 
     @Property(tries = 200, seed = "31")
@@ -69,12 +69,12 @@
         @ForAll seed: Long,
     ) {
         val random = Random(seed)
-        val rows =
+        val queuedJobs =
             List(count) {
-                val due = LongArray(random.nextInt(4)) { random.nextInt(1000).toLong() }.apply { sort() }
-                waiting(it, random.nextDouble() * 200, *due, priority = Priority.entries[random.nextInt(4)])
+                val dueTimesUs = LongArray(random.nextInt(4)) { random.nextInt(1000).toLong() }.apply { sort() }
+                queuedJob(it, random.nextDouble() * 200, *dueTimesUs, priority = Priority.entries[random.nextInt(4)])
             }
-        val order = ObjectiveOrder.order(rows, 1.0, random.nextInt(500).toLong())
-        assertTrue(order.toSet() == rows.map { it.job }.toSet() && order.size == count) { "seed $seed" }
+        val order = ObjectiveOrder.sort(queuedJobs, 1.0, random.nextInt(500).toLong())
+        assertTrue(order.toSet() == queuedJobs.map { it.job }.toSet() && order.size == count) { "seed $seed" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/OfferSelectionTest.kt
+++ b/src/test/kotlin/lichenstage/placement/OfferSelectionTest.kt
@@ -25,7 +25,7 @@
         spread: Boolean = false,
     ) = Job(oneCoreSpec(1, "c", Priority.HIGH, 9).copy(sameZone = sameZone, spread = spread), 1, 0)
 
-    private fun Job.place(
+    private fun Job.addAttempt(
         index: Int,
         partition: String,
     ) = liveAttempts.put(index, Attempt(this, index, 10L + index, "m", partition))
@@ -59,8 +59,8 @@
     @Example
     fun `a spread job has at most half of its tasks in a zone, rounded up`() {
         val job = job(spread = true)
-        job.place(0, "z/0")
-        job.place(1, "z/1")
+        job.addAttempt(0, "z/0")
+        job.addAttempt(1, "z/1")
         val remaining = zones.remainingTasksByZone(job, offers)
         assertEquals(listOf(5, 3), listOf("y", "z").map(remaining))
         assertNull(zones.requestedZone(job))
@@ -71,7 +71,7 @@
         val job = job(sameZone = true)
         assertNull(zones.requestedZone(job))
         assertEquals(listOf(0, Int.MAX_VALUE), listOf("y", "z").map(zones.remainingTasksByZone(job, offers)))
-        job.place(0, "y/0")
+        job.addAttempt(0, "y/0")
         assertEquals("y", zones.requestedZone(job))
         assertEquals(listOf(Int.MAX_VALUE - 1, 0), listOf("y", "z").map(zones.remainingTasksByZone(job, offers)))
     }
--- a/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
@@ -27,17 +27,23 @@
         dependents[first] = listOf(thumbs, drafts)
         dependents[thumbs] = listOf(last)
         dependents[drafts] = listOf(last)
-        val plan = pipelineDeadlines.Snapshot()
-        assertEquals(InheritedPriority(null, Priority.HIGH), plan.of(last)) { "${plan.of(last)}" }
-        assertEquals(InheritedPriority((200 - 8 - 4) * SECOND, Priority.HIGH), plan.of(drafts)) { "${plan.of(drafts)}" }
-        assertEquals(InheritedPriority((200 - 8 - 4 - 60 - 4) * SECOND, Priority.HIGH), plan.of(first)) { "${plan.of(first)}" }
+        val snapshot = pipelineDeadlines.Snapshot()
+        assertEquals(InheritedPriority(null, Priority.HIGH), snapshot.inheritedPriorityOf(last)) {
+            "${snapshot.inheritedPriorityOf(last)}"
+        }
+        assertEquals(InheritedPriority((200 - 8 - 4) * SECOND, Priority.HIGH), snapshot.inheritedPriorityOf(drafts)) {
+            "${snapshot.inheritedPriorityOf(drafts)}"
+        }
+        assertEquals(InheritedPriority((200 - 8 - 4 - 60 - 4) * SECOND, Priority.HIGH), snapshot.inheritedPriorityOf(first)) {
+            "${snapshot.inheritedPriorityOf(first)}"
+        }
     }
 
     @Example
     fun `deep chains are walked without recursion, and each job once`() {
         val jobs = List(20_000) { job(it, 1, dueS = if (it == 19_999) 100 else null) }
         jobs.zipWithNext { a, b -> dependents[a] = listOf(b) }
-        assertNotNull(pipelineDeadlines.Snapshot().of(jobs[0]).dueUs) { "the last deadline is lost" }
+        assertNotNull(pipelineDeadlines.Snapshot().inheritedPriorityOf(jobs[0]).dueAtUs) { "the last deadline is lost" }
     }
 
     @Example
@@ -45,12 +51,15 @@
         val first = job(1, 10)
         val last = job(2, 8, dueS = 60, priority = Priority.HIGH)
         dependents[first] = listOf(last)
-        val other = job(3, 10, dueS = 400, priority = Priority.HIGH)
+        val laterDueJob = job(3, 10, dueS = 400, priority = Priority.HIGH)
         val queue = JobQueue(serviceObjectives, emptyMap(), RunTimeEstimates(), pipelineDeadlines = pipelineDeadlines)
-        listOf(other, first).forEach {
+        listOf(laterDueJob, first).forEach {
             it.enqueueTasks()
-            queue.jobAdded(it)
+            queue.onJobAdded(it)
         }
-        assertEquals(listOf(first, other), queue.order(listOf(other, first), { 2.0 }, SECOND)) { "not planned backwards" }
+        assertEquals(
+            listOf(first, laterDueJob),
+            queue.sortWaitingJobs(listOf(laterDueJob, first), { 2.0 }, SECOND),
+        ) { "not planned backwards" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
@@ -29,7 +29,7 @@
     private fun readyInS(
         job: Job,
         nowS: Long = 0,
-    ) = (forecast.Snapshot(nowS * SECOND).readyUs(job) - nowS * SECOND) / SECOND
+    ) = (forecast.Snapshot(nowS * SECOND).readyAtUs(job) - nowS * SECOND) / SECOND
 
     @Example
     fun `a job is ready at the end of the longest chain of what it needs`() {
--- a/src/test/kotlin/lichenstage/placement/RunTimeEstimatesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/RunTimeEstimatesTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 class RunTimeEstimatesTest {
-    private val times = RunTimeEstimates()
+    private val estimates = RunTimeEstimates()
 
     private fun spec(
         tasks: Int = 1,
@@ -16,25 +16,25 @@
 
     @Example
     fun `run times are learned by class and fade in from the estimate`() {
-        assertEquals(10 * SECOND, times.expectedUs(spec())) { "${times.expectedUs(spec())}" }
-        repeat(20) { times.recordCompletion(spec(), 20 * SECOND) }
-        assertTrue(times.expectedUs(spec()) in 16 * SECOND..20 * SECOND) { "${times.expectedUs(spec())}" }
-        assertEquals(10 * SECOND, times.expectedUs(spec(jobClass = "other")), "learned from another class")
+        assertEquals(10 * SECOND, estimates.expectedRunTimeUs(spec())) { "${estimates.expectedRunTimeUs(spec())}" }
+        repeat(20) { estimates.recordCompletion(spec(), 20 * SECOND) }
+        assertTrue(estimates.expectedRunTimeUs(spec()) in 16 * SECOND..20 * SECOND) { "${estimates.expectedRunTimeUs(spec())}" }
+        assertEquals(10 * SECOND, estimates.expectedRunTimeUs(spec(jobClass = "other")), "learned from another class")
     }
 
     @Example
     fun `a task of a large job counts less than one of a small job`() {
-        times.recordCompletion(spec(tasks = 100), 20 * SECOND)
-        assertTrue(times.expectedUs(spec()) < 10_100_000) { "${times.expectedUs(spec())}" }
-        times.recordCompletion(spec(), 20 * SECOND)
-        assertTrue(times.expectedUs(spec()) > 11 * SECOND) { "${times.expectedUs(spec())}" }
+        estimates.recordCompletion(spec(tasks = 100), 20 * SECOND)
+        assertTrue(estimates.expectedRunTimeUs(spec()) < 10_100_000) { "${estimates.expectedRunTimeUs(spec())}" }
+        estimates.recordCompletion(spec(), 20 * SECOND)
+        assertTrue(estimates.expectedRunTimeUs(spec()) > 11 * SECOND) { "${estimates.expectedRunTimeUs(spec())}" }
     }
 
     @Example
     fun `a single absurd run time is bounded`() {
-        times.recordCompletion(spec(), 10_000_000 * SECOND)
-        assertTrue(times.expectedUs(spec()) < 15 * SECOND) { "${times.expectedUs(spec())}" }
-        times.recordCompletion(spec(), 0)
-        assertTrue(times.expectedUs(spec()) > 14 * SECOND) { "a run time of 0 says nothing" }
+        estimates.recordCompletion(spec(), 10_000_000 * SECOND)
+        assertTrue(estimates.expectedRunTimeUs(spec()) < 15 * SECOND) { "${estimates.expectedRunTimeUs(spec())}" }
+        estimates.recordCompletion(spec(), 0)
+        assertTrue(estimates.expectedRunTimeUs(spec()) > 14 * SECOND) { "a run time of 0 says nothing" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/ServiceObjectivesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ServiceObjectivesTest.kt
@@ -26,43 +26,43 @@
     @Example
     fun `an objective that can't be met any more is left out`() {
         val job = job()
-        val start = StartObjective(15 * SECOND, perTask = true)
-        val finish = StartObjective(89 * SECOND, perTask = false)
-        assertEquals(listOf(start, finish), serviceObjectives.startObjectives(job, SECOND, 0))
-        assertEquals(listOf(finish), serviceObjectives.startObjectives(job, SECOND, 20 * SECOND))
-        assertTrue(serviceObjectives.startObjectives(job, SECOND, 100 * SECOND).isEmpty())
+        val start = StartObjective(15 * SECOND, isPerTask = true)
+        val finish = StartObjective(89 * SECOND, isPerTask = false)
+        assertEquals(listOf(start, finish), serviceObjectives.findAttainableObjectives(job, SECOND, 0))
+        assertEquals(listOf(finish), serviceObjectives.findAttainableObjectives(job, SECOND, 20 * SECOND))
+        assertTrue(serviceObjectives.findAttainableObjectives(job, SECOND, 100 * SECOND).isEmpty())
     }
 
     @Example
     fun `an objective that is missed by a quarter of the run time is due now`() {
-        val start = serviceObjectives.startObjectives(job(), 8 * SECOND, 17 * SECOND).first()
-        assertEquals(StartObjective(17 * SECOND, perTask = true), start)
-        assertFalse(serviceObjectives.startObjectives(job(), 8 * SECOND, 17 * SECOND + 1).first().perTask, "missed by more")
+        val start = serviceObjectives.findAttainableObjectives(job(), 8 * SECOND, 17 * SECOND).first()
+        assertEquals(StartObjective(17 * SECOND, isPerTask = true), start)
+        assertFalse(serviceObjectives.findAttainableObjectives(job(), 8 * SECOND, 17 * SECOND + 1).first().isPerTask, "missed by more")
     }
 
     @Example
     fun `a deadline counts from the submission and the class's objectives from when the job is ready`() {
         val spec = oneCoreSpec(1, "c", Priority.HIGH, 2).copy(deadlineUs = 60 * SECOND, dependencies = listOf("j-0"))
         val job = Job(spec, 1, 0).apply { markReady(40 * SECOND) }
-        assertEquals(60 * SECOND, serviceObjectives.deadlineUs(job))
+        assertEquals(60 * SECOND, serviceObjectives.deadlineAtUs(job))
         assertEquals(
             listOf(55 * SECOND, 59 * SECOND, 129 * SECOND),
-            serviceObjectives.startObjectives(job, SECOND, 40 * SECOND).map { it.startByUs },
+            serviceObjectives.findAttainableObjectives(job, SECOND, 40 * SECOND).map { it.startByUs },
         )
-        assertNull(serviceObjectives.deadlineUs(job()))
+        assertNull(serviceObjectives.deadlineAtUs(job()))
     }
 
     @Example
     fun `what dependents need is an objective too`() {
-        val due = serviceObjectives.startObjectives(job(), SECOND, 0, inheritedDueUs = 10 * SECOND)
-        assertEquals(StartObjective(9 * SECOND, perTask = false), due.first())
+        val due = serviceObjectives.findAttainableObjectives(job(), SECOND, 0, inheritedDueAtUs = 10 * SECOND)
+        assertEquals(StartObjective(9 * SECOND, isPerTask = false), due.first())
     }
 
     @Example
     fun `a class starts within a time when its objective is shorter`() {
-        assertTrue(serviceObjectives.startsWithin("c", 15 * SECOND + 1))
-        assertFalse(serviceObjectives.startsWithin("c", 15 * SECOND))
-        assertFalse(serviceObjectives.startsWithin("other", Long.MAX_VALUE))
+        assertTrue(serviceObjectives.hasStartObjectiveWithin("c", 15 * SECOND + 1))
+        assertFalse(serviceObjectives.hasStartObjectiveWithin("c", 15 * SECOND))
+        assertFalse(serviceObjectives.hasStartObjectiveWithin("other", Long.MAX_VALUE))
     }
 
     private fun fourCoreSpec(number: Int) = oneCoreSpec(number, "c", Priority.HIGH, 2).copy(resources = Resources(4.0, 0.0, 1.0))
@@ -72,9 +72,12 @@
         val serviceObjectives = ServiceObjectives(listOf(Objective(ObjectiveKind.GUARANTEE, null, 5 * SECOND)))
         val team = mapOf("red" to Team("red", 12.0, 99.0, 0.0, 9.0))
         val jobs = listOf(Job(fourCoreSpec(1), 1, 30), Job(fourCoreSpec(2), 2, 10), Job(fourCoreSpec(3), 3, 20))
-        val within = serviceObjectives.guaranteed(jobs, team).map { it.spec.id }
-        assertEquals(listOf("j-2"), within) { "8 of 12 cores are j-2's, with j-3 it would be 16: $within" }
-        assertEquals(10 + 5 * SECOND, serviceObjectives.startObjectives(jobs[1], SECOND, 0, guaranteed = true).first().startByUs) {
+        val guaranteedJobs = serviceObjectives.selectGuaranteedJobs(jobs, team).map { it.spec.id }
+        assertEquals(listOf("j-2"), guaranteedJobs) { "8 of 12 cores are j-2's, with j-3 it would be 16: $guaranteedJobs" }
+        assertEquals(
+            10 + 5 * SECOND,
+            serviceObjectives.findAttainableObjectives(jobs[1], SECOND, 0, isGuaranteed = true).first().startByUs,
+        ) {
             "no promise of it"
         }
     }
