--- a/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
@@ -106,7 +106,7 @@
         nowUs: Long,
     ): Long {
         val progressUs = attempt.progressUs(nowUs)
-        return maxOf(runTimes.expectedUs(attempt.job.spec) - progressUs, progressUs / OVERRUN_DIVISOR)
+        return maxOf(runTimes.expectedRunTimeUs(attempt.job.spec) - progressUs, progressUs / OVERRUN_DIVISOR)
     }
 
     private fun savesCheckpoints(attempt: Attempt) = attempt.job.spec.checkpointIntervalUs > 0
--- a/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
@@ -34,7 +34,7 @@
     private val lastSentAtUs = HashMap<String, Long>()
     private val duePartitions = HashSet<String>()
     private val partitionSync = PartitionSync()
-    private val orders = TaskOrders()
+    private val pendingCommands = PendingCommands()
     private val saves = HashMap<String, List<SaveOrder>>()
 
     /** There is news for the partition: its next frame is due soon. */
@@ -44,14 +44,14 @@
 
     /** A new owner of the partition gets all orders anew. */
     fun resetForNewOwner(partition: String) {
-        orders.forget(partition)
+        pendingCommands.removePartition(partition)
         markDue(partition)
     }
 
     fun removeMachine(
         partition: String,
         machine: String,
-    ) = orders.forget(partition, machine)
+    ) = pendingCommands.removeMachine(partition, machine)
 
     /** What a machine has to stop and to clear now. */
     fun setStopsAndClears(
@@ -60,7 +60,7 @@
         stops: List<AttemptOrder>,
         clears: List<AttemptOrder>,
     ) {
-        if (orders.set(partition, machine, stops, clears)) markDue(partition)
+        if (pendingCommands.replace(partition, machine, stops, clears)) markDue(partition)
     }
 
     /** Tasks that are to save, by partition, in place of those before. */
@@ -92,7 +92,7 @@
         duePartitions -= id
         val partition = source.partition(id)
         val needsInitialState = !partitionSync.hasInitialState(id, partition, seq)
-        val (stops, clears) = orders.take(id, nowUs)
+        val (stops, clears) = pendingCommands.takeDue(id, nowUs)
         val frame =
             PlacementFrame(
                 partition = id,
