--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -141,7 +141,7 @@
         metrics.gauge("open_jobs") { leader?.openJobs ?: 0 }
         metrics.gauge("machines") { partition.machineCount }
         metrics.gauge("starts_unanswered") { partition.indeterminateStartCount }
-        metrics.gauge("oldest_unanswered_start_s") { partition.oldestIndeterminateStartUs?.let { (clock.now() - it) / SECOND } ?: 0 }
+        metrics.gauge("oldest_unanswered_start_s") { partition.oldestIndeterminateStartAtUs?.let { (clock.now() - it) / SECOND } ?: 0 }
         metrics.gauge("served_connections") { connectionBudget.servedConnections }
         metrics.gauge("heap_bytes") { Runtime.getRuntime().let { it.totalMemory() - it.freeMemory() } }
     }
--- a/src/main/kotlin/lichenstage/partition/ChangeLog.kt
+++ b/src/main/kotlin/lichenstage/partition/ChangeLog.kt
@@ -16,9 +16,9 @@
 ) {
     /** In the order of the changes. */
     private val unacknowledged = LinkedHashSet<Machine>()
-    private val offers = ArrayList<Offer>()
+    private val pendingOffers = ArrayList<Offer>()
     private var version = 0L
-    private var acknowledged = 0L
+    private var acknowledgedVersion = 0L
     private var leaderTerm = 0L
 
     /** The last frame of the leader that was received. */
@@ -28,9 +28,9 @@
     private var confirmedSeq = 0L
 
     /** Whole frames that are not acknowledged: the leader's frame up to which each is complete, by the frame's own version. */
-    private val unconfirmed = Long2LongLinkedOpenHashMap()
-    private var isFrameWanted = true
-    private var lastSentUs = Long.MIN_VALUE / 2
+    private val unconfirmedFrames = Long2LongLinkedOpenHashMap()
+    private var isFrameRequested = true
+    private var lastSentAtUs = Long.MIN_VALUE / 2
 
     /** The version that the next change gets. */
     val nextVersion get() = version + 1
@@ -40,7 +40,7 @@
         machine.markChanged(++version)
         unacknowledged.remove(machine)
         unacknowledged.add(machine)
-        isFrameWanted = true
+        isFrameRequested = true
     }
 
     /** Drops a machine that the partition has removed. */
@@ -50,16 +50,16 @@
 
     /** Has a frame sent soon, whether or not a machine has changed. */
     fun requestFrame() {
-        isFrameWanted = true
+        isFrameRequested = true
     }
 
     /** Adds an offer to the next frame. */
-    fun add(offer: Offer) {
-        offers += offer
+    fun addOffer(offer: Offer) {
+        pendingOffers += offer
     }
 
     /** Whether a frame of the leader is newer than those received; an older one is not obeyed (invariant 8). */
-    fun isNewer(
+    fun isNewerFrame(
         frameTerm: Long,
         seq: Long,
     ): Boolean = frameTerm > leaderTerm || (frameTerm == leaderTerm && seq > receivedSeq)
@@ -80,26 +80,26 @@
         leaderTerm = newLeaderTerm
         receivedSeq = 0
         confirmedSeq = 0
-        unconfirmed.clear()
-        acknowledged = 0
-        offers.clear()
+        unconfirmedFrames.clear()
+        acknowledgedVersion = 0
+        pendingOffers.clear()
         unacknowledged.clear()
         unacknowledged += machines.sortedBy { it.version }
         machines.forEach {
-            it.invalidateUsage()
+            it.invalidateUsedResources()
             it.resetAcknowledged()
         }
-        isFrameWanted = true
+        isFrameRequested = true
     }
 
-    /** The leader has acknowledged all versions up to [upTo]. */
-    fun acknowledge(upTo: Long) {
-        confirm(upTo)
-        acknowledged = maxOf(acknowledged, upTo)
+    /** The leader has acknowledged all versions up to [upToVersion]. */
+    fun acknowledge(upToVersion: Long) {
+        confirmFinalFrame(upToVersion)
+        acknowledgedVersion = maxOf(acknowledgedVersion, upToVersion)
         val iterator = unacknowledged.iterator()
         while (iterator.hasNext()) {
             val machine = iterator.next()
-            if (machine.version > acknowledged) return
+            if (machine.version > acknowledgedVersion) return
             machine.markAcknowledged()
             iterator.remove()
         }
@@ -109,19 +109,19 @@
      * The leader has this very version. Only where that is a whole frame's own version does it prove that the frame has arrived: the leader
      * may have come to a higher version by partial frames, which leave out machines that have changed again.
      */
-    private fun confirm(acknowledgedVersion: Long) {
-        if (!unconfirmed.containsKey(acknowledgedVersion)) return
-        confirmedSeq = maxOf(confirmedSeq, unconfirmed.get(acknowledgedVersion))
-        while (!unconfirmed.isEmpty() && unconfirmed.firstLongKey() <= acknowledgedVersion) unconfirmed.removeFirstLong()
+    private fun confirmFinalFrame(leaderVersion: Long) {
+        if (!unconfirmedFrames.containsKey(leaderVersion)) return
+        confirmedSeq = maxOf(confirmedSeq, unconfirmedFrames.get(leaderVersion))
+        while (!unconfirmedFrames.isEmpty() && unconfirmedFrames.firstLongKey() <= leaderVersion) unconfirmedFrames.removeFirstLong()
     }
 
     /** Gives a whole frame a version that no partial frame can end with, so that their acknowledgements can be told apart. */
-    private fun startWholeFrame() {
+    private fun startFinalFrame() {
         val isConfirmed = receivedSeq == confirmedSeq
-        val isVersionShared = unconfirmed.containsKey(version) && unconfirmed.get(version) == receivedSeq
+        val isVersionShared = unconfirmedFrames.containsKey(version) && unconfirmedFrames.get(version) == receivedSeq
         if (isConfirmed || isVersionShared) return
-        unconfirmed.put(++version, receivedSeq)
-        if (unconfirmed.size > MAX_UNCONFIRMED) unconfirmed.removeFirstLong()
+        unconfirmedFrames.put(++version, receivedSeq)
+        if (unconfirmedFrames.size > MAX_UNCONFIRMED_FRAMES) unconfirmedFrames.removeFirstLong()
     }
 
     /**
@@ -130,36 +130,36 @@
      * @param machineCount the number of machines in the partition
      */
     fun nextFrame(
-        now: Long,
+        nowUs: Long,
         machineCount: Int,
     ): PartitionFrame? {
-        if (leaderTerm == 0L || !isDue(now)) return null
-        lastSentUs = now
-        val included = firstUnacknowledged(machineCount)
-        val whole = included.size == unacknowledged.size
-        isFrameWanted = !whole
-        if (whole) startWholeFrame()
-        return frame(now, included, whole).also { offers.clear() }
+        if (leaderTerm == 0L || !isDue(nowUs)) return null
+        lastSentAtUs = nowUs
+        val includedMachines = selectNextMachines(machineCount)
+        val isFinal = includedMachines.size == unacknowledged.size
+        isFrameRequested = !isFinal
+        if (isFinal) startFinalFrame()
+        return buildFrame(nowUs, includedMachines, isFinal).also { pendingOffers.clear() }
     }
 
-    private fun frame(
-        now: Long,
-        included: List<Machine>,
-        whole: Boolean,
+    private fun buildFrame(
+        nowUs: Long,
+        includedMachines: List<Machine>,
+        isFinal: Boolean,
     ) = PartitionFrame(
         partition = parameters.id,
         term = parameters.term,
-        ageUs = now - parameters.acquiredUs,
+        ageUs = nowUs - parameters.acquiredAtUs,
         leaderTerm = leaderTerm,
         // While changes are left out, nothing may be concluded from what is not listed, also where an earlier frame was whole: it may
         // have been lost. (A task whose start that frame alone had carried was taken for never started.)
-        seq = if (whole) receivedSeq else confirmedSeq,
+        seq = if (isFinal) receivedSeq else confirmedSeq,
         receivedSeq = receivedSeq,
-        since = acknowledged,
-        version = if (whole) version else included.last().version,
-        whole = whole,
-        machines = included.map { it.toMachineState() },
-        offers = ArrayList(offers),
+        since = acknowledgedVersion,
+        version = if (isFinal) version else includedMachines.last().version,
+        whole = isFinal,
+        machines = includedMachines.map { it.toMachineState() },
+        offers = ArrayList(pendingOffers),
     )
 
     /**
@@ -167,33 +167,33 @@
      * a fixed size would never be whole in a large partition, and only a whole frame lets the leader conclude anything from what is not
      * listed (invariant 17). At 4,000 machines of which a tenth changes until the answer, frames of a hundred never were.
      */
-    private fun firstUnacknowledged(machineCount: Int): List<Machine> {
-        val shares = ((machineCount + MACHINES_PER_SHARE - 1) / MACHINES_PER_SHARE).coerceAtLeast(1)
-        var attempts = 0
+    private fun selectNextMachines(machineCount: Int): List<Machine> {
+        val machineGroups = ((machineCount + MACHINES_PER_GROUP - 1) / MACHINES_PER_GROUP).coerceAtLeast(1)
+        var attemptCount = 0
         return unacknowledged
             .asSequence()
-            .take(parameters.maxMachinesPerFrame * shares)
+            .take(parameters.maxMachinesPerFrame * machineGroups)
             .takeWhile { machine ->
-                val isFirst = attempts == 0
-                attempts += machine.attempts.size
-                isFirst || attempts <= MAX_ATTEMPTS_PER_FRAME
+                val isFirst = attemptCount == 0
+                attemptCount += machine.attempts.size
+                isFirst || attemptCount <= MAX_ATTEMPTS_PER_FRAME
             }.toList()
     }
 
-    private fun isDue(now: Long): Boolean {
-        val elapsedUs = now - lastSentUs
-        if (!isFrameWanted) return elapsedUs >= IDLE_INTERVAL_US
-        return elapsedUs >= BATCH_INTERVAL_US || offers.isNotEmpty()
+    private fun isDue(nowUs: Long): Boolean {
+        val elapsedUs = nowUs - lastSentAtUs
+        if (!isFrameRequested) return elapsedUs >= IDLE_INTERVAL_US
+        return elapsedUs >= BATCH_INTERVAL_US || pendingOffers.isNotEmpty()
     }
 
     companion object {
-        /** The machines that one frame carries at most, for each [MACHINES_PER_SHARE] machines of the partition or part of that. */
+        /** The machines that one frame carries at most, for each [MACHINES_PER_GROUP] machines of the partition or part of that. */
         const val MAX_MACHINES_PER_FRAME = 100
-        private const val MACHINES_PER_SHARE = 400
+        private const val MACHINES_PER_GROUP = 400
 
         /** At some 50 bytes each they leave a frame well below the size that is read, and a small process can hold it twice. */
         private const val MAX_ATTEMPTS_PER_FRAME = 30_000
-        private const val MAX_UNCONFIRMED = 64
+        private const val MAX_UNCONFIRMED_FRAMES = 64
 
         /** How often a frame is sent while nothing changes. */
         private const val IDLE_INTERVAL_US = 800 * MILLI
--- a/src/main/kotlin/lichenstage/partition/HeartbeatParser.kt
+++ b/src/main/kotlin/lichenstage/partition/HeartbeatParser.kt
@@ -26,13 +26,13 @@
         if (parser.nextToken() != JsonToken.START_OBJECT) throw InvalidHeartbeatException(null, "a JSON object")
         forEachField(::readField)
         return Heartbeat(
-            machine ?: missing(WorkerField.MACHINE),
-            address ?: missing(WorkerField.ADDRESS),
-            typeName ?: missing(WorkerField.MACHINE_TYPE),
-            zone ?: missing(WorkerField.ZONE),
+            machine ?: failMissing(WorkerField.MACHINE),
+            address ?: failMissing(WorkerField.ADDRESS),
+            typeName ?: failMissing(WorkerField.MACHINE_TYPE),
+            zone ?: failMissing(WorkerField.ZONE),
             spot,
-            notNegative(WorkerField.AGENT_EPOCH, agentEpoch),
-            notNegative(WorkerField.SEQUENCE, sequence),
+            requireNotNegative(WorkerField.AGENT_EPOCH, agentEpoch),
+            requireNotNegative(WorkerField.SEQUENCE, sequence),
             fencingToken,
             recallUs,
             tasks,
@@ -44,15 +44,15 @@
         value: JsonToken?,
     ) {
         when (name) {
-            WorkerField.MACHINE -> machine = text(name)
-            WorkerField.ADDRESS -> address = text(name)
-            WorkerField.MACHINE_TYPE -> typeName = text(name)
-            WorkerField.ZONE -> zone = text(name)
+            WorkerField.MACHINE -> machine = readString(name)
+            WorkerField.ADDRESS -> address = readString(name)
+            WorkerField.MACHINE_TYPE -> typeName = readString(name)
+            WorkerField.ZONE -> zone = readString(name)
             WorkerField.SPOT -> spot = value == JsonToken.VALUE_TRUE
-            WorkerField.AGENT_EPOCH -> agentEpoch = integer(name)
-            WorkerField.SEQUENCE -> sequence = integer(name)
-            WorkerField.FENCING_TOKEN -> if (value != JsonToken.VALUE_NULL) fencingToken = integer(name)
-            WorkerField.RECALL_S -> if (value != JsonToken.VALUE_NULL) recallUs = (number(name) * SECOND).toLong()
+            WorkerField.AGENT_EPOCH -> agentEpoch = readLong(name)
+            WorkerField.SEQUENCE -> sequence = readLong(name)
+            WorkerField.FENCING_TOKEN -> if (value != JsonToken.VALUE_NULL) fencingToken = readLong(name)
+            WorkerField.RECALL_S -> if (value != JsonToken.VALUE_NULL) recallUs = (readDouble(name) * SECOND).toLong()
             WorkerField.TASKS -> if (value != JsonToken.VALUE_NULL) readTasks()
             else -> parser.skipChildren()
         }
@@ -71,17 +71,17 @@
         var cause: String? = null
         forEachField { name, value ->
             when (name) {
-                WorkerField.TASK -> task = text(name)
-                WorkerField.ATTEMPT -> attempt = integer(name)
-                WorkerField.PHASE -> phase = WorkerField.phase(text(name))
-                WorkerField.CAUSE -> if (value != JsonToken.VALUE_NULL) cause = text(name)
+                WorkerField.TASK -> task = readString(name)
+                WorkerField.ATTEMPT -> attempt = readLong(name)
+                WorkerField.PHASE -> phase = WorkerField.parsePhase(readString(name))
+                WorkerField.CAUSE -> if (value != JsonToken.VALUE_NULL) cause = readString(name)
                 else -> parser.skipChildren()
             }
         }
         return TaskReport(
-            task ?: missing(WorkerField.TASK),
-            notNegative(WorkerField.ATTEMPT, attempt),
-            phase ?: missing(WorkerField.PHASE),
+            task ?: failMissing(WorkerField.TASK),
+            requireNotNegative(WorkerField.ATTEMPT, attempt),
+            phase ?: failMissing(WorkerField.PHASE),
             cause,
         )
     }
@@ -95,28 +95,28 @@
         }
     }
 
-    private fun text(field: String): String {
+    private fun readString(field: String): String {
         if (parser.currentToken() != JsonToken.VALUE_STRING) throw InvalidHeartbeatException(field, "a string")
         return parser.text
     }
 
-    private fun integer(field: String): Long =
+    private fun readLong(field: String): Long =
         try {
             parser.longValue
         } catch (e: JsonProcessingException) {
             throw InvalidHeartbeatException(field, "an integer", e)
         }
 
-    private fun number(field: String): Double =
+    private fun readDouble(field: String): Double =
         try {
             parser.doubleValue
         } catch (e: JsonProcessingException) {
             throw InvalidHeartbeatException(field, "a number", e)
         }
 
-    private fun missing(field: String): Nothing = throw InvalidHeartbeatException(field, "a value")
+    private fun failMissing(field: String): Nothing = throw InvalidHeartbeatException(field, "a value")
 
-    private fun notNegative(
+    private fun requireNotNegative(
         field: String,
         value: Long,
     ): Long = if (value >= 0) value else throw InvalidHeartbeatException(field, "an integer that is not negative")
--- a/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
+++ b/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
@@ -13,25 +13,26 @@
     fun apply(
         machine: Machine,
         heartbeat: Heartbeat,
-        now: Long,
+        nowUs: Long,
     ): Boolean {
         if (!isNewer(machine, heartbeat)) return false
-        machine.lastMessageUs = now
-        var changed = machine.lost || machine.address != heartbeat.address || (machine.recallUs == null) != (heartbeat.recallUs == null)
+        machine.lastMessageAtUs = nowUs
+        var hasChanged =
+            machine.isLost || machine.address != heartbeat.address || (machine.recallUs == null) != (heartbeat.recallUs == null)
         if (heartbeat.agentEpoch > machine.agentEpoch) {
-            startAgentEpoch(machine, heartbeat.agentEpoch, now)
-            changed = true
+            startAgentEpoch(machine, heartbeat.agentEpoch, nowUs)
+            hasChanged = true
         }
-        machine.sequence = heartbeat.sequence
-        machine.lost = false
+        machine.lastAppliedSequence = heartbeat.sequence
+        machine.isLost = false
         machine.address = heartbeat.address
         machine.recallUs = heartbeat.recallUs
         if (fencingTokens.isOwnersToken(heartbeat.fencingToken)) {
-            if (!machine.tokenConfirmed) changed = true
+            if (!machine.isTokenConfirmed) hasChanged = true
             machine.observedFencingToken = maxOf(machine.observedFencingToken, heartbeat.fencingToken)
-            if (applyTasks(machine, heartbeat, now)) changed = true
+            if (applyTasks(machine, heartbeat, nowUs)) hasChanged = true
         }
-        if (changed) changes.record(machine)
+        if (hasChanged) changes.record(machine)
         return true
     }
 
@@ -41,46 +42,46 @@
     ): Boolean {
         if (heartbeat.agentEpoch != machine.agentEpoch) return heartbeat.agentEpoch > machine.agentEpoch
         // A heartbeat of an epoch whose lease has expired is a late one: the tasks that it lists are gone.
-        return heartbeat.sequence > machine.sequence && !machine.lost
+        return heartbeat.sequence > machine.lastAppliedSequence && !machine.isLost
     }
 
     /** The worker has killed and forgotten all tasks of the earlier epoch, and refuses orders that carry it. */
     private fun startAgentEpoch(
         machine: Machine,
         agentEpoch: Long,
-        now: Long,
+        nowUs: Long,
     ) {
         machine.startAgentEpoch(agentEpoch)
-        machine.agentEpochFirstSeenUs = now
+        machine.agentEpochFirstSeenAtUs = nowUs
         // The lease expired although its heartbeats were answered, so answers may not reach it: it has to answer an order first.
-        machine.unresponsive = true
+        machine.isUnresponsive = true
     }
 
     /** Applies the task list of a worker that has shown this owner's token; true where that changes something. */
     private fun applyTasks(
         machine: Machine,
         heartbeat: Heartbeat,
-        now: Long,
+        nowUs: Long,
     ): Boolean {
-        var changed = false
-        for (report in heartbeat.tasks) if (applyTask(machine, report, heartbeat.sequence, now)) changed = true
-        if (machine.removeAttempts { it.isListed && it.lastListedSequence != heartbeat.sequence }) changed = true
-        if (changed) machine.invalidateUsage()
-        return changed
+        var hasChanged = false
+        for (report in heartbeat.tasks) if (applyTask(machine, report, heartbeat.sequence, nowUs)) hasChanged = true
+        if (machine.removeAttempts { it.isListed && it.lastListedSequence != heartbeat.sequence }) hasChanged = true
+        if (hasChanged) machine.invalidateUsedResources()
+        return hasChanged
     }
 
     private fun applyTask(
         machine: Machine,
         report: TaskReport,
         sequence: Long,
-        now: Long,
+        nowUs: Long,
     ): Boolean {
-        val known = machine.attempts.get(report.attempt)
-        val attempt = known ?: addAttempt(machine, report, now)
+        val existing = machine.attempts.get(report.attempt)
+        val attempt = existing ?: addAttempt(machine, report, nowUs)
         attempt.lastListedSequence = sequence
-        if (attempt.phase == report.phase && attempt.cause == report.cause) return known == null
+        if (attempt.phase == report.phase && attempt.cause == report.cause) return existing == null
         // The worker has executed a start: commands reach it.
-        if (!attempt.isListed) machine.unresponsive = false
+        if (!attempt.isListed) machine.isUnresponsive = false
         if (attempt.isUnwantedStart) events(OrderEvent.LateStart(machine.name, machine.agentEpoch, attempt.task, attempt.number))
         attempt.phase = report.phase
         attempt.cause = report.cause
@@ -91,9 +92,9 @@
     private fun addAttempt(
         machine: Machine,
         report: TaskReport,
-        now: Long,
+        nowUs: Long,
     ): WorkerAttempt {
-        val attempt = WorkerAttempt(report.task, report.attempt, now)
+        val attempt = WorkerAttempt(report.task, report.attempt, nowUs)
         attempt.version = changes.nextVersion
         machine.attempts.put(report.attempt, attempt)
         requirementsOf(attempt.job)?.let(machine::recordImageUse)
--- a/src/main/kotlin/lichenstage/partition/HeldCapacity.kt
+++ b/src/main/kotlin/lichenstage/partition/HeldCapacity.kt
@@ -4,23 +4,23 @@
 
 /** The capacity of one machine that is held for placement requests. */
 internal class HeldCapacity {
-    private var count = 0
+    private var heldTasks = 0
 
     /** What the held tasks take together. */
-    var total = NOTHING
+    var total = NO_RESOURCES
         private set
 
-    /** Holds capacity for [tasks] more tasks of [resources], or fewer where [tasks] is negative. */
-    fun add(
+    /** Holds capacity for [taskCount] more tasks of [resources], or fewer where [taskCount] is negative. */
+    fun adjust(
         resources: Resources,
-        tasks: Int,
+        taskCount: Int,
     ) {
-        count += tasks
+        heldTasks += taskCount
         // Reset to exactly nothing, so that rounding errors of many shares don't add up.
-        total = if (count == 0) NOTHING else total - resources * -tasks
+        total = if (heldTasks == 0) NO_RESOURCES else total - resources * -taskCount
     }
 
     private companion object {
-        val NOTHING = Resources(0.0, 0.0, 0.0)
+        val NO_RESOURCES = Resources(0.0, 0.0, 0.0)
     }
 }
--- a/src/main/kotlin/lichenstage/partition/HoldTable.kt
+++ b/src/main/kotlin/lichenstage/partition/HoldTable.kt
@@ -15,46 +15,46 @@
     private val zone: String,
     private val limitsOf: (String) -> MachineLimits?,
     private val requirementsOf: (String) -> JobRequirements?,
-    private val machineOf: (String) -> Machine?,
+    private val findMachine: (String) -> Machine?,
 ) {
     /** The tasks for which [request] holds capacity, by machine. */
     private class Hold(
         val request: PlacementRequest,
-        val grantedUs: Long,
-        val counts: MutableMap<String, Int>,
+        val grantedAtUs: Long,
+        val taskCounts: MutableMap<String, Int>,
     )
 
-    private val holds = Long2ObjectHashMap<Hold>()
+    private val holdsByRequest = Long2ObjectHashMap<Hold>()
 
-    /** The request that holds capacity on [machine] under [stamp]; null where nothing is held any more. */
-    fun find(
-        stamp: Long,
+    /** The request that holds capacity on [machine] under [requestNumber]; null where nothing is held any more. */
+    fun findRequest(
+        requestNumber: Long,
         machine: String,
-    ): PlacementRequest? = holds.get(stamp)?.takeIf { (it.counts[machine] ?: 0) > 0 }?.request
+    ): PlacementRequest? = holdsByRequest.get(requestNumber)?.takeIf { (it.taskCounts[machine] ?: 0) > 0 }?.request
 
     /** Uses the capacity of one task. */
     fun consume(
-        stamp: Long,
+        requestNumber: Long,
         machine: Machine,
     ) {
-        val hold = holds.get(stamp) ?: return
-        hold.counts.merge(machine.name, -1, Int::plus)
-        machine.hold(hold.request.requirements.resources, -1)
+        val hold = holdsByRequest.get(requestNumber) ?: return
+        hold.taskCounts.merge(machine.name, -1, Int::plus)
+        machine.adjustHold(hold.request.requirements.resources, -1)
     }
 
-    /** Releases what is still held under [stamp]. */
-    fun release(stamp: Long) {
-        val hold = holds.remove(stamp) ?: return
-        for ((name, count) in hold.counts) if (count > 0) machineOf(name)?.hold(hold.request.requirements.resources, -count)
+    /** Releases what is still held under [requestNumber]. */
+    fun release(requestNumber: Long) {
+        val hold = holdsByRequest.remove(requestNumber) ?: return
+        for ((name, count) in hold.taskCounts) if (count > 0) findMachine(name)?.adjustHold(hold.request.requirements.resources, -count)
     }
 
-    fun releaseAll() = holds.keys.toList().forEach(::release)
+    fun releaseAll() = holdsByRequest.keys.toList().forEach(::release)
 
     /** Releases the holds that have expired. */
-    fun expire(now: Long) {
-        if (holds.isEmpty()) return
-        holds.values
-            .filter { now - it.grantedUs > HOLD_LIFETIME_US }
+    fun expire(nowUs: Long) {
+        if (holdsByRequest.isEmpty()) return
+        holdsByRequest.values
+            .filter { nowUs - it.grantedAtUs > HOLD_LIFETIME_US }
             .map { it.request.stamp }
             .forEach(::release)
     }
@@ -63,22 +63,22 @@
      * An offer for each request, in the order of their stamps. Where a job has several requests, the later ones are for what the earlier
      * ones were not granted.
      *
-     * @param usable the machines that take tasks
-     * @param isJobOver whether a job is known to be over, which its leader may not know yet; it is granted nothing
+     * @param usableMachines the machines that take tasks
+     * @param hasJobEnded whether a job is known to be over, which its leader may not know yet; it is granted nothing
      */
     fun grantAll(
         requests: List<PlacementRequest>,
-        usable: Sequence<Machine>,
-        now: Long,
-        isJobOver: (String) -> Boolean,
+        usableMachines: Sequence<Machine>,
+        nowUs: Long,
+        hasJobEnded: (String) -> Boolean,
     ): List<Offer> {
         if (requests.isEmpty()) return emptyList()
-        val granted = HashMap<String, Int>()
-        val candidates = candidates(requests, usable)
+        val grantedTasks = HashMap<String, Int>()
+        val candidates = selectCandidates(requests, usableMachines)
         return requests.sortedBy { it.stamp }.map { request ->
-            val maxTasks = request.count - (granted[request.job] ?: 0)
-            val offer = if (isJobOver(request.job)) emptyOffer(request) else grant(request, maxTasks, candidates, now)
-            granted.merge(request.job, offer.held.sumOf { it.count }, Int::plus)
+            val maxTasks = request.count - (grantedTasks[request.job] ?: 0)
+            val offer = if (hasJobEnded(request.job)) emptyOffer(request) else grant(request, maxTasks, candidates, nowUs)
+            grantedTasks.merge(request.job, offer.held.sumOf { it.count }, Int::plus)
             offer
         }
     }
@@ -89,15 +89,16 @@
      * The machines with capacity for the smallest of the requests. In a backlog nearly all are full, and dozens of requests that each look
      * at every machine would cost more than everything else that a partition does.
      */
-    private fun candidates(
+    private fun selectCandidates(
         requests: List<PlacementRequest>,
-        usable: Sequence<Machine>,
+        usableMachines: Sequence<Machine>,
     ): List<Machine> {
-        val shapes = requests.map { it.requirements.resources }
-        val smallest = Resources(shapes.minOf { it.cores }, shapes.minOf { it.gpus }, shapes.minOf { it.memGb })
-        return usable
+        val requestedResources = requests.map { it.requirements.resources }
+        val smallest =
+            Resources(requestedResources.minOf { it.cores }, requestedResources.minOf { it.gpus }, requestedResources.minOf { it.memGb })
+        return usableMachines
             .filter { machine ->
-                limitsOf(machine.typeName)?.let { machine.freeSlots(smallest, it.capacity, requirementsOf) > 0 } == true
+                limitsOf(machine.typeName)?.let { machine.countFreeSlots(smallest, it.capacity, requirementsOf) > 0 } == true
             }.toList()
     }
 
@@ -106,19 +107,19 @@
         request: PlacementRequest,
         maxTasks: Int,
         candidates: List<Machine>,
-        now: Long,
+        nowUs: Long,
     ): Offer {
         if (request.zone != null && request.zone != zone) return emptyOffer(request)
-        val held = PlacementScore.selectRoomiest(candidates.mapNotNull { slots(request, it) }, maxTasks)
-        if (held.isNotEmpty()) {
-            holds[request.stamp] = Hold(request, now, held.associateTo(HashMap()) { it.machine to it.count })
-            held.forEach { machineOf(it.machine)!!.hold(request.requirements.resources, it.count) }
+        val heldSlots = PlacementScore.selectRoomiest(candidates.mapNotNull { findFreeSlots(request, it) }, maxTasks)
+        if (heldSlots.isNotEmpty()) {
+            holdsByRequest[request.stamp] = Hold(request, nowUs, heldSlots.associateTo(HashMap()) { it.machine to it.count })
+            heldSlots.forEach { findMachine(it.machine)!!.adjustHold(request.requirements.resources, it.count) }
         }
-        return Offer(request.stamp, held)
+        return Offer(request.stamp, heldSlots)
     }
 
     /** What a machine has for a request; null where it has nothing. */
-    private fun slots(
+    private fun findFreeSlots(
         request: PlacementRequest,
         machine: Machine,
     ): HeldSlots? {
@@ -127,7 +128,7 @@
         val hasImage = machine.hasImage(request.requirements.image)
         if (request.imageOnly && !hasImage) return null
         val limits = limitsOf(machine.typeName) ?: return null
-        val tasks = machine.freeSlots(request.requirements.resources, limits.capacity, requirementsOf)
+        val tasks = machine.countFreeSlots(request.requirements.resources, limits.capacity, requirementsOf)
         return if (tasks > 0) HeldSlots(machine.name, tasks, tasks, hasImage) else null
     }
 
--- a/src/main/kotlin/lichenstage/partition/ImageCache.kt
+++ b/src/main/kotlin/lichenstage/partition/ImageCache.kt
@@ -9,23 +9,23 @@
     private val capacityGb: Double,
 ) {
     /** Sizes in GB, the image that was used last at the end. */
-    private val sizes = LinkedHashMap<String, Double>()
+    private val sizesGb = LinkedHashMap<String, Double>()
     private var totalGb = 0.0
 
-    operator fun contains(image: String) = sizes.containsKey(image)
+    operator fun contains(image: String) = sizesGb.containsKey(image)
 
     /** Records a use of [image]; the images that were used longest ago make room. */
     fun recordUse(
         image: String,
-        gb: Double,
+        sizeGb: Double,
     ) {
-        totalGb += gb - (sizes.remove(image) ?: 0.0)
-        sizes[image] = gb
-        while (totalGb > capacityGb && sizes.size > 1) totalGb -= sizes.remove(sizes.keys.first())!!
+        totalGb += sizeGb - (sizesGb.remove(image) ?: 0.0)
+        sizesGb[image] = sizeGb
+        while (totalGb > capacityGb && sizesGb.size > 1) totalGb -= sizesGb.remove(sizesGb.keys.first())!!
     }
 
     fun clear() {
-        sizes.clear()
+        sizesGb.clear()
         totalGb = 0.0
     }
 }
--- a/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
+++ b/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
@@ -20,23 +20,23 @@
     /** Applies [frame]; one that is older than the newest received is not obeyed (invariant 8). */
     fun apply(
         frame: PlacementFrame,
-        now: Long,
+        nowUs: Long,
     ) {
         if (changes.isNewLeader(frame.term)) startLeaderTerm(frame.term)
-        if (!changes.isNewer(frame.term, frame.seq)) return
+        if (!changes.isNewerFrame(frame.term, frame.seq)) return
         changes.markReceived(frame.seq)
-        placement.update(frame)
+        placement.updateFrom(frame)
         probes.addAll(frame.addresses)
         if (frame.ackTerm == term) changes.acknowledge(frame.ackVersion)
-        placement.expireHolds(now)
+        placement.expireHolds(nowUs)
         frame.releases.forEach(placement::release)
-        for (order in frame.starts) start(order, now)
+        for (order in frame.starts) handleStart(order, nowUs)
         // The leader has not chosen what is left of a hold after its starts.
         frame.starts.forEach { placement.release(it.stamp) }
         for (order in frame.stops) updateAttempt(order) { it.stopRequested = true }
         for (order in frame.clears) updateAttempt(order) { it.clearRequested = true }
         frame.saves.forEach(::requestCheckpointStop)
-        placement.grant(frame.requests, now).forEach(changes::add)
+        placement.grant(frame.requests, nowUs).forEach(changes::addOffer)
         if (frame.requests.isNotEmpty() || frame.starts.isNotEmpty() || frame.stops.isNotEmpty()) changes.requestFrame()
     }
 
@@ -46,36 +46,36 @@
     }
 
     /** A start without a hold is refused: the machine's task list, sent again, shows the leader that the attempt isn't there. */
-    private fun start(
+    private fun handleStart(
         order: StartOrder,
-        now: Long,
+        nowUs: Long,
     ) {
         val machine = machines[order.machine] ?: return
-        val request = placement.heldFor(order.stamp, machine)
-        val refusal = placement.refusal(request, machine, now)
+        val request = placement.findHeldRequest(order.stamp, machine)
+        val refusal = placement.findRefusal(request, machine, nowUs)
         if (refusal != null) {
             val task = request?.let { "${it.job}/${order.index}" }.orEmpty()
             events(OrderEvent.StartRefused(order.machine, task, order.attempt, refusal))
         } else if (request != null) {
-            start(order, request, machine, now)
+            startTask(order, request, machine, nowUs)
         }
         changes.record(machine)
     }
 
-    private fun start(
+    private fun startTask(
         order: StartOrder,
         request: PlacementRequest,
         machine: Machine,
-        now: Long,
+        nowUs: Long,
     ) {
         placement.consume(order.stamp, machine)
         machine.recordImageUse(request.requirements)
         if (!machine.attempts.containsKey(order.attempt)) {
-            val attempt = WorkerAttempt("${request.job}/${order.index}", order.attempt, now)
+            val attempt = WorkerAttempt("${request.job}/${order.index}", order.attempt, nowUs)
             attempt.version = changes.nextVersion
             fencing.noteOpenJob(attempt)
             machine.attempts.put(order.attempt, attempt)
-            machine.invalidateUsage()
+            machine.invalidateUsedResources()
         }
         orders.add(machine)
     }
--- a/src/main/kotlin/lichenstage/partition/MachineRegistry.kt
+++ b/src/main/kotlin/lichenstage/partition/MachineRegistry.kt
@@ -11,27 +11,27 @@
     private val changes: ChangeLog,
     private val limitsOf: (String) -> MachineLimits?,
 ) {
-    private val machines = HashMap<String, Machine>()
+    private val machinesByName = HashMap<String, Machine>()
 
-    val size get() = machines.size
-    val all: Collection<Machine> get() = machines.values
+    val size get() = machinesByName.size
+    val all: Collection<Machine> get() = machinesByName.values
 
     /** The machine of this name; null where it is not known. */
-    operator fun get(name: String): Machine? = machines[name]
+    operator fun get(name: String): Machine? = machinesByName[name]
 
     /** The machine that sent [heartbeat], added where it is not known yet. */
     fun getOrAdd(
         heartbeat: Heartbeat,
-        now: Long,
-    ): Machine = machines.getOrPut(heartbeat.machine) { newMachine(heartbeat, now) }
+        nowUs: Long,
+    ): Machine = machinesByName.getOrPut(heartbeat.machine) { createMachine(heartbeat, nowUs) }
 
-    private fun newMachine(
+    private fun createMachine(
         heartbeat: Heartbeat,
-        now: Long,
+        nowUs: Long,
     ): Machine {
         val cacheGb = limitsOf(heartbeat.typeName)?.cacheGb ?: Double.POSITIVE_INFINITY
         val machine = Machine(heartbeat.machine, heartbeat, cacheGb)
-        machine.agentEpochFirstSeenUs = now
+        machine.agentEpochFirstSeenAtUs = nowUs
         // One that was removed may come back with the token that it was last given.
         machine.fencingToken = if (fencingTokens.isOwnersToken(heartbeat.fencingToken)) heartbeat.fencingToken else parameters.term
         changes.record(machine)
@@ -39,21 +39,21 @@
     }
 
     /** Marks machines as silent whose heartbeats are overdue, and as lost whose lease has expired. */
-    fun expire(now: Long) = machines.values.forEach { expire(it, now) }
+    fun updateLiveness(nowUs: Long) = machinesByName.values.forEach { updateLiveness(it, nowUs) }
 
-    private fun expire(
+    private fun updateLiveness(
         machine: Machine,
-        now: Long,
+        nowUs: Long,
     ) {
-        if (!machine.lost && isLeaseExpired(machine, now)) {
-            machine.lost = true
+        if (!machine.isLost && isLeaseExpired(machine, nowUs)) {
+            machine.isLost = true
             machine.removeAttempts { true }
-            machine.invalidateUsage()
+            machine.invalidateUsedResources()
             changes.record(machine)
         }
-        val silent = isSilent(machine, now)
-        if (silent != machine.silent) {
-            machine.silent = silent
+        val isSilent = isHeartbeatOverdue(machine, nowUs)
+        if (isSilent != machine.isSilent) {
+            machine.isSilent = isSilent
             changes.record(machine)
         }
     }
@@ -61,25 +61,25 @@
     /** Past its lease, counted from the last answer to it, a worker has killed its tasks (invariant 3). */
     private fun isLeaseExpired(
         machine: Machine,
-        now: Long,
+        nowUs: Long,
     ): Boolean {
-        val sinceUs = maxOf(machine.lastAnsweredUs, machine.agentEpochFirstSeenUs, parameters.acquiredUs)
-        return now - sinceUs > withDrift(parameters.workerLeaseUs) + EXPIRY_MARGIN_US
+        val leaseStartedAtUs = maxOf(machine.lastReplyAtUs, machine.agentEpochFirstSeenAtUs, parameters.acquiredAtUs)
+        return nowUs - leaseStartedAtUs > withDrift(parameters.workerLeaseUs) + EXPIRY_MARGIN_US
     }
 
     /** Counted from the failover at the earliest: a worker needs time to find its new owner. */
-    private fun isSilent(
+    private fun isHeartbeatOverdue(
         machine: Machine,
-        now: Long,
+        nowUs: Long,
     ): Boolean {
-        val sinceUs = maxOf(machine.lastMessageUs, parameters.acquiredUs)
-        return now - sinceUs > parameters.heartbeatIntervalUs * SILENT_HEARTBEATS + EXPIRY_MARGIN_US
+        val lastSeenAtUs = maxOf(machine.lastMessageAtUs, parameters.acquiredAtUs)
+        return nowUs - lastSeenAtUs > parameters.heartbeatIntervalUs * SILENT_HEARTBEATS + EXPIRY_MARGIN_US
     }
 
     /** Removes and returns the machines that have been lost for so long that nothing needs to be known of them. */
-    fun removeLongLost(now: Long): List<Machine> {
-        val removed = machines.values.filter { it.lost && now - it.lastAnsweredUs > LOST_MACHINE_RETENTION_US }
-        removed.forEach { machines -= it.name }
+    fun removeLongLostMachines(nowUs: Long): List<Machine> {
+        val removed = machinesByName.values.filter { it.isLost && nowUs - it.lastReplyAtUs > LOST_MACHINE_RETENTION_US }
+        removed.forEach { machinesByName -= it.name }
         return removed
     }
 
--- a/src/main/kotlin/lichenstage/partition/OrderFencing.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderFencing.kt
@@ -43,13 +43,13 @@
         if (machine !in machinesWithUnwantedStarts) return
         val disproven =
             machine.attempts.values.filter {
-                it.stopRequested && it.provenNotStarted(machine.heartbeatSequence, machine.observedFencingToken)
+                it.stopRequested && it.provenNotStarted(machine.lastHeartbeatSequence, machine.observedFencingToken)
             }
         disproven.filter { it.isStartIndeterminate }.forEach { events(startDisproven(machine, it)) }
         if (disproven.isNotEmpty()) machine.removeAttempts { it in disproven }
         if (machine.attempts.values.none { it.isUnwantedStart }) machinesWithUnwantedStarts -= machine
         if (disproven.isNotEmpty()) {
-            machine.invalidateUsage()
+            machine.invalidateUsedResources()
             changes.record(machine)
         }
     }
@@ -101,7 +101,7 @@
 
     /** Not while an order is in flight, which would be refused as well: what waits to be cleared can wait for another round. */
     private fun mustRefuseRepeats(machine: Machine) =
-        machine.acceptsOrders && machine.attempts.values.any { it.needsTokenToClear(machine.fencingToken) }
+        machine.canTakeOrders && machine.attempts.values.any { it.needsTokenToClear(machine.fencingToken) }
 
     /**
      * Whether a heartbeat of [machine] may be answered, which renews its lease. Not where the machine's token lets it execute a start whose
--- a/src/main/kotlin/lichenstage/partition/OrderQueue.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderQueue.kt
@@ -98,7 +98,7 @@
         for (machine in candidates) {
             if (orders.size >= limit) break
             due -= machine
-            if (machine.acceptsOrders && isUrgent(machine, now)) orders += order(machine, now)
+            if (machine.canTakeOrders && isUrgent(machine, now)) orders += order(machine, now)
         }
         return orders
     }
@@ -113,7 +113,7 @@
             it.startOrderToken = machine.fencingToken
             it.startsInFlight++
         }
-        machine.orderInFlight = true
+        machine.hasOrderInFlight = true
         return DirectOrder(machine.name, machine.address, machine.fencingToken, machine.agentEpoch, commands)
     }
 
@@ -135,7 +135,7 @@
         order: DirectOrder,
         outcome: OrderOutcome,
     ) {
-        machine.orderInFlight = false
+        machine.hasOrderInFlight = false
         if (machine.agentEpoch != order.agentEpoch) return
         for (command in order.commands) {
             if (command !is Command.Start) continue
--- a/src/main/kotlin/lichenstage/partition/OwnedPartitions.kt
+++ b/src/main/kotlin/lichenstage/partition/OwnedPartitions.kt
@@ -22,25 +22,25 @@
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.partition")
     private val assignment = settings.assignment
-    private val partitions = HashMap<String, PartitionCore>()
+    private val partitionsById = HashMap<String, PartitionCore>()
 
     /** All partitions that this process holds, whether or not it may act for them now. */
-    val all: Collection<PartitionCore> get() = partitions.values
+    val all: Collection<PartitionCore> get() = partitionsById.values
 
     /** The partition of this name; null where this process does not hold it. */
-    operator fun get(id: String): PartitionCore? = partitions[id]
+    operator fun get(id: String): PartitionCore? = partitionsById[id]
 
     /** The partition where it is still held under [term]: what an earlier ownership has caused is dropped. */
-    fun underTerm(
+    fun findUnderTerm(
         id: String,
         term: Long,
-    ): PartitionCore? = partitions[id]?.takeIf { it.term == term }
+    ): PartitionCore? = partitionsById[id]?.takeIf { it.term == term }
 
     /** The name of the partition that a machine belongs to; null where there is none in its zone. */
-    fun idFor(heartbeat: Heartbeat): String? = assignment.partitionOf(heartbeat.machine, heartbeat.zone)
+    fun partitionIdOf(heartbeat: Heartbeat): String? = assignment.partitionOf(heartbeat.machine, heartbeat.zone)
 
     /** The label of the controller that owns the partition, where it is known and another one. */
-    fun otherOwner(id: String): String? = authority.ownerOf(id)?.label?.takeIf { it != settings.label }
+    fun remoteOwnerLabel(id: String): String? = authority.ownerOf(id)?.label?.takeIf { it != settings.label }
 
     /**
      * Whether this process may act for the partition now. Owning it is not enough: an answer renews a lease, and must not keep alive what a
@@ -50,25 +50,25 @@
         authority.heldPartition(partition.id)?.term == partition.term && replica.isCurrent(clock.now())
 
     /** Follows the ownership of partitions. One whose authority only pauses keeps its state. */
-    fun refresh(now: Long) {
+    fun updateOwnership(nowUs: Long) {
         for (id in assignment.partitions) {
             val owner = authority.ownerOf(id)
-            val partition = partitions[id]
-            if (partition != null && owner != null && owner.term > partition.term) partitions.remove(id)
+            val partition = partitionsById[id]
+            if (partition != null && owner != null && owner.term > partition.term) partitionsById.remove(id)
             val ownership = authority.heldPartition(id) ?: continue
-            if (partitions[id]?.term == ownership.term) continue
-            partitions[id] = newPartition(id, ownership.term, now)
+            if (partitionsById[id]?.term == ownership.term) continue
+            partitionsById[id] = createPartition(id, ownership.term, nowUs)
             log.info("Ownership acquired partition={} term={}", id, ownership.term)
         }
     }
 
-    private fun newPartition(
+    private fun createPartition(
         id: String,
         term: Long,
-        now: Long,
+        nowUs: Long,
     ): PartitionCore {
         val zone = assignment.zone(id)!!
-        val parameters = PartitionParameters(id, zone, term, settings.workerLeaseUs, settings.heartbeatIntervalUs, now)
+        val parameters = PartitionParameters(id, zone, term, settings.workerLeaseUs, settings.heartbeatIntervalUs, nowUs)
         return PartitionCore(parameters, replica, { journal.add(id, term, it) }, limitsOf)
     }
 }
--- a/src/main/kotlin/lichenstage/partition/PartitionActor.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionActor.kt
@@ -23,7 +23,7 @@
     authority: Authority,
     private val sendToLeader: (PartitionFrame) -> Unit,
 ) {
-    private val mailbox = Mailbox("partition", scope, ::handle, shed = ::shed)
+    private val mailbox = Mailbox("partition", scope, ::handle, shed = ::tryDrop)
     private val dispatcher = WorkerDispatcher(scope, workers, authority, mailbox::tell)
 
     init {
@@ -42,48 +42,48 @@
     val indeterminateStartCount get() = partitions.all.sumOf { it.indeterminateStarts().count() }
 
     /** When the oldest of these starts was sent, in microseconds; null where there is none. */
-    val oldestIndeterminateStartUs
+    val oldestIndeterminateStartAtUs
         get() = partitions.all.mapNotNull { partition -> partition.indeterminateStarts().minOfOrNull { it.startOrderedUs } }.minOrNull()
 
     /** Adds a message to the actor's inbox. */
     fun tell(message: PartitionMessage) = mailbox.tell(message)
 
     /** Whether the message may be dropped where the inbox is full: heartbeats and frames are repeated. */
-    private fun shed(message: PartitionMessage): Boolean {
-        if (message is PartitionMessage.HeartbeatReceived) message.answer(HeartbeatReply.Unavailable)
+    private fun tryDrop(message: PartitionMessage): Boolean {
+        if (message is PartitionMessage.HeartbeatReceived) message.reply(HeartbeatReply.Unavailable)
         return message is PartitionMessage.HeartbeatReceived || message is PartitionMessage.LeaderFrameReceived ||
             message is PartitionMessage.Tick
     }
 
     private fun handle(message: PartitionMessage) {
-        val now = clock.now()
+        val nowUs = clock.now()
         when (message) {
-            is PartitionMessage.HeartbeatReceived -> onHeartbeat(message, now)
-            is PartitionMessage.LeaderFrameReceived -> onLeaderFrame(message, now)
-            is PartitionMessage.OrderCompleted -> onOrderCompleted(message, now)
-            is PartitionMessage.ProbeCompleted -> onProbeCompleted(message, now)
+            is PartitionMessage.HeartbeatReceived -> onHeartbeat(message, nowUs)
+            is PartitionMessage.LeaderFrameReceived -> onLeaderFrame(message, nowUs)
+            is PartitionMessage.OrderCompleted -> onOrderCompleted(message, nowUs)
+            is PartitionMessage.ProbeCompleted -> onProbeCompleted(message, nowUs)
             is PartitionMessage.TokensReserved -> onTokensReserved(message)
-            PartitionMessage.Tick -> onTick(now)
+            PartitionMessage.Tick -> onTick(nowUs)
         }
     }
 
     private fun onHeartbeat(
         message: PartitionMessage.HeartbeatReceived,
-        now: Long,
+        nowUs: Long,
     ) {
         val heartbeat = message.heartbeat
-        val id = partitions.idFor(heartbeat) ?: return message.answer(HeartbeatReply.Unavailable)
-        if (partitions[id] == null) partitions.refresh(now)
+        val id = partitions.partitionIdOf(heartbeat) ?: return message.reply(HeartbeatReply.Unavailable)
+        if (partitions[id] == null) partitions.updateOwnership(nowUs)
         val partition = partitions[id]
         if (partition != null && partitions.isAuthorized(partition)) {
-            message.answer(reply(partition.onHeartbeat(heartbeat, now)))
-            sendDue(partition, now)
+            message.reply(toReply(partition.onHeartbeat(heartbeat, nowUs)))
+            sendDueOrdersAndFrame(partition, nowUs)
         } else {
-            message.answer(partitions.otherOwner(id)?.let(HeartbeatReply::Redirect) ?: HeartbeatReply.Unavailable)
+            message.reply(partitions.remoteOwnerLabel(id)?.let(HeartbeatReply::Redirect) ?: HeartbeatReply.Unavailable)
         }
     }
 
-    private fun reply(outcome: HeartbeatOutcome): HeartbeatReply =
+    private fun toReply(outcome: HeartbeatOutcome): HeartbeatReply =
         when (outcome) {
             is HeartbeatOutcome.Accepted -> HeartbeatReply.Accepted(outcome.fencingToken, outcome.commands)
             HeartbeatOutcome.Superseded, HeartbeatOutcome.Withheld -> HeartbeatReply.Unavailable
@@ -91,55 +91,55 @@
 
     private fun onLeaderFrame(
         message: PartitionMessage.LeaderFrameReceived,
-        now: Long,
+        nowUs: Long,
     ) {
-        partitions.refresh(now)
+        partitions.updateOwnership(nowUs)
         val partition = partitions[message.frame.partition] ?: return
-        partition.onLeaderFrame(message.frame, now)
-        sendDue(partition, now)
+        partition.onLeaderFrame(message.frame, nowUs)
+        sendDueOrdersAndFrame(partition, nowUs)
     }
 
     private fun onOrderCompleted(
         message: PartitionMessage.OrderCompleted,
-        now: Long,
+        nowUs: Long,
     ) {
-        val partition = partitions.underTerm(message.partition, message.term) ?: return
-        partition.onOrderOutcome(message.order, message.outcome, now)
-        sendDue(partition, now)
+        val partition = partitions.findUnderTerm(message.partition, message.term) ?: return
+        partition.onOrderOutcome(message.order, message.outcome, nowUs)
+        sendDueOrdersAndFrame(partition, nowUs)
     }
 
     private fun onProbeCompleted(
         message: PartitionMessage.ProbeCompleted,
-        now: Long,
+        nowUs: Long,
     ) {
-        val partition = partitions.underTerm(message.partition, message.term) ?: return
-        partition.onProbeResult(message.probe, message.heartbeat, now)
-        sendDue(partition, now)
+        val partition = partitions.findUnderTerm(message.partition, message.term) ?: return
+        partition.onProbeResult(message.probe, message.heartbeat, nowUs)
+        sendDueOrdersAndFrame(partition, nowUs)
     }
 
     private fun onTokensReserved(message: PartitionMessage.TokensReserved) {
-        partitions.underTerm(message.partition, message.term)?.addReservedTokens(message.fencingTokens)
+        partitions.findUnderTerm(message.partition, message.term)?.addReservedTokens(message.fencingTokens)
     }
 
-    private fun onTick(now: Long) {
-        partitions.refresh(now)
+    private fun onTick(nowUs: Long) {
+        partitions.updateOwnership(nowUs)
         for (partition in partitions.all) {
-            partition.tick(now)
+            partition.tick(nowUs)
             if (!partitions.isAuthorized(partition)) continue
-            if (partition.tokenReservationDue(now)) dispatcher.reserveTokens(partition)
-            partition.nextProbes(now, dispatcher.available / 2).forEach { dispatcher.probe(partition, it) }
-            sendDue(partition, now)
+            if (partition.shouldReserveTokens(nowUs)) dispatcher.reserveTokens(partition)
+            partition.nextProbes(nowUs, dispatcher.available / 2).forEach { dispatcher.probe(partition, it) }
+            sendDueOrdersAndFrame(partition, nowUs)
         }
     }
 
     /** Sends the direct orders and the frame that are due, where the process may act for the partition. */
-    private fun sendDue(
+    private fun sendDueOrdersAndFrame(
         partition: PartitionCore,
-        now: Long,
+        nowUs: Long,
     ) {
         if (!partitions.isAuthorized(partition)) return
-        partition.nextDirectOrders(now, dispatcher.available).forEach { dispatcher.send(partition, it) }
-        partition.nextFrame(now)?.let(sendToLeader)
+        partition.nextDirectOrders(nowUs, dispatcher.available).forEach { dispatcher.send(partition, it) }
+        partition.nextFrame(nowUs)?.let(sendToLeader)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/partition/PartitionCore.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionCore.kt
@@ -26,17 +26,17 @@
     private val events: (OrderEvent) -> Unit = {},
     limitsOf: (String) -> MachineLimits?,
 ) {
-    private val requirements = LruMap<String, JobRequirements>(MAX_CACHED_JOBS)
-    private val requirementsOf: (String) -> JobRequirements? = { requirements[it] }
+    private val requirementsByJob = LruMap<String, JobRequirements>(MAX_CACHED_JOBS)
+    private val requirementsOf: (String) -> JobRequirements? = { requirementsByJob[it] }
     private val changes = ChangeLog(parameters)
-    private val fencingTokens = FencingTokens(parameters.term, parameters.acquiredUs)
+    private val fencingTokens = FencingTokens(parameters.term, parameters.acquiredAtUs)
     private val machines = MachineRegistry(parameters, fencingTokens, changes, limitsOf)
     private val heartbeats = HeartbeatProcessor(fencingTokens, changes, events, requirementsOf)
     private val orders = OrderQueue()
     private val fencing = OrderFencing(fencingTokens, changes, jobCompletions, events)
     private val probes = ProbeSchedule(parameters.term)
     private val holds = HoldTable(parameters.zone, limitsOf, requirementsOf, machines::get)
-    private val placement = PlacementOffers(parameters, machines, holds, requirements, jobCompletions)
+    private val placement = PlacementOffers(parameters, machines, holds, requirementsByJob, jobCompletions)
     private val endedJobStops = EndedJobStops(jobCompletions, machines, orders, fencing, events)
     private val leaderFrames = LeaderFrameHandler(parameters.term, machines, changes, placement, orders, fencing, probes, events)
 
@@ -55,54 +55,54 @@
     /** Applies a heartbeat that a worker sent to this controller, and decides on its answer. */
     fun onHeartbeat(
         heartbeat: Heartbeat,
-        now: Long,
+        nowUs: Long,
     ): HeartbeatOutcome {
         if (heartbeat.fencingToken > fencingTokens.highest) return HeartbeatOutcome.Superseded
-        val machine = machines.getOrAdd(heartbeat, now)
-        if (heartbeats.apply(machine, heartbeat, now)) {
+        val machine = machines.getOrAdd(heartbeat, nowUs)
+        if (heartbeats.apply(machine, heartbeat, nowUs)) {
             probes.add(heartbeat.machine, heartbeat.address)
-            machine.ordersBlocked = false
-            machine.lastHeartbeatUs = now
+            machine.areDirectOrdersBlocked = false
+            machine.lastHeartbeatAtUs = nowUs
             if (machine.attempts.isNotEmpty()) orders.add(machine)
         }
-        if (!fencing.mayRenewLease(machine, now)) return HeartbeatOutcome.Withheld
+        if (!fencing.mayRenewLease(machine, nowUs)) return HeartbeatOutcome.Withheld
         val isCurrentEpoch = heartbeat.agentEpoch == machine.agentEpoch
         // Even where it is an old one: the answer to an order may have overtaken it, and the worker counts its lease from it.
         if (isCurrentEpoch) {
-            machine.lastAnsweredUs = now
-            machine.heartbeatSequence = maxOf(machine.heartbeatSequence, heartbeat.sequence)
+            machine.lastReplyAtUs = nowUs
+            machine.lastHeartbeatSequence = maxOf(machine.lastHeartbeatSequence, heartbeat.sequence)
             fencing.removeDisprovenStarts(machine)
         }
-        val takesCommands = machine.tokenConfirmed && isCurrentEpoch && !machine.lost
-        val commands = if (takesCommands) orders.commandsForAnswer(machine, heartbeat.sequence, now) else emptyList()
+        val canTakeCommands = machine.isTokenConfirmed && isCurrentEpoch && !machine.isLost
+        val commands = if (canTakeCommands) orders.commandsForAnswer(machine, heartbeat.sequence, nowUs) else emptyList()
         return HeartbeatOutcome.Accepted(machine.fencingToken, commands)
     }
 
     /** Applies a frame of the leader; one that is older than the newest received is not obeyed (invariant 8). */
     fun onLeaderFrame(
         frame: PlacementFrame,
-        now: Long,
-    ) = leaderFrames.apply(frame, now)
+        nowUs: Long,
+    ) = leaderFrames.apply(frame, nowUs)
 
     /** Applies the result of a probe: the worker's heartbeat, or null where it could not be had. */
     fun onProbeResult(
         probe: StatusProbe,
         heartbeat: Heartbeat?,
-        now: Long,
+        nowUs: Long,
     ) {
-        probes.complete(probe)
+        probes.handleProbeEnd(probe)
         if (heartbeat == null || heartbeat.machine != probe.machine || heartbeat.zone != parameters.zone) return
         if (heartbeat.fencingToken > fencingTokens.highest) return
-        val machine = machines.getOrAdd(heartbeat, now)
+        val machine = machines.getOrAdd(heartbeat, nowUs)
         markResponsive(machine)
-        heartbeats.apply(machine, heartbeat, now)
+        heartbeats.apply(machine, heartbeat, nowUs)
     }
 
     /** Applies the outcome of a direct order. */
     fun onOrderOutcome(
         order: DirectOrder,
         outcome: OrderOutcome,
-        now: Long,
+        nowUs: Long,
     ) {
         val machine = machines[order.machine] ?: return
         val proven = outcome.provenFor(order)
@@ -110,8 +110,8 @@
         when (proven) {
             is OrderOutcome.Answered -> {
                 markResponsive(machine)
-                proven.heartbeat?.let { heartbeats.apply(machine, it, now) }
-                if (!proven.executed) machine.ordersBlocked = true
+                proven.heartbeat?.let { heartbeats.apply(machine, it, nowUs) }
+                if (!proven.executed) machine.areDirectOrdersBlocked = true
             }
 
             OrderOutcome.NotSent -> {
@@ -128,33 +128,33 @@
 
     /** The machine has answered an order or a probe, so commands reach it (invariant 12). */
     private fun markResponsive(machine: Machine) {
-        machine.ordersBlocked = false
+        machine.areDirectOrdersBlocked = false
         if (machine.attempts.isNotEmpty()) orders.add(machine)
-        if (machine.unresponsive) {
-            machine.unresponsive = false
+        if (machine.isUnresponsive) {
+            machine.isUnresponsive = false
             changes.record(machine)
         }
     }
 
     private fun markUnresponsive(machine: Machine) {
-        machine.ordersBlocked = true
-        if (!machine.unresponsive) {
-            machine.unresponsive = true
+        machine.areDirectOrdersBlocked = true
+        if (!machine.isUnresponsive) {
+            machine.isUnresponsive = true
             changes.record(machine)
         }
     }
 
     /** Does what depends on time alone; to be called a few times a second. */
-    fun tick(now: Long) {
-        holds.expire(now)
-        machines.expire(now)
-        endedJobStops.check(now)
+    fun tick(nowUs: Long) {
+        holds.expire(nowUs)
+        machines.updateLiveness(nowUs)
+        endedJobStops.check(nowUs)
         fencing.removeDisprovenStarts()
-        fencing.raiseTokens(machines.all, now)
-        machines.removeLongLost(now).forEach(::remove)
+        fencing.raiseTokens(machines.all, nowUs)
+        machines.removeLongLostMachines(nowUs).forEach(::removeMachine)
     }
 
-    private fun remove(machine: Machine) {
+    private fun removeMachine(machine: Machine) {
         probes.remove(machine.name)
         changes.remove(machine)
         orders.remove(machine)
@@ -163,21 +163,21 @@
 
     /** The direct orders to send now, at most [limit]. Each outcome is reported by [onOrderOutcome]. */
     fun nextDirectOrders(
-        now: Long,
+        nowUs: Long,
         limit: Int = Int.MAX_VALUE,
-    ): List<DirectOrder> = orders.nextDirectOrders(now, limit)
+    ): List<DirectOrder> = orders.nextDirectOrders(nowUs, limit)
 
     /** The probes to send now, at most [limit]. Each result is reported by [onProbeResult]. */
     fun nextProbes(
-        now: Long,
+        nowUs: Long,
         limit: Int = Int.MAX_VALUE,
-    ): List<StatusProbe> = probes.next(now, limit, machines::get)
+    ): List<StatusProbe> = probes.nextProbes(nowUs, limit, machines::get)
 
     /** The next frame for the leader, or null while none is due. */
-    fun nextFrame(now: Long): PartitionFrame? = changes.nextFrame(now, machines.size)
+    fun nextFrame(nowUs: Long): PartitionFrame? = changes.nextFrame(nowUs, machines.size)
 
     /** Whether fencing tokens should be reserved for this owner now; a true answer counts as an attempt to do so. */
-    fun tokenReservationDue(now: Long) = fencingTokens.reservationDue(now, lacksTokens)
+    fun shouldReserveTokens(nowUs: Long) = fencingTokens.reservationDue(nowUs, lacksTokens)
 
     /** Adds fencing tokens that are reserved for this owner alone, above all that were ever handed out. */
     fun addReservedTokens(range: LongRange) = fencingTokens.add(range)
--- a/src/main/kotlin/lichenstage/partition/PartitionMessage.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionMessage.kt
@@ -4,10 +4,10 @@
 
 /** The messages of [PartitionActor]. */
 sealed interface PartitionMessage {
-    /** A worker's heartbeat; [answer] is called once, when its answer is to be written. */
+    /** A worker's heartbeat; [reply] is called once, when its answer is to be written. */
     data class HeartbeatReceived(
         val heartbeat: Heartbeat,
-        val answer: (HeartbeatReply) -> Unit,
+        val reply: (HeartbeatReply) -> Unit,
     ) : PartitionMessage
 
     /** A frame of the leader has come. */
--- a/src/main/kotlin/lichenstage/partition/PartitionParameters.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionParameters.kt
@@ -8,7 +8,7 @@
  * @property term the term of the ownership; the fencing token of its machines until an order has to be fenced off
  * @property workerLeaseUs how long a worker runs tasks after the sending of the last answered heartbeat, in microseconds
  * @property heartbeatIntervalUs how often workers send heartbeats, in microseconds
- * @property acquiredUs when the partition was acquired, in microseconds of the controller's clock
+ * @property acquiredAtUs when the partition was acquired, in microseconds of the controller's clock
  * @property maxMachinesPerFrame see [ChangeLog.MAX_MACHINES_PER_FRAME]
  */
 data class PartitionParameters(
@@ -17,6 +17,6 @@
     val term: Long,
     val workerLeaseUs: Long,
     val heartbeatIntervalUs: Long,
-    val acquiredUs: Long,
+    val acquiredAtUs: Long,
     val maxMachinesPerFrame: Int = ChangeLog.MAX_MACHINES_PER_FRAME,
 )
--- a/src/main/kotlin/lichenstage/partition/PlacementOffers.kt
+++ b/src/main/kotlin/lichenstage/partition/PlacementOffers.kt
@@ -11,77 +11,81 @@
     private val parameters: PartitionParameters,
     private val machines: MachineRegistry,
     private val holds: HoldTable,
-    private val requirements: MutableMap<String, JobRequirements>,
+    private val requirementsByJob: MutableMap<String, JobRequirements>,
     private val jobCompletions: JobCompletions,
 ) {
-    private var cordoned: Set<String> = emptySet()
+    private var cordonedMachines: Set<String> = emptySet()
 
     /** A new leader: the holds of the one before are dropped (invariant 8). */
     fun startLeaderTerm() {
-        requirements.clear()
+        requirementsByJob.clear()
         holds.releaseAll()
-        cordoned = emptySet()
+        cordonedMachines = emptySet()
     }
 
     /** Takes over the jobs' requirements and the cordons of the leader's frame. */
-    fun update(frame: PlacementFrame) {
-        requirements.putAll(frame.requirements)
-        frame.cordoned?.let { cordoned = it }
+    fun updateFrom(frame: PlacementFrame) {
+        requirementsByJob.putAll(frame.requirements)
+        frame.cordoned?.let { cordonedMachines = it }
     }
 
-    /** The request for which capacity is held on [machine] under [stamp]; null where the hold has expired or is not known. */
-    fun heldFor(
-        stamp: Long,
+    /** The request for which capacity is held on [machine] under [requestNumber]; null where the hold has expired or is not known. */
+    fun findHeldRequest(
+        requestNumber: Long,
         machine: Machine,
-    ): PlacementRequest? = holds.find(stamp, machine.name)
+    ): PlacementRequest? = holds.findRequest(requestNumber, machine.name)
 
     /** Why a task of [request] can't be started on [machine], or null where it can. A null request has no hold. */
-    fun refusal(
+    fun findRefusal(
         request: PlacementRequest?,
         machine: Machine,
-        now: Long,
+        nowUs: Long,
     ): StartRefusal? =
         when {
             request == null -> StartRefusal.HOLD_EXPIRED
-            jobCompletions.hasEnded(request.job, now) -> StartRefusal.JOB_ENDED
+            jobCompletions.hasEnded(request.job, nowUs) -> StartRefusal.JOB_ENDED
             !isUsable(machine) -> StartRefusal.MACHINE_UNUSABLE
             else -> null
         }
 
     /** Uses the held capacity of one task. */
     fun consume(
-        stamp: Long,
+        requestNumber: Long,
         machine: Machine,
-    ) = holds.consume(stamp, machine)
+    ) = holds.consume(requestNumber, machine)
 
-    /** Releases what is still held under [stamp]. */
-    fun release(stamp: Long) = holds.release(stamp)
+    /** Releases what is still held under [requestNumber]. */
+    fun release(requestNumber: Long) = holds.release(requestNumber)
 
     /** Releases the holds that have expired. */
-    fun expireHolds(now: Long) = holds.expire(now)
+    fun expireHolds(nowUs: Long) = holds.expire(nowUs)
 
     /** Holds capacity for the requests of the leader's frame. */
     fun grant(
         requests: List<PlacementRequest>,
-        now: Long,
+        nowUs: Long,
     ): List<Offer> {
-        requests.forEach { requirements[it.job] = it.requirements }
-        val usable = machines.all.asSequence().filter { isUsable(it) && it.name !in cordoned && !isLeaseUnrenewed(it, now) }
-        return holds.grantAll(requests, usable, now) { jobCompletions.hasEnded(it, now) }
+        requests.forEach { requirementsByJob[it.job] = it.requirements }
+        val usableMachines =
+            machines.all.asSequence().filter {
+                isUsable(it) && it.name !in cordonedMachines &&
+                    !isLeaseRenewalOverdue(it, nowUs)
+            }
+        return holds.grantAll(requests, usableMachines, nowUs) { jobCompletions.hasEnded(it, nowUs) }
     }
 
     /** Not where its token is unconfirmed, it goes away, orders don't reach it, or it lists too much that can't be cleared yet. */
     private fun isUsable(machine: Machine) =
-        machine.tokenConfirmed && !machine.lost && !machine.unresponsive && machine.recallUs == null &&
+        machine.isTokenConfirmed && !machine.isLost && !machine.isUnresponsive && machine.recallUs == null &&
             machine.attempts.size < MAX_ATTEMPTS_PER_MACHINE
 
     /** Its heartbeats are overdue for so long that nothing may be renewing its lease (invariant 12). */
-    private fun isLeaseUnrenewed(
+    private fun isLeaseRenewalOverdue(
         machine: Machine,
-        now: Long,
+        nowUs: Long,
     ): Boolean {
-        val sinceUs = maxOf(machine.lastHeartbeatUs, parameters.acquiredUs)
-        return now - sinceUs > parameters.heartbeatIntervalUs * OVERDUE_HALF_INTERVALS / 2
+        val renewedAtUs = maxOf(machine.lastHeartbeatAtUs, parameters.acquiredAtUs)
+        return nowUs - renewedAtUs > parameters.heartbeatIntervalUs * OVERDUE_HALF_INTERVALS / 2
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/partition/ProbeSchedule.kt
+++ b/src/main/kotlin/lichenstage/partition/ProbeSchedule.kt
@@ -26,8 +26,8 @@
     private val term: Long,
 ) {
     private val addresses = HashMap<String, String>()
-    private val lastProbedUs = HashMap<String, Long>()
-    private val inFlight = HashSet<String>()
+    private val lastProbedAtUs = HashMap<String, Long>()
+    private val machinesInFlight = HashSet<String>()
 
     /** Adds machines with their addresses. */
     fun addAll(machines: Map<String, String>) {
@@ -45,37 +45,37 @@
     /** Drops a machine that the partition has removed. */
     fun remove(machine: String) {
         addresses -= machine
-        lastProbedUs -= machine
+        lastProbedAtUs -= machine
     }
 
     /** The probes to send now, at most [limit]. */
-    fun next(
-        now: Long,
+    fun nextProbes(
+        nowUs: Long,
         limit: Int,
-        machineOf: (String) -> Machine?,
+        findMachine: (String) -> Machine?,
     ): List<StatusProbe> {
-        val due = ArrayList<StatusProbe>()
+        val dueProbes = ArrayList<StatusProbe>()
         for ((name, address) in addresses) {
-            if (inFlight.size >= MAX_IN_FLIGHT || due.size >= limit) break
-            val machine = machineOf(name)
-            if (isReachable(machine) || !isDue(name, now)) continue
-            inFlight += name
-            lastProbedUs[name] = now
-            due += StatusProbe(name, machine?.address ?: address, machine?.fencingToken ?: term, machine?.agentEpoch ?: 0)
+            if (machinesInFlight.size >= MAX_IN_FLIGHT || dueProbes.size >= limit) break
+            val machine = findMachine(name)
+            if (isReachable(machine) || !isDue(name, nowUs)) continue
+            machinesInFlight += name
+            lastProbedAtUs[name] = nowUs
+            dueProbes += StatusProbe(name, machine?.address ?: address, machine?.fencingToken ?: term, machine?.agentEpoch ?: 0)
         }
-        return due
+        return dueProbes
     }
 
-    private fun isReachable(machine: Machine?) = machine != null && machine.tokenConfirmed && !machine.unresponsive
+    private fun isReachable(machine: Machine?) = machine != null && machine.isTokenConfirmed && !machine.isUnresponsive
 
     private fun isDue(
         machine: String,
-        now: Long,
-    ) = machine !in inFlight && now - (lastProbedUs[machine] ?: (Long.MIN_VALUE / 2)) > RETRY_INTERVAL_US
+        nowUs: Long,
+    ) = machine !in machinesInFlight && nowUs - (lastProbedAtUs[machine] ?: (Long.MIN_VALUE / 2)) > RETRY_INTERVAL_US
 
     /** The probe has been answered, or has been given up. */
-    fun complete(probe: StatusProbe) {
-        inFlight -= probe.machine
+    fun handleProbeEnd(probe: StatusProbe) {
+        machinesInFlight -= probe.machine
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/partition/WorkerCodec.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerCodec.kt
@@ -22,7 +22,7 @@
 
 /** Encodes and decodes messages of the worker protocol: the only place that knows its names. */
 object WorkerCodec {
-    private val json = JsonFactory()
+    private val jsonFactory = JsonFactory()
 
     /**
      * Decodes a heartbeat in one pass, without a tree in between. Fields that are not known are skipped.
@@ -31,7 +31,7 @@
      */
     fun decodeHeartbeat(body: Buffer): Heartbeat =
         try {
-            json.createParser(body.bytes).use { HeartbeatParser(it).parse() }
+            jsonFactory.createParser(body.bytes).use { HeartbeatParser(it).parse() }
         } catch (e: IOException) {
             throw InvalidHeartbeatException(null, "a JSON object", e)
         }
@@ -50,19 +50,19 @@
         agentEpoch: Long? = null,
     ): Buffer {
         val bytes = ByteArrayOutputStream(EMPTY_MESSAGE_BYTES + commands.size * COMMAND_BYTES)
-        json.createGenerator(bytes).use { generator ->
+        jsonFactory.createGenerator(bytes).use { generator ->
             generator.writeStartObject()
             generator.writeNumberField(WorkerField.FENCING_TOKEN, fencingToken)
             if (agentEpoch != null) generator.writeNumberField(WorkerField.AGENT_EPOCH, agentEpoch)
             generator.writeArrayFieldStart(WorkerField.COMMANDS)
-            commands.forEach { write(it, generator) }
+            commands.forEach { writeCommand(it, generator) }
             generator.writeEndArray()
             generator.writeEndObject()
         }
         return Buffer.buffer(bytes.toByteArray())
     }
 
-    private fun write(
+    private fun writeCommand(
         command: Command,
         generator: JsonGenerator,
     ) {
@@ -106,8 +106,8 @@
     const val LEEWAY_S = "leeway_s"
 
     /** The phase for a state of the protocol. An unknown state counts as running: the task is on the machine in some form. */
-    fun phase(word: String) =
-        when (word) {
+    fun parsePhase(status: String) =
+        when (status) {
             "pulling" -> TaskPhase.FETCHING
             "saving" -> TaskPhase.SAVING
             "ended" -> TaskPhase.ENDED
--- a/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
@@ -18,12 +18,12 @@
 
 /** The frames of a partition carry changes only, from which the leader always knows the whole state (invariant 17). */
 class PartitionDeltaTest {
-    private val partition get() = setting.partition
-    private val tasks get() = setting.tasks
-    private var setting = Setting()
+    private val partition get() = testPartition.partition
+    private val tasks get() = testPartition.tasks
+    private var testPartition = TestPartition()
 
     /** A partition with its machines as they are. */
-    private class Setting(
+    private class TestPartition(
         maxMachinesPerFrame: Int = 100,
     ) {
         val partition =
@@ -34,49 +34,52 @@
     }
 
     private var sequence = 0L
-    private var now = SECOND
+    private var nowUs = SECOND
     private var seq = 0L
-    private var attempts = 0L
+    private var lastAttempt = 0L
 
     private fun heartbeat(machine: String) {
-        val rows = tasks.getOrPut(machine) { HashMap() }.values.toList()
-        partition.onHeartbeat(Heartbeat(machine, "1.2.3.4:5", "t", "z", false, 1, ++sequence, 5, null, rows), now)
+        val reports = tasks.getOrPut(machine) { HashMap() }.values.toList()
+        partition.onHeartbeat(Heartbeat(machine, "1.2.3.4:5", "t", "z", false, 1, ++sequence, 5, null, reports), nowUs)
     }
 
     private fun leaderFrame(
         term: Long,
-        acked: Long,
-    ) = partition.onLeaderFrame(PlacementFrame("z/0", term, ++seq, 5, acked), now)
+        acknowledgedVersion: Long,
+    ) = partition.onLeaderFrame(PlacementFrame("z/0", term, ++seq, 5, acknowledgedVersion), nowUs)
 
-    /** A frame of the leader with a start on the machine [started], which is refused for want of a hold and is reported all the same. */
+    /** A frame of the leader with a start on the machine [startedMachine], which is refused for want of a hold and is reported all the same. */
     private fun leaderFrame(
         term: Long,
-        acked: Long,
-        started: String,
-    ) = partition.onLeaderFrame(PlacementFrame("z/0", term, ++seq, 5, acked, starts = listOf(StartOrder(1, started, 0, ++attempts))), now)
+        acknowledgedVersion: Long,
+        startedMachine: String,
+    ) = partition.onLeaderFrame(
+        PlacementFrame("z/0", term, ++seq, 5, acknowledgedVersion, starts = listOf(StartOrder(1, startedMachine, 0, ++lastAttempt))),
+        nowUs,
+    )
 
     private fun nextFrame(): PartitionFrame? {
-        now += SECOND
-        return partition.nextFrame(now)?.let { FrameCodec.decode(FrameCodec.encode(it)) as PartitionFrame }
+        nowUs += SECOND
+        return partition.nextFrame(nowUs)?.let { FrameCodec.decode(FrameCodec.encode(it)) as PartitionFrame }
     }
 
-    /** The leader's side of the frames. One of an [earlierVersion] goes by the numbers of partial frames as by those of whole ones. */
+    /** The leader's side of the frames. One of an [isEarlierRelease] goes by the numbers of partial frames as by those of whole ones. */
     private class LeaderView(
-        private val earlierVersion: Boolean = false,
+        private val isEarlierRelease: Boolean = false,
     ) {
         var version = 0L
         val machines = HashMap<String, MachineState>()
 
         /** The leader's frame up to which it takes the partition's state for complete, and up to which a whole frame has made it so. */
         var seq = 0L
-        var wholeSeq = 0L
+        var finalSeq = 0L
 
         fun receive(frame: PartitionFrame) {
             if (frame.since > version || frame.version < version) return
-            val counts = frame.whole || earlierVersion
-            if (counts && frame.seq < seq) return
-            if (counts) seq = frame.seq
-            if (frame.whole) wholeSeq = frame.seq
+            val isSeqUsed = frame.whole || isEarlierRelease
+            if (isSeqUsed && frame.seq < seq) return
+            if (isSeqUsed) seq = frame.seq
+            if (frame.whole) finalSeq = frame.seq
             version = frame.version
             frame.machines.forEach { machines[it.name] = it.appliedTo(machines[it.name]) }
         }
@@ -87,38 +90,38 @@
         @ForAll seed: Long,
     ) {
         val random = Random(seed)
-        val small = random.nextBoolean()
-        setting = Setting(maxMachinesPerFrame = if (small) 2 else 100)
-        val earlierVersion = random.nextBoolean()
-        var leader = LeaderView(earlierVersion)
+        val isSmall = random.nextBoolean()
+        testPartition = TestPartition(maxMachinesPerFrame = if (isSmall) 2 else 100)
+        val isEarlierRelease = random.nextBoolean()
+        var leader = LeaderView(isEarlierRelease)
         var term = 1L
-        val late = ArrayList<PartitionFrame>()
+        val sentFrames = ArrayList<PartitionFrame>()
         repeat(150) {
-            repeat(random.nextInt(5)) { change(random, if (small) FEW_MACHINES else MACHINES) }
+            repeat(random.nextInt(5)) { change(random, if (isSmall) FEW_MACHINES else MACHINES) }
             nextFrame()?.let { frame ->
                 if (frame.leaderTerm == term && random.nextInt(4) > 0) leader.receive(frame)
-                late += frame
+                sentFrames += frame
             }
-            if (random.nextInt(3) == 0 && late.isNotEmpty()) {
-                val frame = late[random.nextInt(late.size)]
+            if (random.nextInt(3) == 0 && sentFrames.isNotEmpty()) {
+                val frame = sentFrames[random.nextInt(sentFrames.size)]
                 if (frame.leaderTerm == term) leader.receive(frame)
             }
             if (random.nextInt(60) == 0) {
                 term++
-                leader = LeaderView(earlierVersion)
+                leader = LeaderView(isEarlierRelease)
             }
             // Frames of the leader come late or never, too.
             if (random.nextInt(3) > 0) leaderFrame(term, leader.version)
-            assertTrue(leader.seq <= leader.wholeSeq) { "a piece claims ${leader.seq}, whole frames ${leader.wholeSeq} (seed $seed)" }
+            assertTrue(leader.seq <= leader.finalSeq) { "a piece claims ${leader.seq}, whole frames ${leader.finalSeq} (seed $seed)" }
         }
         repeat(2 + MACHINES) {
             leaderFrame(term, leader.version)
             nextFrame()?.let(leader::receive)
         }
-        for ((name, rows) in tasks) {
+        for ((name, reports) in tasks) {
             val listed = leader.machines[name]?.tasks.orEmpty()
-            assertTrue(listed.size == rows.size && listed.all { rows[it.attempt]?.phase == it.phase }) {
-                "$name has ${rows.values}, the leader knows $listed (seed $seed)"
+            assertTrue(listed.size == reports.size && listed.all { reports[it.attempt]?.phase == it.phase }) {
+                "$name has ${reports.values}, the leader knows $listed (seed $seed)"
             }
         }
     }
@@ -128,20 +131,20 @@
         machines: Int,
     ) {
         val machine = "m${random.nextInt(machines)}"
-        val rows = tasks.getOrPut(machine) { HashMap() }
-        val one = rows.keys.randomOrNull(random)
+        val reports = tasks.getOrPut(machine) { HashMap() }
+        val attempt = reports.keys.randomOrNull(random)
         when {
-            one == null || random.nextInt(3) == 0 -> {
-                val number = ++attempts
-                rows[number] = TaskReport("j-1/$number", number, TaskPhase.FETCHING, null)
+            attempt == null || random.nextInt(3) == 0 -> {
+                val number = ++lastAttempt
+                reports[number] = TaskReport("j-1/$number", number, TaskPhase.FETCHING, null)
             }
 
             random.nextInt(2) == 0 -> {
-                rows[one] = rows.getValue(one).copy(phase = TaskPhase.RUNNING)
+                reports[attempt] = reports.getValue(attempt).copy(phase = TaskPhase.RUNNING)
             }
 
             else -> {
-                rows.remove(one)
+                reports.remove(attempt)
             }
         }
         heartbeat(machine)
@@ -155,32 +158,32 @@
         for (machines in listOf(400, 1600)) {
             repeat(machines) { m ->
                 repeat(12) {
-                    tasks.getOrPut("m$m") { HashMap() }[++attempts] =
-                        TaskReport("j-1/$attempts", attempts, TaskPhase.RUNNING, null)
+                    tasks.getOrPut("m$m") { HashMap() }[++lastAttempt] =
+                        TaskReport("j-1/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null)
                 }
                 heartbeat("m$m")
             }
             leaderFrame(machines.toLong(), 0)
-            var acked = 0L
+            var acknowledgedVersion = 0L
             while (true) {
                 val frame = nextFrame() ?: break
                 assertTrue(frame.machines.size <= 100 * (machines / 400)) { "${frame.machines.size} of $machines machines in one frame" }
-                acked = frame.version
-                leaderFrame(machines.toLong(), acked)
+                acknowledgedVersion = frame.version
+                leaderFrame(machines.toLong(), acknowledgedVersion)
                 if (frame.whole) break
             }
-            val one =
+            val attempt =
                 tasks
                     .getValue("m7")
                     .values
                     .first { it.phase == TaskPhase.RUNNING }
                     .attempt
-            tasks.getValue("m7")[one] = tasks.getValue("m7").getValue(one).copy(phase = TaskPhase.ENDED, cause = "done")
+            tasks.getValue("m7")[attempt] = tasks.getValue("m7").getValue(attempt).copy(phase = TaskPhase.ENDED, cause = "done")
             heartbeat("m7")
-            val news = nextFrame()!!
+            val update = nextFrame()!!
             assertTrue(
-                news.machines.sumOf { it.tasks.size } == 1 && news.machines.size == 1,
-            ) { "of $machines machines: ${news.machines}" }
+                update.machines.sumOf { it.tasks.size } == 1 && update.machines.size == 1,
+            ) { "of $machines machines: ${update.machines}" }
         }
     }
 
@@ -190,26 +193,28 @@
      */
     @Example
     fun `a partial frame does not claim what only a whole frame that was lost has carried`() {
-        setting = Setting(maxMachinesPerFrame = 1)
+        testPartition = TestPartition(maxMachinesPerFrame = 1)
         listOf("m1", "m2").forEach(::heartbeat)
         leaderFrame(1, 0)
         val confirmed = acknowledgeAll()
-        leaderFrame(1, confirmed.version, started = "m1")
-        val lost = nextFrame()!!
-        assertTrue(lost.whole && lost.seq == seq && lost.machines.single().name == "m1") { "$lost" }
+        leaderFrame(1, confirmed.version, startedMachine = "m1")
+        val lostFrame = nextFrame()!!
+        assertTrue(lostFrame.whole && lostFrame.seq == seq && lostFrame.machines.single().name == "m1") { "$lostFrame" }
         listOf("m2", "m1").forEach { machine ->
-            tasks.getOrPut(machine) { HashMap() }[++attempts] = TaskReport("j-2/$attempts", attempts, TaskPhase.RUNNING, null)
+            tasks.getOrPut(machine) { HashMap() }[++lastAttempt] = TaskReport("j-2/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null)
             heartbeat(machine)
         }
-        val piece = nextFrame()!!
-        assertTrue(!piece.whole && piece.machines.single().name == "m2") { "$piece" }
-        assertTrue(piece.seq <= confirmed.seq) { "claims ${piece.seq} although only ${confirmed.seq} is known to have arrived" }
+        val partialFrame = nextFrame()!!
+        assertTrue(!partialFrame.whole && partialFrame.machines.single().name == "m2") { "$partialFrame" }
+        assertTrue(
+            partialFrame.seq <= confirmed.seq,
+        ) { "claims ${partialFrame.seq} although only ${confirmed.seq} is known to have arrived" }
         // By pieces the leader comes to a higher version than the lost frame's, which is no word that it has that one.
-        leaderFrame(1, piece.version)
+        leaderFrame(1, partialFrame.version)
         heartbeat("m2")
-        tasks.getValue("m2")[++attempts] = TaskReport("j-2/$attempts", attempts, TaskPhase.RUNNING, null)
+        tasks.getValue("m2")[++lastAttempt] = TaskReport("j-2/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null)
         heartbeat("m2")
-        tasks.getValue("m1")[++attempts] = TaskReport("j-2/$attempts", attempts, TaskPhase.RUNNING, null)
+        tasks.getValue("m1")[++lastAttempt] = TaskReport("j-2/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null)
         heartbeat("m1")
         val next = nextFrame()!!
         assertTrue(!next.whole && next.seq <= confirmed.seq) { "claims ${next.seq} after a piece was acknowledged" }
@@ -217,38 +222,40 @@
 
     @Example
     fun `once a whole frame is acknowledged the partial frames after it claim what it has carried`() {
-        setting = Setting(maxMachinesPerFrame = 1)
+        testPartition = TestPartition(maxMachinesPerFrame = 1)
         listOf("m1", "m2").forEach(::heartbeat)
         leaderFrame(1, 0)
         acknowledgeAll()
-        val whole = nextFrame()!!
-        leaderFrame(1, whole.version)
+        val finalFrame = nextFrame()!!
+        leaderFrame(1, finalFrame.version)
         listOf("m2", "m1").forEach { machine ->
-            tasks.getOrPut(machine) { HashMap() }[++attempts] = TaskReport("j-2/$attempts", attempts, TaskPhase.RUNNING, null)
+            tasks.getOrPut(machine) { HashMap() }[++lastAttempt] = TaskReport("j-2/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null)
             heartbeat(machine)
         }
-        val piece = nextFrame()!!
-        assertTrue(!piece.whole && piece.seq == whole.seq) { "says ${piece.seq}, the leader has ${whole.seq}" }
+        val partialFrame = nextFrame()!!
+        assertTrue(
+            !partialFrame.whole && partialFrame.seq == finalFrame.seq,
+        ) { "says ${partialFrame.seq}, the leader has ${finalFrame.seq}" }
     }
 
     /** With a hundred machines a frame, whatever their number, no frame of so many was ever whole, and the leader concluded nothing. */
     @Example
     fun `a partition of 4,000 or 6,000 machines sends whole frames although machines change all the time`() {
         for (count in listOf(4_000, 6_000)) {
-            setting = Setting()
+            testPartition = TestPartition()
             val machines = List(count) { "m$it" }
             machines.forEach(::heartbeat)
             leaderFrame(1, 0)
             acknowledgeAll()
-            var next = 0
-            val whole =
+            var nextMachine = 0
+            val finalFrames =
                 (1..ROUNDS).count {
-                    repeat(count / CHANGING_SHARE) { change(machines[next++ % count]) }
+                    repeat(count / CHANGING_SHARE) { change(machines[nextMachine++ % count]) }
                     val frame = nextFrame()!!
                     leaderFrame(1, frame.version)
                     frame.whole
                 }
-            assertEquals(ROUNDS, whole) { "$count machines: $whole of $ROUNDS frames were whole" }
+            assertEquals(ROUNDS, finalFrames) { "$count machines: $finalFrames of $ROUNDS frames were whole" }
         }
     }
 
@@ -256,8 +263,8 @@
     fun `a frame stays well below the size that is read however many tasks there are`() {
         val machines = List(1_200) { "m$it" }
         for (machine in machines) {
-            val rows = tasks.getOrPut(machine) { HashMap() }
-            repeat(60) { rows[++attempts] = TaskReport("j-000001/$attempts", attempts, TaskPhase.RUNNING, null) }
+            val reports = tasks.getOrPut(machine) { HashMap() }
+            repeat(60) { reports[++lastAttempt] = TaskReport("j-000001/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null) }
             heartbeat(machine)
         }
         leaderFrame(1, 0)
@@ -272,7 +279,7 @@
     }
 
     private fun change(machine: String) {
-        tasks.getOrPut(machine) { HashMap() }[++attempts] = TaskReport("j-3/$attempts", attempts, TaskPhase.RUNNING, null)
+        tasks.getOrPut(machine) { HashMap() }[++lastAttempt] = TaskReport("j-3/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null)
         heartbeat(machine)
         tasks.getValue(machine).clear()
     }
--- a/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
@@ -20,10 +20,10 @@
     private var sequence = 0L
 
     /** A partition under term 5 that was acquired at 0; its machines have 8 cores. */
-    protected fun partition(
+    protected fun newPartition(
         jobCompletions: JobCompletions = JobCompletions.NONE,
         limitsOf: (String) -> MachineLimits? = { MACHINE_LIMITS },
-    ) = PartitionCore(PartitionParameters("z/0", "z", TERM, LEASE, 3 * SECOND, 0), jobCompletions, limitsOf = limitsOf)
+    ) = PartitionCore(PartitionParameters("z/0", "z", TERM, LEASE_US, 3 * SECOND, 0), jobCompletions, limitsOf = limitsOf)
 
     protected fun heartbeat(
         fencingToken: Long,
@@ -41,66 +41,66 @@
     ) = PlacementFrame("z/0", term, ++seq, 0, 0, requests = requests, starts = starts, stops = stops, clears = clears)
 
     protected fun request(
-        stamp: Long,
+        requestNumber: Long,
         count: Int,
-    ) = PlacementRequest(stamp, "j-1", requirements, count, null, null, true)
+    ) = PlacementRequest(requestNumber, "j-1", requirements, count, null, null, true)
 
     protected fun PartitionCore.commands(
         heartbeat: Heartbeat,
-        now: Long,
-    ) = (onHeartbeat(heartbeat, now) as HeartbeatOutcome.Accepted).commands
+        nowUs: Long,
+    ) = (onHeartbeat(heartbeat, nowUs) as HeartbeatOutcome.Accepted).commands
 
     /** Has the partition start j-1/0 as attempt 1 on the machine m, which has shown its token; returns the direct order. */
-    protected fun started(
+    protected fun startTask(
         partition: PartitionCore,
-        now: Long = 1,
+        nowUs: Long = 1,
     ): DirectOrder {
-        partition.onHeartbeat(heartbeat(0), now)
-        partition.onHeartbeat(heartbeat(5), now)
-        partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), now)
-        partition.onLeaderFrame(frame(starts = listOf(StartOrder(1, "m", 0, 1))), now)
-        return partition.nextDirectOrders(now).single()
+        partition.onHeartbeat(heartbeat(0), nowUs)
+        partition.onHeartbeat(heartbeat(5), nowUs)
+        partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), nowUs)
+        partition.onLeaderFrame(frame(starts = listOf(StartOrder(1, "m", 0, 1))), nowUs)
+        return partition.nextDirectOrders(nowUs).single()
     }
 
     protected fun checkpointStopFrame(leewayS: Long = 5) =
         PlacementFrame("z/0", 1, ++seq, 0, 0, saves = listOf(SaveOrder("m", "j-1/0", 1, leewayS * SECOND)))
 
-    protected fun task(phase: TaskPhase) = TaskReport("j-1/0", 1, phase, if (phase == TaskPhase.ENDED) TaskEndCause.HALTED else null)
+    protected fun taskReport(phase: TaskPhase) = TaskReport("j-1/0", 1, phase, if (phase == TaskPhase.ENDED) TaskEndCause.HALTED else null)
 
     /** A partition with j-1/0 running as attempt 1 on machine m. */
-    protected fun running(): PartitionCore {
-        val partition = partition()
-        partition.onOrderOutcome(started(partition), OrderOutcome.Answered(true, heartbeat(5, task(TaskPhase.RUNNING))), 2)
+    protected fun partitionWithRunningTask(): PartitionCore {
+        val partition = newPartition()
+        partition.onOrderOutcome(startTask(partition), OrderOutcome.Answered(true, heartbeat(5, taskReport(TaskPhase.RUNNING))), 2)
         return partition
     }
 
     /** The next frame's last offer. */
-    protected fun lastOffer(
+    protected fun lastOfferOfNextFrame(
         partition: PartitionCore,
-        now: Long,
-    ) = partition.nextFrame(now)!!.offers.last()
+        nowUs: Long,
+    ) = partition.nextFrame(nowUs)!!.offers.last()
 
     /** The next frame's offer, the only one in it. */
-    protected fun onlyOffer(
+    protected fun onlyOfferOfNextFrame(
         partition: PartitionCore,
-        now: Long,
-    ) = partition.nextFrame(now)!!.offers.single()
+        nowUs: Long,
+    ) = partition.nextFrame(nowUs)!!.offers.single()
 
     /** The next frame's machine, the only one in it. */
-    protected fun onlyMachine(
+    protected fun onlyMachineOfNextFrame(
         partition: PartitionCore,
-        now: Long,
-    ) = partition.nextFrame(now)!!.machines.single()
+        nowUs: Long,
+    ) = partition.nextFrame(nowUs)!!.machines.single()
 
     /** The machines of the next frame's last offer. */
-    protected fun offered(
+    protected fun machinesOfferedInNextFrame(
         partition: PartitionCore,
-        now: Long,
-    ) = lastOffer(partition, now).held.map { it.machine }
+        nowUs: Long,
+    ) = lastOfferOfNextFrame(partition, nowUs).held.map { it.machine }
 
     companion object {
         const val TERM = 5L
         val MACHINE_LIMITS = MachineLimits("t", Resources(8.0, 0.0, 64.0))
-        const val LEASE = 20 * SECOND
+        const val LEASE_US = 20 * SECOND
     }
 }
--- a/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
@@ -15,7 +15,7 @@
     /** Guards against cancelled tasks that run on while starts of a burst take all connections. */
     @Example
     fun `where connections are few, what must stop goes before what may start`() {
-        val partition = partition()
+        val partition = newPartition()
         for (name in listOf("m1", "m2")) partition.onHeartbeat(heartbeat(5, machine = name), 1)
         partition.onHeartbeat(heartbeat(5, TaskReport("j-9/0", 9, TaskPhase.RUNNING, null), machine = "m3"), 2)
         partition.nextDirectOrders(2)
@@ -30,20 +30,20 @@
     @Example
     fun `what ended is cleared only when no repeat of its start can be executed, which a newer token proves and no elapsed time`() {
         for (cause in listOf("done", "error")) {
-            val partition = partition()
-            val order = started(partition)
+            val partition = newPartition()
+            val order = startTask(partition)
             val ended = TaskReport("j-1/0", 1, TaskPhase.ENDED, cause)
             partition.onOrderOutcome(order, OrderOutcome.Answered(true, heartbeat(5, ended)), 2)
             partition.onLeaderFrame(frame(clears = listOf(AttemptOrder("m", "j-1/0", 1))), 3)
-            for (now in listOf(9 * SECOND, 29 * LEASE, 31 * LEASE, 1000 * LEASE)) {
+            for (now in listOf(9 * SECOND, 29 * LEASE_US, 31 * LEASE_US, 1000 * LEASE_US)) {
                 val commands = partition.commands(heartbeat(5, ended), now)
                 assertEquals((cause == "done"), commands.any { it is Command.Clear }) { "$cause at $now: $commands" }
             }
             partition.addReservedTokens(6L..9L)
-            partition.tick(1001 * LEASE)
-            val unshown = partition.commands(heartbeat(5, ended), 1001 * LEASE)
+            partition.tick(1001 * LEASE_US)
+            val unshown = partition.commands(heartbeat(5, ended), 1001 * LEASE_US)
             assertEquals((cause == "done"), unshown.any { it is Command.Clear }) { "$cause before the newer token was shown: $unshown" }
-            val shown = partition.commands(heartbeat(if (cause == "done") 5 else 6, ended), 1001 * LEASE + SECOND)
+            val shown = partition.commands(heartbeat(if (cause == "done") 5 else 6, ended), 1001 * LEASE_US + SECOND)
             assertTrue(shown.any { it is Command.Clear }) { "$cause: $shown" }
         }
     }
@@ -51,8 +51,8 @@
     /** Guards against a held order that starts a task again after it was done, perhaps of a job that was cancelled since. */
     @Example
     fun `a task that is done although its order got no answer is cleared only under a newer token`() {
-        val partition = partition()
-        val order = started(partition)
+        val partition = newPartition()
+        val order = startTask(partition)
         val done = TaskReport("j-1/0", 1, TaskPhase.ENDED, "done")
         partition.onOrderOutcome(order, OrderOutcome.Indeterminate, 3 * SECOND)
         partition.onProbeResult(StatusProbe("m", "1.2.3.4:5", 5, 1), heartbeat(5, done), 5 * SECOND)
@@ -66,8 +66,8 @@
 
     @Example
     fun `no clear is sent while the start may still be executed from the answer to a heartbeat`() {
-        val partition = partition()
-        val order = started(partition)
+        val partition = newPartition()
+        val order = startTask(partition)
         val ended = TaskReport("j-1/0", 1, TaskPhase.ENDED, "done")
         assertTrue(partition.commands(heartbeat(5), 10).single() is Command.Start) { "the answer is the sure path" }
         partition.onOrderOutcome(order, OrderOutcome.Answered(true, heartbeat(5, ended)), 11)
@@ -78,33 +78,35 @@
 
     @Example
     fun `a checkpoint stop is sent once, and again only when the first one must have been lost`() {
-        val partition = running()
+        val partition = partitionWithRunningTask()
         partition.onLeaderFrame(checkpointStopFrame(), SECOND)
         val order = partition.nextDirectOrders(SECOND).single()
         assertEquals(listOf(Command.Stop("j-1/0", 1, 5.0)), order.commands) { "$order" }
         partition.onOrderOutcome(order, OrderOutcome.NotSent, SECOND)
         partition.onLeaderFrame(checkpointStopFrame(), 3 * SECOND)
-        assertTrue(partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 4 * SECOND).isEmpty()) { "a second stop may end the saving" }
-        val again = partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 8 * SECOND)
+        assertTrue(
+            partition.commands(heartbeat(5, taskReport(TaskPhase.RUNNING)), 4 * SECOND).isEmpty(),
+        ) { "a second stop may end the saving" }
+        val again = partition.commands(heartbeat(5, taskReport(TaskPhase.RUNNING)), 8 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 5.0)), again) { "$again" }
-        assertTrue(partition.commands(heartbeat(5, task(TaskPhase.SAVING)), 20 * SECOND).isEmpty()) { "stopped while it saves" }
-        assertTrue(partition.commands(heartbeat(5, task(TaskPhase.ENDED)), 21 * SECOND).isEmpty()) { "stopped after its end" }
+        assertTrue(partition.commands(heartbeat(5, taskReport(TaskPhase.SAVING)), 20 * SECOND).isEmpty()) { "stopped while it saves" }
+        assertTrue(partition.commands(heartbeat(5, taskReport(TaskPhase.ENDED)), 21 * SECOND).isEmpty()) { "stopped after its end" }
     }
 
     @Example
     fun `a saving task whose job is cancelled is ended by a second stop`() {
-        val partition = running()
+        val partition = partitionWithRunningTask()
         partition.onLeaderFrame(checkpointStopFrame(), SECOND)
         partition.nextDirectOrders(SECOND)
-        partition.onHeartbeat(heartbeat(5, task(TaskPhase.SAVING)), 2 * SECOND)
+        partition.onHeartbeat(heartbeat(5, taskReport(TaskPhase.SAVING)), 2 * SECOND)
         partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2 * SECOND)
-        val commands = partition.commands(heartbeat(5, task(TaskPhase.SAVING)), 3 * SECOND)
+        val commands = partition.commands(heartbeat(5, taskReport(TaskPhase.SAVING)), 3 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "$commands" }
     }
 
     @Example
     fun `a task with a checkpoint stop without an answer stays counted until its machine's lease has expired`() {
-        val partition = running()
+        val partition = partitionWithRunningTask()
         partition.onLeaderFrame(checkpointStopFrame(), SECOND)
         partition.onOrderOutcome(partition.nextDirectOrders(SECOND).single(), OrderOutcome.Indeterminate, 4 * SECOND)
         assertTrue(partition.nextDirectOrders(5 * SECOND).isEmpty()) { "ordered although it does not answer" }
@@ -117,48 +119,48 @@
                 ?.tasks
                 .orEmpty()
         assertEquals(TaskPhase.RUNNING, listed(5 * SECOND).single().phase) { "taken for gone" }
-        partition.tick(2 * LEASE)
-        assertTrue(onlyMachine(partition, 2 * LEASE).lost) { "not lost after its lease" }
+        partition.tick(2 * LEASE_US)
+        assertTrue(onlyMachineOfNextFrame(partition, 2 * LEASE_US).lost) { "not lost after its lease" }
     }
 
     @Example
     fun `a machine that does not answer an order is not offered until it answers one, however many heartbeats it sends`() {
-        val partition = partition()
-        val order = started(partition)
+        val partition = newPartition()
+        val order = startTask(partition)
         partition.onOrderOutcome(order, OrderOutcome.Indeterminate, 3 * SECOND)
         partition.onHeartbeat(heartbeat(5), 4 * SECOND)
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), 4 * SECOND)
-        assertTrue(offered(partition, 4 * SECOND).isEmpty()) { "offered although nothing reaches it" }
+        assertTrue(machinesOfferedInNextFrame(partition, 4 * SECOND).isEmpty()) { "offered although nothing reaches it" }
         val probe = partition.nextProbes(5 * SECOND).single()
-        partition.onProbeResult(probe, heartbeat(5, task(TaskPhase.RUNNING)), 5 * SECOND)
+        partition.onProbeResult(probe, heartbeat(5, taskReport(TaskPhase.RUNNING)), 5 * SECOND)
         partition.onLeaderFrame(frame(requests = listOf(request(3, 1))), 5 * SECOND)
-        assertEquals(listOf("m"), offered(partition, 5 * SECOND)) { "not offered although it answers again" }
+        assertEquals(listOf("m"), machinesOfferedInNextFrame(partition, 5 * SECOND)) { "not offered although it answers again" }
     }
 
     @Example
     fun `a machine whose lease expired although it was answered has to answer an order first`() {
-        val partition = partition()
-        started(partition)
+        val partition = newPartition()
+        startTask(partition)
         partition.onHeartbeat(heartbeat(5, agentEpoch = 2), 20 * SECOND)
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), 20 * SECOND)
-        assertTrue(offered(partition, 20 * SECOND).isEmpty()) { "offered" }
+        assertTrue(machinesOfferedInNextFrame(partition, 20 * SECOND).isEmpty()) { "offered" }
         assertEquals(2L, partition.nextProbes(20 * SECOND).single().agentEpoch) { "not asked" }
     }
 
     @Example
     fun `a start that is no longer wanted and whose order was never sent is removed`() {
-        val partition = partition()
-        val order = started(partition)
+        val partition = newPartition()
+        val order = startTask(partition)
         partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
-        assertEquals(1, onlyMachine(partition, 2).tasks.size) { "forgotten with an order under way" }
+        assertEquals(1, onlyMachineOfNextFrame(partition, 2).tasks.size) { "forgotten with an order under way" }
         partition.onOrderOutcome(order, OrderOutcome.NotSent, 3)
-        assertTrue(onlyMachine(partition, SECOND).tasks.isEmpty()) { "kept" }
+        assertTrue(onlyMachineOfNextFrame(partition, SECOND).tasks.isEmpty()) { "kept" }
     }
 
     @Example
     fun `a start of which nothing came back takes its room until its machine shows a newer token, however long that takes`() {
-        val partition = partition()
-        val order = started(partition)
+        val partition = newPartition()
+        val order = startTask(partition)
         partition.onOrderOutcome(order, OrderOutcome.Indeterminate, SECOND)
         partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), SECOND)
 
@@ -175,11 +177,11 @@
                 ?.tasks
                 ?.size ?: -1
         }
-        assertTrue((1L..50).all { tasks(it * LEASE) != 0 }) { "forgotten while it may land" }
+        assertTrue((1L..50).all { tasks(it * LEASE_US) != 0 }) { "forgotten while it may land" }
         partition.addReservedTokens(6L..9L)
-        assertNotEquals(0, tasks(51 * LEASE)) { "forgotten before the newer token was shown" }
-        assertNotEquals(0, tasks(51 * LEASE + SECOND)) { "forgotten before the newer token was shown" }
-        assertEquals(0, tasks(51 * LEASE + 2 * SECOND, fencingToken = 6)) { "kept for ever" }
+        assertNotEquals(0, tasks(51 * LEASE_US)) { "forgotten before the newer token was shown" }
+        assertNotEquals(0, tasks(51 * LEASE_US + SECOND)) { "forgotten before the newer token was shown" }
+        assertEquals(0, tasks(51 * LEASE_US + 2 * SECOND, fencingToken = 6)) { "kept for ever" }
     }
 
     @Example
@@ -195,16 +197,16 @@
                 OrderOutcome.Answered(false, heartbeat(5)),
             )
         for (answer in worthless) {
-            val partition = partition()
-            val order = started(partition)
+            val partition = newPartition()
+            val order = startTask(partition)
             partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
             partition.onOrderOutcome(order, answer, SECOND)
             partition.onHeartbeat(heartbeat(5), SECOND)
             assertFalse(gone(partition, SECOND)) { "$answer" }
             assertEquals(1, partition.indeterminateStarts().count()) { "$answer" }
         }
-        val refused = partition()
-        val order = started(refused)
+        val refused = newPartition()
+        val order = startTask(refused)
         refused.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
         refused.onOrderOutcome(order, OrderOutcome.Answered(false, heartbeat(5, agentEpoch = 2)), SECOND)
         assertTrue(gone(refused, SECOND)) { "refused for its session, and kept" }
@@ -234,7 +236,7 @@
     /** Guards against a limit that is exceeded, or a task that runs twice: the worker took the answer, and its reports were lost. */
     @Example
     fun `a start sent in an answer counts until its machine has sent a later heartbeat without it, however long that takes`() {
-        val partition = partition()
+        val partition = newPartition()
         val answered = startedByAnswer(partition)
         partition.tick(10 * SECOND)
         assertFalse(gone(partition, 10 * SECOND)) { "given up because time has passed" }
@@ -251,25 +253,25 @@
 
     @Example
     fun `a start sent in an answer is stopped where the machine shows that it took it`() {
-        val partition = partition()
+        val partition = newPartition()
         startedByAnswer(partition)
         partition.tick(10 * SECOND)
-        val commands = partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 11 * SECOND)
+        val commands = partition.commands(heartbeat(5, taskReport(TaskPhase.RUNNING)), 11 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "$commands" }
     }
 
     @Example
     fun `a partition stops the tasks of a job that it knows to be over and starts no more, whatever its leader says`() {
-        val ends = FakeJobCompletions(LEASE) { 0 }
-        val partition = partition(jobCompletions = ends)
-        started(partition)
+        val ends = FakeJobCompletions(LEASE_US) { 0 }
+        val partition = newPartition(jobCompletions = ends)
+        startTask(partition)
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), SECOND)
-        partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), SECOND)
+        partition.commands(heartbeat(5, taskReport(TaskPhase.RUNNING)), SECOND)
         ends.end("j-1")
         partition.onLeaderFrame(frame(requests = listOf(request(3, 1)), starts = listOf(StartOrder(2, "m", 1, 2))), 2 * SECOND)
-        assertTrue(lastOffer(partition, 2 * SECOND).held.isEmpty()) { "offered for a job that is over" }
+        assertTrue(lastOfferOfNextFrame(partition, 2 * SECOND).held.isEmpty()) { "offered for a job that is over" }
         partition.tick(3 * SECOND)
-        val commands = partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 3 * SECOND)
+        val commands = partition.commands(heartbeat(5, taskReport(TaskPhase.RUNNING)), 3 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "not just stopped: $commands" }
     }
 }
--- a/src/test/kotlin/lichenstage/partition/WorkerCodecTest.kt
+++ b/src/test/kotlin/lichenstage/partition/WorkerCodecTest.kt
@@ -39,17 +39,17 @@
         assertEquals(agentEpoch, json.getLong("tenure") as Long?) { "$json" }
         val rows = json.getJsonArray("orders").map { it as JsonObject }
         assertEquals(commands.size, rows.size) { "$json" }
-        rows.zip(commands).forEach { (row, command) -> assertTrue(isSame(row, command)) { "$row for $command" } }
+        rows.zip(commands).forEach { (commandJson, command) -> assertTrue(isSame(commandJson, command)) { "$commandJson for $command" } }
     }
 
     private fun isSame(
-        row: JsonObject,
+        commandJson: JsonObject,
         command: Command,
     ): Boolean {
         val verb = command::class.simpleName!!.lowercase()
         val expected = JsonObject().put("verb", verb).put("part", command.task).put("try", command.attempt)
         if (command is Command.Stop) expected.put("leeway_s", command.leewayS)
-        return row == expected
+        return commandJson == expected
     }
 
     @Example
@@ -68,7 +68,7 @@
 
     @Example
     fun `a body that is not a heartbeat is refused with the field that is wrong`() {
-        val rejected =
+        val invalidBodies =
             listOf(
                 "" to null,
                 "[]" to null,
@@ -80,21 +80,21 @@
                 """{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":1,"tally":1,"parts":{}}""" to "parts",
                 """{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":1,"tally":1,"parts":[{"part":"j-1/1"}]}""" to "try",
             )
-        for ((body, field) in rejected) assertEquals(field, refusal(body).field) { body }
+        for ((body, field) in invalidBodies) assertEquals(field, decodeInvalid(body).field) { body }
     }
 
     /** Guards against a parser that never came to an end: the nested value hid the end of the object. */
     @Example
     fun `a body with a nested value in place of a boolean is refused`() {
-        assertNull(refusal("""{"loaners":[1,2]}""").field)
+        assertNull(decodeInvalid("""{"loaners":[1,2]}""").field)
     }
 
     @Example
     fun `a refusal names the field and what was expected there`() {
-        val refusal = refusal("""{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":"x","tally":1}""")
-        assertEquals("tenure: expected an integer", refusal.message)
+        val exception = decodeInvalid("""{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":"x","tally":1}""")
+        assertEquals("tenure: expected an integer", exception.message)
     }
 
-    private fun refusal(body: String): InvalidHeartbeatException =
+    private fun decodeInvalid(body: String): InvalidHeartbeatException =
         assertThrows(InvalidHeartbeatException::class.java) { WorkerCodec.decodeHeartbeat(Buffer.buffer(body)) }
 }
--- a/src/test/kotlin/lichenstage/world/SimulatedController.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedController.kt
@@ -110,7 +110,7 @@
 
     /** Each reservation is a write, which may come to nothing. */
     private fun reserveTokens(partition: PartitionCore) {
-        if (!usesFencing || !partition.tokenReservationDue(now)) return
+        if (!usesFencing || !partition.shouldReserveTokens(now)) return
         val sender = incarnation
         context.send(host, SimulatedNetwork.STATE, repeats = false) {
             if (state.isOut || state.owners[partition.id]?.term != partition.term) return@send
