--- a/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
+++ b/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
@@ -5,7 +5,7 @@
 /** Applies the content of heartbeats to the partition's view of its machines, as far as it may be believed (invariant 3). */
 internal class HeartbeatProcessor(
     private val fencingTokens: FencingTokens,
-    private val changes: ChangeLog,
+    private val changeLog: ChangeLog,
     private val events: (OrderEvent) -> Unit,
     private val requirementsOf: (String) -> JobRequirements?,
 ) {
@@ -32,7 +32,7 @@
             machine.observedFencingToken = maxOf(machine.observedFencingToken, heartbeat.fencingToken)
             if (applyTasks(machine, heartbeat, nowUs)) hasChanged = true
         }
-        if (hasChanged) changes.record(machine)
+        if (hasChanged) changeLog.record(machine)
         return true
     }
 
@@ -85,7 +85,7 @@
         if (attempt.isUnwantedStart) events(OrderEvent.LateStart(machine.name, machine.agentEpoch, attempt.task, attempt.number))
         attempt.phase = report.phase
         attempt.cause = report.cause
-        attempt.version = changes.nextVersion
+        attempt.version = changeLog.nextVersion
         return true
     }
 
@@ -95,7 +95,7 @@
         nowUs: Long,
     ): WorkerAttempt {
         val attempt = WorkerAttempt(report.task, report.attempt, nowUs)
-        attempt.version = changes.nextVersion
+        attempt.version = changeLog.nextVersion
         machine.attempts.put(report.attempt, attempt)
         requirementsOf(attempt.job)?.let(machine::recordImageUse)
         return attempt
--- a/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
+++ b/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
@@ -10,11 +10,11 @@
 internal class LeaderFrameHandler(
     private val term: Long,
     private val machines: MachineRegistry,
-    private val changes: ChangeLog,
-    private val placement: PlacementOffers,
-    private val orders: OrderQueue,
-    private val fencing: OrderFencing,
-    private val probes: ProbeSchedule,
+    private val changeLog: ChangeLog,
+    private val placementOffers: PlacementOffers,
+    private val orderQueue: OrderQueue,
+    private val orderFencing: OrderFencing,
+    private val probeSchedule: ProbeSchedule,
     private val events: (OrderEvent) -> Unit,
 ) {
     /** Applies [frame]; one that is older than the newest received is not obeyed (invariant 8). */
@@ -22,27 +22,27 @@
         frame: PlacementFrame,
         nowUs: Long,
     ) {
-        if (changes.isNewLeader(frame.term)) startLeaderTerm(frame.term)
-        if (!changes.isNewerFrame(frame.term, frame.seq)) return
-        changes.markReceived(frame.seq)
-        placement.updateFrom(frame)
-        probes.addAll(frame.addresses)
-        if (frame.ackTerm == term) changes.acknowledge(frame.ackVersion)
-        placement.expireHolds(nowUs)
-        frame.releases.forEach(placement::release)
+        if (changeLog.isNewLeader(frame.term)) startLeaderTerm(frame.term)
+        if (!changeLog.isNewerFrame(frame.term, frame.seq)) return
+        changeLog.markReceived(frame.seq)
+        placementOffers.updateFrom(frame)
+        probeSchedule.addAll(frame.addresses)
+        if (frame.ackTerm == term) changeLog.acknowledge(frame.ackVersion)
+        placementOffers.expireHolds(nowUs)
+        frame.releases.forEach(placementOffers::release)
         for (order in frame.starts) handleStart(order, nowUs)
         // The leader has not chosen what is left of a hold after its starts.
-        frame.starts.forEach { placement.release(it.stamp) }
+        frame.starts.forEach { placementOffers.release(it.stamp) }
         for (order in frame.stops) updateAttempt(order) { it.stopRequested = true }
         for (order in frame.clears) updateAttempt(order) { it.clearRequested = true }
         frame.saves.forEach(::requestCheckpointStop)
-        placement.grant(frame.requests, nowUs).forEach(changes::addOffer)
-        if (frame.requests.isNotEmpty() || frame.starts.isNotEmpty() || frame.stops.isNotEmpty()) changes.requestFrame()
+        placementOffers.grant(frame.requests, nowUs).forEach(changeLog::addOffer)
+        if (frame.requests.isNotEmpty() || frame.starts.isNotEmpty() || frame.stops.isNotEmpty()) changeLog.requestFrame()
     }
 
     private fun startLeaderTerm(leaderTerm: Long) {
-        placement.startLeaderTerm()
-        changes.startLeaderTerm(leaderTerm, machines.all)
+        placementOffers.startLeaderTerm()
+        changeLog.startLeaderTerm(leaderTerm, machines.all)
     }
 
     /** A start without a hold is refused: the machine's task list, sent again, shows the leader that the attempt isn't there. */
@@ -51,15 +51,15 @@
         nowUs: Long,
     ) {
         val machine = machines[order.machine] ?: return
-        val request = placement.findHeldRequest(order.stamp, machine)
-        val refusal = placement.findRefusal(request, machine, nowUs)
+        val request = placementOffers.findHeldRequest(order.stamp, machine)
+        val refusal = placementOffers.findRefusal(request, machine, nowUs)
         if (refusal != null) {
             val task = request?.let { "${it.job}/${order.index}" }.orEmpty()
             events(OrderEvent.StartRefused(order.machine, task, order.attempt, refusal))
         } else if (request != null) {
             startTask(order, request, machine, nowUs)
         }
-        changes.record(machine)
+        changeLog.record(machine)
     }
 
     private fun startTask(
@@ -68,16 +68,16 @@
         machine: Machine,
         nowUs: Long,
     ) {
-        placement.consume(order.stamp, machine)
+        placementOffers.consume(order.stamp, machine)
         machine.recordImageUse(request.requirements)
         if (!machine.attempts.containsKey(order.attempt)) {
             val attempt = WorkerAttempt("${request.job}/${order.index}", order.attempt, nowUs)
-            attempt.version = changes.nextVersion
-            fencing.noteOpenJob(attempt)
+            attempt.version = changeLog.nextVersion
+            orderFencing.noteOpenJob(attempt)
             machine.attempts.put(order.attempt, attempt)
             machine.invalidateUsedResources()
         }
-        orders.add(machine)
+        orderQueue.add(machine)
     }
 
     private fun updateAttempt(
@@ -87,10 +87,10 @@
         val machine = machines[order.machine] ?: return
         val attempt = machine.attempts.get(order.attempt) ?: return
         update(attempt)
-        orders.add(machine)
-        if (attempt.isUnwantedStart) fencing.addUnwantedStart(machine)
-        fencing.removeDisprovenStarts(machine)
-        changes.requestFrame()
+        orderQueue.add(machine)
+        if (attempt.isUnwantedStart) orderFencing.addUnwantedStart(machine)
+        orderFencing.removeDisprovenStarts(machine)
+        changeLog.requestFrame()
     }
 
     /** The task is to save a checkpoint and stop; where it has ended or is saving already, the request has no effect. */
@@ -98,6 +98,6 @@
         val machine = machines[order.machine] ?: return
         val attempt = machine.attempts.get(order.attempt) ?: return
         attempt.checkpointLeewayUs = order.leewayUs
-        orders.add(machine)
+        orderQueue.add(machine)
     }
 }
--- a/src/main/kotlin/lichenstage/partition/MachineRegistry.kt
+++ b/src/main/kotlin/lichenstage/partition/MachineRegistry.kt
@@ -8,7 +8,7 @@
 internal class MachineRegistry(
     private val parameters: PartitionParameters,
     private val fencingTokens: FencingTokens,
-    private val changes: ChangeLog,
+    private val changeLog: ChangeLog,
     private val limitsOf: (String) -> MachineLimits?,
 ) {
     private val machinesByName = HashMap<String, Machine>()
@@ -34,7 +34,7 @@
         machine.agentEpochFirstSeenAtUs = nowUs
         // One that was removed may come back with the token that it was last given.
         machine.fencingToken = if (fencingTokens.isOwnersToken(heartbeat.fencingToken)) heartbeat.fencingToken else parameters.term
-        changes.record(machine)
+        changeLog.record(machine)
         return machine
     }
 
@@ -49,12 +49,12 @@
             machine.isLost = true
             machine.removeAttempts { true }
             machine.invalidateUsedResources()
-            changes.record(machine)
+            changeLog.record(machine)
         }
         val isSilent = isHeartbeatOverdue(machine, nowUs)
         if (isSilent != machine.isSilent) {
             machine.isSilent = isSilent
-            changes.record(machine)
+            changeLog.record(machine)
         }
     }
 
--- a/src/main/kotlin/lichenstage/partition/PartitionCore.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionCore.kt
@@ -28,17 +28,18 @@
 ) {
     private val requirementsByJob = LruMap<String, JobRequirements>(MAX_CACHED_JOBS)
     private val requirementsOf: (String) -> JobRequirements? = { requirementsByJob[it] }
-    private val changes = ChangeLog(parameters)
+    private val changeLog = ChangeLog(parameters)
     private val fencingTokens = FencingTokens(parameters.term, parameters.acquiredAtUs)
-    private val machines = MachineRegistry(parameters, fencingTokens, changes, limitsOf)
-    private val heartbeats = HeartbeatProcessor(fencingTokens, changes, events, requirementsOf)
-    private val orders = OrderQueue()
-    private val fencing = OrderFencing(fencingTokens, changes, jobCompletions, events)
-    private val probes = ProbeSchedule(parameters.term)
-    private val holds = HoldTable(parameters.zone, limitsOf, requirementsOf, machines::get)
-    private val placement = PlacementOffers(parameters, machines, holds, requirementsByJob, jobCompletions)
-    private val endedJobStops = EndedJobStops(jobCompletions, machines, orders, fencing, events)
-    private val leaderFrames = LeaderFrameHandler(parameters.term, machines, changes, placement, orders, fencing, probes, events)
+    private val machines = MachineRegistry(parameters, fencingTokens, changeLog, limitsOf)
+    private val heartbeatProcessor = HeartbeatProcessor(fencingTokens, changeLog, events, requirementsOf)
+    private val orderQueue = OrderQueue()
+    private val orderFencing = OrderFencing(fencingTokens, changeLog, jobCompletions, events)
+    private val probeSchedule = ProbeSchedule(parameters.term)
+    private val holdTable = HoldTable(parameters.zone, limitsOf, requirementsOf, machines::get)
+    private val placementOffers = PlacementOffers(parameters, machines, holdTable, requirementsByJob, jobCompletions)
+    private val endedJobStops = EndedJobStops(jobCompletions, machines, orderQueue, orderFencing, events)
+    private val leaderFrameHandler =
+        LeaderFrameHandler(parameters.term, machines, changeLog, placementOffers, orderQueue, orderFencing, probeSchedule, events)
 
     /** The partition's name. */
     val id get() = parameters.id
@@ -50,7 +51,7 @@
     val machineCount get() = machines.size
 
     /** A newer fencing token is needed now, and none is left. */
-    val lacksTokens get() = fencing.lacksTokens
+    val lacksTokens get() = orderFencing.lacksTokens
 
     /** Applies a heartbeat that a worker sent to this controller, and decides on its answer. */
     fun onHeartbeat(
@@ -59,22 +60,22 @@
     ): HeartbeatOutcome {
         if (heartbeat.fencingToken > fencingTokens.highest) return HeartbeatOutcome.Superseded
         val machine = machines.getOrAdd(heartbeat, nowUs)
-        if (heartbeats.apply(machine, heartbeat, nowUs)) {
-            probes.add(heartbeat.machine, heartbeat.address)
+        if (heartbeatProcessor.apply(machine, heartbeat, nowUs)) {
+            probeSchedule.add(heartbeat.machine, heartbeat.address)
             machine.areDirectOrdersBlocked = false
             machine.lastHeartbeatAtUs = nowUs
-            if (machine.attempts.isNotEmpty()) orders.add(machine)
+            if (machine.attempts.isNotEmpty()) orderQueue.add(machine)
         }
-        if (!fencing.mayRenewLease(machine, nowUs)) return HeartbeatOutcome.Withheld
+        if (!orderFencing.mayRenewLease(machine, nowUs)) return HeartbeatOutcome.Withheld
         val isCurrentEpoch = heartbeat.agentEpoch == machine.agentEpoch
         // Even where it is an old one: the answer to an order may have overtaken it, and the worker counts its lease from it.
         if (isCurrentEpoch) {
             machine.lastReplyAtUs = nowUs
             machine.lastHeartbeatSequence = maxOf(machine.lastHeartbeatSequence, heartbeat.sequence)
-            fencing.removeDisprovenStarts(machine)
+            orderFencing.removeDisprovenStarts(machine)
         }
         val canTakeCommands = machine.isTokenConfirmed && isCurrentEpoch && !machine.isLost
-        val commands = if (canTakeCommands) orders.commandsForAnswer(machine, heartbeat.sequence, nowUs) else emptyList()
+        val commands = if (canTakeCommands) orderQueue.commandsForAnswer(machine, heartbeat.sequence, nowUs) else emptyList()
         return HeartbeatOutcome.Accepted(machine.fencingToken, commands)
     }
 
@@ -82,7 +83,7 @@
     fun onLeaderFrame(
         frame: PlacementFrame,
         nowUs: Long,
-    ) = leaderFrames.apply(frame, nowUs)
+    ) = leaderFrameHandler.apply(frame, nowUs)
 
     /** Applies the result of a probe: the worker's heartbeat, or null where it could not be had. */
     fun onProbeResult(
@@ -90,12 +91,12 @@
         heartbeat: Heartbeat?,
         nowUs: Long,
     ) {
-        probes.handleProbeEnd(probe)
+        probeSchedule.handleProbeEnd(probe)
         if (heartbeat == null || heartbeat.machine != probe.machine || heartbeat.zone != parameters.zone) return
         if (heartbeat.fencingToken > fencingTokens.highest) return
         val machine = machines.getOrAdd(heartbeat, nowUs)
         markResponsive(machine)
-        heartbeats.apply(machine, heartbeat, nowUs)
+        heartbeatProcessor.apply(machine, heartbeat, nowUs)
     }
 
     /** Applies the outcome of a direct order. */
@@ -106,11 +107,11 @@
     ) {
         val machine = machines[order.machine] ?: return
         val proven = outcome.provenFor(order)
-        orders.complete(machine, order, proven)
+        orderQueue.complete(machine, order, proven)
         when (proven) {
             is OrderOutcome.Answered -> {
                 markResponsive(machine)
-                proven.heartbeat?.let { heartbeats.apply(machine, it, nowUs) }
+                proven.heartbeat?.let { heartbeatProcessor.apply(machine, it, nowUs) }
                 if (!proven.executed) machine.areDirectOrdersBlocked = true
             }
 
@@ -123,16 +124,16 @@
                 markUnresponsive(machine)
             }
         }
-        fencing.removeDisprovenStarts(machine)
+        orderFencing.removeDisprovenStarts(machine)
     }
 
     /** The machine has answered an order or a probe, so commands reach it (invariant 12). */
     private fun markResponsive(machine: Machine) {
         machine.areDirectOrdersBlocked = false
-        if (machine.attempts.isNotEmpty()) orders.add(machine)
+        if (machine.attempts.isNotEmpty()) orderQueue.add(machine)
         if (machine.isUnresponsive) {
             machine.isUnresponsive = false
-            changes.record(machine)
+            changeLog.record(machine)
         }
     }
 
@@ -140,41 +141,41 @@
         machine.areDirectOrdersBlocked = true
         if (!machine.isUnresponsive) {
             machine.isUnresponsive = true
-            changes.record(machine)
+            changeLog.record(machine)
         }
     }
 
     /** Does what depends on time alone; to be called a few times a second. */
     fun tick(nowUs: Long) {
-        holds.expire(nowUs)
+        holdTable.expire(nowUs)
         machines.updateLiveness(nowUs)
         endedJobStops.check(nowUs)
-        fencing.removeDisprovenStarts()
-        fencing.raiseTokens(machines.all, nowUs)
+        orderFencing.removeDisprovenStarts()
+        orderFencing.raiseTokens(machines.all, nowUs)
         machines.removeLongLostMachines(nowUs).forEach(::removeMachine)
     }
 
     private fun removeMachine(machine: Machine) {
-        probes.remove(machine.name)
-        changes.remove(machine)
-        orders.remove(machine)
-        fencing.remove(machine)
+        probeSchedule.remove(machine.name)
+        changeLog.remove(machine)
+        orderQueue.remove(machine)
+        orderFencing.remove(machine)
     }
 
     /** The direct orders to send now, at most [limit]. Each outcome is reported by [onOrderOutcome]. */
     fun nextDirectOrders(
         nowUs: Long,
         limit: Int = Int.MAX_VALUE,
-    ): List<DirectOrder> = orders.nextDirectOrders(nowUs, limit)
+    ): List<DirectOrder> = orderQueue.nextDirectOrders(nowUs, limit)
 
     /** The probes to send now, at most [limit]. Each result is reported by [onProbeResult]. */
     fun nextProbes(
         nowUs: Long,
         limit: Int = Int.MAX_VALUE,
-    ): List<StatusProbe> = probes.nextProbes(nowUs, limit, machines::get)
+    ): List<StatusProbe> = probeSchedule.nextProbes(nowUs, limit, machines::get)
 
     /** The next frame for the leader, or null while none is due. */
-    fun nextFrame(nowUs: Long): PartitionFrame? = changes.nextFrame(nowUs, machines.size)
+    fun nextFrame(nowUs: Long): PartitionFrame? = changeLog.nextFrame(nowUs, machines.size)
 
     /** Whether fencing tokens should be reserved for this owner now; a true answer counts as an attempt to do so. */
     fun shouldReserveTokens(nowUs: Long) = fencingTokens.reservationDue(nowUs, lacksTokens)
--- a/src/main/kotlin/lichenstage/partition/PlacementOffers.kt
+++ b/src/main/kotlin/lichenstage/partition/PlacementOffers.kt
@@ -10,7 +10,7 @@
 internal class PlacementOffers(
     private val parameters: PartitionParameters,
     private val machines: MachineRegistry,
-    private val holds: HoldTable,
+    private val holdTable: HoldTable,
     private val requirementsByJob: MutableMap<String, JobRequirements>,
     private val jobCompletions: JobCompletions,
 ) {
@@ -19,7 +19,7 @@
     /** A new leader: the holds of the one before are dropped (invariant 8). */
     fun startLeaderTerm() {
         requirementsByJob.clear()
-        holds.releaseAll()
+        holdTable.releaseAll()
         cordonedMachines = emptySet()
     }
 
@@ -33,7 +33,7 @@
     fun findHeldRequest(
         requestNumber: Long,
         machine: Machine,
-    ): PlacementRequest? = holds.findRequest(requestNumber, machine.name)
+    ): PlacementRequest? = holdTable.findRequest(requestNumber, machine.name)
 
     /** Why a task of [request] can't be started on [machine], or null where it can. A null request has no hold. */
     fun findRefusal(
@@ -52,13 +52,13 @@
     fun consume(
         requestNumber: Long,
         machine: Machine,
-    ) = holds.consume(requestNumber, machine)
+    ) = holdTable.consume(requestNumber, machine)
 
     /** Releases what is still held under [requestNumber]. */
-    fun release(requestNumber: Long) = holds.release(requestNumber)
+    fun release(requestNumber: Long) = holdTable.release(requestNumber)
 
     /** Releases the holds that have expired. */
-    fun expireHolds(nowUs: Long) = holds.expire(nowUs)
+    fun expireHolds(nowUs: Long) = holdTable.expire(nowUs)
 
     /** Holds capacity for the requests of the leader's frame. */
     fun grant(
@@ -71,7 +71,7 @@
                 isUsable(it) && it.name !in cordonedMachines &&
                     !isLeaseRenewalOverdue(it, nowUs)
             }
-        return holds.grantAll(requests, usableMachines, nowUs) { jobCompletions.hasEnded(it, nowUs) }
+        return holdTable.grantAll(requests, usableMachines, nowUs) { jobCompletions.hasEnded(it, nowUs) }
     }
 
     /** Not where its token is unconfirmed, it goes away, orders don't reach it, or it lists too much that can't be cleared yet. */
