--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -28,7 +28,7 @@
 import lichenstage.jobs.PeerChannel
 import lichenstage.jobs.PeerFallback
 import lichenstage.jobs.RecordLimits
-import lichenstage.partition.OrderJournal
+import lichenstage.partition.OrderEventRecorder
 import lichenstage.partition.OwnedPartitions
 import lichenstage.partition.PartitionActor
 import lichenstage.partition.WorkerClient
@@ -54,7 +54,7 @@
     private val connectionBudget =
         ConnectionBudget(
             settings.maxSockets,
-            KeyValueStoreClient.MAX_CONNECTIONS + CloudClient.SOCKETS + settings.peers.size * PEER_SOCKETS + SPARE_SOCKETS,
+            KeyValueStoreClient.MAX_CONNECTIONS + CloudClient.MAX_CONNECTIONS + settings.peers.size * PEER_SOCKETS + SPARE_SOCKETS,
         )
     private val state =
         KeyValueStoreClient(vertx, settings.state, clock, controllers, settings.stateRps, settings.stateWriteRps, ::writeShare)
@@ -110,7 +110,7 @@
         )
     private val partition =
         PartitionActor(
-            OwnedPartitions(settings, authority, replica, OrderJournal(metrics, clock), clock, catalog::limits),
+            OwnedPartitions(settings, authority, replica, OrderEventRecorder(metrics, clock), clock, catalog::limitsOf),
             clock,
             scope,
             WorkerClient(vertx, clock, metrics.counter("orders"), connectionBudget::maxOrderConnections),
--- a/src/main/kotlin/lichenstage/cloud/Cloud.kt
+++ b/src/main/kotlin/lichenstage/cloud/Cloud.kt
@@ -5,7 +5,7 @@
 /** The operations of the cloud; tests replace it by a model in memory. */
 interface Cloud {
     /** The machine types with their current prices. */
-    suspend fun machineTypes(): CloudReply<List<MachineType>>
+    suspend fun listMachineTypes(): CloudReply<List<MachineType>>
 
     /** Provisions machines. Idempotent: a repeated request of the same name gets the same machines. */
     suspend fun provision(request: ProvisionRequest): ProvisionResult
@@ -14,5 +14,5 @@
     suspend fun terminate(machines: List<String>): TerminateResult
 
     /** One page of the list of machines, of those whose names follow [after]; the first page where that is null. */
-    suspend fun list(after: String?): CloudReply<MachinePage>
+    suspend fun listMachines(after: String?): CloudReply<MachinePage>
 }
--- a/src/main/kotlin/lichenstage/cloud/CloudClient.kt
+++ b/src/main/kotlin/lichenstage/cloud/CloudClient.kt
@@ -16,41 +16,43 @@
     address: Address,
 ) : Cloud {
     private val log = LoggerFactory.getLogger("lichenstage.app")
-    private val http = JsonHttpClient(vertx, address, connections = SOCKETS, queue = QUEUE)
+    private val http = JsonHttpClient(vertx, address, connections = MAX_CONNECTIONS, queue = MAX_QUEUED_REQUESTS)
 
-    override suspend fun machineTypes(): CloudReply<List<MachineType>> =
+    override suspend fun listMachineTypes(): CloudReply<List<MachineType>> =
         read(CloudCodec.MACHINE_TYPES_PATH) { CloudCodec.decodeMachineTypes(it) }
 
-    override suspend fun list(after: String?): CloudReply<MachinePage> = read(CloudCodec.listPath(after)) { CloudCodec.decodePage(it) }
+    override suspend fun listMachines(after: String?): CloudReply<MachinePage> =
+        read(CloudCodec.listPath(after)) { CloudCodec.decodePage(it) }
 
     override suspend fun provision(request: ProvisionRequest): ProvisionResult {
         val body = CloudCodec.encodeProvision(request)
-        val answer = http.call(HttpMethod.POST, CloudCodec.PROVISION_PATH, body, TIMEOUT_MS) ?: return ProvisionResult.Indeterminate
-        return decode { CloudCodec.decodeProvision(answer.status, answer.body) } ?: ProvisionResult.Indeterminate
+        val response =
+            http.call(HttpMethod.POST, CloudCodec.PROVISION_PATH, body, REQUEST_TIMEOUT_MS) ?: return ProvisionResult.Indeterminate
+        return decode { CloudCodec.decodeProvision(response.status, response.body) } ?: ProvisionResult.Indeterminate
     }
 
     override suspend fun terminate(machines: List<String>): TerminateResult {
-        val answer = http.call(HttpMethod.POST, CloudCodec.TERMINATE_PATH, CloudCodec.encodeTerminate(machines), TIMEOUT_MS)
-        return if (answer?.status == HttpStatus.OK) TerminateResult.TERMINATED else TerminateResult.INDETERMINATE
+        val response = http.call(HttpMethod.POST, CloudCodec.TERMINATE_PATH, CloudCodec.encodeTerminate(machines), REQUEST_TIMEOUT_MS)
+        return if (response?.status == HttpStatus.OK) TerminateResult.TERMINATED else TerminateResult.INDETERMINATE
     }
 
     private suspend fun <T : Any> read(
         path: String,
         decodeBody: (JsonObject) -> T,
     ): CloudReply<T> {
-        val (status, body) = http.call(HttpMethod.GET, path, null, TIMEOUT_MS) ?: return CloudReply.Unavailable
+        val (status, body) = http.call(HttpMethod.GET, path, null, REQUEST_TIMEOUT_MS) ?: return CloudReply.Unavailable
         if (status != HttpStatus.OK) return CloudReply.Refused(status)
         return decode { CloudReply.Success(decodeBody(body)) } ?: CloudReply.Unavailable
     }
 
     /** An answer of another form than the protocol's counts as none. */
-    private inline fun <T : Any> decode(decodeAnswer: () -> T): T? =
-        decodeOrNull({ log.info("Answer of the cloud could not be decoded: {}", it.message) }, decodeAnswer)
+    private inline fun <T : Any> decode(decodeResponse: () -> T): T? =
+        decodeOrNull({ log.info("Answer of the cloud could not be decoded: {}", it.message) }, decodeResponse)
 
     companion object {
         /** The most connections that this client has. */
-        const val SOCKETS = 2
-        private const val QUEUE = 4
-        private const val TIMEOUT_MS = 4000L
+        const val MAX_CONNECTIONS = 2
+        private const val MAX_QUEUED_REQUESTS = 4
+        private const val REQUEST_TIMEOUT_MS = 4000L
     }
 }
--- a/src/main/kotlin/lichenstage/cloud/MachineCatalog.kt
+++ b/src/main/kotlin/lichenstage/cloud/MachineCatalog.kt
@@ -39,28 +39,29 @@
     }
 
     /** What machines of a type offer; null where the type is not known. */
-    fun limits(name: String): MachineLimits? = machineTypes[name]?.let { MachineLimits(it.name, it.capacity, it.cacheGb) }
+    fun limitsOf(name: String): MachineLimits? = machineTypes[name]?.let { MachineLimits(it.name, it.capacity, it.cacheGb) }
 
     private suspend fun refresh() {
-        val listed = (cloud.machineTypes() as? CloudReply.Success)?.value.orEmpty()
-        if (listed.isNotEmpty()) {
-            val before = machineTypes
-            machineTypes = listed.associateBy { it.name }
-            if (withoutSpotPrices(before) != withoutSpotPrices(machineTypes)) persist()
+        val offeredTypes = (cloud.listMachineTypes() as? CloudReply.Success)?.value.orEmpty()
+        if (offeredTypes.isNotEmpty()) {
+            val previousTypes = machineTypes
+            machineTypes = offeredTypes.associateBy { it.name }
+            if (withoutSpotPrices(previousTypes) != withoutSpotPrices(machineTypes)) persist()
         } else if (!isLoaded) {
             restore()
         }
     }
 
     private suspend fun persist() {
-        val stored = (state.get(MachineCatalogCodec.KEY) as? ReadResult.Found)?.let { MachineCatalogCodec.decode(it.entry.value) }
-        if (stored != null && withoutSpotPrices(stored) == withoutSpotPrices(machineTypes)) return
+        val storedTypes = (state.get(MachineCatalogCodec.KEY) as? ReadResult.Found)?.let { MachineCatalogCodec.decode(it.entry.value) }
+        if (storedTypes != null && withoutSpotPrices(storedTypes) == withoutSpotPrices(machineTypes)) return
         state.commit(emptyList(), listOf(Change.Put(MachineCatalogCodec.KEY, MachineCatalogCodec.encode(machineTypes.values))))
     }
 
     private suspend fun restore() {
-        val stored = (state.get(MachineCatalogCodec.KEY) as? ReadResult.Found)?.let { MachineCatalogCodec.decode(it.entry.value) } ?: return
-        if (!isLoaded) machineTypes = stored
+        val storedTypes =
+            (state.get(MachineCatalogCodec.KEY) as? ReadResult.Found)?.let { MachineCatalogCodec.decode(it.entry.value) } ?: return
+        if (!isLoaded) machineTypes = storedTypes
     }
 
     /** Spot prices move all the time, which is no reason to write the record. */
--- a/src/main/kotlin/lichenstage/partition/ConnectionPool.kt
+++ b/src/main/kotlin/lichenstage/partition/ConnectionPool.kt
@@ -9,48 +9,48 @@
  * @param A the type of an address
  * @param C the type of a connection
  * @property maxConnections the limit, which may change over time
- * @property close closes a connection
+ * @property closeConnection closes a connection
  */
 class ConnectionPool<A : Any, C : Any>(
     private val maxConnections: () -> Int,
-    private val close: (C) -> Unit,
+    private val closeConnection: (C) -> Unit,
 ) {
     private class IdleConnection<C>(
         val connection: C,
-        val sinceUs: Long,
+        val idleSinceUs: Long,
     )
 
-    private val idle = LinkedHashMap<A, IdleConnection<C>>()
+    private val idleByAddress = LinkedHashMap<A, IdleConnection<C>>()
 
     /** Number of places that are taken: connections in use or being made. */
-    var inUse = 0
+    var inUseCount = 0
         private set
 
     /** Number of connections in use, being made, or idle. */
-    val open get() = inUse + idle.size
+    val openCount get() = inUseCount + idleByAddress.size
 
     /** How many more connections may be used at once. */
-    val available get() = (maxConnections() - inUse).coerceAtLeast(0)
+    val availableCount get() = (maxConnections() - inUseCount).coerceAtLeast(0)
 
     /** Takes a place and returns the idle connection to [address], or null where the caller has to make one. */
     fun acquire(address: A): C? {
-        inUse++
-        val pooled = idle.remove(address)
-        closeExcess()
-        return pooled?.connection
+        inUseCount++
+        val idleConnection = idleByAddress.remove(address)
+        closeExcessIdle()
+        return idleConnection?.connection
     }
 
     /** Returns a place, with its [connection] where that can be used again. */
     fun release(
         address: A,
         connection: C?,
-        now: Long,
+        nowUs: Long,
     ) {
-        inUse--
+        inUseCount--
         if (connection == null) return
-        idle.remove(address)?.let { close(it.connection) }
-        idle[address] = IdleConnection(connection, now)
-        closeExcess()
+        idleByAddress.remove(address)?.let { closeConnection(it.connection) }
+        idleByAddress[address] = IdleConnection(connection, nowUs)
+        closeExcessIdle()
     }
 
     /** Forgets an idle connection that the other end has closed. */
@@ -58,21 +58,21 @@
         address: A,
         connection: C,
     ) {
-        if (idle[address]?.connection === connection) idle.remove(address)
+        if (idleByAddress[address]?.connection === connection) idleByAddress.remove(address)
     }
 
     /** Closes the connections that have been idle since before [beforeUs]. */
-    fun closeIdleSince(beforeUs: Long) {
-        while (idle.isNotEmpty() && idle.values.first().sinceUs < beforeUs) closeEldest()
+    fun closeIdleBefore(beforeUs: Long) {
+        while (idleByAddress.isNotEmpty() && idleByAddress.values.first().idleSinceUs < beforeUs) closeOldestIdle()
     }
 
-    private fun closeExcess() {
-        while (open > maxConnections() && idle.isNotEmpty()) closeEldest()
+    private fun closeExcessIdle() {
+        while (openCount > maxConnections() && idleByAddress.isNotEmpty()) closeOldestIdle()
     }
 
-    private fun closeEldest() {
-        val eldest = idle.entries.first()
-        idle.remove(eldest.key)
-        close(eldest.value.connection)
+    private fun closeOldestIdle() {
+        val oldest = idleByAddress.entries.first()
+        idleByAddress.remove(oldest.key)
+        closeConnection(oldest.value.connection)
     }
 }
--- a/src/main/kotlin/lichenstage/partition/DirectOrder.kt
+++ b/src/main/kotlin/lichenstage/partition/DirectOrder.kt
@@ -15,15 +15,15 @@
 
 /** What is known of the execution of a direct order. */
 sealed interface OrderOutcome {
-    /** The worker has answered that it [executed] the order or refused it, with a [heartbeat] where one could be read. */
-    data class Answered(
-        val executed: Boolean,
+    /** The worker has answered that it [isExecuted] the order or refused it, with a [heartbeat] where one could be read. */
+    data class Replied(
+        val isExecuted: Boolean,
         val heartbeat: Heartbeat?,
     ) : OrderOutcome {
         /** Whether the answer comes from the order's machine, with a fencing token and an agent epoch that agree with its status. */
         fun matches(order: DirectOrder): Boolean {
             if (heartbeat == null || heartbeat.machine != order.machine) return false
-            return if (executed) {
+            return if (isExecuted) {
                 heartbeat.agentEpoch == order.agentEpoch && heartbeat.fencingToken >= order.fencingToken
             } else {
                 heartbeat.agentEpoch > order.agentEpoch || heartbeat.fencingToken > order.fencingToken
@@ -41,5 +41,5 @@
      * This outcome as far as it proves anything about [order]. An answer that is malformed, of another machine, or of a token or an agent
      * epoch that does not agree with its status proves nothing: the order may still be executed.
      */
-    fun provenFor(order: DirectOrder): OrderOutcome = if (this is Answered && !matches(order)) Indeterminate else this
+    fun verifiedFor(order: DirectOrder): OrderOutcome = if (this is Replied && !matches(order)) Indeterminate else this
 }
--- a/src/main/kotlin/lichenstage/partition/EndedJobStops.kt
+++ b/src/main/kotlin/lichenstage/partition/EndedJobStopper.kt
@@ -8,45 +8,45 @@
  * Stops the tasks of jobs that are over, whether or not the leader says so (invariants 10 and 15): it may be out of reach, or may not
  * have learned of a cancellation while this partition's answers keep renewing the workers' leases.
  */
-internal class EndedJobStops(
+internal class EndedJobStopper(
     private val jobCompletions: JobCompletions,
     private val machines: MachineRegistry,
     private val orders: OrderQueue,
     private val fencing: OrderFencing,
-    private val events: (OrderEvent) -> Unit,
+    private val reportEvent: (OrderEvent) -> Unit,
 ) {
-    private var lastCheckedUs = Long.MIN_VALUE / 2
+    private var lastCheckAtUs = Long.MIN_VALUE / 2
 
     /** Looks at all attempts, twice a second at most. */
-    fun check(now: Long) {
-        if (now - lastCheckedUs < CHECK_INTERVAL_US) return
-        lastCheckedUs = now
-        val ended = HashMap<String, OrderEvent.JobEnded>()
+    fun stopTasksOfEndedJobs(nowUs: Long) {
+        if (nowUs - lastCheckAtUs < CHECK_INTERVAL_US) return
+        lastCheckAtUs = nowUs
+        val eventsByJob = HashMap<String, OrderEvent.JobEnded>()
         for (machine in machines.all) {
             for (attempt in machine.attempts.values) {
-                fencing.noteOpenJob(attempt)
-                if (isStopNeeded(attempt)) {
+                fencing.updateJobConfirmedOpenTime(attempt)
+                if (needsStop(attempt)) {
                     stop(machine, attempt)
-                    ended.merge(attempt.job, jobEnded(attempt), OrderEvent.JobEnded::plus)
+                    eventsByJob.merge(attempt.job, jobEndedEvent(attempt), OrderEvent.JobEnded::plus)
                 }
             }
         }
-        ended.values.forEach(events)
+        eventsByJob.values.forEach(reportEvent)
     }
 
-    private fun isStopNeeded(attempt: WorkerAttempt) =
-        !attempt.stopRequested && attempt.phase != TaskPhase.ENDED && jobCompletions.hasEnded(attempt.job, attempt.firstSeenUs)
+    private fun needsStop(attempt: WorkerAttempt) =
+        !attempt.isStopRequested && attempt.phase != TaskPhase.ENDED && jobCompletions.hasEnded(attempt.job, attempt.firstSeenAtUs)
 
     private fun stop(
         machine: Machine,
         attempt: WorkerAttempt,
     ) {
-        attempt.stopRequested = true
+        attempt.isStopRequested = true
         orders.add(machine)
         if (!attempt.isListed) fencing.addUnwantedStart(machine)
     }
 
-    private fun jobEnded(attempt: WorkerAttempt) =
+    private fun jobEndedEvent(attempt: WorkerAttempt) =
         if (attempt.isListed) OrderEvent.JobEnded(attempt.job, 1, 0) else OrderEvent.JobEnded(attempt.job, 0, 1)
 
     private companion object {
--- a/src/main/kotlin/lichenstage/partition/FencingTokens.kt
+++ b/src/main/kotlin/lichenstage/partition/FencingTokens.kt
@@ -10,53 +10,53 @@
  * later owner is higher than all of them (invariant 6).
  *
  * @property term the term of the ownership
- * @property acquiredUs when the partition was acquired
+ * @property acquiredAtUs when the partition was acquired
  */
 internal class FencingTokens(
     private val term: Long,
-    private val acquiredUs: Long,
+    private val acquiredAtUs: Long,
 ) {
-    private val reserved = ArrayDeque<LongRange>()
-    private var lastRequestedUs = Long.MIN_VALUE / 2
+    private val reservedRanges = ArrayDeque<LongRange>()
+    private var lastReservationAtUs = Long.MIN_VALUE / 2
 
     /** The highest token that was handed out. */
-    var highest = term
+    var highestIssued = term
         private set
 
-    private val remaining get() = reserved.sumOf { it.last - it.first + 1 }
+    private val remainingCount get() = reservedRanges.sumOf { it.last - it.first + 1 }
 
     /** More tokens should be reserved. This is long before the last one is needed, since the key-value store may be away by then. */
-    val isLow get() = remaining < LOW_WATERMARK
+    val isLow get() = remainingCount < LOW_WATERMARK
 
     /**
      * Whether tokens should be reserved now; a true answer counts as an attempt. Attempts are repeated after a while, since a reservation
-     * may fail. There are none in the first seconds of an ownership, in which ownership keys are written, unless one [isLacking].
+     * may fail. There are none in the first seconds of an ownership, in which ownership keys are written, unless one [lacksToken].
      */
-    fun reservationDue(
-        now: Long,
-        isLacking: Boolean,
+    fun beginReservationIfDue(
+        nowUs: Long,
+        lacksToken: Boolean,
     ): Boolean {
-        if (!isLow || now - lastRequestedUs < RETRY_INTERVAL_US || (!isLacking && now - acquiredUs < HANDOVER_US)) return false
-        lastRequestedUs = now
+        if (!isLow || nowUs - lastReservationAtUs < RETRY_INTERVAL_US || (!lacksToken && nowUs - acquiredAtUs < HANDOVER_US)) return false
+        lastReservationAtUs = nowUs
         return true
     }
 
     /** Adds reserved tokens; a range that is not above all others is ignored. */
-    fun add(fencingTokens: LongRange) {
-        val last = reserved.lastOrNull()?.last ?: highest
-        if (!fencingTokens.isEmpty() && fencingTokens.first > last) reserved.addLast(fencingTokens)
+    fun addReserved(fencingTokens: LongRange) {
+        val last = reservedRanges.lastOrNull()?.last ?: highestIssued
+        if (!fencingTokens.isEmpty() && fencingTokens.first > last) reservedRanges.addLast(fencingTokens)
     }
 
     /** A token above all that were handed out; null where none is left. */
     fun next(): Long? {
-        val range = reserved.removeFirstOrNull() ?: return null
-        if (range.first < range.last) reserved.addFirst(range.first + 1..range.last)
-        highest = range.first
-        return highest
+        val range = reservedRanges.removeFirstOrNull() ?: return null
+        if (range.first < range.last) reservedRanges.addFirst(range.first + 1..range.last)
+        highestIssued = range.first
+        return highestIssued
     }
 
     /** Whether a machine of this partition that shows [fencingToken] has it from this owner. */
-    fun isOwnersToken(fencingToken: Long) = fencingToken in term..highest
+    fun isIssuedByOwner(fencingToken: Long) = fencingToken in term..highestIssued
 
     private companion object {
         const val LOW_WATERMARK = 16L
--- a/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
+++ b/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
@@ -26,7 +26,7 @@
         machine.lost = false
         machine.address = heartbeat.address
         machine.recallUs = heartbeat.recallUs
-        if (fencingTokens.isOwnersToken(heartbeat.fencingToken)) {
+        if (fencingTokens.isIssuedByOwner(heartbeat.fencingToken)) {
             if (!machine.tokenConfirmed) changed = true
             machine.observedFencingToken = maxOf(machine.observedFencingToken, heartbeat.fencingToken)
             if (applyTasks(machine, heartbeat, now)) changed = true
@@ -81,7 +81,7 @@
         if (attempt.phase == report.phase && attempt.cause == report.cause) return known == null
         // The worker has executed a start: commands reach it.
         if (!attempt.isListed) machine.unresponsive = false
-        if (attempt.isUnwantedStart) events(OrderEvent.LateStart(machine.name, machine.agentEpoch, attempt.task, attempt.number))
+        if (attempt.isUnwantedStart) events(OrderEvent.UnwantedStartListed(machine.name, machine.agentEpoch, attempt.task, attempt.number))
         attempt.phase = report.phase
         attempt.cause = report.cause
         attempt.version = changes.nextVersion
--- a/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
+++ b/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
@@ -33,8 +33,8 @@
         for (order in frame.starts) start(order, now)
         // The leader has not chosen what is left of a hold after its starts.
         frame.starts.forEach { placement.release(it.stamp) }
-        for (order in frame.stops) updateAttempt(order) { it.stopRequested = true }
-        for (order in frame.clears) updateAttempt(order) { it.clearRequested = true }
+        for (order in frame.stops) updateAttempt(order) { it.isStopRequested = true }
+        for (order in frame.clears) updateAttempt(order) { it.isClearRequested = true }
         frame.saves.forEach(::requestCheckpointStop)
         placement.grant(frame.requests, now).forEach(changes::add)
         if (frame.requests.isNotEmpty() || frame.starts.isNotEmpty() || frame.stops.isNotEmpty()) changes.requestFrame()
@@ -73,7 +73,7 @@
         if (!machine.attempts.containsKey(order.attempt)) {
             val attempt = WorkerAttempt("${request.job}/${order.index}", order.attempt, now)
             attempt.version = changes.nextVersion
-            fencing.noteOpenJob(attempt)
+            fencing.updateJobConfirmedOpenTime(attempt)
             machine.attempts.put(order.attempt, attempt)
             machine.invalidateUsage()
         }
@@ -89,7 +89,7 @@
         update(attempt)
         orders.add(machine)
         if (attempt.isUnwantedStart) fencing.addUnwantedStart(machine)
-        fencing.removeDisprovenStarts(machine)
+        fencing.removeUnexecutedStarts(machine)
         changes.requestFrame()
     }
 
--- a/src/main/kotlin/lichenstage/partition/MachineRegistry.kt
+++ b/src/main/kotlin/lichenstage/partition/MachineRegistry.kt
@@ -33,7 +33,7 @@
         val machine = Machine(heartbeat.machine, heartbeat, cacheGb)
         machine.agentEpochFirstSeenUs = now
         // One that was removed may come back with the token that it was last given.
-        machine.fencingToken = if (fencingTokens.isOwnersToken(heartbeat.fencingToken)) heartbeat.fencingToken else parameters.term
+        machine.fencingToken = if (fencingTokens.isIssuedByOwner(heartbeat.fencingToken)) heartbeat.fencingToken else parameters.term
         changes.record(machine)
         return machine
     }
--- a/src/main/kotlin/lichenstage/partition/OrderEvent.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderEvent.kt
@@ -21,10 +21,10 @@
     MACHINE_UNUSABLE,
 }
 
-/** What operators need to know of orders to workers when a rule was broken; [OrderJournal] logs and counts it. */
+/** What operators need to know of orders to workers when a rule was broken; [OrderEventRecorder] logs and counts it. */
 sealed interface OrderEvent {
     /** A direct order got no answer: it may be executed late. */
-    data class Unanswered(
+    data class OrderUnanswered(
         val order: DirectOrder,
     ) : OrderEvent
 
@@ -37,7 +37,7 @@
     ) : OrderEvent
 
     /** It is proven that an unwanted start whose outcome was indeterminate has not been executed and can't be any more. */
-    data class StartDisproven(
+    data class StartProvenNotExecuted(
         val machine: String,
         val agentEpoch: Long,
         val task: String,
@@ -46,7 +46,7 @@
     ) : OrderEvent
 
     /** A heartbeat first listed a start after it was no longer wanted. */
-    data class LateStart(
+    data class UnwantedStartListed(
         val machine: String,
         val agentEpoch: Long,
         val task: String,
@@ -58,7 +58,7 @@
         val machine: String,
         val task: String,
         val attempt: Long,
-        val refusal: StartRefusal,
+        val reason: StartRefusal,
     ) : OrderEvent
 
     /** A job is known to be over: [stops] of its tasks are stopped, and [unlistedStarts] of its starts no heartbeat has listed. */
@@ -72,7 +72,7 @@
     }
 
     /** A heartbeat was not answered, so that the machine's lease expires in time: a start of [job] may be executed under its token. */
-    data class AnswerWithheld(
+    data class ReplyWithheld(
         val machine: String,
         val agentEpoch: Long,
         val job: String,
--- a/src/main/kotlin/lichenstage/partition/OrderJournal.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderEventRecorder.kt
@@ -9,53 +9,53 @@
  * Logs and counts what happens to orders, one line for each event and a bounded number of lines in a time. The lines alone tell why a task
  * was on a machine when it should not have been (docs/operations.md).
  */
-class OrderJournal(
+class OrderEventRecorder(
     metrics: Metrics,
     clock: Clock,
 ) {
     private val log = RateLimitedLog.of("lichenstage.orders", clock)
-    private val unanswered = metrics.counter("orders_unanswered")
-    private val lateStarts = metrics.counter("starts_landed_late")
-    private val withheld = metrics.counter("answers_withheld")
-    private val raisedTokens: Map<FenceReason, Counter> =
+    private val unansweredOrders = metrics.counter("orders_unanswered")
+    private val unwantedStarts = metrics.counter("starts_landed_late")
+    private val withheldReplies = metrics.counter("answers_withheld")
+    private val raisedTokenCounters: Map<FenceReason, Counter> =
         FenceReason.entries.associateWith { metrics.counter("fences_${it.name.lowercase()}") }
 
     /** Records an event of the partition whose owner has [term]. */
-    fun add(
+    fun record(
         partition: String,
         term: Long,
         event: OrderEvent,
     ) {
-        count(event)
+        incrementCounter(event)
         log.info { "${summary(event)} partition=$partition term=$term ${details(event)}" }
     }
 
-    private fun count(event: OrderEvent) {
+    private fun incrementCounter(event: OrderEvent) {
         when (event) {
-            is OrderEvent.Unanswered -> unanswered.increment()
-            is OrderEvent.FencingTokenRaised -> raisedTokens.getValue(event.reason).increment()
-            is OrderEvent.LateStart -> lateStarts.increment()
-            is OrderEvent.AnswerWithheld -> withheld.increment()
-            is OrderEvent.JobEnded, is OrderEvent.StartDisproven, is OrderEvent.StartRefused -> Unit
+            is OrderEvent.OrderUnanswered -> unansweredOrders.increment()
+            is OrderEvent.FencingTokenRaised -> raisedTokenCounters.getValue(event.reason).increment()
+            is OrderEvent.UnwantedStartListed -> unwantedStarts.increment()
+            is OrderEvent.ReplyWithheld -> withheldReplies.increment()
+            is OrderEvent.JobEnded, is OrderEvent.StartProvenNotExecuted, is OrderEvent.StartRefused -> Unit
         }
     }
 
     private fun summary(event: OrderEvent): String =
         when (event) {
-            is OrderEvent.Unanswered -> "Order unanswered"
+            is OrderEvent.OrderUnanswered -> "Order unanswered"
             is OrderEvent.FencingTokenRaised -> "Fencing token raised"
-            is OrderEvent.StartDisproven -> "Start proven not executed"
-            is OrderEvent.LateStart -> "Unwanted start listed"
+            is OrderEvent.StartProvenNotExecuted -> "Start proven not executed"
+            is OrderEvent.UnwantedStartListed -> "Unwanted start listed"
             is OrderEvent.StartRefused -> "Start refused"
             is OrderEvent.JobEnded -> "Job ended"
-            is OrderEvent.AnswerWithheld -> "Heartbeat answer withheld"
+            is OrderEvent.ReplyWithheld -> "Heartbeat answer withheld"
         }
 
     private fun details(event: OrderEvent): String =
         when (event) {
-            is OrderEvent.Unanswered -> {
+            is OrderEvent.OrderUnanswered -> {
                 val order = event.order
-                "machine=${order.machine} agentEpoch=${order.agentEpoch} fencingToken=${order.fencingToken} commands=${commands(order)}"
+                "machine=${order.machine} agentEpoch=${order.agentEpoch} fencingToken=${order.fencingToken} commands=${listCommands(order)}"
             }
 
             is OrderEvent.FencingTokenRaised -> {
@@ -63,35 +63,35 @@
                     "reason=${event.reason.name.lowercase()}"
             }
 
-            is OrderEvent.StartDisproven -> {
+            is OrderEvent.StartProvenNotExecuted -> {
                 "machine=${event.machine} agentEpoch=${event.agentEpoch} fencingToken=${event.observedFencingToken} " +
                     "task=${event.task} attempt=${event.attempt}"
             }
 
-            is OrderEvent.LateStart -> {
+            is OrderEvent.UnwantedStartListed -> {
                 "machine=${event.machine} agentEpoch=${event.agentEpoch} task=${event.task} attempt=${event.attempt}"
             }
 
             is OrderEvent.StartRefused -> {
-                "machine=${event.machine} task=${event.task} attempt=${event.attempt} reason=${event.refusal.name.lowercase()}"
+                "machine=${event.machine} task=${event.task} attempt=${event.attempt} reason=${event.reason.name.lowercase()}"
             }
 
             is OrderEvent.JobEnded -> {
                 "job=${event.job} stops=${event.stops} unlistedStarts=${event.unlistedStarts}"
             }
 
-            is OrderEvent.AnswerWithheld -> {
+            is OrderEvent.ReplyWithheld -> {
                 "machine=${event.machine} agentEpoch=${event.agentEpoch} job=${event.job}"
             }
         }
 
-    private fun commands(order: DirectOrder): String {
-        val shown =
+    private fun listCommands(order: DirectOrder): String {
+        val formatted =
             order.commands.take(MAX_LISTED_COMMANDS).joinToString(prefix = "[", postfix = "]") {
                 "${it::class.simpleName!!.lowercase()} ${it.task} ${it.attempt}"
             }
         val omitted = order.commands.size - MAX_LISTED_COMMANDS
-        return if (omitted > 0) "$shown omittedCommands=$omitted" else shown
+        return if (omitted > 0) "$formatted omittedCommands=$omitted" else formatted
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/partition/OrderFencing.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderFencing.kt
@@ -15,11 +15,11 @@
     private val fencingTokens: FencingTokens,
     private val changes: ChangeLog,
     private val jobCompletions: JobCompletions,
-    private val events: (OrderEvent) -> Unit,
+    private val reportEvent: (OrderEvent) -> Unit,
 ) {
     /** Machines with starts that are not wanted and may still be executed. */
     private val machinesWithUnwantedStarts = LinkedHashSet<Machine>()
-    private var lastClearFencingUs = Long.MIN_VALUE / 2
+    private var lastClearFencingAtUs = Long.MIN_VALUE / 2
 
     /** A newer token is needed now, and none is left. */
     var lacksTokens = false
@@ -36,45 +36,45 @@
     }
 
     /** Removes the unwanted starts of all machines that are proven not to have been executed. */
-    fun removeDisprovenStarts() = machinesWithUnwantedStarts.toList().forEach(::removeDisprovenStarts)
+    fun removeUnexecutedStarts() = machinesWithUnwantedStarts.toList().forEach(::removeUnexecutedStarts)
 
     /** Removes the unwanted starts of [machine] that are proven not to have been executed. */
-    fun removeDisprovenStarts(machine: Machine) {
+    fun removeUnexecutedStarts(machine: Machine) {
         if (machine !in machinesWithUnwantedStarts) return
-        val disproven =
+        val unexecutedStarts =
             machine.attempts.values.filter {
-                it.stopRequested && it.provenNotStarted(machine.heartbeatSequence, machine.observedFencingToken)
+                it.isStopRequested && it.isProvenNotExecuted(machine.heartbeatSequence, machine.observedFencingToken)
             }
-        disproven.filter { it.isStartIndeterminate }.forEach { events(startDisproven(machine, it)) }
-        if (disproven.isNotEmpty()) machine.removeAttempts { it in disproven }
+        unexecutedStarts.filter { it.isStartIndeterminate }.forEach { reportEvent(startProvenNotExecuted(machine, it)) }
+        if (unexecutedStarts.isNotEmpty()) machine.removeAttempts { it in unexecutedStarts }
         if (machine.attempts.values.none { it.isUnwantedStart }) machinesWithUnwantedStarts -= machine
-        if (disproven.isNotEmpty()) {
+        if (unexecutedStarts.isNotEmpty()) {
             machine.invalidateUsage()
             changes.record(machine)
         }
     }
 
-    private fun startDisproven(
+    private fun startProvenNotExecuted(
         machine: Machine,
         attempt: WorkerAttempt,
-    ) = OrderEvent.StartDisproven(machine.name, machine.agentEpoch, attempt.task, attempt.number, machine.observedFencingToken)
+    ) = OrderEvent.StartProvenNotExecuted(machine.name, machine.agentEpoch, attempt.task, attempt.number, machine.observedFencingToken)
 
     /** Notes as of when the job of a start that no heartbeat has listed is still open, where that is known. */
-    fun noteOpenJob(attempt: WorkerAttempt) {
+    fun updateJobConfirmedOpenTime(attempt: WorkerAttempt) {
         if (attempt.isListed) return
-        jobCompletions.confirmedOpenUs(attempt.job)?.let { attempt.confirmedOpenUs = it }
+        jobCompletions.confirmedOpenUs(attempt.job)?.let { attempt.jobOpenAtUs = it }
     }
 
     /** Gives newer tokens to those of [machines] that need one now. */
     fun raiseTokens(
         machines: Collection<Machine>,
-        now: Long,
+        nowUs: Long,
     ) {
         lacksTokens = false
-        raiseToken(machinesWithUnwantedStarts.filter(::mustRefuseStarts), FenceReason.UNWANTED_START)
-        if (now - lastClearFencingUs < CLEAR_FENCING_INTERVAL_US) return
-        lastClearFencingUs = now
-        raiseToken(machines.filter(::mustRefuseRepeats), FenceReason.CLEARS)
+        raiseToken(machinesWithUnwantedStarts.filter(::mustRefuseUnwantedStarts), FenceReason.UNWANTED_START)
+        if (nowUs - lastClearFencingAtUs < CLEAR_FENCING_INTERVAL_US) return
+        lastClearFencingAtUs = nowUs
+        raiseToken(machines.filter(::mustRefuseStartsBeforeClear), FenceReason.CLEARS)
     }
 
     /** One token serves all of [machines]. */
@@ -90,18 +90,18 @@
         }
         for (machine in machines) {
             machine.fencingToken = fencingToken
-            events(OrderEvent.FencingTokenRaised(machine.name, machine.agentEpoch, fencingToken, reason))
+            reportEvent(OrderEvent.FencingTokenRaised(machine.name, machine.agentEpoch, fencingToken, reason))
         }
     }
 
-    private fun mustRefuseStarts(machine: Machine) =
+    private fun mustRefuseUnwantedStarts(machine: Machine) =
         machine.attempts.values.any {
-            it.isUnwantedStart && it.isStartIndeterminate && it.startsInFlight == 0 && it.canExecuteUnder(machine.fencingToken)
+            it.isUnwantedStart && it.isStartIndeterminate && it.startOrdersInFlight == 0 && it.isStartExecutableUnder(machine.fencingToken)
         }
 
     /** Not while an order is in flight, which would be refused as well: what waits to be cleared can wait for another round. */
-    private fun mustRefuseRepeats(machine: Machine) =
-        machine.acceptsOrders && machine.attempts.values.any { it.needsTokenToClear(machine.fencingToken) }
+    private fun mustRefuseStartsBeforeClear(machine: Machine) =
+        machine.acceptsOrders && machine.attempts.values.any { it.needsNewerTokenToClear(machine.fencingToken) }
 
     /**
      * Whether a heartbeat of [machine] may be answered, which renews its lease. Not where the machine's token lets it execute a start whose
@@ -109,22 +109,22 @@
      */
     fun mayRenewLease(
         machine: Machine,
-        now: Long,
+        nowUs: Long,
     ): Boolean {
         if (machine !in machinesWithUnwantedStarts) return true
-        val overdue = machine.attempts.values.firstOrNull { isOverdue(it, machine, now) } ?: return true
-        events(OrderEvent.AnswerWithheld(machine.name, machine.agentEpoch, overdue.job))
+        val blockingStart = machine.attempts.values.firstOrNull { preventsLeaseRenewal(it, machine, nowUs) } ?: return true
+        reportEvent(OrderEvent.ReplyWithheld(machine.name, machine.agentEpoch, blockingStart.job))
         return false
     }
 
-    private fun isOverdue(
+    private fun preventsLeaseRenewal(
         attempt: WorkerAttempt,
         machine: Machine,
-        now: Long,
+        nowUs: Long,
     ): Boolean {
-        val mayExecute = attempt.isStartIndeterminate || attempt.startsInFlight > 0
-        return attempt.isUnwantedStart && mayExecute && attempt.canExecuteUnder(machine.fencingToken) &&
-            now - attempt.confirmedOpenUs > jobCompletions.maxStalenessUs && jobCompletions.hasEnded(attempt.job, attempt.firstSeenUs)
+        val canBeExecuted = attempt.isStartIndeterminate || attempt.startOrdersInFlight > 0
+        return attempt.isUnwantedStart && canBeExecuted && attempt.isStartExecutableUnder(machine.fencingToken) &&
+            nowUs - attempt.jobOpenAtUs > jobCompletions.maxStalenessUs && jobCompletions.hasEnded(attempt.job, attempt.firstSeenAtUs)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/partition/OrderQueue.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderQueue.kt
@@ -5,63 +5,63 @@
 
 /** The commands that workers should execute, and which machines are due for a direct order. */
 internal class OrderQueue {
-    private val due = LinkedHashSet<Machine>()
+    private val dueMachines = LinkedHashSet<Machine>()
 
     /** Something may have to be sent to [machine]. */
     fun add(machine: Machine) {
-        due += machine
+        dueMachines += machine
     }
 
     /** Drops a machine that the partition has removed. */
     fun remove(machine: Machine) {
-        due -= machine
+        dueMachines -= machine
     }
 
     /** The commands for the answer to the heartbeat with number [sequence], recorded as sent. */
-    fun commandsForAnswer(
+    fun commandsForReply(
         machine: Machine,
         sequence: Long,
-        now: Long,
+        nowUs: Long,
     ): List<Command> {
-        val commands = commands(machine, now).take(MAX_COMMANDS)
-        markSent(machine, commands, now) {
-            it.startAnsweredUs = now
-            it.startAnsweredSequence = maxOf(it.startAnsweredSequence, sequence)
+        val commands = pendingCommands(machine, nowUs).take(MAX_COMMANDS_PER_MESSAGE)
+        markSent(machine, commands, nowUs) {
+            it.startReplySentAtUs = nowUs
+            it.startReplySequence = maxOf(it.startReplySequence, sequence)
         }
         return commands
     }
 
     /** All that the worker should do now. Each may be repeated; clears are only sent where no start can be executed after them. */
-    private fun commands(
+    private fun pendingCommands(
         machine: Machine,
-        now: Long,
+        nowUs: Long,
     ): List<Command> {
         if (machine.attempts.isEmpty()) return emptyList()
         val commands = ArrayList<Command>()
-        for (attempt in machine.attempts.values) command(machine, attempt, now)?.let { commands += it }
+        for (attempt in machine.attempts.values) pendingCommand(machine, attempt, nowUs)?.let { commands += it }
         return commands
     }
 
-    private fun command(
+    private fun pendingCommand(
         machine: Machine,
         attempt: WorkerAttempt,
-        now: Long,
+        nowUs: Long,
     ): Command? =
         when {
             attempt.phase == TaskPhase.PENDING -> {
-                if (attempt.stopRequested) null else Command.Start(attempt.task, attempt.number)
+                if (attempt.isStopRequested) null else Command.Start(attempt.task, attempt.number)
             }
 
             attempt.phase == TaskPhase.ENDED -> {
-                val isDue = attempt.clearRequested && attempt.isClearable(now, machine.observedFencingToken)
-                if (isDue) Command.Clear(attempt.task, attempt.number) else null
+                val isClearDue = attempt.isClearRequested && attempt.isClearable(nowUs, machine.observedFencingToken)
+                if (isClearDue) Command.Clear(attempt.task, attempt.number) else null
             }
 
-            attempt.stopRequested -> {
+            attempt.isStopRequested -> {
                 Command.Stop(attempt.task, attempt.number, 0.0)
             }
 
-            attempt.isCheckpointStopDue(now) -> {
+            attempt.isCheckpointStopDue(nowUs) -> {
                 Command.Stop(attempt.task, attempt.number, attempt.checkpointLeewayUs!! / SECOND.toDouble())
             }
 
@@ -70,17 +70,17 @@
             }
         }
 
-    /** Records that [commands] are sent now; [startSent] records the way that a start takes. */
+    /** Records that [commands] are sent now; [recordStart] records the way that a start takes. */
     private fun markSent(
         machine: Machine,
         commands: List<Command>,
-        now: Long,
-        startSent: (WorkerAttempt) -> Unit,
+        nowUs: Long,
+        recordStart: (WorkerAttempt) -> Unit,
     ) {
         for (command in commands) {
             val attempt = machine.attempts.get(command.attempt) ?: continue
-            if (command is Command.Stop && !attempt.stopRequested) attempt.checkpointStopSentUs = now
-            if (command is Command.Start) startSent(attempt)
+            if (command is Command.Stop && !attempt.isStopRequested) attempt.checkpointStopSentAtUs = nowUs
+            if (command is Command.Start) recordStart(attempt)
         }
     }
 
@@ -89,48 +89,48 @@
      * connections. The rest stays due; where some have to wait, stops go before starts.
      */
     fun nextDirectOrders(
-        now: Long,
+        nowUs: Long,
         limit: Int,
     ): List<DirectOrder> {
-        if (due.isEmpty() || limit <= 0) return emptyList()
+        if (dueMachines.isEmpty() || limit <= 0) return emptyList()
         val orders = ArrayList<DirectOrder>()
-        val candidates = if (due.size > limit) due.sortedBy { !isStopDue(it, now) } else due.toList()
+        val candidates = if (dueMachines.size > limit) dueMachines.sortedBy { !isStopDue(it, nowUs) } else dueMachines.toList()
         for (machine in candidates) {
             if (orders.size >= limit) break
-            due -= machine
-            if (machine.acceptsOrders && isUrgent(machine, now)) orders += order(machine, now)
+            dueMachines -= machine
+            if (machine.acceptsOrders && needsDirectOrder(machine, nowUs)) orders += createOrder(machine, nowUs)
         }
         return orders
     }
 
-    private fun order(
+    private fun createOrder(
         machine: Machine,
-        now: Long,
+        nowUs: Long,
     ): DirectOrder {
-        val commands = commands(machine, now).take(MAX_COMMANDS)
-        markSent(machine, commands, now) {
-            it.startOrderedUs = now
-            it.startOrderToken = machine.fencingToken
-            it.startsInFlight++
+        val commands = pendingCommands(machine, nowUs).take(MAX_COMMANDS_PER_MESSAGE)
+        markSent(machine, commands, nowUs) {
+            it.directStartAtUs = nowUs
+            it.directStartToken = machine.fencingToken
+            it.startOrdersInFlight++
         }
         machine.orderInFlight = true
         return DirectOrder(machine.name, machine.address, machine.fencingToken, machine.agentEpoch, commands)
     }
 
-    private fun isUrgent(
+    private fun needsDirectOrder(
         machine: Machine,
-        now: Long,
-    ) = isStopDue(machine, now) || machine.attempts.values.any { !it.isListed && !it.stopRequested }
+        nowUs: Long,
+    ) = isStopDue(machine, nowUs) || machine.attempts.values.any { !it.isListed && !it.isStopRequested }
 
     private fun isStopDue(
         machine: Machine,
-        now: Long,
+        nowUs: Long,
     ) = machine.attempts.values.any {
-        it.isCheckpointStopDue(now) || (it.isListed && it.stopRequested && it.phase != TaskPhase.ENDED)
+        it.isCheckpointStopDue(nowUs) || (it.isListed && it.isStopRequested && it.phase != TaskPhase.ENDED)
     }
 
     /** A direct order is no longer in flight. A start whose order got no answer may still be executed. */
-    fun complete(
+    fun onOrderCompleted(
         machine: Machine,
         order: DirectOrder,
         outcome: OrderOutcome,
@@ -140,12 +140,12 @@
         for (command in order.commands) {
             if (command !is Command.Start) continue
             val attempt = machine.attempts.get(command.attempt) ?: continue
-            attempt.startsInFlight--
+            attempt.startOrdersInFlight--
             if (outcome is OrderOutcome.Indeterminate) attempt.isStartIndeterminate = true
         }
     }
 
     private companion object {
-        const val MAX_COMMANDS = 200
+        const val MAX_COMMANDS_PER_MESSAGE = 200
     }
 }
--- a/src/main/kotlin/lichenstage/partition/OwnedPartitions.kt
+++ b/src/main/kotlin/lichenstage/partition/OwnedPartitions.kt
@@ -16,7 +16,7 @@
     private val settings: Settings,
     private val authority: Authority,
     private val replica: JobReplica,
-    private val journal: OrderJournal,
+    private val journal: OrderEventRecorder,
     private val clock: Clock,
     private val limitsOf: (String) -> MachineLimits?,
 ) {
@@ -69,6 +69,6 @@
     ): PartitionCore {
         val zone = assignment.zone(id)!!
         val parameters = PartitionParameters(id, zone, term, settings.workerLeaseUs, settings.heartbeatIntervalUs, now)
-        return PartitionCore(parameters, replica, { journal.add(id, term, it) }, limitsOf)
+        return PartitionCore(parameters, replica, { journal.record(id, term, it) }, limitsOf)
     }
 }
--- a/src/main/kotlin/lichenstage/partition/PartitionActor.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionActor.kt
@@ -43,7 +43,7 @@
 
     /** When the oldest of these starts was sent, in microseconds; null where there is none. */
     val oldestIndeterminateStartUs
-        get() = partitions.all.mapNotNull { partition -> partition.indeterminateStarts().minOfOrNull { it.startOrderedUs } }.minOrNull()
+        get() = partitions.all.mapNotNull { partition -> partition.indeterminateStarts().minOfOrNull { it.directStartAtUs } }.minOrNull()
 
     /** Adds a message to the actor's inbox. */
     fun tell(message: PartitionMessage) = mailbox.tell(message)
@@ -127,7 +127,7 @@
             partition.tick(now)
             if (!partitions.isAuthorized(partition)) continue
             if (partition.tokenReservationDue(now)) dispatcher.reserveTokens(partition)
-            partition.nextProbes(now, dispatcher.available / 2).forEach { dispatcher.probe(partition, it) }
+            partition.nextProbes(now, dispatcher.availableConnections / 2).forEach { dispatcher.sendProbe(partition, it) }
             sendDue(partition, now)
         }
     }
@@ -138,7 +138,7 @@
         now: Long,
     ) {
         if (!partitions.isAuthorized(partition)) return
-        partition.nextDirectOrders(now, dispatcher.available).forEach { dispatcher.send(partition, it) }
+        partition.nextDirectOrders(now, dispatcher.availableConnections).forEach { dispatcher.sendOrder(partition, it) }
         partition.nextFrame(now)?.let(sendToLeader)
     }
 
--- a/src/main/kotlin/lichenstage/partition/PartitionCore.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionCore.kt
@@ -37,7 +37,7 @@
     private val probes = ProbeSchedule(parameters.term)
     private val holds = HoldTable(parameters.zone, limitsOf, requirementsOf, machines::get)
     private val placement = PlacementOffers(parameters, machines, holds, requirements, jobCompletions)
-    private val endedJobStops = EndedJobStops(jobCompletions, machines, orders, fencing, events)
+    private val endedJobStops = EndedJobStopper(jobCompletions, machines, orders, fencing, events)
     private val leaderFrames = LeaderFrameHandler(parameters.term, machines, changes, placement, orders, fencing, probes, events)
 
     /** The partition's name. */
@@ -57,7 +57,7 @@
         heartbeat: Heartbeat,
         now: Long,
     ): HeartbeatOutcome {
-        if (heartbeat.fencingToken > fencingTokens.highest) return HeartbeatOutcome.Superseded
+        if (heartbeat.fencingToken > fencingTokens.highestIssued) return HeartbeatOutcome.Superseded
         val machine = machines.getOrAdd(heartbeat, now)
         if (heartbeats.apply(machine, heartbeat, now)) {
             probes.add(heartbeat.machine, heartbeat.address)
@@ -71,10 +71,10 @@
         if (isCurrentEpoch) {
             machine.lastAnsweredUs = now
             machine.heartbeatSequence = maxOf(machine.heartbeatSequence, heartbeat.sequence)
-            fencing.removeDisprovenStarts(machine)
+            fencing.removeUnexecutedStarts(machine)
         }
         val takesCommands = machine.tokenConfirmed && isCurrentEpoch && !machine.lost
-        val commands = if (takesCommands) orders.commandsForAnswer(machine, heartbeat.sequence, now) else emptyList()
+        val commands = if (takesCommands) orders.commandsForReply(machine, heartbeat.sequence, now) else emptyList()
         return HeartbeatOutcome.Accepted(machine.fencingToken, commands)
     }
 
@@ -92,7 +92,7 @@
     ) {
         probes.complete(probe)
         if (heartbeat == null || heartbeat.machine != probe.machine || heartbeat.zone != parameters.zone) return
-        if (heartbeat.fencingToken > fencingTokens.highest) return
+        if (heartbeat.fencingToken > fencingTokens.highestIssued) return
         val machine = machines.getOrAdd(heartbeat, now)
         markResponsive(machine)
         heartbeats.apply(machine, heartbeat, now)
@@ -105,13 +105,13 @@
         now: Long,
     ) {
         val machine = machines[order.machine] ?: return
-        val proven = outcome.provenFor(order)
-        orders.complete(machine, order, proven)
+        val proven = outcome.verifiedFor(order)
+        orders.onOrderCompleted(machine, order, proven)
         when (proven) {
-            is OrderOutcome.Answered -> {
+            is OrderOutcome.Replied -> {
                 markResponsive(machine)
                 proven.heartbeat?.let { heartbeats.apply(machine, it, now) }
-                if (!proven.executed) machine.ordersBlocked = true
+                if (!proven.isExecuted) machine.ordersBlocked = true
             }
 
             OrderOutcome.NotSent -> {
@@ -119,11 +119,11 @@
             }
 
             OrderOutcome.Indeterminate -> {
-                events(OrderEvent.Unanswered(order))
+                events(OrderEvent.OrderUnanswered(order))
                 markUnresponsive(machine)
             }
         }
-        fencing.removeDisprovenStarts(machine)
+        fencing.removeUnexecutedStarts(machine)
     }
 
     /** The machine has answered an order or a probe, so commands reach it (invariant 12). */
@@ -148,8 +148,8 @@
     fun tick(now: Long) {
         holds.expire(now)
         machines.expire(now)
-        endedJobStops.check(now)
-        fencing.removeDisprovenStarts()
+        endedJobStops.stopTasksOfEndedJobs(now)
+        fencing.removeUnexecutedStarts()
         fencing.raiseTokens(machines.all, now)
         machines.removeLongLost(now).forEach(::remove)
     }
@@ -177,15 +177,15 @@
     fun nextFrame(now: Long): PartitionFrame? = changes.nextFrame(now, machines.size)
 
     /** Whether fencing tokens should be reserved for this owner now; a true answer counts as an attempt to do so. */
-    fun tokenReservationDue(now: Long) = fencingTokens.reservationDue(now, lacksTokens)
+    fun tokenReservationDue(now: Long) = fencingTokens.beginReservationIfDue(now, lacksTokens)
 
     /** Adds fencing tokens that are reserved for this owner alone, above all that were ever handed out. */
-    fun addReservedTokens(range: LongRange) = fencingTokens.add(range)
+    fun addReservedTokens(range: LongRange) = fencingTokens.addReserved(range)
 
     /** The starts whose direct order got no answer and may still be executed. */
     internal fun indeterminateStarts(): Sequence<WorkerAttempt> =
         machines.all.asSequence().flatMap { machine ->
-            machine.attempts.values.filter { it.isStartIndeterminate && it.canExecuteUnder(machine.observedFencingToken) }
+            machine.attempts.values.filter { it.isStartIndeterminate && it.isStartExecutableUnder(machine.observedFencingToken) }
         }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/partition/WorkerAttempt.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerAttempt.kt
@@ -12,24 +12,24 @@
  *
  * @property task the task, as `JOB/INDEX`
  * @property number the attempt's number, unique across all leaders (invariant 7)
- * @property firstSeenUs when this partition first knew of the attempt
+ * @property firstSeenAtUs when this partition first knew of the attempt
  */
 internal class WorkerAttempt(
     val task: String,
     val number: Long,
-    val firstSeenUs: Long,
+    val firstSeenAtUs: Long,
 ) {
     val job = task.substringBefore('/')
     var phase = TaskPhase.PENDING
     var cause: String? = null
-    var stopRequested = false
-    var clearRequested = false
+    var isStopRequested = false
+    var isClearRequested = false
 
     /** How long the task gets to save a checkpoint before it is stopped; null where no checkpoint stop is requested. */
     var checkpointLeewayUs: Long? = null
 
     /** When the checkpoint stop was last sent. */
-    var checkpointStopSentUs = NEVER_US
+    var checkpointStopSentAtUs = NEVER_US
 
     /** The version of the partition's [ChangeLog] that last changed what the leader sees of the attempt. */
     var version = 0L
@@ -38,43 +38,43 @@
     var lastListedSequence = -1L
 
     /** Number of direct orders that carry this start and have not completed yet. */
-    var startsInFlight = 0
+    var startOrdersInFlight = 0
 
     /** A direct order with this start got no answer: it may still be executed, until the machine refuses its fencing token. */
     var isStartIndeterminate = false
 
     /** When the answer to a heartbeat last carried this start. */
-    var startAnsweredUs = NEVER_US
+    var startReplySentAtUs = NEVER_US
 
     /** The sequence number of the last heartbeat whose answer carried this start; negative where none did. */
-    var startAnsweredSequence = -1L
+    var startReplySequence = -1L
 
     /** When a direct order last carried this start. */
-    var startOrderedUs = NEVER_US
+    var directStartAtUs = NEVER_US
 
     /** The fencing token of that order; 0 where there was none. Unlike an answer, an order may be repeated or executed late. */
-    var startOrderToken = 0L
+    var directStartToken = 0L
 
     /** As of when its job was last known to be open: no user was told of the job's end before that. */
-    var confirmedOpenUs = NEVER_US
+    var jobOpenAtUs = NEVER_US
 
     /** The worker has listed the attempt. */
     val isListed get() = phase != TaskPhase.PENDING
 
     /** Its start is no longer wanted, and no heartbeat has listed it. */
-    val isUnwantedStart get() = !isListed && stopRequested
+    val isUnwantedStart get() = !isListed && isStopRequested
 
     /**
      * Whether the checkpoint stop is to be sent now. It is not repeated before the answer that carried it would have been dropped by the
      * worker, since a second stop may interrupt the saving.
      */
-    fun isCheckpointStopDue(now: Long) =
-        checkpointLeewayUs != null && !stopRequested && phase == TaskPhase.RUNNING && now - checkpointStopSentUs > ANSWER_VALIDITY_US
+    fun isCheckpointStopDue(nowUs: Long) =
+        checkpointLeewayUs != null && !isStopRequested && phase == TaskPhase.RUNNING && nowUs - checkpointStopSentAtUs > REPLY_VALIDITY_US
 
-    private fun isStartInFlight(now: Long) = startsInFlight > 0 || now - startAnsweredUs <= ANSWER_VALIDITY_US
+    private fun isStartInFlight(nowUs: Long) = startOrdersInFlight > 0 || nowUs - startReplySentAtUs <= REPLY_VALIDITY_US
 
     /** Whether a machine that is commanded under [fencingToken], or has shown it, may still execute a direct order with this start. */
-    fun canExecuteUnder(fencingToken: Long) = startOrderToken > 0 && fencingToken <= startOrderToken
+    fun isStartExecutableUnder(fencingToken: Long) = directStartToken > 0 && fencingToken <= directStartToken
 
     /**
      * Whether the start, which no heartbeat has listed, is proven not to have been executed, now or later (invariants 6 and 18).
@@ -88,18 +88,19 @@
      * @param heartbeatSequence the latest heartbeat that the machine has sent by itself in this agent epoch
      * @param observedFencingToken the highest fencing token that the machine has shown
      */
-    fun provenNotStarted(
+    fun isProvenNotExecuted(
         heartbeatSequence: Long,
         observedFencingToken: Long,
     ): Boolean {
-        if (isListed || startsInFlight > 0) return false
-        val isAnswerRuledOut = startAnsweredSequence < 0 || startAnsweredSequence < heartbeatSequence
-        val isOrderRuledOut = !isStartIndeterminate || !canExecuteUnder(observedFencingToken)
-        return isAnswerRuledOut && isOrderRuledOut
+        if (isListed || startOrdersInFlight > 0) return false
+        val isReplyRuledOut = startReplySequence < 0 || startReplySequence < heartbeatSequence
+        val isOrderRuledOut = !isStartIndeterminate || !isStartExecutableUnder(observedFencingToken)
+        return isReplyRuledOut && isOrderRuledOut
     }
 
     /** Whether a repeat of the start under [fencingToken] would do harm after a clear: a task that is done only exits once more. */
-    private fun isRepeatHarmful(fencingToken: Long) = canExecuteUnder(fencingToken) && (cause != TaskEndCause.DONE || isStartIndeterminate)
+    private fun isRepeatHarmful(fencingToken: Long) =
+        isStartExecutableUnder(fencingToken) && (cause != TaskEndCause.DONE || isStartIndeterminate)
 
     /**
      * Whether the worker may forget this attempt (invariant 6). A late repeat of an executed order would start the task again: one that is
@@ -107,12 +108,12 @@
      * than the order's, as is one that is done but whose order got no answer.
      */
     fun isClearable(
-        now: Long,
+        nowUs: Long,
         observedFencingToken: Long,
-    ) = !isStartInFlight(now) && !isRepeatHarmful(observedFencingToken)
+    ) = !isStartInFlight(nowUs) && !isRepeatHarmful(observedFencingToken)
 
     /** Whether it waits to be cleared but the machine, commanded under [fencingToken], needs a newer token first. */
-    fun needsTokenToClear(fencingToken: Long) = phase == TaskPhase.ENDED && clearRequested && isRepeatHarmful(fencingToken)
+    fun needsNewerTokenToClear(fencingToken: Long) = phase == TaskPhase.ENDED && isClearRequested && isRepeatHarmful(fencingToken)
 
     /** The attempt as the leader is told of it. */
     fun toTaskState() = TaskState(task, number, phase, cause)
@@ -121,6 +122,6 @@
         const val NEVER_US = Long.MIN_VALUE / 2
 
         /** Workers drop answers to heartbeats that are older than 4 s. */
-        const val ANSWER_VALIDITY_US = 5 * SECOND
+        const val REPLY_VALIDITY_US = 5 * SECOND
     }
 }
--- a/src/main/kotlin/lichenstage/partition/WorkerClient.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerClient.kt
@@ -21,12 +21,12 @@
  * Sends direct orders and probes to workers over pooled connections.
  *
  * @param maxConnections how many connections may be open, which may change over time
- * @property requests counts the requests that are sent
+ * @property requestCounter counts the requests that are sent
  */
 class WorkerClient(
     vertx: Vertx,
     private val clock: Clock,
-    private val requests: Counter,
+    private val requestCounter: Counter,
     maxConnections: () -> Int,
 ) {
     private class Response(
@@ -38,27 +38,27 @@
     private val connections = ConnectionPool<Address, HttpClientConnection>(maxConnections) { it.close() }
 
     init {
-        vertx.setPeriodic(IDLE_CHECK_INTERVAL_MS) { connections.closeIdleSince(clock.now() - MAX_IDLE_US) }
+        vertx.setPeriodic(IDLE_CHECK_INTERVAL_MS) { connections.closeIdleBefore(clock.now() - MAX_IDLE_US) }
     }
 
     /** How many more requests may be in flight. */
-    val available get() = connections.available
+    val availableConnections get() = connections.availableCount
 
     /** Sends a direct order and waits for its outcome. */
-    suspend fun send(order: DirectOrder): OrderOutcome {
+    suspend fun sendOrder(order: DirectOrder): OrderOutcome {
         val address = parseAddress(order.address) ?: return OrderOutcome.NotSent
         return post(address, order.fencingToken, order.agentEpoch, order.commands)
     }
 
     /** Has the worker show its state under the probe's fencing token; null where it does not answer under it. */
-    suspend fun probe(probe: StatusProbe): Heartbeat? {
+    suspend fun sendProbe(probe: StatusProbe): Heartbeat? {
         val address = parseAddress(probe.address) ?: return null
         // An order for an agent epoch that isn't the worker's is refused with a heartbeat that names the right one.
-        val first = post(address, probe.fencingToken, probe.agentEpoch, emptyList()) as? OrderOutcome.Answered ?: return null
-        if (first.executed) return first.heartbeat
-        val agentEpoch = first.heartbeat?.agentEpoch ?: return null
-        val second = post(address, probe.fencingToken, agentEpoch, emptyList()) as? OrderOutcome.Answered
-        return second?.takeIf { it.executed }?.heartbeat
+        val firstOutcome = post(address, probe.fencingToken, probe.agentEpoch, emptyList()) as? OrderOutcome.Replied ?: return null
+        if (firstOutcome.isExecuted) return firstOutcome.heartbeat
+        val agentEpoch = firstOutcome.heartbeat?.agentEpoch ?: return null
+        val secondOutcome = post(address, probe.fencingToken, agentEpoch, emptyList()) as? OrderOutcome.Replied
+        return secondOutcome?.takeIf { it.isExecuted }?.heartbeat
     }
 
     private suspend fun post(
@@ -67,26 +67,26 @@
         agentEpoch: Long,
         commands: List<Command>,
     ): OrderOutcome {
-        var sent = false
-        requests.increment()
+        var isSent = false
+        requestCounter.increment()
         val response =
             exchange(address) { connection ->
-                val request = connection.request(REQUEST).coAwait()
-                sent = true
+                val request = connection.request(ORDERS_REQUEST).coAwait()
+                isSent = true
                 val response = request.send(WorkerCodec.encodeCommands(fencingToken, commands, agentEpoch)).coAwait()
                 Response(response.statusCode(), response.body().coAwait())
             }
         // A connection attempt that was given up does not complete later; everything else may still arrive.
-        if (response == null) return if (sent) OrderOutcome.Indeterminate else OrderOutcome.NotSent
+        if (response == null) return if (isSent) OrderOutcome.Indeterminate else OrderOutcome.NotSent
         return when (response.status) {
-            HttpStatus.OK -> OrderOutcome.Answered(true, heartbeatOrNull(response.body))
-            HttpStatus.CONFLICT, HttpStatus.BAD_REQUEST -> OrderOutcome.Answered(false, heartbeatOrNull(response.body))
+            HttpStatus.OK -> OrderOutcome.Replied(true, decodeHeartbeatOrNull(response.body))
+            HttpStatus.CONFLICT, HttpStatus.BAD_REQUEST -> OrderOutcome.Replied(false, decodeHeartbeatOrNull(response.body))
             else -> OrderOutcome.Indeterminate
         }
     }
 
-    /** An answer whose heartbeat can't be read proves nothing ([OrderOutcome.provenFor]), whatever is wrong with it. */
-    private fun heartbeatOrNull(body: Buffer): Heartbeat? =
+    /** An answer whose heartbeat can't be read proves nothing ([OrderOutcome.verifiedFor]), whatever is wrong with it. */
+    private fun decodeHeartbeatOrNull(body: Buffer): Heartbeat? =
         try {
             WorkerCodec.decodeHeartbeat(body)
         } catch (_: InvalidHeartbeatException) {
@@ -99,40 +99,40 @@
         request: suspend (HttpClientConnection) -> Response,
     ): Response? {
         var connection: HttpClientConnection? = connections.acquire(address)
-        var answered = false
+        var hasResponse = false
         try {
-            return withTimeoutOrNull(TIMEOUT_MS) {
-                val open = connection ?: connect(address).also { connection = it }
-                request(open).also { answered = true }
+            return withTimeoutOrNull(REQUEST_TIMEOUT_MS) {
+                val openConnection = connection ?: connect(address).also { connection = it }
+                request(openConnection).also { hasResponse = true }
             }
         } catch (e: CancellationException) {
             throw e
         } catch (_: Exception) {
             return null
         } finally {
-            if (!answered) connection?.close()
-            connections.release(address, connection.takeIf { answered }, clock.now())
+            if (!hasResponse) connection?.close()
+            connections.release(address, connection.takeIf { hasResponse }, clock.now())
         }
     }
 
     private suspend fun connect(address: Address): HttpClientConnection {
-        val pending = client.connect(HttpConnectOptions().setHost(address.host).setPort(address.port))
+        val pendingConnection = client.connect(HttpConnectOptions().setHost(address.host).setPort(address.port))
         try {
-            val connection = pending.coAwait()
+            val connection = pendingConnection.coAwait()
             connection.closeHandler { connections.onClosedByPeer(address, connection) }
             return connection
         } catch (e: CancellationException) {
             // Nobody would use a connection that is made after this.
-            pending.onSuccess { it.close() }
+            pendingConnection.onSuccess { it.close() }
             throw e
         }
     }
 
     private companion object {
-        const val TIMEOUT_MS = 3000L
+        const val REQUEST_TIMEOUT_MS = 3000L
         const val CONNECT_TIMEOUT_MS = 1500
         const val IDLE_CHECK_INTERVAL_MS = 5000L
         const val MAX_IDLE_US = 20 * SECOND
-        val REQUEST: RequestOptions = RequestOptions().setMethod(HttpMethod.POST).setURI("/orders")
+        val ORDERS_REQUEST: RequestOptions = RequestOptions().setMethod(HttpMethod.POST).setURI("/orders")
     }
 }
--- a/src/main/kotlin/lichenstage/partition/WorkerDispatcher.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerDispatcher.kt
@@ -7,37 +7,37 @@
 /** Runs the requests that partitions cause, and passes their results to the partitions' actor as messages. */
 internal class WorkerDispatcher(
     private val scope: CoroutineScope,
-    private val workers: WorkerClient,
+    private val workerClient: WorkerClient,
     private val authority: Authority,
-    private val tell: (PartitionMessage) -> Unit,
+    private val tellActor: (PartitionMessage) -> Unit,
 ) {
     /** How many more requests to workers may be in flight. */
-    val available get() = workers.available
+    val availableConnections get() = workerClient.availableConnections
 
     /** Sends a direct order. */
-    fun send(
+    fun sendOrder(
         partition: PartitionCore,
         order: DirectOrder,
     ) {
         scope.launch {
-            val outcome = workers.send(order)
-            tell(PartitionMessage.OrderCompleted(partition.id, partition.term, order, outcome))
+            val outcome = workerClient.sendOrder(order)
+            tellActor(PartitionMessage.OrderCompleted(partition.id, partition.term, order, outcome))
         }
     }
 
     /** Sends a probe. */
-    fun probe(
+    fun sendProbe(
         partition: PartitionCore,
         probe: StatusProbe,
     ) {
-        scope.launch { tell(PartitionMessage.ProbeCompleted(partition.id, partition.term, probe, workers.probe(probe))) }
+        scope.launch { tellActor(PartitionMessage.ProbeCompleted(partition.id, partition.term, probe, workerClient.sendProbe(probe))) }
     }
 
     /** Reserves fencing tokens for the owner of [partition]. */
     fun reserveTokens(partition: PartitionCore) {
         scope.launch {
             val fencingTokens = authority.reserveFencingTokens(partition.id, TOKENS_PER_RESERVATION, partition.lacksTokens) ?: return@launch
-            tell(PartitionMessage.TokensReserved(partition.id, partition.term, fencingTokens))
+            tellActor(PartitionMessage.TokensReserved(partition.id, partition.term, fencingTokens))
         }
     }
 
--- a/src/main/kotlin/lichenstage/placement/CloudCaller.kt
+++ b/src/main/kotlin/lichenstage/placement/CloudCaller.kt
@@ -50,7 +50,7 @@
     private suspend fun listAll(): CloudReply<List<ListedMachine>> {
         val machines = ArrayList<ListedMachine>()
         while (true) {
-            when (val reply = cloud.list(machines.lastOrNull()?.name)) {
+            when (val reply = cloud.listMachines(machines.lastOrNull()?.name)) {
                 is CloudReply.Refused -> {
                     return reply
                 }
--- a/src/test/kotlin/lichenstage/cloud/MachineCatalogTest.kt
+++ b/src/test/kotlin/lichenstage/cloud/MachineCatalogTest.kt
@@ -49,13 +49,13 @@
     private class FakeCloud(
         private val types: CloudReply<List<MachineType>>,
     ) : Cloud {
-        override suspend fun machineTypes() = types
+        override suspend fun listMachineTypes() = types
 
         override suspend fun provision(request: ProvisionRequest) = ProvisionResult.Indeterminate
 
         override suspend fun terminate(machines: List<String>) = TerminateResult.INDETERMINATE
 
-        override suspend fun list(after: String?) = CloudReply.Unavailable
+        override suspend fun listMachines(after: String?) = CloudReply.Unavailable
     }
 
     private val store = Store()
@@ -101,8 +101,8 @@
         for (failure in listOf(CloudReply.Unavailable, CloudReply.Refused(503), CloudReply.Success(emptyList<MachineType>()))) {
             val catalog = catalog(failure)
             assertEquals(setOf("g8", "c4"), catalog.machineTypes.keys, "$failure")
-            assertEquals(50.0, catalog.limits("g8")?.cacheGb)
-            assertNull(catalog.limits("g9"))
+            assertEquals(50.0, catalog.limitsOf("g8")?.cacheGb)
+            assertNull(catalog.limitsOf("g9"))
         }
         assertEquals(0, store.writes)
     }
--- a/src/test/kotlin/lichenstage/partition/ConnectionPoolTest.kt
+++ b/src/test/kotlin/lichenstage/partition/ConnectionPoolTest.kt
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 class ConnectionPoolTest {
-    private val closed = ArrayList<Int>()
+    private val closedConnections = ArrayList<Int>()
     private var maxConnections = 3
-    private val pool = ConnectionPool<String, Int>({ maxConnections }) { closed += it }
+    private val pool = ConnectionPool<String, Int>({ maxConnections }) { closedConnections += it }
 
     @Example
     fun `a connection is kept for its address, and the one that was used longest ago gives way`() {
@@ -19,12 +19,12 @@
         pool.release("a", 1, 10)
         pool.acquire("b")
         pool.release("b", 2, 20)
-        assertTrue(pool.acquire("a") == 1 && closed.isEmpty()) { "not kept" }
+        assertTrue(pool.acquire("a") == 1 && closedConnections.isEmpty()) { "not kept" }
         pool.release("a", 1, 30)
         pool.acquire("c")
         pool.acquire("d")
-        assertEquals(listOf(2), closed) { "closed $closed" }
-        assertEquals(1, pool.available) { "free ${pool.available}" }
+        assertEquals(listOf(2), closedConnections) { "closed $closedConnections" }
+        assertEquals(1, pool.availableCount) { "free ${pool.availableCount}" }
     }
 
     @Example
@@ -33,13 +33,13 @@
         pool.acquire("a")
         pool.release("a", 1, 10)
         pool.release("a", 2, 11)
-        assertEquals(listOf(1), closed) { "twice" }
+        assertEquals(listOf(1), closedConnections) { "twice" }
         pool.onClosedByPeer("a", 1)
-        assertEquals(1, pool.open) { "the other one was lost" }
-        pool.closeIdleSince(11)
-        assertEquals(1, pool.open) { "swept too early" }
-        pool.closeIdleSince(12)
-        assertTrue(pool.open == 0 && closed == listOf(1, 2)) { "not swept" }
+        assertEquals(1, pool.openCount) { "the other one was lost" }
+        pool.closeIdleBefore(11)
+        assertEquals(1, pool.openCount) { "swept too early" }
+        pool.closeIdleBefore(12)
+        assertTrue(pool.openCount == 0 && closedConnections == listOf(1, 2)) { "not swept" }
     }
 
     /** As the controller uses it: no more in use than are free. Whatever comes, no more are open than there may be. */
@@ -50,20 +50,20 @@
             Int,
         >,
     ) {
-        closed.clear()
+        closedConnections.clear()
         val inUse = ArrayList<Pair<String, Int>>()
-        var connections = 0
-        steps.forEachIndexed { now, step ->
+        var lastConnection = 0
+        steps.forEachIndexed { nowUs, step ->
             val address = "m${step % 20}"
             if (step < 250) {
-                if (pool.available > 0) inUse += address to (pool.acquire(address) ?: ++connections)
+                if (pool.availableCount > 0) inUse += address to (pool.acquire(address) ?: ++lastConnection)
             } else if (inUse.isNotEmpty()) {
-                val (at, connection) = inUse.removeAt(step % inUse.size)
-                pool.release(at, connection.takeIf { step % 3 > 0 }, now.toLong())
+                val (usedAddress, connection) = inUse.removeAt(step % inUse.size)
+                pool.release(usedAddress, connection.takeIf { step % 3 > 0 }, nowUs.toLong())
             }
-            assertTrue(pool.open <= maxConnections && pool.inUse == inUse.size) { "${pool.open} of $maxConnections open" }
+            assertTrue(pool.openCount <= maxConnections && pool.inUseCount == inUse.size) { "${pool.openCount} of $maxConnections open" }
         }
-        inUse.forEach { (at, _) -> pool.release(at, null, 0) }
-        pool.closeIdleSince(Long.MAX_VALUE)
+        inUse.forEach { (usedAddress, _) -> pool.release(usedAddress, null, 0) }
+        pool.closeIdleBefore(Long.MAX_VALUE)
     }
 }
--- a/src/test/kotlin/lichenstage/partition/FencingTokensTest.kt
+++ b/src/test/kotlin/lichenstage/partition/FencingTokensTest.kt
@@ -18,23 +18,23 @@
         val random = Random(seed)
         val term = 1L + random.nextInt(100)
         val fencingTokens = FencingTokens(term, 0)
-        val reserved = HashSet<Long>()
-        var counter = term
-        var last = term
+        val reservedTokens = HashSet<Long>()
+        var highestReserved = term
+        var lastToken = term
         repeat(40) {
             if (random.nextBoolean()) {
-                val first = counter + 1 + random.nextInt(5)
-                counter = first + random.nextInt(4)
-                fencingTokens.add(first..counter)
-                reserved += first..counter
+                val first = highestReserved + 1 + random.nextInt(5)
+                highestReserved = first + random.nextInt(4)
+                fencingTokens.addReserved(first..highestReserved)
+                reservedTokens += first..highestReserved
             }
             val fencingToken = fencingTokens.next() ?: return@repeat
-            assertTrue(fencingToken > last && fencingToken in reserved) { "$fencingToken after $last, of $reserved" }
+            assertTrue(fencingToken > lastToken && fencingToken in reservedTokens) { "$fencingToken after $lastToken, of $reservedTokens" }
             assertTrue(
-                fencingTokens.isOwnersToken(fencingToken) && fencingTokens.isOwnersToken(term) &&
-                    !fencingTokens.isOwnersToken(fencingToken + 1),
+                fencingTokens.isIssuedByOwner(fencingToken) && fencingTokens.isIssuedByOwner(term) &&
+                    !fencingTokens.isIssuedByOwner(fencingToken + 1),
             ) { "$fencingToken" }
-            last = fencingToken
+            lastToken = fencingToken
         }
     }
 
@@ -42,22 +42,22 @@
     fun `tokens that are not above all others are of no use, and an empty reserve says so`() {
         val fencingTokens = FencingTokens(10, 0)
         assertTrue(fencingTokens.next() == null && fencingTokens.isLow) { "a token from nowhere" }
-        fencingTokens.add(5L..10L)
+        fencingTokens.addReserved(5L..10L)
         assertNull(fencingTokens.next()) { "an old token" }
-        fencingTokens.add(11L..40L)
+        fencingTokens.addReserved(11L..40L)
         assertTrue(!fencingTokens.isLow && fencingTokens.next() == 11L) { "not taken up" }
-        fencingTokens.add(30L..90L)
+        fencingTokens.addReserved(30L..90L)
         assertTrue((12L..40L).all { fencingTokens.next() == it } && fencingTokens.next() == null) { "tokens were given twice" }
     }
 
     @Example
     fun `a reserve that is low is filled up, not in the first seconds unless a token is lacking, and no more than every other second`() {
-        val fencingTokens = FencingTokens(10, acquiredUs = SECOND)
-        assertFalse(fencingTokens.reservationDue(4 * SECOND, isLacking = false)) { "while keys change hands" }
-        assertTrue(fencingTokens.reservationDue(4 * SECOND, isLacking = true)) { "not although one is lacking" }
-        assertFalse(fencingTokens.reservationDue(5 * SECOND, isLacking = true)) { "at once again" }
-        assertTrue(fencingTokens.reservationDue(6 * SECOND, isLacking = false)) { "not again" }
-        fencingTokens.add(11L..40L)
-        assertFalse(fencingTokens.reservationDue(60 * SECOND, isLacking = false)) { "though there are enough" }
+        val fencingTokens = FencingTokens(10, acquiredAtUs = SECOND)
+        assertFalse(fencingTokens.beginReservationIfDue(4 * SECOND, lacksToken = false)) { "while keys change hands" }
+        assertTrue(fencingTokens.beginReservationIfDue(4 * SECOND, lacksToken = true)) { "not although one is lacking" }
+        assertFalse(fencingTokens.beginReservationIfDue(5 * SECOND, lacksToken = true)) { "at once again" }
+        assertTrue(fencingTokens.beginReservationIfDue(6 * SECOND, lacksToken = false)) { "not again" }
+        fencingTokens.addReserved(11L..40L)
+        assertFalse(fencingTokens.beginReservationIfDue(60 * SECOND, lacksToken = false)) { "though there are enough" }
     }
 }
--- a/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
@@ -24,103 +24,107 @@
     /** A partition with one worker that sends a heartbeat every 3 s, on virtual time. */
     private class Scenario {
         val job = SimulatedJob("j-1", "red", 1, 4.0, 60 * SECOND, 0)
-        val checker = RuleChecker(mapOf("red" to 100.0), CANCEL_US)
+        val checker = RuleChecker(mapOf("red" to 100.0), CANCELLATION_LIMIT_US)
         val worker = SimulatedWorker("vm-a1", "a", 8.0, LEASE_US, Random(1), { job }, checker)
-        private val ends = FakeJobCompletions(CANCEL_US - LEASE_US - 3 * SECOND) { now }
+        private val jobCompletions = FakeJobCompletions(CANCELLATION_LIMIT_US - LEASE_US - 3 * SECOND) { nowUs }
         val partition =
-            PartitionCore(PartitionParameters("a/0", "a", TOKEN, LEASE_US, 3 * SECOND, 0), ends) {
+            PartitionCore(PartitionParameters("a/0", "a", TOKEN, LEASE_US, 3 * SECOND, 0), jobCompletions) {
                 MachineLimits("type", Resources(8.0, 0.0, 64.0))
             }
         private var sequence = 0L
-        private var now = 0L
+        private var nowUs = 0L
         private var heartbeatDueUs = 0L
-        var probes = 0
+        var probeCount = 0
             private set
 
         /** What went out under which token, of answers and direct orders. */
-        val fencingTokens = HashSet<Long>()
+        val sentFencingTokens = HashSet<Long>()
 
         /** Orders that were sent and that nobody has answered. */
-        private val unanswered = ArrayList<DirectOrder>()
+        private val unansweredOrders = ArrayList<DirectOrder>()
 
-        fun leader(
+        fun sendLeaderFrame(
             requests: List<PlacementRequest> = emptyList(),
             starts: List<StartOrder> = emptyList(),
-        ) = partition.onLeaderFrame(PlacementFrame("a/0", 1, ++sequence, 0, 0, requests = requests, starts = starts), now)
+        ) = partition.onLeaderFrame(PlacementFrame("a/0", 1, ++sequence, 0, 0, requests = requests, starts = starts), nowUs)
 
         fun runUntil(untilUs: Long) {
-            while (now < untilUs) {
-                now += STEP_US
-                worker.step(now)
-                if (now >= heartbeatDueUs) heartbeat()
-                partition.tick(now)
-                partition.nextProbes(now).forEach { probe ->
-                    probes++
-                    partition.onProbeResult(probe, worker.execute(probe.fencingToken, worker.agentEpoch, emptyList(), now).heartbeat, now)
+            while (nowUs < untilUs) {
+                nowUs += STEP_US
+                worker.step(nowUs)
+                if (nowUs >= heartbeatDueUs) sendHeartbeat()
+                partition.tick(nowUs)
+                partition.nextProbes(nowUs).forEach { probe ->
+                    probeCount++
+                    partition.onProbeResult(
+                        probe,
+                        worker.execute(probe.fencingToken, worker.agentEpoch, emptyList(), nowUs).heartbeat,
+                        nowUs,
+                    )
                 }
             }
         }
 
-        private fun heartbeat() {
-            heartbeatDueUs = now + 3 * SECOND
+        private fun sendHeartbeat() {
+            heartbeatDueUs = nowUs + 3 * SECOND
             val heartbeat = worker.heartbeat()
-            val answer = partition.onHeartbeat(heartbeat, now) as? HeartbeatOutcome.Accepted ?: return
-            fencingTokens += answer.fencingToken
-            worker.receiveAnswer(answer.fencingToken, answer.commands, heartbeat.agentEpoch, now, now)
+            val reply = partition.onHeartbeat(heartbeat, nowUs) as? HeartbeatOutcome.Accepted ?: return
+            sentFencingTokens += reply.fencingToken
+            worker.receiveAnswer(reply.fencingToken, reply.commands, heartbeat.agentEpoch, nowUs, nowUs)
         }
 
         /** The start of j-1/0 goes out as a direct order, which is held on its way. */
-        fun startHeld(): DirectOrder {
-            leader(requests = listOf(PlacementRequest(1, "j-1", JobRequirements(job.resources(), "img"), 1, null, null, true)))
-            leader(starts = listOf(StartOrder(1, worker.name, 0, 1)))
-            return partition.nextDirectOrders(now).single().also { unanswered += it }
+        fun sendHeldStart(): DirectOrder {
+            sendLeaderFrame(requests = listOf(PlacementRequest(1, "j-1", JobRequirements(job.resources(), "img"), 1, null, null, true)))
+            sendLeaderFrame(starts = listOf(StartOrder(1, worker.name, 0, 1)))
+            return partition.nextDirectOrders(nowUs).single().also { unansweredOrders += it }
         }
 
         private fun SimulatedJob.resources() = Resources(cores, 0.0, 1.0)
 
-        fun cancel() {
-            ends.end(job.id)
-            checker.cancellationConfirmed(job, now)
+        fun cancelJob() {
+            jobCompletions.endJob(job.id)
+            checker.cancellationConfirmed(job, nowUs)
         }
 
         /** Nobody waits for the answers any more. */
-        fun giveUp() {
-            unanswered.forEach { partition.onOrderOutcome(it, OrderOutcome.Indeterminate, now) }
-            unanswered.clear()
+        fun timeOutOrders() {
+            unansweredOrders.forEach { partition.onOrderOutcome(it, OrderOutcome.Indeterminate, nowUs) }
+            unansweredOrders.clear()
         }
 
         /** The order is carried out and answered. */
         fun executeAndAnswer(order: DirectOrder) {
-            unanswered -= order
-            partition.onOrderOutcome(order, execute(order), now)
+            unansweredOrders -= order
+            partition.onOrderOutcome(order, execute(order), nowUs)
         }
 
         /** The held order is carried out where token and session allow it. */
-        fun execute(order: DirectOrder) = worker.execute(order.fencingToken, order.agentEpoch, order.commands, now)
+        fun execute(order: DirectOrder) = worker.execute(order.fencingToken, order.agentEpoch, order.commands, nowUs)
     }
 
     /** The job is cancelled between the start's direct order, which is held, and the next report. */
-    private fun cancelledWithHeldStart(
-        landsAfterUs: Long,
+    private fun cancelWithHeldStart(
+        arrivesAfterUs: Long,
         prepare: Scenario.() -> Unit = {},
     ): Scenario {
         val scenario = Scenario().apply(prepare)
         scenario.runUntil(7 * SECOND)
-        val order = scenario.startHeld()
+        val order = scenario.sendHeldStart()
         scenario.runUntil(7 * SECOND + 500 * MILLI)
-        scenario.cancel()
+        scenario.cancelJob()
         scenario.runUntil(10 * SECOND)
-        scenario.giveUp()
-        scenario.runUntil(7 * SECOND + 500 * MILLI + landsAfterUs)
+        scenario.timeOutOrders()
+        scenario.runUntil(7 * SECOND + 500 * MILLI + arrivesAfterUs)
         scenario.execute(order)
-        scenario.runUntil(20 * SECOND + landsAfterUs)
+        scenario.runUntil(20 * SECOND + arrivesAfterUs)
         return scenario
     }
 
     @Example
     fun `a start that was held is not executed after its job's cancellation has had its time`() {
-        for (landsAfterUs in listOf(CANCEL_US + SECOND, 600 * SECOND)) {
-            val scenario = cancelledWithHeldStart(landsAfterUs)
+        for (arrivesAfterUs in listOf(CANCELLATION_LIMIT_US + SECOND, 600 * SECOND)) {
+            val scenario = cancelWithHeldStart(arrivesAfterUs)
             assertTrue(scenario.checker.violations.isEmpty()) { "${scenario.checker.violations}" }
             assertEquals(0, scenario.checker.startsAfterCancellation) { "it started a task of a cancelled job" }
             assertEquals(2L, scenario.worker.agentEpoch) { "without a newer token the session must end: ${scenario.worker.agentEpoch}" }
@@ -129,13 +133,13 @@
 
     @Example
     fun `with a newer token at hand it is not executed from seconds after its order was given up, and the machine keeps its lease`() {
-        for (landsAfterUs in listOf(6 * SECOND, CANCEL_US + SECOND, 600 * SECOND)) {
-            val scenario = cancelledWithHeldStart(landsAfterUs) { partition.addReservedTokens(TOKEN + 1..TOKEN + 9) }
+        for (arrivesAfterUs in listOf(6 * SECOND, CANCELLATION_LIMIT_US + SECOND, 600 * SECOND)) {
+            val scenario = cancelWithHeldStart(arrivesAfterUs) { partition.addReservedTokens(TOKEN + 1..TOKEN + 9) }
             assertTrue(scenario.checker.violations.isEmpty()) { "${scenario.checker.violations}" }
             assertEquals(0, scenario.checker.startsAfterCancellation) { "it started a task of a cancelled job" }
             assertEquals(1L, scenario.worker.agentEpoch) { "the machine has lost its lease" }
             assertTrue(scenario.partition.indeterminateStarts().none()) { "the start is kept" }
-            assertEquals(setOf(TOKEN, TOKEN + 1), scenario.fencingTokens) { "${scenario.fencingTokens}: one newer token is enough" }
+            assertEquals(setOf(TOKEN, TOKEN + 1), scenario.sentFencingTokens) { "${scenario.sentFencingTokens}: one newer token is enough" }
         }
     }
 
@@ -145,13 +149,13 @@
         val scenario = Scenario()
         scenario.partition.addReservedTokens(TOKEN + 1..TOKEN + 9)
         scenario.runUntil(7 * SECOND)
-        val order = scenario.startHeld()
+        val order = scenario.sendHeldStart()
         scenario.executeAndAnswer(order)
-        val probes = scenario.probes
-        scenario.cancel()
+        val probeCount = scenario.probeCount
+        scenario.cancelJob()
         scenario.runUntil(50 * SECOND)
-        assertEquals(setOf(TOKEN), scenario.fencingTokens) { "${scenario.fencingTokens}" }
-        assertEquals(probes, scenario.probes) { "${scenario.probes - probes} probes" }
+        assertEquals(setOf(TOKEN), scenario.sentFencingTokens) { "${scenario.sentFencingTokens}" }
+        assertEquals(probeCount, scenario.probeCount) { "${scenario.probeCount - probeCount} probes" }
         assertTrue(scenario.checker.violations.isEmpty() && scenario.worker.agentEpoch == 1L) { "${scenario.checker.violations}" }
     }
 
@@ -160,18 +164,18 @@
         val scenario = Scenario()
         scenario.partition.addReservedTokens(TOKEN + 1..TOKEN + 9)
         scenario.runUntil(7 * SECOND)
-        scenario.startHeld()
+        scenario.sendHeldStart()
         scenario.runUntil(10 * SECOND)
-        scenario.giveUp()
+        scenario.timeOutOrders()
         scenario.runUntil(14 * SECOND)
         assertEquals(1, scenario.checker.running("j-1")) { "not started" }
-        assertEquals(setOf(TOKEN), scenario.fencingTokens) { "${scenario.fencingTokens}" }
+        assertEquals(setOf(TOKEN), scenario.sentFencingTokens) { "${scenario.sentFencingTokens}" }
     }
 
     private companion object {
         const val TOKEN = 5L
         const val LEASE_US = 26 * SECOND
-        const val CANCEL_US = 46 * SECOND
+        const val CANCELLATION_LIMIT_US = 46 * SECOND
         const val STEP_US = 250 * MILLI
     }
 }
--- a/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
@@ -101,7 +101,7 @@
         val partition = partition()
         val late = heartbeat(5)
         val order = started(partition)
-        partition.onOrderOutcome(order, OrderOutcome.Answered(true, heartbeat(5, task(TaskPhase.RUNNING))), 2)
+        partition.onOrderOutcome(order, OrderOutcome.Replied(true, heartbeat(5, task(TaskPhase.RUNNING))), 2)
         partition.nextFrame(2)
         partition.onHeartbeat(late, 3)
         assertEquals(TaskPhase.RUNNING, onlyMachine(partition, 5 * SECOND).tasks.single().phase) { "an old list was believed" }
@@ -112,7 +112,7 @@
         val partition = partition()
         val order = started(partition, now = SECOND)
         val running = task(TaskPhase.RUNNING)
-        partition.onOrderOutcome(order, OrderOutcome.Answered(true, heartbeat(5, running)), SECOND)
+        partition.onOrderOutcome(order, OrderOutcome.Replied(true, heartbeat(5, running)), SECOND)
         val held = heartbeat(5, running)
         partition.tick(SECOND + LEASE)
         assertFalse(onlyMachine(partition, SECOND + LEASE).lost) { "lost too early" }
--- a/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
@@ -70,7 +70,7 @@
     /** A partition with j-1/0 running as attempt 1 on machine m. */
     protected fun running(): PartitionCore {
         val partition = partition()
-        partition.onOrderOutcome(started(partition), OrderOutcome.Answered(true, heartbeat(5, task(TaskPhase.RUNNING))), 2)
+        partition.onOrderOutcome(started(partition), OrderOutcome.Replied(true, heartbeat(5, task(TaskPhase.RUNNING))), 2)
         return partition
     }
 
--- a/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
@@ -33,18 +33,18 @@
             val partition = partition()
             val order = started(partition)
             val ended = TaskReport("j-1/0", 1, TaskPhase.ENDED, cause)
-            partition.onOrderOutcome(order, OrderOutcome.Answered(true, heartbeat(5, ended)), 2)
+            partition.onOrderOutcome(order, OrderOutcome.Replied(true, heartbeat(5, ended)), 2)
             partition.onLeaderFrame(frame(clears = listOf(AttemptOrder("m", "j-1/0", 1))), 3)
-            for (now in listOf(9 * SECOND, 29 * LEASE, 31 * LEASE, 1000 * LEASE)) {
-                val commands = partition.commands(heartbeat(5, ended), now)
-                assertEquals((cause == "done"), commands.any { it is Command.Clear }) { "$cause at $now: $commands" }
+            for (nowUs in listOf(9 * SECOND, 29 * LEASE, 31 * LEASE, 1000 * LEASE)) {
+                val commands = partition.commands(heartbeat(5, ended), nowUs)
+                assertEquals((cause == "done"), commands.any { it is Command.Clear }) { "$cause at $nowUs: $commands" }
             }
             partition.addReservedTokens(6L..9L)
             partition.tick(1001 * LEASE)
-            val unshown = partition.commands(heartbeat(5, ended), 1001 * LEASE)
-            assertEquals((cause == "done"), unshown.any { it is Command.Clear }) { "$cause before the newer token was shown: $unshown" }
-            val shown = partition.commands(heartbeat(if (cause == "done") 5 else 6, ended), 1001 * LEASE + SECOND)
-            assertTrue(shown.any { it is Command.Clear }) { "$cause: $shown" }
+            val commandsBefore = partition.commands(heartbeat(5, ended), 1001 * LEASE)
+            assertEquals((cause == "done"), commandsBefore.any { it is Command.Clear }) { "$cause, newer token not shown: $commandsBefore" }
+            val commandsAfter = partition.commands(heartbeat(if (cause == "done") 5 else 6, ended), 1001 * LEASE + SECOND)
+            assertTrue(commandsAfter.any { it is Command.Clear }) { "$cause: $commandsAfter" }
         }
     }
 
@@ -70,7 +70,7 @@
         val order = started(partition)
         val ended = TaskReport("j-1/0", 1, TaskPhase.ENDED, "done")
         assertTrue(partition.commands(heartbeat(5), 10).single() is Command.Start) { "the answer is the sure path" }
-        partition.onOrderOutcome(order, OrderOutcome.Answered(true, heartbeat(5, ended)), 11)
+        partition.onOrderOutcome(order, OrderOutcome.Replied(true, heartbeat(5, ended)), 11)
         partition.onLeaderFrame(frame(clears = listOf(AttemptOrder("m", "j-1/0", 1))), 12)
         assertTrue(partition.commands(heartbeat(5, ended), SECOND).isEmpty()) { "cleared too early" }
         assertTrue(partition.commands(heartbeat(5, ended), 7 * SECOND).single() is Command.Clear) { "not cleared" }
@@ -85,8 +85,8 @@
         partition.onOrderOutcome(order, OrderOutcome.NotSent, SECOND)
         partition.onLeaderFrame(checkpointStopFrame(), 3 * SECOND)
         assertTrue(partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 4 * SECOND).isEmpty()) { "a second stop may end the saving" }
-        val again = partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 8 * SECOND)
-        assertEquals(listOf(Command.Stop("j-1/0", 1, 5.0)), again) { "$again" }
+        val repeatedCommands = partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 8 * SECOND)
+        assertEquals(listOf(Command.Stop("j-1/0", 1, 5.0)), repeatedCommands) { "$repeatedCommands" }
         assertTrue(partition.commands(heartbeat(5, task(TaskPhase.SAVING)), 20 * SECOND).isEmpty()) { "stopped while it saves" }
         assertTrue(partition.commands(heartbeat(5, task(TaskPhase.ENDED)), 21 * SECOND).isEmpty()) { "stopped after its end" }
     }
@@ -109,14 +109,14 @@
         partition.onOrderOutcome(partition.nextDirectOrders(SECOND).single(), OrderOutcome.Indeterminate, 4 * SECOND)
         assertTrue(partition.nextDirectOrders(5 * SECOND).isEmpty()) { "ordered although it does not answer" }
 
-        fun listed(now: Long) =
+        fun listedTasks(nowUs: Long) =
             partition
-                .nextFrame(now)
+                .nextFrame(nowUs)
                 ?.machines
                 ?.single()
                 ?.tasks
                 .orEmpty()
-        assertEquals(TaskPhase.RUNNING, listed(5 * SECOND).single().phase) { "taken for gone" }
+        assertEquals(TaskPhase.RUNNING, listedTasks(5 * SECOND).single().phase) { "taken for gone" }
         partition.tick(2 * LEASE)
         assertTrue(onlyMachine(partition, 2 * LEASE).lost) { "not lost after its lease" }
     }
@@ -162,71 +162,71 @@
         partition.onOrderOutcome(order, OrderOutcome.Indeterminate, SECOND)
         partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), SECOND)
 
-        fun tasks(
-            now: Long,
+        fun taskCount(
+            nowUs: Long,
             fencingToken: Long = 5,
         ): Int {
-            partition.onHeartbeat(heartbeat(fencingToken), now)
-            partition.tick(now)
+            partition.onHeartbeat(heartbeat(fencingToken), nowUs)
+            partition.tick(nowUs)
             return partition
-                .nextFrame(now)
+                .nextFrame(nowUs)
                 ?.machines
                 ?.singleOrNull()
                 ?.tasks
                 ?.size ?: -1
         }
-        assertTrue((1L..50).all { tasks(it * LEASE) != 0 }) { "forgotten while it may land" }
+        assertTrue((1L..50).all { taskCount(it * LEASE) != 0 }) { "forgotten while it may land" }
         partition.addReservedTokens(6L..9L)
-        assertNotEquals(0, tasks(51 * LEASE)) { "forgotten before the newer token was shown" }
-        assertNotEquals(0, tasks(51 * LEASE + SECOND)) { "forgotten before the newer token was shown" }
-        assertEquals(0, tasks(51 * LEASE + 2 * SECOND, fencingToken = 6)) { "kept for ever" }
+        assertNotEquals(0, taskCount(51 * LEASE)) { "forgotten before the newer token was shown" }
+        assertNotEquals(0, taskCount(51 * LEASE + SECOND)) { "forgotten before the newer token was shown" }
+        assertEquals(0, taskCount(51 * LEASE + 2 * SECOND, fencingToken = 6)) { "kept for ever" }
     }
 
     @Example
     fun `an answer that is malformed, of another machine, an older session or a lower token proves nothing`() {
-        val worthless =
+        val inconclusiveOutcomes =
             listOf(
-                OrderOutcome.Answered(true, null),
-                OrderOutcome.Answered(false, null),
-                OrderOutcome.Answered(true, heartbeat(5, machine = "other")),
-                OrderOutcome.Answered(true, heartbeat(5, agentEpoch = 0)),
-                OrderOutcome.Answered(true, heartbeat(4)),
-                OrderOutcome.Answered(false, heartbeat(4)),
-                OrderOutcome.Answered(false, heartbeat(5)),
+                OrderOutcome.Replied(true, null),
+                OrderOutcome.Replied(false, null),
+                OrderOutcome.Replied(true, heartbeat(5, machine = "other")),
+                OrderOutcome.Replied(true, heartbeat(5, agentEpoch = 0)),
+                OrderOutcome.Replied(true, heartbeat(4)),
+                OrderOutcome.Replied(false, heartbeat(4)),
+                OrderOutcome.Replied(false, heartbeat(5)),
             )
-        for (answer in worthless) {
+        for (outcome in inconclusiveOutcomes) {
             val partition = partition()
             val order = started(partition)
             partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
-            partition.onOrderOutcome(order, answer, SECOND)
+            partition.onOrderOutcome(order, outcome, SECOND)
             partition.onHeartbeat(heartbeat(5), SECOND)
-            assertFalse(gone(partition, SECOND)) { "$answer" }
-            assertEquals(1, partition.indeterminateStarts().count()) { "$answer" }
+            assertFalse(isAttemptRemoved(partition, SECOND)) { "$outcome" }
+            assertEquals(1, partition.indeterminateStarts().count()) { "$outcome" }
         }
-        val refused = partition()
-        val order = started(refused)
-        refused.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
-        refused.onOrderOutcome(order, OrderOutcome.Answered(false, heartbeat(5, agentEpoch = 2)), SECOND)
-        assertTrue(gone(refused, SECOND)) { "refused for its session, and kept" }
+        val refusedPartition = partition()
+        val order = started(refusedPartition)
+        refusedPartition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
+        refusedPartition.onOrderOutcome(order, OrderOutcome.Replied(false, heartbeat(5, agentEpoch = 2)), SECOND)
+        assertTrue(isAttemptRemoved(refusedPartition, SECOND)) { "refused for its session, and kept" }
     }
 
     /** A partition that has sent the start of j-1/0 in the answer to a report, and in no other way; returns that report. */
-    private fun startedByAnswer(partition: PartitionCore): Heartbeat {
+    private fun startInReply(partition: PartitionCore): Heartbeat {
         partition.onHeartbeat(heartbeat(0), 1)
         partition.onHeartbeat(heartbeat(5), 1)
         partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), 1)
         partition.onLeaderFrame(frame(starts = listOf(StartOrder(1, "m", 0, 1))), 1)
-        val answered = heartbeat(5)
-        assertTrue(partition.commands(answered, SECOND).single() is Command.Start) { "no start in the answer" }
+        val repliedHeartbeat = heartbeat(5)
+        assertTrue(partition.commands(repliedHeartbeat, SECOND).single() is Command.Start) { "no start in the answer" }
         partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), SECOND)
-        return answered
+        return repliedHeartbeat
     }
 
-    private fun gone(
+    private fun isAttemptRemoved(
         partition: PartitionCore,
-        now: Long,
+        nowUs: Long,
     ) = partition
-        .nextFrame(now)
+        .nextFrame(nowUs)
         ?.machines
         .orEmpty()
         .any { 1L in it.removedAttempts }
@@ -235,24 +235,24 @@
     @Example
     fun `a start sent in an answer counts until its machine has sent a later heartbeat without it, however long that takes`() {
         val partition = partition()
-        val answered = startedByAnswer(partition)
+        val repliedHeartbeat = startInReply(partition)
         partition.tick(10 * SECOND)
-        assertFalse(gone(partition, 10 * SECOND)) { "given up because time has passed" }
-        partition.onHeartbeat(answered, 11 * SECOND)
+        assertFalse(isAttemptRemoved(partition, 10 * SECOND)) { "given up because time has passed" }
+        partition.onHeartbeat(repliedHeartbeat, 11 * SECOND)
         partition.tick(11 * SECOND)
-        assertFalse(gone(partition, 11 * SECOND)) { "given up for a copy of the report that was answered" }
+        assertFalse(isAttemptRemoved(partition, 11 * SECOND)) { "given up for a copy of the report that was answered" }
         val order = DirectOrder("m", "1.2.3.4:5", 5, 1, emptyList())
-        partition.onOrderOutcome(order, OrderOutcome.Answered(true, heartbeat(5)), 12 * SECOND)
+        partition.onOrderOutcome(order, OrderOutcome.Replied(true, heartbeat(5)), 12 * SECOND)
         partition.tick(12 * SECOND)
-        assertFalse(gone(partition, 12 * SECOND)) { "given up for an answer to an order, which may be older than the report's answer" }
+        assertFalse(isAttemptRemoved(partition, 12 * SECOND)) { "removed for an order reply, which may be older than the heartbeat reply" }
         partition.onHeartbeat(heartbeat(5), 13 * SECOND)
-        assertTrue(gone(partition, 13 * SECOND)) { "kept although a later report does not list it" }
+        assertTrue(isAttemptRemoved(partition, 13 * SECOND)) { "kept although a later report does not list it" }
     }
 
     @Example
     fun `a start sent in an answer is stopped where the machine shows that it took it`() {
         val partition = partition()
-        startedByAnswer(partition)
+        startInReply(partition)
         partition.tick(10 * SECOND)
         val commands = partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 11 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "$commands" }
@@ -260,12 +260,12 @@
 
     @Example
     fun `a partition stops the tasks of a job that it knows to be over and starts no more, whatever its leader says`() {
-        val ends = FakeJobCompletions(LEASE) { 0 }
-        val partition = partition(jobCompletions = ends)
+        val jobCompletions = FakeJobCompletions(LEASE) { 0 }
+        val partition = partition(jobCompletions = jobCompletions)
         started(partition)
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), SECOND)
         partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), SECOND)
-        ends.end("j-1")
+        jobCompletions.endJob("j-1")
         partition.onLeaderFrame(frame(requests = listOf(request(3, 1)), starts = listOf(StartOrder(2, "m", 1, 2))), 2 * SECOND)
         assertTrue(lastOffer(partition, 2 * SECOND).held.isEmpty()) { "offered for a job that is over" }
         partition.tick(3 * SECOND)
--- a/src/test/kotlin/lichenstage/placement/CloudCallerTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CloudCallerTest.kt
@@ -24,13 +24,13 @@
     private class PagedCloud(
         private val pages: Map<String?, CloudReply<MachinePage>>,
     ) : Cloud {
-        override suspend fun machineTypes(): CloudReply<List<MachineType>> = CloudReply.Unavailable
+        override suspend fun listMachineTypes(): CloudReply<List<MachineType>> = CloudReply.Unavailable
 
         override suspend fun provision(request: ProvisionRequest) = ProvisionResult.NoCapacity
 
         override suspend fun terminate(machines: List<String>) = TerminateResult.TERMINATED
 
-        override suspend fun list(after: String?) = pages.getValue(after)
+        override suspend fun listMachines(after: String?) = pages.getValue(after)
     }
 
     private fun answerTo(
--- a/src/test/kotlin/lichenstage/world/OrderEventCounts.kt
+++ b/src/test/kotlin/lichenstage/world/OrderEventCounts.kt
@@ -25,11 +25,11 @@
 
     fun add(event: OrderEvent) {
         when (event) {
-            is OrderEvent.Unanswered -> unanswered++
+            is OrderEvent.OrderUnanswered -> unanswered++
             is OrderEvent.FencingTokenRaised -> if (event.reason == FenceReason.UNWANTED_START) startFences++ else clearFences++
-            is OrderEvent.AnswerWithheld -> withheld++
-            is OrderEvent.LateStart -> lateStarts++
-            is OrderEvent.JobEnded, is OrderEvent.StartDisproven, is OrderEvent.StartRefused -> Unit
+            is OrderEvent.ReplyWithheld -> withheld++
+            is OrderEvent.UnwantedStartListed -> lateStarts++
+            is OrderEvent.JobEnded, is OrderEvent.StartProvenNotExecuted, is OrderEvent.StartRefused -> Unit
         }
     }
 
--- a/src/test/kotlin/lichenstage/world/SimulatedOrders.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedOrders.kt
@@ -39,7 +39,7 @@
         context.send(host, worker.name, repeats = false) {
             if (!worker.gone && !worker.isHung(now)) {
                 val result = worker.execute(probe.fencingToken, worker.agentEpoch, emptyList(), now)
-                context.send(worker.name, host) { complete(result.heartbeat.takeIf { result.executed }) }
+                context.send(worker.name, host) { complete(result.heartbeat.takeIf { result.isExecuted }) }
             }
         }
         context.at(TIMEOUT_US) { complete(null) }
--- a/src/test/kotlin/lichenstage/world/SimulatedWorker.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedWorker.kt
@@ -83,13 +83,13 @@
         forEpoch: Long,
         commands: List<Command>,
         now: Long,
-    ): OrderOutcome.Answered {
+    ): OrderOutcome.Replied {
         val valid = orderToken >= fencingToken && forEpoch == agentEpoch
         if (valid) {
             fencingToken = orderToken
             commands.forEach { execute(it, now) }
         }
-        return OrderOutcome.Answered(valid, heartbeat())
+        return OrderOutcome.Replied(valid, heartbeat())
     }
 
     private fun execute(
