--- a/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
+++ b/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
@@ -33,8 +33,8 @@
         for (order in frame.starts) handleStart(order, nowUs)
         // The leader has not chosen what is left of a hold after its starts.
         frame.starts.forEach { placementOffers.release(it.stamp) }
-        for (order in frame.stops) updateAttempt(order) { it.stopRequested = true }
-        for (order in frame.clears) updateAttempt(order) { it.clearRequested = true }
+        for (order in frame.stops) updateAttempt(order) { it.isStopRequested = true }
+        for (order in frame.clears) updateAttempt(order) { it.isClearRequested = true }
         frame.saves.forEach(::requestCheckpointStop)
         placementOffers.grant(frame.requests, nowUs).forEach(changeLog::addOffer)
         if (frame.requests.isNotEmpty() || frame.starts.isNotEmpty() || frame.stops.isNotEmpty()) changeLog.requestFrame()
@@ -73,7 +73,7 @@
         if (!machine.attempts.containsKey(order.attempt)) {
             val attempt = WorkerAttempt("${request.job}/${order.index}", order.attempt, nowUs)
             attempt.version = changeLog.nextVersion
-            orderFencing.noteOpenJob(attempt)
+            orderFencing.updateJobConfirmedOpenTime(attempt)
             machine.attempts.put(order.attempt, attempt)
             machine.invalidateUsedResources()
         }
@@ -89,7 +89,7 @@
         update(attempt)
         orderQueue.add(machine)
         if (attempt.isUnwantedStart) orderFencing.addUnwantedStart(machine)
-        orderFencing.removeDisprovenStarts(machine)
+        orderFencing.removeUnexecutedStarts(machine)
         changeLog.requestFrame()
     }
 
--- a/src/main/kotlin/lichenstage/partition/PartitionActor.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionActor.kt
@@ -43,7 +43,7 @@
 
     /** When the oldest of these starts was sent, in microseconds; null where there is none. */
     val oldestIndeterminateStartAtUs
-        get() = partitions.all.mapNotNull { partition -> partition.indeterminateStarts().minOfOrNull { it.startOrderedUs } }.minOrNull()
+        get() = partitions.all.mapNotNull { partition -> partition.indeterminateStarts().minOfOrNull { it.directStartAtUs } }.minOrNull()
 
     /** Adds a message to the actor's inbox. */
     fun tell(message: PartitionMessage) = mailbox.tell(message)
@@ -127,7 +127,7 @@
             partition.tick(nowUs)
             if (!partitions.isAuthorized(partition)) continue
             if (partition.shouldReserveTokens(nowUs)) dispatcher.reserveTokens(partition)
-            partition.nextProbes(nowUs, dispatcher.available / 2).forEach { dispatcher.probe(partition, it) }
+            partition.nextProbes(nowUs, dispatcher.availableConnections / 2).forEach { dispatcher.sendProbe(partition, it) }
             sendDueOrdersAndFrame(partition, nowUs)
         }
     }
@@ -138,7 +138,7 @@
         nowUs: Long,
     ) {
         if (!partitions.isAuthorized(partition)) return
-        partition.nextDirectOrders(nowUs, dispatcher.available).forEach { dispatcher.send(partition, it) }
+        partition.nextDirectOrders(nowUs, dispatcher.availableConnections).forEach { dispatcher.sendOrder(partition, it) }
         partition.nextFrame(nowUs)?.let(sendToLeader)
     }
 
--- a/src/main/kotlin/lichenstage/partition/PartitionCore.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionCore.kt
@@ -37,7 +37,7 @@
     private val probeSchedule = ProbeSchedule(parameters.term)
     private val holdTable = HoldTable(parameters.zone, limitsOf, requirementsOf, machines::get)
     private val placementOffers = PlacementOffers(parameters, machines, holdTable, requirementsByJob, jobCompletions)
-    private val endedJobStops = EndedJobStops(jobCompletions, machines, orderQueue, orderFencing, events)
+    private val endedJobStops = EndedJobStopper(jobCompletions, machines, orderQueue, orderFencing, events)
     private val leaderFrameHandler =
         LeaderFrameHandler(parameters.term, machines, changeLog, placementOffers, orderQueue, orderFencing, probeSchedule, events)
 
@@ -58,7 +58,7 @@
         heartbeat: Heartbeat,
         nowUs: Long,
     ): HeartbeatOutcome {
-        if (heartbeat.fencingToken > fencingTokens.highest) return HeartbeatOutcome.Superseded
+        if (heartbeat.fencingToken > fencingTokens.highestIssued) return HeartbeatOutcome.Superseded
         val machine = machines.getOrAdd(heartbeat, nowUs)
         if (heartbeatProcessor.apply(machine, heartbeat, nowUs)) {
             probeSchedule.add(heartbeat.machine, heartbeat.address)
@@ -72,10 +72,10 @@
         if (isCurrentEpoch) {
             machine.lastReplyAtUs = nowUs
             machine.lastHeartbeatSequence = maxOf(machine.lastHeartbeatSequence, heartbeat.sequence)
-            orderFencing.removeDisprovenStarts(machine)
+            orderFencing.removeUnexecutedStarts(machine)
         }
         val canTakeCommands = machine.isTokenConfirmed && isCurrentEpoch && !machine.isLost
-        val commands = if (canTakeCommands) orderQueue.commandsForAnswer(machine, heartbeat.sequence, nowUs) else emptyList()
+        val commands = if (canTakeCommands) orderQueue.commandsForReply(machine, heartbeat.sequence, nowUs) else emptyList()
         return HeartbeatOutcome.Accepted(machine.fencingToken, commands)
     }
 
@@ -93,7 +93,7 @@
     ) {
         probeSchedule.handleProbeEnd(probe)
         if (heartbeat == null || heartbeat.machine != probe.machine || heartbeat.zone != parameters.zone) return
-        if (heartbeat.fencingToken > fencingTokens.highest) return
+        if (heartbeat.fencingToken > fencingTokens.highestIssued) return
         val machine = machines.getOrAdd(heartbeat, nowUs)
         markResponsive(machine)
         heartbeatProcessor.apply(machine, heartbeat, nowUs)
@@ -106,13 +106,13 @@
         nowUs: Long,
     ) {
         val machine = machines[order.machine] ?: return
-        val proven = outcome.provenFor(order)
-        orderQueue.complete(machine, order, proven)
+        val proven = outcome.verifiedFor(order)
+        orderQueue.onOrderCompleted(machine, order, proven)
         when (proven) {
-            is OrderOutcome.Answered -> {
+            is OrderOutcome.Replied -> {
                 markResponsive(machine)
                 proven.heartbeat?.let { heartbeatProcessor.apply(machine, it, nowUs) }
-                if (!proven.executed) machine.areDirectOrdersBlocked = true
+                if (!proven.isExecuted) machine.areDirectOrdersBlocked = true
             }
 
             OrderOutcome.NotSent -> {
@@ -120,11 +120,11 @@
             }
 
             OrderOutcome.Indeterminate -> {
-                events(OrderEvent.Unanswered(order))
+                events(OrderEvent.OrderUnanswered(order))
                 markUnresponsive(machine)
             }
         }
-        orderFencing.removeDisprovenStarts(machine)
+        orderFencing.removeUnexecutedStarts(machine)
     }
 
     /** The machine has answered an order or a probe, so commands reach it (invariant 12). */
@@ -149,8 +149,8 @@
     fun tick(nowUs: Long) {
         holdTable.expire(nowUs)
         machines.updateLiveness(nowUs)
-        endedJobStops.check(nowUs)
-        orderFencing.removeDisprovenStarts()
+        endedJobStops.stopTasksOfEndedJobs(nowUs)
+        orderFencing.removeUnexecutedStarts()
         orderFencing.raiseTokens(machines.all, nowUs)
         machines.removeLongLostMachines(nowUs).forEach(::removeMachine)
     }
@@ -178,15 +178,15 @@
     fun nextFrame(nowUs: Long): PartitionFrame? = changeLog.nextFrame(nowUs, machines.size)
 
     /** Whether fencing tokens should be reserved for this owner now; a true answer counts as an attempt to do so. */
-    fun shouldReserveTokens(nowUs: Long) = fencingTokens.reservationDue(nowUs, lacksTokens)
+    fun shouldReserveTokens(nowUs: Long) = fencingTokens.beginReservationIfDue(nowUs, lacksTokens)
 
     /** Adds fencing tokens that are reserved for this owner alone, above all that were ever handed out. */
-    fun addReservedTokens(range: LongRange) = fencingTokens.add(range)
+    fun addReservedTokens(range: LongRange) = fencingTokens.addReserved(range)
 
     /** The starts whose direct order got no answer and may still be executed. */
     internal fun indeterminateStarts(): Sequence<WorkerAttempt> =
         machines.all.asSequence().flatMap { machine ->
-            machine.attempts.values.filter { it.isStartIndeterminate && it.canExecuteUnder(machine.observedFencingToken) }
+            machine.attempts.values.filter { it.isStartIndeterminate && it.isStartExecutableUnder(machine.observedFencingToken) }
         }
 
     private companion object {
--- a/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
@@ -101,7 +101,7 @@
         val partition = newPartition()
         val lateHeartbeat = heartbeat(5)
         val order = startTask(partition)
-        partition.onOrderOutcome(order, OrderOutcome.Answered(true, heartbeat(5, taskReport(TaskPhase.RUNNING))), 2)
+        partition.onOrderOutcome(order, OrderOutcome.Replied(true, heartbeat(5, taskReport(TaskPhase.RUNNING))), 2)
         partition.nextFrame(2)
         partition.onHeartbeat(lateHeartbeat, 3)
         assertEquals(TaskPhase.RUNNING, onlyMachineOfNextFrame(partition, 5 * SECOND).tasks.single().phase) { "an old list was believed" }
@@ -112,7 +112,7 @@
         val partition = newPartition()
         val order = startTask(partition, nowUs = SECOND)
         val running = taskReport(TaskPhase.RUNNING)
-        partition.onOrderOutcome(order, OrderOutcome.Answered(true, heartbeat(5, running)), SECOND)
+        partition.onOrderOutcome(order, OrderOutcome.Replied(true, heartbeat(5, running)), SECOND)
         val lateHeartbeat = heartbeat(5, running)
         partition.tick(SECOND + LEASE_US)
         assertFalse(onlyMachineOfNextFrame(partition, SECOND + LEASE_US).lost) { "lost too early" }
--- a/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
@@ -70,7 +70,7 @@
     /** A partition with j-1/0 running as attempt 1 on machine m. */
     protected fun partitionWithRunningTask(): PartitionCore {
         val partition = newPartition()
-        partition.onOrderOutcome(startTask(partition), OrderOutcome.Answered(true, heartbeat(5, taskReport(TaskPhase.RUNNING))), 2)
+        partition.onOrderOutcome(startTask(partition), OrderOutcome.Replied(true, heartbeat(5, taskReport(TaskPhase.RUNNING))), 2)
         return partition
     }
 
