--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -208,7 +208,7 @@
     }
 
     private fun toLeader(frame: PartitionFrame) {
-        val holder = authority.ownership().leader ?: return
+        val holder = authority.ownershipView().leader ?: return
         links.send(holder.label, frame)
     }
 
--- a/src/main/kotlin/lichenstage/authority/AcquisitionMoratorium.kt
+++ b/src/main/kotlin/lichenstage/authority/AcquisitionMoratorium.kt
@@ -24,10 +24,10 @@
     private val send: (String, Frame) -> Unit,
 ) {
     private val incarnation = timeOfDayUs()
-    private val others = settings.peers.map { it.label }.toSet()
+    private val peers = settings.peers.map { it.label }.toSet()
 
     /** Where the seeds name fewer controllers than there are, the others cannot grant a moratorium for all. */
-    private val granted = PeerMoratoriums(if (settings.count == others.size + 1) others else emptySet())
+    private val peerMoratoriums = PeerMoratoriums(if (settings.count == peers.size + 1) peers else emptySet())
 
     /** Asks all other controllers while the state service is unavailable; runs until it is cancelled. */
     suspend fun run() {
@@ -35,7 +35,7 @@
             delay(REQUEST_INTERVAL_MS)
             if (lease.isStateServiceAvailable() || !lease.isValid()) continue
             val request = MoratoriumRequest(incarnation, clock.now())
-            others.forEach { send(it, request) }
+            peers.forEach { send(it, request) }
         }
     }
 
@@ -44,9 +44,9 @@
         from: String,
         request: MoratoriumRequest,
     ) {
-        val now = clock.now()
-        if ((lease.isStateServiceAvailable() && !lease.isRenewalUnanswered) || acquisition.mayStillSucceed(now)) return
-        acquisition.moratorium.grant(now)
+        val nowUs = clock.now()
+        if ((lease.isStateServiceAvailable() && !lease.isRenewalUnanswered) || acquisition.mayStillSucceed(nowUs)) return
+        acquisition.moratorium.grant(nowUs)
         send(from, MoratoriumGrant(request.incarnation, request.requestedAtUs))
     }
 
@@ -56,8 +56,8 @@
         grant: MoratoriumGrant,
     ) {
         if (grant.incarnation != incarnation) return
-        granted.granted(from, grant.requestedAtUs)
-        lease.extendedByMoratoriums(granted.grantedUntilUs())
+        peerMoratoriums.recordGrant(from, grant.requestedAtUs)
+        lease.extendByMoratoriums(peerMoratoriums.grantedUntilUs())
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/authority/Authority.kt
+++ b/src/main/kotlin/lichenstage/authority/Authority.kt
@@ -29,9 +29,9 @@
 ) {
     private val table = OwnershipTable()
     private val lease = ProcessLease(state, clock, LeaseDuration.of(settings), ::notifyChange)
-    private val held = HeldOwnerships(settings.label, lease, table)
-    private val acquisition = OwnershipAcquisition(settings, state, clock, lease, table, held, isPeerHealthy, ::notifyChange)
-    private val release = OwnershipRelease(state, table, held, acquisition, ::notifyChange)
+    private val heldOwnerships = HeldOwnerships(settings.label, lease, table)
+    private val acquisition = OwnershipAcquisition(settings, state, clock, lease, table, heldOwnerships, isPeerHealthy, ::notifyChange)
+    private val release = OwnershipRelease(state, table, heldOwnerships, acquisition, ::notifyChange)
     private val moratorium = AcquisitionMoratorium(settings, clock, lease, acquisition, send)
     private val tokenReservation = FencingTokenReservation(state, table)
     private val watcher = OwnershipWatcher(state, table, ::revokePredecessors, ::notifyChange, ::onOwnershipEvents)
@@ -43,19 +43,19 @@
     fun isStateServiceAvailable() = lease.isStateServiceAvailable()
 
     /** This process's leadership while it may act on it, else null. */
-    fun heldLeadership(): Holder? = held.current(OwnershipRecords.LEADER)
+    fun heldLeadership(): Holder? = heldOwnerships.currentOwnership(OwnershipRecords.LEADER_KEY)
 
     /** This process's ownership of a partition while it may act on it, else null. */
-    fun heldPartition(partition: String): Holder? = held.current(OwnershipRecords.partitionKey(partition))
+    fun heldPartition(partition: String): Holder? = heldOwnerships.currentOwnership(OwnershipRecords.partitionKey(partition))
 
     /** The owner of a partition, as last seen. */
     fun ownerOf(partition: String): Holder? = table.holder(OwnershipRecords.partitionKey(partition))
 
     /** The leader and the owners of the partitions, as last seen. */
-    fun ownership(): OwnershipView {
+    fun ownershipView(): OwnershipView {
         val owners = LinkedHashMap<String, Holder>()
         for (partition in settings.assignment.partitions) ownerOf(partition)?.let { owners[partition] = it }
-        return OwnershipView(table.holder(OwnershipRecords.LEADER), owners)
+        return OwnershipView(table.holder(OwnershipRecords.LEADER_KEY), owners)
     }
 
     /** This process has authority and has seen the ownership records at least once. */
@@ -94,15 +94,15 @@
         isUrgent: Boolean,
     ): LongRange? {
         val ownership = heldPartition(partition) ?: return null
-        if (acquisition.isInProgress || (acquisition.isAnyKeyMissing && !isUrgent)) return null
+        if (acquisition.isInProgress || (acquisition.isAnyKeyUnowned && !isUrgent)) return null
         return tokenReservation.reserve(OwnershipRecords.partitionKey(partition), ownership, count)
     }
 
-    private fun notifyChange() = onChange(ownership())
+    private fun notifyChange() = onChange(ownershipView())
 
     private suspend fun onOwnershipEvents() {
         notifyChange()
-        acquisition.acquireMissing()
+        acquisition.acquireUnownedKeys()
     }
 
     /**
@@ -110,6 +110,6 @@
      * once so that no controller waits for it to expire.
      */
     private suspend fun revokePredecessors() {
-        for (predecessor in held.predecessorLeases()) if (predecessor != lease.id) state.revokeLease(predecessor)
+        for (predecessor in heldOwnerships.predecessorLeases()) if (predecessor != lease.id) state.revokeLease(predecessor)
     }
 }
--- a/src/main/kotlin/lichenstage/authority/FencingTokenReservation.kt
+++ b/src/main/kotlin/lichenstage/authority/FencingTokenReservation.kt
@@ -23,17 +23,17 @@
         ownership: Holder,
         count: Int,
     ): LongRange? {
-        val counterRevision = table.modRevision(OwnershipRecords.TERM_COUNTER) ?: return null
+        val counterRevision = table.modRevision(OwnershipRecords.TERM_COUNTER_KEY) ?: return null
         if (isInProgress) return null
         isInProgress = true
         try {
             val counter = table.counterAfter(count)
             val record = OwnershipRecords.encodeTermCounter(counter)
             val preconditions =
-                listOf(Precondition(OwnershipRecords.TERM_COUNTER, counterRevision), Precondition(key, ownership.modRevision))
-            val result = state.commit(preconditions, listOf(Change.Put(OwnershipRecords.TERM_COUNTER, record)))
+                listOf(Precondition(OwnershipRecords.TERM_COUNTER_KEY, counterRevision), Precondition(key, ownership.modRevision))
+            val result = state.commit(preconditions, listOf(Change.Put(OwnershipRecords.TERM_COUNTER_KEY, record)))
             if (result !is TransactionResult.Committed) return null
-            table.put(Entry(OwnershipRecords.TERM_COUNTER, record, result.revision))
+            table.put(Entry(OwnershipRecords.TERM_COUNTER_KEY, record, result.revision))
             return counter.term - count + 1..counter.term
         } finally {
             isInProgress = false
--- a/src/main/kotlin/lichenstage/authority/HeldOwnerships.kt
+++ b/src/main/kotlin/lichenstage/authority/HeldOwnerships.kt
@@ -10,10 +10,10 @@
     private val relinquished = HashSet<Long>()
 
     /** How many keys the state service says that this controller holds. */
-    val recordedCount: Int get() = table.currentHolders.count { it.label == label }
+    val recordedKeyCount: Int get() = table.currentHolders.count { it.label == label }
 
     /** This process's ownership of [key] while it may act on it, else null. */
-    fun current(key: String): Holder? =
+    fun currentOwnership(key: String): Holder? =
         table.holder(key)?.takeIf { it.label == label && it.lease == lease.id && it.modRevision !in relinquished && lease.isValid() }
 
     /** This process acts on the ownership no more, whether or not its record is still there. */
--- a/src/main/kotlin/lichenstage/authority/Holder.kt
+++ b/src/main/kotlin/lichenstage/authority/Holder.kt
@@ -18,5 +18,5 @@
 /** The counter of all terms with its new value [term], and the keys that any controller has ever owned. */
 internal data class TermCounter(
     val term: Long,
-    val owned: Collection<String>,
+    val everOwnedKeys: Collection<String>,
 )
--- a/src/main/kotlin/lichenstage/authority/LeaseDuration.kt
+++ b/src/main/kotlin/lichenstage/authority/LeaseDuration.kt
@@ -12,15 +12,15 @@
  */
 internal object LeaseDuration {
     /** Processor time that a cold process spends at a stretch before it looks at its timers again. */
-    private const val STALL_CORE_US = SECOND / 2
+    private const val STALL_CPU_TIME_US = SECOND / 2
     private const val MIN_UNSTALLED_US = 2 * SECOND
     private const val MAX_UNSTALLED_US = 4 * SECOND
 
     /** The part of a worker's lease where the process does not stall. */
-    private const val UNSTALLED_PARTS_OF_WORKER_LEASE = 4
+    private const val UNSTALLED_WORKER_LEASE_DIVISOR = 4
 
     /** In so many parts of a worker's lease: failure detection, failover and the worker's way to its new owner. */
-    private const val PARTS_OF_WORKER_LEASE = 3
+    private const val MAX_WORKER_LEASE_DIVISOR = 3
 
     /** The duration in microseconds under [settings]. */
     fun of(settings: Settings): Long = of(settings.workerLeaseUs, settings.coreShare)
@@ -30,8 +30,8 @@
         workerLeaseUs: Long,
         coreShare: Double,
     ): Long {
-        val unstalledUs = (workerLeaseUs / UNSTALLED_PARTS_OF_WORKER_LEASE).coerceIn(MIN_UNSTALLED_US, MAX_UNSTALLED_US)
-        val stallUs = (STALL_CORE_US / coreShare).toLong()
-        return maxOf(unstalledUs, minOf(stallUs, workerLeaseUs / PARTS_OF_WORKER_LEASE))
+        val unstalledUs = (workerLeaseUs / UNSTALLED_WORKER_LEASE_DIVISOR).coerceIn(MIN_UNSTALLED_US, MAX_UNSTALLED_US)
+        val stallUs = (STALL_CPU_TIME_US / coreShare).toLong()
+        return maxOf(unstalledUs, minOf(stallUs, workerLeaseUs / MAX_WORKER_LEASE_DIVISOR))
     }
 }
--- a/src/main/kotlin/lichenstage/authority/LocalLease.kt
+++ b/src/main/kotlin/lichenstage/authority/LocalLease.kt
@@ -16,41 +16,41 @@
         private set
     private var validUntilUs = Long.MIN_VALUE
 
-    /** The service has granted [lease] to a request that was sent at [sentUs]. */
-    fun granted(
+    /** The service has granted [lease] to a request that was sent at [sentAtUs]. */
+    fun onGranted(
         lease: Long,
-        sentUs: Long,
+        sentAtUs: Long,
     ) {
         id = lease
-        validUntilUs = expiryUs(sentUs)
+        validUntilUs = expiryUs(sentAtUs)
     }
 
-    /** A renewal that was sent at [sentUs] succeeded; answers may come in any order. */
-    fun renewed(sentUs: Long) {
-        if (id != null) validUntilUs = maxOf(validUntilUs, expiryUs(sentUs))
+    /** A renewal that was sent at [sentAtUs] succeeded; answers may come in any order. */
+    fun onRenewed(sentAtUs: Long) {
+        if (id != null) validUntilUs = maxOf(validUntilUs, expiryUs(sentAtUs))
     }
 
     /**
      * No other controller acquires a key that is attached to the lease before [untilUs], whatever the service does. Counts only while the
      * lease is valid: once there was a gap, another may hold the keys unseen.
      */
-    fun extendedByMoratoriums(
+    fun extendByMoratoriums(
         untilUs: Long,
-        now: Long,
+        nowUs: Long,
     ) {
-        if (isValid(now)) validUntilUs = maxOf(validUntilUs, untilUs)
+        if (isValid(nowUs)) validUntilUs = maxOf(validUntilUs, untilUs)
     }
 
     /** The service has reported that the lease has ended. */
-    fun ended() {
+    fun onEnded() {
         id = null
         validUntilUs = Long.MIN_VALUE
     }
 
     /** The holder may count on the lease at [now]. */
-    fun isValid(now: Long) = id != null && now < validUntilUs
+    fun isValid(nowUs: Long) = id != null && nowUs < validUntilUs
 
-    private fun expiryUs(sentUs: Long) = sentUs + durationUs - (withDrift(durationUs) - durationUs) - MARGIN_US
+    private fun expiryUs(sentAtUs: Long) = sentAtUs + durationUs - (withDrift(durationUs) - durationUs) - MARGIN_US
 
     private companion object {
         const val MARGIN_US = 200 * MILLI
--- a/src/main/kotlin/lichenstage/authority/Moratoriums.kt
+++ b/src/main/kotlin/lichenstage/authority/Moratoriums.kt
@@ -12,20 +12,20 @@
  * that they run, because no controller dared to answer them.
  */
 class PeerMoratoriums(
-    private val others: Set<String>,
+    private val peers: Set<String>,
 ) {
     private val untilUs = HashMap<String, Long>()
 
-    /** [other] granted a request that was sent at [requestedUs]: it was bound no earlier than that. */
-    fun granted(
-        other: String,
-        requestedUs: Long,
+    /** [peer] granted a request that was sent at [requestedAtUs]: it was bound no earlier than that. */
+    fun recordGrant(
+        peer: String,
+        requestedAtUs: Long,
     ) {
-        untilUs.merge(other, requestedUs + MORATORIUM_US, ::maxOf)
+        untilUs.merge(peer, requestedAtUs + MORATORIUM_US, ::maxOf)
     }
 
     /** Until when no other controller can acquire a key of ours; in the past where that is not known. */
-    fun grantedUntilUs(): Long = if (others.isEmpty()) Long.MIN_VALUE else others.minOf { untilUs[it] ?: Long.MIN_VALUE }
+    fun grantedUntilUs(): Long = if (peers.isEmpty()) Long.MIN_VALUE else peers.minOf { untilUs[it] ?: Long.MIN_VALUE }
 
     companion object {
         /** How long a controller acquires no key after it has granted a moratorium, by its own clock and without drift. */
@@ -34,21 +34,21 @@
 }
 
 /**
- * The moratoriums that this process has granted: it acquires no key while one stands. It starts with one, at [startedUs], since the process
- * before it may have granted one.
+ * The moratoriums that this process has granted to other controllers: while one is in force, this process acquires no key. A new process
+ * starts with a moratorium from [startedAtUs], since its predecessor may have granted one.
  */
 class LocalMoratorium(
-    startedUs: Long,
+    startedAtUs: Long,
 ) {
-    private var grantedUntilUs = untilUs(startedUs)
+    private var grantedUntilUs = untilUs(startedAtUs)
 
     /** Grants a moratorium from [now] on. */
-    fun grant(now: Long) {
-        grantedUntilUs = maxOf(grantedUntilUs, untilUs(now))
+    fun grant(nowUs: Long) {
+        grantedUntilUs = maxOf(grantedUntilUs, untilUs(nowUs))
     }
 
     /** No moratorium of this process stands. */
-    fun hasExpired(now: Long) = now > grantedUntilUs
+    fun hasExpired(nowUs: Long) = nowUs > grantedUntilUs
 
     private fun untilUs(from: Long) = from + withDrift(PeerMoratoriums.MORATORIUM_US) + MARGIN_US
 
--- a/src/main/kotlin/lichenstage/authority/OwnershipAcquisition.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipAcquisition.kt
@@ -20,12 +20,12 @@
     private val clock: Clock,
     private val lease: ProcessLease,
     private val table: OwnershipTable,
-    private val held: HeldOwnerships,
+    private val heldOwnerships: HeldOwnerships,
     private val isPeerHealthy: (String) -> Boolean,
     private val onChange: () -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.authority")
-    private val keys = settings.assignment.partitions.map(OwnershipRecords::partitionKey) + OwnershipRecords.LEADER
+    private val keys = settings.assignment.partitions.map(OwnershipRecords::partitionKey) + OwnershipRecords.LEADER_KEY
     private val acquisitionDelay = AcquisitionDelay(settings)
     private val lag = EventLoopLag()
 
@@ -33,31 +33,31 @@
     val moratorium = LocalMoratorium(clock.now())
 
     /** Since when each key has had no holder. */
-    private val missingSinceUs = HashMap<String, Long>()
-    private val acquiredUs = HashMap<String, Long>()
+    private val unownedSinceUs = HashMap<String, Long>()
+    private val acquiredAtUs = HashMap<String, Long>()
 
     /** An acquisition had no answer at this time: it may still succeed. */
-    private var lastIndeterminateUs = Long.MIN_VALUE / 2
+    private var lastIndeterminateAtUs = Long.MIN_VALUE / 2
 
     /** A transaction that acquires a key is under way. */
     var isInProgress = false
         private set
 
     /** A key has no holder, as far as this process knows. */
-    val isAnyKeyMissing: Boolean get() = missingSinceUs.isNotEmpty()
+    val isAnyKeyUnowned: Boolean get() = unownedSinceUs.isNotEmpty()
 
     /** This process may acquire a key by a transaction that it has sent. */
-    fun mayStillSucceed(now: Long) = isInProgress || now - lastIndeterminateUs < INDETERMINATE_US
+    fun mayStillSucceed(nowUs: Long) = isInProgress || nowUs - lastIndeterminateAtUs < MAX_COMMIT_DELAY_US
 
     /** How long this process has held a key that it has acquired, in microseconds. */
-    fun heldForUs(key: String): Long = clock.now() - (acquiredUs[key] ?: 0)
+    fun heldDurationUs(key: String): Long = clock.now() - (acquiredAtUs[key] ?: 0)
 
     /** Leaves a key to others: for this process it counts as missing only after [delayUs]. */
     fun defer(
         key: String,
         delayUs: Long,
     ) {
-        missingSinceUs[key] = clock.now() + delayUs
+        unownedSinceUs[key] = clock.now() + delayUs
     }
 
     /** Acquires what is missing, several times a second; runs until it is cancelled. */
@@ -66,29 +66,29 @@
             val dueUs = clock.now() + CHECK_INTERVAL_MS * MILLI
             delay(CHECK_INTERVAL_MS)
             lag.timerFired(dueUs, clock.now())
-            acquireMissing()
+            acquireUnownedKeys()
         }
     }
 
     /** Acquires each key that has had no holder for as long as this process has to wait. */
-    suspend fun acquireMissing() {
+    suspend fun acquireUnownedKeys() {
         if (!table.isLoaded || !lease.isValid()) return
-        val now = clock.now()
+        val nowUs = clock.now()
         for (key in keys) {
             if (key in table) {
-                missingSinceUs.remove(key)
+                unownedSinceUs.remove(key)
                 continue
             }
-            val since = missingSinceUs.getOrPut(key) { now }
-            if (now - since >= delayUs(key)) acquire(key)
+            val sinceUs = unownedSinceUs.getOrPut(key) { nowUs }
+            if (nowUs - sinceUs >= delayUs(key)) acquire(key)
         }
     }
 
     private fun delayUs(key: String): Long {
         val home = settings.assignment.home(OwnershipRecords.partitionOf(key))
-        val homeIsHealthy = home != null && home != settings.label && isPeerHealthy(home)
-        val isLeadership = key == OwnershipRecords.LEADER
-        return acquisitionDelay.delayUs(isLeadership, held.recordedCount, home, table.everOwned(key), homeIsHealthy) +
+        val isHomeHealthy = home != null && home != settings.label && isPeerHealthy(home)
+        val isLeadership = key == OwnershipRecords.LEADER_KEY
+        return acquisitionDelay.delayUs(isLeadership, heldOwnerships.recordedKeyCount, home, table.hasEverBeenOwned(key), isHomeHealthy) +
             AcquisitionDelay.lagDelayUs(lag.currentUs)
     }
 
@@ -97,33 +97,33 @@
         if (isInProgress || !moratorium.hasExpired(clock.now())) return
         isInProgress = true
         try {
-            val counter = table.nextTerm(key)
-            val counterEntry = Change.Put(OwnershipRecords.TERM_COUNTER, OwnershipRecords.encodeTermCounter(counter))
+            val counter = table.nextCounter(key)
+            val counterEntry = Change.Put(OwnershipRecords.TERM_COUNTER_KEY, OwnershipRecords.encodeTermCounter(counter))
             val ownership = Change.Put(key, OwnershipRecords.encodeOwnership(settings.label, counter.term, leaseId), leaseId)
-            val counterRevision = table.modRevision(OwnershipRecords.TERM_COUNTER) ?: Precondition.ABSENT
-            val preconditions = listOf(Precondition(OwnershipRecords.TERM_COUNTER, counterRevision), Precondition.absent(key))
+            val counterRevision = table.modRevision(OwnershipRecords.TERM_COUNTER_KEY) ?: Precondition.ABSENT
+            val preconditions = listOf(Precondition(OwnershipRecords.TERM_COUNTER_KEY, counterRevision), Precondition.absent(key))
             val result = state.commit(preconditions, listOf(counterEntry, ownership))
             if (result is TransactionResult.Committed) {
                 log.info("Ownership acquired key={} term={}", key, counter.term)
-                acquired(counterEntry, ownership, result.revision)
+                onAcquired(counterEntry, ownership, result.revision)
             } else {
-                missingSinceUs[key] = clock.now()
-                if (result is TransactionResult.Indeterminate) lastIndeterminateUs = clock.now()
+                unownedSinceUs[key] = clock.now()
+                if (result is TransactionResult.Indeterminate) lastIndeterminateAtUs = clock.now()
             }
         } finally {
             isInProgress = false
         }
     }
 
-    private fun acquired(
+    private fun onAcquired(
         counter: Change.Put,
         ownership: Change.Put,
         revision: Long,
     ) {
         table.put(Entry(counter.key, counter.value, revision))
         table.put(Entry(ownership.key, ownership.value, revision))
-        missingSinceUs.remove(ownership.key)
-        acquiredUs[ownership.key] = clock.now()
+        unownedSinceUs.remove(ownership.key)
+        acquiredAtUs[ownership.key] = clock.now()
         onChange()
     }
 
@@ -131,6 +131,6 @@
         const val CHECK_INTERVAL_MS = 200L
 
         /** A transaction without an answer is not expected to be applied later than this. */
-        const val INDETERMINATE_US = 120 * SECOND
+        const val MAX_COMMIT_DELAY_US = 120 * SECOND
     }
 }
--- a/src/main/kotlin/lichenstage/authority/OwnershipRecords.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipRecords.kt
@@ -10,26 +10,26 @@
 /** The keys and JSON documents of leadership, ownership of partitions and the counter of terms in the state service. */
 object OwnershipRecords {
     /** The prefix of all keys below. */
-    const val PREFIX = "c/"
+    const val KEY_PREFIX = "c/"
 
     /** The key of leadership. */
-    const val LEADER = "c/leader"
+    const val LEADER_KEY = "c/leader"
 
     /** The prefix of the keys of partitions; the partition's name follows. */
-    const val PARTITION = "c/part/"
+    const val PARTITION_KEY_PREFIX = "c/part/"
 
     /** The key of the counter of terms. */
-    const val TERM_COUNTER = "c/terms"
+    const val TERM_COUNTER_KEY = "c/terms"
     private const val LABEL = "label"
     private const val TERM = "term"
     private const val LEASE = "lease"
-    private const val EVER_OWNED = "owned"
+    private const val EVER_OWNED_KEYS = "owned"
 
     /** The key of a partition's ownership. */
-    fun partitionKey(partition: String) = PARTITION + partition
+    fun partitionKey(partition: String) = PARTITION_KEY_PREFIX + partition
 
     /** The partition of a key that [partitionKey] has made; other keys are returned unchanged. */
-    internal fun partitionOf(key: String) = key.removePrefix(PARTITION)
+    internal fun partitionOf(key: String) = key.removePrefix(PARTITION_KEY_PREFIX)
 
     /** The record of an ownership or a leadership. */
     internal fun encodeOwnership(
@@ -46,11 +46,12 @@
 
     /** The record of the term counter. */
     internal fun encodeTermCounter(counter: TermCounter): JsonObject =
-        JsonObject().put(TERM, counter.term).put(EVER_OWNED, JsonArray(counter.owned.toList()))
+        JsonObject().put(TERM, counter.term).put(EVER_OWNED_KEYS, JsonArray(counter.everOwnedKeys.toList()))
 
     /** The last term that a record of the term counter says was given out; 0 where it names none. */
-    internal fun lastTerm(record: JsonObject): Long = record.getLong(TERM) ?: 0
+    internal fun decodeLastTerm(record: JsonObject): Long = record.getLong(TERM) ?: 0
 
     /** The keys that a record of the term counter lists as owned at any time. */
-    internal fun everOwned(record: JsonObject): List<String> = record.getJsonArray(EVER_OWNED)?.map { it as String }.orEmpty()
+    internal fun decodeEverOwnedKeys(record: JsonObject): List<String> =
+        record.getJsonArray(EVER_OWNED_KEYS)?.map { it as String }.orEmpty()
 }
--- a/src/main/kotlin/lichenstage/authority/OwnershipRelease.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipRelease.kt
@@ -12,7 +12,7 @@
 internal class OwnershipRelease(
     private val state: KeyValueStore,
     private val table: OwnershipTable,
-    private val held: HeldOwnerships,
+    private val heldOwnerships: HeldOwnerships,
     private val acquisition: OwnershipAcquisition,
     private val onChange: () -> Unit,
 ) {
@@ -26,10 +26,10 @@
      * an answer is sent again until the key is gone, or the partition would have no owner.
      */
     suspend fun release(key: String) {
-        val ownership = held.current(key) ?: return
+        val ownership = heldOwnerships.currentOwnership(key) ?: return
         // If its home controller does not acquire it although it seems healthy, the partition must not change owners again and again.
-        if (acquisition.heldForUs(key) < MIN_HELD_US) return
-        held.relinquish(ownership)
+        if (acquisition.heldDurationUs(key) < MIN_HELD_DURATION_US) return
+        heldOwnerships.relinquish(ownership)
         onChange()
         val unchanged = listOf(Precondition(key, ownership.modRevision))
         while (table.modRevision(key) == ownership.modRevision) {
@@ -41,13 +41,13 @@
         }
         log.info("Ownership released to home controller key={}", key)
         // The home controller acquires it at once; this one would only after a while.
-        acquisition.defer(key, HOME_FIRST_US)
+        acquisition.defer(key, HOME_FIRST_DELAY_US)
         onChange()
     }
 
     private companion object {
-        const val MIN_HELD_US = 12 * SECOND
-        const val HOME_FIRST_US = 3 * SECOND
+        const val MIN_HELD_DURATION_US = 12 * SECOND
+        const val HOME_FIRST_DELAY_US = 3 * SECOND
         const val RETRY_MS = 300L
     }
 }
--- a/src/main/kotlin/lichenstage/authority/OwnershipTable.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipTable.kt
@@ -25,7 +25,7 @@
     fun modRevision(key: String): Long? = entries[key]?.modRevision
 
     /** Takes in all records as of [revision], as a scan has read them. Changes that are known to be later stay. */
-    fun reset(
+    fun applyScan(
         scanned: List<Entry>,
         revision: Long,
     ) {
@@ -38,20 +38,20 @@
      * Takes in changes in any order. A key that was put and then deleted is gone: as it once was after a watch that had been interrupted,
      * a key that this table wrongly shows as held would be acquired by no controller.
      */
-    fun change(
+    fun applyChanges(
         puts: List<Entry>,
         deletes: List<Entry>,
     ) {
-        val deletedAt = deletes.groupBy { it.key }.mapValues { (_, rows) -> rows.maxOf { it.modRevision } }
+        val deletionRevisions = deletes.groupBy { it.key }.mapValues { (_, rows) -> rows.maxOf { it.modRevision } }
         deletes.forEach { remove(it.key, it.modRevision) }
-        puts.filter { it.modRevision > (deletedAt[it.key] ?: Long.MIN_VALUE) }.forEach(::put)
+        puts.filter { it.modRevision > (deletionRevisions[it.key] ?: Long.MIN_VALUE) }.forEach(::put)
     }
 
     /** Takes in a record, unless a later change of its key is known. */
     fun put(entry: Entry) {
         if (isOutdated(entry.key, entry.modRevision)) return
         entries[entry.key] = entry
-        val holder = if (entry.key == OwnershipRecords.TERM_COUNTER) null else decode(entry)
+        val holder = if (entry.key == OwnershipRecords.TERM_COUNTER_KEY) null else decode(entry)
         if (holder == null) holders.remove(entry.key) else holders[entry.key] = holder
     }
 
@@ -79,17 +79,17 @@
         }
 
     /** The counter as it is to be written with the next ownership of [key]. */
-    fun nextTerm(key: String) = TermCounter(lastTerm() + 1, (everOwnedKeys() + key).toSortedSet())
+    fun nextCounter(key: String) = TermCounter(lastTerm() + 1, (everOwnedKeys() + key).toSortedSet())
 
     /** The counter [count] terms on, with the same keys that were ever owned. */
     fun counterAfter(count: Int) = TermCounter(lastTerm() + count, everOwnedKeys())
 
     /** The highest term that was given out. */
-    fun lastTerm(): Long = entries[OwnershipRecords.TERM_COUNTER]?.let { OwnershipRecords.lastTerm(it.value) } ?: 0
+    fun lastTerm(): Long = entries[OwnershipRecords.TERM_COUNTER_KEY]?.let { OwnershipRecords.decodeLastTerm(it.value) } ?: 0
 
     /** Any controller has owned the key: before that, a partition's home controller is given time to start. */
-    fun everOwned(key: String) = key in everOwnedKeys()
+    fun hasEverBeenOwned(key: String) = key in everOwnedKeys()
 
     private fun everOwnedKeys(): List<String> =
-        entries[OwnershipRecords.TERM_COUNTER]?.let { OwnershipRecords.everOwned(it.value) }.orEmpty()
+        entries[OwnershipRecords.TERM_COUNTER_KEY]?.let { OwnershipRecords.decodeEverOwnedKeys(it.value) }.orEmpty()
 }
--- a/src/main/kotlin/lichenstage/authority/OwnershipWatcher.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipWatcher.kt
@@ -19,12 +19,12 @@
     /** Runs until it is cancelled. */
     suspend fun run() {
         while (true) {
-            val scan = state.scan(OwnershipRecords.PREFIX)
+            val scan = state.scan(OwnershipRecords.KEY_PREFIX)
             if (scan !is ScanResult.Complete) {
                 delay(SCAN_RETRY_MS)
                 continue
             }
-            table.reset(scan.entries, scan.revision)
+            table.applyScan(scan.entries, scan.revision)
             if (!table.isLoaded) onFirstScan()
             table.isLoaded = true
             onScan()
@@ -36,10 +36,10 @@
     private suspend fun follow(scanRevision: Long) {
         var revision = scanRevision
         while (true) {
-            when (val result = state.watch(OwnershipRecords.PREFIX, revision, WATCH_MS)) {
+            when (val result = state.watch(OwnershipRecords.KEY_PREFIX, revision, WATCH_MS)) {
                 is WatchResult.Events -> {
                     revision = result.revision
-                    table.change(result.puts, result.deletes)
+                    table.applyChanges(result.puts, result.deletes)
                     if (result.puts.isNotEmpty() || result.deletes.isNotEmpty()) onEvents()
                 }
 
--- a/src/main/kotlin/lichenstage/authority/ProcessLease.kt
+++ b/src/main/kotlin/lichenstage/authority/ProcessLease.kt
@@ -22,7 +22,7 @@
     private val log = LoggerFactory.getLogger("lichenstage.authority")
     private val renewalIntervalUs = minOf(durationUs / RENEWALS_PER_LEASE, MAX_RENEWAL_INTERVAL_US)
     private val lease = LocalLease(durationUs)
-    private var renewedUs = Long.MIN_VALUE / 2
+    private var lastConfirmedAtUs = Long.MIN_VALUE / 2
 
     /** The last renewal had no answer, or one that decides nothing. */
     var isRenewalUnanswered = false
@@ -35,55 +35,55 @@
     fun isValid() = lease.isValid(clock.now())
 
     /** The state service has granted or renewed the lease not long ago. */
-    fun isStateServiceAvailable() = lease.id != null && clock.now() - renewedUs < renewalIntervalUs + SECOND
+    fun isStateServiceAvailable() = lease.id != null && clock.now() - lastConfirmedAtUs < renewalIntervalUs + SECOND
 
-    /** No other controller acquires a key before [untilUs]; see [LocalLease.extendedByMoratoriums]. */
-    fun extendedByMoratoriums(untilUs: Long) = lease.extendedByMoratoriums(untilUs, clock.now())
+    /** No other controller acquires a key before [untilUs]; see [LocalLease.extendByMoratoriums]. */
+    fun extendByMoratoriums(untilUs: Long) = lease.extendByMoratoriums(untilUs, clock.now())
 
     /** Keeps the lease; runs until it is cancelled. */
     suspend fun run() {
         while (true) {
-            val held = lease.id
-            if (held == null) acquire() else renew(held)
+            val leaseId = lease.id
+            if (leaseId == null) acquire() else renew(leaseId)
         }
     }
 
     private suspend fun acquire() {
-        val sentUs = clock.now()
+        val sentAtUs = clock.now()
         val grant = state.grantLease(durationUs)
         if (grant is LeaseGrant.Granted) {
-            confirmed { lease.granted(grant.lease, sentUs) }
+            applyConfirmation { lease.onGranted(grant.lease, sentAtUs) }
             log.info("Process lease granted lease={}", grant.lease)
         }
         delay(RETRY_MS)
     }
 
-    private suspend fun renew(held: Long) {
-        val sentUs = clock.now()
-        when (state.renewLease(held)) {
+    private suspend fun renew(leaseId: Long) {
+        val sentAtUs = clock.now()
+        when (state.renewLease(leaseId)) {
             LeaseRenewal.RENEWED -> {
-                confirmed { lease.renewed(sentUs) }
+                applyConfirmation { lease.onRenewed(sentAtUs) }
             }
 
             LeaseRenewal.EXPIRED -> {
-                log.info("Process lease expired lease={}", held)
-                lease.ended()
+                log.info("Process lease expired lease={}", leaseId)
+                lease.onEnded()
                 onChange()
                 return
             }
 
             LeaseRenewal.INDETERMINATE -> {
                 isRenewalUnanswered = true
-                log.info("Process lease not renewed lease={}", held)
+                log.info("Process lease not renewed lease={}", leaseId)
             }
         }
-        delay(if (isValid() && clock.now() - sentUs < SECOND) renewalIntervalUs / MILLI else RETRY_MS)
+        delay(if (isValid() && clock.now() - sentAtUs < SECOND) renewalIntervalUs / MILLI else RETRY_MS)
     }
 
-    private inline fun confirmed(extend: () -> Unit) {
+    private inline fun applyConfirmation(extend: () -> Unit) {
         val wasValid = isValid()
         extend()
-        renewedUs = clock.now()
+        lastConfirmedAtUs = clock.now()
         isRenewalUnanswered = false
         if (!wasValid) onChange()
     }
--- a/src/main/kotlin/lichenstage/cluster/CompletionFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/CompletionFrames.kt
@@ -21,7 +21,7 @@
     val upTo: Long,
 ) : Frame
 
-/** A piece of the sender's log of ended jobs, from [since] to [upTo]; [whole] where nothing follows. */
+/** A piece of the sender's log of ended jobs, from [since] to [upTo]; [isFinal] where nothing follows. */
 @Serializable
 @SerialName("lichenstage.cluster.EndsOf")
 data class CompletionSyncReply(
@@ -36,7 +36,7 @@
     val upTo: Long,
     val jobs: List<String>,
     @SerialName("whole")
-    val whole: Boolean,
+    val isFinal: Boolean,
 ) : Frame
 
 /** These jobs have ended, as the sender is about to answer a user: so that their tasks stop early. Nothing depends on its arrival. */
--- a/src/main/kotlin/lichenstage/cluster/Frame.kt
+++ b/src/main/kotlin/lichenstage/cluster/Frame.kt
@@ -21,7 +21,7 @@
 @SerialName("lichenstage.cluster.Ping")
 data class Ping(
     @SerialName("stateAnswers")
-    val stateServiceAvailable: Boolean,
+    val isStateServiceAvailable: Boolean,
 ) : Frame
 
 /** A frame on its way through a third controller, for a pair that can't reach each other (the paper's intermediate agent). */
--- a/src/main/kotlin/lichenstage/cluster/FrameStream.kt
+++ b/src/main/kotlin/lichenstage/cluster/FrameStream.kt
@@ -9,10 +9,10 @@
     private const val MAX_FRAME_BYTES = 8 * 1024 * 1024
 
     /** A frame of [bytes] with its length. */
-    fun withLength(bytes: ByteArray): Buffer = Buffer.buffer(bytes.size + LENGTH_BYTES).appendInt(bytes.size).appendBytes(bytes)
+    fun withLengthPrefix(bytes: ByteArray): Buffer = Buffer.buffer(bytes.size + LENGTH_BYTES).appendInt(bytes.size).appendBytes(bytes)
 
     /** A handler of a connection's bytes that calls [onFrame] with those of each frame, and [onInvalidLength] where a length cannot be. */
-    fun parser(
+    fun createParser(
         onFrame: (ByteArray) -> Unit,
         onInvalidLength: () -> Unit,
     ): RecordParser {
--- a/src/main/kotlin/lichenstage/cluster/PartitionFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PartitionFrames.kt
@@ -31,9 +31,13 @@
 }
 
 /**
- * A machine as its partition knows it. [tokenConfirmed]: it has shown its partition's fencing token. [unresponsive]: it sends heartbeats
- * but does not answer orders. [silent]: several heartbeats are overdue. [lost]: silent for longer than its lease, so that nothing runs on
- * it any more.
+ * The state of a machine as the owner of its partition sees it.
+ *
+ * - [isTokenConfirmed]: the worker has reported the fencing token of its partition.
+ * - [isUnresponsive]: the worker sends heartbeats but does not reply to direct orders.
+ * - [isSilent]: several heartbeats are overdue.
+ * - [isLost]: the machine has been silent for longer than its lease, so nothing runs on it any more.
+ * - [timeUntilReclaimUs]: the time until the cloud takes the spot machine back; null without such a notice.
  *
  * In a frame, [tasks] are those that have changed since the leader last acknowledged this machine, and [removedAttempts] the attempts that
  * it no longer lists: a machine of many tasks must not cost all of them whenever one ends.
@@ -44,26 +48,26 @@
     val name: String,
     val address: String,
     val typeName: String,
-    val spot: Boolean,
-    val tokenConfirmed: Boolean,
-    val unresponsive: Boolean,
-    val silent: Boolean,
-    val lost: Boolean,
-    val recallUs: Long?,
+    val isSpot: Boolean,
+    val isTokenConfirmed: Boolean,
+    val isUnresponsive: Boolean,
+    val isSilent: Boolean,
+    val isLost: Boolean,
+    val timeUntilReclaimUs: Long?,
     val tasks: List<TaskState>,
     val removedAttempts: List<Long> = emptyList(),
 ) {
-    /** The complete state of the machine, where [before] is the state that this one names the changes since. */
-    fun appliedTo(before: MachineState?): MachineState {
-        if (before == null) return if (removedAttempts.isEmpty()) this else copy(removedAttempts = emptyList())
+    /** The complete state of the machine, where [previous] is the state that this one names the changes since. */
+    fun applyTo(previous: MachineState?): MachineState {
+        if (previous == null) return if (removedAttempts.isEmpty()) this else copy(removedAttempts = emptyList())
         val changed = LongOpenHashSet(removedAttempts)
         tasks.forEach { changed.add(it.attempt) }
-        return copy(tasks = before.tasks.filterNot { changed.contains(it.attempt) } + tasks, removedAttempts = emptyList())
+        return copy(tasks = previous.tasks.filterNot { changed.contains(it.attempt) } + tasks, removedAttempts = emptyList())
     }
 }
 
 /**
- * Room for [count] tasks of a request that is held on a machine, which has [room] for as many in all. [hasImage]: it has the request's
+ * Room for [count] tasks of a request that is held on a machine, which has [maxCount] for as many in all. [hasImage]: it has the request's
  * image, or is fetching it.
  */
 @Serializable
@@ -71,22 +75,22 @@
 data class HeldSlots(
     val machine: String,
     val count: Int,
-    val room: Int,
+    val maxCount: Int,
     val hasImage: Boolean,
 )
 
-/** What a partition holds for the request with this [stamp]. */
+/** What a partition holds for the request with this [requestNumber]. */
 @Serializable
 @CborArray
 data class Offer(
-    val stamp: Long,
-    val held: List<HeldSlots>,
+    val requestNumber: Long,
+    val slots: List<HeldSlots>,
 )
 
 /**
  * The state of a partition for the leader: the machines that changed after the version that the leader has acknowledged, in the order of
  * their changes up to [version]. After a failover those are all machines, in several frames: only a frame that brings the last piece
- * ([whole]) lets the leader conclude something from a missing machine or task, and only then [seq] goes on (invariant 17).
+ * ([isFinal]) lets the leader conclude something from a missing machine or task, and only then [seq] goes on (invariant 17).
  */
 @Serializable
 @SerialName("lichenstage.cluster.PartFrame")
@@ -102,7 +106,7 @@
     val since: Long,
     val version: Long,
     @SerialName("whole")
-    val whole: Boolean,
+    val isFinal: Boolean,
     val machines: List<MachineState>,
     val offers: List<Offer>,
 ) : Frame
--- a/src/main/kotlin/lichenstage/cluster/PeerConnections.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerConnections.kt
@@ -47,7 +47,7 @@
         val bytes = FrameCodec.encode(frame)
         frames.increment()
         frameBytes.increment(bytes.size.toDouble())
-        return FrameStream.withLength(bytes)
+        return FrameStream.withLengthPrefix(bytes)
     }
 
     private suspend fun keepConnected(peer: Peer) {
--- a/src/main/kotlin/lichenstage/cluster/PeerLinks.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerLinks.kt
@@ -69,9 +69,9 @@
         from: String,
         frame: Frame,
     ) {
-        liveness.frameReceived(from, clock.now())
+        liveness.onFrameReceived(from, clock.now())
         when {
-            frame is Ping -> liveness.pingReceived(from, frame, clock.now())
+            frame is Ping -> liveness.onPingReceived(from, frame, clock.now())
             frame is RelayedFrame && frame.to == settings.label -> onFrame(frame.from, frame.frame)
             frame is RelayedFrame -> connections.write(frame.to, frame)
             else -> onFrame(from, frame)
--- a/src/main/kotlin/lichenstage/cluster/PeerLiveness.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerLiveness.kt
@@ -5,50 +5,51 @@
 
 /** Which of the other controllers are reachable, healthy and stable, by the frames and pings that come from them. */
 internal class PeerLiveness {
-    private val lastFrameUs = HashMap<String, Long>()
+    private val lastFrameAtUs = HashMap<String, Long>()
     private val healthySinceUs = HashMap<String, Long>()
-    private val stateServiceAvailable = HashMap<String, Boolean>()
-    private val punctuality = HashMap<String, PingPunctuality>()
+    private val isStateServiceAvailable = HashMap<String, Boolean>()
+    private val punctualityByPeer = HashMap<String, PingPunctuality>()
 
     /** A frame has come from a controller directly. */
-    fun frameReceived(
+    fun onFrameReceived(
         from: String,
-        now: Long,
+        nowUs: Long,
     ) {
         // After a silence the count starts anew: the process may be another.
-        if (!isReachable(from, now)) healthySinceUs.remove(from)
-        lastFrameUs[from] = now
+        if (!isReachable(from, nowUs)) healthySinceUs.remove(from)
+        lastFrameAtUs[from] = nowUs
     }
 
     /** The frame was a ping. */
-    fun pingReceived(
+    fun onPingReceived(
         from: String,
         ping: Ping,
-        now: Long,
+        nowUs: Long,
     ) {
-        stateServiceAvailable[from] = ping.stateServiceAvailable
-        punctuality.getOrPut(from) { PingPunctuality(STABLE_AFTER_US, PING_INTERVAL_US) }.pingReceived(now)
-        if (ping.stateServiceAvailable) healthySinceUs.putIfAbsent(from, now) else healthySinceUs.remove(from)
+        isStateServiceAvailable[from] = ping.isStateServiceAvailable
+        punctualityByPeer.getOrPut(from) { PingPunctuality(STABLE_AFTER_US, PING_INTERVAL_US) }.onPingReceived(nowUs)
+        if (ping.isStateServiceAvailable) healthySinceUs.putIfAbsent(from, nowUs) else healthySinceUs.remove(from)
     }
 
     /** Frames of that controller come directly. */
     fun isReachable(
         label: String,
-        now: Long,
-    ) = now - (lastFrameUs[label] ?: NEVER_US) < SILENCE_TIMEOUT_US
+        nowUs: Long,
+    ) = nowUs - (lastFrameAtUs[label] ?: NEVER_US) < SILENCE_TIMEOUT_US
 
     /** That controller is reachable, and the state service answers it. */
     fun isHealthy(
         label: String,
-        now: Long,
-    ) = isReachable(label, now) && stateServiceAvailable[label] == true
+        nowUs: Long,
+    ) = isReachable(label, nowUs) && isStateServiceAvailable[label] == true
 
     /** That controller has been healthy for a while, and its pings have come in time. */
     fun isStable(
         label: String,
-        now: Long,
+        nowUs: Long,
     ): Boolean =
-        isHealthy(label, now) && now - (healthySinceUs[label] ?: now) > STABLE_AFTER_US && punctuality[label]?.isPunctual(now) == true
+        isHealthy(label, nowUs) && nowUs - (healthySinceUs[label] ?: nowUs) > STABLE_AFTER_US &&
+            punctualityByPeer[label]?.isPunctual(nowUs) == true
 
     companion object {
         const val PING_INTERVAL_US = 700 * MILLI
--- a/src/main/kotlin/lichenstage/cluster/PeerServer.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerServer.kt
@@ -34,7 +34,7 @@
 
         fun start() {
             socket.exceptionHandler { socket.close() }
-            socket.handler(FrameStream.parser(::receive) { socket.close() })
+            socket.handler(FrameStream.createParser(::receive) { socket.close() })
         }
 
         private fun receive(bytes: ByteArray) {
@@ -45,16 +45,16 @@
                     log.info("Frame could not be decoded controller={} reason={}", label, e.message)
                     return
                 }
-            if (frame is Hello) greeted(frame) else forward(frame)
+            if (frame is Hello) onHello(frame) else deliver(frame)
         }
 
-        private fun greeted(hello: Hello) {
+        private fun onHello(hello: Hello) {
             label = hello.label
             incarnation = hello.incarnation
             newestIncarnations.merge(hello.label, hello.incarnation, ::maxOf)
         }
 
-        private fun forward(frame: Frame) {
+        private fun deliver(frame: Frame) {
             val from = label ?: return
             if (incarnation == newestIncarnations[from]) onFrame(from, frame)
         }
--- a/src/main/kotlin/lichenstage/cluster/PingPunctuality.kt
+++ b/src/main/kotlin/lichenstage/cluster/PingPunctuality.kt
@@ -9,22 +9,22 @@
     intervalUs: Long,
 ) {
     private val requiredPings = (windowUs / intervalUs * REQUIRED_SHARE).toInt()
-    private val receivedUs = ArrayDeque<Long>()
+    private val receivedAtUs = ArrayDeque<Long>()
 
     /** A ping has come. */
-    fun pingReceived(now: Long) {
-        receivedUs.addLast(now)
-        dropExpired(now)
+    fun onPingReceived(nowUs: Long) {
+        receivedAtUs.addLast(nowUs)
+        dropExpired(nowUs)
     }
 
     /** Nearly all pings of the window have come. */
-    fun isPunctual(now: Long): Boolean {
-        dropExpired(now)
-        return receivedUs.size >= requiredPings
+    fun isPunctual(nowUs: Long): Boolean {
+        dropExpired(nowUs)
+        return receivedAtUs.size >= requiredPings
     }
 
-    private fun dropExpired(now: Long) {
-        while (receivedUs.isNotEmpty() && now - receivedUs.first() > windowUs) receivedUs.removeFirst()
+    private fun dropExpired(nowUs: Long) {
+        while (receivedAtUs.isNotEmpty() && nowUs - receivedAtUs.first() > windowUs) receivedAtUs.removeFirst()
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
@@ -10,27 +10,28 @@
 import lichenstage.model.JobRequirements
 
 /**
- * A placement request: [count] tasks with the same resource needs. [stamp] orders the requests at every partition. [imageOnly]: only
- * machines with the image are of use, since others would first spend a good part of the run time on fetching it.
+ * A placement request: asks partitions to hold capacity for [count] tasks of one job. Partitions process requests in the order of their
+ * [requestNumber]. With [isImageRequired], only machines that have the image are of use: on others, fetching the image would take a large
+ * part of the run time.
  */
 @Serializable
 @CborArray
 data class PlacementRequest(
-    val stamp: Long,
+    val requestNumber: Long,
     val job: String,
     val requirements: JobRequirements,
     val count: Int,
     val allowedTypes: List<String>?,
     val zone: String?,
-    val spot: Boolean,
-    val imageOnly: Boolean = false,
+    val isSpot: Boolean,
+    val isImageRequired: Boolean = false,
 )
 
-/** Start the task [index] of the job of request [stamp] on a machine that is held for it. */
+/** Start the task [index] of the job of request [requestNumber] on a machine that is held for it. */
 @Serializable
 @CborArray
 data class StartOrder(
-    val stamp: Long,
+    val requestNumber: Long,
     val machine: String,
     val index: Int,
     val attempt: Long,
--- a/src/main/kotlin/lichenstage/cluster/PlacementScore.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementScore.kt
@@ -15,43 +15,43 @@
     ): List<HeldSlots> {
         if (count <= 0) return emptyList()
         val sorted = offers.filterTo(ArrayList()) { it.count > 0 }
-        sorted.sortWith(ROOMIEST)
+        sorted.sortWith(ROOMIEST_FIRST)
         val selected = ArrayList<HeldSlots>()
-        var left = count
+        var remaining = count
         var next = 0
         // While the roomiest is used up whole, the order does not depend on how much is left.
-        while (next < sorted.size && sorted[next].count <= left && left > 0) {
-            val whole = sorted[next++]
-            selected += whole
-            left -= whole.count
+        while (next < sorted.size && sorted[next].count <= remaining && remaining > 0) {
+            val slots = sorted[next++]
+            selected += slots
+            remaining -= slots.count
         }
         // Of the rest, machines that take all that is left are alike.
-        while (left > 0 && next < sorted.size) {
+        while (remaining > 0 && next < sorted.size) {
             var best = next
-            for (i in next + 1 until sorted.size) if (isRoomier(sorted[i], sorted[best], left)) best = i
+            for (i in next + 1 until sorted.size) if (isRoomier(sorted[i], sorted[best], remaining)) best = i
             val held = sorted[best]
             sorted[best] = sorted[next]
             next++
-            val here = minOf(held.count, left)
-            selected += if (here == held.count) held else held.copy(count = here)
-            left -= here
+            val taken = minOf(held.count, remaining)
+            selected += if (taken == held.count) held else held.copy(count = taken)
+            remaining -= taken
         }
         return selected
     }
 
     private fun isRoomier(
-        one: HeldSlots,
-        other: HeldSlots,
-        left: Int,
+        first: HeldSlots,
+        second: HeldSlots,
+        remaining: Int,
     ): Boolean {
-        val a = minOf(one.count, left)
-        val b = minOf(other.count, left)
+        val firstUsable = minOf(first.count, remaining)
+        val secondUsable = minOf(second.count, remaining)
         return when {
-            a != b -> a > b
-            one.hasImage != other.hasImage -> one.hasImage
-            else -> one.room < other.room
+            firstUsable != secondUsable -> firstUsable > secondUsable
+            first.hasImage != second.hasImage -> first.hasImage
+            else -> first.maxCount < second.maxCount
         }
     }
 
-    private val ROOMIEST = compareByDescending<HeldSlots> { it.count }.thenByDescending { it.hasImage }.thenBy { it.room }
+    private val ROOMIEST_FIRST = compareByDescending<HeldSlots> { it.count }.thenByDescending { it.hasImage }.thenBy { it.maxCount }
 }
--- a/src/main/kotlin/lichenstage/drain/DrainDriver.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainDriver.kt
@@ -11,7 +11,7 @@
 import lichenstage.state.Precondition
 import lichenstage.state.ScanResult
 import lichenstage.state.TransactionResult
-import lichenstage.state.UnreadableRecord
+import lichenstage.state.UnreadableRecordException
 import org.slf4j.LoggerFactory
 import java.time.Instant
 import java.time.ZoneOffset
@@ -86,7 +86,7 @@
         if (changes.isEmpty()) return execute(recorded = true)
         writing = true
         scope.launch {
-            val ok = changes.chunked(recordAccess.txnOps).all { recordAccess.owned.write(recordAccess.leaderGuard, it, urgent = false) }
+            val ok = changes.chunked(recordAccess.txnOps).all { recordAccess.owned.write(recordAccess.leaderGuard, it, isUrgent = false) }
             if (!ok) delay(RETRY_INTERVAL_MS)
             tell(DrainMessage.StateRecorded(wanted, ok))
         }
@@ -118,7 +118,7 @@
         val guards = recordAccess.leaderGuard + Precondition(key, stamps[key] ?: Precondition.ABSENT)
         val change = Change.Put(key, recordAccess.codec.encode(drain.copy(status = status, reason = reason)))
         scope.launch {
-            val outcome = recordAccess.store.commit(guards, listOf(change), urgent = false)
+            val outcome = recordAccess.store.commit(guards, listOf(change), isUrgent = false)
             tell(DrainMessage.StatusChanged(name, outcome is TransactionResult.Committed))
         }
     }
@@ -196,7 +196,7 @@
     ): T? =
         try {
             read(entry)
-        } catch (e: UnreadableRecord) {
+        } catch (e: UnreadableRecordException) {
             if (reportedUnreadable.add(
                     entry.key,
                 )
--- a/src/main/kotlin/lichenstage/drain/DrainOperations.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainOperations.kt
@@ -11,7 +11,7 @@
 import lichenstage.state.ReadResult
 import lichenstage.state.ScanResult
 import lichenstage.state.TransactionResult
-import lichenstage.state.UnreadableRecord
+import lichenstage.state.UnreadableRecordException
 
 /**
  * The commands of operators. They only read and write records, on the precondition that these are as they were read, so it makes no
@@ -68,7 +68,7 @@
             work()
         } catch (e: RejectedCommand) {
             DrainCommandResult.Rejected("${e.message}")
-        } catch (e: UnreadableRecord) {
+        } catch (e: UnreadableRecordException) {
             DrainCommandResult.Rejected("${e.message}")
         } catch (_: StateServiceUnavailable) {
             DrainCommandResult.Unavailable
--- a/src/main/kotlin/lichenstage/drain/DrainRecords.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainRecords.kt
@@ -5,7 +5,7 @@
 import kotlinx.collections.immutable.toPersistentMap
 import lichenstage.state.Change
 import lichenstage.state.Entry
-import lichenstage.state.UnreadableRecord
+import lichenstage.state.UnreadableRecordException
 
 /**
  * The records of drains in the state service. Versions that do not know the prefix leave it alone.
@@ -114,7 +114,7 @@
             }
         }
 
-    /** The state that records hold; throws [UnreadableRecord]. */
+    /** The state that records hold; throws [UnreadableRecordException]. */
     fun decodeState(
         machines: List<Entry>,
         interruptions: List<Entry>,
@@ -146,7 +146,7 @@
             require(form == CURRENT_FORM) { "form $form is not known" }
             read(entry.value)
         } catch (e: RuntimeException) {
-            throw UnreadableRecord(entry.key, e)
+            throw UnreadableRecordException(entry.key, e)
         }
 
     companion object {
--- a/src/main/kotlin/lichenstage/jobs/JobReplica.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplica.kt
@@ -142,7 +142,7 @@
             if (next.revision > request.revision) jobs += next.job
             upTo++
         }
-        return CompletionSyncReply(request.incarnation, request.requestedAtUs, incarnation, since, upTo, jobs, whole = upTo == end)
+        return CompletionSyncReply(request.incarnation, request.requestedAtUs, incarnation, since, upTo, jobs, isFinal = upTo == end)
     }
 
     /** Applies the reply of [other]; returns the ends that were not known. */
@@ -157,7 +157,7 @@
         // A piece that doesn't join what was taken would leave some out unseen; it is asked for again.
         if (answer.since > progress.upTo) return emptyList()
         progress.upTo = maxOf(progress.upTo, answer.upTo)
-        if (answer.whole) progress.allUs = maxOf(progress.allUs, answer.requestedAtUs)
+        if (answer.isFinal) progress.allUs = maxOf(progress.allUs, answer.requestedAtUs)
         return markEnded(answer.jobs)
     }
 
--- a/src/main/kotlin/lichenstage/partition/ChangeLog.kt
+++ b/src/main/kotlin/lichenstage/partition/ChangeLog.kt
@@ -157,7 +157,7 @@
         receivedSeq = receivedSeq,
         since = acknowledged,
         version = if (whole) version else included.last().version,
-        whole = whole,
+        isFinal = whole,
         machines = included.map { it.toMachineState() },
         offers = ArrayList(offers),
     )
--- a/src/main/kotlin/lichenstage/partition/HoldTable.kt
+++ b/src/main/kotlin/lichenstage/partition/HoldTable.kt
@@ -55,7 +55,7 @@
         if (holds.isEmpty()) return
         holds.values
             .filter { now - it.grantedUs > HOLD_LIFETIME_US }
-            .map { it.request.stamp }
+            .map { it.request.requestNumber }
             .forEach(::release)
     }
 
@@ -75,15 +75,15 @@
         if (requests.isEmpty()) return emptyList()
         val granted = HashMap<String, Int>()
         val candidates = candidates(requests, usable)
-        return requests.sortedBy { it.stamp }.map { request ->
+        return requests.sortedBy { it.requestNumber }.map { request ->
             val maxTasks = request.count - (granted[request.job] ?: 0)
             val offer = if (isJobOver(request.job)) emptyOffer(request) else grant(request, maxTasks, candidates, now)
-            granted.merge(request.job, offer.held.sumOf { it.count }, Int::plus)
+            granted.merge(request.job, offer.slots.sumOf { it.count }, Int::plus)
             offer
         }
     }
 
-    private fun emptyOffer(request: PlacementRequest) = Offer(request.stamp, emptyList())
+    private fun emptyOffer(request: PlacementRequest) = Offer(request.requestNumber, emptyList())
 
     /**
      * The machines with capacity for the smallest of the requests. In a backlog nearly all are full, and dozens of requests that each look
@@ -111,10 +111,10 @@
         if (request.zone != null && request.zone != zone) return emptyOffer(request)
         val held = PlacementScore.selectRoomiest(candidates.mapNotNull { slots(request, it) }, maxTasks)
         if (held.isNotEmpty()) {
-            holds[request.stamp] = Hold(request, now, held.associateTo(HashMap()) { it.machine to it.count })
+            holds[request.requestNumber] = Hold(request, now, held.associateTo(HashMap()) { it.machine to it.count })
             held.forEach { machineOf(it.machine)!!.hold(request.requirements.resources, it.count) }
         }
-        return Offer(request.stamp, held)
+        return Offer(request.requestNumber, held)
     }
 
     /** What a machine has for a request; null where it has nothing. */
@@ -123,9 +123,9 @@
         machine: Machine,
     ): HeldSlots? {
         if (request.allowedTypes != null && machine.typeName !in request.allowedTypes) return null
-        if (machine.spot && !request.spot) return null
+        if (machine.spot && !request.isSpot) return null
         val hasImage = machine.hasImage(request.requirements.image)
-        if (request.imageOnly && !hasImage) return null
+        if (request.isImageRequired && !hasImage) return null
         val limits = limitsOf(machine.typeName) ?: return null
         val tasks = machine.freeSlots(request.requirements.resources, limits.capacity, requirementsOf)
         return if (tasks > 0) HeldSlots(machine.name, tasks, tasks, hasImage) else null
--- a/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
+++ b/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
@@ -32,7 +32,7 @@
         frame.releases.forEach(placement::release)
         for (order in frame.starts) start(order, now)
         // The leader has not chosen what is left of a hold after its starts.
-        frame.starts.forEach { placement.release(it.stamp) }
+        frame.starts.forEach { placement.release(it.requestNumber) }
         for (order in frame.stops) updateAttempt(order) { it.stopRequested = true }
         for (order in frame.clears) updateAttempt(order) { it.clearRequested = true }
         frame.saves.forEach(::requestCheckpointStop)
@@ -51,7 +51,7 @@
         now: Long,
     ) {
         val machine = machines[order.machine] ?: return
-        val request = placement.heldFor(order.stamp, machine)
+        val request = placement.heldFor(order.requestNumber, machine)
         val refusal = placement.refusal(request, machine, now)
         if (refusal != null) {
             val task = request?.let { "${it.job}/${order.index}" }.orEmpty()
@@ -68,7 +68,7 @@
         machine: Machine,
         now: Long,
     ) {
-        placement.consume(order.stamp, machine)
+        placement.consume(order.requestNumber, machine)
         machine.recordImageUse(request.requirements)
         if (!machine.attempts.containsKey(order.attempt)) {
             val attempt = WorkerAttempt("${request.job}/${order.index}", order.attempt, now)
--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -124,7 +124,7 @@
         job: Job,
         known: Attempt?,
     ) {
-        if (machine.tokenConfirmed && isRegistered(machine.name) && (known == null || task.attempt > known.number)) {
+        if (machine.isTokenConfirmed && isRegistered(machine.name) && (known == null || task.attempt > known.number)) {
             val attempt = Attempt(job, task.index, task.attempt, machine.name, partition.id)
             attempt.partitionTerm = partition.state.term
             attempt.seq = partition.state.reflectedSeq
--- a/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
@@ -37,7 +37,7 @@
         machine: MachineState,
         now: Long,
     ) {
-        val leftUs = machine.recallUs ?: return
+        val leftUs = machine.timeUntilReclaimUs ?: return
         reclaimDeadlineUs.merge(machine.name, now + leftUs, ::minOf)
     }
 
--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -59,7 +59,7 @@
     private fun observe(now: Long) {
         for ((id, partition) in core.partitions) {
             val zone = settings.assignment.zone(id) ?: continue
-            partition.machines.values.forEach { fleet.addMachine(it.name, it.typeName, zone, it.spot, now) }
+            partition.machines.values.forEach { fleet.addMachine(it.name, it.typeName, zone, it.isSpot, now) }
         }
         fleet.terminate(core.machinesToFence())
         val excludedMachines = drains()?.excludedFromCapacity.orEmpty()
@@ -85,7 +85,7 @@
         val zone = core.machines.zoneOf(key.machine) ?: return
         val id = "${key.drain} ${key.machine}"
         replacementKeys[id] = key
-        fleet.requestReplacement(ReplacementRequest(id, machine.typeName, zone, machine.spot))
+        fleet.requestReplacement(ReplacementRequest(id, machine.typeName, zone, machine.isSpot))
     }
 
     /** Has a machine terminated. */
--- a/src/main/kotlin/lichenstage/placement/FleetObserver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetObserver.kt
@@ -43,9 +43,9 @@
         return { name ->
             states[name]?.let {
                 MachineStatus(
-                    up = !it.lost,
-                    silent = it.silent,
-                    lost = it.lost,
+                    up = !it.isLost,
+                    silent = it.isSilent,
+                    lost = it.isLost,
                     tasks = core.machines.attemptsOn(name).size,
                     faulty = core.machines.failedJobsOn(name).size >= FAULTY_JOBS,
                 )
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -200,7 +200,7 @@
         delta: MachineState,
         now: Long,
     ) {
-        val machine = delta.appliedTo(partition.state.machines[delta.name])
+        val machine = delta.applyTo(partition.state.machines[delta.name])
         partition.state.machines[machine.name] = machine
         directory.setAddress(machine.name, machine.address)
         checkpointPreemption.machineUpdated(machine, now)
--- a/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
@@ -21,8 +21,8 @@
         val known = core.machines.state(machine)
         return when {
             known == null -> if (core.machines.isRegistered(machine)) MachineCondition.UNCONFIRMED else MachineCondition.ABSENT
-            known.lost -> MachineCondition.LOST
-            known.tokenConfirmed && !known.silent && core.machines.isRegistered(machine) -> MachineCondition.HEALTHY
+            known.isLost -> MachineCondition.LOST
+            known.isTokenConfirmed && !known.isSilent && core.machines.isRegistered(machine) -> MachineCondition.HEALTHY
             else -> MachineCondition.UNCONFIRMED
         }
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderDrains.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrains.kt
@@ -54,7 +54,7 @@
             DrainRecords(settings.valueBytes),
             store,
             ownKeys,
-            listOf(Precondition(OwnershipRecords.LEADER, leaderKeyRevision)),
+            listOf(Precondition(OwnershipRecords.LEADER_KEY, leaderKeyRevision)),
             settings.txnOps,
             store::scan,
         )
--- a/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
@@ -32,7 +32,7 @@
      */
     fun unregistered(): List<PartitionMachine> =
         partitions.machinesWhere {
-            it.tokenConfirmed && !it.lost &&
+            it.isTokenConfirmed && !it.isLost &&
                 !directory.isRegistered(it.name)
         }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -33,7 +33,7 @@
     private val finished: (String, JobOutcome) -> Unit,
     private val tell: (LeaderMessage) -> Unit,
 ) {
-    private val leadership = Precondition(OwnershipRecords.LEADER, leaderKeyRevision)
+    private val leadership = Precondition(OwnershipRecords.LEADER_KEY, leaderKeyRevision)
 
     /** Records done tasks; answered by [LeaderMessage.DoneRangesWritten]. */
     fun writeRanges(deltas: List<CompletionDelta>) {
@@ -93,13 +93,13 @@
                     Change.Put(JobRecordCodec.FINISHED + id, JobRecordCodec.encodeFinished(end)),
                 )
             }
-        return state.commit(preconditions, changes, urgent = false) is TransactionResult.Committed
+        return state.commit(preconditions, changes, isUrgent = false) is TransactionResult.Committed
     }
 
     /** Writes pages of the registry; answered by [LeaderMessage.RegistryPagesWritten]. */
     fun writePages(pages: List<RegistryPage>) {
         scope.launch {
-            val written = owned.write(listOf(leadership), pages.map { it.change }, urgent = true)
+            val written = owned.write(listOf(leadership), pages.map { it.change }, isUrgent = true)
             if (!written) delay(RETRY_MS)
             tell(LeaderMessage.RegistryPagesWritten(pages, written))
         }
@@ -118,7 +118,7 @@
 
     private suspend fun writeAll(changes: List<Change>): Boolean {
         val preconditions = listOf(leadership)
-        return changes.chunked(txnOps).all { owned.write(preconditions, it, urgent = false) }
+        return changes.chunked(txnOps).all { owned.write(preconditions, it, isUrgent = false) }
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
@@ -30,8 +30,8 @@
             val view = partition.machines[machine]
             return when {
                 view == null -> if (partition.ageUs > withDrift(leaseUs) + NO_HEARTBEAT_MARGIN_US) LEASE_EXPIRED else UNKNOWN
-                view.lost -> LEASE_EXPIRED
-                view.tokenConfirmed -> LISTED
+                view.isLost -> LEASE_EXPIRED
+                view.isTokenConfirmed -> LISTED
                 else -> UNKNOWN
             }
         }
--- a/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
@@ -18,7 +18,7 @@
             machine: MachineState,
             jobs: Map<String, Job>,
         ): MachineReconciliation {
-            if (machine.lost) return MachineReconciliation(emptyList(), emptyList(), hasUnaccountedTasks = false)
+            if (machine.isLost) return MachineReconciliation(emptyList(), emptyList(), hasUnaccountedTasks = false)
             val stops = ArrayList<AttemptOrder>()
             val clears = ArrayList<AttemptOrder>()
             var unaccounted = false
@@ -33,7 +33,7 @@
                 }
             }
             // A worker that has not shown the fencing token gets no orders.
-            return if (machine.tokenConfirmed) {
+            return if (machine.isTokenConfirmed) {
                 MachineReconciliation(
                     stops,
                     clears,
--- a/src/main/kotlin/lichenstage/placement/PartitionTable.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionTable.kt
@@ -29,10 +29,10 @@
         val partition = stateFor(frame) ?: return null
         // A frame that builds on what was acknowledged never skips a change; one that does is of another time.
         if (frame.since > partition.version || frame.version < partition.version) return null
-        if (frame.whole && frame.seq < partition.reflectedSeq) return null
+        if (frame.isFinal && frame.seq < partition.reflectedSeq) return null
         partition.version = frame.version
         partition.receivedSeq = frame.receivedSeq
-        if (frame.whole) {
+        if (frame.isFinal) {
             // Never by a piece (invariant 17): earlier versions count there what was sent in whole frames that were lost.
             partition.reflectedSeq = frame.seq
             partition.ageUs = frame.ageUs
@@ -65,7 +65,7 @@
 
     /** The cores of all machines that are not lost; [coresOf] gives those of a machine type. */
     fun totalCores(coresOf: (String) -> Double): Double =
-        byId.values.sumOf { partition -> partition.machines.values.sumOf { if (it.lost) 0.0 else coresOf(it.typeName) } }
+        byId.values.sumOf { partition -> partition.machines.values.sumOf { if (it.isLost) 0.0 else coresOf(it.typeName) } }
 
     private companion object {
         const val REACHABLE_US = 2500 * MILLI
--- a/src/main/kotlin/lichenstage/placement/Registry.kt
+++ b/src/main/kotlin/lichenstage/placement/Registry.kt
@@ -5,7 +5,7 @@
 import lichenstage.model.RegisteredMachine
 import lichenstage.state.Change
 import lichenstage.state.Entry
-import lichenstage.state.UnreadableRecord
+import lichenstage.state.UnreadableRecordException
 
 /** One key of the registry as it is to be written; without machines it is deleted. */
 data class RegistryPage(
@@ -35,7 +35,7 @@
     /** The machine is recorded, or due to be. */
     operator fun contains(name: String) = pageOf.containsKey(name)
 
-    /** Loads a page that an earlier leader wrote; throws [UnreadableRecord]. */
+    /** Loads a page that an earlier leader wrote; throws [UnreadableRecordException]. */
     fun load(entry: Entry): List<RegisteredMachine> {
         val machines = decode(entry)
         val page = LinkedHashMap<String, RegisteredMachine>()
@@ -51,7 +51,7 @@
         try {
             MachineRecordCodec.decode(entry.value)
         } catch (e: JsonDecodingException) {
-            throw UnreadableRecord(entry.key, e)
+            throw UnreadableRecordException(entry.key, e)
         }
 
     /**
--- a/src/main/kotlin/lichenstage/placement/RegistryDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/RegistryDriver.kt
@@ -50,7 +50,7 @@
         val leaving = cordoned()
         for ((id, machine) in core.machines.unregistered()) {
             if (machine.name in leaving || machine.name in registry) continue
-            registry.add(RegisteredMachine(machine.name, machine.typeName, settings.assignment.zone(id)!!, machine.spot, machine.address))
+            registry.add(RegisteredMachine(machine.name, machine.typeName, settings.assignment.zone(id)!!, machine.isSpot, machine.address))
         }
         val pages = registry.takeDuePages(settings.txnOps)
         if (pages.isEmpty()) return
--- a/src/main/kotlin/lichenstage/placement/RequestRound.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRound.kt
@@ -13,7 +13,7 @@
     now: Long,
     alphaUs: Long,
 ) {
-    private val stamps = requests.mapTo(HashSet()) { it.request.stamp }
+    private val stamps = requests.mapTo(HashSet()) { it.request.requestNumber }
     private val offers = HashMap<Long, HashMap<String, List<HeldSlots>>>()
     private val answered = HashSet<String>()
     var deadlineUs = now + alphaUs
--- a/src/main/kotlin/lichenstage/placement/RequestRounds.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRounds.kt
@@ -53,7 +53,7 @@
         partition: String,
         offer: Offer,
         now: Long,
-    ) = round?.addOffer(partition, offer.stamp, offer.held, now, settings.betaUs)
+    ) = round?.addOffer(partition, offer.requestNumber, offer.slots, now, settings.betaUs)
 
     /** Ends and begins rounds as time passes; [waiting] gives the jobs with tasks to place, in the order of the queue. */
     fun tick(
@@ -96,13 +96,13 @@
             for (attempt in place(request, current, unaccountedUse, now)) {
                 started += attempt
                 starts.getOrPut(attempt.partition) { ArrayList() } +=
-                    StartOrder(request.request.stamp, attempt.machine, attempt.index, attempt.number)
+                    StartOrder(request.request.requestNumber, attempt.machine, attempt.index, attempt.number)
             }
         }
-        val releases = current.requests.map { it.request.stamp }
+        val releases = current.requests.map { it.request.requestNumber }
         for (id in assignment.partitions) {
             val partitionStarts = starts[id].orEmpty()
-            val chosen = partitionStarts.mapTo(HashSet()) { it.stamp }
+            val chosen = partitionStarts.mapTo(HashSet()) { it.requestNumber }
             val seq = outbox.send(id, now, starts = partitionStarts, releases = releases.filter { it !in chosen })
             started.forEach { if (it.partition == id) it.seq = seq }
         }
@@ -118,7 +118,7 @@
     ): List<Attempt> {
         val job = jobRequest.job
         val maxTasks = minOf(jobRequest.request.count, attempts.allowance(job.spec.team, job.spec.resources, unaccountedUse))
-        val offers = current.offersFor(jobRequest.request.stamp).mapValues { (_, held) -> held.mapNotNull(::usableSlots) }
+        val offers = current.offersFor(jobRequest.request.requestNumber).mapValues { (_, held) -> held.mapNotNull(::usableSlots) }
         val placed = ArrayList<Attempt>()
         for (slot in OfferSelection.selectRoomiest(offers, maxTasks, zones::zoneOf, zones.remainingTasksByZone(job, offers))) {
             val index = job.nextPendingTask()
--- a/src/main/kotlin/lichenstage/state/KeyValueStore.kt
+++ b/src/main/kotlin/lichenstage/state/KeyValueStore.kt
@@ -10,14 +10,14 @@
 
     /**
      * Applies all [changes] atomically where all [preconditions] hold; gives up waiting for the outcome after [timeoutMs] milliseconds.
-     * Without changes the preconditions alone are checked. Bulk work ([urgent] false) is limited to the request rate that leases, users'
+     * Without changes the preconditions alone are checked. Bulk work ([isUrgent] false) is limited to the request rate that leases, users'
      * requests and the records of ended jobs leave over.
      */
     suspend fun commit(
         preconditions: List<Precondition>,
         changes: List<Change>,
         timeoutMs: Long = TRANSACTION_TIMEOUT_MS,
-        urgent: Boolean = true,
+        isUrgent: Boolean = true,
     ): TransactionResult
 
     companion object {
--- a/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
+++ b/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
@@ -20,18 +20,18 @@
     vertx: Vertx,
     address: Address,
     clock: Clock,
-    controllers: Int,
+    controllerCount: Int,
     rps: Double,
     writeRps: Double,
     writeShare: () -> Double,
 ) : KeyValueStore {
     private val log = LoggerFactory.getLogger("lichenstage.state")
-    private val requests = JsonHttpClient(vertx, address, connections = REQUEST_CONNECTIONS, queue = REQUEST_QUEUE)
+    private val requests = JsonHttpClient(vertx, address, connections = REQUEST_CONNECTIONS, queue = MAX_QUEUED_REQUESTS)
 
     /** Watches stay open for long: they have connections of their own, and so have leases, so that nothing holds up a renewal. */
     private val watches = JsonHttpClient(vertx, address, connections = WATCH_CONNECTIONS, queue = WATCH_CONNECTIONS)
     private val leases = JsonHttpClient(vertx, address, connections = LEASE_CONNECTIONS, queue = LEASE_CONNECTIONS)
-    private val requestLimiter = RequestRateLimiter(clock) { rps / controllers }
+    private val requestLimiter = RequestRateLimiter(clock) { rps / controllerCount }
     private val writeLimiter = RequestRateLimiter(clock) { writeRps * writeShare() }
 
     override suspend fun get(
@@ -57,15 +57,15 @@
             val firstRevision = revision ?: page.revision
             revision = firstRevision
             entries += page.entries
-            if (!page.truncated) return ScanResult.Complete(entries, firstRevision)
+            if (!page.isTruncated) return ScanResult.Complete(entries, firstRevision)
         }
     }
 
     private suspend fun scanPage(
         prefix: String,
         lastKey: String?,
-    ): KeyValueStoreCodec.Page? {
-        requestLimiter.acquire(urgent = false)
+    ): KeyValueStoreCodec.ScanPage? {
+        requestLimiter.acquire(isUrgent = false)
         val path = KeyValueStoreCodec.scanPath(prefix, lastKey)
         val (status, body) = requests.call(HttpMethod.GET, path, null, SCAN_TIMEOUT_MS) ?: return null
         return if (status == HttpStatus.OK) decode { KeyValueStoreCodec.decodePage(body) } else null
@@ -75,10 +75,10 @@
         preconditions: List<Precondition>,
         changes: List<Change>,
         timeoutMs: Long,
-        urgent: Boolean,
+        isUrgent: Boolean,
     ): TransactionResult {
-        requestLimiter.acquire(urgent = urgent)
-        if (changes.isNotEmpty()) writeLimiter.acquire(changes.size, urgent)
+        requestLimiter.acquire(isUrgent = isUrgent)
+        if (changes.isNotEmpty()) writeLimiter.acquire(changes.size, isUrgent)
         val request = KeyValueStoreCodec.encodeTransaction(preconditions, changes)
         val (status, body) =
             requests.call(HttpMethod.POST, KeyValueStoreCodec.TRANSACTION_PATH, request, timeoutMs)
@@ -109,16 +109,16 @@
     /** Asks for a lease that lasts [durationUs] without renewal. */
     suspend fun grantLease(durationUs: Long): LeaseGrant {
         val request = KeyValueStoreCodec.encodeLeaseRequest(durationUs)
-        val answer = leases.call(HttpMethod.POST, KeyValueStoreCodec.LEASES_PATH, request, LEASE_TIMEOUT_MS)
-        val lease = answer?.takeIf { it.status == HttpStatus.OK }?.let { KeyValueStoreCodec.decodeLease(it.body) }
+        val response = leases.call(HttpMethod.POST, KeyValueStoreCodec.LEASES_PATH, request, LEASE_TIMEOUT_MS)
+        val lease = response?.takeIf { it.status == HttpStatus.OK }?.let { KeyValueStoreCodec.decodeLease(it.body) }
         return if (lease == null) LeaseGrant.Failed else LeaseGrant.Granted(lease)
     }
 
     /** Renews a lease for its full duration. */
     suspend fun renewLease(lease: Long): LeaseRenewal {
         val path = KeyValueStoreCodec.leaseRenewalPath(lease)
-        val answer = leases.call(HttpMethod.POST, path, JsonObject(), LEASE_RENEWAL_TIMEOUT_MS)
-        return when (answer?.status) {
+        val response = leases.call(HttpMethod.POST, path, JsonObject(), LEASE_RENEWAL_TIMEOUT_MS)
+        return when (response?.status) {
             HttpStatus.OK -> LeaseRenewal.RENEWED
             HttpStatus.NOT_FOUND -> LeaseRenewal.EXPIRED
             else -> LeaseRenewal.INDETERMINATE
@@ -127,8 +127,8 @@
 
     /** Ends a lease at once; its keys are deleted with it. */
     suspend fun revokeLease(lease: Long): LeaseRevocation {
-        val answer = leases.call(HttpMethod.DELETE, KeyValueStoreCodec.leasePath(lease), null, LEASE_TIMEOUT_MS)
-        return when (answer?.status) {
+        val response = leases.call(HttpMethod.DELETE, KeyValueStoreCodec.leasePath(lease), null, LEASE_TIMEOUT_MS)
+        return when (response?.status) {
             HttpStatus.OK, HttpStatus.NOT_FOUND -> LeaseRevocation.REVOKED
             else -> LeaseRevocation.INDETERMINATE
         }
@@ -156,7 +156,7 @@
 
     companion object {
         private const val REQUEST_CONNECTIONS = 24
-        private const val REQUEST_QUEUE = 2000
+        private const val MAX_QUEUED_REQUESTS = 2000
         private const val WATCH_CONNECTIONS = 6
         private const val LEASE_CONNECTIONS = 3
         private const val SCAN_TIMEOUT_MS = 4000L
--- a/src/main/kotlin/lichenstage/state/KeyValueStoreCodec.kt
+++ b/src/main/kotlin/lichenstage/state/KeyValueStoreCodec.kt
@@ -12,11 +12,11 @@
 
 /** The paths and JSON documents of the state service's protocol; its names stand here only. */
 internal object KeyValueStoreCodec {
-    /** One page of a scan; [truncated] where more keys follow. */
-    class Page(
+    /** One page of a scan; [isTruncated] where more keys follow. */
+    class ScanPage(
         val entries: List<Entry>,
         val revision: Long,
-        val truncated: Boolean,
+        val isTruncated: Boolean,
     )
 
     const val TRANSACTION_PATH = "/txn"
@@ -93,9 +93,9 @@
     fun decodeEntry(row: JsonObject) = Entry(row.requiredString(KEY), row.requiredObject(VALUE), row.requiredLong(MOD_REVISION))
 
     /** One page of a scan. Throws [JsonDecodingException]. */
-    fun decodePage(body: JsonObject): Page {
+    fun decodePage(body: JsonObject): ScanPage {
         val entries = body.requiredObjects("rows").map(::decodeEntry)
-        return Page(entries, body.requiredLong(REVISION), body.getBoolean("truncated") == true)
+        return ScanPage(entries, body.requiredLong(REVISION), body.getBoolean("truncated") == true)
     }
 
     /** The changes that a watch reports. Throws [JsonDecodingException]. */
--- a/src/main/kotlin/lichenstage/state/SingleWriterKeys.kt
+++ b/src/main/kotlin/lichenstage/state/SingleWriterKeys.kt
@@ -15,7 +15,7 @@
     private val modRevisions = HashMap<String, Long>()
 
     /** The keys of writes whose outcome is not known. */
-    private val indeterminate = HashSet<String>()
+    private val indeterminateKeys = HashSet<String>()
 
     /** Takes in the keys as they were read before anything was written here. */
     fun load(entries: List<Entry>) = entries.forEach { modRevisions[it.key] = it.modRevision }
@@ -24,16 +24,16 @@
     suspend fun write(
         preconditions: List<Precondition>,
         changes: List<Change>,
-        urgent: Boolean,
+        isUrgent: Boolean,
     ): Boolean {
         val keys = changes.map { it.key }
-        for (key in keys) if (key in indeterminate && !reread(key)) return false
+        for (key in keys) if (key in indeterminateKeys && !reread(key)) return false
         val unchanged = keys.map { Precondition(it, modRevisions[it] ?: Precondition.ABSENT) }
-        val result = state.commit(preconditions + unchanged, changes, urgent = urgent)
+        val result = state.commit(preconditions + unchanged, changes, isUrgent = isUrgent)
         if (result is TransactionResult.Committed) {
             changes.forEach { if (it is Change.Put) modRevisions[it.key] = result.revision else modRevisions.remove(it.key) }
         } else if (result !is TransactionResult.Rejected) {
-            indeterminate += keys
+            indeterminateKeys += keys
         }
         return result is TransactionResult.Committed
     }
@@ -44,7 +44,7 @@
             ReadResult.NotFound -> modRevisions.remove(key)
             ReadResult.Unavailable -> return false
         }
-        indeterminate -= key
+        indeterminateKeys -= key
         return true
     }
 }
--- a/src/main/kotlin/lichenstage/state/UnreadableRecord.kt
+++ b/src/main/kotlin/lichenstage/state/UnreadableRecordException.kt
@@ -1,7 +1,7 @@
 package lichenstage.state
 
 /** The record under [key] can't be read, or is of a later form than this program knows; the cause says which field and why. */
-class UnreadableRecord(
+class UnreadableRecordException(
     val key: String,
     cause: Exception,
 ) : Exception("$key: ${cause.message}", cause)
--- a/src/test/kotlin/lichenstage/authority/AcquisitionDelayTest.kt
+++ b/src/test/kotlin/lichenstage/authority/AcquisitionDelayTest.kt
@@ -13,21 +13,21 @@
 
     private fun delayUs(
         home: String,
-        homeIsHealthy: Boolean,
-    ) = delay.delayUs(isLeadership = false, heldCount = 1, home = home, everOwned = true, homeIsHealthy = homeIsHealthy)
+        isHomeHealthy: Boolean,
+    ) = delay.delayUs(isLeadership = false, heldKeyCount = 1, home = home, hasEverBeenOwned = true, isHomeHealthy = isHomeHealthy)
 
     /** All come back within a second: whoever is first leaves the partitions of the others to them, but not for ever. */
     @Example
     fun `a partition waits for its home controller where that is healthy`() {
-        val unhealthy = delayUs("b", homeIsHealthy = false)
+        val unhealthy = delayUs("b", isHomeHealthy = false)
         assertTrue(unhealthy < SECOND, "its home controller is gone: $unhealthy")
-        val healthy = delayUs("b", homeIsHealthy = true)
+        val healthy = delayUs("b", isHomeHealthy = true)
         assertTrue(healthy in 4 * SECOND..8 * SECOND, "its home controller is healthy: $healthy")
     }
 
     @Example
     fun `a controller acquires its home partition at once`() {
-        assertEquals(0L, delayUs("a", homeIsHealthy = false))
+        assertEquals(0L, delayUs("a", isHomeHealthy = false))
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/authority/FencingTokenReservationTest.kt
+++ b/src/test/kotlin/lichenstage/authority/FencingTokenReservationTest.kt
@@ -16,8 +16,8 @@
 /** Tokens are taken from the counter of all terms, for as long as the partition is owned. */
 class FencingTokenReservationTest {
     /** A state service with one answer, which notes what it was asked for. */
-    private class OneAnswer(
-        private val outcome: TransactionResult,
+    private class FixedResultStore(
+        private val result: TransactionResult,
     ) : KeyValueStore {
         val preconditions = ArrayList<List<Precondition>>()
         val changes = ArrayList<Change>()
@@ -31,18 +31,18 @@
             preconditions: List<Precondition>,
             changes: List<Change>,
             timeoutMs: Long,
-            urgent: Boolean,
+            isUrgent: Boolean,
         ): TransactionResult {
             this.preconditions.add(preconditions)
             this.changes += changes
-            return outcome
+            return result
         }
     }
 
     private val held = Holder("n0", 7, 1, 40)
     private val table =
         OwnershipTable().apply {
-            put(Entry(OwnershipRecords.TERM_COUNTER, OwnershipRecords.encodeTermCounter(TermCounter(9, listOf(KEY))), 41))
+            put(Entry(OwnershipRecords.TERM_COUNTER_KEY, OwnershipRecords.encodeTermCounter(TermCounter(9, listOf(KEY))), 41))
             put(Entry(KEY, JsonObject().put("label", "n0").put("term", 7L).put("lease", 1L), 40))
         }
 
@@ -50,20 +50,20 @@
 
     @Example
     fun `they lie above all terms, the counter goes past them, and the write holds only under the ownership`() {
-        val state = OneAnswer(TransactionResult.Committed(50))
+        val state = FixedResultStore(TransactionResult.Committed(50))
         assertEquals(10L..13L, reserve(state)) { "${table.lastTerm()}" }
-        assertEquals(listOf(Precondition(OwnershipRecords.TERM_COUNTER, 41L), Precondition(KEY, 40L)), state.preconditions.single()) {
+        assertEquals(listOf(Precondition(OwnershipRecords.TERM_COUNTER_KEY, 41L), Precondition(KEY, 40L)), state.preconditions.single()) {
             "${state.preconditions}"
         }
         val written = state.changes.single() as Change.Put
         assertTrue(
-            written.key == OwnershipRecords.TERM_COUNTER &&
+            written.key == OwnershipRecords.TERM_COUNTER_KEY &&
                 written.value == OwnershipRecords.encodeTermCounter(TermCounter(13, listOf(KEY))),
         ) { "$written" }
         assertNull(written.lease) { "the counter would go with the lease" }
         // Whoever owns the partition next, in whichever version, takes the term after the counter.
-        assertEquals(14L, table.nextTerm(KEY).term) { "${table.nextTerm(KEY).term}" }
-        assertEquals(14L..17L, reserve(OneAnswer(TransactionResult.Committed(51)))) { "the second lot" }
+        assertEquals(14L, table.nextCounter(KEY).term) { "${table.nextCounter(KEY).term}" }
+        assertEquals(14L..17L, reserve(FixedResultStore(TransactionResult.Committed(51)))) { "the second lot" }
     }
 
     @Example
@@ -74,7 +74,7 @@
             TransactionResult.Indeterminate,
             TransactionResult.LeaseExpired,
         )) {
-            assertNull(reserve(OneAnswer(outcome))) { "$outcome" }
+            assertNull(reserve(FixedResultStore(outcome))) { "$outcome" }
             assertEquals(9L, table.lastTerm()) { "$outcome: ${table.lastTerm()}" }
         }
     }
--- a/src/test/kotlin/lichenstage/authority/LeaseDurationTest.kt
+++ b/src/test/kotlin/lichenstage/authority/LeaseDurationTest.kt
@@ -21,8 +21,8 @@
     @Example
     fun `on a small machine the lease outlasts a stall`() {
         for (share in listOf(0.08, 0.1)) {
-            val life = LeaseDuration.of(26 * SECOND, share)
-            assertTrue(life >= SECOND / 2 / share, "$share of a core: $life")
+            val leaseUs = LeaseDuration.of(26 * SECOND, share)
+            assertTrue(leaseUs >= SECOND / 2 / share, "$share of a core: $leaseUs")
         }
     }
 
@@ -31,8 +31,8 @@
         @ForAll @IntRange(min = 6, max = 120) workerLeaseS: Int,
         @ForAll @IntRange(min = 1, max = 1000) shareThousandths: Int,
     ) {
-        val life = LeaseDuration.of(workerLeaseS * SECOND, shareThousandths / 1000.0)
-        assertTrue(life >= 2 * SECOND, "$life")
-        assertTrue(life <= maxOf(2 * SECOND, workerLeaseS * SECOND / 3), "$life of $workerLeaseS s")
+        val leaseUs = LeaseDuration.of(workerLeaseS * SECOND, shareThousandths / 1000.0)
+        assertTrue(leaseUs >= 2 * SECOND, "$leaseUs")
+        assertTrue(leaseUs <= maxOf(2 * SECOND, workerLeaseS * SECOND / 3), "$leaseUs of $workerLeaseS s")
     }
 }
--- a/src/test/kotlin/lichenstage/authority/LocalLeaseTest.kt
+++ b/src/test/kotlin/lichenstage/authority/LocalLeaseTest.kt
@@ -18,7 +18,7 @@
         @ForAll @IntRange(min = -5, max = 5) drift: Int,
     ) {
         val durationUs = durationMs * MILLI
-        val lease = LocalLease(durationUs).apply { granted(1, 0) }
+        val lease = LocalLease(durationUs).apply { onGranted(1, 0) }
         val rate = 1.0 + drift / 10_000.0
         val endsThere = delayMs * MILLI + (durationUs * rate).toLong()
         assertFalse(lease.isValid(endsThere)) { "still valid when the lease of $durationMs ms had ended" }
@@ -27,19 +27,19 @@
 
     @Example
     fun `renewals count from when they were sent, in whatever order they are answered`() {
-        val lease = LocalLease(5 * SECOND).apply { granted(1, 0) }
-        lease.renewed(3 * SECOND)
-        lease.renewed(2 * SECOND)
+        val lease = LocalLease(5 * SECOND).apply { onGranted(1, 0) }
+        lease.onRenewed(3 * SECOND)
+        lease.onRenewed(2 * SECOND)
         assertTrue(lease.isValid(7 * SECOND) && !lease.isValid(8 * SECOND)) { "the later renewal does not count" }
     }
 
     @Example
     fun `after its end only a new grant gives authority`() {
-        val lease = LocalLease(5 * SECOND).apply { granted(1, 0) }
-        lease.ended()
-        lease.renewed(SECOND)
+        val lease = LocalLease(5 * SECOND).apply { onGranted(1, 0) }
+        lease.onEnded()
+        lease.onRenewed(SECOND)
         assertTrue(!lease.isValid(SECOND) && lease.id == null) { "a late answer brought it back" }
-        lease.granted(2, SECOND)
+        lease.onGranted(2, SECOND)
         assertTrue(lease.isValid(2 * SECOND) && lease.id == 2L) { "not granted" }
     }
 }
--- a/src/test/kotlin/lichenstage/authority/MoratoriumsTest.kt
+++ b/src/test/kotlin/lichenstage/authority/MoratoriumsTest.kt
@@ -11,15 +11,15 @@
 class MoratoriumsTest {
     @Example
     fun `moratoriums extend the lease while all others grant them without a gap`() {
-        val lease = LocalLease(5 * SECOND).apply { granted(1, 0) }
+        val lease = LocalLease(5 * SECOND).apply { onGranted(1, 0) }
         val peerMoratoriums = PeerMoratoriums(setOf("a", "b"))
 
         fun grant(
             from: String,
-            requestedUs: Long,
+            requestedAtUs: Long,
         ) {
-            peerMoratoriums.granted(from, requestedUs)
-            lease.extendedByMoratoriums(peerMoratoriums.grantedUntilUs(), requestedUs + MILLI)
+            peerMoratoriums.recordGrant(from, requestedAtUs)
+            lease.extendByMoratoriums(peerMoratoriums.grantedUntilUs(), requestedAtUs + MILLI)
         }
         grant("a", 4 * SECOND)
         assertFalse(lease.isValid(5 * SECOND)) { "one of two is not enough" }
--- a/src/test/kotlin/lichenstage/authority/OwnershipRecordsTest.kt
+++ b/src/test/kotlin/lichenstage/authority/OwnershipRecordsTest.kt
@@ -11,8 +11,8 @@
 class OwnershipRecordsTest {
     @Example
     fun `the keys are those of all versions`() {
-        assertEquals("c/leader", OwnershipRecords.LEADER)
-        assertEquals("c/terms", OwnershipRecords.TERM_COUNTER)
+        assertEquals("c/leader", OwnershipRecords.LEADER_KEY)
+        assertEquals("c/terms", OwnershipRecords.TERM_COUNTER_KEY)
         assertEquals("c/part/z/0", OwnershipRecords.partitionKey("z/0"))
         assertEquals("z/0", OwnershipRecords.partitionOf("c/part/z/0"))
     }
@@ -28,8 +28,8 @@
     fun `the term counter is written by its names and read back`() {
         val record = OwnershipRecords.encodeTermCounter(TermCounter(9, listOf("c/leader", "c/part/z/0")))
         assertEquals("""{"term":9,"owned":["c/leader","c/part/z/0"]}""", record.encode())
-        assertEquals(9L, OwnershipRecords.lastTerm(record))
-        assertEquals(listOf("c/leader", "c/part/z/0"), OwnershipRecords.everOwned(record))
+        assertEquals(9L, OwnershipRecords.decodeLastTerm(record))
+        assertEquals(listOf("c/leader", "c/part/z/0"), OwnershipRecords.decodeEverOwnedKeys(record))
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/authority/OwnershipTableTest.kt
+++ b/src/test/kotlin/lichenstage/authority/OwnershipTableTest.kt
@@ -20,18 +20,18 @@
     /** Guards against a key that nobody takes since it is taken for held by one who has let go of it. */
     @Example
     fun `a key that was put and deleted while nothing was heard is gone`() {
-        table.change(listOf(held(5)), listOf(deleted(7)))
+        table.applyChanges(listOf(held(5)), listOf(deleted(7)))
         assertTrue(KEY !in table) { "${table.holder(KEY)}" }
-        table.change(listOf(held(8), held(10, "n1")), listOf(deleted(9)))
+        table.applyChanges(listOf(held(8), held(10, "n1")), listOf(deleted(9)))
         assertEquals("n1", table.holder(KEY)?.label) { "${table.holder(KEY)}" }
     }
 
     @Example
     fun `a scan does not take back what has changed since it began`() {
-        table.change(listOf(held(5)), emptyList())
-        table.reset(emptyList(), 4)
+        table.applyChanges(listOf(held(5)), emptyList())
+        table.applyScan(emptyList(), 4)
         assertEquals(5L, table.holder(KEY)?.modRevision) { "forgotten: ${table.holder(KEY)}" }
-        table.reset(emptyList(), 6)
+        table.applyScan(emptyList(), 6)
         assertTrue(KEY !in table && table.holder(KEY) == null) { "kept: ${table.holder(KEY)}" }
     }
 
--- a/src/test/kotlin/lichenstage/cloud/MachineCatalogTest.kt
+++ b/src/test/kotlin/lichenstage/cloud/MachineCatalogTest.kt
@@ -9,7 +9,7 @@
 import lichenstage.model.MachineType
 import lichenstage.model.Resources
 import lichenstage.state.Change
-import lichenstage.state.MemoryStore
+import lichenstage.state.InMemoryKeyValueStore
 import lichenstage.state.Precondition
 import lichenstage.state.ReadResult
 import lichenstage.state.TransactionResult
@@ -27,7 +27,7 @@
             """"zones":["a","b"]},{"name":"c4","cores":16.0,"cards":8.0,"mem":64.0,"price":2.0,"spot":0.5,"boot":1500000,"fetch":0.5,""" +
             """"zones":["a","b"]}]}"""
 
-    private class Store : MemoryStore() {
+    private class Store : InMemoryKeyValueStore() {
         var writes = 0
 
         override suspend fun get(
@@ -39,7 +39,7 @@
             preconditions: List<Precondition>,
             changes: List<Change>,
             timeoutMs: Long,
-            urgent: Boolean,
+            isUrgent: Boolean,
         ): TransactionResult {
             writes++
             return apply(preconditions, changes)
--- a/src/test/kotlin/lichenstage/cluster/PeerLivenessTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PeerLivenessTest.kt
@@ -9,35 +9,35 @@
     private val liveness = PeerLiveness()
 
     private fun ping(
-        now: Long,
-        stateServiceAvailable: Boolean = true,
+        nowUs: Long,
+        isStateServiceAvailable: Boolean = true,
     ) {
-        liveness.frameReceived(PEER, now)
-        liveness.pingReceived(PEER, Ping(stateServiceAvailable), now)
+        liveness.onFrameReceived(PEER, nowUs)
+        liveness.onPingReceived(PEER, Ping(isStateServiceAvailable), nowUs)
     }
 
     private fun pingUntil(
         fromUs: Long,
         untilUs: Long,
     ) {
-        for (now in fromUs..untilUs step PeerLiveness.PING_INTERVAL_US) ping(now)
+        for (nowUs in fromUs..untilUs step PeerLiveness.PING_INTERVAL_US) ping(nowUs)
     }
 
     @Example
     fun `a controller is reachable until the silence timeout`() {
         assertFalse(liveness.isReachable(PEER, SECOND), "never heard from")
-        liveness.frameReceived(PEER, SECOND)
+        liveness.onFrameReceived(PEER, SECOND)
         assertTrue(liveness.isReachable(PEER, 3 * SECOND))
         assertFalse(liveness.isReachable(PEER, SECOND + PeerLiveness.SILENCE_TIMEOUT_US))
     }
 
     @Example
     fun `a controller is healthy only while the state service answers it`() {
-        liveness.frameReceived(PEER, SECOND)
+        liveness.onFrameReceived(PEER, SECOND)
         assertFalse(liveness.isHealthy(PEER, SECOND), "no ping yet")
         ping(2 * SECOND)
         assertTrue(liveness.isHealthy(PEER, 2 * SECOND))
-        ping(3 * SECOND, stateServiceAvailable = false)
+        ping(3 * SECOND, isStateServiceAvailable = false)
         assertFalse(liveness.isHealthy(PEER, 3 * SECOND))
     }
 
--- a/src/test/kotlin/lichenstage/cluster/PingPunctualityTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PingPunctualityTest.kt
@@ -13,24 +13,24 @@
 
     @Example
     fun `pings at their pace are punctual, after the window`() {
-        var now = 0L
-        repeat(5) { pings.pingReceived(now.also { now += 720 * MILLI }) }
-        assertFalse(pings.isPunctual(now), "too few so far")
-        repeat(10) { pings.pingReceived(now.also { now += 720 * MILLI }) }
-        assertTrue(pings.isPunctual(now), "a window of them")
-        assertFalse(pings.isPunctual(now + 5 * SECOND), "silence")
+        var nowUs = 0L
+        repeat(5) { pings.onPingReceived(nowUs.also { nowUs += 720 * MILLI }) }
+        assertFalse(pings.isPunctual(nowUs), "too few so far")
+        repeat(10) { pings.onPingReceived(nowUs.also { nowUs += 720 * MILLI }) }
+        assertTrue(pings.isPunctual(nowUs), "a window of them")
+        assertFalse(pings.isPunctual(nowUs + 5 * SECOND), "silence")
     }
 
     @Example
     fun `a sender that stalls is not punctual`() {
-        for (i in 0L..20) pings.pingReceived(i * 1500 * MILLI)
+        for (i in 0L..20) pings.onPingReceived(i * 1500 * MILLI)
         assertFalse(pings.isPunctual(20 * 1500 * MILLI), "half of them")
     }
 
     @Example
     fun `a receiver that stalls does not blame the sender`() {
         // Handled in bunches, but all of them.
-        for (i in 0L..20) pings.pingReceived((i * 700 * MILLI / (2 * SECOND) + 1) * 2 * SECOND)
+        for (i in 0L..20) pings.onPingReceived((i * 700 * MILLI / (2 * SECOND) + 1) * 2 * SECOND)
         assertTrue(pings.isPunctual(16 * SECOND), "all have come")
     }
 
--- a/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
@@ -6,7 +6,7 @@
 import kotlinx.coroutines.test.advanceUntilIdle
 import lichenstage.common.SECOND
 import lichenstage.state.Change
-import lichenstage.state.MemoryStore
+import lichenstage.state.InMemoryKeyValueStore
 import lichenstage.state.Precondition
 import lichenstage.state.ScanResult
 import lichenstage.state.SingleWriterKeys
@@ -18,7 +18,7 @@
 /** The driver of drains against a model of the state service. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class DrainDriverTest {
-    private class Records : MemoryStore() {
+    private class Records : InMemoryKeyValueStore() {
         var refusing = false
 
         override suspend fun get(
@@ -30,7 +30,7 @@
             preconditions: List<Precondition>,
             changes: List<Change>,
             timeoutMs: Long,
-            urgent: Boolean,
+            isUrgent: Boolean,
         ) = if (refusing) TransactionResult.Rejected else apply(preconditions, changes)
 
         fun scan(prefix: String) = ScanResult.Complete(entries.values.filter { it.key.startsWith(prefix) }.sortedBy { it.key }, revision)
--- a/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
@@ -12,7 +12,7 @@
 import lichenstage.model.RegisteredMachine
 import lichenstage.model.Resources
 import lichenstage.state.Change
-import lichenstage.state.MemoryStore
+import lichenstage.state.InMemoryKeyValueStore
 import lichenstage.state.Precondition
 import lichenstage.state.ReadResult
 import lichenstage.state.ScanResult
@@ -24,7 +24,7 @@
 
 /** What operators ask for on the command line. */
 class DrainOperationsTest {
-    private class Records : MemoryStore() {
+    private class Records : InMemoryKeyValueStore() {
         var away = false
 
         /** After so many transactions nothing is answered. */
@@ -39,7 +39,7 @@
             preconditions: List<Precondition>,
             changes: List<Change>,
             timeoutMs: Long,
-            urgent: Boolean,
+            isUrgent: Boolean,
         ) = if (away || answered-- <= 0) TransactionResult.Rejected else apply(preconditions, changes)
 
         fun scan(prefix: String): ScanResult =
--- a/src/test/kotlin/lichenstage/drain/DrainRecordsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainRecordsTest.kt
@@ -4,7 +4,7 @@
 import kotlinx.collections.immutable.toPersistentMap
 import lichenstage.state.Change
 import lichenstage.state.Entry
-import lichenstage.state.UnreadableRecord
+import lichenstage.state.UnreadableRecordException
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
@@ -82,10 +82,10 @@
         assertEquals(drain, records.decodeDrain(entry)) { "${records.decodeDrain(entry)}" }
         for (wrong in listOf(JsonObject(), records.encode(drain).put("form", 2), records.encode(drain).put("status", "DANCING"))) {
             val complaint = runCatching { records.decodeDrain(Entry(entry.key, wrong, 1)) }.exceptionOrNull()
-            assertTrue(complaint is UnreadableRecord && complaint.message!!.startsWith(entry.key)) { "$wrong: $complaint" }
+            assertTrue(complaint is UnreadableRecordException && complaint.message!!.startsWith(entry.key)) { "$wrong: $complaint" }
         }
         val page =
             runCatching { records.decodeMachines(Entry(DrainRecords.MACHINES + "d/0", JsonObject().put("form", 1).put("rows", "x"), 1)) }
-        assertTrue(page.exceptionOrNull() is UnreadableRecord) { "$page" }
+        assertTrue(page.exceptionOrNull() is UnreadableRecordException) { "$page" }
     }
 }
--- a/src/test/kotlin/lichenstage/jobs/SlowStore.kt
+++ b/src/test/kotlin/lichenstage/jobs/SlowStore.kt
@@ -5,7 +5,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import lichenstage.state.Change
-import lichenstage.state.MemoryStore
+import lichenstage.state.InMemoryKeyValueStore
 import lichenstage.state.Precondition
 import lichenstage.state.ReadResult
 import lichenstage.state.TransactionResult
@@ -15,7 +15,7 @@
 internal class SlowStore(
     private val random: Random,
     private val scope: CoroutineScope,
-) : MemoryStore() {
+) : InMemoryKeyValueStore() {
     override suspend fun get(
         key: String,
         timeoutMs: Long,
@@ -29,7 +29,7 @@
         preconditions: List<Precondition>,
         changes: List<Change>,
         timeoutMs: Long,
-        urgent: Boolean,
+        isUrgent: Boolean,
     ): TransactionResult {
         delay(1 + random.nextLong(80))
         return when (random.nextInt(10)) {
--- a/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
@@ -16,10 +16,10 @@
         val partition = partition()
         partition.onHeartbeat(heartbeat(3), 1)
         partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), 1)
-        assertTrue(onlyOffer(partition, 2).held.isEmpty()) { "offered before its token was confirmed" }
+        assertTrue(onlyOffer(partition, 2).slots.isEmpty()) { "offered before its token was confirmed" }
         partition.onHeartbeat(heartbeat(5), 2)
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), 3)
-        assertEquals("m", onlyOffer(partition, 4).held.single().machine) { "not offered" }
+        assertEquals("m", onlyOffer(partition, 4).slots.single().machine) { "not offered" }
     }
 
     @Example
@@ -32,7 +32,7 @@
         val partition = partition()
         partition.onHeartbeat(heartbeat(5), 1)
         partition.onLeaderFrame(frame(requests = listOf(request(9, 2).copy(job = "j-2"), request(3, 1))), 1)
-        val offers = partition.nextFrame(2)!!.offers.associate { it.stamp to it.held.sumOf { held -> held.count } }
+        val offers = partition.nextFrame(2)!!.offers.associate { it.requestNumber to it.slots.sumOf { held -> held.count } }
         assertEquals(mapOf(3L to 1, 9L to 1), offers) { "$offers" }
     }
 
@@ -55,7 +55,7 @@
             assertEquals(0, looks) { "a heartbeat made $looks looks at $machines machines" }
             partition.onLeaderFrame(frame(requests = (1L..24L).map { request(10 + it, 1).copy(job = "j-$it") }), 2)
             assertTrue(looks in machines..machines + 1 + 24) { "$looks looks at $machines machines" }
-            val held = partition.nextFrame(3)!!.offers.sumOf { offer -> offer.held.sumOf { it.count } }
+            val held = partition.nextFrame(3)!!.offers.sumOf { offer -> offer.slots.sumOf { it.count } }
             assertEquals(2, held) { "$held held on the one that is free" }
         }
     }
@@ -88,10 +88,10 @@
         repeat(130) { partition.onHeartbeat(heartbeat(5, machine = "m$it"), 1) }
         partition.onLeaderFrame(frame(), 1)
         val first = partition.nextFrame(SECOND)!!
-        assertTrue(!first.whole && first.machines.size == 100 && first.seq == 0L && first.receivedSeq == seq) { "$first" }
+        assertTrue(!first.isFinal && first.machines.size == 100 && first.seq == 0L && first.receivedSeq == seq) { "$first" }
         partition.onLeaderFrame(PlacementFrame("z/0", 1, ++seq, 5, first.version), SECOND)
         val second = partition.nextFrame(2 * SECOND)!!
-        assertTrue(second.whole && second.machines.size == 30 && second.seq == seq) { "$second" }
+        assertTrue(second.isFinal && second.machines.size == 30 && second.seq == seq) { "$second" }
         val names = (first.machines + second.machines).map { it.name }.toSet()
         assertEquals(130, names.size) { "${names.size} machines" }
     }
@@ -115,11 +115,11 @@
         partition.onOrderOutcome(order, OrderOutcome.Answered(true, heartbeat(5, running)), SECOND)
         val held = heartbeat(5, running)
         partition.tick(SECOND + LEASE)
-        assertFalse(onlyMachine(partition, SECOND + LEASE).lost) { "lost too early" }
+        assertFalse(onlyMachine(partition, SECOND + LEASE).isLost) { "lost too early" }
         partition.tick(3 * SECOND + LEASE)
         partition.onHeartbeat(held, 4 * SECOND + LEASE)
         val view = onlyMachine(partition, 5 * SECOND + LEASE)
-        assertTrue(view.lost && view.tasks.isEmpty()) { "$view" }
+        assertTrue(view.isLost && view.tasks.isEmpty()) { "$view" }
     }
 
     @Example
@@ -129,7 +129,7 @@
         partition.onProbeResult(StatusProbe("m", "1.2.3.4:5", 5), heartbeat(5), late)
         partition.tick(late + LEASE / 2)
         partition.onLeaderFrame(frame(), late + LEASE / 2)
-        assertFalse(onlyMachine(partition, late + LEASE / 2).lost) { "held for lost" }
+        assertFalse(onlyMachine(partition, late + LEASE / 2).isLost) { "held for lost" }
     }
 
     @Example
@@ -137,7 +137,7 @@
         val partition = partition()
         partition.onHeartbeat(heartbeat(5, TaskReport("j-77/0", 1, TaskPhase.RUNNING, null)), 1)
         partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), 2)
-        assertTrue(onlyOffer(partition, 3).held.isEmpty()) { "offered" }
+        assertTrue(onlyOffer(partition, 3).slots.isEmpty()) { "offered" }
     }
 
     @Example
@@ -149,7 +149,7 @@
         partition.nextDirectOrders(3)
         partition.onHeartbeat(heartbeat(5, TaskReport("j-1/0", 1, TaskPhase.ENDED, "done"), machine = "b"), 4)
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), 5)
-        assertEquals("b", lastOffer(partition, 6).held.single().machine) { "a cold machine came first" }
+        assertEquals("b", lastOffer(partition, 6).slots.single().machine) { "a cold machine came first" }
     }
 
     @Example
@@ -158,13 +158,13 @@
         listOf("a", "b").forEach { partition.onHeartbeat(heartbeat(5, machine = it), 1) }
         partition.onLeaderFrame(frame(requests = listOf(request(1, 4))), 2)
         partition.onLeaderFrame(frame(starts = listOf(StartOrder(1, "b", 0, 1))), 3)
-        partition.onLeaderFrame(frame(requests = listOf(request(2, 3).copy(imageOnly = true), request(3, 3))), 4)
+        partition.onLeaderFrame(frame(requests = listOf(request(2, 3).copy(isImageRequired = true), request(3, 3))), 4)
         val counts =
             partition
                 .nextFrame(SECOND)!!
                 .offers
                 .takeLast(2)
-                .map { offer -> offer.held.sumOf { it.count } }
+                .map { offer -> offer.slots.sumOf { it.count } }
         assertTrue(counts.sum() == 3 && counts[0] in 1..2) { "$counts" }
     }
 
@@ -172,12 +172,12 @@
     fun `a request for machines with the image gets no other machine`() {
         val partition = partition()
         listOf("a", "b").forEach { partition.onHeartbeat(heartbeat(5, machine = it), 1) }
-        partition.onLeaderFrame(frame(requests = listOf(request(1, 3).copy(imageOnly = true))), 2)
+        partition.onLeaderFrame(frame(requests = listOf(request(1, 3).copy(isImageRequired = true))), 2)
         assertTrue(offered(partition, 2).isEmpty()) { "a cold machine was offered" }
         partition.onLeaderFrame(frame(requests = listOf(request(2, 4))), 3)
         partition.onLeaderFrame(frame(starts = listOf(StartOrder(2, "b", 0, 1))), 4)
         partition.nextDirectOrders(4)
-        partition.onLeaderFrame(frame(requests = listOf(request(3, 3).copy(imageOnly = true))), 5)
+        partition.onLeaderFrame(frame(requests = listOf(request(3, 3).copy(isImageRequired = true))), 5)
         assertEquals(listOf("b"), offered(partition, 5)) { "not the machine that fetches the image" }
     }
 
@@ -192,7 +192,7 @@
             partition.onProbeResult(StatusProbe("m", "1.2.3.4:5", 5, 1), heartbeat(5, task(TaskPhase.RUNNING)), now)
         }
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), now)
-        val offer = partition.nextFrame(now + SECOND)!!.offers.single { it.stamp == 2L }
-        assertTrue(offer.held.isEmpty()) { "offered: ${offer.held}" }
+        val offer = partition.nextFrame(now + SECOND)!!.offers.single { it.requestNumber == 2L }
+        assertTrue(offer.slots.isEmpty()) { "offered: ${offer.slots}" }
     }
 }
--- a/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
@@ -73,12 +73,12 @@
 
         fun receive(frame: PartitionFrame) {
             if (frame.since > version || frame.version < version) return
-            val counts = frame.whole || earlierVersion
+            val counts = frame.isFinal || earlierVersion
             if (counts && frame.seq < seq) return
             if (counts) seq = frame.seq
-            if (frame.whole) wholeSeq = frame.seq
+            if (frame.isFinal) wholeSeq = frame.seq
             version = frame.version
-            frame.machines.forEach { machines[it.name] = it.appliedTo(machines[it.name]) }
+            frame.machines.forEach { machines[it.name] = it.applyTo(machines[it.name]) }
         }
     }
 
@@ -167,7 +167,7 @@
                 assertTrue(frame.machines.size <= 100 * (machines / 400)) { "${frame.machines.size} of $machines machines in one frame" }
                 acked = frame.version
                 leaderFrame(machines.toLong(), acked)
-                if (frame.whole) break
+                if (frame.isFinal) break
             }
             val one =
                 tasks
@@ -196,13 +196,13 @@
         val confirmed = acknowledgeAll()
         leaderFrame(1, confirmed.version, started = "m1")
         val lost = nextFrame()!!
-        assertTrue(lost.whole && lost.seq == seq && lost.machines.single().name == "m1") { "$lost" }
+        assertTrue(lost.isFinal && lost.seq == seq && lost.machines.single().name == "m1") { "$lost" }
         listOf("m2", "m1").forEach { machine ->
             tasks.getOrPut(machine) { HashMap() }[++attempts] = TaskReport("j-2/$attempts", attempts, TaskPhase.RUNNING, null)
             heartbeat(machine)
         }
         val piece = nextFrame()!!
-        assertTrue(!piece.whole && piece.machines.single().name == "m2") { "$piece" }
+        assertTrue(!piece.isFinal && piece.machines.single().name == "m2") { "$piece" }
         assertTrue(piece.seq <= confirmed.seq) { "claims ${piece.seq} although only ${confirmed.seq} is known to have arrived" }
         // By pieces the leader comes to a higher version than the lost frame's, which is no word that it has that one.
         leaderFrame(1, piece.version)
@@ -212,7 +212,7 @@
         tasks.getValue("m1")[++attempts] = TaskReport("j-2/$attempts", attempts, TaskPhase.RUNNING, null)
         heartbeat("m1")
         val next = nextFrame()!!
-        assertTrue(!next.whole && next.seq <= confirmed.seq) { "claims ${next.seq} after a piece was acknowledged" }
+        assertTrue(!next.isFinal && next.seq <= confirmed.seq) { "claims ${next.seq} after a piece was acknowledged" }
     }
 
     @Example
@@ -228,7 +228,7 @@
             heartbeat(machine)
         }
         val piece = nextFrame()!!
-        assertTrue(!piece.whole && piece.seq == whole.seq) { "says ${piece.seq}, the leader has ${whole.seq}" }
+        assertTrue(!piece.isFinal && piece.seq == whole.seq) { "says ${piece.seq}, the leader has ${whole.seq}" }
     }
 
     /** With a hundred machines a frame, whatever their number, no frame of so many was ever whole, and the leader concluded nothing. */
@@ -246,7 +246,7 @@
                     repeat(count / CHANGING_SHARE) { change(machines[next++ % count]) }
                     val frame = nextFrame()!!
                     leaderFrame(1, frame.version)
-                    frame.whole
+                    frame.isFinal
                 }
             assertEquals(ROUNDS, whole) { "$count machines: $whole of $ROUNDS frames were whole" }
         }
@@ -266,7 +266,7 @@
             val frame = nextFrame()!!
             sizes += FrameCodec.encode(frame).size
             leaderFrame(1, frame.version)
-            if (frame.whole) break
+            if (frame.isFinal) break
         }
         assertTrue(sizes.max() < 4 * 1024 * 1024) { "$sizes" }
     }
@@ -282,7 +282,7 @@
         while (true) {
             val frame = nextFrame()!!
             leaderFrame(1, frame.version)
-            if (frame.whole) return frame
+            if (frame.isFinal) return frame
         }
     }
 
--- a/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
@@ -96,7 +96,7 @@
     protected fun offered(
         partition: PartitionCore,
         now: Long,
-    ) = lastOffer(partition, now).held.map { it.machine }
+    ) = lastOffer(partition, now).slots.map { it.machine }
 
     companion object {
         const val TERM = 5L
--- a/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
@@ -118,7 +118,7 @@
                 .orEmpty()
         assertEquals(TaskPhase.RUNNING, listed(5 * SECOND).single().phase) { "taken for gone" }
         partition.tick(2 * LEASE)
-        assertTrue(onlyMachine(partition, 2 * LEASE).lost) { "not lost after its lease" }
+        assertTrue(onlyMachine(partition, 2 * LEASE).isLost) { "not lost after its lease" }
     }
 
     @Example
@@ -267,7 +267,7 @@
         partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), SECOND)
         ends.end("j-1")
         partition.onLeaderFrame(frame(requests = listOf(request(3, 1)), starts = listOf(StartOrder(2, "m", 1, 2))), 2 * SECOND)
-        assertTrue(lastOffer(partition, 2 * SECOND).held.isEmpty()) { "offered for a job that is over" }
+        assertTrue(lastOffer(partition, 2 * SECOND).slots.isEmpty()) { "offered for a job that is over" }
         partition.tick(3 * SECOND)
         val commands = partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 3 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "not just stopped: $commands" }
--- a/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -93,7 +93,7 @@
         machine: String,
         count: Int,
     ) = frame.requests.map {
-        Offer(it.stamp, listOf(HeldSlots(machine, count, count, false)))
+        Offer(it.requestNumber, listOf(HeldSlots(machine, count, count, false)))
     }
 
     protected fun recoveredMachines(vararg names: String) = names.map { RecoveredMachine(it, "z/0", "t", null) }
@@ -108,7 +108,7 @@
         leader.tick(SECOND)
         val ask = lastAsk()
         leader.partitionFrameReceived(
-            partition("y", sent("y").last().seq, offers = ask.requests.map { Offer(it.stamp, emptyList()) }),
+            partition("y", sent("y").last().seq, offers = ask.requests.map { Offer(it.requestNumber, emptyList()) }),
             SECOND,
         )
         leader.partitionFrameReceived(partition("z", ask.seq, offers = offer(ask, "m1", job.spec.tasks)), SECOND)
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -34,7 +34,7 @@
             nowS: Long,
         ) {
             val cause = if (phase == TaskPhase.ENDED) "halted" else null
-            val machine = view("m1", TaskState("j-1/0", attempt, phase, cause)).copy(recallUs = recallS?.let { it * SECOND })
+            val machine = view("m1", TaskState("j-1/0", attempt, phase, cause)).copy(timeUntilReclaimUs = recallS?.let { it * SECOND })
             leader.partitionFrameReceived(partition("z", seq, machine), nowS * SECOND)
             leader.tick(nowS * SECOND)
         }
@@ -207,8 +207,8 @@
         }
         leader.partitionFrameReceived(partition("z", 0, view("m1")), 5 * SECOND)
         leader.tick(5 * SECOND)
-        val requests = lastAsk().requests.sortedBy { it.stamp }
-        assertEquals(listOf(true, true, false, false, true, false), requests.map { it.imageOnly }) { "$requests" }
+        val requests = lastAsk().requests.sortedBy { it.requestNumber }
+        assertEquals(listOf(true, true, false, false, true, false), requests.map { it.isImageRequired }) { "$requests" }
         assertTrue(requests.takeLast(2).all { it.job == "j-3" }) { "$requests" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/PartitionTableTest.kt
+++ b/src/test/kotlin/lichenstage/placement/PartitionTableTest.kt
@@ -65,6 +65,6 @@
         val partition = table.accept(partition("z", 0), SECOND)!!
         listOf(view("m1"), view("m2"), view("m3", lost = true)).forEach { partition.machines[it.name] = it }
         assertEquals(32.0, table.totalCores { 16.0 })
-        assertEquals(listOf("m3"), table.machinesWhere { it.lost }.map { it.machine.name })
+        assertEquals(listOf("m3"), table.machinesWhere { it.isLost }.map { it.machine.name })
     }
 }
--- a/src/test/kotlin/lichenstage/placement/RegistryTest.kt
+++ b/src/test/kotlin/lichenstage/placement/RegistryTest.kt
@@ -6,7 +6,7 @@
 import lichenstage.model.RegisteredMachine
 import lichenstage.state.Change
 import lichenstage.state.Entry
-import lichenstage.state.UnreadableRecord
+import lichenstage.state.UnreadableRecordException
 import net.jqwik.api.Example
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
@@ -108,10 +108,10 @@
                 .add("10.0.0.1:1")
         for (broken in listOf(JsonArray().add("m2"), JsonArray(readable.list).copy().set(3, "yes"), "m2")) {
             val entry = Entry("m/4", JsonObject().put("machines", JsonArray().add(readable).add(broken)), 1)
-            val error = assertThrows(UnreadableRecord::class.java) { Registry(8192).load(entry) }
+            val error = assertThrows(UnreadableRecordException::class.java) { Registry(8192).load(entry) }
             assertTrue(error.message!!.startsWith("m/4: field 'machines[1]' must be a list of name, type, zone")) { "${error.message}" }
         }
-        val none = assertThrows(UnreadableRecord::class.java) { Registry(8192).load(Entry("m/0", JsonObject(), 1)) }
+        val none = assertThrows(UnreadableRecordException::class.java) { Registry(8192).load(Entry("m/0", JsonObject(), 1)) }
         assertEquals("m/0: field 'machines' must be a list", none.message)
     }
 }
--- a/src/test/kotlin/lichenstage/state/MemoryStore.kt
+++ b/src/test/kotlin/lichenstage/state/InMemoryKeyValueStore.kt
@@ -1,7 +1,7 @@
 package lichenstage.state
 
 /** Keys, guards and revisions of the state service as the protocol has them; each test brings its own ways of failing. */
-internal abstract class MemoryStore : KeyValueStore {
+internal abstract class InMemoryKeyValueStore : KeyValueStore {
     val entries = HashMap<String, Entry>()
     var revision = 0L
         private set
--- a/src/test/kotlin/lichenstage/state/KeyValueStoreCodecTest.kt
+++ b/src/test/kotlin/lichenstage/state/KeyValueStoreCodecTest.kt
@@ -37,8 +37,8 @@
             )
         assertEquals(listOf(Entry("a", JsonObject().put("x", 1), 5)), page.entries)
         assertEquals(9L, page.revision)
-        assertTrue(page.truncated)
-        assertFalse(KeyValueStoreCodec.decodePage(JsonObject("""{"rows":[],"ledger_rev":9}""")).truncated)
+        assertTrue(page.isTruncated)
+        assertFalse(KeyValueStoreCodec.decodePage(JsonObject("""{"rows":[],"ledger_rev":9}""")).isTruncated)
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/state/SingleWriterKeysTest.kt
+++ b/src/test/kotlin/lichenstage/state/SingleWriterKeysTest.kt
@@ -9,10 +9,10 @@
 
 class SingleWriterKeysTest {
     /** A state service that now and then gives no answer, and carries such a transaction out at once, later, or never. */
-    private class LateStore(
+    private class DelayedCommitStore(
         private val random: Random,
-    ) : MemoryStore() {
-        private val late = ArrayList<Pair<List<Precondition>, List<Change>>>()
+    ) : InMemoryKeyValueStore() {
+        private val delayedCommits = ArrayList<Pair<List<Precondition>, List<Change>>>()
 
         override suspend fun get(
             key: String,
@@ -23,18 +23,22 @@
             preconditions: List<Precondition>,
             changes: List<Change>,
             timeoutMs: Long,
-            urgent: Boolean,
+            isUrgent: Boolean,
         ): TransactionResult {
-            if (late.isNotEmpty() && random.nextInt(3) == 0) late.removeAt(random.nextInt(late.size)).let { apply(it.first, it.second) }
+            if (delayedCommits.isNotEmpty() &&
+                random.nextInt(3) == 0
+            ) {
+                delayedCommits.removeAt(random.nextInt(delayedCommits.size)).let { apply(it.first, it.second) }
+            }
             return when (random.nextInt(8)) {
                 0 -> TransactionResult.Indeterminate.also { apply(preconditions, changes) }
-                1, 2 -> TransactionResult.Indeterminate.also { late += preconditions to changes }
+                1, 2 -> TransactionResult.Indeterminate.also { delayedCommits += preconditions to changes }
                 3 -> TransactionResult.Rejected
                 else -> apply(preconditions, changes)
             }
         }
 
-        fun applyLate() = late.forEach { apply(it.first, it.second) }
+        fun applyDelayedCommits() = delayedCommits.forEach { apply(it.first, it.second) }
     }
 
     @Property(tries = 500, seed = "17")
@@ -42,26 +46,26 @@
         @ForAll seed: Long,
     ) = runBlocking {
         val random = Random(seed)
-        val store = LateStore(random)
-        val owned = SingleWriterKeys(store)
-        val known = HashMap<String, Int>()
+        val store = DelayedCommitStore(random)
+        val singleWriterKeys = SingleWriterKeys(store)
+        val lastCommittedStep = HashMap<String, Int>()
 
         fun check(step: Int) =
-            known.forEach { (key, least) ->
+            lastCommittedStep.forEach { (key, committedStep) ->
                 val value = store.entries[key]?.value?.getInteger("n") ?: -1
-                assertTrue(value >= least) { "seed $seed step $step: $key is back at $value from $least" }
+                assertTrue(value >= committedStep) { "seed $seed step $step: $key is back at $value from $committedStep" }
             }
-        var written = 0
+        var commits = 0
         repeat(120) { step ->
             val keys = listOf("m/0", "m/1", "d/j-1/0").shuffled(random).take(1 + random.nextInt(3))
-            if (owned.write(emptyList(), keys.map { Change.Put(it, JsonObject().put("n", step)) }, urgent = true)) {
-                written++
-                keys.forEach { known[it] = step }
+            if (singleWriterKeys.write(emptyList(), keys.map { Change.Put(it, JsonObject().put("n", step)) }, isUrgent = true)) {
+                commits++
+                keys.forEach { lastCommittedStep[it] = step }
             }
             check(step)
         }
-        store.applyLate()
+        store.applyDelayedCommits()
         check(120)
-        assertTrue(written > 10) { "seed $seed: only $written writes came through" }
+        assertTrue(commits > 10) { "seed $seed: only $commits writes came through" }
     }
 }
--- a/src/test/kotlin/lichenstage/world/SimulatedAuthority.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedAuthority.kt
@@ -76,7 +76,7 @@
         other: SimulatedController,
         requestedUs: Long,
     ) {
-        peerMoratoriums.granted(other.host, requestedUs)
+        peerMoratoriums.recordGrant(other.host, requestedUs)
         if (controller.hasAuthority) validUntilUs = maxOf(validUntilUs, peerMoratoriums.grantedUntilUs())
     }
 
--- a/src/test/kotlin/lichenstage/world/SimulatedController.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedController.kt
@@ -166,7 +166,7 @@
     private fun sendToLeader(frame: PartitionFrame) {
         val to = all()[state.owners[SimulatedLeadership.KEY]?.controller ?: return]
         val receiver = to.incarnation
-        val sent = if (mutation == Mutation.PIECES_TAKEN_FOR_WHOLE) frame.copy(whole = true, seq = frame.receivedSeq) else frame
+        val sent = if (mutation == Mutation.PIECES_TAKEN_FOR_WHOLE) frame.copy(isFinal = true, seq = frame.receivedSeq) else frame
         context.send(host, to.host) { if (to.alive && to.incarnation == receiver) to.leadership.frame(sent) }
     }
 }
--- a/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
@@ -97,8 +97,8 @@
     private fun terminateDue() {
         if (isTerminating) return
         val views = leader.partitions.values.flatMap { it.machines.values }
-        val silent = views.filter { it.silent }.map { it.name }
-        val lost = views.filter { it.lost }.map { it.name }
+        val silent = views.filter { it.isSilent }.map { it.name }
+        val lost = views.filter { it.isLost }.map { it.name }
         val empty = draining.filter { leader.machines.attemptsOn(it).isEmpty() }
         val due =
             (
