--- a/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
+++ b/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
@@ -32,7 +32,7 @@
         frame.releases.forEach(placementOffers::release)
         for (order in frame.starts) handleStart(order, nowUs)
         // The leader has not chosen what is left of a hold after its starts.
-        frame.starts.forEach { placementOffers.release(it.stamp) }
+        frame.starts.forEach { placementOffers.release(it.requestNumber) }
         for (order in frame.stops) updateAttempt(order) { it.isStopRequested = true }
         for (order in frame.clears) updateAttempt(order) { it.isClearRequested = true }
         frame.saves.forEach(::requestCheckpointStop)
@@ -51,7 +51,7 @@
         nowUs: Long,
     ) {
         val machine = machines[order.machine] ?: return
-        val request = placementOffers.findHeldRequest(order.stamp, machine)
+        val request = placementOffers.findHeldRequest(order.requestNumber, machine)
         val refusal = placementOffers.findRefusal(request, machine, nowUs)
         if (refusal != null) {
             val task = request?.let { "${it.job}/${order.index}" }.orEmpty()
@@ -68,7 +68,7 @@
         machine: Machine,
         nowUs: Long,
     ) {
-        placementOffers.consume(order.stamp, machine)
+        placementOffers.consume(order.requestNumber, machine)
         machine.recordImageUse(request.requirements)
         if (!machine.attempts.containsKey(order.attempt)) {
             val attempt = WorkerAttempt("${request.job}/${order.index}", order.attempt, nowUs)
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -88,7 +88,11 @@
         recordedTasks: BitSet,
     ): Boolean {
         val recordableTasks = CompletedTaskRanges.truncateToFit(job.doneTasks, chunk, valueBytes)
-        val durableTasks = job.recordedTasks.get(chunk * CompletedTaskRanges.TASKS_PER_CHUNK, (chunk + 1) * CompletedTaskRanges.TASKS_PER_CHUNK)
+        val durableTasks =
+            job.recordedTasks.get(
+                chunk * CompletedTaskRanges.TASKS_PER_CHUNK,
+                (chunk + 1) * CompletedTaskRanges.TASKS_PER_CHUNK,
+            )
         val droppedTasks = (durableTasks.clone() as BitSet).apply { andNot(recordableTasks) }
         if (!droppedTasks.isEmpty || recordableTasks == durableTasks) return false
         var next = recordableTasks.nextSetBit(0)
--- a/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
+++ b/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
@@ -38,7 +38,11 @@
             val machineType = MachineFit.cheapestType(spec, machineTypes)
             val leadTimeUs = if (job.isReady || machineType == null) 0 else (machineType.bootUs * BOOT_TIME_MARGIN).toLong()
             val concurrentTasks = concurrentTasks(job, inputs.maxCores(spec.team) - (plannedCoresByTeam[spec.team] ?: 0.0))
-            if (machineType == null || concurrentTasks <= 0.0 || (!job.isReady && inputs.readyInUs(job) > leadTimeUs)) return@mapNotNull null
+            if (machineType == null || concurrentTasks <= 0.0 ||
+                (!job.isReady && inputs.readyInUs(job) > leadTimeUs)
+            ) {
+                return@mapNotNull null
+            }
             plannedCoresByTeam.merge(spec.team, concurrentTasks * spec.resources.cores, Double::plus)
             remainingDemand(
                 job,
--- a/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
@@ -39,11 +39,11 @@
                     }
                 }
 
-                machineState.lost -> {
+                machineState.isLost -> {
                     LEASE_EXPIRED
                 }
 
-                machineState.tokenConfirmed -> {
+                machineState.isTokenConfirmed -> {
                     LISTED
                 }
 
--- a/src/main/kotlin/lichenstage/placement/MachineRegistry.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineRegistry.kt
@@ -5,7 +5,7 @@
 import lichenstage.model.RegisteredMachine
 import lichenstage.state.Change
 import lichenstage.state.Entry
-import lichenstage.state.UnreadableRecord
+import lichenstage.state.UnreadableRecordException
 
 /** One key of the registry as it is to be written; without machines it is deleted. */
 data class RegistryChunk(
@@ -35,7 +35,7 @@
     /** The machine is recorded, or due to be. */
     operator fun contains(name: String) = chunkOfMachine.containsKey(name)
 
-    /** Loads a chunk that an earlier leader wrote; throws [UnreadableRecord]. */
+    /** Loads a chunk that an earlier leader wrote; throws [UnreadableRecordException]. */
     fun load(entry: Entry): List<RegisteredMachine> {
         val machines = decode(entry)
         val chunk = LinkedHashMap<String, RegisteredMachine>()
@@ -52,7 +52,7 @@
         try {
             MachineRecordCodec.decode(entry.value)
         } catch (e: JsonDecodingException) {
-            throw UnreadableRecord(entry.key, e)
+            throw UnreadableRecordException(entry.key, e)
         }
 
     /**
--- a/src/main/kotlin/lichenstage/placement/MachineRegistryDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineRegistryDriver.kt
@@ -50,7 +50,7 @@
         val cordonedMachines = cordoned()
         for ((id, machine) in core.machines.unregisteredMachines()) {
             if (machine.name in cordonedMachines || machine.name in registry) continue
-            registry.add(RegisteredMachine(machine.name, machine.typeName, settings.assignment.zone(id)!!, machine.spot, machine.address))
+            registry.add(RegisteredMachine(machine.name, machine.typeName, settings.assignment.zone(id)!!, machine.isSpot, machine.address))
         }
         val chunks = registry.takeDueChunks(settings.txnOps)
         if (chunks.isEmpty()) return
--- a/src/main/kotlin/lichenstage/placement/RequestRound.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRound.kt
@@ -13,7 +13,7 @@
     nowUs: Long,
     alphaUs: Long,
 ) {
-    private val requestNumbers = requests.mapTo(HashSet()) { it.request.stamp }
+    private val requestNumbers = requests.mapTo(HashSet()) { it.request.requestNumber }
     private val offers = HashMap<Long, HashMap<String, List<HeldSlots>>>()
     private val partitionsWithOffer = HashSet<String>()
     var endsAtUs = nowUs + alphaUs
--- a/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
@@ -53,7 +53,7 @@
         partition: String,
         offer: Offer,
         nowUs: Long,
-    ) = currentRound?.addOffer(partition, offer.stamp, offer.held, nowUs, settings.betaUs)
+    ) = currentRound?.addOffer(partition, offer.requestNumber, offer.slots, nowUs, settings.betaUs)
 
     /** Ends and begins rounds as time passes; [waiting] gives the jobs with tasks to place, in the order of the queue. */
     fun tick(
@@ -103,13 +103,13 @@
             for (attempt in createAttempts(request, endingRound, unaccountedUse, nowUs)) {
                 startedAttempts += attempt
                 startsByPartition.getOrPut(attempt.partition) { ArrayList() } +=
-                    StartOrder(request.request.stamp, attempt.machine, attempt.index, attempt.number)
+                    StartOrder(request.request.requestNumber, attempt.machine, attempt.index, attempt.number)
             }
         }
-        val allRequestNumbers = endingRound.requests.map { it.request.stamp }
+        val allRequestNumbers = endingRound.requests.map { it.request.requestNumber }
         for (id in assignment.partitions) {
             val startsOfPartition = startsByPartition[id].orEmpty()
-            val startedRequests = startsOfPartition.mapTo(HashSet()) { it.stamp }
+            val startedRequests = startsOfPartition.mapTo(HashSet()) { it.requestNumber }
             val seq = outbox.send(id, nowUs, starts = startsOfPartition, releases = allRequestNumbers.filter { it !in startedRequests })
             startedAttempts.forEach { if (it.partition == id) it.startSeq = seq }
         }
@@ -125,7 +125,7 @@
     ): List<Attempt> {
         val job = jobRequest.job
         val maxTasks = minOf(jobRequest.request.count, attempts.allowedTaskCount(job.spec.team, job.spec.resources, unaccountedUse))
-        val offers = endingRound.offersFor(jobRequest.request.stamp).mapValues { (_, held) -> held.mapNotNull(::usableSlots) }
+        val offers = endingRound.offersFor(jobRequest.request.requestNumber).mapValues { (_, held) -> held.mapNotNull(::usableSlots) }
         val createdAttempts = ArrayList<Attempt>()
         for (slot in OfferSelection.selectRoomiest(offers, maxTasks, zones::zoneOf, zones.remainingTasksByZone(job, offers))) {
             val index = job.nextPendingTask()
@@ -135,7 +135,7 @@
             // Until the frame with its start is sent, no frame of the partition tells anything of it.
             attempt.startSeq = Long.MAX_VALUE
             attempts.track(attempt)
-            job.placedUs = nowUs
+            job.lastPlacedAtUs = nowUs
             createdAttempts += attempt
         }
         return createdAttempts
--- a/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
@@ -96,7 +96,7 @@
     protected fun machinesOfferedInNextFrame(
         partition: PartitionCore,
         nowUs: Long,
-    ) = lastOfferOfNextFrame(partition, nowUs).held.map { it.machine }
+    ) = lastOfferOfNextFrame(partition, nowUs).slots.map { it.machine }
 
     companion object {
         const val TERM = 5L
--- a/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
@@ -120,7 +120,7 @@
                 .orEmpty()
         assertEquals(TaskPhase.RUNNING, listedTasks(5 * SECOND).single().phase) { "taken for gone" }
         partition.tick(2 * LEASE_US)
-        assertTrue(onlyMachineOfNextFrame(partition, 2 * LEASE_US).lost) { "not lost after its lease" }
+        assertTrue(onlyMachineOfNextFrame(partition, 2 * LEASE_US).isLost) { "not lost after its lease" }
     }
 
     @Example
@@ -269,7 +269,7 @@
         partition.commands(heartbeat(5, taskReport(TaskPhase.RUNNING)), SECOND)
         jobCompletions.endJob("j-1")
         partition.onLeaderFrame(frame(requests = listOf(request(3, 1)), starts = listOf(StartOrder(2, "m", 1, 2))), 2 * SECOND)
-        assertTrue(lastOfferOfNextFrame(partition, 2 * SECOND).held.isEmpty()) { "offered for a job that is over" }
+        assertTrue(lastOfferOfNextFrame(partition, 2 * SECOND).slots.isEmpty()) { "offered for a job that is over" }
         partition.tick(3 * SECOND)
         val commands = partition.commands(heartbeat(5, taskReport(TaskPhase.RUNNING)), 3 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "not just stopped: $commands" }
--- a/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -93,7 +93,7 @@
         machine: String,
         count: Int,
     ) = frame.requests.map {
-        Offer(it.stamp, listOf(HeldSlots(machine, count, count, false)))
+        Offer(it.requestNumber, listOf(HeldSlots(machine, count, count, false)))
     }
 
     protected fun recoveredMachines(vararg names: String) = names.map { RecoveredMachine(it, "z/0", "t", null) }
@@ -108,7 +108,7 @@
         leader.tick(SECOND)
         val requestFrame = lastRequestFrame()
         leader.onPartitionFrame(
-            partitionFrame("y", framesTo("y").last().seq, offers = requestFrame.requests.map { Offer(it.stamp, emptyList()) }),
+            partitionFrame("y", framesTo("y").last().seq, offers = requestFrame.requests.map { Offer(it.requestNumber, emptyList()) }),
             SECOND,
         )
         leader.onPartitionFrame(partitionFrame("z", requestFrame.seq, offers = offersFor(requestFrame, "m1", job.spec.tasks)), SECOND)
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -34,7 +34,11 @@
             nowS: Long,
         ) {
             val cause = if (phase == TaskPhase.ENDED) "halted" else null
-            val machine = machineState("m1", TaskState("j-1/0", attempt, phase, cause)).copy(recallUs = recallS?.let { it * SECOND })
+            val machine =
+                machineState(
+                    "m1",
+                    TaskState("j-1/0", attempt, phase, cause),
+                ).copy(timeUntilReclaimUs = recallS?.let { it * SECOND })
             leader.onPartitionFrame(partitionFrame("z", seq, machine), nowS * SECOND)
             leader.tick(nowS * SECOND)
         }
@@ -211,8 +215,8 @@
         }
         leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1")), 5 * SECOND)
         leader.tick(5 * SECOND)
-        val requests = lastRequestFrame().requests.sortedBy { it.stamp }
-        assertEquals(listOf(true, true, false, false, true, false), requests.map { it.imageOnly }) { "$requests" }
+        val requests = lastRequestFrame().requests.sortedBy { it.requestNumber }
+        assertEquals(listOf(true, true, false, false, true, false), requests.map { it.isImageRequired }) { "$requests" }
         assertTrue(requests.takeLast(2).all { it.job == "j-3" }) { "$requests" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/PartitionTableTest.kt
+++ b/src/test/kotlin/lichenstage/placement/PartitionTableTest.kt
@@ -65,6 +65,6 @@
         val partition = table.acceptFrame(partitionFrame("z", 0), SECOND)!!
         listOf(machineState("m1"), machineState("m2"), machineState("m3", lost = true)).forEach { partition.machines[it.name] = it }
         assertEquals(32.0, table.totalCores { 16.0 })
-        assertEquals(listOf("m3"), table.machinesWhere { it.lost }.map { it.machine.name })
+        assertEquals(listOf("m3"), table.machinesWhere { it.isLost }.map { it.machine.name })
     }
 }
