--- a/src/main/kotlin/lichenstage/placement/Attempt.kt
+++ b/src/main/kotlin/lichenstage/placement/Attempt.kt
@@ -2,7 +2,7 @@
 
 import lichenstage.cluster.TaskPhase
 
-/** One start of a task, from the sending of its start until it is known that nothing of it is left (invariant 6). */
+/** One execution of a task, from the sending of its start until the attempt is proven to be gone (invariant 6). */
 class Attempt(
     val job: Job,
     val index: Int,
@@ -10,27 +10,30 @@
     val machine: String,
     val partition: String,
 ) {
-    /** The partition's ownership term when the start went out. */
+    /** The ownership term of the partition when the leader sent the start. */
     var partitionTerm = 0L
 
-    /** The number of the leader's frame with the start: a state that does not reflect that frame says nothing of the attempt. */
+    /**
+     * The sequence number of the leader's frame that contained the start. A partition state that does not reflect this frame yet says
+     * nothing about the attempt.
+     */
     var startSeq = 0L
     var phase = TaskPhase.PENDING
 
-    /** The task's name in the worker protocol. */
+    /** The name of the task in the worker protocol. */
     val task get() = taskName(job.spec.id, index)
 
-    /** When it was first listed as running; 0 before that. */
+    /** The time in microseconds when the machine first listed the attempt as running; 0 before that. */
     var firstRunningAtUs = 0L
 
-    /** When it was first ordered to save its progress and stop; 0 where it was not. */
+    /** The time in microseconds of the first command to save a checkpoint and stop; 0 if there was none. */
     var saveCommandedAtUs = 0L
 
-    /** Progress of the task at [nowUs] in microseconds of run time, with the checkpoints of earlier attempts. */
+    /** Returns the progress of the task at [nowUs] in microseconds of run time, including the checkpoints of earlier attempts. */
     fun progressUs(nowUs: Long) = job.savedProgressUs(index) + if (firstRunningAtUs > 0) nowUs - firstRunningAtUs else 0
 }
 
-/** The name of a task in the worker protocol. */
+/** Returns the name of a task in the worker protocol: the job id and the task index, e.g. `j-1/0`. */
 fun taskName(
     job: String,
     index: Int,
--- a/src/main/kotlin/lichenstage/placement/AttemptRecovery.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptRecovery.kt
@@ -3,8 +3,7 @@
 import lichenstage.cluster.TaskPhase
 
 /**
- * Finds the attempts of earlier leaders where the record of a job or of a machine becomes known only after the frame that lists
- * them.
+ * Recovers attempts of earlier leaders when the record of their job or machine arrives only after the frame that lists the attempts.
  */
 internal class AttemptRecovery(
     private val partitions: PartitionTable,
@@ -12,7 +11,7 @@
     private val tracker: AttemptTracker,
     private val reconciler: MachineReconciler,
 ) {
-    /** Evaluates the task list of a machine that has just been recorded: before that it was ignored (invariant 4). */
+    /** Evaluates the task list of a machine that was just recorded. Until then the list was ignored (invariant 4). */
     fun recoverAttemptsOn(
         machineName: String,
         partitionId: String,
@@ -26,7 +25,7 @@
         if (machine.tasks.isNotEmpty()) reconciler.reconcile(partitionId, machine)
     }
 
-    /** Evaluates the task lists that name a job whose record came after them. */
+    /** Evaluates all task lists that name [job], whose record arrived after the lists. */
     fun recoverAttemptsOf(job: Job) = partitions.byId.forEach { (id, partition) -> recoverAttemptsIn(PartitionRef(id, partition), job) }
 
     private fun recoverAttemptsIn(
--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -7,22 +7,22 @@
 import lichenstage.common.SECOND
 import org.slf4j.LoggerFactory
 
-/** Events of attempts that an [AttemptTracker] follows. */
+/** Receives the changes of attempts that an [AttemptTracker] detects. */
 internal interface AttemptListener {
-    /** The task is done; called once for each task. */
+    /** Called once per task, when its first attempt ends as done. */
     fun onTaskDone(
         job: Job,
         nowUs: Long,
     )
 
-    /** The attempt has ended, whether or not its task is done. */
+    /** Called when the attempt has ended, whether or not its task is done. Not called for a superseded attempt. */
     fun onAttemptEnded(attempt: Attempt)
 
-    /** A newer attempt of the task was found on another machine: this one is to be stopped where it is still listed. */
+    /** Called when a newer attempt of the same task was found. The superseded attempt must be stopped if a machine still lists it. */
     fun onAttemptSuperseded(attempt: Attempt)
 }
 
-/** Follows attempts by the task lists of their machines, as the frames of partitions bring them. */
+/** Updates attempts from the task lists of their machines, which arrive in the frames of partitions. */
 internal class AttemptTracker(
     private val leaseUs: Long,
     private val attempts: RunningAttempts,
@@ -33,17 +33,18 @@
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.placement")
 
-    /** Jobs whose tasks failed on a machine: several point at the machine. */
+    /** Ids of the jobs with tasks that failed, by machine name. Failures of several jobs on one machine suggest a faulty machine. */
     val failedJobsByMachine = HashMap<String, HashSet<String>>()
 
-    /** As of when what is lost is counted: the progress of tasks that save by themselves depends on it. */
+    /** The time at which a lost attempt counts as ended. It determines how much progress periodic checkpoints have kept. */
     private var currentTimeUs = 0L
 
+    /** Sets the time at which attempts that are lost from now on count as ended. */
     fun updateTime(nowUs: Long) {
         currentTimeUs = nowUs
     }
 
-    /** A machine lists a task of [job]. */
+    /** Handles an entry in the task list of a machine. [task] is a task of [job]. */
     fun onTaskListed(
         partition: PartitionRef,
         machine: MachineState,
@@ -98,8 +99,8 @@
     }
 
     /**
-     * The start was refused since another attempt of the task is on this machine: that one counts, and the task is placed nowhere else
-     * while it is listed, although its number is the lower.
+     * Recovers the attempt that caused the refusal of a start: the machine still lists another attempt of the same task. The leader
+     * tracks that attempt, although its number is lower, and places the task nowhere else while the machine lists it.
      */
     private fun recoverConflictingAttempt(
         partition: PartitionRef,
@@ -112,10 +113,13 @@
     }
 
     /**
-     * An attempt that an earlier leader started. Not on a machine without record: that one is terminated, as its partition will find
-     * (invariant 4), and its tasks may run elsewhere by now. (Seen on inc-2104: its attempts were tracked, and the ones that ran were
-     * stopped.) Of two attempts the newer counts: it was started only once the older was proven to have ended, and what lists the older
-     * is a machine that was terminated with no time left to record that.
+     * Tracks an attempt that an earlier leader started.
+     *
+     * An attempt on a machine without a record is not tracked: that machine is terminated, its partition will find out (invariant 4),
+     * and the tasks may run elsewhere by now. In inc-2104 such attempts were tracked, and the attempts that really ran were stopped.
+     *
+     * If two attempts of a task are listed, the newer one is tracked. It was started only after the older one was proven to have ended.
+     * The machine that lists the older attempt was terminated, and the earlier leader had no time left to record that.
      */
     private fun recoverAttempt(
         partition: PartitionRef,
@@ -160,12 +164,12 @@
         log.info("Attempt failed task={} attempt={} machine={} cause={}", task.task, task.attempt, machine.name, task.cause)
         if (task.cause == TaskEndCause.ERROR) failedJobsByMachine.getOrPut(machine.name) { HashSet() }.add(job.spec.id)
         job.failureCount++
-        // A job that fails everywhere must not use the slots of others again and again.
+        // Without the backoff, a job that fails on every machine would keep taking capacity from other jobs.
         val backoffUs = (SECOND shl minOf(job.failureCount, MAX_BACKOFF_DOUBLINGS)).coerceAtMost(MAX_BACKOFF_US)
         job.backoffUntilUs = maxOf(job.backoffUntilUs, nowUs + backoffUs / 2)
     }
 
-    /** Nothing of the attempt is left but [savedProgressUs] of progress. */
+    /** Ends the attempt, records [savedProgressUs] of saved progress, and queues the task again unless it is done. */
     private fun endAttempt(
         attempt: Attempt,
         savedProgressUs: Long,
@@ -177,20 +181,20 @@
         listener.onAttemptEnded(attempt)
     }
 
-    /** Attempts that were lost with their machine, or never got there. */
+    /** Ends attempts that were lost with their machine or never reached it. */
     fun endLostAttempts(attempts: List<Attempt>) = attempts.forEach { endAttempt(it, checkpointedProgressUs(it)) }
 
-    /** Ends those of [candidates] that are proven to be nowhere any more. */
+    /** Ends the attempts among [candidates] that are proven to run on no machine. [partition] returns a partition's state by name. */
     fun endAbsentAttempts(
         candidates: Sequence<Attempt>,
         partition: (String) -> PartitionState?,
     ) {
         val absent = candidates.filter { attempt -> partition(attempt.partition)?.let { isAbsent(attempt, it) } == true }.toList()
-        absent.forEach { log.debug("Attempt no longer on its machine task={} attempt={} machine={}", it.task, it.number, it.machine) }
+        absent.forEach { log.debug("Attempt absent from its machine task={} attempt={} machine={}", it.task, it.number, it.machine) }
         endLostAttempts(absent)
     }
 
-    /** Its partition has received its start, and its machine does not list it or is lost (see [MachineKnowledge]). */
+    /** Whether the partition has received the start, and the machine is lost or does not list the attempt (see [MachineKnowledge]). */
     private fun isAbsent(
         attempt: Attempt,
         partition: PartitionState,
@@ -211,11 +215,11 @@
         .orEmpty()
         .any { it.attempt == attempt.number && it.task == attempt.task }
 
-    /** Progress of a task that was stopped by command. */
+    /** Returns the progress that is kept when the attempt ends: all progress up to a stop with a checkpoint, if one was sent. */
     private fun progressAtStopUs(attempt: Attempt) =
         if (attempt.saveCommandedAtUs > 0) attempt.progressUs(attempt.saveCommandedAtUs) else checkpointedProgressUs(attempt)
 
-    /** A task that saves by itself now and then has kept its progress up to the last time. */
+    /** Returns the progress at the last periodic checkpoint; 0 if the task saves none. */
     private fun checkpointedProgressUs(attempt: Attempt): Long {
         val intervalUs = attempt.job.spec.checkpointIntervalUs
         if (intervalUs <= 0 || attempt.phase != TaskPhase.RUNNING) return 0
--- a/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
@@ -6,33 +6,37 @@
 import lichenstage.common.SECOND
 
 /**
- * Decides which running tasks are preempted with time to save a checkpoint, because their machine goes away.
+ * Decides which running tasks are preempted, with time to save a checkpoint, because their machine will be terminated.
  *
- * Machines go away for two reasons. After a spot notice a task runs on for as long as it can still save, since that time is paid for
- * in any case. A machine that the fleet drains is terminated once it is empty: where only tasks that can save are left on it, and
- * they would run for long, they are moved. A task that is expected to end by itself before is left alone, and so is one that could
- * not finish saving.
+ * - After a reclaim notice for a spot machine, a task runs as long as it can still save a checkpoint afterwards, because that time is
+ *   paid for anyway. A task is not stopped if it is expected to end before the reclaim, or if the time left is too short for saving.
+ * - A machine that the fleet scales in is terminated once it is empty. If all tasks left on it can save a checkpoint and would run for a
+ *   long time, they are stopped so that they restart on other machines.
+ * - A drain by an operator requests the stop of single attempts.
  */
 class CheckpointPreemption(
     private val runTimes: RunTimeEstimates,
 ) {
-    /** When machines with a spot notice are reclaimed at the latest, by name. */
+    /** The time in microseconds at which a spot machine with a reclaim notice is reclaimed at the latest, by machine name. */
     private val reclaimDeadlineUs = HashMap<String, Long>()
 
-    /** When an attempt was last ordered to stop, by its number. */
+    /** The time in microseconds when the stop of an attempt was last sent, by attempt number. */
     private val lastSentAtUs = HashMap<Long, Long>()
 
-    /** Attempts that drains have stopped, whether or not they can save, by number. */
+    /** Attempts whose stop a drain has requested, by attempt number. They may be unable to save a checkpoint. */
     private val requestedStops = LinkedHashMap<Long, Attempt>()
 
-    /** Machines that have a spot notice, or on which an attempt is to be stopped for a drain. */
+    /** Names of the machines that have a reclaim notice or an attempt that a drain has asked to stop. */
     val affectedMachines: Set<String>
         get() = if (requestedStops.isEmpty()) reclaimDeadlineUs.keys else reclaimDeadlineUs.keys + requestedStops.values.map { it.machine }
 
-    /** Has attempts stopped for a drain, with time to save where they can. */
+    /** Requests the stop of [attempts] for a drain. Tasks that can save a checkpoint get the time to do so. */
     fun requestStop(attempts: Collection<Attempt>) = attempts.forEach { requestedStops[it.number] = it }
 
-    /** Takes a machine as its partition shows it at [nowUs]. Its notice may be older than the frame, never younger. */
+    /**
+     * Records the reclaim notice of a machine, if its state at [nowUs] contains one. The notice may be older than the frame but never
+     * newer, so the earliest deadline counts.
+     */
     fun onMachineUpdate(
         machine: MachineState,
         nowUs: Long,
@@ -41,14 +45,15 @@
         reclaimDeadlineUs.merge(machine.name, nowUs + leftUs, ::minOf)
     }
 
-    /** The machine is proven gone. */
+    /** Handles the proven termination of a machine. */
     fun onMachineTerminated(machine: String) {
         reclaimDeadlineUs.remove(machine)
     }
 
     /**
-     * The orders to send now to a machine that goes away, with the [attempts] that may be running there. Where it [isDrained] by an
-     * operator, only requested attempts are stopped, since that is within the disruption budget of their team.
+     * Returns the commands to send at [nowUs] to a machine that will be terminated. [attempts] are all attempts that may be running there.
+     * If the machine [isDrained] by an operator and has no reclaim notice, only the attempts that the drain has requested are stopped,
+     * because only their stop is within the disruption budget of their team.
      */
     fun saveCommands(
         machine: String,
@@ -98,8 +103,8 @@
     private fun canSave(attempt: Attempt) = savesCheckpoints(attempt) && attempt.phase == TaskPhase.RUNNING
 
     /**
-     * How long the attempt is expected to go on. Estimates are often wrong by half: a task that has run for longer than expected goes on
-     * for a good part of that.
+     * Returns the expected remaining run time of the attempt in microseconds. Estimates are often wrong by half, so a task that has run
+     * longer than expected is assumed to run on for a fixed part of its progress (see [OVERRUN_DIVISOR]).
      */
     fun remainingUs(
         attempt: Attempt,
@@ -111,10 +116,13 @@
 
     private fun savesCheckpoints(attempt: Attempt) = attempt.job.spec.checkpointIntervalUs > 0
 
-    /** How long the worker waits for the task to save before it kills it. */
+    /** Returns how long the worker waits for the task to save before it kills the task, in microseconds. */
     private fun graceUs(attempt: Attempt) = if (savesCheckpoints(attempt)) attempt.job.spec.checkpointSaveUs + MIN_MARGIN_US else 0
 
-    /** Frames get lost, so that an order is repeated while the task is still shown as running. Notes the order as sent where it is due. */
+    /**
+     * Returns whether the command to stop the attempt is due, and if so records it as sent now. Frames get lost, so the command is repeated
+     * while the task is still listed as running.
+     */
     private fun markSentIfDue(
         attempt: Attempt,
         nowUs: Long,
@@ -126,26 +134,26 @@
         return true
     }
 
-    /** The attempt has ended. */
+    /** Handles the end of an attempt: its stop is no longer needed. */
     fun onAttemptEnded(attempt: Attempt) {
         lastSentAtUs.remove(attempt.number)
         requestedStops.remove(attempt.number)
     }
 
     private companion object {
-        /** The least time, beside the saving, with which saving is expected to succeed. */
+        /** Minimum time in addition to the save time: with less, saving is not expected to succeed. */
         const val MIN_MARGIN_US = SECOND
 
-        /** The time left beside the saving at which a task is stopped: two repeats of a lost order fit in. */
+        /** A task is stopped when at most this time is left in addition to the save time. A lost command can be repeated twice in it. */
         const val MAX_MARGIN_US = 6 * SECOND
 
-        /** A start that is stopped sooner does not count for its job's objectives. */
+        /** Minimum run time before a task is moved: a start that is stopped sooner does not count for its job's objectives. */
         const val MIN_RUN_US = 35 * SECOND
 
-        /** The time that a task loses by starting elsewhere: a round of requests, an image fetch. */
+        /** Time that a task loses by a restart on another machine: a round of placement requests and an image fetch. */
         const val MOVE_COST_US = 15 * SECOND
 
-        /** A task that has run for longer than expected goes on for one part in so many of its progress. */
+        /** The expected remaining time of an overdue task is its progress divided by this number. */
         const val OVERRUN_DIVISOR = 4
         const val REPEAT_INTERVAL_US = 2 * SECOND
     }
--- a/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
@@ -2,13 +2,13 @@
 
 import lichenstage.cluster.SaveOrder
 
-/** The stops of running tasks that go out next, for all machines that go away. */
+/** Collects the commands to save a checkpoint and stop for all machines that will be terminated. */
 internal class CheckpointStops(
     private val preemption: CheckpointPreemption,
     private val directory: MachineDirectory,
     private val attempts: RunningAttempts,
 ) {
-    /** The orders to save a checkpoint and stop, by partition. */
+    /** Returns the commands that are due at [nowUs], by partition name. */
     fun commandsByPartition(nowUs: Long): Map<String, List<SaveOrder>> {
         val commands = HashMap<String, List<SaveOrder>>()
         for (machine in directory.cordoned + preemption.affectedMachines) {
--- a/src/main/kotlin/lichenstage/placement/FailoverRecovery.kt
+++ b/src/main/kotlin/lichenstage/placement/FailoverRecovery.kt
@@ -3,7 +3,7 @@
 import lichenstage.common.SECOND
 import lichenstage.model.Resources
 
-/** A machine that was registered before a leader's term. */
+/** A machine that was already registered when the leader's term began. The address is null if no record contains it. */
 data class RecoveredMachine(
     val name: String,
     val partition: String,
@@ -12,8 +12,10 @@
 )
 
 /**
- * The machines that may hold tasks of an earlier leader: what was registered when this term began. Until each is accounted for,
- * anything may run on it (invariant 5). A machine without a record is never waited for: a late copy of a heartbeat may name one.
+ * The machines that may run tasks of an earlier leader: the machines that were registered when this term began. Until a machine is
+ * accounted for, any task may be running on it (invariant 5).
+ *
+ * The failover never waits for a machine without a record, because a late copy of a heartbeat may name a terminated machine.
  */
 class FailoverRecovery(
     private val leaseUs: Long,
@@ -22,20 +24,20 @@
     private val awaitedMachines = HashMap<String, RecoveredMachine>()
     private var isCompletionReported = false
 
-    /** Every machine is accounted for. */
+    /** Whether every machine is accounted for. */
     val isComplete get() = awaitedMachines.isEmpty()
 
-    /** The machine has to be accounted for. */
+    /** Adds a machine that must be accounted for before the failover is complete. */
     fun awaitMachine(machine: RecoveredMachine) {
         awaitedMachines[machine.name] = machine
     }
 
-    /** The machine is proven to be terminated. */
+    /** Handles the proven termination of a machine: the failover no longer waits for it. */
     fun onMachineTerminated(name: String) {
         awaitedMachines.remove(name)
     }
 
-    /** Drops the machines that are accounted for by now; true once, at the first call that finds none left. */
+    /** Removes the machines that are accounted for by now. Returns true only on the first call that finds the failover complete. */
     fun checkCompletion(): Boolean {
         if (awaitedMachines.isNotEmpty()) awaitedMachines.values.removeIf(::isAccountedFor)
         if (isCompletionReported || awaitedMachines.isNotEmpty()) return false
@@ -44,8 +46,9 @@
     }
 
     /**
-     * A machine whose heartbeats reach its partition is accounted for once it has shown the fencing token, or once its lease has expired
-     * since its last answer; one without heartbeats, once the partition has had its owner for longer than a lease.
+     * Whether the leader knows which tasks may run on the machine. For a machine that sends heartbeats, this holds once the machine has
+     * shown the fencing token, or once its lease has expired since the last reply to it. For a machine without heartbeats, this holds
+     * once the current owner has had the partition for longer than a lease.
      */
     private fun isAccountedFor(machine: RecoveredMachine): Boolean {
         val partition = partitionOf(machine.partition) ?: return false
@@ -53,9 +56,14 @@
     }
 
     /**
-     * Machines without heartbeats that keep the failover from being complete although their partition has an owner: terminating them
-     * is the fastest proof that nothing runs on them. A few are terminated soon (spot instances are reclaimed at any time, so that a
-     * large deployment always has some that just went away), more of them later; where many are silent, the network is at fault.
+     * Returns the machines to terminate because they delay the failover: their partition has an owner, but they are not accounted for.
+     * Terminating them is the fastest proof that no task runs on them.
+     *
+     * If only a few machines are affected, they are terminated soon: spot machines are reclaimed at any time, so in a large deployment
+     * some have always just disappeared. A larger number is terminated later. If many machines are silent, the network is the likely
+     * cause, and none is terminated.
+     *
+     * @param registered the number of registered machines
      */
     fun machinesToFence(registered: Int): List<String> {
         if (awaitedMachines.isEmpty()) return emptyList()
@@ -68,7 +76,7 @@
         return awaitedMachines.values.filter { (partitionOf(it.partition)?.ownershipAgeUs ?: 0) > afterUs }.map { it.name }
     }
 
-    /** What may be in use on the machines of which nothing is known yet: each counts at its full size. */
+    /** Returns the total capacity of the machines that are not accounted for: any of it may be in use. */
     fun awaitedCapacity(capacityOf: (String) -> Resources?): Resources {
         var cores = 0.0
         var gpus = 0.0
--- a/src/main/kotlin/lichenstage/placement/Job.kt
+++ b/src/main/kotlin/lichenstage/placement/Job.kt
@@ -6,72 +6,80 @@
 import lichenstage.model.JobSpec
 import java.util.BitSet
 
-/** Whether the job has an open record. */
+/** The phase of a job: OPEN while it has an open record in the key-value store, then CLOSED. */
 enum class JobPhase { OPEN, CLOSED }
 
-/** An accepted job as the leader works on it. */
+/** The leader's state of one accepted job and its tasks. */
 class Job(
     val spec: JobSpec,
-    /** The create revision of its open record. */
+    /** The create revision of the job's open record. */
     val createRevision: Long,
-    /** When it was submitted, on this process's steady clock. */
+    /** The time of submission in microseconds, on this process's steady clock. */
     val submittedAtUs: Long,
 ) {
-    /** All of its dependencies are recorded as done. Until then it has nothing to place and counts for no limit. */
+    /** Whether all dependencies are recorded as done. Until then the job has no tasks to place and counts for no limit. */
     var isReady = spec.dependencies.isEmpty()
         private set
 
-    /** When it became ready: all its times but the deadline count from here. */
+    /** The time in microseconds when the job became ready. All times of its objectives except the deadline count from here. */
     var readyAtUs = submittedAtUs
         private set
 
-    /** All of its dependencies are recorded as done, since [atUs]. */
+    /** Marks the job as ready: all dependencies are recorded as done since [atUs]. */
     fun markReady(atUs: Long) {
         isReady = true
         readyAtUs = maxOf(atUs, submittedAtUs)
     }
 
     var phase = JobPhase.OPEN
+
+    /** Indices of the tasks that are done, recorded or not. */
     val doneTasks = BitSet()
 
-    /** The tasks of [doneTasks] that are recorded in the key-value store. */
+    /** Indices of the done tasks that are recorded as done in the key-value store. */
     val recordedTasks = BitSet()
 
-    /** A record of its done ranges is being written. */
+    /** Whether a record of ranges of done tasks is being written. */
     var isRangesWriteInFlight = false
 
-    /** The record of its completion is being written. */
+    /** Whether the record of the job's completion is being written. */
     var isCompletionWriteInFlight = false
 
-    /** Machines whose task lists have named a task of it. */
+    /** Names of the machines whose task lists have ever contained a task of this job. */
     val listedOnMachines = HashSet<String>()
 
-    /** Attempts that may be running, by task index. */
+    /** The attempts that may be running, by task index. */
     val liveAttempts = Int2ObjectLinkedOpenHashMap<Attempt>()
 
-    /** Indices of tasks that wait to be placed; empty until the job may be placed. */
+    /** Indices of the tasks that wait to be placed. Empty until the job is placeable. [nextPendingTask] skips outdated ones. */
     val pendingTasks = IntArrayList()
 
-    /** Its tasks have been queued: it is ready, and no earlier leader's attempts can be unknown any more. */
+    /** Whether the tasks were queued: the job is ready, and it has no unknown attempts of earlier leaders. */
     var isPlaceable = false
 
-    /** When one of its tasks was last placed and when one last began to run; 0 before that. */
+    /** The time in microseconds when a task was last placed; 0 before that. */
     var lastPlacedAtUs = 0L
+
+    /** The time in microseconds when a task last began to run; 0 before that. */
     var lastRunningAtUs = 0L
+
+    /** The time in microseconds until which no task of the job is placed, because tasks failed. */
     var backoffUntilUs = Long.MIN_VALUE
+
+    /** The number of attempts that failed under this leader. */
     var failureCount = 0
 
-    /** Progress that tasks have saved, as far as this leader knows. */
+    /** Saved progress by task index in microseconds of run time, as far as this leader knows. */
     private val savedProgressByTask = Int2LongOpenHashMap()
 
-    /** All progress that is saved of tasks that are not done. */
+    /** The total saved progress of all tasks that are not done, in microseconds of run time. */
     var totalSavedProgressUs = 0L
         private set
 
-    /** Progress that the task has saved. */
+    /** Returns the saved progress of a task in microseconds of run time. */
     fun savedProgressUs(index: Int) = savedProgressByTask.get(index)
 
-    /** The task has saved so much progress. */
+    /** Records that a task has saved [progressUs] of progress. Ignored if the task is done or has already saved as much. */
     fun recordSavedProgress(
         index: Int,
         progressUs: Long,
@@ -82,13 +90,13 @@
 
     private var doneCount = 0
 
-    /** Every task is done, recorded or not. */
+    /** Whether every task is done, recorded or not. */
     val allTasksDone get() = doneCount >= spec.tasks
 
-    /** How many tasks are not done. */
+    /** The number of tasks that are not done. */
     val remainingTasks get() = spec.tasks - doneCount
 
-    /** The task is done; false where that was known already. */
+    /** Marks a task as done. Returns false if it was done before. */
     fun markTaskDone(index: Int): Boolean {
         if (doneTasks.get(index)) return false
         doneTasks.set(index)
@@ -97,14 +105,14 @@
         return true
     }
 
-    /** Adds tasks that an earlier leader has recorded as done. */
+    /** Adds [tasks], the indices of tasks that an earlier leader has recorded as done. */
     fun restoreDoneTasks(tasks: BitSet) {
         doneTasks.or(tasks)
         recordedTasks.or(tasks)
         doneCount = doneTasks.cardinality()
     }
 
-    /** Fills the queue with every task that is neither done nor possibly on a machine. */
+    /** Fills the queue with all tasks that are not done and have no attempt that may be running. */
     fun enqueueTasks() {
         isPlaceable = true
         pendingTasks.clear()
@@ -116,7 +124,7 @@
         if (isPlaceable && phase == JobPhase.OPEN && !doneTasks.get(index)) pendingTasks.add(index)
     }
 
-    /** Removes and returns the next queued task that is not done and has no attempt, or -1 where there is none. */
+    /** Removes and returns the index of the next queued task that is not done and has no attempt; -1 if there is none. */
     fun nextPendingTask(): Int {
         while (!pendingTasks.isEmpty) {
             val index = pendingTasks.removeInt(pendingTasks.size - 1)
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -8,28 +8,31 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The leader's decisions: joins jobs ([JobTable]), partitions ([PartitionTable]), machines ([MachineDirectory]), attempts that may be
- * running ([AttemptTracker]), failover ([FailoverRecovery]), reconciliation ([MachineReconciler]), checkpoint stops
- * ([CheckpointStops]), rounds of requests ([RequestRounds]) and what is recorded as done ([CompletionRecorder]).
+ * The decision logic of the leader, without I/O or a clock of its own: callers pass events with the current time, and the decisions
+ * leave as [LeaderEffect]s.
  *
- * Plain code: events come in with the time, effects go out. A start goes out only for a task of which it is known that no other
- * attempt can be running, and within the limits counted over all that may be running (invariant 11). The work for a frame depends on
- * what it changes; what must look at everything is done once in [SWEEP_INTERVAL_US].
+ * The class connects the parts: jobs ([JobTable]), partitions ([PartitionTable]), machines ([MachineDirectory]), attempts that may be
+ * running ([AttemptTracker]), failover ([FailoverRecovery]), reconciliation ([MachineReconciler]), stops with a checkpoint
+ * ([CheckpointStops]), rounds of placement requests ([RequestRounds]) and the recording of completions ([CompletionRecorder]).
+ *
+ * The leader starts a task only if no other attempt of the task can be running. It stays within the team limits, which count all
+ * attempts that may be running (invariant 11). The cost of handling a frame depends on the changes in the frame; work that goes through
+ * all machines or attempts is done once per [SWEEP_INTERVAL_US].
  */
 class LeaderCore(
     leadership: LeaderTerm,
     private val settings: LeaderSettings,
     private val lookups: LeaderLookups,
-    /** Called for each attempt that ran and ended although its task is not done. */
+    /** Called when an attempt that has run ends before its task is done and the job is still open. */
     private val onAttemptInterrupted: (Attempt) -> Unit = {},
     emit: (LeaderEffect) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.placement")
 
-    /** The term of the leadership. */
+    /** The term of this leadership; it never changes. */
     val term = leadership.term
 
-    /** How long tasks really run, as completions show. */
+    /** Run time estimates, learned from the tasks that have completed. */
     val runTimes = RunTimeEstimates()
 
     private val partitionTable = PartitionTable(term, settings.assignment) { outbox.resetForNewOwner(it) }
@@ -52,7 +55,7 @@
     private val recovery = AttemptRecovery(partitionTable, jobTable, tracker, reconciler)
     private val rounds = requestRounds()
 
-    /** The machines, and what may run on them. */
+    /** The view of the machines and of the attempts on them for the registry, the fleet and drains. */
     val machines = LeaderMachines(directory, partitionTable, attempts, tracker, settings.assignment)
     private var lastSweepAtUs = Long.MIN_VALUE / 2
     private var totalCores = 0.0
@@ -105,16 +108,16 @@
         override fun onAttemptSuperseded(attempt: Attempt) = reconciler.reconcileMachineOf(attempt)
     }
 
-    /** Open jobs, and closed ones of which something may still run, by id. */
+    /** Open jobs, and closed jobs with attempts that may still be running, by job id. */
     val jobs: Map<String, Job> get() = jobTable.byId
 
-    /** What is known of each partition, by its name. */
+    /** The latest state of each partition that has sent a frame, by partition name. */
     val partitions: Map<String, PartitionState> get() = partitionTable.byId
 
-    /** Every registered machine is accounted for, so what isn't known to run doesn't (invariant 5). */
+    /** Whether every registered machine is accounted for. From then on, a task without a known attempt is not running (invariant 5). */
     val isFailoverComplete get() = failover.isComplete
 
-    /** Adds machines that were registered before this term: each has to be accounted for. */
+    /** Adds machines that were registered before this term. The failover completes only when each of them is accounted for. */
     fun addRecoveredMachines(machines: Collection<RecoveredMachine>) {
         directory.register(machines.associate { it.name to it.partition })
         machines.forEach {
@@ -123,26 +126,26 @@
         }
     }
 
-    /** These machines, each with its partition, have a record from now on. */
+    /** Handles the registration of [machines], a map from machine name to partition name. */
     fun onMachinesRegistered(machines: Map<String, String>) {
         directory.register(machines)
         rounds.markChanged()
         machines.forEach { (name, partition) -> recovery.recoverAttemptsOn(name, partition) }
     }
 
-    /** Requests that these attempts are stopped, with time to save a checkpoint where they can. */
+    /** Requests a stop of these attempts. Tasks that can save a checkpoint get the time to do so. */
     fun requestStops(attemptsToStop: Collection<Attempt>) = checkpointPreemption.requestStop(attemptsToStop)
 
-    /** How long an attempt is expected to go on, in microseconds. */
+    /** Returns the expected remaining run time of an attempt in microseconds. */
     fun remainingUs(
         attempt: Attempt,
         nowUs: Long,
     ) = checkpointPreemption.remainingUs(attempt, nowUs)
 
-    /** For display: done and running tasks of each open job. */
+    /** Returns the numbers of done and running tasks of each open job, for display to users. */
     fun taskCounts(): Map<String, List<Int>> = jobTable.taskCounts()
 
-    /** A job has been accepted, or was read from its record. */
+    /** Adds a job that was just accepted or was read from its record. Does nothing if the job is already present. */
     fun addJob(job: Job) {
         if (!jobTable.add(job)) return
         queue.jobAdded(job)
@@ -152,7 +155,7 @@
         if (job.allTasksDone) recorder.markUnrecorded(job, Long.MIN_VALUE / 2)
     }
 
-    /** All dependencies of the job are recorded as done, since [atUs]. */
+    /** Handles that all dependencies of the job are recorded as done since [atUs], and queues the tasks if they may be placed. */
     fun onJobReady(
         job: Job,
         atUs: Long,
@@ -164,10 +167,10 @@
         rounds.markChanged()
     }
 
-    /** When jobs with open dependencies are expected to be ready, as of [nowUs]. */
+    /** Returns a forecast, made at [nowUs], of when jobs with open dependencies will be ready. */
     fun expectedReadiness(nowUs: Long) = readiness.Snapshot(nowUs)
 
-    /** The record of the job was deleted: it is cancelled, or done by what an earlier leader wrote. */
+    /** Handles the deletion of the job's open record: the job was cancelled, or an earlier leader recorded its completion. */
     fun onJobClosed(id: String) {
         val job = jobs[id] ?: return
         if (job.phase == JobPhase.CLOSED) return
@@ -182,7 +185,7 @@
         jobTable.removeIfClosed(job)
     }
 
-    /** A frame of a partition's owner; ignored where it is older than what is known. */
+    /** Applies a frame of a partition's owner. A frame that [PartitionTable.acceptFrame] rejects, e.g. an outdated one, is ignored. */
     fun onPartitionFrame(
         frame: PartitionFrame,
         nowUs: Long,
@@ -212,7 +215,7 @@
         reconciler.reconcile(partition.id, machine)
     }
 
-    /** The cloud has confirmed the termination of the machine: all that ran there has ended. */
+    /** Handles the termination of a machine, confirmed by the cloud: every attempt on the machine has ended. */
     fun onMachineTerminated(name: String) {
         tracker.endLostAttempts(attempts.onMachine(name).toList())
         tracker.failedJobsByMachine.remove(name)
@@ -229,15 +232,15 @@
 
     private fun updateFailover() {
         if (!failover.checkCompletion()) return
-        log.info("Failover complete, every machine is accounted for term={} jobs={}", term, jobs.size)
+        log.info("Failover complete term={} jobs={}", term, jobs.size)
         jobTable.enqueueAllReady()
         rounds.markChanged()
     }
 
-    /** Machines whose termination would complete the failover. */
+    /** Returns the machines that should be terminated because the failover waits for them (see [FailoverRecovery.machinesToFence]). */
     fun machinesToFence() = failover.machinesToFence(directory.size)
 
-    /** Time has passed. */
+    /** Does the work that is due at [nowUs]: the sweep, rounds of placement requests, records and frames to partitions. */
     fun tick(nowUs: Long) {
         if (nowUs - lastSweepAtUs >= SWEEP_INTERVAL_US) sweep(nowUs)
         rounds.tick(nowUs) { queue.order(jobs.values, { totalCores }, nowUs) }
@@ -247,7 +250,10 @@
             .forEach { outbox.send(it, nowUs) }
     }
 
-    /** Looks at everything: leases expire with time alone, and a frame that was lost leaves no other trace. */
+    /**
+     * Checks all machines and attempts. No frame announces that a lease has expired or that an earlier frame was lost, so both are
+     * found here.
+     */
     private fun sweep(nowUs: Long) {
         lastSweepAtUs = nowUs
         tracker.updateTime(nowUs)
@@ -257,7 +263,10 @@
         outbox.setSaveCommands(checkpointStops.commandsByPartition(nowUs))
     }
 
-    /** The transaction with [deltas] is committed, where [ok]; workers may now forget these tasks (invariant 9). */
+    /**
+     * Handles the result of the transaction that records [deltas]. If [ok], the transaction is committed and the workers may clear these
+     * tasks (invariant 9).
+     */
     fun onRangesWritten(
         deltas: List<CompletionDelta>,
         ok: Boolean,
@@ -267,7 +276,7 @@
         if (ok) deltas.forEach { if (it.job.phase == JobPhase.OPEN) reconciler.reconcileMachinesOf(it.job) }
     }
 
-    /** The completion of the job is recorded. */
+    /** Handles that the job's completion is recorded: logs its times and closes the job. */
     fun onCompletionRecorded(
         job: Job,
         nowUs: Long,
@@ -285,7 +294,7 @@
         closeJob(job)
     }
 
-    /** The completion of the job could not be recorded. */
+    /** Handles a failed write of the job's completion: [CompletionRecorder] tries again. */
     fun onCompletionFailed(job: Job) {
         job.isCompletionWriteInFlight = false
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
@@ -3,7 +3,7 @@
 import lichenstage.cluster.MachineState
 import lichenstage.model.PartitionAssignment
 
-/** The machines as the leader knows them, for the parts that decide which machines there are: registry, fleet and drains. */
+/** The leader's view of the machines, for the components that add and remove machines: the registry, the fleet and drains. */
 class LeaderMachines internal constructor(
     private val directory: MachineDirectory,
     private val partitions: PartitionTable,
@@ -11,24 +11,24 @@
     private val tracker: AttemptTracker,
     private val assignment: PartitionAssignment,
 ) {
-    /** The machine has a record. */
+    /** Whether the machine has a record. */
     fun isRegistered(machine: String) = directory.isRegistered(machine)
 
-    /** The machine is proven to be terminated. */
+    /** Whether the machine is proven to be terminated. */
     fun isTerminated(machine: String) = directory.isTerminated(machine)
 
-    /** What is known of a machine, or null. */
+    /** Returns the latest state of a machine, or null if its partition (without a record: any partition) does not list the machine. */
     fun stateOf(machine: String): MachineState? {
         val partition = directory.partitionOf(machine) ?: return partitions.findMachine(machine)
         return partitions[partition]?.machines?.get(machine)
     }
 
-    /** The zone of a recorded machine, or null. */
+    /** Returns the zone of a machine, or null if the machine has no record. */
     fun zoneOf(machine: String): String? = directory.partitionOf(machine)?.let(assignment::zone)
 
     /**
-     * Machines without a record, each with its partition. Only those that have shown their partition's fencing token in this term: a
-     * late copy of a heartbeat must not bring back a machine that was terminated (invariant 4).
+     * Returns the machines that should get a record. Only machines that have shown their partition's fencing token in this term are
+     * included: a late copy of a heartbeat must not add a terminated machine again (invariant 4).
      */
     fun unregisteredMachines(): List<PartitionMachine> =
         partitions.machinesWhere {
@@ -36,26 +36,29 @@
                 !directory.isRegistered(it.name)
         }
 
-    /** Attempts that may be running on a machine. */
+    /** Returns the attempts that may be running on a machine. */
     fun attemptsOn(machine: String): Collection<Attempt> = attempts.onMachine(machine)
 
-    /** Jobs whose tasks failed on a machine: several point at the machine. */
+    /** Returns the ids of the jobs with tasks that failed on a machine. Failures of several jobs suggest a faulty machine. */
     fun failedJobsOn(machine: String): Set<String> = tracker.failedJobsByMachine[machine].orEmpty()
 
-    /** How many tasks of each team run. */
+    /** Returns the number of running tasks per team. Teams without running tasks are left out. */
     fun runningByTeam(): Map<String, Int> = attempts.runningByTeam()
 
-    /** These machines get no more tasks. */
+    /** Replaces the set of machines that get no more tasks. */
     fun setCordoned(machines: Set<String>) {
         directory.cordoned = machines
     }
 
-    /** These machines get one task at a time. */
+    /** Replaces the set of machines that get only one task at a time. */
     fun setOnProbation(machines: Set<String>) {
         directory.onProbation = machines
     }
 
-    /** These machines are cordoned for drains: only what those stop is stopped there. */
+    /**
+     * Replaces the set of machines that are cordoned for drains. On these machines, only the attempts that a drain has requested are
+     * stopped, unless there is a reclaim notice.
+     */
     fun setDrained(machines: Set<String>) {
         directory.drained = machines
     }
--- a/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
@@ -3,15 +3,15 @@
 import lichenstage.common.SECOND
 import lichenstage.common.withDrift
 
-/** What the leader may conclude of the tasks on a machine (invariant 3). */
+/** The basis on which the leader knows what may run on a machine (invariant 3). */
 internal enum class MachineKnowledge {
-    /** Nothing: it may run anything. */
+    /** The leader knows nothing: any task may be running on the machine. */
     UNKNOWN,
 
-    /** By its task list: it has shown its partition's fencing token, so what it does not list is not there. */
+    /** The task list is reliable: the machine has shown its partition's fencing token, so a task that it does not list is not there. */
     LISTED,
 
-    /** By time: its lease has run out, and its worker has killed all tasks. */
+    /** No task runs: the machine's lease has expired, so its worker has killed all tasks. */
     LEASE_EXPIRED,
     ;
 
@@ -19,8 +19,11 @@
         private const val NO_HEARTBEAT_MARGIN_US = 2 * SECOND
 
         /**
-         * Of a machine without heartbeats under its partition's owner it is the partition's age that counts: no answer of the owner has
-         * renewed its lease, and none of the owner before has since. The age is as of a whole frame, which leaves out no machine.
+         * Returns what the leader knows of the tasks on a machine.
+         *
+         * If the current owner of the partition has received no heartbeat of the machine, the age of the ownership decides: since it
+         * began, no reply of this or an earlier owner has renewed the machine's lease. The age comes from a final frame, and after a
+         * final frame no machine is missing from the partition's state.
          */
         fun of(
             machine: String,
--- a/src/main/kotlin/lichenstage/placement/MachineReconciler.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciler.kt
@@ -3,8 +3,8 @@
 import lichenstage.cluster.MachineState
 
 /**
- * Keeps, for each machine, what it still has to stop and to clear, and whether something runs on it that counts for no team. To be
- * compared again whenever the machine's task list or one of its jobs has changed.
+ * Updates the stops and clears that each machine needs, and whether tasks without a tracked attempt run on the machine. Callers
+ * reconcile a machine again whenever its task list or one of its jobs changes.
  */
 internal class MachineReconciler(
     private val partitions: PartitionTable,
@@ -13,7 +13,7 @@
     private val isRegistered: (String) -> Boolean,
     private val outbox: PartitionOutbox,
 ) {
-    /** Compares the machine's task list with the jobs. */
+    /** Compares the task list of [machine] with the jobs, and stores the resulting stops, clears and unaccounted use. */
     fun reconcile(
         partition: String,
         machine: MachineState,
@@ -23,12 +23,12 @@
         outbox.setStopsAndClears(partition, machine.name, result.stops, result.clears)
     }
 
-    /** Compares the task list of the machine on which an attempt is. */
+    /** Reconciles the machine of an attempt. */
     fun reconcileMachineOf(attempt: Attempt) {
         partitions[attempt.partition]?.machines?.get(attempt.machine)?.let { reconcile(attempt.partition, it) }
     }
 
-    /** What machines have to do changes with the phase of the job and with what is recorded of it. */
+    /** Reconciles all machines that have listed a task of [job]. Needed when the job's phase or its recorded tasks change. */
     fun reconcileMachinesOf(job: Job) {
         for (machine in job.listedOnMachines) {
             for ((id, partition) in partitions.byId) partition.machines[machine]?.let { reconcile(id, it) }
--- a/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
@@ -6,14 +6,14 @@
 import lichenstage.cluster.TaskPhase
 import lichenstage.cluster.TaskState
 
-/** What a machine still has to stop and to clear, and whether tasks run on it that count for no team. */
+/** The stops and clears that a machine needs, and whether it runs tasks that count for no team because no attempt tracks them. */
 internal class MachineReconciliation(
     val stops: List<AttemptOrder>,
     val clears: List<AttemptOrder>,
     val hasUnaccountedTasks: Boolean,
 ) {
     companion object {
-        /** Compares a machine's task list with the jobs. */
+        /** Compares the task list of a machine with [jobs], by job id. */
         fun of(
             machine: MachineState,
             jobs: Map<String, Job>,
@@ -32,7 +32,7 @@
                     if (!isTrackedAttempt || !isOpen(job)) stops += orderFor(machine, task)
                 }
             }
-            // A worker that has not shown the fencing token gets no orders.
+            // A worker that has not shown the fencing token gets no commands.
             return if (machine.tokenConfirmed) {
                 MachineReconciliation(
                     stops,
@@ -51,7 +51,7 @@
 
         private fun isOpen(job: Job?) = job != null && job.phase != JobPhase.CLOSED
 
-        /** The task is done and that is not recorded yet (invariant 9). */
+        /** Whether the machine must keep listing the task: the task is done, but this is not recorded yet (invariant 9). */
         private fun mustBeKept(
             task: TaskState,
             job: Job?,
--- a/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
@@ -8,22 +8,24 @@
 import lichenstage.common.MILLI
 import lichenstage.model.JobRequirements
 
-/** What a frame says beside requests and orders. */
+/** The leader's state that frames to a partition contain besides placement requests and commands. */
 internal interface OutboxSource {
-    /** Null before the first frame of the partition. */
+    /** Returns the state of a partition, or null before its first frame. */
     fun partition(id: String): PartitionState?
 
+    /** Returns the requirements of all jobs, by job id. */
     fun requirementsOfJobs(): Map<String, JobRequirements>
 
-    /** Addresses of the machines of a partition. */
+    /** Returns the addresses of the recorded machines of a partition, by machine name. */
     fun addresses(partition: String): Map<String, String>
 
+    /** Whether the partition must place no more tasks on the machine. */
     fun isExcludedFromPlacement(machine: String): Boolean
 }
 
 /**
- * The frames to each partition: their numbers, when one is due, and the stops, clears and saves that the next one takes along. A
- * frame goes out soon after something has come up, and as a heartbeat.
+ * Builds and sends the leader's frames to each partition. Keeps their sequence numbers, the time of the next frame, and the stops, clears
+ * and saves that it must contain. A frame is sent soon after something has changed, and otherwise at a regular interval as a sign of life.
  */
 internal class PartitionOutbox(
     private val term: Long,
@@ -37,23 +39,24 @@
     private val orders = TaskOrders()
     private val saves = HashMap<String, List<SaveOrder>>()
 
-    /** There is news for the partition: its next frame is due soon. */
+    /** Makes the next frame to the partition due soon, because there is something to send. */
     fun markDue(partition: String) {
         duePartitions += partition
     }
 
-    /** A new owner of the partition gets all orders anew. */
+    /** Handles a change of the partition's owner: the new owner receives all stops and clears again. */
     fun resetForNewOwner(partition: String) {
         orders.forget(partition)
         markDue(partition)
     }
 
+    /** Drops the stops and clears for a machine that was terminated. */
     fun removeMachine(
         partition: String,
         machine: String,
     ) = orders.forget(partition, machine)
 
-    /** What a machine has to stop and to clear now. */
+    /** Replaces the stops and clears that a machine needs. */
     fun setStopsAndClears(
         partition: String,
         machine: String,
@@ -63,13 +66,14 @@
         if (orders.set(partition, machine, stops, clears)) markDue(partition)
     }
 
-    /** Tasks that are to save, by partition, in place of those before. */
+    /** Replaces the commands to save a checkpoint and stop, by partition. They are sent with the next frame to each partition. */
     fun setSaveCommands(byPartition: Map<String, List<SaveOrder>>) {
         saves.clear()
         saves += byPartition
         duePartitions += byPartition.keys
     }
 
+    /** Whether a frame to the partition should be sent at [nowUs]. */
     fun isDue(
         partition: String,
         nowUs: Long,
@@ -78,7 +82,10 @@
         return (partition in duePartitions && sinceLastSentUs >= MIN_FRAME_INTERVAL_US) || sinceLastSentUs >= HEARTBEAT_INTERVAL_US
     }
 
-    /** Sends a frame to a partition, with the stops and clears that its machines still need. Returns its number. */
+    /**
+     * Sends a frame to partition [id] with the given requests, starts and releases, and with the stops, clears and saves that its machines
+     * still need. Returns the sequence number of the frame.
+     */
     fun send(
         id: String,
         nowUs: Long,
--- a/src/main/kotlin/lichenstage/placement/PartitionState.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionState.kt
@@ -2,37 +2,40 @@
 
 import lichenstage.cluster.MachineState
 
-/** A machine with the partition that it is in. */
+/** A machine and the name of its partition. */
 data class PartitionMachine(
     val partition: String,
     val machine: MachineState,
 )
 
-/** What the leader knows of one partition under one owner. */
+/** The leader's view of one partition under one owner. A new owner starts with an empty state. */
 class PartitionState(
-    /** The owner's term. */
+    /** The ownership term of the owner. */
     val term: Long,
 ) {
-    /** The version of the owner's state up to which all is known. */
+    /** The version of the owner's state up to which the leader has received every change. */
     var version = 0L
 
-    /** The number of the leader's frame of which, like of all before it, every effect is contained in what is known here. */
+    /** The highest sequence number of a leader's frame whose effects, with those of all earlier frames, are contained in this state. */
     var reflectedSeq = 0L
 
-    /** The number of the last of the leader's frames that the owner has received. */
+    /** The sequence number of the last leader's frame that the owner has received. */
     var receivedSeq = 0L
 
-    /** How long the owner has had the partition, as of its last whole frame: before one, a missing machine means nothing. */
+    /**
+     * How long the owner had owned the partition when it sent its last final frame, in microseconds. It is 0 before the first final
+     * frame: until then, a missing machine means nothing.
+     */
     var ownershipAgeUs = 0L
 
-    /** When the owner's last frame came. */
+    /** The time in microseconds when the last frame of the owner arrived. */
     var lastFrameAtUs = 0L
 
-    /** Its machines by name. */
+    /** The machines of the partition by name. */
     val machines = LinkedHashMap<String, MachineState>()
 }
 
-/** A partition by its name, with what is known of it. */
+/** The name and the state of a partition. */
 internal class PartitionRef(
     val id: String,
     val state: PartitionState,
--- a/src/main/kotlin/lichenstage/placement/PartitionSync.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionSync.kt
@@ -3,13 +3,20 @@
 import lichenstage.common.MILLI
 import lichenstage.common.SECOND
 
-/** What each partition has received beside requests and orders: the jobs and machines that were there, and which get no tasks. */
+/**
+ * Tracks which of the leader's state each partition has received besides placement requests and commands: the jobs and machines that
+ * already existed, and the cordoned machines.
+ */
 class PartitionSync {
     private val initialStateSeq = HashMap<String, Long>()
     private val lastSentCordoned = HashMap<String, Set<String>>()
     private val cordonedLastSentAtUs = HashMap<String, Long>()
 
-    /** The known jobs and machines are sent to a partition until it has acknowledged them; later jobs come with requests. */
+    /**
+     * Returns whether the owner of partition [id] has acknowledged the jobs and machines that existed when its first frame was sent.
+     * Every frame must contain them until then; the data of later jobs is sent with their requests. [seq] is the sequence number of the
+     * frame that is about to be sent.
+     */
     fun hasInitialState(
         id: String,
         partition: PartitionState?,
@@ -19,7 +26,10 @@
         return partition != null && partition.receivedSeq >= firstSeq
     }
 
-    /** The machines of a partition that get no tasks; null where that has not changed and was sent a short while ago. */
+    /**
+     * Returns the machines of partition [id] that get no more tasks, or null if the frame should not contain them: the set was sent a
+     * moment ago, or it has not changed and was sent recently.
+     */
     fun cordonedIfDue(
         id: String,
         partition: PartitionState?,
--- a/src/main/kotlin/lichenstage/placement/PartitionTable.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionTable.kt
@@ -5,21 +5,22 @@
 import lichenstage.common.MILLI
 import lichenstage.model.PartitionAssignment
 
-/** What the leader knows of each partition, brought up to date by the frames of their owners. */
+/** The leader's view of all partitions, updated from the frames of their owners. */
 internal class PartitionTable(
     private val term: Long,
     private val assignment: PartitionAssignment,
-    /** Called with the name of a partition before the first frame of a new owner counts. */
+    /** Called with the partition name before the first frame of a new owner is applied. */
     private val onOwnerChange: (String) -> Unit,
 ) {
-    /** What is known of each partition, by its name. */
+    /** The latest state of each partition that has sent a frame, by partition name. */
     val byId = HashMap<String, PartitionState>()
 
     operator fun get(partition: String): PartitionState? = byId[partition]
 
     /**
-     * The partition of a frame as of that frame, but for its machines. Null where the frame has to be ignored: it is for another term of
-     * leadership, of an earlier owner or older than what is known, or it builds on a version that is not known here.
+     * Applies a frame, except its machines, and returns the updated state of the partition. Returns null if the frame must be ignored:
+     * it is meant for another leadership term, comes from an earlier owner, is older than the current state, or contains changes since a
+     * version that the leader does not have.
      */
     fun acceptFrame(
         frame: PartitionFrame,
@@ -27,13 +28,14 @@
     ): PartitionState? {
         if (frame.leaderTerm != term || assignment.zone(frame.partition) == null) return null
         val partition = stateFor(frame) ?: return null
-        // A frame that builds on what was acknowledged never skips a change; one that does is of another time.
+        // The owner sends the changes since the version that the leader has acknowledged, so a frame that skips a change is outdated.
         if (frame.since > partition.version || frame.version < partition.version) return null
         if (frame.whole && frame.seq < partition.reflectedSeq) return null
         partition.version = frame.version
         partition.receivedSeq = frame.receivedSeq
         if (frame.whole) {
-            // Never by a piece (invariant 17): earlier versions count there what was sent in whole frames that were lost.
+            // A partial frame never raises these values (invariant 17): in earlier versions of the service, the number in a partial
+            // frame covers effects that were sent in final frames which got lost.
             partition.reflectedSeq = frame.seq
             partition.ownershipAgeUs = frame.ageUs
         }
@@ -49,13 +51,13 @@
         return PartitionState(frame.term).also { byId[frame.partition] = it }
     }
 
-    /** Partitions of which a frame came a short while ago. */
+    /** Returns the names of the partitions whose last frame is recent. */
     fun reachablePartitions(nowUs: Long): Set<String> = byId.filterValues { nowUs - it.lastFrameAtUs < REACHABLE_TIMEOUT_US }.keys
 
-    /** The machine in whichever partition has it, or null. */
+    /** Returns the state of a machine in any partition, or null if no partition lists it. */
     fun findMachine(name: String): MachineState? = byId.values.firstNotNullOfOrNull { it.machines[name] }
 
-    /** The machines for which [condition] holds, each with its partition. */
+    /** Returns the machines of all partitions that satisfy [condition]. */
     fun machinesWhere(condition: (MachineState) -> Boolean): List<PartitionMachine> =
         byId.flatMap { (id, partition) ->
             partition.machines.values
@@ -63,7 +65,7 @@
                 .map { PartitionMachine(id, it) }
         }
 
-    /** The cores of all machines that are not lost; [coresOf] gives those of a machine type. */
+    /** Returns the total number of cores of all machines that are not lost. [coresOf] returns the cores of a machine type. */
     fun totalCores(coresOf: (String) -> Double): Double =
         byId.values.sumOf { partition -> partition.machines.values.sumOf { if (it.lost) 0.0 else coresOf(it.typeName) } }
 
--- a/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
+++ b/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
@@ -4,7 +4,7 @@
 import lichenstage.config.Team
 import lichenstage.model.Resources
 
-/** Every attempt that may be running, and what the teams use by them (invariant 11). */
+/** All attempts that may be running, and the resources that each team uses through them (invariant 11). */
 class RunningAttempts(
     private val teams: Map<String, Team>,
 ) {
@@ -12,27 +12,27 @@
     private val usedCoresByTeam = HashMap<String, Double>()
     private val usedGpusByTeam = HashMap<String, Double>()
 
-    /** Attempts on a machine. */
+    /** Returns the attempts that may be running on a machine. */
     fun onMachine(machine: String): Collection<Attempt> = byMachine[machine] ?: emptyList()
 
-    /** All attempts. */
+    /** Returns all attempts that may be running. */
     fun all(): Sequence<Attempt> = byMachine.values.asSequence().flatten()
 
-    /** How many tasks of each team run. */
+    /** Returns the number of running tasks per team. Teams without running tasks are left out. */
     fun runningByTeam(): Map<String, Int> =
         all()
             .filter { it.phase == TaskPhase.RUNNING }
             .groupingBy { it.job.spec.team }
             .eachCount()
 
-    /** Counts an attempt from now on. */
+    /** Adds an attempt to its job, its machine and the use of its team. */
     fun track(attempt: Attempt) {
         attempt.job.liveAttempts.put(attempt.index, attempt)
         byMachine.getOrPut(attempt.machine) { LinkedHashSet() }.add(attempt)
         addUse(attempt, 1)
     }
 
-    /** The attempt counts no more. */
+    /** Removes an attempt from its job, its machine and the use of its team. */
     fun remove(attempt: Attempt) {
         attempt.job.liveAttempts.remove(attempt.index)
         byMachine[attempt.machine]?.let {
@@ -51,7 +51,10 @@
         usedGpusByTeam.merge(spec.team, sign * spec.resources.gpus, Double::plus)
     }
 
-    /** How many tasks of [resources] a team may still start, beside what is [planned] for it and what [unaccountedUse] may be using. */
+    /**
+     * Returns how many more tasks with these [resources] a team may start within its limits. [planned] resources and [unaccountedUse]
+     * count as used. Returns 0 for an unknown team.
+     */
     fun allowedTaskCount(
         team: String,
         resources: Resources,
@@ -65,6 +68,7 @@
     }
 
     companion object {
+        /** Resources of zero size. */
         val NO_RESOURCES = Resources(0.0, 0.0, 0.0)
     }
 }
--- a/src/main/kotlin/lichenstage/placement/UnaccountedUse.kt
+++ b/src/main/kotlin/lichenstage/placement/UnaccountedUse.kt
@@ -3,16 +3,18 @@
 import lichenstage.model.Resources
 
 /**
- * What may be in use without counting for a team: on machines that run tasks of jobs without record, and on machines that are not yet
- * accounted for. Each counts at its full capacity against the limit of every team (invariant 5).
+ * Resources that may be in use but count for no team, on two kinds of machines: those with tasks that no attempt tracks, e.g. tasks of
+ * jobs without a record, and those that are not yet accounted for after a failover. Each such machine counts with its full capacity
+ * against the limit of every team (invariant 5).
  */
 internal class UnaccountedUse(
     private val failover: FailoverRecovery,
     private val capacityOf: (String) -> Resources?,
 ) {
-    /** Machines with the names of their types. */
+    /** Type names of the machines with untracked tasks, by machine name. */
     private val typeNamesByMachine = HashMap<String, String>()
 
+    /** Sets whether tasks that count for no team run on the machine. */
     fun setUnaccounted(
         machine: String,
         typeName: String,
@@ -21,10 +23,12 @@
         if (isUnaccounted) typeNamesByMachine[machine] = typeName else typeNamesByMachine.remove(machine)
     }
 
+    /** Removes a machine that was terminated. */
     fun remove(machine: String) {
         typeNamesByMachine.remove(machine)
     }
 
+    /** Returns the total of all unaccounted resources. Cores and GPUs are unlimited if a machine type is unknown; memory is always 0. */
     fun total(): Resources {
         val awaited = failover.awaitedCapacity(capacityOf)
         var cores = awaited.cores
--- a/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
@@ -9,6 +9,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
+/** Which attempts are told to save a checkpoint and stop before their machine is terminated, and when. */
 class CheckpointPreemptionTest {
     private val preemption = CheckpointPreemption(RunTimeEstimates())
 
@@ -48,76 +49,81 @@
     ) = preemption.saveCommands("m", attempts.toList(), isDrained = false, nowS * SECOND)
 
     @Example
-    fun `on a machine that an operator drains only what was requested is stopped, also where it can't save`() {
+    fun `on a machine drained by an operator, only requested attempts are stopped, even if they cannot save a checkpoint`() {
         val long = running(job(runS = 120), sinceS = 1)
         val unsaved = running(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)
 
         fun drained(nowS: Long) = preemption.saveCommands("m", listOf(long, unsaved), isDrained = true, nowS * SECOND)
-        assertTrue(drained(40).isEmpty()) { "stopped beside the budget of its team" }
+        assertTrue(drained(40).isEmpty()) { "stopped outside the disruption budget of its team" }
         preemption.requestStop(listOf(unsaved))
-        assertTrue("m" in preemption.affectedMachines) { "nobody would ask" }
+        assertTrue("m" in preemption.affectedMachines) { "the machine is not among the affected machines" }
         assertEquals(listOf(SaveOrder("m", "j-1/1", 11, 0)), drained(41)) { "${drained(44)}" }
-        assertEquals(0L, unsaved.saveCommandedAtUs) { "its progress would count as saved" }
+        assertEquals(0L, unsaved.saveCommandedAtUs) { "its progress would wrongly count as saved" }
         preemption.requestStop(listOf(long))
-        assertTrue(drained(42).map { it.attempt } == listOf(10L) && long.saveCommandedAtUs > 0) { "not stopped with time to save" }
+        assertTrue(drained(42).map { it.attempt } == listOf(10L) && long.saveCommandedAtUs > 0) { "not stopped, or without time to save" }
         preemption.onAttemptEnded(unsaved)
         preemption.onAttemptEnded(long)
-        assertTrue(drained(60).isEmpty() && "m" !in preemption.affectedMachines) { "ordered after its end" }
+        assertTrue(drained(60).isEmpty() && "m" !in preemption.affectedMachines) { "a command was sent after the attempt had ended" }
     }
 
     @Example
-    fun `after a notice a task runs on for as long as it can still save, and the order is repeated`() {
+    fun `after a reclaim notice, a task runs as long as it can still save, and the command is repeated`() {
         val attempt = running(job(runS = 60), sinceS = 1)
         notice(leftS = 20, nowS = 10)
         assertTrue(saveCommands(15, attempt).isEmpty()) { "stopped with 15 s left" }
         val order = SaveOrder("m", "j-1/0", 10, 5 * SECOND)
         assertEquals(listOf(order), saveCommands(21, attempt)) { "not stopped with 9 s left" }
-        assertTrue(saveCommands(22, attempt).isEmpty()) { "repeated at once" }
-        assertEquals(listOf(order), saveCommands(24, attempt)) { "not repeated" }
+        assertTrue(saveCommands(22, attempt).isEmpty()) { "repeated after 1 s" }
+        assertEquals(listOf(order), saveCommands(24, attempt)) { "not repeated after 3 s" }
         attempt.phase = TaskPhase.SAVING
-        assertTrue(saveCommands(25, attempt).isEmpty()) { "stopped while it saves" }
+        assertTrue(saveCommands(25, attempt).isEmpty()) { "stopped again while it saves" }
     }
 
     @Example
-    fun `a notice that is told again later does not give more time`() {
+    fun `a repeated reclaim notice does not extend the deadline`() {
         val attempt = running(job(runS = 60), sinceS = 1)
         notice(leftS = 20, nowS = 10)
         notice(leftS = 20, nowS = 14)
-        assertTrue(saveCommands(21, attempt).isNotEmpty()) { "the notice was taken for a later one" }
+        assertTrue(saveCommands(21, attempt).isNotEmpty()) { "the repeated notice moved the deadline" }
     }
 
     @Example
-    fun `a task that ends by itself before, one that can't save and one with no time to save are left alone`() {
+    fun `a task that ends before the reclaim, cannot save or has no time left to save is not stopped`() {
         notice(leftS = 20, nowS = 10)
-        assertTrue(saveCommands(21, running(job(runS = 24), sinceS = 1)).isEmpty()) { "it ends in 4 s" }
-        assertTrue(saveCommands(21, running(job(runS = 60, checkpointS = 0), sinceS = 1)).isEmpty()) { "it can't save" }
-        assertTrue(saveCommands(26, running(job(runS = 60), sinceS = 1)).isEmpty()) { "4 s are too few for 4 s of saving" }
+        assertTrue(saveCommands(21, running(job(runS = 24), sinceS = 1)).isEmpty()) { "stopped although it ends in 4 s" }
+        assertTrue(saveCommands(21, running(job(runS = 60, checkpointS = 0), sinceS = 1)).isEmpty()) { "stopped although it cannot save" }
+        assertTrue(saveCommands(26, running(job(runS = 60), sinceS = 1)).isEmpty()) { "stopped with 4 s left, although saving takes 4 s" }
         val fetching = running(job(runS = 60), sinceS = 1).apply { phase = TaskPhase.FETCHING }
-        assertTrue(saveCommands(21, fetching).isEmpty()) { "it has nothing to save" }
+        assertTrue(saveCommands(21, fetching).isEmpty()) { "stopped while fetching, with nothing to save" }
     }
 
     @Example
-    fun `a draining machine is emptied only where nothing but long tasks that can save is left`() {
+    fun `a machine in scale-in is emptied only when all its tasks are long and can save`() {
         val long = running(job(runS = 120), sinceS = 1)
-        assertTrue(saveCommands(20, long).isEmpty()) { "its start would not count" }
+        assertTrue(saveCommands(20, long).isEmpty()) { "stopped so early that its start does not count for the objectives" }
         assertTrue(
             saveCommands(40, long, running(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)).isEmpty(),
-        ) { "the other holds it" }
-        assertTrue(saveCommands(40, long, running(job(runS = 50), sinceS = 1, index = 1)).isEmpty()) { "the other ends soon" }
-        assertEquals(listOf(10L), saveCommands(40, long).map { it.attempt }) { "not moved" }
+        ) { "stopped although the other task cannot save" }
+        assertTrue(
+            saveCommands(40, long, running(job(runS = 50), sinceS = 1, index = 1)).isEmpty(),
+        ) { "stopped although the other task ends soon" }
+        assertEquals(listOf(10L), saveCommands(40, long).map { it.attempt }) { "not stopped" }
     }
 
     @Example
-    fun `progress that was saved counts as done until the task is`() {
+    fun `saved progress counts until the task is done`() {
         val job = job(runS = 60)
         job.recordSavedProgress(0, 30 * SECOND)
         job.recordSavedProgress(0, 20 * SECOND)
         job.recordSavedProgress(1, 5 * SECOND)
         assertEquals(35 * SECOND, job.totalSavedProgressUs) { "${job.totalSavedProgressUs}" }
-        assertEquals(35 * SECOND, running(job, sinceS = 10).progressUs(15 * SECOND)) { "an attempt goes on from there" }
+        assertEquals(
+            35 * SECOND,
+            running(job, sinceS = 10).progressUs(15 * SECOND),
+        ) { "the attempt does not continue from the saved progress" }
         job.markTaskDone(0)
         assertEquals(5 * SECOND, job.totalSavedProgressUs) { "${job.totalSavedProgressUs}" }
         job.recordSavedProgress(0, 50 * SECOND)
-        assertEquals(5 * SECOND, job.totalSavedProgressUs) { "what is done has nothing saved" }
+        assertEquals(5 * SECOND, job.totalSavedProgressUs) { "a done task still has saved progress" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
@@ -12,33 +12,35 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** What the leader alone must keep. */
+/** Failover, recovery of attempts and the handling of frames by the leader, without rounds of placement requests. */
 class LeaderCoreTest : LeaderFixture() {
     @Example
-    fun `when a registered machine is not accounted for then older jobs wait and those of this term do not`() {
+    fun `while a registered machine is not accounted for, jobs of earlier terms wait`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1", "m2"))
         leader.addJob(job("j-1", createRevision = 50))
         leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1")), SECOND)
         leader.tick(2 * SECOND)
-        assertTrue(framesTo("z").none { it.requests.isNotEmpty() }) { "asked while m2 was not accounted for" }
+        assertTrue(framesTo("z").none { it.requests.isNotEmpty() }) { "requests were sent while m2 was not accounted for" }
         leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1"), machineState("m2")), 3 * SECOND)
         leader.tick(3 * SECOND)
-        assertEquals("j-1", lastRequestFrame().requests.single().job) { "not asked" }
+        assertEquals("j-1", lastRequestFrame().requests.single().job) { "no request after the failover" }
     }
 
     @Example
-    fun `while a machine is not accounted for it counts at its full size against a limited team`() {
+    fun `a machine that is not accounted for counts with its full capacity against the limit of a team`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1", "m2"))
         leader.addJob(job("j-2", createRevision = 101))
         leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1")), SECOND)
         leader.tick(2 * SECOND)
-        assertTrue(framesTo("z").none { it.requests.isNotEmpty() }) { "16 unheard cores leave nothing of a limit of 8" }
+        assertTrue(
+            framesTo("z").none { it.requests.isNotEmpty() },
+        ) { "requests were sent although 16 unaccounted cores exceed the limit of 8" }
     }
 
     @Example
-    fun `a machine without heartbeats is accounted for once its lease has expired, and delays the failover until then`() {
+    fun `a machine without heartbeats delays the failover until its lease has expired`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.addJob(job("j-1"))
@@ -47,36 +49,36 @@
             "${leader.isFailoverComplete} ${leader.machinesToFence()}"
         }
         leader.onPartitionFrame(partitionFrame("z", 0, ageUs = 23 * SECOND), 3 * SECOND)
-        assertTrue(leader.isFailoverComplete) { "still waiting" }
+        assertTrue(leader.isFailoverComplete) { "the failover is not complete" }
     }
 
     @Example
-    fun `a machine that was answered but has not shown the fencing token is not accounted for by time`() {
+    fun `a machine that sends heartbeats without a confirmed fencing token is not accounted for until it is lost`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.addJob(job("j-1"))
         leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1", tokenConfirmed = false), ageUs = 60 * SECOND), SECOND)
-        assertFalse(leader.isFailoverComplete) { "an answer may have renewed its lease" }
+        assertFalse(leader.isFailoverComplete) { "complete although a reply may have renewed the lease of m1" }
         leader.onPartitionFrame(
             partitionFrame("z", 0, machineState("m1", tokenConfirmed = false, lost = true), ageUs = 61 * SECOND),
             2 * SECOND,
         )
-        assertTrue(leader.isFailoverComplete) { "still waiting" }
+        assertTrue(leader.isFailoverComplete) { "the failover is not complete" }
     }
 
     @Example
-    fun `nothing is concluded from a frame that leaves machines out`() {
+    fun `a machine that is missing from a partial frame is not accounted for`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1", "m2"))
         leader.addJob(job("j-1"))
         leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1"), ageUs = 60 * SECOND, isFinal = false), SECOND)
-        assertFalse(leader.isFailoverComplete) { "m2 may be in the next piece" }
+        assertFalse(leader.isFailoverComplete) { "complete although m2 may be in the next frame" }
         leader.onPartitionFrame(partitionFrame("z", 0, ageUs = 60 * SECOND), 2 * SECOND)
-        assertTrue(leader.isFailoverComplete) { "still waiting" }
+        assertTrue(leader.isFailoverComplete) { "the failover is not complete" }
     }
 
     @Example
-    fun `only a machine that has shown the fencing token is to be recorded, and one that was terminated never again`() {
+    fun `only machines with a confirmed fencing token are to be registered, and terminated machines never again`() {
         val leader = leader()
         leader.onPartitionFrame(
             partitionFrame("z", 0, machineState("m1"), machineState("m2", tokenConfirmed = false), machineState("m3")),
@@ -91,7 +93,7 @@
     }
 
     @Example
-    fun `attempts on a terminated machine do not count in place of those that run elsewhere`() {
+    fun `attempts on a terminated machine do not replace the attempts that run elsewhere`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.addJob(job("j-1"))
@@ -100,21 +102,24 @@
             partitionFrame("z", 0, unregisteredMachine, machineState("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING))),
             SECOND,
         )
-        assertTrue(leader.machines.attemptsOn("ghost").isEmpty()) { "adopted" }
+        assertTrue(leader.machines.attemptsOn("ghost").isEmpty()) { "the attempt on the machine without a record is tracked" }
         assertEquals(
             4L,
             leader.machines
                 .attemptsOn("m1")
                 .single()
                 .number,
-        ) { "the real one is not known" }
+        ) { "the running attempt on m1 is not tracked" }
         leader.tick(SECOND)
-        assertTrue(framesTo("z").flatMap { it.stops }.none { it.machine == "m1" }) { "the real one was stopped" }
+        assertTrue(framesTo("z").flatMap { it.stops }.none { it.machine == "m1" }) { "the running attempt on m1 was stopped" }
     }
 
-    /** Found by an own day of concurrent faults: a machine was given back a second before the leader ended, and was still in the record. */
+    /**
+     * Guards against tracking the older of two listed attempts. Found in a simulation of concurrent faults: a machine was terminated a
+     * second before the leader ended, so the machine was still in the record and the next leader found its attempt.
+     */
     @Example
-    fun `when two attempts of a task are listed then the newer counts, in whatever order they are found`() {
+    fun `when two attempts of a task are listed, the newer is tracked and the older stopped, in either order`() {
         for (newerFirst in listOf(false, true)) {
             effects.clear()
             val leader = leader()
@@ -126,14 +131,14 @@
                     machineState("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING)),
                 )
             leader.onPartitionFrame(partitionFrame("z", 0, *(if (newerFirst) views.reversed() else views).toTypedArray()), SECOND)
-            assertTrue(leader.machines.attemptsOn("back").isEmpty()) { "the older is still counted" }
+            assertTrue(leader.machines.attemptsOn("back").isEmpty()) { "the older attempt is still tracked" }
             assertEquals(
                 4L,
                 leader.machines
                     .attemptsOn("m1")
                     .single()
                     .number,
-            ) { "the newer is not known" }
+            ) { "the newer attempt is not tracked" }
             leader.tick(SECOND)
             assertEquals(listOf("back"), framesTo("z").flatMap { it.stops }.map { it.machine }) { "${framesTo("z").flatMap { it.stops }}" }
             leader.onPartitionFrame(partitionFrame("z", 0, machineState("back", lost = true)), 2 * SECOND)
@@ -142,21 +147,21 @@
             assertEquals(
                 1,
                 lastRequestFrame().requests.single().count,
-            ) { "more than the other task is asked for: ${lastRequestFrame().requests}" }
+            ) { "requests for more than the one remaining task: ${lastRequestFrame().requests}" }
         }
     }
 
     @Example
-    fun `a late frame that names a machine without record does not delay the failover`() {
+    fun `a late frame that names a machine without a record does not delay the failover`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.addJob(job("j-1"))
         leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1"), machineState("ghost", tokenConfirmed = false)), SECOND)
-        assertTrue(leader.isFailoverComplete) { "waiting for a machine that is gone" }
+        assertTrue(leader.isFailoverComplete) { "the failover waits for a machine without a record" }
     }
 
     @Example
-    fun `tasks that are found running are tracked and not started again`() {
+    fun `tasks found running after a leader change are tracked and not started again`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.addJob(job("j-1"))
@@ -166,18 +171,21 @@
     }
 
     @Example
-    fun `tasks whose job has no record count at the size of their machine`() {
+    fun `tasks of a job without a record count with the full capacity of their machine`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.addJob(job("j-2"))
         leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1", TaskState("j-9/0", 3, TaskPhase.RUNNING))), SECOND)
         leader.tick(SECOND)
-        assertTrue(framesTo("z").none { it.requests.isNotEmpty() }) { "a stranger's cores were given away" }
+        assertTrue(framesTo("z").none { it.requests.isNotEmpty() }) { "requests were sent for cores that an unknown task may use" }
     }
 
-    /** Counted, not timed: [capacityLookups] are questions for a machine's size, of which whoever goes through all machines asks one each. */
+    /**
+     * Guards against work that goes through all machines on every frame. The cost is counted instead of timed: code that goes through all
+     * machines looks up the capacity of each, which increments `capacityLookups`.
+     */
     @Example
-    fun `the cost of a frame depends on what it changes, also during a failover of hundreds of machines`() {
+    fun `the cost of a frame depends on its changes, even during a failover of hundreds of machines`() {
         for (machines in listOf(400, 1600)) {
             var capacityLookups = 0
             val leader =
@@ -198,15 +206,20 @@
                     SECOND,
                 )
             }
-            assertTrue(leader.isFailoverComplete && capacityLookups == 0) { "$capacityLookups lookups at $machines machines in a takeover" }
+            assertTrue(
+                leader.isFailoverComplete && capacityLookups == 0,
+            ) { "$capacityLookups lookups with $machines machines during the failover" }
             leader.tick(SECOND)
             val before = capacityLookups
-            assertTrue(before <= machines + 10) { "$before lookups at $machines machines in the first turn" }
+            assertTrue(before <= machines + 10) { "$before lookups with $machines machines in the first tick" }
             repeat(20) {
                 leader.onPartitionFrame(partitionFrame("z", 0, machineState("m$it")), SECOND + it * 10_000)
                 leader.tick(SECOND + it * 10_000)
             }
-            assertEquals(before, capacityLookups) { "${capacityLookups - before} lookups at $machines machines for 20 frames of one" }
+            assertEquals(
+                before,
+                capacityLookups,
+            ) { "${capacityLookups - before} lookups with $machines machines for 20 frames of one machine each" }
         }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -14,7 +14,7 @@
 import lichenstage.model.Resources
 import org.junit.jupiter.api.Assertions.assertEquals
 
-/** A leader, the partitions that it hears, and what it asks of the outside, for tests. */
+/** Base class of tests that run a [LeaderCore]: builds its inputs and collects its effects. */
 abstract class LeaderFixture {
     protected val effects = ArrayList<LeaderEffect>()
     protected val teams = mapOf("red" to Team("red", 0.0, 8.0, 0.0, Double.POSITIVE_INFINITY))
@@ -98,7 +98,7 @@
 
     protected fun recoveredMachines(vararg names: String) = names.map { RecoveredMachine(it, "z/0", "t", null) }
 
-    /** Brings all tasks of a job, two where none is given, on m1 in partition z. */
+    /** Returns a leader that has sent starts for all tasks of [job] (by default a job of two tasks) to machine m1 in partition z/0. */
     protected fun leaderWithPlacedJob(job: Job = job("j-1")): LeaderCore {
         val leader = leader()
         leader.onMachinesRegistered(mapOf("m1" to "z/0"))
--- a/src/test/kotlin/lichenstage/placement/MachineDirectoryTest.kt
+++ b/src/test/kotlin/lichenstage/placement/MachineDirectoryTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Which machines may get tasks, and how many. */
+/** Which machines may get tasks, and how many at a time. */
 class MachineDirectoryTest {
     private val directory = MachineDirectory().apply { register(mapOf("m1" to "z/0", "m2" to "y/0")) }
 
@@ -30,18 +30,18 @@
     }
 
     @Example
-    fun `a retired machine is never recorded again`() {
+    fun `a terminated machine is never registered again`() {
         directory.setAddress("m1", "10.0.0.1:1")
         directory.markTerminated("m1")
         directory.register(mapOf("m1" to "z/0"))
-        assertFalse(directory.isRegistered("m1")) { "brought back" }
-        assertTrue(directory.isTerminated("m1")) { "forgotten" }
+        assertFalse(directory.isRegistered("m1")) { "registered again" }
+        assertTrue(directory.isTerminated("m1")) { "not marked as terminated" }
         assertNull(directory.partitionOf("m1"))
-        assertTrue(directory.addressesIn("z/0").isEmpty()) { "address kept" }
+        assertTrue(directory.addressesIn("z/0").isEmpty()) { "address not removed" }
     }
 
     @Example
-    fun `addresses are those of the recorded machines of the partition`() {
+    fun `addresses contain only the recorded machines of the partition`() {
         directory.setAddress("m1", "10.0.0.1:1")
         directory.setAddress("m2", "10.0.0.2:1")
         directory.setAddress("m3", "10.0.0.3:1")
--- a/src/test/kotlin/lichenstage/placement/MachineReconciliationTest.kt
+++ b/src/test/kotlin/lichenstage/placement/MachineReconciliationTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** What a machine has to stop and to clear, by its task list. */
+/** Which stops and clears a machine needs according to its task list, and when its use is unaccounted for. */
 class MachineReconciliationTest : LeaderFixture() {
     private val job = job("j-1")
     private val jobs = mapOf("j-1" to job)
@@ -18,47 +18,47 @@
     ) = job.liveAttempts.put(index, Attempt(job, index, number, "m1", "z/0"))
 
     @Example
-    fun `an attempt that is tracked on its machine is left alone`() {
+    fun `an attempt that is tracked on its machine is neither stopped nor cleared`() {
         track(0, 3)
         val result = MachineReconciliation.of(machineState("m1", TaskState("j-1/0", 3, TaskPhase.RUNNING)), jobs)
         assertTrue(result.stops.isEmpty() && result.clears.isEmpty() && !result.hasUnaccountedTasks) { "$result" }
     }
 
     @Example
-    fun `an attempt of a closed job is stopped but counts for its team`() {
+    fun `an attempt of a closed job is stopped and still counts for its team`() {
         track(0, 3)
         job.phase = JobPhase.CLOSED
         val result = MachineReconciliation.of(machineState("m1", TaskState("j-1/0", 3, TaskPhase.RUNNING)), jobs)
         assertEquals(listOf(3L), result.stops.map { it.attempt })
-        assertFalse(result.hasUnaccountedTasks) { "it counts for its job" }
+        assertFalse(result.hasUnaccountedTasks) { "a tracked attempt is unaccounted for" }
     }
 
     @Example
-    fun `what is not tracked is stopped and unaccounted for`() {
+    fun `an attempt that is not tracked is stopped and unaccounted for`() {
         track(0, 4)
         val others = arrayOf(TaskState("j-1/0", 3, TaskPhase.RUNNING), TaskState("j-9/0", 1, TaskPhase.RUNNING))
         val result = MachineReconciliation.of(machineState("m1", *others), jobs)
         assertEquals(listOf(3L, 1L), result.stops.map { it.attempt })
-        assertTrue(result.hasUnaccountedTasks) { "counts for nobody" }
+        assertTrue(result.hasUnaccountedTasks) { "untracked attempts are not reported as unaccounted for" }
     }
 
     @Example
-    fun `a done task is cleared only once it is recorded (invariant 9)`() {
+    fun `a done task is cleared only after it is recorded (invariant 9)`() {
         val machine = machineState("m1", TaskState("j-1/0", 3, TaskPhase.ENDED, "done"))
         job.markTaskDone(0)
-        assertTrue(MachineReconciliation.of(machine, jobs).clears.isEmpty()) { "cleared before it is recorded" }
+        assertTrue(MachineReconciliation.of(machine, jobs).clears.isEmpty()) { "cleared before the task was recorded" }
         job.recordedTasks.set(0)
         assertEquals(listOf(3L), MachineReconciliation.of(machine, jobs).clears.map { it.attempt })
     }
 
     @Example
-    fun `a machine that has not shown the fencing token gets no orders, and what runs there is unaccounted for`() {
+    fun `a machine without a confirmed fencing token gets no commands, and its tasks are unaccounted for`() {
         val result = MachineReconciliation.of(machineState("m1", TaskState("j-9/0", 1, TaskPhase.RUNNING), tokenConfirmed = false), jobs)
         assertTrue(result.stops.isEmpty() && result.clears.isEmpty() && result.hasUnaccountedTasks) { "$result" }
     }
 
     @Example
-    fun `a lost machine gets no orders and runs nothing`() {
+    fun `a lost machine gets no commands and has no unaccounted tasks`() {
         val result = MachineReconciliation.of(machineState("m1", TaskState("j-9/0", 1, TaskPhase.RUNNING), lost = true), jobs)
         assertTrue(result.stops.isEmpty() && result.clears.isEmpty() && !result.hasUnaccountedTasks) { "$result" }
     }
--- a/src/test/kotlin/lichenstage/placement/TestJobs.kt
+++ b/src/test/kotlin/lichenstage/placement/TestJobs.kt
@@ -5,7 +5,7 @@
 import lichenstage.model.Priority
 import lichenstage.model.Resources
 
-/** A job of one-core tasks, for tests of the order of jobs. */
+/** Returns the spec of a job `j-NUMBER` whose tasks need one core each. */
 internal fun oneCoreSpec(
     number: Int,
     jobClass: String,
