--- a/src/main/kotlin/lichenstage/placement/Attempt.kt
+++ b/src/main/kotlin/lichenstage/placement/Attempt.kt
@@ -23,14 +23,17 @@
     /** The name of the task in the worker protocol. */
     val task get() = taskName(job.spec.id, index)
 
-    /** The time in microseconds when the machine first listed the attempt as running; 0 before that. */
-    var firstRunningAtUs = 0L
+    /**
+     * The time in microseconds when the listed phase changed to running; 0 before that. It stays 0 for an attempt that was already running
+     * when this leader recovered it.
+     */
+    var startedRunningAtUs = 0L
 
     /** The time in microseconds of the first command to save a checkpoint and stop; 0 if there was none. */
     var saveCommandedAtUs = 0L
 
     /** Returns the progress of the task at [nowUs] in microseconds of run time, including the checkpoints of earlier attempts. */
-    fun progressUs(nowUs: Long) = job.savedProgressUs(index) + if (firstRunningAtUs > 0) nowUs - firstRunningAtUs else 0
+    fun progressUs(nowUs: Long) = job.savedProgressUs(index) + if (startedRunningAtUs > 0) nowUs - startedRunningAtUs else 0
 }
 
 /** Returns the name of a task in the worker protocol: the job id and the task index, e.g. `j-1/0`. */
--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -36,7 +36,7 @@
     /** Ids of the jobs with tasks that failed, by machine name. Failures of several jobs on one machine suggest a faulty machine. */
     val failedJobsByMachine = HashMap<String, HashSet<String>>()
 
-    /** The time at which a lost attempt counts as ended. It determines how much progress periodic checkpoints have kept. */
+    /** The time in microseconds at which an attempt that is found to be lost counts as ended; decides up to when checkpoints count. */
     private var currentTimeUs = 0L
 
     /** Sets the time at which attempts that are lost from now on count as ended. */
@@ -70,7 +70,7 @@
         nowUs: Long,
     ) {
         if (attempt.phase != phase && phase == TaskPhase.RUNNING) {
-            attempt.firstRunningAtUs = nowUs
+            attempt.startedRunningAtUs = nowUs
             attempt.job.lastRunningAtUs = nowUs
         }
         attempt.phase = phase
@@ -85,7 +85,7 @@
         nowUs: Long,
     ) {
         if (task.cause == TaskEndCause.DONE) {
-            val ranUs = attempt?.takeIf { it.firstRunningAtUs > 0 }?.progressUs(nowUs)
+            val ranUs = attempt?.takeIf { it.startedRunningAtUs > 0 }?.progressUs(nowUs)
             if (job.markTaskDone(task.index)) {
                 if (ranUs != null) runTimes.recordCompletion(job.spec, ranUs)
                 listener.onTaskDone(job, nowUs)
--- a/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
@@ -18,20 +18,20 @@
     private val runTimes: RunTimeEstimates,
 ) {
     /** The time in microseconds at which a spot machine with a reclaim notice is reclaimed at the latest, by machine name. */
-    private val reclaimDeadlineUs = HashMap<String, Long>()
+    private val reclaimDeadlinesUs = HashMap<String, Long>()
 
     /** The time in microseconds when the stop of an attempt was last sent, by attempt number. */
     private val lastSentAtUs = HashMap<Long, Long>()
 
     /** Attempts whose stop a drain has requested, by attempt number. They may be unable to save a checkpoint. */
-    private val requestedStops = LinkedHashMap<Long, Attempt>()
+    private val stopRequests = LinkedHashMap<Long, Attempt>()
 
     /** Names of the machines that have a reclaim notice or an attempt that a drain has asked to stop. */
     val affectedMachines: Set<String>
-        get() = if (requestedStops.isEmpty()) reclaimDeadlineUs.keys else reclaimDeadlineUs.keys + requestedStops.values.map { it.machine }
+        get() = if (stopRequests.isEmpty()) reclaimDeadlinesUs.keys else reclaimDeadlinesUs.keys + stopRequests.values.map { it.machine }
 
     /** Requests the stop of [attempts] for a drain. Tasks that can save a checkpoint get the time to do so. */
-    fun requestStop(attempts: Collection<Attempt>) = attempts.forEach { requestedStops[it.number] = it }
+    fun requestStops(attempts: Collection<Attempt>) = attempts.forEach { stopRequests[it.number] = it }
 
     /**
      * Records the reclaim notice of a machine, if its state at [nowUs] contains one. The notice may be older than the frame but never
@@ -42,12 +42,12 @@
         nowUs: Long,
     ) {
         val leftUs = machine.recallUs ?: return
-        reclaimDeadlineUs.merge(machine.name, nowUs + leftUs, ::minOf)
+        reclaimDeadlinesUs.merge(machine.name, nowUs + leftUs, ::minOf)
     }
 
     /** Handles the proven termination of a machine. */
     fun onMachineTerminated(machine: String) {
-        reclaimDeadlineUs.remove(machine)
+        reclaimDeadlinesUs.remove(machine)
     }
 
     /**
@@ -61,14 +61,14 @@
         isDrained: Boolean,
         nowUs: Long,
     ): List<SaveOrder> {
-        val reclaimDeadlineUs = reclaimDeadlineUs[machine]
+        val reclaimDeadlineUs = reclaimDeadlinesUs[machine]
         val preempted =
             when {
                 reclaimDeadlineUs != null -> selectBeforeReclaim(attempts, reclaimDeadlineUs - nowUs, nowUs)
                 isDrained -> emptyList()
                 else -> selectForScaleIn(attempts, nowUs)
             }
-        val requestedOnMachine = attempts.filter { it.number in requestedStops && it.phase == TaskPhase.RUNNING }
+        val requestedOnMachine = attempts.filter { it.number in stopRequests && it.phase == TaskPhase.RUNNING }
         return (preempted + requestedOnMachine)
             .distinct()
             .filter {
@@ -97,7 +97,7 @@
     private fun isWorthMoving(
         attempt: Attempt,
         nowUs: Long,
-    ) = canSave(attempt) && attempt.firstRunningAtUs > 0 && nowUs - attempt.firstRunningAtUs >= MIN_RUN_US &&
+    ) = canSave(attempt) && attempt.startedRunningAtUs > 0 && nowUs - attempt.startedRunningAtUs >= MIN_RUN_US &&
         remainingUs(attempt, nowUs) > attempt.job.spec.checkpointSaveUs + MOVE_COST_US
 
     private fun canSave(attempt: Attempt) = savesCheckpoints(attempt) && attempt.phase == TaskPhase.RUNNING
@@ -137,7 +137,7 @@
     /** Handles the end of an attempt: its stop is no longer needed. */
     fun onAttemptEnded(attempt: Attempt) {
         lastSentAtUs.remove(attempt.number)
-        requestedStops.remove(attempt.number)
+        stopRequests.remove(attempt.number)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/FailoverRecovery.kt
+++ b/src/main/kotlin/lichenstage/placement/FailoverRecovery.kt
@@ -88,9 +88,14 @@
     }
 
     private companion object {
+        /** Up to this number, or one in [FEW_DIVISOR] registered machines, count as a few. */
         const val FEW_MACHINES = 2
         const val FEW_DIVISOR = 50
+
+        /** More than one in this number of registered machines count as many. */
         const val SOME_DIVISOR = 16
+
+        /** Age of the partition's ownership after which a few machines, or a larger number of them, are terminated. */
         const val FENCE_FEW_AFTER_US = 5 * SECOND / 2
         const val FENCE_SOME_AFTER_US = 6 * SECOND
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -53,14 +53,14 @@
         AttemptTracker(settings.workerLeaseUs, attempts, runTimes, checkpointPreemption, directory::isRegistered, AttemptEvents())
     private val checkpointStops = CheckpointStops(checkpointPreemption, directory, attempts)
     private val recovery = AttemptRecovery(partitionTable, jobTable, tracker, reconciler)
-    private val rounds = requestRounds()
+    private val rounds = createRequestRounds()
 
     /** The view of the machines and of the attempts on them for the registry, the fleet and drains. */
     val machines = LeaderMachines(directory, partitionTable, attempts, tracker, settings.assignment)
     private var lastSweepAtUs = Long.MIN_VALUE / 2
     private var totalCores = 0.0
 
-    private fun requestRounds(): RequestRounds {
+    private fun createRequestRounds(): RequestRounds {
         val zones = ZoneConstraints(settings.assignment)
         val planner = RequestPlanner(settings.placement, settings.objectives, runTimes, zones, lookups.fetchUs)
         return RequestRounds(term, settings.assignment, settings.placement, planner, zones, attempts, outbox, RoundView())
@@ -100,7 +100,7 @@
         override fun onAttemptEnded(attempt: Attempt) {
             rounds.markChanged()
             val job = attempt.job
-            val hasRun = attempt.firstRunningAtUs > 0
+            val hasRun = attempt.startedRunningAtUs > 0
             if (hasRun && job.phase == JobPhase.OPEN && !job.doneTasks.get(attempt.index)) onAttemptInterrupted(attempt)
             jobTable.removeIfClosed(job)
         }
@@ -134,7 +134,7 @@
     }
 
     /** Requests a stop of these attempts. Tasks that can save a checkpoint get the time to do so. */
-    fun requestStops(attemptsToStop: Collection<Attempt>) = checkpointPreemption.requestStop(attemptsToStop)
+    fun requestStops(attemptsToStop: Collection<Attempt>) = checkpointPreemption.requestStops(attemptsToStop)
 
     /** Returns the expected remaining run time of an attempt in microseconds. */
     fun remainingUs(
@@ -251,8 +251,8 @@
     }
 
     /**
-     * Checks all machines and attempts. No frame announces that a lease has expired or that an earlier frame was lost, so both are
-     * found here.
+     * Does the checks that go through all machines or attempts. No frame announces that a lease has expired or that an earlier frame was
+     * lost, so the sweep has to find the consequences.
      */
     private fun sweep(nowUs: Long) {
         lastSweepAtUs = nowUs
--- a/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
@@ -30,29 +30,12 @@
             partition: PartitionState,
             leaseUs: Long,
         ): MachineKnowledge {
-            val machineState = partition.machines[machine]
+            val state = partition.machines[machine]
             return when {
-                machineState == null -> {
-                    if (partition.ownershipAgeUs >
-                        withDrift(leaseUs) + NO_HEARTBEAT_MARGIN_US
-                    ) {
-                        LEASE_EXPIRED
-                    } else {
-                        UNKNOWN
-                    }
-                }
-
-                machineState.lost -> {
-                    LEASE_EXPIRED
-                }
-
-                machineState.tokenConfirmed -> {
-                    LISTED
-                }
-
-                else -> {
-                    UNKNOWN
-                }
+                state == null -> if (partition.ownershipAgeUs > withDrift(leaseUs) + NO_HEARTBEAT_MARGIN_US) LEASE_EXPIRED else UNKNOWN
+                state.lost -> LEASE_EXPIRED
+                state.tokenConfirmed -> LISTED
+                else -> UNKNOWN
             }
         }
     }
--- a/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
@@ -13,7 +13,7 @@
     val hasUnaccountedTasks: Boolean,
 ) {
     companion object {
-        /** Compares the task list of a machine with [jobs], by job id. */
+        /** Compares the task list of a machine with [jobs], a map from job id to job. */
         fun of(
             machine: MachineState,
             jobs: Map<String, Job>,
--- a/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
@@ -26,16 +26,16 @@
         0,
     )
 
-    private fun running(
+    private fun runningAttempt(
         job: Job,
         sinceS: Long,
         index: Int = 0,
     ) = Attempt(job, index, 10L + index, "m", "z/0").apply {
         phase = TaskPhase.RUNNING
-        firstRunningAtUs = sinceS * SECOND
+        startedRunningAtUs = sinceS * SECOND
     }
 
-    private fun notice(
+    private fun receiveReclaimNotice(
         leftS: Long,
         nowS: Long,
     ) = preemption.onMachineUpdate(
@@ -50,26 +50,38 @@
 
     @Example
     fun `on a machine drained by an operator, only requested attempts are stopped, even if they cannot save a checkpoint`() {
-        val long = running(job(runS = 120), sinceS = 1)
-        val unsaved = running(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)
+        val longAttempt = runningAttempt(job(runS = 120), sinceS = 1)
+        val attemptWithoutCheckpoints = runningAttempt(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)
 
-        fun drained(nowS: Long) = preemption.saveCommands("m", listOf(long, unsaved), isDrained = true, nowS * SECOND)
-        assertTrue(drained(40).isEmpty()) { "stopped outside the disruption budget of its team" }
-        preemption.requestStop(listOf(unsaved))
+        fun commandsForDrainedMachine(nowS: Long) =
+            preemption.saveCommands(
+                "m",
+                listOf(longAttempt, attemptWithoutCheckpoints),
+                isDrained = true,
+                nowS * SECOND,
+            )
+        assertTrue(commandsForDrainedMachine(40).isEmpty()) { "stopped outside the disruption budget of its team" }
+        preemption.requestStops(listOf(attemptWithoutCheckpoints))
         assertTrue("m" in preemption.affectedMachines) { "the machine is not among the affected machines" }
-        assertEquals(listOf(SaveOrder("m", "j-1/1", 11, 0)), drained(41)) { "${drained(44)}" }
-        assertEquals(0L, unsaved.saveCommandedAtUs) { "its progress would wrongly count as saved" }
-        preemption.requestStop(listOf(long))
-        assertTrue(drained(42).map { it.attempt } == listOf(10L) && long.saveCommandedAtUs > 0) { "not stopped, or without time to save" }
-        preemption.onAttemptEnded(unsaved)
-        preemption.onAttemptEnded(long)
-        assertTrue(drained(60).isEmpty() && "m" !in preemption.affectedMachines) { "a command was sent after the attempt had ended" }
+        assertEquals(listOf(SaveOrder("m", "j-1/1", 11, 0)), commandsForDrainedMachine(41)) { "${commandsForDrainedMachine(44)}" }
+        assertEquals(0L, attemptWithoutCheckpoints.saveCommandedAtUs) { "its progress would wrongly count as saved" }
+        preemption.requestStops(listOf(longAttempt))
+        assertTrue(
+            commandsForDrainedMachine(42).map {
+                it.attempt
+            } == listOf(10L) && longAttempt.saveCommandedAtUs > 0,
+        ) { "not stopped, or without time to save" }
+        preemption.onAttemptEnded(attemptWithoutCheckpoints)
+        preemption.onAttemptEnded(longAttempt)
+        assertTrue(commandsForDrainedMachine(60).isEmpty() && "m" !in preemption.affectedMachines) {
+            "a command was sent after the attempt had ended"
+        }
     }
 
     @Example
     fun `after a reclaim notice, a task runs as long as it can still save, and the command is repeated`() {
-        val attempt = running(job(runS = 60), sinceS = 1)
-        notice(leftS = 20, nowS = 10)
+        val attempt = runningAttempt(job(runS = 60), sinceS = 1)
+        receiveReclaimNotice(leftS = 20, nowS = 10)
         assertTrue(saveCommands(15, attempt).isEmpty()) { "stopped with 15 s left" }
         val order = SaveOrder("m", "j-1/0", 10, 5 * SECOND)
         assertEquals(listOf(order), saveCommands(21, attempt)) { "not stopped with 9 s left" }
@@ -81,33 +93,37 @@
 
     @Example
     fun `a repeated reclaim notice does not extend the deadline`() {
-        val attempt = running(job(runS = 60), sinceS = 1)
-        notice(leftS = 20, nowS = 10)
-        notice(leftS = 20, nowS = 14)
+        val attempt = runningAttempt(job(runS = 60), sinceS = 1)
+        receiveReclaimNotice(leftS = 20, nowS = 10)
+        receiveReclaimNotice(leftS = 20, nowS = 14)
         assertTrue(saveCommands(21, attempt).isNotEmpty()) { "the repeated notice moved the deadline" }
     }
 
     @Example
     fun `a task that ends before the reclaim, cannot save or has no time left to save is not stopped`() {
-        notice(leftS = 20, nowS = 10)
-        assertTrue(saveCommands(21, running(job(runS = 24), sinceS = 1)).isEmpty()) { "stopped although it ends in 4 s" }
-        assertTrue(saveCommands(21, running(job(runS = 60, checkpointS = 0), sinceS = 1)).isEmpty()) { "stopped although it cannot save" }
-        assertTrue(saveCommands(26, running(job(runS = 60), sinceS = 1)).isEmpty()) { "stopped with 4 s left, although saving takes 4 s" }
-        val fetching = running(job(runS = 60), sinceS = 1).apply { phase = TaskPhase.FETCHING }
+        receiveReclaimNotice(leftS = 20, nowS = 10)
+        assertTrue(saveCommands(21, runningAttempt(job(runS = 24), sinceS = 1)).isEmpty()) { "stopped although it ends in 4 s" }
+        assertTrue(
+            saveCommands(21, runningAttempt(job(runS = 60, checkpointS = 0), sinceS = 1)).isEmpty(),
+        ) { "stopped although it cannot save" }
+        assertTrue(
+            saveCommands(26, runningAttempt(job(runS = 60), sinceS = 1)).isEmpty(),
+        ) { "stopped with 4 s left, although saving takes 4 s" }
+        val fetching = runningAttempt(job(runS = 60), sinceS = 1).apply { phase = TaskPhase.FETCHING }
         assertTrue(saveCommands(21, fetching).isEmpty()) { "stopped while fetching, with nothing to save" }
     }
 
     @Example
     fun `a machine in scale-in is emptied only when all its tasks are long and can save`() {
-        val long = running(job(runS = 120), sinceS = 1)
-        assertTrue(saveCommands(20, long).isEmpty()) { "stopped so early that its start does not count for the objectives" }
+        val longAttempt = runningAttempt(job(runS = 120), sinceS = 1)
+        assertTrue(saveCommands(20, longAttempt).isEmpty()) { "stopped so early that its start does not count for the objectives" }
         assertTrue(
-            saveCommands(40, long, running(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)).isEmpty(),
+            saveCommands(40, longAttempt, runningAttempt(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)).isEmpty(),
         ) { "stopped although the other task cannot save" }
         assertTrue(
-            saveCommands(40, long, running(job(runS = 50), sinceS = 1, index = 1)).isEmpty(),
+            saveCommands(40, longAttempt, runningAttempt(job(runS = 50), sinceS = 1, index = 1)).isEmpty(),
         ) { "stopped although the other task ends soon" }
-        assertEquals(listOf(10L), saveCommands(40, long).map { it.attempt }) { "not stopped" }
+        assertEquals(listOf(10L), saveCommands(40, longAttempt).map { it.attempt }) { "not stopped" }
     }
 
     @Example
@@ -119,7 +135,7 @@
         assertEquals(35 * SECOND, job.totalSavedProgressUs) { "${job.totalSavedProgressUs}" }
         assertEquals(
             35 * SECOND,
-            running(job, sinceS = 10).progressUs(15 * SECOND),
+            runningAttempt(job, sinceS = 10).progressUs(15 * SECOND),
         ) { "the attempt does not continue from the saved progress" }
         job.markTaskDone(0)
         assertEquals(5 * SECOND, job.totalSavedProgressUs) { "${job.totalSavedProgressUs}" }
--- a/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
@@ -125,12 +125,15 @@
             val leader = leader()
             leader.addRecoveredMachines(recoveredMachines("back", "m1"))
             leader.addJob(job("j-1"))
-            val views =
+            val machineStates =
                 listOf(
                     machineState("back", TaskState("j-1/0", 3, TaskPhase.RUNNING)),
                     machineState("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING)),
                 )
-            leader.onPartitionFrame(partitionFrame("z", 0, *(if (newerFirst) views.reversed() else views).toTypedArray()), SECOND)
+            leader.onPartitionFrame(
+                partitionFrame("z", 0, *(if (newerFirst) machineStates.reversed() else machineStates).toTypedArray()),
+                SECOND,
+            )
             assertTrue(leader.machines.attemptsOn("back").isEmpty()) { "the older attempt is still tracked" }
             assertEquals(
                 4L,
@@ -199,10 +202,10 @@
             val names = List(machines) { "m$it" }
             leader.addRecoveredMachines(recoveredMachines(*names.toTypedArray()))
             leader.addJob(job("j-1"))
-            for (chunk in names.chunked(100)) {
-                val isLastChunk = chunk.last() == names.last()
+            for (batch in names.chunked(100)) {
+                val isLastBatch = batch.last() == names.last()
                 leader.onPartitionFrame(
-                    partitionFrame("z", 0, *chunk.map { machineState(it) }.toTypedArray(), isFinal = isLastChunk),
+                    partitionFrame("z", 0, *batch.map { machineState(it) }.toTypedArray(), isFinal = isLastBatch),
                     SECOND,
                 )
             }
--- a/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -33,7 +33,7 @@
     protected fun spec(
         id: String,
         tasks: Int = 2,
-        same: Boolean = false,
+        sameZone: Boolean = false,
         spread: Boolean = false,
     ) = JobSpec(
         id,
@@ -44,7 +44,7 @@
         Resources(4.0, 0.0, 1.0),
         null,
         null,
-        same,
+        sameZone,
         spread,
         true,
         "i",
@@ -60,9 +60,9 @@
         id: String,
         createRevision: Long = 1,
         tasks: Int = 2,
-        same: Boolean = false,
+        sameZone: Boolean = false,
         spread: Boolean = false,
-    ) = Job(spec(id, tasks, same, spread), createRevision, 0)
+    ) = Job(spec(id, tasks, sameZone, spread), createRevision, 0)
 
     protected fun machineState(
         name: String,
@@ -74,12 +74,12 @@
     protected fun partitionFrame(
         zone: String,
         seq: Long,
-        vararg views: MachineState,
+        vararg machines: MachineState,
         offers: List<Offer> = emptyList(),
         term: Long = 3,
         ageUs: Long = SECOND,
         isFinal: Boolean = true,
-    ) = PartitionFrame("$zone/0", term, ageUs, 7, seq, seq, 0, ++version, isFinal, views.toList(), offers)
+    ) = PartitionFrame("$zone/0", term, ageUs, 7, seq, seq, 0, ++version, isFinal, machines.toList(), offers)
 
     protected fun framesTo(zone: String) =
         effects.filterIsInstance<LeaderEffect.SendFrame>().filter { it.partition == "$zone/0" }.map { it.frame }
--- a/src/test/kotlin/lichenstage/placement/MachineReconciliationTest.kt
+++ b/src/test/kotlin/lichenstage/placement/MachineReconciliationTest.kt
@@ -36,8 +36,8 @@
     @Example
     fun `an attempt that is not tracked is stopped and unaccounted for`() {
         track(0, 4)
-        val others = arrayOf(TaskState("j-1/0", 3, TaskPhase.RUNNING), TaskState("j-9/0", 1, TaskPhase.RUNNING))
-        val result = MachineReconciliation.of(machineState("m1", *others), jobs)
+        val untrackedTasks = arrayOf(TaskState("j-1/0", 3, TaskPhase.RUNNING), TaskState("j-9/0", 1, TaskPhase.RUNNING))
+        val result = MachineReconciliation.of(machineState("m1", *untrackedTasks), jobs)
         assertEquals(listOf(3L, 1L), result.stops.map { it.attempt })
         assertTrue(result.hasUnaccountedTasks) { "untracked attempts are not reported as unaccounted for" }
     }
--- a/src/test/kotlin/lichenstage/placement/PartitionTableTest.kt
+++ b/src/test/kotlin/lichenstage/placement/PartitionTableTest.kt
@@ -47,9 +47,9 @@
     @Example
     fun `a new owner starts with an empty state, and later frames of the old owner are ignored`() {
         table.acceptFrame(partitionFrame("z", 4, term = 3), SECOND)!!.machines["m1"] = machineState("m1")
-        val ofNewOwner = table.acceptFrame(partitionFrame("z", 0, term = 4), 2 * SECOND)
+        val stateOfNewOwner = table.acceptFrame(partitionFrame("z", 0, term = 4), 2 * SECOND)
         assertEquals(listOf("z/0", "z/0"), newOwners)
-        assertTrue(ofNewOwner!!.machines.isEmpty() && ofNewOwner.reflectedSeq == 0L) { "the state of the old owner was kept" }
+        assertTrue(stateOfNewOwner!!.machines.isEmpty() && stateOfNewOwner.reflectedSeq == 0L) { "the state of the old owner was kept" }
         assertNull(table.acceptFrame(partitionFrame("z", 9, term = 3), 3 * SECOND))
     }
 
