--- a/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -14,7 +14,7 @@
 import lichenstage.model.Resources
 import org.junit.jupiter.api.Assertions.assertEquals
 
-/** A leader, the partitions that it hears, and what it asks of the outside, for tests. */
+/** Base class of tests that run a [LeaderCore]: builds its inputs and collects its effects. */
 abstract class LeaderFixture {
     protected val effects = ArrayList<LeaderEffect>()
     protected val teams = mapOf("red" to Team("red", 0.0, 8.0, 0.0, Double.POSITIVE_INFINITY))
@@ -33,7 +33,7 @@
     protected fun spec(
         id: String,
         tasks: Int = 2,
-        same: Boolean = false,
+        sameZone: Boolean = false,
         spread: Boolean = false,
     ) = JobSpec(
         id,
@@ -44,7 +44,7 @@
         Resources(4.0, 0.0, 1.0),
         null,
         null,
-        same,
+        sameZone,
         spread,
         true,
         "i",
@@ -60,9 +60,9 @@
         id: String,
         createRevision: Long = 1,
         tasks: Int = 2,
-        same: Boolean = false,
+        sameZone: Boolean = false,
         spread: Boolean = false,
-    ) = Job(spec(id, tasks, same, spread), createRevision, 0)
+    ) = Job(spec(id, tasks, sameZone, spread), createRevision, 0)
 
     protected fun machineState(
         name: String,
@@ -74,12 +74,12 @@
     protected fun partitionFrame(
         zone: String,
         seq: Long,
-        vararg views: MachineState,
+        vararg machines: MachineState,
         offers: List<Offer> = emptyList(),
         term: Long = 3,
         ageUs: Long = SECOND,
         isFinal: Boolean = true,
-    ) = PartitionFrame("$zone/0", term, ageUs, 7, seq, seq, 0, ++version, isFinal, views.toList(), offers)
+    ) = PartitionFrame("$zone/0", term, ageUs, 7, seq, seq, 0, ++version, isFinal, machines.toList(), offers)
 
     protected fun framesTo(zone: String) =
         effects.filterIsInstance<LeaderEffect.SendFrame>().filter { it.partition == "$zone/0" }.map { it.frame }
@@ -98,7 +98,7 @@
 
     protected fun recoveredMachines(vararg names: String) = names.map { RecoveredMachine(it, "z/0", "t", null) }
 
-    /** Brings all tasks of a job, two where none is given, on m1 in partition z. */
+    /** Returns a leader that has sent starts for all tasks of [job] (by default a job of two tasks) to machine m1 in partition z/0. */
     protected fun leaderWithPlacedJob(job: Job = job("j-1")): LeaderCore {
         val leader = leader()
         leader.onMachinesRegistered(mapOf("m1" to "z/0"))
