--- a/src/main/kotlin/lichenstage/partition/ChangeLog.kt
+++ b/src/main/kotlin/lichenstage/partition/ChangeLog.kt
@@ -6,33 +6,36 @@
 import lichenstage.common.MILLI
 
 /**
- * The changes of a partition's machines that its leader has not acknowledged, and the frames that carry them (invariant 17).
+ * The changes of a partition's machines that the leader has not acknowledged, and the frames that carry them (invariant 17).
  *
- * Each change gets the next version of the partition. A frame is *whole* where it carries everything that is unacknowledged; only then
- * may the leader conclude anything from what a frame leaves out.
+ * Each change gets the next version of the partition. A frame is *final* if it carries all unacknowledged changes, otherwise it is
+ * *partial*. Only from a final frame may the leader conclude that something does not exist because the frame does not list it.
+ *
+ * The leader numbers its own frames. Each frame of the partition states the number of the last leader frame whose effects the leader
+ * knows completely once it has this frame.
  */
 internal class ChangeLog(
     private val parameters: PartitionParameters,
 ) {
-    /** In the order of the changes. */
+    /** The machines with unacknowledged changes, ordered by their last change. */
     private val unacknowledged = LinkedHashSet<Machine>()
     private val pendingOffers = ArrayList<Offer>()
     private var version = 0L
     private var acknowledgedVersion = 0L
     private var leaderTerm = 0L
 
-    /** The last frame of the leader that was received. */
+    /** The number of the newest leader frame that this partition has received. */
     private var receivedSeq = 0L
 
-    /** The frame of the leader up to which it is known to have all that its frames have caused. */
+    /** The number of the last leader frame whose effects the leader is known to have received completely. */
     private var confirmedSeq = 0L
 
-    /** Whole frames that are not acknowledged: the leader's frame up to which each is complete, by the frame's own version. */
+    /** For each final frame that is not acknowledged, by the frame's version: the last leader frame whose effects it carries completely. */
     private val unconfirmedFrames = Long2LongLinkedOpenHashMap()
     private var isFrameRequested = true
     private var lastSentAtUs = Long.MIN_VALUE / 2
 
-    /** The version that the next change gets. */
+    /** The version that the next change will get. */
     val nextVersion get() = version + 1
 
     /** Records a change of [machine] under [nextVersion]. */
@@ -43,12 +46,12 @@
         isFrameRequested = true
     }
 
-    /** Drops a machine that the partition has removed. */
+    /** Drops the changes of a machine that the partition has removed. */
     fun remove(machine: Machine) {
         unacknowledged -= machine
     }
 
-    /** Has a frame sent soon, whether or not a machine has changed. */
+    /** Makes a frame due soon, even if no machine has changed. */
     fun requestFrame() {
         isFrameRequested = true
     }
@@ -58,21 +61,21 @@
         pendingOffers += offer
     }
 
-    /** Whether a frame of the leader is newer than those received; an older one is not obeyed (invariant 8). */
+    /** Returns whether a leader frame is newer than all frames received so far. Older frames are ignored (invariant 8). */
     fun isNewerFrame(
         frameTerm: Long,
         seq: Long,
     ): Boolean = frameTerm > leaderTerm || (frameTerm == leaderTerm && seq > receivedSeq)
 
-    /** Whether a frame with this term comes from a new leader. */
+    /** Returns whether a frame with this term comes from a newer leader than all frames so far. */
     fun isNewLeader(frameTerm: Long) = frameTerm > leaderTerm
 
-    /** Records that the leader's frame [seq] was received. */
+    /** Records that the leader frame with the number [seq] was received. */
     fun markReceived(seq: Long) {
         receivedSeq = seq
     }
 
-    /** Begins the term of a new leader: it knows nothing yet and is sent everything. */
+    /** Begins the term of a new leader. The new leader knows nothing of the partition yet, so all machines are sent again. */
     fun startLeaderTerm(
         newLeaderTerm: Long,
         machines: Collection<Machine>,
@@ -92,7 +95,7 @@
         isFrameRequested = true
     }
 
-    /** The leader has acknowledged all versions up to [upToVersion]. */
+    /** Records that the leader has acknowledged all versions up to [upToVersion]. */
     fun acknowledge(upToVersion: Long) {
         confirmFinalFrame(upToVersion)
         acknowledgedVersion = maxOf(acknowledgedVersion, upToVersion)
@@ -106,8 +109,10 @@
     }
 
     /**
-     * The leader has this very version. Only where that is a whole frame's own version does it prove that the frame has arrived: the leader
-     * may have come to a higher version by partial frames, which leave out machines that have changed again.
+     * Records that the leader has reached exactly the version [leaderVersion].
+     *
+     * This proves that a final frame has arrived only if [leaderVersion] equals that frame's version. A higher version proves nothing: the
+     * leader may have reached it by partial frames, which leave out machines that have changed again.
      */
     private fun confirmFinalFrame(leaderVersion: Long) {
         if (!unconfirmedFrames.containsKey(leaderVersion)) return
@@ -115,7 +120,7 @@
         while (!unconfirmedFrames.isEmpty() && unconfirmedFrames.firstLongKey() <= leaderVersion) unconfirmedFrames.removeFirstLong()
     }
 
-    /** Gives a whole frame a version that no partial frame can end with, so that their acknowledgements can be told apart. */
+    /** Gives the final frame a version that no partial frame can end with, so that its acknowledgement cannot be mistaken for theirs. */
     private fun startFinalFrame() {
         val isConfirmed = receivedSeq == confirmedSeq
         val isVersionShared = unconfirmedFrames.containsKey(version) && unconfirmedFrames.get(version) == receivedSeq
@@ -125,7 +130,7 @@
     }
 
     /**
-     * The next frame for the leader, or null while none is due. Offers are sent at once, everything else in batches.
+     * Returns the next frame for the leader, or null if none is due. Offers are sent at once, everything else in batches.
      *
      * @param machineCount the number of machines in the partition
      */
@@ -151,8 +156,8 @@
         term = parameters.term,
         ageUs = nowUs - parameters.acquiredAtUs,
         leaderTerm = leaderTerm,
-        // While changes are left out, nothing may be concluded from what is not listed, also where an earlier frame was whole: it may
-        // have been lost. (A task whose start that frame alone had carried was taken for never started.)
+        // A partial frame may not claim more than the leader has confirmed, even if an earlier frame was final: that frame may be lost.
+        // Otherwise the leader takes a task for never started if only the lost frame carried its start.
         seq = if (isFinal) receivedSeq else confirmedSeq,
         receivedSeq = receivedSeq,
         since = acknowledgedVersion,
@@ -163,9 +168,12 @@
     )
 
     /**
-     * The machines that the next frame carries. The more machines there are, the more of them change until the leader's answer: frames of
-     * a fixed size would never be whole in a large partition, and only a whole frame lets the leader conclude anything from what is not
-     * listed (invariant 17). At 4,000 machines of which a tenth changes until the answer, frames of a hundred never were.
+     * Returns the machines that the next frame carries.
+     *
+     * The limit grows with the number of machines. The more machines a partition has, the more of them change before the leader
+     * acknowledges a frame, so frames of a fixed size would never be final in a large partition. Without final frames the leader cannot
+     * conclude anything from what is not listed (invariant 17). With 4,000 machines, a tenth of which changed before each acknowledgement,
+     * frames of 100 machines were never final.
      */
     private fun selectNextMachines(machineCount: Int): List<Machine> {
         val machineGroups = ((machineCount + MACHINES_PER_GROUP - 1) / MACHINES_PER_GROUP).coerceAtLeast(1)
@@ -187,18 +195,21 @@
     }
 
     companion object {
-        /** The machines that one frame carries at most, for each [MACHINES_PER_GROUP] machines of the partition or part of that. */
+        /** The maximum number of machines in a frame, per group of up to [MACHINES_PER_GROUP] machines in the partition. */
         const val MAX_MACHINES_PER_FRAME = 100
         private const val MACHINES_PER_GROUP = 400
 
-        /** At some 50 bytes each they leave a frame well below the size that is read, and a small process can hold it twice. */
+        /**
+         * At about 50 bytes per attempt, the frame stays well below the size limit of the reader, and a process with little memory can hold
+         * it twice.
+         */
         private const val MAX_ATTEMPTS_PER_FRAME = 30_000
         private const val MAX_UNCONFIRMED_FRAMES = 64
 
-        /** How often a frame is sent while nothing changes. */
+        /** The time between two frames while nothing changes, in microseconds. */
         private const val IDLE_INTERVAL_US = 800 * MILLI
 
-        /** The shortest time between frames without offers. */
+        /** The shortest time between two frames without offers, in microseconds. */
         private const val BATCH_INTERVAL_US = 100 * MILLI
     }
 }
--- a/src/main/kotlin/lichenstage/partition/HeartbeatOutcome.kt
+++ b/src/main/kotlin/lichenstage/partition/HeartbeatOutcome.kt
@@ -1,16 +1,16 @@
 package lichenstage.partition
 
-/** What a partition decides about a worker's heartbeat. */
+/** The decision of a partition on a worker's heartbeat. */
 sealed interface HeartbeatOutcome {
-    /** It is answered under [fencingToken], with [commands]. */
+    /** The heartbeat gets a reply with [commands], which the worker executes under [fencingToken]. */
     data class Accepted(
         val fencingToken: Long,
         val commands: List<Command>,
     ) : HeartbeatOutcome
 
-    /** The worker has seen a higher token: the partition has a newer owner. */
+    /** The heartbeat is not accepted: the worker has seen a higher token, so the partition has a newer owner. */
     data object Superseded : HeartbeatOutcome
 
-    /** An answer would renew the lease of a machine that may still execute a start of a cancelled job (invariant 6). */
+    /** The heartbeat gets no reply: a reply would renew the lease of a machine that may still start a cancelled job (invariant 6). */
     data object Withheld : HeartbeatOutcome
 }
--- a/src/main/kotlin/lichenstage/partition/HeartbeatParser.kt
+++ b/src/main/kotlin/lichenstage/partition/HeartbeatParser.kt
@@ -6,7 +6,11 @@
 import lichenstage.cluster.TaskPhase
 import lichenstage.common.SECOND
 
-/** Reads one heartbeat from the tokens of a JSON text. Throws [InvalidHeartbeatException] and the exceptions of [JsonParser]. */
+/**
+ * A parser that reads one heartbeat from a JSON token stream and can be used once.
+ *
+ * It throws [InvalidHeartbeatException] and the exceptions of [JsonParser].
+ */
 internal class HeartbeatParser(
     private val parser: JsonParser,
 ) {
@@ -21,7 +25,7 @@
     private var recallUs: Long? = null
     private val tasks = ArrayList<TaskReport>()
 
-    /** Reads the whole heartbeat. */
+    /** Reads the heartbeat up to the end of its JSON object. Unknown fields are skipped. */
     fun parse(): Heartbeat {
         if (parser.nextToken() != JsonToken.START_OBJECT) throw InvalidHeartbeatException(null, "a JSON object")
         forEachField(::readField)
@@ -86,10 +90,11 @@
         )
     }
 
-    /** Passes the fields of the current object to [read], which has to consume the value that begins with the current token. */
+    /** Calls [read] for each field of the current object. [read] must consume the value that begins at the current token. */
     private inline fun forEachField(read: (String?, JsonToken?) -> Unit) {
         while (parser.nextToken() != JsonToken.END_OBJECT) {
-            // The end of the text: a nested value where a boolean was expected can hide the end of the object.
+            // A null token means the end of the text. Without this check the loop would not end if a nested value in place of a boolean
+            // hides the end of the object.
             if (parser.currentToken() == null) throw InvalidHeartbeatException(null, "a JSON object")
             read(parser.currentName(), parser.nextToken())
         }
--- a/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
+++ b/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
@@ -2,14 +2,14 @@
 
 import lichenstage.model.JobRequirements
 
-/** Applies the content of heartbeats to the partition's view of its machines, as far as it may be believed (invariant 3). */
+/** The logic that applies heartbeats to the partition's view of its machines and ignores outdated content (invariant 3). */
 internal class HeartbeatProcessor(
     private val fencingTokens: FencingTokens,
     private val changeLog: ChangeLog,
     private val events: (OrderEvent) -> Unit,
     private val requirementsOf: (String) -> JobRequirements?,
 ) {
-    /** Applies [heartbeat]; false where it is an older one or a late copy, of which nothing is believed. */
+    /** Applies [heartbeat]. Returns false, without any effect, if the heartbeat is older than the last applied one or a copy of it. */
     fun apply(
         machine: Machine,
         heartbeat: Heartbeat,
@@ -41,11 +41,14 @@
         heartbeat: Heartbeat,
     ): Boolean {
         if (heartbeat.agentEpoch != machine.agentEpoch) return heartbeat.agentEpoch > machine.agentEpoch
-        // A heartbeat of an epoch whose lease has expired is a late one: the tasks that it lists are gone.
+        // A heartbeat of an epoch whose lease has expired was sent before the expiry: the worker has killed the tasks that it lists.
         return heartbeat.sequence > machine.lastAppliedSequence && !machine.isLost
     }
 
-    /** The worker has killed and forgotten all tasks of the earlier epoch, and refuses orders that carry it. */
+    /**
+     * Begins a new agent epoch of the machine. The worker has killed and forgotten all tasks of the earlier epoch, and refuses orders that
+     * carry the earlier epoch.
+     */
     private fun startAgentEpoch(
         machine: Machine,
         agentEpoch: Long,
@@ -53,11 +56,12 @@
     ) {
         machine.startAgentEpoch(agentEpoch)
         machine.agentEpochFirstSeenAtUs = nowUs
-        // The lease expired although its heartbeats were answered, so answers may not reach it: it has to answer an order first.
+        // The lease expired although the worker's heartbeats got replies, so replies may not reach the worker. It must reply to an order or
+        // a probe first.
         machine.isUnresponsive = true
     }
 
-    /** Applies the task list of a worker that has shown this owner's token; true where that changes something. */
+    /** Applies the task list of a worker that has shown this owner's token. Returns whether the list changes anything. */
     private fun applyTasks(
         machine: Machine,
         heartbeat: Heartbeat,
@@ -80,7 +84,7 @@
         val attempt = existing ?: addAttempt(machine, report, nowUs)
         attempt.lastListedSequence = sequence
         if (attempt.phase == report.phase && attempt.cause == report.cause) return existing == null
-        // The worker has executed a start: commands reach it.
+        // The worker has executed a start, which proves that commands reach it.
         if (!attempt.isListed) machine.isUnresponsive = false
         if (attempt.isUnwantedStart) events(OrderEvent.LateStart(machine.name, machine.agentEpoch, attempt.task, attempt.number))
         attempt.phase = report.phase
--- a/src/main/kotlin/lichenstage/partition/Machine.kt
+++ b/src/main/kotlin/lichenstage/partition/Machine.kt
@@ -8,7 +8,7 @@
 import lichenstage.model.Resources
 
 /**
- * A machine of a partition, as its worker's heartbeats describe it. All times are in microseconds of the controller's clock.
+ * The partition's view of one machine, built from the heartbeats of its worker. All times are in microseconds of the controller's clock.
  *
  * @property name the machine's name
  */
@@ -22,108 +22,114 @@
     val spot = heartbeat.spot
     var agentEpoch = heartbeat.agentEpoch
 
-    /** The sequence number of the last message that was applied, a heartbeat of its own or the answer to an order. */
+    /** The sequence number of the last message that was applied: a heartbeat, or the reply to an order or a probe. */
     var lastAppliedSequence = -1L
 
-    /** How long until the cloud takes the spot instance back; null while there is no notice. */
+    /** The time until the cloud provider reclaims the spot machine, in microseconds; null while there is no notice. */
     var recallUs: Long? = null
 
-    /** When a message of the worker was last applied. */
+    /** The time at which a message of the worker was last applied. */
     var lastMessageAtUs = 0L
 
     /**
-     * When the worker last sent a heartbeat by itself. While it only answers orders, its heartbeats reach no controller and nothing renews
-     * its lease: tasks that were placed there would be lost with it (invariant 12).
+     * The time of the last heartbeat that the worker sent on its own, not as a reply. If a worker only replies to orders, its heartbeats
+     * reach no controller and nothing renews its lease: tasks placed on the machine would be lost when the lease expires (invariant 12).
      */
     var lastHeartbeatAtUs = 0L
 
-    /** The latest heartbeat of its own in this agent epoch; the answers to orders have numbers between those of heartbeats. */
+    /** The sequence number of the latest heartbeat in this agent epoch. Replies to orders take numbers from the same sequence. */
     var lastHeartbeatSequence = -1L
 
-    /** When a heartbeat was last answered with 200: its lease can't last longer than from here. */
+    /** The time of the last reply with status 200 to a heartbeat. The current lease cannot have started later than that. */
     var lastReplyAtUs = 0L
 
     /**
-     * When this agent epoch was first seen. Its lease runs from the beginning of the epoch, whether or not a heartbeat was ever answered:
-     * without this, a machine known only from direct orders was considered lost while it ran tasks.
+     * The time at which this agent epoch was first seen. The worker's lease runs from the beginning of the epoch, even if no heartbeat got
+     * a reply. Without this time, a machine known only from direct orders was considered lost while it ran tasks.
      */
     var agentEpochFirstSeenAtUs = 0L
 
-    /** The token under which it is commanded: the partition's term, or a newer one that fences off earlier orders. */
+    /** The fencing token of commands to the machine: the partition's term, or a newer token that fences off earlier orders. */
     var fencingToken = 0L
 
-    /** The highest token of this owner that it has shown; 0 where none. It refuses everything sent under a lower one. */
+    /** The highest token of this owner that the worker has shown, or 0 if none. The worker refuses all orders with a lower token. */
     var observedFencingToken = 0L
 
-    /** The worker has shown a token of this owner: its task list is the truth (invariant 3). */
+    /** Whether the worker has shown a token of this owner. From then on its task list is authoritative (invariant 3). */
     val isTokenConfirmed get() = observedFencingToken > 0
 
-    /** Several of its heartbeats are overdue. */
+    /** Whether several heartbeats are overdue. */
     var isSilent = false
 
-    /** Its lease has expired: nothing runs on it any more. */
+    /** Whether the machine's lease has expired, so that no task runs on it any more. */
     var isLost = false
 
-    /** An order was not answered since it last answered one: a heartbeat does not prove that commands reach it (invariant 12). */
+    /**
+     * Whether commands may not reach the machine: a direct order could not be sent or got no reply, or a new agent epoch began. A heartbeat
+     * alone does not reset this, since it does not prove that commands reach the machine (invariant 12).
+     */
     var isUnresponsive = false
 
-    /** The version of the [ChangeLog] that last changed what the leader sees of it. */
+    /** The [ChangeLog] version of the last change of the machine that the leader can see. */
     var version = 0L
         private set
 
-    /** The version up to which the leader has acknowledged it. */
+    /** The version up to which the leader has acknowledged changes of the machine. */
     private var acknowledgedVersion = 0L
 
-    /** Attempts that it no longer lists, until the leader has acknowledged that. */
+    /** The numbers of the attempts that were removed and whose removal the leader has not acknowledged yet. */
     private val removedAttemptNumbers = LongArrayList()
     val attempts = Long2ObjectLinkedOpenHashMap<WorkerAttempt>()
     var hasOrderInFlight = false
 
-    /** After an order without an answer, commands only go in answers to heartbeats until a heartbeat has come. */
+    /**
+     * Whether direct orders are paused because one was refused, could not be sent or got no reply. Until the next heartbeat or reply,
+     * commands are sent only in replies to heartbeats.
+     */
     var areDirectOrdersBlocked = false
 
-    /** A direct order may be sent to it now. */
+    /** Whether a direct order may be sent to the machine now. */
     val canTakeOrders get() = isTokenConfirmed && !isLost && !isUnresponsive && !hasOrderInFlight && !areDirectOrdersBlocked
 
     private val imageCache = ImageCache(cacheGb)
     private val heldCapacity = HeldCapacity()
 
-    /** What its tasks use; null where it has to be counted again. */
+    /** The resources that the machine's tasks use; null if they have to be computed again. */
     private var usedResources: Resources? = null
 
-    /** Records that a task of these requirements was placed or found here. */
+    /** Records that a task with these requirements was placed or found on the machine, so that its image is in the cache. */
     fun recordImageUse(requirements: JobRequirements) = imageCache.recordUse(requirements.image, requirements.imageGb)
 
-    /** Whether the image is most likely in its cache. */
+    /** Returns whether the image is probably in the machine's cache. */
     fun hasImage(image: String) = image in imageCache
 
-    /** Has what its tasks use counted again. */
+    /** Discards the sum of the used resources, so that the next use computes it again. */
     fun invalidateUsedResources() {
         usedResources = null
     }
 
-    /** Records that what the leader sees of it has changed as of [newVersion]. */
+    /** Records that the leader-visible state of the machine changed in [newVersion]. */
     fun markChanged(newVersion: Long) {
         version = newVersion
     }
 
-    /** Removes the attempts that [shouldRemove] holds for; true where there were any. */
+    /** Removes the attempts for which [shouldRemove] is true. Returns whether any were removed. */
     fun removeAttempts(shouldRemove: (WorkerAttempt) -> Boolean): Boolean =
         attempts.values.removeIf { attempt -> shouldRemove(attempt).also { if (it) removedAttemptNumbers.add(attempt.number) } }
 
-    /** The leader has acknowledged all of the current version. */
+    /** Records that the leader has acknowledged all changes up to the current version. */
     fun markAcknowledged() {
         acknowledgedVersion = version
         removedAttemptNumbers.clear()
     }
 
-    /** A new leader knows nothing of the machine. */
+    /** Forgets all acknowledgements, since a new leader knows nothing of the machine. */
     fun resetAcknowledged() {
         acknowledgedVersion = 0
         removedAttemptNumbers.clear()
     }
 
-    /** The changes since the leader's last acknowledgement, as a frame carries them. */
+    /** Returns the changes since the leader's last acknowledgement, in the form of a frame. */
     fun toMachineState() =
         MachineState(
             name,
@@ -139,13 +145,13 @@
             removedAttemptNumbers.toList(),
         )
 
-    /** Holds capacity for [count] more tasks, or fewer where it is negative. */
+    /** Adds [count] tasks of [resources] to the held capacity; a negative [count] releases capacity. */
     fun adjustHold(
         resources: Resources,
         count: Int,
     ) = heldCapacity.adjust(resources, count)
 
-    /** A new agent epoch begins with an empty machine; its cache may be empty too. */
+    /** Resets the machine for a new agent epoch, which begins without tasks and perhaps with an empty image cache. */
     fun startAgentEpoch(newAgentEpoch: Long) {
         agentEpoch = newAgentEpoch
         lastHeartbeatSequence = -1
@@ -154,13 +160,13 @@
         invalidateUsedResources()
     }
 
-    /** How many more tasks of [resources] it takes; none where the size of a task on it is unknown. */
+    /** Returns how many more tasks of [resources] fit on the machine; 0 if the requirements of a task on it are unknown. */
     fun countFreeSlots(
         resources: Resources,
         capacity: Resources,
         requirementsOf: (String) -> JobRequirements?,
     ): Int {
-        // Not kept where a task's size is unknown, since that may become known without a message of this machine.
+        // A null result is not cached: the missing requirements may arrive without a message of this machine.
         val used = usedResources ?: computeUsedResources(requirementsOf).also { usedResources = it } ?: return 0
         return (capacity - used - heldCapacity.total).fits(resources)
     }
--- a/src/main/kotlin/lichenstage/partition/MachineRegistry.kt
+++ b/src/main/kotlin/lichenstage/partition/MachineRegistry.kt
@@ -4,7 +4,7 @@
 import lichenstage.common.withDrift
 import lichenstage.model.MachineLimits
 
-/** The machines of a partition: who is there, whose heartbeats are overdue, and whose lease has expired. */
+/** The machines of a partition, with the checks for overdue heartbeats and expired leases. */
 internal class MachineRegistry(
     private val parameters: PartitionParameters,
     private val fencingTokens: FencingTokens,
@@ -16,10 +16,10 @@
     val size get() = machinesByName.size
     val all: Collection<Machine> get() = machinesByName.values
 
-    /** The machine of this name; null where it is not known. */
+    /** Returns the machine with this name, or null if it is unknown. */
     operator fun get(name: String): Machine? = machinesByName[name]
 
-    /** The machine that sent [heartbeat], added where it is not known yet. */
+    /** Returns the machine that sent [heartbeat], and adds it if it is unknown. */
     fun getOrAdd(
         heartbeat: Heartbeat,
         nowUs: Long,
@@ -32,13 +32,13 @@
         val cacheGb = limitsOf(heartbeat.typeName)?.cacheGb ?: Double.POSITIVE_INFINITY
         val machine = Machine(heartbeat.machine, heartbeat, cacheGb)
         machine.agentEpochFirstSeenAtUs = nowUs
-        // One that was removed may come back with the token that it was last given.
+        // A machine that was removed may come back with the newer fencing token that this owner gave it.
         machine.fencingToken = if (fencingTokens.isOwnersToken(heartbeat.fencingToken)) heartbeat.fencingToken else parameters.term
         changeLog.record(machine)
         return machine
     }
 
-    /** Marks machines as silent whose heartbeats are overdue, and as lost whose lease has expired. */
+    /** Marks the machines with overdue heartbeats as silent and those with an expired lease as lost. */
     fun updateLiveness(nowUs: Long) = machinesByName.values.forEach { updateLiveness(it, nowUs) }
 
     private fun updateLiveness(
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Past its lease, counted from the last answer to it, a worker has killed its tasks (invariant 3). */
+    /** Returns whether the worker's lease, counted from the last reply, has expired. The worker has then killed its tasks (invariant 3). */
     private fun isLeaseExpired(
         machine: Machine,
         nowUs: Long,
@@ -67,7 +67,7 @@
         return nowUs - leaseStartedAtUs > withDrift(parameters.workerLeaseUs) + EXPIRY_MARGIN_US
     }
 
-    /** Counted from the failover at the earliest: a worker needs time to find its new owner. */
+    /** Returns whether several heartbeats are overdue, counted from the failover at the earliest: workers need time to find the new owner. */
     private fun isHeartbeatOverdue(
         machine: Machine,
         nowUs: Long,
@@ -76,7 +76,7 @@
         return nowUs - lastSeenAtUs > parameters.heartbeatIntervalUs * SILENT_HEARTBEATS + EXPIRY_MARGIN_US
     }
 
-    /** Removes and returns the machines that have been lost for so long that nothing needs to be known of them. */
+    /** Removes and returns the machines that have been lost for longer than the retention time. */
     fun removeLongLostMachines(nowUs: Long): List<Machine> {
         val removed = machinesByName.values.filter { it.isLost && nowUs - it.lastReplyAtUs > LOST_MACHINE_RETENTION_US }
         removed.forEach { machinesByName -= it.name }
@@ -86,7 +86,7 @@
     private companion object {
         const val EXPIRY_MARGIN_US = SECOND
 
-        /** So many heartbeats in a row are missing where a machine is silent. */
+        /** The number of consecutive missing heartbeats after which a machine is silent. */
         const val SILENT_HEARTBEATS = 3
         const val LOST_MACHINE_RETENTION_US = 1200 * SECOND
     }
--- a/src/main/kotlin/lichenstage/partition/OwnedPartitions.kt
+++ b/src/main/kotlin/lichenstage/partition/OwnedPartitions.kt
@@ -8,9 +8,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The partitions that this process owns, and whether it may act for them now.
+ * The partitions that this process holds, with the check whether it is authorized to act for them.
  *
- * @property limitsOf the limits of a machine type; null where the type is not known
+ * A held partition stays in memory while this process's authority for it only pauses.
+ *
+ * @property limitsOf returns the limits of a machine type; null if the type is unknown
  */
 class OwnedPartitions(
     private val settings: Settings,
@@ -24,32 +26,40 @@
     private val assignment = settings.assignment
     private val partitionsById = HashMap<String, PartitionCore>()
 
-    /** All partitions that this process holds, whether or not it may act for them now. */
+    /** All partitions that this process holds, whether or not it is authorized to act for them now. */
     val all: Collection<PartitionCore> get() = partitionsById.values
 
-    /** The partition of this name; null where this process does not hold it. */
+    /** Returns the partition with this name, or null if this process does not hold it. */
     operator fun get(id: String): PartitionCore? = partitionsById[id]
 
-    /** The partition where it is still held under [term]: what an earlier ownership has caused is dropped. */
+    /**
+     * Returns the partition if it is still held under [term], otherwise null. Callers use it to drop the results of requests that were sent
+     * under an earlier ownership.
+     */
     fun findUnderTerm(
         id: String,
         term: Long,
     ): PartitionCore? = partitionsById[id]?.takeIf { it.term == term }
 
-    /** The name of the partition that a machine belongs to; null where there is none in its zone. */
+    /** Returns the name of the partition that a machine belongs to, or null if its zone has no partition. */
     fun partitionIdOf(heartbeat: Heartbeat): String? = assignment.partitionOf(heartbeat.machine, heartbeat.zone)
 
-    /** The label of the controller that owns the partition, where it is known and another one. */
+    /** Returns the label of the controller that owns the partition, or null if this process is the owner or the owner is unknown. */
     fun remoteOwnerLabel(id: String): String? = authority.ownerOf(id)?.label?.takeIf { it != settings.label }
 
     /**
-     * Whether this process may act for the partition now. Owning it is not enough: an answer renews a lease, and must not keep alive what a
-     * user was told is cancelled (invariant 15).
+     * Returns whether this process is authorized to act for the partition now.
+     *
+     * Ownership alone is not enough: the view of the jobs must also be current. A reply to a heartbeat renews the worker's lease, and must
+     * not keep tasks running whose job a user was told is cancelled (invariant 15).
      */
     fun isAuthorized(partition: PartitionCore) =
         authority.heldPartition(partition.id)?.term == partition.term && replica.isCurrent(clock.now())
 
-    /** Follows the ownership of partitions. One whose authority only pauses keeps its state. */
+    /**
+     * Adds the partitions that this process has acquired, and removes those that have a newer owner. A partition whose authority only
+     * pauses keeps its state.
+     */
     fun updateOwnership(nowUs: Long) {
         for (id in assignment.partitions) {
             val owner = authority.ownerOf(id)
--- a/src/main/kotlin/lichenstage/partition/PartitionActor.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionActor.kt
@@ -10,8 +10,10 @@
 import lichenstage.common.Mailbox
 
 /**
- * The actor of the partitions that this process owns. It answers heartbeats, and lets out orders, probes and frames only while the process
- * may act for a partition; what is due meanwhile goes out when it may again.
+ * The actor that runs the partitions of this process.
+ *
+ * It replies to heartbeats and sends orders, probes and frames only while the process is authorized to act for the partition. Orders,
+ * probes and frames that become due without authorization are sent once the process is authorized again.
  *
  * @property sendToLeader sends a frame to the leader
  */
@@ -38,17 +40,20 @@
     /** The number of machines in all partitions. */
     val machineCount get() = partitions.all.sumOf { it.machineCount }
 
-    /** The number of starts whose order got no answer and may still be executed. */
+    /** The number of starts whose direct order got no reply and which a worker may still execute. */
     val indeterminateStartCount get() = partitions.all.sumOf { it.indeterminateStarts().count() }
 
-    /** When the oldest of these starts was sent, in microseconds; null where there is none. */
+    /** The time at which the oldest of these starts was sent, in microseconds; null if there are none. */
     val oldestIndeterminateStartAtUs
         get() = partitions.all.mapNotNull { partition -> partition.indeterminateStarts().minOfOrNull { it.startOrderedUs } }.minOrNull()
 
-    /** Adds a message to the actor's inbox. */
+    /** Adds a message to the actor's mailbox. */
     fun tell(message: PartitionMessage) = mailbox.tell(message)
 
-    /** Whether the message may be dropped where the inbox is full: heartbeats and frames are repeated. */
+    /**
+     * Decides whether a full mailbox drops [message]. Heartbeats, frames and ticks are repeated by their senders, so they can be dropped.
+     * A dropped heartbeat gets the reply [HeartbeatReply.Unavailable].
+     */
     private fun tryDrop(message: PartitionMessage): Boolean {
         if (message is PartitionMessage.HeartbeatReceived) message.reply(HeartbeatReply.Unavailable)
         return message is PartitionMessage.HeartbeatReceived || message is PartitionMessage.LeaderFrameReceived ||
@@ -132,7 +137,7 @@
         }
     }
 
-    /** Sends the direct orders and the frame that are due, where the process may act for the partition. */
+    /** Sends the due direct orders and the due frame if the process is authorized to act for the partition. */
     private fun sendDueOrdersAndFrame(
         partition: PartitionCore,
         nowUs: Long,
--- a/src/main/kotlin/lichenstage/partition/PartitionCore.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionCore.kt
@@ -8,17 +8,19 @@
 import lichenstage.model.MachineLimits
 
 /**
- * The decisions of a partition: the machines of one zone that one controller owns for one term.
+ * The decision logic of one partition. A partition is a set of machines in one zone that one controller owns for one term.
  *
- * Plain code without I/O: heartbeats, leader frames and outcomes of orders come in with the time; answers, orders and frames come out.
- * A heartbeat or a frame costs by what it changes, not by the number of machines: what has changed and what has orders due is kept
- * apart, and everything is looked at only in [tick].
+ * The class does no I/O and reads no clock. Its inputs are heartbeats, leader frames and the outcomes of direct orders and probes, each
+ * with the current time. Its outputs are replies to heartbeats, direct orders, probes and frames for the leader.
+ *
+ * The cost of a heartbeat or a frame depends on what it changes, not on the number of machines: changed machines and machines with due
+ * commands are tracked separately. Only [tick] visits all machines.
  *
  * All times are in microseconds of the controller's clock.
  *
- * @param jobCompletions which jobs are known to have ended
- * @param events receives what operators need to know of orders
- * @param limitsOf the limits of a machine type; null where the type is not known
+ * @param jobCompletions tells which jobs are known to have ended
+ * @param events receives the events of orders that operators need to see
+ * @param limitsOf returns the limits of a machine type; null if the type is unknown
  */
 class PartitionCore(
     private val parameters: PartitionParameters,
@@ -44,16 +46,16 @@
     /** The partition's name. */
     val id get() = parameters.id
 
-    /** The term of its ownership. */
+    /** The term under which this controller owns the partition. */
     val term get() = parameters.term
 
-    /** The number of machines that are known. */
+    /** The number of machines that the partition tracks, including lost ones that are not removed yet. */
     val machineCount get() = machines.size
 
-    /** A newer fencing token is needed now, and none is left. */
+    /** Whether a machine needs a newer fencing token now and no reserved token is left. */
     val lacksTokens get() = orderFencing.lacksTokens
 
-    /** Applies a heartbeat that a worker sent to this controller, and decides on its answer. */
+    /** Applies a heartbeat that a worker sent to this controller, and decides on the reply. */
     fun onHeartbeat(
         heartbeat: Heartbeat,
         nowUs: Long,
@@ -68,7 +70,8 @@
         }
         if (!orderFencing.mayRenewLease(machine, nowUs)) return HeartbeatOutcome.Withheld
         val isCurrentEpoch = heartbeat.agentEpoch == machine.agentEpoch
-        // Even where it is an old one: the answer to an order may have overtaken it, and the worker counts its lease from it.
+        // This also applies to a heartbeat that is older than the last applied message: the reply to an order may have overtaken the
+        // heartbeat, and the worker counts its lease from every heartbeat that gets a reply.
         if (isCurrentEpoch) {
             machine.lastReplyAtUs = nowUs
             machine.lastHeartbeatSequence = maxOf(machine.lastHeartbeatSequence, heartbeat.sequence)
@@ -79,13 +82,13 @@
         return HeartbeatOutcome.Accepted(machine.fencingToken, commands)
     }
 
-    /** Applies a frame of the leader; one that is older than the newest received is not obeyed (invariant 8). */
+    /** Applies a frame of the leader. A frame that is older than the newest received one is ignored (invariant 8). */
     fun onLeaderFrame(
         frame: PlacementFrame,
         nowUs: Long,
     ) = leaderFrameHandler.apply(frame, nowUs)
 
-    /** Applies the result of a probe: the worker's heartbeat, or null where it could not be had. */
+    /** Applies the result of a probe: the worker's heartbeat, or null if the probe got no valid reply. */
     fun onProbeResult(
         probe: StatusProbe,
         heartbeat: Heartbeat?,
@@ -127,7 +130,7 @@
         orderFencing.removeDisprovenStarts(machine)
     }
 
-    /** The machine has answered an order or a probe, so commands reach it (invariant 12). */
+    /** Records that the machine has replied to an order or a probe, which proves that commands reach it (invariant 12). */
     private fun markResponsive(machine: Machine) {
         machine.areDirectOrdersBlocked = false
         if (machine.attempts.isNotEmpty()) orderQueue.add(machine)
@@ -137,6 +140,7 @@
         }
     }
 
+    /** Records that a direct order could not be sent or got no reply. Direct orders pause until a heartbeat or another reply arrives. */
     private fun markUnresponsive(machine: Machine) {
         machine.areDirectOrdersBlocked = true
         if (!machine.isUnresponsive) {
@@ -145,7 +149,7 @@
         }
     }
 
-    /** Does what depends on time alone; to be called a few times a second. */
+    /** Handles expired holds and leases and everything else that depends on time alone. The caller invokes it a few times a second. */
     fun tick(nowUs: Long) {
         holdTable.expire(nowUs)
         machines.updateLiveness(nowUs)
@@ -162,35 +166,35 @@
         orderFencing.remove(machine)
     }
 
-    /** The direct orders to send now, at most [limit]. Each outcome is reported by [onOrderOutcome]. */
+    /** Returns the direct orders to send now, at most [limit]. The caller reports each outcome to [onOrderOutcome]. */
     fun nextDirectOrders(
         nowUs: Long,
         limit: Int = Int.MAX_VALUE,
     ): List<DirectOrder> = orderQueue.nextDirectOrders(nowUs, limit)
 
-    /** The probes to send now, at most [limit]. Each result is reported by [onProbeResult]. */
+    /** Returns the probes to send now, at most [limit]. The caller reports each result to [onProbeResult]. */
     fun nextProbes(
         nowUs: Long,
         limit: Int = Int.MAX_VALUE,
     ): List<StatusProbe> = probeSchedule.nextProbes(nowUs, limit, machines::get)
 
-    /** The next frame for the leader, or null while none is due. */
+    /** Returns the next frame for the leader, or null if none is due. */
     fun nextFrame(nowUs: Long): PartitionFrame? = changeLog.nextFrame(nowUs, machines.size)
 
-    /** Whether fencing tokens should be reserved for this owner now; a true answer counts as an attempt to do so. */
+    /** Returns whether to reserve fencing tokens for this owner now. A result of true counts as a reservation attempt. */
     fun shouldReserveTokens(nowUs: Long) = fencingTokens.reservationDue(nowUs, lacksTokens)
 
-    /** Adds fencing tokens that are reserved for this owner alone, above all that were ever handed out. */
+    /** Adds fencing tokens that are reserved for this owner. They are higher than all tokens that were reserved before. */
     fun addReservedTokens(range: LongRange) = fencingTokens.add(range)
 
-    /** The starts whose direct order got no answer and may still be executed. */
+    /** Returns the starts whose direct order got no reply and which a worker may still execute. */
     internal fun indeterminateStarts(): Sequence<WorkerAttempt> =
         machines.all.asSequence().flatMap { machine ->
             machine.attempts.values.filter { it.isStartIndeterminate && it.canExecuteUnder(machine.observedFencingToken) }
         }
 
     private companion object {
-        /** The jobs whose requirements are kept. */
+        /** The maximum number of jobs whose requirements are cached. */
         const val MAX_CACHED_JOBS = 10_000
     }
 }
--- a/src/main/kotlin/lichenstage/partition/PartitionMessage.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionMessage.kt
@@ -4,18 +4,18 @@
 
 /** The messages of [PartitionActor]. */
 sealed interface PartitionMessage {
-    /** A worker's heartbeat; [reply] is called once, when its answer is to be written. */
+    /** A heartbeat from a worker. The actor calls [reply] once, when the reply is decided. */
     data class HeartbeatReceived(
         val heartbeat: Heartbeat,
         val reply: (HeartbeatReply) -> Unit,
     ) : PartitionMessage
 
-    /** A frame of the leader has come. */
+    /** A frame from the leader. */
     data class LeaderFrameReceived(
         val frame: PlacementFrame,
     ) : PartitionMessage
 
-    /** The outcome of a direct order of the partition's owner under [term]. */
+    /** The outcome of a direct order that this process sent as the owner of [partition] under [term]. */
     data class OrderCompleted(
         val partition: String,
         val term: Long,
@@ -23,7 +23,7 @@
         val outcome: OrderOutcome,
     ) : PartitionMessage
 
-    /** The result of a probe of the partition's owner under [term]; [heartbeat] is null where there was none. */
+    /** The result of a probe that this process sent as the owner of [partition] under [term]. A null [heartbeat] means no valid reply. */
     data class ProbeCompleted(
         val partition: String,
         val term: Long,
@@ -31,30 +31,30 @@
         val heartbeat: Heartbeat?,
     ) : PartitionMessage
 
-    /** Fencing tokens were reserved for the partition's owner under [term]. */
+    /** A range of fencing tokens that was reserved for this process as the owner of [partition] under [term]. */
     data class TokensReserved(
         val partition: String,
         val term: Long,
         val fencingTokens: LongRange,
     ) : PartitionMessage
 
-    /** Time has passed. */
+    /** The periodic trigger for everything that depends on time alone. */
     data object Tick : PartitionMessage
 }
 
-/** The answer to a worker's heartbeat, decided at the moment when it is written. */
+/** The reply to a worker's heartbeat. The HTTP server writes it as soon as the actor has decided on it. */
 sealed interface HeartbeatReply {
-    /** The heartbeat is accepted: it renews the worker's lease, and the worker executes [commands] under [fencingToken]. */
+    /** The heartbeat is accepted: the reply renews the worker's lease, and the worker executes [commands] under [fencingToken]. */
     data class Accepted(
         val fencingToken: Long,
         val commands: List<Command>,
     ) : HeartbeatReply
 
-    /** The controller [label] owns the partition. */
+    /** Another controller, [label], owns the partition; the worker sends its heartbeats there. */
     data class Redirect(
         val label: String,
     ) : HeartbeatReply
 
-    /** This controller may not answer now; the worker is to try again. */
+    /** This controller is not allowed to accept the heartbeat now; the worker tries again later. */
     data object Unavailable : HeartbeatReply
 }
