--- a/src/main/kotlin/lichenstage/partition/HeldCapacity.kt
+++ b/src/main/kotlin/lichenstage/partition/HeldCapacity.kt
@@ -6,17 +6,17 @@
 internal class HeldCapacity {
     private var heldTasks = 0
 
-    /** What the held tasks take together. */
+    /** The resources of all held tasks together. */
     var total = NO_RESOURCES
         private set
 
-    /** Holds capacity for [taskCount] more tasks of [resources], or fewer where [taskCount] is negative. */
+    /** Adds the capacity of [taskCount] tasks that need [resources] each; a negative [taskCount] releases capacity. */
     fun adjust(
         resources: Resources,
         taskCount: Int,
     ) {
         heldTasks += taskCount
-        // Reset to exactly nothing, so that rounding errors of many shares don't add up.
+        // The reset to exactly zero keeps rounding errors of many additions from accumulating.
         total = if (heldTasks == 0) NO_RESOURCES else total - resources * -taskCount
     }
 
--- a/src/main/kotlin/lichenstage/partition/HoldTable.kt
+++ b/src/main/kotlin/lichenstage/partition/HoldTable.kt
@@ -10,14 +10,19 @@
 import lichenstage.model.Resources
 import org.agrona.collections.Long2ObjectHashMap
 
-/** Capacity that is held for placement requests, granted in the order of their stamps, until it is used, released or has expired. */
+/**
+ * The holds of a partition.
+ *
+ * A hold is capacity that is reserved for a placement request until the capacity is used or released, or the hold expires. The requests
+ * of one leader frame are granted in the order of their numbers.
+ */
 internal class HoldTable(
     private val zone: String,
     private val limitsOf: (String) -> MachineLimits?,
     private val requirementsOf: (String) -> JobRequirements?,
     private val findMachine: (String) -> Machine?,
 ) {
-    /** The tasks for which [request] holds capacity, by machine. */
+    /** A hold, with the number of tasks for which it reserves capacity on each machine in [taskCounts]. */
     private class Hold(
         val request: PlacementRequest,
         val grantedAtUs: Long,
@@ -26,13 +31,13 @@
 
     private val holdsByRequest = Long2ObjectHashMap<Hold>()
 
-    /** The request that holds capacity on [machine] under [requestNumber]; null where nothing is held any more. */
+    /** Returns the request with this number if it still holds capacity on [machine], otherwise null. */
     fun findRequest(
         requestNumber: Long,
         machine: String,
     ): PlacementRequest? = holdsByRequest.get(requestNumber)?.takeIf { (it.taskCounts[machine] ?: 0) > 0 }?.request
 
-    /** Uses the capacity of one task. */
+    /** Removes the capacity of one task from the hold, because the task starts on [machine]. */
     fun consume(
         requestNumber: Long,
         machine: Machine,
@@ -42,7 +47,7 @@
         machine.adjustHold(hold.request.requirements.resources, -1)
     }
 
-    /** Releases what is still held under [requestNumber]. */
+    /** Releases the remaining capacity of the hold. */
     fun release(requestNumber: Long) {
         val hold = holdsByRequest.remove(requestNumber) ?: return
         for ((name, count) in hold.taskCounts) if (count > 0) findMachine(name)?.adjustHold(hold.request.requirements.resources, -count)
@@ -60,11 +65,12 @@
     }
 
     /**
-     * An offer for each request, in the order of their stamps. Where a job has several requests, the later ones are for what the earlier
-     * ones were not granted.
+     * Grants the requests in the order of their numbers and returns an offer for each.
      *
-     * @param usableMachines the machines that take tasks
-     * @param hasJobEnded whether a job is known to be over, which its leader may not know yet; it is granted nothing
+     * If a job has several requests, a later request is only granted the tasks that the earlier ones were not granted.
+     *
+     * @param usableMachines the machines that accept new tasks
+     * @param hasJobEnded returns whether a job is known to have ended; such a job is granted nothing, even if the leader does not know yet
      */
     fun grantAll(
         requests: List<PlacementRequest>,
@@ -86,8 +92,10 @@
     private fun emptyOffer(request: PlacementRequest) = Offer(request.stamp, emptyList())
 
     /**
-     * The machines with capacity for the smallest of the requests. In a backlog nearly all are full, and dozens of requests that each look
-     * at every machine would cost more than everything else that a partition does.
+     * Returns the machines that have capacity for a task with the smallest resources of all requests.
+     *
+     * In a backlog nearly all machines are full. If each of dozens of requests checked every machine, the checks would cost more than
+     * everything else that a partition does.
      */
     private fun selectCandidates(
         requests: List<PlacementRequest>,
@@ -102,7 +110,7 @@
             }.toList()
     }
 
-    /** Holds capacity for as many tasks of the request as fit, up to [maxTasks], on the roomiest of the [candidates] (worst fit). */
+    /** Holds capacity for as many tasks as fit, up to [maxTasks], on those of the [candidates] with the most free capacity (worst fit). */
     private fun grant(
         request: PlacementRequest,
         maxTasks: Int,
@@ -118,7 +126,7 @@
         return Offer(request.stamp, heldSlots)
     }
 
-    /** What a machine has for a request; null where it has nothing. */
+    /** Returns the slots that a machine has for a request, or null if there are none. */
     private fun findFreeSlots(
         request: PlacementRequest,
         machine: Machine,
--- a/src/main/kotlin/lichenstage/partition/ImageCache.kt
+++ b/src/main/kotlin/lichenstage/partition/ImageCache.kt
@@ -1,20 +1,20 @@
 package lichenstage.partition
 
 /**
- * An estimate of the images in a machine's cache: those that were used there last.
+ * An estimate of the images in a machine's cache. It assumes that the cache keeps the most recently used images.
  *
  * @property capacityGb the size of the cache in GB
  */
 internal class ImageCache(
     private val capacityGb: Double,
 ) {
-    /** Sizes in GB, the image that was used last at the end. */
+    /** The size of each image in GB. The most recently used image comes last. */
     private val sizesGb = LinkedHashMap<String, Double>()
     private var totalGb = 0.0
 
     operator fun contains(image: String) = sizesGb.containsKey(image)
 
-    /** Records a use of [image]; the images that were used longest ago make room. */
+    /** Records a use of [image] and evicts the least recently used images if the cache is full. The image itself is never evicted. */
     fun recordUse(
         image: String,
         sizeGb: Double,
--- a/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
+++ b/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
@@ -6,7 +6,7 @@
 import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.StartOrder
 
-/** Applies the frames of the leader to a partition: starts, stops, clears, cordons, requests and releases of holds. */
+/** The handler for frames of the leader: starts, stops, clears, checkpoint stops, cordons, placement requests and releases of holds. */
 internal class LeaderFrameHandler(
     private val term: Long,
     private val machines: MachineRegistry,
@@ -17,7 +17,7 @@
     private val probeSchedule: ProbeSchedule,
     private val events: (OrderEvent) -> Unit,
 ) {
-    /** Applies [frame]; one that is older than the newest received is not obeyed (invariant 8). */
+    /** Applies [frame]. A frame that is older than the newest received one is ignored (invariant 8). */
     fun apply(
         frame: PlacementFrame,
         nowUs: Long,
@@ -31,7 +31,7 @@
         placementOffers.expireHolds(nowUs)
         frame.releases.forEach(placementOffers::release)
         for (order in frame.starts) handleStart(order, nowUs)
-        // The leader has not chosen what is left of a hold after its starts.
+        // The leader has not chosen the capacity that remains in a hold after its starts.
         frame.starts.forEach { placementOffers.release(it.stamp) }
         for (order in frame.stops) updateAttempt(order) { it.stopRequested = true }
         for (order in frame.clears) updateAttempt(order) { it.clearRequested = true }
@@ -45,7 +45,10 @@
         changeLog.startLeaderTerm(leaderTerm, machines.all)
     }
 
-    /** A start without a hold is refused: the machine's task list, sent again, shows the leader that the attempt isn't there. */
+    /**
+     * Starts the task of [order], or refuses the order, for example if no hold exists for it. In both cases the next frame contains the
+     * machine again. After a refusal, the machine's task list shows the leader that the attempt does not exist.
+     */
     private fun handleStart(
         order: StartOrder,
         nowUs: Long,
@@ -93,7 +96,7 @@
         changeLog.requestFrame()
     }
 
-    /** The task is to save a checkpoint and stop; where it has ended or is saving already, the request has no effect. */
+    /** Requests that the task saves a checkpoint and stops. The request has no effect if the task has ended or is already saving. */
     private fun requestCheckpointStop(order: SaveOrder) {
         val machine = machines[order.machine] ?: return
         val attempt = machine.attempts.get(order.attempt) ?: return
--- a/src/main/kotlin/lichenstage/partition/MachineRegistry.kt
+++ b/src/main/kotlin/lichenstage/partition/MachineRegistry.kt
@@ -67,7 +67,7 @@
         return nowUs - leaseStartedAtUs > withDrift(parameters.workerLeaseUs) + EXPIRY_MARGIN_US
     }
 
-    /** Returns whether several heartbeats are overdue, counted from the failover at the earliest: workers need time to find the new owner. */
+    /** Returns whether several heartbeats are overdue, counted from the failover at the earliest: workers have to find the new owner. */
     private fun isHeartbeatOverdue(
         machine: Machine,
         nowUs: Long,
--- a/src/main/kotlin/lichenstage/partition/PlacementOffers.kt
+++ b/src/main/kotlin/lichenstage/partition/PlacementOffers.kt
@@ -6,7 +6,7 @@
 import lichenstage.jobs.JobCompletions
 import lichenstage.model.JobRequirements
 
-/** Decides which machines take tasks, offers their capacity for the leader's requests, and checks its starts against the holds. */
+/** The logic that selects machines for new tasks, offers their capacity to the leader and checks the leader's starts against the holds. */
 internal class PlacementOffers(
     private val parameters: PartitionParameters,
     private val machines: MachineRegistry,
@@ -16,26 +16,26 @@
 ) {
     private var cordonedMachines: Set<String> = emptySet()
 
-    /** A new leader: the holds of the one before are dropped (invariant 8). */
+    /** Begins the term of a new leader and drops the holds of the previous leader (invariant 8). */
     fun startLeaderTerm() {
         requirementsByJob.clear()
         holdTable.releaseAll()
         cordonedMachines = emptySet()
     }
 
-    /** Takes over the jobs' requirements and the cordons of the leader's frame. */
+    /** Stores the job requirements and the cordoned machines of a leader frame. A frame without cordons leaves them unchanged. */
     fun updateFrom(frame: PlacementFrame) {
         requirementsByJob.putAll(frame.requirements)
         frame.cordoned?.let { cordonedMachines = it }
     }
 
-    /** The request for which capacity is held on [machine] under [requestNumber]; null where the hold has expired or is not known. */
+    /** Returns the request that holds capacity on [machine] under [requestNumber], or null if the hold has expired or is unknown. */
     fun findHeldRequest(
         requestNumber: Long,
         machine: Machine,
     ): PlacementRequest? = holdTable.findRequest(requestNumber, machine.name)
 
-    /** Why a task of [request] can't be started on [machine], or null where it can. A null request has no hold. */
+    /** Returns why a task of [request] cannot start on [machine], or null if it can. A null [request] means that no hold exists. */
     fun findRefusal(
         request: PlacementRequest?,
         machine: Machine,
@@ -48,19 +48,19 @@
             else -> null
         }
 
-    /** Uses the held capacity of one task. */
+    /** Removes the capacity of one task from the hold, because the task starts on [machine]. */
     fun consume(
         requestNumber: Long,
         machine: Machine,
     ) = holdTable.consume(requestNumber, machine)
 
-    /** Releases what is still held under [requestNumber]. */
+    /** Releases the remaining capacity of the hold. */
     fun release(requestNumber: Long) = holdTable.release(requestNumber)
 
     /** Releases the holds that have expired. */
     fun expireHolds(nowUs: Long) = holdTable.expire(nowUs)
 
-    /** Holds capacity for the requests of the leader's frame. */
+    /** Holds capacity for the requests of a leader frame and returns an offer for each. */
     fun grant(
         requests: List<PlacementRequest>,
         nowUs: Long,
@@ -74,12 +74,15 @@
         return holdTable.grantAll(requests, usableMachines, nowUs) { jobCompletions.hasEnded(it, nowUs) }
     }
 
-    /** Not where its token is unconfirmed, it goes away, orders don't reach it, or it lists too much that can't be cleared yet. */
+    /**
+     * Returns whether the machine accepts new tasks. It does not if its token is unconfirmed, its lease has expired, its reclaim is
+     * announced, orders do not reach it, or it lists too many attempts that cannot be cleared yet.
+     */
     private fun isUsable(machine: Machine) =
         machine.isTokenConfirmed && !machine.isLost && !machine.isUnresponsive && machine.recallUs == null &&
             machine.attempts.size < MAX_ATTEMPTS_PER_MACHINE
 
-    /** Its heartbeats are overdue for so long that nothing may be renewing its lease (invariant 12). */
+    /** Returns whether heartbeats are overdue for so long that perhaps nothing renews the machine's lease (invariant 12). */
     private fun isLeaseRenewalOverdue(
         machine: Machine,
         nowUs: Long,
@@ -89,10 +92,10 @@
     }
 
     private companion object {
-        /** Keeps heartbeats bounded (invariant 6). */
+        /** The limit keeps the size of heartbeats bounded (invariant 6). */
         const val MAX_ATTEMPTS_PER_MACHINE = 150
 
-        /** In halves of the heartbeat interval: 2.5 intervals. */
+        /** The limit for overdue heartbeats, in halves of the heartbeat interval: 2.5 intervals. */
         const val OVERDUE_HALF_INTERVALS = 5
     }
 }
--- a/src/main/kotlin/lichenstage/partition/ProbeSchedule.kt
+++ b/src/main/kotlin/lichenstage/partition/ProbeSchedule.kt
@@ -3,9 +3,9 @@
 import lichenstage.common.MILLI
 
 /**
- * A question to a worker for its current state under [fencingToken], sent as an order without commands.
+ * A request for a worker's current state, sent as a direct order without commands under [fencingToken].
  *
- * @property agentEpoch the agent epoch by which the machine is known; 0 where it is not known
+ * @property agentEpoch the last known agent epoch of the machine; 0 if unknown
  */
 data class StatusProbe(
     val machine: String,
@@ -15,12 +15,12 @@
 )
 
 /**
- * Decides which machines are probed: those that have not shown a token of their owner, and those that may not receive commands.
+ * The schedule of probes. It probes the machines that have not shown a token of the owner, and those that commands may not reach.
  *
- * A new owner need not wait until each worker has found it, since the answer to a probe confirms the token (invariant 3). It renews no
- * lease. The number of probes in flight is bounded: after a failover hundreds would be due.
+ * With probes a new owner does not have to wait until each worker has found it: the reply to a probe confirms the token (invariant 3).
+ * A probe renews no lease. The number of probes in flight is bounded, since hundreds would be due at once after a failover.
  *
- * @property term the partition's term, the fencing token of machines that are not known yet
+ * @property term the partition's term, which is the fencing token for machines that the partition does not know yet
  */
 internal class ProbeSchedule(
     private val term: Long,
@@ -29,12 +29,12 @@
     private val lastProbedAtUs = HashMap<String, Long>()
     private val machinesInFlight = HashSet<String>()
 
-    /** Adds machines with their addresses. */
+    /** Adds machines, as a map from machine name to address. */
     fun addAll(machines: Map<String, String>) {
         addresses += machines
     }
 
-    /** Adds a machine with its address. */
+    /** Adds a machine, or updates its address. */
     fun add(
         machine: String,
         address: String,
@@ -48,7 +48,7 @@
         lastProbedAtUs -= machine
     }
 
-    /** The probes to send now, at most [limit]. */
+    /** Returns the probes to send now, at most [limit], and counts them as in flight until [handleProbeEnd]. */
     fun nextProbes(
         nowUs: Long,
         limit: Int,
@@ -73,7 +73,7 @@
         nowUs: Long,
     ) = machine !in machinesInFlight && nowUs - (lastProbedAtUs[machine] ?: (Long.MIN_VALUE / 2)) > RETRY_INTERVAL_US
 
-    /** The probe has been answered, or has been given up. */
+    /** Records that the probe got a reply or was given up, so that the machine can be probed again. */
     fun handleProbeEnd(probe: StatusProbe) {
         machinesInFlight -= probe.machine
     }
--- a/src/main/kotlin/lichenstage/partition/WorkerCodec.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerCodec.kt
@@ -9,10 +9,10 @@
 import java.io.IOException
 
 /**
- * The body of a message is not a heartbeat of the worker protocol.
+ * The failure to decode a message body as a heartbeat of the worker protocol.
  *
- * @property field the field that is missing or wrong, by its name in the protocol; null where the body as a whole is meant
- * @property expected what was expected there
+ * @property field the name of the missing or invalid field in the protocol; null if the body as a whole is invalid
+ * @property expected the expected kind of value, for example "an integer"
  */
 class InvalidHeartbeatException(
     val field: String?,
@@ -20,14 +20,14 @@
     cause: Throwable? = null,
 ) : Exception("${field ?: "the body"}: expected $expected", cause)
 
-/** Encodes and decodes messages of the worker protocol: the only place that knows its names. */
+/** The encoder and decoder for messages of the worker protocol. Only this file contains the field names of the protocol. */
 object WorkerCodec {
     private val jsonFactory = JsonFactory()
 
     /**
-     * Decodes a heartbeat in one pass, without a tree in between. Fields that are not known are skipped.
+     * Decodes a heartbeat in one pass, without building a JSON tree. Unknown fields are skipped.
      *
-     * @throws InvalidHeartbeatException where [body] is not JSON, or a needed field is missing or of the wrong kind
+     * @throws InvalidHeartbeatException if [body] is not JSON, or a required field is missing or has the wrong type
      */
     fun decodeHeartbeat(body: Buffer): Heartbeat =
         try {
@@ -36,13 +36,14 @@
             throw InvalidHeartbeatException(null, "a JSON object", e)
         }
 
-    /** The body of a heartbeat's reply that sends the worker to the controller [label]. */
+    /** Encodes the reply to a heartbeat that redirects the worker to the controller [label]. */
     fun encodeRedirect(label: String): Buffer = JsonObject().put("steward", label).toBuffer()
 
     /**
-     * Encodes the answer to a heartbeat or, with an [agentEpoch], a direct order, in one pass.
+     * Encodes the reply to a heartbeat or a direct order, in one pass.
      *
-     * @param fencingToken the token under which the worker is commanded
+     * @param fencingToken the fencing token under which the worker executes [commands]
+     * @param agentEpoch the agent epoch that a direct order addresses; null for the reply to a heartbeat
      */
     fun encodeCommands(
         fencingToken: Long,
@@ -80,12 +81,14 @@
         generator.writeEndObject()
     }
 
-    /** Initial sizes of the buffer, in bytes. */
+    /** The initial buffer size of a message without commands, in bytes. */
     private const val EMPTY_MESSAGE_BYTES = 64
+
+    /** The estimated size of an encoded command, in bytes. */
     private const val COMMAND_BYTES = 64
 }
 
-/** Names of fields in the worker protocol. */
+/** The field names of the worker protocol. */
 internal object WorkerField {
     const val MACHINE = "holdfast"
     const val ADDRESS = "addr"
@@ -105,7 +108,7 @@
     const val VERB = "verb"
     const val LEEWAY_S = "leeway_s"
 
-    /** The phase for a state of the protocol. An unknown state counts as running: the task is on the machine in some form. */
+    /** Returns the phase for a task status of the protocol. An unknown status counts as running, since the task exists on the machine. */
     fun parsePhase(status: String) =
         when (status) {
             "pulling" -> TaskPhase.FETCHING
--- a/src/main/kotlin/lichenstage/partition/WorkerMessages.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerMessages.kt
@@ -3,10 +3,11 @@
 import lichenstage.cluster.TaskPhase
 
 /**
- * One attempt of a task as a heartbeat lists it.
+ * The entry of one attempt in a heartbeat.
  *
  * @property task the task, as `JOB/INDEX`
- * @property cause why it has ended; null while it has not (see [lichenstage.cluster.TaskEndCause])
+ * @property attempt the number of the attempt
+ * @property cause the reason why the attempt ended (see [lichenstage.cluster.TaskEndCause]); null while the attempt has not ended
  */
 data class TaskReport(
     val task: String,
@@ -16,17 +17,17 @@
 )
 
 /**
- * A worker's heartbeat, or the equal content of its answer to an order.
+ * A worker's heartbeat. The reply to a direct order or a probe has the same content.
  *
  * @property machine the machine's name
- * @property address where the worker takes orders, as `HOST:PORT`
+ * @property address the address at which the worker accepts direct orders, as `HOST:PORT`
  * @property typeName the machine type
- * @property spot it is a spot instance
- * @property agentEpoch the epoch of the worker's agent: a higher one begins with an empty machine after a lease has expired
- * @property sequence rises with every message of an epoch
- * @property fencingToken the highest token that the worker has seen; 0 where none
- * @property recallUs how long until the cloud takes a spot instance back, in microseconds; null while there is no notice
- * @property tasks all attempts that the worker knows of
+ * @property spot whether the machine is a spot machine
+ * @property agentEpoch the epoch of the worker process; after a lease has expired, the worker begins a higher epoch without tasks
+ * @property sequence the sequence number of the message, which rises with every message of an agent epoch
+ * @property fencingToken the highest fencing token that the worker has seen; 0 if none
+ * @property recallUs the time until the cloud provider reclaims the spot machine, in microseconds; null while there is no notice
+ * @property tasks all attempts that the worker has not forgotten, including ended ones
  */
 data class Heartbeat(
     val machine: String,
@@ -41,25 +42,28 @@
     val tasks: List<TaskReport>,
 )
 
-/** A command to a worker about one attempt of a task. */
+/** An instruction to a worker that concerns one attempt of a task. */
 sealed interface Command {
+    /** The task, as `JOB/INDEX`. */
     val task: String
+
+    /** The number of the attempt. */
     val attempt: Long
 
-    /** Start the task. */
+    /** The instruction to start the task as this attempt. */
     data class Start(
         override val task: String,
         override val attempt: Long,
     ) : Command
 
-    /** Stop the task; it has [leewayS] seconds to save a checkpoint. */
+    /** The instruction to stop the task. The task gets [leewayS] seconds to save a checkpoint. */
     data class Stop(
         override val task: String,
         override val attempt: Long,
         val leewayS: Double,
     ) : Command
 
-    /** Forget an attempt that has ended. */
+    /** The instruction to forget an attempt that has ended. */
     data class Clear(
         override val task: String,
         override val attempt: Long,
--- a/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
@@ -9,26 +9,26 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** The invariants that a partition alone must keep. */
+/** Tests of the invariants that one partition must keep on its own, without other controllers. */
 internal class PartitionCoreTest : PartitionFixture() {
     @Example
-    fun `a machine is offered only after its worker has shown the token`() {
+    fun `a machine is offered only after its worker has shown the partition's token`() {
         val partition = newPartition()
         partition.onHeartbeat(heartbeat(3), 1)
         partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), 1)
-        assertTrue(onlyOfferOfNextFrame(partition, 2).held.isEmpty()) { "offered before its token was confirmed" }
+        assertTrue(onlyOfferOfNextFrame(partition, 2).held.isEmpty()) { "machine m was offered before its token was confirmed" }
         partition.onHeartbeat(heartbeat(5), 2)
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), 3)
-        assertEquals("m", onlyOfferOfNextFrame(partition, 4).held.single().machine) { "not offered" }
+        assertEquals("m", onlyOfferOfNextFrame(partition, 4).held.single().machine) { "m was not offered after its token was confirmed" }
     }
 
     @Example
-    fun `a worker that has seen a higher token is not answered`() {
-        assertTrue(newPartition().onHeartbeat(heartbeat(6), 1) is HeartbeatOutcome.Superseded) { "answered" }
+    fun `a heartbeat with a higher token than the partition's gets no reply`() {
+        assertTrue(newPartition().onHeartbeat(heartbeat(6), 1) is HeartbeatOutcome.Superseded) { "the heartbeat was not superseded" }
     }
 
     @Example
-    fun `requests in one frame are granted in the order of their stamps`() {
+    fun `requests of one frame are granted in the order of their numbers`() {
         val partition = newPartition()
         partition.onHeartbeat(heartbeat(5), 1)
         partition.onLeaderFrame(frame(requests = listOf(request(9, 2).copy(job = "j-2"), request(3, 1))), 1)
@@ -36,9 +36,12 @@
         assertEquals(mapOf(3L to 1, 9L to 1), offers) { "$offers" }
     }
 
-    /** Counted, not timed: in a backlog dozens of requests come with each frame, and nearly all machines are full. */
+    /**
+     * Guards against costs that grow with the number of machines. In a backlog each frame brings dozens of requests and nearly all machines
+     * are full. The test counts the look-ups of machine limits instead of measuring time.
+     */
     @Example
-    fun `a heartbeat looks at no other machine and requests look at a full one once, however many there are`() {
+    fun `a heartbeat checks no other machine and the requests of a frame check a full machine once`() {
         for (machines in listOf(400, 1600)) {
             var limitLookups = 0
             val partition =
@@ -52,38 +55,38 @@
             partition.onHeartbeat(heartbeat(5, machine = "free"), 1)
             limitLookups = 0
             partition.onHeartbeat(heartbeat(5, *runningTasks, machine = "m7"), 1)
-            assertEquals(0, limitLookups) { "a heartbeat made $limitLookups looks at $machines machines" }
+            assertEquals(0, limitLookups) { "a heartbeat caused $limitLookups limit look-ups with $machines machines" }
             partition.onLeaderFrame(frame(requests = (1L..24L).map { request(10 + it, 1).copy(job = "j-$it") }), 2)
-            assertTrue(limitLookups in machines..machines + 1 + 24) { "$limitLookups looks at $machines machines" }
+            assertTrue(limitLookups in machines..machines + 1 + 24) { "24 requests: $limitLookups limit look-ups with $machines machines" }
             val held = partition.nextFrame(3)!!.offers.sumOf { offer -> offer.held.sumOf { it.count } }
-            assertEquals(2, held) { "$held held on the one that is free" }
+            assertEquals(2, held) { "$held slots are held on the free machine, expected 2" }
         }
     }
 
     @Example
-    fun `a hold expires, and a start on an expired one is refused and reported to the leader`() {
+    fun `a start on an expired hold is refused and the leader is sent the task list without it`() {
         val partition = newPartition()
         partition.onHeartbeat(heartbeat(5), 0)
         partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), 0)
         partition.nextFrame(1)
         partition.onLeaderFrame(frame(starts = listOf(StartOrder(1, "m", 0, 1))), 6 * SECOND)
-        assertTrue(partition.nextDirectOrders(6 * SECOND).isEmpty()) { "started on an expired hold" }
-        assertTrue(onlyMachineOfNextFrame(partition, 6 * SECOND).tasks.isEmpty()) { "listed" }
+        assertTrue(partition.nextDirectOrders(6 * SECOND).isEmpty()) { "the task was started on an expired hold" }
+        assertTrue(onlyMachineOfNextFrame(partition, 6 * SECOND).tasks.isEmpty()) { "the refused task is listed" }
     }
 
     @Example
-    fun `a newer leader's frame drops the holds of the one before, whose starts are refused`() {
+    fun `a frame of a new leader drops the holds of the previous leader and starts on them are refused`() {
         val partition = newPartition()
         partition.onHeartbeat(heartbeat(5), 0)
         partition.onLeaderFrame(frame(term = 1, requests = listOf(request(1, 1))), 0)
         partition.onLeaderFrame(frame(term = 2), 1)
         partition.onLeaderFrame(frame(term = 1, starts = listOf(StartOrder(1, "m", 0, 1))), 2)
         partition.onLeaderFrame(frame(term = 2, starts = listOf(StartOrder(1, "m", 0, 1))), 3)
-        assertTrue(partition.nextDirectOrders(3).isEmpty()) { "started" }
+        assertTrue(partition.nextDirectOrders(3).isEmpty()) { "the task was started on a dropped hold" }
     }
 
     @Example
-    fun `the first state for a leader is sent in partial frames, of which only the last is whole`() {
+    fun `the first state for a leader is sent in several frames of which only the last is final`() {
         val partition = newPartition()
         repeat(130) { partition.onHeartbeat(heartbeat(5, machine = "m$it"), 1) }
         partition.onLeaderFrame(frame(), 1)
@@ -97,25 +100,28 @@
     }
 
     @Example
-    fun `late and repeated heartbeats change nothing`() {
+    fun `a heartbeat that arrives after newer messages changes nothing`() {
         val partition = newPartition()
         val lateHeartbeat = heartbeat(5)
         val order = startTask(partition)
         partition.onOrderOutcome(order, OrderOutcome.Answered(true, heartbeat(5, taskReport(TaskPhase.RUNNING))), 2)
         partition.nextFrame(2)
         partition.onHeartbeat(lateHeartbeat, 3)
-        assertEquals(TaskPhase.RUNNING, onlyMachineOfNextFrame(partition, 5 * SECOND).tasks.single().phase) { "an old list was believed" }
+        assertEquals(
+            TaskPhase.RUNNING,
+            onlyMachineOfNextFrame(partition, 5 * SECOND).tasks.single().phase,
+        ) { "the old task list was applied" }
     }
 
     @Example
-    fun `a silent machine is lost only when its lease has run out, and a late heartbeat does not bring its tasks back`() {
+    fun `a silent machine is lost only after its lease expires and a late heartbeat does not restore its tasks`() {
         val partition = newPartition()
         val order = startTask(partition, nowUs = SECOND)
         val running = taskReport(TaskPhase.RUNNING)
         partition.onOrderOutcome(order, OrderOutcome.Answered(true, heartbeat(5, running)), SECOND)
         val lateHeartbeat = heartbeat(5, running)
         partition.tick(SECOND + LEASE_US)
-        assertFalse(onlyMachineOfNextFrame(partition, SECOND + LEASE_US).lost) { "lost too early" }
+        assertFalse(onlyMachineOfNextFrame(partition, SECOND + LEASE_US).lost) { "the machine was lost before its lease expired" }
         partition.tick(3 * SECOND + LEASE_US)
         partition.onHeartbeat(lateHeartbeat, 4 * SECOND + LEASE_US)
         val machine = onlyMachineOfNextFrame(partition, 5 * SECOND + LEASE_US)
@@ -123,25 +129,25 @@
     }
 
     @Example
-    fun `a machine known from a probe alone is not lost before its lease can have run out`() {
+    fun `a machine known only from a probe is not lost before its lease can have expired`() {
         val partition = newPartition()
         val probedAtUs = 100 * SECOND
         partition.onProbeResult(StatusProbe("m", "1.2.3.4:5", 5), heartbeat(5), probedAtUs)
         partition.tick(probedAtUs + LEASE_US / 2)
         partition.onLeaderFrame(frame(), probedAtUs + LEASE_US / 2)
-        assertFalse(onlyMachineOfNextFrame(partition, probedAtUs + LEASE_US / 2).lost) { "held for lost" }
+        assertFalse(onlyMachineOfNextFrame(partition, probedAtUs + LEASE_US / 2).lost) { "lost half a lease after the probe" }
     }
 
     @Example
-    fun `a machine with a task of unknown size on it is full`() {
+    fun `a machine that runs a task with unknown requirements is not offered`() {
         val partition = newPartition()
         partition.onHeartbeat(heartbeat(5, TaskReport("j-77/0", 1, TaskPhase.RUNNING, null)), 1)
         partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), 2)
-        assertTrue(onlyOfferOfNextFrame(partition, 3).held.isEmpty()) { "offered" }
+        assertTrue(onlyOfferOfNextFrame(partition, 3).held.isEmpty()) { "the machine was offered" }
     }
 
     @Example
-    fun `among equally roomy machines the one with the image is offered first`() {
+    fun `among machines with equal free capacity the one with the image is offered first`() {
         val partition = newPartition()
         listOf("a", "b", "c").forEach { partition.onHeartbeat(heartbeat(5, machine = it), 1) }
         partition.onLeaderFrame(frame(requests = listOf(request(1, 3))), 2)
@@ -149,11 +155,11 @@
         partition.nextDirectOrders(3)
         partition.onHeartbeat(heartbeat(5, TaskReport("j-1/0", 1, TaskPhase.ENDED, "done"), machine = "b"), 4)
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), 5)
-        assertEquals("b", lastOfferOfNextFrame(partition, 6).held.single().machine) { "a cold machine came first" }
+        assertEquals("b", lastOfferOfNextFrame(partition, 6).held.single().machine) { "a machine without the image was offered first" }
     }
 
     @Example
-    fun `where a job has two requests the later one is for what the first was not granted`() {
+    fun `the later of two requests of a job is granted only the tasks that the first was not granted`() {
         val partition = newPartition()
         listOf("a", "b").forEach { partition.onHeartbeat(heartbeat(5, machine = it), 1) }
         partition.onLeaderFrame(frame(requests = listOf(request(1, 4))), 2)
@@ -169,30 +175,30 @@
     }
 
     @Example
-    fun `a request for machines with the image gets no other machine`() {
+    fun `a request for machines with the image is offered no machine without it`() {
         val partition = newPartition()
         listOf("a", "b").forEach { partition.onHeartbeat(heartbeat(5, machine = it), 1) }
         partition.onLeaderFrame(frame(requests = listOf(request(1, 3).copy(imageOnly = true))), 2)
-        assertTrue(machinesOfferedInNextFrame(partition, 2).isEmpty()) { "a cold machine was offered" }
+        assertTrue(machinesOfferedInNextFrame(partition, 2).isEmpty()) { "a machine without the image was offered" }
         partition.onLeaderFrame(frame(requests = listOf(request(2, 4))), 3)
         partition.onLeaderFrame(frame(starts = listOf(StartOrder(2, "b", 0, 1))), 4)
         partition.nextDirectOrders(4)
         partition.onLeaderFrame(frame(requests = listOf(request(3, 3).copy(imageOnly = true))), 5)
-        assertEquals(listOf("b"), machinesOfferedInNextFrame(partition, 5)) { "not the machine that fetches the image" }
+        assertEquals(listOf("b"), machinesOfferedInNextFrame(partition, 5)) { "expected only the machine that fetches the image" }
     }
 
     @Example
-    fun `a machine that answers orders but sends no heartbeats gets no more tasks, for its lease expires`() {
+    fun `a machine that replies to orders but sends no heartbeats is not offered because nothing renews its lease`() {
         val partition = newPartition()
         startTask(partition)
         var nowUs = SECOND
         while (nowUs < 12 * SECOND) {
             nowUs += SECOND
-            // As a mute machine does: what it is asked it answers, and its own reports reach nobody.
+            // The machine replies to probes, but its own heartbeats reach no controller.
             partition.onProbeResult(StatusProbe("m", "1.2.3.4:5", 5, 1), heartbeat(5, taskReport(TaskPhase.RUNNING)), nowUs)
         }
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), nowUs)
         val offer = partition.nextFrame(nowUs + SECOND)!!.offers.single { it.stamp == 2L }
-        assertTrue(offer.held.isEmpty()) { "offered: ${offer.held}" }
+        assertTrue(offer.held.isEmpty()) { "expected no held slots, was ${offer.held}" }
     }
 }
--- a/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
@@ -16,13 +16,13 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
-/** The frames of a partition carry changes only, from which the leader always knows the whole state (invariant 17). */
+/** Tests that a leader can rebuild the complete state of a partition from frames that carry only changes (invariant 17). */
 class PartitionDeltaTest {
     private val partition get() = testPartition.partition
     private val tasks get() = testPartition.tasks
     private var testPartition = TestPartition()
 
-    /** A partition with its machines as they are. */
+    /** A partition with the task lists that its workers report, by machine and attempt. */
     private class TestPartition(
         maxMachinesPerFrame: Int = 100,
     ) {
@@ -48,7 +48,10 @@
         acknowledgedVersion: Long,
     ) = partition.onLeaderFrame(PlacementFrame("z/0", term, ++seq, 5, acknowledgedVersion), nowUs)
 
-    /** A frame of the leader with a start on the machine [startedMachine], which is refused for want of a hold and is reported all the same. */
+    /**
+     * Sends a leader frame with a start on [startedMachine]. The start is refused, since there is no hold, but the partition still reports
+     * the machine in its next frame.
+     */
     private fun leaderFrame(
         term: Long,
         acknowledgedVersion: Long,
@@ -63,15 +66,17 @@
         return partition.nextFrame(nowUs)?.let { FrameCodec.decode(FrameCodec.encode(it)) as PartitionFrame }
     }
 
-    /** The leader's side of the frames. One of an [isEarlierRelease] goes by the numbers of partial frames as by those of whole ones. */
+    /** The leader's view of the partition. A leader of an earlier release also uses the sequence numbers of partial frames. */
     private class LeaderView(
         private val isEarlierRelease: Boolean = false,
     ) {
         var version = 0L
         val machines = HashMap<String, MachineState>()
 
-        /** The leader's frame up to which it takes the partition's state for complete, and up to which a whole frame has made it so. */
+        /** The leader frame up to which the leader regards the partition's state as complete. */
         var seq = 0L
+
+        /** The leader frame up to which a received final frame has made the state complete. */
         var finalSeq = 0L
 
         fun receive(frame: PartitionFrame) {
@@ -86,7 +91,7 @@
     }
 
     @Property(tries = 120, seed = "20261204")
-    fun `however frames are lost, late and repeated, the leader knows the task lists as they are`(
+    fun `the leader knows the task lists although frames are lost, late or repeated`(
         @ForAll seed: Long,
     ) {
         val random = Random(seed)
@@ -110,9 +115,9 @@
                 term++
                 leader = LeaderView(isEarlierRelease)
             }
-            // Frames of the leader come late or never, too.
+            // Frames of the leader also come late or not at all.
             if (random.nextInt(3) > 0) leaderFrame(term, leader.version)
-            assertTrue(leader.seq <= leader.finalSeq) { "a piece claims ${leader.seq}, whole frames ${leader.finalSeq} (seed $seed)" }
+            assertTrue(leader.seq <= leader.finalSeq) { "partial frames claim ${leader.seq}, final frames ${leader.finalSeq} (seed $seed)" }
         }
         repeat(2 + MACHINES) {
             leaderFrame(term, leader.version)
@@ -121,7 +126,7 @@
         for ((name, reports) in tasks) {
             val listed = leader.machines[name]?.tasks.orEmpty()
             assertTrue(listed.size == reports.size && listed.all { reports[it.attempt]?.phase == it.phase }) {
-                "$name has ${reports.values}, the leader knows $listed (seed $seed)"
+                "$name: expected tasks ${reports.values}, the leader knows $listed (seed $seed)"
             }
         }
     }
@@ -152,9 +157,9 @@
 
     private fun Set<Long>.randomOrNull(random: Random) = if (isEmpty()) null else elementAt(random.nextInt(size))
 
-    /** Counted, not timed: the size of a frame does not grow with the number of machines and tasks. */
+    /** Guards against frames whose size grows with the number of machines and tasks. The test counts entries instead of measuring time. */
     @Example
-    fun `a change costs the leader one task, on a machine of many and among many machines`() {
+    fun `the frame after a change of one task carries only that task, however many tasks and machines there are`() {
         for (machines in listOf(400, 1600)) {
             repeat(machines) { m ->
                 repeat(12) {
@@ -183,16 +188,16 @@
             val update = nextFrame()!!
             assertTrue(
                 update.machines.sumOf { it.tasks.size } == 1 && update.machines.size == 1,
-            ) { "of $machines machines: ${update.machines}" }
+            ) { "with $machines machines the frame carries ${update.machines}" }
         }
     }
 
     /**
-     * Guards against a task that ran twice. The whole frame that carried its start was lost; then more machines changed than one
-     * frame carries, and the first partial frame claimed to be complete up to the start, without its machine.
+     * Guards against a task that runs twice. It comes about if the final frame that reports the start of the task is lost, and then more
+     * machines change than one frame carries: the first partial frame claimed to be complete up to the start, but did not list the machine.
      */
     @Example
-    fun `a partial frame does not claim what only a whole frame that was lost has carried`() {
+    fun `a partial frame does not claim changes that only a lost final frame carried`() {
         testPartition = TestPartition(maxMachinesPerFrame = 1)
         listOf("m1", "m2").forEach(::heartbeat)
         leaderFrame(1, 0)
@@ -208,8 +213,8 @@
         assertTrue(!partialFrame.whole && partialFrame.machines.single().name == "m2") { "$partialFrame" }
         assertTrue(
             partialFrame.seq <= confirmed.seq,
-        ) { "claims ${partialFrame.seq} although only ${confirmed.seq} is known to have arrived" }
-        // By pieces the leader comes to a higher version than the lost frame's, which is no word that it has that one.
+        ) { "the frame claims ${partialFrame.seq}, but only ${confirmed.seq} is confirmed" }
+        // Partial frames take the leader to a higher version than that of the lost frame. This does not prove that the lost frame arrived.
         leaderFrame(1, partialFrame.version)
         heartbeat("m2")
         tasks.getValue("m2")[++lastAttempt] = TaskReport("j-2/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null)
@@ -217,11 +222,11 @@
         tasks.getValue("m1")[++lastAttempt] = TaskReport("j-2/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null)
         heartbeat("m1")
         val next = nextFrame()!!
-        assertTrue(!next.whole && next.seq <= confirmed.seq) { "claims ${next.seq} after a piece was acknowledged" }
+        assertTrue(!next.whole && next.seq <= confirmed.seq) { "the frame claims ${next.seq}, but only ${confirmed.seq} is confirmed" }
     }
 
     @Example
-    fun `once a whole frame is acknowledged the partial frames after it claim what it has carried`() {
+    fun `partial frames after an acknowledged final frame claim what that frame carried`() {
         testPartition = TestPartition(maxMachinesPerFrame = 1)
         listOf("m1", "m2").forEach(::heartbeat)
         leaderFrame(1, 0)
@@ -235,12 +240,15 @@
         val partialFrame = nextFrame()!!
         assertTrue(
             !partialFrame.whole && partialFrame.seq == finalFrame.seq,
-        ) { "says ${partialFrame.seq}, the leader has ${finalFrame.seq}" }
+        ) { "the frame claims ${partialFrame.seq}, the leader has ${finalFrame.seq}" }
     }
 
-    /** With a hundred machines a frame, whatever their number, no frame of so many was ever whole, and the leader concluded nothing. */
+    /**
+     * Guards against a partition that never sends a final frame. It came about when every frame was limited to 100 machines: in a large
+     * partition more machines changed than a frame carried, and the leader could not conclude anything.
+     */
     @Example
-    fun `a partition of 4,000 or 6,000 machines sends whole frames although machines change all the time`() {
+    fun `a partition of 4,000 or 6,000 machines sends final frames although machines change all the time`() {
         for (count in listOf(4_000, 6_000)) {
             testPartition = TestPartition()
             val machines = List(count) { "m$it" }
@@ -255,12 +263,12 @@
                     leaderFrame(1, frame.version)
                     frame.whole
                 }
-            assertEquals(ROUNDS, finalFrames) { "$count machines: $finalFrames of $ROUNDS frames were whole" }
+            assertEquals(ROUNDS, finalFrames) { "$count machines: $finalFrames of $ROUNDS frames were final" }
         }
     }
 
     @Example
-    fun `a frame stays well below the size that is read however many tasks there are`() {
+    fun `a frame of a partition with 72,000 tasks stays below 4 MiB`() {
         val machines = List(1_200) { "m$it" }
         for (machine in machines) {
             val reports = tasks.getOrPut(machine) { HashMap() }
@@ -275,7 +283,7 @@
             leaderFrame(1, frame.version)
             if (frame.whole) break
         }
-        assertTrue(sizes.max() < 4 * 1024 * 1024) { "$sizes" }
+        assertTrue(sizes.max() < 4 * 1024 * 1024) { "frame sizes in bytes: $sizes" }
     }
 
     private fun change(machine: String) {
@@ -284,7 +292,7 @@
         tasks.getValue(machine).clear()
     }
 
-    /** Acknowledges frames up to the first whole one, which is returned. */
+    /** Acknowledges frames up to the first final frame and returns that frame. */
     private fun acknowledgeAll(): PartitionFrame {
         while (true) {
             val frame = nextFrame()!!
@@ -298,7 +306,7 @@
         const val FEW_MACHINES = 4
         const val ROUNDS = 20
 
-        /** One machine in so many changes until the leader's answer to a frame has come, 0.3 s after it. */
+        /** One machine in this many changes before the leader acknowledges a frame, about 0.3 s after the frame was sent. */
         const val CHANGING_SHARE = 10
     }
 }
--- a/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
@@ -13,13 +13,13 @@
 import lichenstage.model.MachineLimits
 import lichenstage.model.Resources
 
-/** A partition of one zone, its machines and a leader, for tests. */
+/** Helpers for tests that run one [PartitionCore] and play its workers and its leader. */
 internal abstract class PartitionFixture {
     protected val requirements = JobRequirements(Resources(4.0, 0.0, 1.0), "img")
     protected var seq = 0L
     private var sequence = 0L
 
-    /** A partition under term 5 that was acquired at 0; its machines have 8 cores. */
+    /** Creates a partition with term 5, acquired at time 0. Its machines have 8 cores by default. */
     protected fun newPartition(
         jobCompletions: JobCompletions = JobCompletions.NONE,
         limitsOf: (String) -> MachineLimits? = { MACHINE_LIMITS },
@@ -50,7 +50,7 @@
         nowUs: Long,
     ) = (onHeartbeat(heartbeat, nowUs) as HeartbeatOutcome.Accepted).commands
 
-    /** Has the partition start j-1/0 as attempt 1 on the machine m, which has shown its token; returns the direct order. */
+    /** Makes the partition start j-1/0 as attempt 1 on machine m, which has shown its token, and returns the direct order. */
     protected fun startTask(
         partition: PartitionCore,
         nowUs: Long = 1,
@@ -67,32 +67,32 @@
 
     protected fun taskReport(phase: TaskPhase) = TaskReport("j-1/0", 1, phase, if (phase == TaskPhase.ENDED) TaskEndCause.HALTED else null)
 
-    /** A partition with j-1/0 running as attempt 1 on machine m. */
+    /** Creates a partition with j-1/0 running as attempt 1 on machine m. */
     protected fun partitionWithRunningTask(): PartitionCore {
         val partition = newPartition()
         partition.onOrderOutcome(startTask(partition), OrderOutcome.Answered(true, heartbeat(5, taskReport(TaskPhase.RUNNING))), 2)
         return partition
     }
 
-    /** The next frame's last offer. */
+    /** Returns the last offer of the partition's next frame. */
     protected fun lastOfferOfNextFrame(
         partition: PartitionCore,
         nowUs: Long,
     ) = partition.nextFrame(nowUs)!!.offers.last()
 
-    /** The next frame's offer, the only one in it. */
+    /** Returns the offer of the partition's next frame, which must contain exactly one. */
     protected fun onlyOfferOfNextFrame(
         partition: PartitionCore,
         nowUs: Long,
     ) = partition.nextFrame(nowUs)!!.offers.single()
 
-    /** The next frame's machine, the only one in it. */
+    /** Returns the machine of the partition's next frame, which must contain exactly one. */
     protected fun onlyMachineOfNextFrame(
         partition: PartitionCore,
         nowUs: Long,
     ) = partition.nextFrame(nowUs)!!.machines.single()
 
-    /** The machines of the next frame's last offer. */
+    /** Returns the names of the machines in the last offer of the partition's next frame. */
     protected fun machinesOfferedInNextFrame(
         partition: PartitionCore,
         nowUs: Long,
--- a/src/test/kotlin/lichenstage/partition/WorkerCodecTest.kt
+++ b/src/test/kotlin/lichenstage/partition/WorkerCodecTest.kt
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
-/** Messages of the worker protocol, encoded and decoded. */
+/** Tests of encoding and decoding messages of the worker protocol. */
 class WorkerCodecTest {
     private fun command(random: Random): Command {
         val task = "j-${random.nextInt(1000)}/${random.nextInt(100)}"
@@ -26,7 +26,7 @@
     }
 
     @Property(tries = 100)
-    fun `orders have the protocol's form`(
+    fun `commands are encoded in the form of the worker protocol`(
         @ForAll seed: Long,
     ) {
         val random = Random(seed)
@@ -39,7 +39,9 @@
         assertEquals(agentEpoch, json.getLong("tenure") as Long?) { "$json" }
         val rows = json.getJsonArray("orders").map { it as JsonObject }
         assertEquals(commands.size, rows.size) { "$json" }
-        rows.zip(commands).forEach { (commandJson, command) -> assertTrue(isSame(commandJson, command)) { "$commandJson for $command" } }
+        rows.zip(commands).forEach { (commandJson, command) ->
+            assertTrue(isSame(commandJson, command)) { "$command encoded as $commandJson" }
+        }
     }
 
     private fun isSame(
@@ -53,7 +55,7 @@
     }
 
     @Example
-    fun `a heartbeat is decoded, with fields that are not known or left out`() {
+    fun `a heartbeat with unknown fields and without optional fields is decoded`() {
         val heartbeat =
             WorkerCodec.decodeHeartbeat(
                 Buffer.buffer(
@@ -67,7 +69,7 @@
     }
 
     @Example
-    fun `a body that is not a heartbeat is refused with the field that is wrong`() {
+    fun `a body that is not a heartbeat is rejected with the name of the invalid field`() {
         val invalidBodies =
             listOf(
                 "" to null,
@@ -83,14 +85,14 @@
         for ((body, field) in invalidBodies) assertEquals(field, decodeInvalid(body).field) { body }
     }
 
-    /** Guards against a parser that never came to an end: the nested value hid the end of the object. */
+    /** Guards against a parser that never ends, because the nested value hides the end of the object from it. */
     @Example
-    fun `a body with a nested value in place of a boolean is refused`() {
+    fun `a body with a nested value in place of a boolean is rejected`() {
         assertNull(decodeInvalid("""{"loaners":[1,2]}""").field)
     }
 
     @Example
-    fun `a refusal names the field and what was expected there`() {
+    fun `the message of a rejection names the field and the expected type`() {
         val exception = decodeInvalid("""{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":"x","tally":1}""")
         assertEquals("tenure: expected an integer", exception.message)
     }
