--- a/src/main/kotlin/lichenstage/partition/HeartbeatOutcome.kt
+++ b/src/main/kotlin/lichenstage/partition/HeartbeatOutcome.kt
@@ -2,7 +2,7 @@
 
 /** The decision of a partition on a worker's heartbeat. */
 sealed interface HeartbeatOutcome {
-    /** The heartbeat gets a reply with [commands], which the worker executes under [fencingToken]. */
+    /** The heartbeat is accepted. The reply carries [commands], which the worker executes under [fencingToken]. */
     data class Accepted(
         val fencingToken: Long,
         val commands: List<Command>,
@@ -11,6 +11,9 @@
     /** The heartbeat is not accepted: the worker has seen a higher token, so the partition has a newer owner. */
     data object Superseded : HeartbeatOutcome
 
-    /** The heartbeat gets no reply: a reply would renew the lease of a machine that may still start a cancelled job (invariant 6). */
+    /**
+     * The heartbeat is not accepted: accepting it would renew the lease of a machine that may still execute a start of a cancelled job
+     * (invariant 6).
+     */
     data object Withheld : HeartbeatOutcome
 }
--- a/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
+++ b/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
@@ -56,8 +56,8 @@
     ) {
         machine.startAgentEpoch(agentEpoch)
         machine.agentEpochFirstSeenAtUs = nowUs
-        // The lease expired although the worker's heartbeats got replies, so replies may not reach the worker. It must reply to an order or
-        // a probe first.
+        // The lease expired although the worker's heartbeats were accepted, so replies perhaps do not reach the worker. It must reply
+        // to an order or a probe first.
         machine.isUnresponsive = true
     }
 
--- a/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
+++ b/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Starts the task of [order], or refuses the order, for example if no hold exists for it. In both cases the next frame contains the
-     * machine again. After a refusal, the machine's task list shows the leader that the attempt does not exist.
+     * Starts the task of [order], or refuses the order, for example if no hold exists for it. In both cases the machine is reported to
+     * the leader again. After a refusal, the machine's task list shows the leader that the attempt does not exist.
      */
     private fun handleStart(
         order: StartOrder,
--- a/src/main/kotlin/lichenstage/partition/Machine.kt
+++ b/src/main/kotlin/lichenstage/partition/Machine.kt
@@ -44,8 +44,8 @@
     var lastReplyAtUs = 0L
 
     /**
-     * The time at which this agent epoch was first seen. The worker's lease runs from the beginning of the epoch, even if no heartbeat got
-     * a reply. Without this time, a machine known only from direct orders was considered lost while it ran tasks.
+     * The time at which this agent epoch was first seen. The worker's lease runs from the beginning of the epoch, even if no heartbeat was
+     * accepted. Without this time, a machine known only from direct orders was considered lost while it ran tasks.
      */
     var agentEpochFirstSeenAtUs = 0L
 
@@ -65,8 +65,8 @@
     var isLost = false
 
     /**
-     * Whether commands may not reach the machine: a direct order could not be sent or got no reply, or a new agent epoch began. A heartbeat
-     * alone does not reset this, since it does not prove that commands reach the machine (invariant 12).
+     * Whether it is doubtful that commands reach the machine: a direct order could not be sent or got no reply, or a new agent epoch began.
+     * A heartbeat alone does not reset this, since it does not prove that commands reach the machine (invariant 12).
      */
     var isUnresponsive = false
 
--- a/src/main/kotlin/lichenstage/partition/PartitionCore.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionCore.kt
@@ -71,7 +71,7 @@
         if (!orderFencing.mayRenewLease(machine, nowUs)) return HeartbeatOutcome.Withheld
         val isCurrentEpoch = heartbeat.agentEpoch == machine.agentEpoch
         // This also applies to a heartbeat that is older than the last applied message: the reply to an order may have overtaken the
-        // heartbeat, and the worker counts its lease from every heartbeat that gets a reply.
+        // heartbeat, and the worker counts its lease from every heartbeat that is accepted.
         if (isCurrentEpoch) {
             machine.lastReplyAtUs = nowUs
             machine.lastHeartbeatSequence = maxOf(machine.lastHeartbeatSequence, heartbeat.sequence)
--- a/src/main/kotlin/lichenstage/partition/PartitionParameters.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionParameters.kt
@@ -6,7 +6,7 @@
  * @property id the partition's name
  * @property zone the zone of its machines
  * @property term the term of the ownership; also the fencing token of each machine until an order to the machine has to be fenced off
- * @property workerLeaseUs how long a worker keeps running tasks after it sent the last heartbeat that got a reply, in microseconds
+ * @property workerLeaseUs how long a worker keeps running tasks after it sent the last heartbeat that was accepted, in microseconds
  * @property heartbeatIntervalUs the time between two heartbeats of a worker, in microseconds
  * @property acquiredAtUs the time at which this controller acquired the partition, in microseconds of the controller's clock
  * @property maxMachinesPerFrame the frame limit that [ChangeLog.MAX_MACHINES_PER_FRAME] describes; tests lower it
--- a/src/main/kotlin/lichenstage/partition/ProbeSchedule.kt
+++ b/src/main/kotlin/lichenstage/partition/ProbeSchedule.kt
@@ -15,7 +15,7 @@
 )
 
 /**
- * The schedule of probes. It probes the machines that have not shown a token of the owner, and those that commands may not reach.
+ * The schedule of probes. It probes the machines that have not shown a token of the owner, and the unresponsive ones.
  *
  * With probes a new owner does not have to wait until each worker has found it: the reply to a probe confirms the token (invariant 3).
  * A probe renews no lease. The number of probes in flight is bounded, since hundreds would be due at once after a failover.
--- a/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
@@ -23,7 +23,7 @@
     }
 
     @Example
-    fun `a heartbeat with a higher token than the partition's gets no reply`() {
+    fun `a heartbeat with a higher token than the partition's is not accepted`() {
         assertTrue(newPartition().onHeartbeat(heartbeat(6), 1) is HeartbeatOutcome.Superseded) { "the heartbeat was not superseded" }
     }
 
