--- a/src/main/kotlin/lichenstage/authority/AcquisitionDelay.kt
+++ b/src/main/kotlin/lichenstage/authority/AcquisitionDelay.kt
@@ -5,15 +5,17 @@
 import lichenstage.config.Settings
 
 /**
- * How long a controller waits before it acquires a key that has no holder. A partition's home controller acquires it at once; others wait
- * a little, in an order that avoids collisions. To lead costs about as much as to own a partition: who holds the fewest keys comes first.
+ * The delay before a controller acquires a key that has no holder.
+ *
+ * The home controller of a partition acquires it at once. Other controllers wait for different times, to avoid concurrent acquisitions.
+ * Leadership costs about as much as the ownership of a partition, so controllers that hold fewer keys wait less.
  */
 internal class AcquisitionDelay(
     private val settings: Settings,
 ) {
     private val rank = (settings.peers.map { it.label } + settings.label).sorted().indexOf(settings.label)
 
-    /** This controller's home partition is no larger than the others': it shares its zone, or no controller does. */
+    /** Whether the home partition of this controller is no larger than others: the controller shares its zone, or no controllers do. */
     private val isEvenlyShared = isZoneShared() || zoneCount() > peerCount()
 
     private fun isZoneShared() = settings.peers.any { it.zone == settings.zone }
@@ -27,10 +29,12 @@
             .size
 
     /**
-     * The delay in microseconds. [heldKeyCount]: how many keys this controller holds; [home]: the partition's home controller;
-     * [isHomeHealthy]: it is reachable and the state service answers it, so that it is about to acquire the partition itself. (Seen on
-     * Baile's lean "rough" day: all processes came back within a second, the first acquired two partitions and the leadership, and
-     * released the second after 36 s.)
+     * Returns the delay in microseconds.
+     *
+     * [heldKeyCount] is the number of keys that this controller holds, and [home] the home controller of the partition; null if there is
+     * none. [isHomeHealthy] says that the home controller is reachable and receives replies from the state service: it is about to acquire
+     * the partition itself. Waiting for it avoids a second change of owner. (Seen on Baile's lean "rough" day: all processes restarted
+     * within a second, the first one acquired two partitions and the leadership, and released the second partition after 36 s.)
      */
     fun delayUs(
         isLeadership: Boolean,
@@ -71,8 +75,8 @@
         private const val MAX_LAG_DELAY_US = 2 * SECOND
 
         /**
-         * The additional delay of a process whose event loop lags by [lagUs]: it leaves keys to others, its home partition too, which is
-         * released to it once it is healthy.
+         * Returns the additional delay of a process whose event loop lags by [lagUs], in microseconds. It lets other controllers acquire
+         * keys first, also that of its home partition, which its owner releases once this process is healthy.
          */
         fun lagDelayUs(lagUs: Long): Long = (lagUs - TOLERATED_LAG_US).coerceIn(0, MAX_LAG_DELAY_US)
     }
--- a/src/main/kotlin/lichenstage/authority/AcquisitionMoratorium.kt
+++ b/src/main/kotlin/lichenstage/authority/AcquisitionMoratorium.kt
@@ -9,12 +9,12 @@
 import lichenstage.config.Settings
 
 /**
- * The protocol by which controllers promise each other to acquire no key for a moment while the state service answers none of them
- * (invariant 2): asks for the others' moratoriums, and grants them its own.
+ * The protocol by which controllers agree to acquire no keys for a short time while the state service is unavailable to all of them
+ * (invariant 2). This class requests moratoriums from the other controllers and grants its own.
  *
- * A controller that the service answers, or whose acquisition may still succeed, does not grant one: it may see the asker's lease end
- * and acquire its keys. One renewal without an answer is enough to grant one: a controller whose requests were refused before those of
- * the others has little of its lease left when they notice.
+ * A controller grants no moratorium while it receives replies from the state service or while one of its acquisitions may still succeed:
+ * it could see the lease of the requester expire and acquire its keys. One renewal without a reply is enough to grant a moratorium, since
+ * a controller whose requests failed earlier has little of its lease left when the others notice the outage.
  */
 internal class AcquisitionMoratorium(
     settings: Settings,
@@ -26,10 +26,13 @@
     private val incarnation = timeOfDayUs()
     private val peers = settings.peers.map { it.label }.toSet()
 
-    /** Where the seeds name fewer controllers than there are, the others cannot grant a moratorium for all. */
+    /**
+     * The moratoriums of the other controllers. If the settings list fewer controllers than exist, it has no peers and never extends the
+     * lease, since the unlisted controllers cannot be asked.
+     */
     private val peerMoratoriums = PeerMoratoriums(if (settings.count == peers.size + 1) peers else emptySet())
 
-    /** Asks all other controllers while the state service is unavailable; runs until it is cancelled. */
+    /** Requests moratoriums from all other controllers while the state service is unavailable. Runs until cancelled. */
     suspend fun run() {
         while (true) {
             delay(REQUEST_INTERVAL_MS)
@@ -39,7 +42,7 @@
         }
     }
 
-    /** Grants another controller's request only where this one can neither hold nor acquire its keys. */
+    /** Handles another controller's request: grants it only if this controller can neither hold nor acquire the requester's keys. */
     fun onRequest(
         from: String,
         request: MoratoriumRequest,
@@ -50,7 +53,7 @@
         send(from, MoratoriumGrant(request.incarnation, request.requestedAtUs))
     }
 
-    /** Another controller has granted a moratorium, to this process or to the one before it. */
+    /** Handles the grant of another controller. A grant to an earlier process of this controller is dropped. */
     fun onGrant(
         from: String,
         grant: MoratoriumGrant,
--- a/src/main/kotlin/lichenstage/authority/Authority.kt
+++ b/src/main/kotlin/lichenstage/authority/Authority.kt
@@ -10,12 +10,14 @@
 import lichenstage.state.KeyValueStoreClient
 
 /**
- * The process's lease, and the ownerships attached to it: leadership and partitions.
+ * The lease of this process and the ownerships attached to it: leadership and partitions.
  *
- * Every ownership takes a new term from one counter in the same transaction (invariant 1). The lease counts from the sending of the last
- * renewal that succeeded, less clock drift and a margin (invariant 2). While the state service answers no controller, authority goes on
- * for as long as all other controllers grant an acquisition moratorium ([AcquisitionMoratorium]), else it pauses; where the service comes
- * back before the lease has expired, no other controller can have held the keys.
+ * Every ownership takes a new term from a shared counter in the transaction that acquires it (invariant 1). The lease is valid from the
+ * time when the last successful renewal was sent, for its duration less clock drift and a margin (invariant 2).
+ *
+ * While the state service is unavailable to all controllers, this process keeps its authority as long as all other controllers grant an
+ * acquisition moratorium ([AcquisitionMoratorium]). Otherwise its authority is suspended. If the service returns before the lease has
+ * expired, no other controller can have held the keys.
  */
 class Authority(
     private val settings: Settings,
@@ -23,7 +25,7 @@
     clock: Clock,
     private val scope: CoroutineScope,
     send: (String, Frame) -> Unit,
-    /** Another controller is reachable, and the state service answers it. */
+    /** Returns whether another controller is reachable and receives replies from the state service. */
     isPeerHealthy: (String) -> Boolean,
     private val onChange: (OwnershipView) -> Unit,
 ) {
@@ -36,32 +38,32 @@
     private val tokenReservation = FencingTokenReservation(state, table)
     private val watcher = OwnershipWatcher(state, table, ::revokePredecessors, ::notifyChange, ::onOwnershipEvents)
 
-    /** This process may act on what it holds. To be asked again at the moment of every answer. */
+    /** Returns whether this process may act on its ownerships. Callers check this again right before each reply they send. */
     fun hasAuthority() = lease.isValid()
 
-    /** The state service has answered this process not long ago. */
+    /** Returns whether the state service has recently confirmed the lease of this process. */
     fun isStateServiceAvailable() = lease.isStateServiceAvailable()
 
-    /** This process's leadership while it may act on it, else null. */
+    /** Returns the leadership of this process while the process may act on it, else null. */
     fun heldLeadership(): Holder? = heldOwnerships.currentOwnership(OwnershipRecords.LEADER_KEY)
 
-    /** This process's ownership of a partition while it may act on it, else null. */
+    /** Returns this process's ownership of a partition while the process may act on it, else null. */
     fun heldPartition(partition: String): Holder? = heldOwnerships.currentOwnership(OwnershipRecords.partitionKey(partition))
 
-    /** The owner of a partition, as last seen. */
+    /** Returns the owner of a partition as last seen in the state service; null if it has none. */
     fun ownerOf(partition: String): Holder? = table.holder(OwnershipRecords.partitionKey(partition))
 
-    /** The leader and the owners of the partitions, as last seen. */
+    /** Returns the leader and the owners of the partitions as last seen in the state service. */
     fun ownershipView(): OwnershipView {
         val owners = LinkedHashMap<String, Holder>()
         for (partition in settings.assignment.partitions) ownerOf(partition)?.let { owners[partition] = it }
         return OwnershipView(table.holder(OwnershipRecords.LEADER_KEY), owners)
     }
 
-    /** This process has authority and has seen the ownership records at least once. */
+    /** Returns whether this process has authority and has read the ownership records at least once. */
     fun isReady() = table.isLoaded && hasAuthority()
 
-    /** Keeps the lease, follows the ownership records and acquires what no controller holds, from now on. */
+    /** Starts to renew the lease, to watch the ownership records and to acquire keys that no controller holds. */
     fun start() {
         scope.launch { lease.run() }
         scope.launch { watcher.run() }
@@ -69,24 +71,24 @@
         scope.launch { acquisition.run() }
     }
 
-    /** Another controller asks this one to acquire no key for a moment. */
+    /** Handles another controller's request for an acquisition moratorium. */
     fun onMoratoriumRequest(
         from: String,
         request: MoratoriumRequest,
     ) = moratorium.onRequest(from, request)
 
-    /** Another controller acquires no key for a moment. */
+    /** Handles another controller's grant of an acquisition moratorium. */
     fun onMoratoriumGrant(
         from: String,
         grant: MoratoriumGrant,
     ) = moratorium.onGrant(from, grant)
 
-    /** Gives up a partition for the sake of its home controller; returns once that is confirmed. */
+    /** Releases a partition to its home controller. Returns once the release is confirmed. */
     suspend fun releasePartition(partition: String) = release.release(OwnershipRecords.partitionKey(partition))
 
     /**
-     * [count] fencing tokens above all that were ever given out, for the owner of [partition] alone; null where none can be had now. Where
-     * it is not [isUrgent], none are reserved while a key has no holder: whoever acquires it needs the same counter.
+     * Reserves [count] fencing tokens above all tokens and terms issued before, for the owner of [partition] only. Returns null if none can
+     * be reserved now. Unless [isUrgent], no tokens are reserved while a key has no holder, since its acquisition changes the same counter.
      */
     suspend fun reserveFencingTokens(
         partition: String,
@@ -106,8 +108,8 @@
     }
 
     /**
-     * A process of this label that ran before is dead, or this one would not have been started: its lease is ended at
-     * once so that no controller waits for it to expire.
+     * Revokes the leases of earlier processes of this controller, so that no controller has to wait for them to expire. These processes
+     * are dead, otherwise this one would not have been started.
      */
     private suspend fun revokePredecessors() {
         for (predecessor in heldOwnerships.predecessorLeases()) if (predecessor != lease.id) state.revokeLease(predecessor)
--- a/src/main/kotlin/lichenstage/authority/FencingTokenReservation.kt
+++ b/src/main/kotlin/lichenstage/authority/FencingTokenReservation.kt
@@ -7,9 +7,9 @@
 import lichenstage.state.TransactionResult
 
 /**
- * Reserves fencing tokens for the owner of a partition, from the counter of all terms (invariant 6): no other controller is given them,
- * and every later owner's term is above them, whichever version it runs. The ownership is a precondition of the write, so that it cannot
- * succeed after the ownership has ended.
+ * The reservation of fencing tokens for the owner of a partition, from the counter of all terms (invariant 6). No other controller
+ * receives the same tokens, and the term of every later owner is above them, whichever version that owner runs. The ownership is a
+ * precondition of the write, so the write cannot succeed after the ownership has ended.
  */
 internal class FencingTokenReservation(
     private val state: KeyValueStore,
@@ -17,7 +17,7 @@
 ) {
     private var isInProgress = false
 
-    /** [count] tokens for the [ownership] of [key]; null where none could be reserved now. */
+    /** Returns [count] tokens reserved under the [ownership] of [key]; null if the reservation failed or another one is in progress. */
     suspend fun reserve(
         key: String,
         ownership: Holder,
--- a/src/main/kotlin/lichenstage/authority/HeldOwnerships.kt
+++ b/src/main/kotlin/lichenstage/authority/HeldOwnerships.kt
@@ -1,27 +1,27 @@
 package lichenstage.authority
 
-/** What this process, the controller [label], holds: the ownerships attached to its lease that it has not given up. */
+/** The ownerships that this process of the controller [label] holds: attached to its lease and not given up. */
 internal class HeldOwnerships(
     private val label: String,
     private val lease: ProcessLease,
     private val table: OwnershipTable,
 ) {
-    /** Revisions of the ownerships that this process has given up. */
+    /** The revisions of the ownership records that this process has given up. */
     private val relinquished = HashSet<Long>()
 
-    /** How many keys the state service says that this controller holds. */
+    /** The number of keys that this controller holds according to the records in the state service. */
     val recordedKeyCount: Int get() = table.currentHolders.count { it.label == label }
 
-    /** This process's ownership of [key] while it may act on it, else null. */
+    /** Returns this process's ownership of [key] while the process may act on it, else null. */
     fun currentOwnership(key: String): Holder? =
         table.holder(key)?.takeIf { it.label == label && it.lease == lease.id && it.modRevision !in relinquished && lease.isValid() }
 
-    /** This process acts on the ownership no more, whether or not its record is still there. */
+    /** Gives up the ownership: this process no longer acts on it, even while its record still exists. */
     fun relinquish(ownership: Holder) {
         relinquished += ownership.modRevision
     }
 
-    /** The leases of earlier processes of this controller that still hold keys. */
+    /** Returns the leases under which this controller holds keys. Before this process acquires a key, these belong to earlier processes. */
     fun predecessorLeases(): List<Long> =
         table.currentHolders
             .filter { it.label == label }
--- a/src/main/kotlin/lichenstage/authority/Holder.kt
+++ b/src/main/kotlin/lichenstage/authority/Holder.kt
@@ -1,6 +1,6 @@
 package lichenstage.authority
 
-/** The controller that holds a key, under which term and process lease; [modRevision] is the revision of the ownership record. */
+/** The controller that holds a key, with the term and the process lease. [modRevision] is the revision of the ownership record. */
 data class Holder(
     val label: String,
     val term: Long,
@@ -8,14 +8,15 @@
     val modRevision: Long,
 )
 
-/** The leader and the owners of the partitions, as last seen in the state service. */
+/** The leader and the owners of the partitions as last seen in the state service. */
 data class OwnershipView(
+    /** The holder of leadership; null if there is none. */
     val leader: Holder?,
-    /** Owners by partition; partitions without an owner are missing. */
+    /** The owners by partition. Partitions without an owner are absent. */
     val owners: Map<String, Holder>,
 )
 
-/** The counter of all terms with its new value [term], and the keys that any controller has ever owned. */
+/** The record of the term counter: the highest [term] issued, and the keys that any controller has ever owned. */
 internal data class TermCounter(
     val term: Long,
     val everOwnedKeys: Collection<String>,
--- a/src/main/kotlin/lichenstage/authority/LeaseDuration.kt
+++ b/src/main/kotlin/lichenstage/authority/LeaseDuration.kt
@@ -4,28 +4,33 @@
 import lichenstage.config.Settings
 
 /**
- * How long a process's lease lasts without renewal. Short, since no controller acquires the keys of a dead process before it has expired;
- * but longer than a live one stalls, which it does while it is cold: code is interpreted and compiled while all peers connect anew.
+ * The duration of a process lease without renewal.
  *
- * Guards against controllers that lose their lease because they are slow: each loss moves their partitions, which makes the others
- * slow in turn. (Seen on Baile's lean "rough" day: eleven failovers within a minute after two crashes.)
+ * The lease is short, since no controller can acquire the keys of a dead process before its lease expires. It is longer than a live process
+ * stalls: a process stalls after its start, while its code is interpreted and compiled and all peers reconnect.
+ *
+ * This guards against controllers that lose their lease because they are slow. Each loss moves their partitions, which slows down the
+ * other controllers. (Seen on Baile's lean "rough" day: eleven failovers within a minute after two crashes.)
  */
 internal object LeaseDuration {
-    /** Processor time that a cold process spends at a stretch before it looks at its timers again. */
+    /** The CPU time that a newly started process uses without a break before it runs its timers again. */
     private const val STALL_CPU_TIME_US = SECOND / 2
     private const val MIN_UNSTALLED_US = 2 * SECOND
     private const val MAX_UNSTALLED_US = 4 * SECOND
 
-    /** The part of a worker's lease where the process does not stall. */
+    /** Divides the worker lease to get the process lease where stalls are short. */
     private const val UNSTALLED_WORKER_LEASE_DIVISOR = 4
 
-    /** In so many parts of a worker's lease: failure detection, failover and the worker's way to its new owner. */
+    /**
+     * Divides the worker lease to get the maximum process lease. Within one worker lease, the failure must be detected, the partition must
+     * fail over and the worker must reach the new owner.
+     */
     private const val MAX_WORKER_LEASE_DIVISOR = 3
 
-    /** The duration in microseconds under [settings]. */
+    /** Returns the duration in microseconds under [settings]. */
     fun of(settings: Settings): Long = of(settings.workerLeaseUs, settings.coreShare)
 
-    /** The duration in microseconds where workers' leases last [workerLeaseUs] and the process gets [coreShare] of a core. */
+    /** Returns the duration in microseconds for worker leases of [workerLeaseUs] and a process that gets [coreShare] of a core. */
     fun of(
         workerLeaseUs: Long,
         coreShare: Double,
--- a/src/main/kotlin/lichenstage/authority/LocalLease.kt
+++ b/src/main/kotlin/lichenstage/authority/LocalLease.kt
@@ -4,19 +4,21 @@
 import lichenstage.common.withDrift
 
 /**
- * A lease of the state service as its holder may count on it (invariant 2): from the sending of the last renewal that
- * succeeded, less the drift between two clocks and a margin. Guards against a process that acts while another already holds
- * its keys: the service counts from when the renewal arrived, which is never before it was sent.
+ * The holder's view of a lease in the state service (invariant 2): valid from the time when the last successful renewal was sent, for the
+ * lease's duration less the drift between two clocks and a margin.
+ *
+ * This guards against a process that acts while another one already holds its keys. The service counts from the arrival of the renewal,
+ * which is never before its sending, so the lease ends here first.
  */
 class LocalLease(
     private val durationUs: Long,
 ) {
-    /** The service's number of the lease; null while none is held. */
+    /** The number of the lease in the state service; null while no lease is held. */
     var id: Long? = null
         private set
     private var validUntilUs = Long.MIN_VALUE
 
-    /** The service has granted [lease] to a request that was sent at [sentAtUs]. */
+    /** Handles the grant of [lease] to a request that was sent at [sentAtUs]. */
     fun onGranted(
         lease: Long,
         sentAtUs: Long,
@@ -25,14 +27,14 @@
         validUntilUs = expiryUs(sentAtUs)
     }
 
-    /** A renewal that was sent at [sentAtUs] succeeded; answers may come in any order. */
+    /** Handles the success of a renewal that was sent at [sentAtUs]. Replies can arrive in any order. */
     fun onRenewed(sentAtUs: Long) {
         if (id != null) validUntilUs = maxOf(validUntilUs, expiryUs(sentAtUs))
     }
 
     /**
-     * No other controller acquires a key that is attached to the lease before [untilUs], whatever the service does. Counts only while the
-     * lease is valid: once there was a gap, another may hold the keys unseen.
+     * Extends the validity to [untilUs]: until then, no other controller acquires a key attached to the lease, even if the service ends the
+     * lease. Has no effect if the lease is no longer valid, since another controller may have acquired the keys in the meantime.
      */
     fun extendByMoratoriums(
         untilUs: Long,
@@ -41,13 +43,13 @@
         if (isValid(nowUs)) validUntilUs = maxOf(validUntilUs, untilUs)
     }
 
-    /** The service has reported that the lease has ended. */
+    /** Handles the report of the service that the lease has ended. */
     fun onEnded() {
         id = null
         validUntilUs = Long.MIN_VALUE
     }
 
-    /** The holder may count on the lease at [now]. */
+    /** Returns whether the holder may rely on the lease at [nowUs]. */
     fun isValid(nowUs: Long) = id != null && nowUs < validUntilUs
 
     private fun expiryUs(sentAtUs: Long) = sentAtUs + durationUs - (withDrift(durationUs) - durationUs) - MARGIN_US
--- a/src/main/kotlin/lichenstage/authority/Moratoriums.kt
+++ b/src/main/kotlin/lichenstage/authority/Moratoriums.kt
@@ -4,19 +4,19 @@
 import lichenstage.common.withDrift
 
 /**
- * The acquisition moratoriums that the other controllers have granted while the state service answers none of them: each acquires no key
- * for [MORATORIUM_US] (invariant 2).
+ * The acquisition moratoriums that the other controllers have granted while the state service is unavailable to all of them. Each of these
+ * controllers acquires no key for [MORATORIUM_US] (invariant 2).
  *
- * Only a controller can acquire a key. As long as every other one is bound, none can acquire ours, whatever becomes of our lease, so
- * authority may go on through an outage for as long as all others are heard from. Guards against workers whose leases expire, with all
- * that they run, because no controller dared to answer them.
+ * Only controllers acquire keys. While every other controller is under a moratorium, none can acquire the keys of this process, even if
+ * its lease ends in the state service. So this process keeps its authority during an outage as long as all others grant moratoriums.
+ * This guards against worker leases that expire, and end all tasks on these workers, because no controller may reply to heartbeats.
  */
 class PeerMoratoriums(
     private val peers: Set<String>,
 ) {
     private val untilUs = HashMap<String, Long>()
 
-    /** [peer] granted a request that was sent at [requestedAtUs]: it was bound no earlier than that. */
+    /** Records that [peer] granted a request sent at [requestedAtUs]. Its moratorium started at that time or later. */
     fun recordGrant(
         peer: String,
         requestedAtUs: Long,
@@ -24,11 +24,11 @@
         untilUs.merge(peer, requestedAtUs + MORATORIUM_US, ::maxOf)
     }
 
-    /** Until when no other controller can acquire a key of ours; in the past where that is not known. */
+    /** Returns the time until which no other controller acquires a key; [Long.MIN_VALUE] if that is unknown. */
     fun grantedUntilUs(): Long = if (peers.isEmpty()) Long.MIN_VALUE else peers.minOf { untilUs[it] ?: Long.MIN_VALUE }
 
     companion object {
-        /** How long a controller acquires no key after it has granted a moratorium, by its own clock and without drift. */
+        /** The time for which a controller acquires no key after a grant, before the allowance for clock drift and the margin. */
         const val MORATORIUM_US = 2 * SECOND
     }
 }
@@ -42,12 +42,12 @@
 ) {
     private var grantedUntilUs = untilUs(startedAtUs)
 
-    /** Grants a moratorium from [now] on. */
+    /** Grants a moratorium that starts at [nowUs]. */
     fun grant(nowUs: Long) {
         grantedUntilUs = maxOf(grantedUntilUs, untilUs(nowUs))
     }
 
-    /** No moratorium of this process stands. */
+    /** Returns whether no moratorium of this process is in force at [nowUs]. */
     fun hasExpired(nowUs: Long) = nowUs > grantedUntilUs
 
     private fun untilUs(from: Long) = from + withDrift(PeerMoratoriums.MORATORIUM_US) + MARGIN_US
--- a/src/main/kotlin/lichenstage/authority/OwnershipAcquisition.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipAcquisition.kt
@@ -13,7 +13,7 @@
 import lichenstage.state.TransactionResult
 import org.slf4j.LoggerFactory
 
-/** Acquires leadership and partitions that no controller holds, each under a new term (invariant 1). */
+/** The acquisition of leadership and partitions that no controller holds, each under a new term (invariant 1). */
 internal class OwnershipAcquisition(
     private val settings: Settings,
     private val state: KeyValueStoreClient,
@@ -29,30 +29,30 @@
     private val acquisitionDelay = AcquisitionDelay(settings)
     private val lag = EventLoopLag()
 
-    /** While this stands, nothing is acquired: another controller may count on it. */
+    /** The moratoriums granted by this process, on which other controllers rely. While one is in force, it acquires nothing. */
     val moratorium = LocalMoratorium(clock.now())
 
-    /** Since when each key has had no holder. */
+    /** The times since which keys have had no holder, by key. A deferred key has a time in the future. */
     private val unownedSinceUs = HashMap<String, Long>()
     private val acquiredAtUs = HashMap<String, Long>()
 
-    /** An acquisition had no answer at this time: it may still succeed. */
+    /** The time of the last acquisition with an unknown outcome. It may still succeed later. */
     private var lastIndeterminateAtUs = Long.MIN_VALUE / 2
 
-    /** A transaction that acquires a key is under way. */
+    /** Whether a transaction that acquires a key is in progress. */
     var isInProgress = false
         private set
 
-    /** A key has no holder, as far as this process knows. */
+    /** Whether any key has no holder according to the records that this process has seen. */
     val isAnyKeyUnowned: Boolean get() = unownedSinceUs.isNotEmpty()
 
-    /** This process may acquire a key by a transaction that it has sent. */
+    /** Returns whether a transaction that this process has sent may still acquire a key at [nowUs]. */
     fun mayStillSucceed(nowUs: Long) = isInProgress || nowUs - lastIndeterminateAtUs < MAX_COMMIT_DELAY_US
 
-    /** How long this process has held a key that it has acquired, in microseconds. */
+    /** Returns the time in microseconds since this process acquired [key]. */
     fun heldDurationUs(key: String): Long = clock.now() - (acquiredAtUs[key] ?: 0)
 
-    /** Leaves a key to others: for this process it counts as missing only after [delayUs]. */
+    /** Leaves a key to other controllers: this process treats it as unowned only from [delayUs] on. */
     fun defer(
         key: String,
         delayUs: Long,
@@ -60,7 +60,7 @@
         unownedSinceUs[key] = clock.now() + delayUs
     }
 
-    /** Acquires what is missing, several times a second; runs until it is cancelled. */
+    /** Acquires unowned keys every [CHECK_INTERVAL_MS]. Runs until cancelled. */
     suspend fun run() {
         while (true) {
             val dueUs = clock.now() + CHECK_INTERVAL_MS * MILLI
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Acquires each key that has had no holder for as long as this process has to wait. */
+    /** Acquires each key that has had no holder for at least the acquisition delay of this process. */
     suspend fun acquireUnownedKeys() {
         if (!table.isLoaded || !lease.isValid()) return
         val nowUs = clock.now()
@@ -130,7 +130,7 @@
     private companion object {
         const val CHECK_INTERVAL_MS = 200L
 
-        /** A transaction without an answer is not expected to be applied later than this. */
+        /** The time after which a transaction with an unknown outcome is no longer expected to be applied. */
         const val MAX_COMMIT_DELAY_US = 120 * SECOND
     }
 }
--- a/src/main/kotlin/lichenstage/authority/OwnershipRelease.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipRelease.kt
@@ -8,7 +8,10 @@
 import lichenstage.state.TransactionResult
 import org.slf4j.LoggerFactory
 
-/** Gives up partitions whose home controller is healthy again: in its zone it reaches the workers even when the zone is cut off. */
+/**
+ * The release of partitions to their home controllers once these are healthy again. A home controller is in the zone of its partition, so
+ * it reaches the workers there even when the zone is cut off.
+ */
 internal class OwnershipRelease(
     private val state: KeyValueStore,
     private val table: OwnershipTable,
@@ -19,15 +22,15 @@
     private val log = LoggerFactory.getLogger("lichenstage.authority")
 
     /**
-     * Gives up the ownership of [key], if this process has held it for a while.
+     * Releases the ownership of [key] if this process has held it for at least [MIN_HELD_DURATION_US].
      *
-     * Authority ends here before the delete is sent, and does not come back whatever becomes of it (invariant 2): an answer
-     * to a worker after the new owner has begun would extend a lease that the new owner counts as expired. A delete without
-     * an answer is sent again until the key is gone, or the partition would have no owner.
+     * The process gives up its authority before it sends the delete and does not regain it, whatever the outcome of the delete is
+     * (invariant 2). A reply to a worker after the new owner has started would extend a lease that the new owner treats as expired. A
+     * delete that is not known to be committed is sent again until the key is gone, otherwise the partition would have no owner.
      */
     suspend fun release(key: String) {
         val ownership = heldOwnerships.currentOwnership(key) ?: return
-        // If its home controller does not acquire it although it seems healthy, the partition must not change owners again and again.
+        // A home controller can seem healthy and still not acquire the partition. This limits how often the partition then changes owners.
         if (acquisition.heldDurationUs(key) < MIN_HELD_DURATION_US) return
         heldOwnerships.relinquish(ownership)
         onChange()
@@ -40,7 +43,7 @@
             }
         }
         log.info("Ownership released to home controller key={}", key)
-        // The home controller acquires it at once; this one would only after a while.
+        // Gives the home controller time to acquire the key first.
         acquisition.defer(key, HOME_FIRST_DELAY_US)
         onChange()
     }
--- a/src/main/kotlin/lichenstage/authority/OwnershipTable.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipTable.kt
@@ -4,15 +4,15 @@
 import lichenstage.state.Entry
 import org.slf4j.LoggerFactory
 
-/** The records of leadership, ownership and the term counter as this process last saw them. */
+/** The records of leadership, partition ownership and the term counter as this process last saw them. */
 internal class OwnershipTable {
     private val log = LoggerFactory.getLogger("lichenstage.authority")
     private val entries = HashMap<String, Entry>()
 
-    /** The decoded holders: they are asked for at every heartbeat. */
+    /** The decoded holders by key, kept since every heartbeat looks one up. */
     private val holders = HashMap<String, Holder>()
 
-    /** The records have been read completely at least once. */
+    /** Whether the records have been read completely at least once. */
     var isLoaded = false
 
     /** The holders of all keys that are held. */
@@ -24,7 +24,7 @@
 
     fun modRevision(key: String): Long? = entries[key]?.modRevision
 
-    /** Takes in all records as of [revision], as a scan has read them. Changes that are known to be later stay. */
+    /** Replaces the table with the result of a scan at [revision], but keeps changes after that revision. */
     fun applyScan(
         scanned: List<Entry>,
         revision: Long,
@@ -35,8 +35,8 @@
     }
 
     /**
-     * Takes in changes in any order. A key that was put and then deleted is gone: as it once was after a watch that had been interrupted,
-     * a key that this table wrongly shows as held would be acquired by no controller.
+     * Applies changes in any order of their revisions. A key that was put and then deleted ends up deleted. Otherwise the table would show
+     * the key as held, and no controller would acquire it; this once happened after an interrupted watch.
      */
     fun applyChanges(
         puts: List<Entry>,
@@ -47,7 +47,7 @@
         puts.filter { it.modRevision > (deletionRevisions[it.key] ?: Long.MIN_VALUE) }.forEach(::put)
     }
 
-    /** Takes in a record, unless a later change of its key is known. */
+    /** Stores a record unless the table already has a change of the key at the same or a later revision. */
     fun put(entry: Entry) {
         if (isOutdated(entry.key, entry.modRevision)) return
         entries[entry.key] = entry
@@ -55,7 +55,7 @@
         if (holder == null) holders.remove(entry.key) else holders[entry.key] = holder
     }
 
-    /** Takes in that the key was deleted at [modRevision], unless a later change of it is known. */
+    /** Removes a key that was deleted at [modRevision], unless the table already has a change at the same or a later revision. */
     fun remove(
         key: String,
         modRevision: Long,
@@ -74,20 +74,20 @@
         try {
             OwnershipRecords.decodeHolder(entry)
         } catch (e: JsonDecodingException) {
-            log.info("Ownership record could not be decoded key={} reason={}", entry.key, e.message)
+            log.info("Ownership record not decodable key={} reason={}", entry.key, e.message)
             null
         }
 
-    /** The counter as it is to be written with the next ownership of [key]. */
+    /** Returns the counter to write with the next acquisition of [key]. */
     fun nextCounter(key: String) = TermCounter(lastTerm() + 1, (everOwnedKeys() + key).toSortedSet())
 
-    /** The counter [count] terms on, with the same keys that were ever owned. */
+    /** Returns the counter advanced by [count] terms, with the same set of ever owned keys. */
     fun counterAfter(count: Int) = TermCounter(lastTerm() + count, everOwnedKeys())
 
-    /** The highest term that was given out. */
+    /** Returns the highest term issued; 0 if none was issued yet. */
     fun lastTerm(): Long = entries[OwnershipRecords.TERM_COUNTER_KEY]?.let { OwnershipRecords.decodeLastTerm(it.value) } ?: 0
 
-    /** Any controller has owned the key: before that, a partition's home controller is given time to start. */
+    /** Returns whether any controller has ever owned the key. Before that, the home controller of a partition gets time to start. */
     fun hasEverBeenOwned(key: String) = key in everOwnedKeys()
 
     private fun everOwnedKeys(): List<String> =
--- a/src/main/kotlin/lichenstage/authority/OwnershipWatcher.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipWatcher.kt
@@ -6,8 +6,9 @@
 import lichenstage.state.WatchResult
 
 /**
- * Keeps the [OwnershipTable] up to date: by a scan, and a watch from its revision on. [onFirstScan] runs before the table counts as
- * loaded, [onScan] after each scan, [onEvents] after each watch that brought changes.
+ * The watcher that keeps the [OwnershipTable] up to date, with a scan followed by watches from the revision of the scan.
+ *
+ * [onFirstScan] runs before the table is marked as loaded, [onScan] after each scan, and [onEvents] after each watch that returned changes.
  */
 internal class OwnershipWatcher(
     private val state: KeyValueStoreClient,
@@ -16,7 +17,7 @@
     private val onScan: () -> Unit,
     private val onEvents: suspend () -> Unit,
 ) {
-    /** Runs until it is cancelled. */
+    /** Scans and watches the records until cancelled. */
     suspend fun run() {
         while (true) {
             val scan = state.scan(OwnershipRecords.KEY_PREFIX)
@@ -32,7 +33,7 @@
         }
     }
 
-    /** Follows the changes after a revision until the records have to be scanned again. */
+    /** Applies the changes after [scanRevision] until the records have to be scanned again. */
     private suspend fun follow(scanRevision: Long) {
         var revision = scanRevision
         while (true) {
--- a/src/main/kotlin/lichenstage/authority/ProcessLease.kt
+++ b/src/main/kotlin/lichenstage/authority/ProcessLease.kt
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Acquires and renews the lease of this process, to which its ownerships are attached (invariant 2). [onChange] is called when the lease
- * becomes valid and when it has ended.
+ * The lease of this process, to which its ownerships are attached (invariant 2). It is acquired and renewed here. [onChange] is called when
+ * the lease becomes valid and when the service reports its end.
  */
 internal class ProcessLease(
     private val state: KeyValueStoreClient,
@@ -24,23 +24,23 @@
     private val lease = LocalLease(durationUs)
     private var lastConfirmedAtUs = Long.MIN_VALUE / 2
 
-    /** The last renewal had no answer, or one that decides nothing. */
+    /** Whether the outcome of the last renewal is unknown. */
     var isRenewalUnanswered = false
         private set
 
-    /** The service's number of the lease; null while none is held. */
+    /** The number of the lease in the state service; null while no lease is held. */
     val id: Long? get() = lease.id
 
-    /** This process may act on what is attached to the lease now. */
+    /** Returns whether this process may act on the ownerships attached to the lease. */
     fun isValid() = lease.isValid(clock.now())
 
-    /** The state service has granted or renewed the lease not long ago. */
+    /** Returns whether the state service has confirmed the lease within the last renewal interval plus one second. */
     fun isStateServiceAvailable() = lease.id != null && clock.now() - lastConfirmedAtUs < renewalIntervalUs + SECOND
 
-    /** No other controller acquires a key before [untilUs]; see [LocalLease.extendByMoratoriums]. */
+    /** Extends the validity of the lease to [untilUs]; see [LocalLease.extendByMoratoriums]. */
     fun extendByMoratoriums(untilUs: Long) = lease.extendByMoratoriums(untilUs, clock.now())
 
-    /** Keeps the lease; runs until it is cancelled. */
+    /** Acquires a lease and renews it, and acquires a new one after its end. Runs until cancelled. */
     suspend fun run() {
         while (true) {
             val leaseId = lease.id
@@ -91,7 +91,7 @@
     private companion object {
         const val RENEWALS_PER_LEASE = 5
 
-        /** A lease that lasts longer is renewed no less often: that is how an outage is noticed. */
+        /** The maximum interval between renewals, also for long leases, since a failed renewal is how an outage is noticed. */
         const val MAX_RENEWAL_INTERVAL_US = 800 * MILLI
         const val RETRY_MS = 300L
     }
--- a/src/main/kotlin/lichenstage/cluster/CompletionFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/CompletionFrames.kt
@@ -4,8 +4,10 @@
 import kotlinx.serialization.Serializable
 
 /**
- * Asks for all ends of jobs after [revision] that the receiver knows (invariant 15). [logIncarnation] and [upTo]: the process whose log
- * the sender has taken in so far, and how much of it. [incarnation] and [requestedAtUs], by the sender's clock, come back with the reply.
+ * A request for all job completions after [revision] that the receiver has recorded (invariant 15).
+ *
+ * [logIncarnation] identifies the process whose completion log the sender has applied so far, and [upTo] the position reached in that log.
+ * The reply returns [incarnation] and [requestedAtUs], a time by the sender's clock, unchanged.
  */
 @Serializable
 @SerialName("lichenstage.cluster.EndsSince")
@@ -21,7 +23,7 @@
     val upTo: Long,
 ) : Frame
 
-/** A piece of the sender's log of ended jobs, from [since] to [upTo]; [isFinal] where nothing follows. */
+/** A section of the sender's log of finished jobs, from position [since] to [upTo]. [isFinal] marks the last section of the log. */
 @Serializable
 @SerialName("lichenstage.cluster.EndsOf")
 data class CompletionSyncReply(
@@ -39,7 +41,10 @@
     val isFinal: Boolean,
 ) : Frame
 
-/** These jobs have ended, as the sender is about to answer a user: so that their tasks stop early. Nothing depends on its arrival. */
+/**
+ * A notice that [jobs] have ended, sent just before the sender replies to the user. The receiver can then stop their tasks early. No
+ * protocol step depends on its arrival.
+ */
 @Serializable
 @SerialName("lichenstage.cluster.Ended")
 data class JobsEnded(
--- a/src/main/kotlin/lichenstage/cluster/Frame.kt
+++ b/src/main/kotlin/lichenstage/cluster/Frame.kt
@@ -3,11 +3,14 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** A message between controllers. Every frame can be lost, late or repeated; each carries what is needed to recognize that. */
+/** A message between controllers. A frame can be lost, delayed or duplicated; its content lets the receiver detect this. */
 @Serializable
 sealed interface Frame
 
-/** The first frame of a connection: the sender. [incarnation] rises from process to process: frames of earlier ones are dropped. */
+/**
+ * The first frame of a connection, which identifies the sender. Each new process of a controller has a higher [incarnation], and the
+ * receiver drops frames from lower ones.
+ */
 @Serializable
 @SerialName("lichenstage.cluster.Hello")
 data class Hello(
@@ -16,7 +19,7 @@
     val incarnation: Long = 0,
 ) : Frame
 
-/** Sent at a steady pace: the sender is alive, and whether the state service answers it. */
+/** A periodic liveness signal. [isStateServiceAvailable] says whether the state service replies to the sender. */
 @Serializable
 @SerialName("lichenstage.cluster.Ping")
 data class Ping(
@@ -24,7 +27,7 @@
     val isStateServiceAvailable: Boolean,
 ) : Frame
 
-/** A frame on its way through a third controller, for a pair that can't reach each other (the paper's intermediate agent). */
+/** A frame that a third controller relays between two that cannot reach each other (the "intermediate agent" of the paper). */
 @Serializable
 @SerialName("lichenstage.cluster.Relayed")
 data class RelayedFrame(
--- a/src/main/kotlin/lichenstage/cluster/FrameCodec.kt
+++ b/src/main/kotlin/lichenstage/cluster/FrameCodec.kt
@@ -6,23 +6,25 @@
 import kotlinx.serialization.cbor.Cbor
 
 /**
- * The CBOR form of frames. What comes by the hundred in a frame is written as arrays: with the names of the fields each machine's tasks
- * took twice the bytes, and the leader read them from every partition ten times a second.
+ * The CBOR encoding of frames.
+ *
+ * Elements that occur by the hundred in a frame, such as tasks, are encoded as arrays without field names. With field names the tasks of
+ * each machine took twice the bytes, and the leader reads them from every partition ten times a second.
  */
 object FrameCodec {
     private val cbor =
         Cbor {
             ignoreUnknownKeys = true
-            // An array has no names to tell which of its fields were left out.
+            // The fields of an array are identified by position, so none can be omitted.
             encodeDefaults = true
         }
 
-    /** The bytes of a frame. */
+    /** Returns the CBOR bytes of [frame], without the length prefix. */
     fun encode(frame: Frame): ByteArray = cbor.encodeToByteArray(Frame.serializer(), frame)
 
-    /** The frame in [bytes]. Throws [FrameDecodingException] where they are none. */
+    /** Returns the frame encoded in [bytes]. Throws [FrameDecodingException] if they are not a frame of a known type. */
     fun decode(bytes: ByteArray): Frame =
-        @Suppress("TooGenericExceptionCaught") // A decoder of unknown bytes may throw anything.
+        @Suppress("TooGenericExceptionCaught") // The decoder can throw any exception on arbitrary bytes.
         try {
             cbor.decodeFromByteArray(Frame.serializer(), bytes)
         } catch (e: Exception) {
--- a/src/main/kotlin/lichenstage/cluster/FrameDecodingException.kt
+++ b/src/main/kotlin/lichenstage/cluster/FrameDecodingException.kt
@@ -1,6 +1,6 @@
 package lichenstage.cluster
 
-/** Bytes from another controller are not a frame that this version knows. */
+/** The failure to decode bytes from another controller: they are not a frame that this version supports. */
 class FrameDecodingException(
     cause: Throwable,
 ) : Exception(cause.message, cause)
--- a/src/main/kotlin/lichenstage/cluster/FrameStream.kt
+++ b/src/main/kotlin/lichenstage/cluster/FrameStream.kt
@@ -3,15 +3,18 @@
 import io.vertx.core.buffer.Buffer
 import io.vertx.core.parsetools.RecordParser
 
-/** Frames as they follow each other on a connection: each is preceded by the number of its bytes, in four bytes. */
+/** The framing of a connection's byte stream: each frame follows a four-byte prefix that holds the frame's length in bytes. */
 internal object FrameStream {
     private const val LENGTH_BYTES = 4
     private const val MAX_FRAME_BYTES = 8 * 1024 * 1024
 
-    /** A frame of [bytes] with its length. */
+    /** Returns a buffer with the length prefix followed by [bytes], one encoded frame. */
     fun withLengthPrefix(bytes: ByteArray): Buffer = Buffer.buffer(bytes.size + LENGTH_BYTES).appendInt(bytes.size).appendBytes(bytes)
 
-    /** A handler of a connection's bytes that calls [onFrame] with those of each frame, and [onInvalidLength] where a length cannot be. */
+    /**
+     * Returns a handler for the bytes of one connection. It calls [onFrame] with the bytes of each frame, and [onInvalidLength] if a length
+     * prefix is not in 1..[MAX_FRAME_BYTES].
+     */
     fun createParser(
         onFrame: (ByteArray) -> Unit,
         onInvalidLength: () -> Unit,
--- a/src/main/kotlin/lichenstage/cluster/MoratoriumFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/MoratoriumFrames.kt
@@ -4,8 +4,8 @@
 import kotlinx.serialization.Serializable
 
 /**
- * Asks the receiver for an acquisition moratorium: to acquire no key for a moment. [incarnation] and [requestedAtUs], by the sender's
- * clock, come back with the grant.
+ * A request for an acquisition moratorium: the receiver is to acquire no key of the state service for a short time. The grant returns
+ * [incarnation] and [requestedAtUs], a time by the requester's clock, unchanged.
  */
 @Serializable
 @SerialName("lichenstage.cluster.Bind")
@@ -16,7 +16,7 @@
     val requestedAtUs: Long,
 ) : Frame
 
-/** The sender acquires no key for a moment, from when it received the request on. */
+/** The grant of an acquisition moratorium: the sender acquires no key for a short time, counted from its receipt of the request. */
 @Serializable
 @SerialName("lichenstage.cluster.Bound")
 data class MoratoriumGrant(
--- a/src/main/kotlin/lichenstage/cluster/PartitionFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PartitionFrames.kt
@@ -9,11 +9,11 @@
 import kotlinx.serialization.Transient
 import kotlinx.serialization.cbor.CborArray
 
-/** The phase of a task on its machine. The names are part of the frames between versions. */
+/** The phase of an attempt on its machine. Frames carry the entry names, so the names must not change between versions. */
 @Serializable
 enum class TaskPhase { PENDING, FETCHING, RUNNING, SAVING, ENDED }
 
-/** An attempt at a task as its machine lists it; [cause] says why it has ended. */
+/** The state of one attempt, as its worker reports it. [cause] says why the attempt has ended (see [TaskEndCause]). */
 @Serializable
 @CborArray
 data class TaskState(
@@ -22,10 +22,11 @@
     val phase: TaskPhase,
     val cause: String? = null,
 ) {
-    /** Read off the name once: both are asked for whenever something on the machine changes. */
+    /** The ID of the job. [job] and [index] are parsed once, since both are read at every change on the machine. */
     @Transient
     val job = task.substringBefore('/')
 
+    /** The index of the task in its job; -1 if the task name has none. */
     @Transient
     val index = task.substringAfter('/', "").toIntOrNull() ?: -1
 }
@@ -39,8 +40,9 @@
  * - [isLost]: the machine has been silent for longer than its lease, so nothing runs on it any more.
  * - [timeUntilReclaimUs]: the time until the cloud takes the spot machine back; null without such a notice.
  *
- * In a frame, [tasks] are those that have changed since the leader last acknowledged this machine, and [removedAttempts] the attempts that
- * it no longer lists: a machine of many tasks must not cost all of them whenever one ends.
+ * A frame carries only changes: [tasks] has the attempts that changed since the leader last acknowledged this machine, and
+ * [removedAttempts] the numbers of those that the worker no longer reports. Otherwise the end of one task would resend all tasks of the
+ * machine.
  */
 @Serializable
 @CborArray
@@ -57,7 +59,7 @@
     val tasks: List<TaskState>,
     val removedAttempts: List<Long> = emptyList(),
 ) {
-    /** The complete state of the machine, where [previous] is the state that this one names the changes since. */
+    /** Returns the complete state of the machine: [previous] with the changes of this state applied. */
     fun applyTo(previous: MachineState?): MachineState {
         if (previous == null) return if (removedAttempts.isEmpty()) this else copy(removedAttempts = emptyList())
         val changed = LongOpenHashSet(removedAttempts)
@@ -67,8 +69,8 @@
 }
 
 /**
- * Room for [count] tasks of a request that is held on a machine, which has [maxCount] for as many in all. [hasImage]: it has the request's
- * image, or is fetching it.
+ * A machine's part of a hold: capacity reserved for [count] tasks of a placement request. [maxCount] is the number of its tasks that would
+ * fit on the machine. [hasImage] says whether the machine has the image of the request or is fetching it.
  */
 @Serializable
 @CborArray
@@ -79,7 +81,7 @@
     val hasImage: Boolean,
 )
 
-/** What a partition holds for the request with this [requestNumber]. */
+/** The capacity that a partition holds for the placement request [requestNumber]; no [slots] if it has none for it. */
 @Serializable
 @CborArray
 data class Offer(
@@ -89,8 +91,11 @@
 
 /**
  * The state of a partition for the leader: the machines that changed after the version that the leader has acknowledged, in the order of
- * their changes up to [version]. After a failover those are all machines, in several frames: only a frame that brings the last piece
- * ([isFinal]) lets the leader conclude something from a missing machine or task, and only then [seq] goes on (invariant 17).
+ * their changes, up to [version].
+ *
+ * After a failover this covers all machines and is split into several frames: partial frames, then a final frame ([isFinal]). Only after
+ * a final frame may the leader draw conclusions from the absence of a machine or task. For the same reason, [seq], the sequence number of
+ * the last leader frame that this state reflects, advances only with a final frame (invariant 17).
  */
 @Serializable
 @SerialName("lichenstage.cluster.PartFrame")
--- a/src/main/kotlin/lichenstage/cluster/PeerConnections.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerConnections.kt
@@ -15,7 +15,7 @@
 import lichenstage.config.Peer
 import org.slf4j.LoggerFactory
 
-/** One outgoing connection to each of the other controllers, opened again whenever it has closed. */
+/** Outgoing connections, one to each other controller, which are reopened after they close. */
 internal class PeerConnections(
     vertx: Vertx,
     private val label: String,
@@ -28,12 +28,12 @@
     private val sockets = HashMap<String, NetSocket>()
     private val incarnation = timeOfDayUs()
 
-    /** Connects to all peers, and keeps the connections for as long as [scope] runs. */
+    /** Connects to all peers and reconnects after failures until [scope] is cancelled. */
     fun start(scope: CoroutineScope) {
         peers.forEach { peer -> scope.launch { keepConnected(peer) } }
     }
 
-    /** Writes a frame to a peer; drops it where there is no connection, or where the connection does not keep up. */
+    /** Writes [frame] to the peer [to]. Drops the frame if there is no connection or the write queue of the connection is full. */
     fun write(
         to: String,
         frame: Frame,
@@ -53,7 +53,7 @@
     private suspend fun keepConnected(peer: Peer) {
         var retryMs = MIN_RETRY_MS
         while (true) {
-            @Suppress("TooGenericExceptionCaught") // Whatever went wrong, it is tried again.
+            @Suppress("TooGenericExceptionCaught") // Any failure leads to a new attempt to connect.
             try {
                 val socket = client.connect(peer.address.port, peer.address.host).coAwait()
                 val closed = CompletableDeferred<Unit>()
--- a/src/main/kotlin/lichenstage/cluster/PeerLinks.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerLinks.kt
@@ -10,7 +10,7 @@
 import lichenstage.common.MILLI
 import lichenstage.config.Settings
 
-/** Exchanges frames with the other controllers, directly or relayed by a third one, and follows which of them are alive. */
+/** The links to the other controllers, which carry frames directly or through a third controller, and the liveness of these controllers. */
 class PeerLinks(
     vertx: Vertx,
     private val settings: Settings,
@@ -25,7 +25,7 @@
     private val connections = PeerConnections(vertx, settings.label, settings.peers, frames, frameBytes)
     private val server = PeerServer(vertx, settings.clusterListen, ::receive)
 
-    /** Listens for the other controllers, connects to them and sends them pings from now on. */
+    /** Starts to listen for the other controllers, to connect to them and to send them pings. */
     fun start() {
         server.start()
         connections.start(scope)
@@ -38,18 +38,18 @@
         }
     }
 
-    /** A controller that is healthy, if there is any. */
+    /** Returns the label of a healthy controller; null if there is none. */
     fun healthyPeer(): String? = settings.peers.map { it.label }.firstOrNull(::isHealthy)
 
-    /** That controller is reachable, and the state service answers it. */
+    /** Returns whether the controller [label] is reachable and receives replies from the state service. */
     fun isHealthy(label: String) = liveness.isHealthy(label, clock.now())
 
-    /** That controller has been healthy, and not running late, for a while. */
+    /** Returns whether the controller [label] has been healthy and has sent its pings on time for [PeerLiveness.STABLE_AFTER_US]. */
     fun isStable(label: String) = liveness.isStable(label, clock.now())
 
     /**
-     * Sends a frame, through a third controller where none come directly from the receiver. A frame that is dropped is made good by a
-     * later one; one that comes late or twice is recognized by its receiver.
+     * Sends [frame] to the controller [to], through a third controller if no frames arrive directly from [to]. A later frame makes up for
+     * a dropped one, and the receiver recognizes delayed and duplicated frames.
      */
     fun send(
         to: String,
--- a/src/main/kotlin/lichenstage/cluster/PeerLiveness.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerLiveness.kt
@@ -3,24 +3,24 @@
 import lichenstage.common.MILLI
 import lichenstage.common.SECOND
 
-/** Which of the other controllers are reachable, healthy and stable, by the frames and pings that come from them. */
+/** The liveness of the other controllers (reachable, healthy, stable), derived from the frames and pings that they send. */
 internal class PeerLiveness {
     private val lastFrameAtUs = HashMap<String, Long>()
     private val healthySinceUs = HashMap<String, Long>()
     private val isStateServiceAvailable = HashMap<String, Boolean>()
     private val punctualityByPeer = HashMap<String, PingPunctuality>()
 
-    /** A frame has come from a controller directly. */
+    /** Handles a frame received directly from the controller [from], that is, not relayed. */
     fun onFrameReceived(
         from: String,
         nowUs: Long,
     ) {
-        // After a silence the count starts anew: the process may be another.
+        // After a silence the controller may run as a new process, so its healthy time starts again.
         if (!isReachable(from, nowUs)) healthySinceUs.remove(from)
         lastFrameAtUs[from] = nowUs
     }
 
-    /** The frame was a ping. */
+    /** Handles the content of a ping, after [onFrameReceived] for the same frame. */
     fun onPingReceived(
         from: String,
         ping: Ping,
@@ -31,19 +31,19 @@
         if (ping.isStateServiceAvailable) healthySinceUs.putIfAbsent(from, nowUs) else healthySinceUs.remove(from)
     }
 
-    /** Frames of that controller come directly. */
+    /** Returns whether frames of the controller [label] arrive directly, the last one less than [SILENCE_TIMEOUT_US] ago. */
     fun isReachable(
         label: String,
         nowUs: Long,
     ) = nowUs - (lastFrameAtUs[label] ?: NEVER_US) < SILENCE_TIMEOUT_US
 
-    /** That controller is reachable, and the state service answers it. */
+    /** Returns whether the controller [label] is reachable and receives replies from the state service. */
     fun isHealthy(
         label: String,
         nowUs: Long,
     ) = isReachable(label, nowUs) && isStateServiceAvailable[label] == true
 
-    /** That controller has been healthy for a while, and its pings have come in time. */
+    /** Returns whether the controller [label] has been healthy for [STABLE_AFTER_US] and its pings were on time. */
     fun isStable(
         label: String,
         nowUs: Long,
--- a/src/main/kotlin/lichenstage/cluster/PeerServer.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerServer.kt
@@ -6,7 +6,7 @@
 import lichenstage.common.Address
 import org.slf4j.LoggerFactory
 
-/** Takes the connections of the other controllers, and drops the frames of processes that have been followed by another (invariant 13). */
+/** The server for connections from the other controllers. It drops frames of processes that a newer one has replaced (invariant 13). */
 internal class PeerServer(
     private val vertx: Vertx,
     private val listen: Address,
@@ -14,16 +14,16 @@
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.cluster")
 
-    /** The newest process of each controller that has connected, by its incarnation. */
+    /** The highest incarnation that has connected, by controller label. */
     private val newestIncarnations = HashMap<String, Long>()
 
-    /** Listens from now on. */
+    /** Starts to listen on the cluster address. */
     fun start() {
         vertx
             .createNetServer(NetServerOptions().setTcpNoDelay(true))
             .connectHandler { Connection(it).start() }
             .listen(listen.port, listen.host)
-            .onFailure { log.error("Cluster address cannot be listened on address={} reason={}", listen, it.message) }
+            .onFailure { log.error("Listening on cluster address failed address={} reason={}", listen, it.message) }
     }
 
     private inner class Connection(
@@ -42,7 +42,7 @@
                 try {
                     FrameCodec.decode(bytes)
                 } catch (e: FrameDecodingException) {
-                    log.info("Frame could not be decoded controller={} reason={}", label, e.message)
+                    log.info("Frame not decodable controller={} reason={}", label, e.message)
                     return
                 }
             if (frame is Hello) onHello(frame) else deliver(frame)
--- a/src/main/kotlin/lichenstage/cluster/PingPunctuality.kt
+++ b/src/main/kotlin/lichenstage/cluster/PingPunctuality.kt
@@ -1,8 +1,9 @@
 package lichenstage.cluster
 
 /**
- * Whether another controller sends its pings at the pace that it should: one whose event loop is late sends fewer. They are counted
- * over [windowUs] rather than timed one by one, since the receiver may itself be the one that is late.
+ * The punctuality of another controller: whether it sends its pings at the expected rate. A controller whose event loop lags sends fewer.
+ *
+ * Pings are counted over [windowUs] and not timed one by one, since the event loop of the receiver may be the one that lags.
  */
 internal class PingPunctuality(
     private val windowUs: Long,
@@ -11,13 +12,13 @@
     private val requiredPings = (windowUs / intervalUs * REQUIRED_SHARE).toInt()
     private val receivedAtUs = ArrayDeque<Long>()
 
-    /** A ping has come. */
+    /** Records a ping received at [nowUs]. */
     fun onPingReceived(nowUs: Long) {
         receivedAtUs.addLast(nowUs)
         dropExpired(nowUs)
     }
 
-    /** Nearly all pings of the window have come. */
+    /** Returns whether at least [REQUIRED_SHARE] of the pings expected in the window ending at [nowUs] have arrived. */
     fun isPunctual(nowUs: Long): Boolean {
         dropExpired(nowUs)
         return receivedAtUs.size >= requiredPings
--- a/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
@@ -10,9 +10,9 @@
 import lichenstage.model.JobRequirements
 
 /**
- * A placement request: asks partitions to hold capacity for [count] tasks of one job. Partitions process requests in the order of their
- * [requestNumber]. With [isImageRequired], only machines that have the image are of use: on others, fetching the image would take a large
- * part of the run time.
+ * A placement request: asks a partition to hold capacity for [count] tasks of one job. Each partition processes requests in the order of
+ * their [requestNumber]. With [isImageRequired], only machines that have the image are of use: on others, fetching the image would take a
+ * large part of the run time.
  */
 @Serializable
 @CborArray
@@ -27,7 +27,7 @@
     val isImageRequired: Boolean = false,
 )
 
-/** Start the task [index] of the job of request [requestNumber] on a machine that is held for it. */
+/** An order to start task [index] of the job of placement request [requestNumber] on [machine], which holds capacity for that request. */
 @Serializable
 @CborArray
 data class StartOrder(
@@ -37,7 +37,7 @@
     val attempt: Long,
 )
 
-/** An attempt on a machine that is to be stopped, or cleared from its list. */
+/** An attempt on [machine] that the worker is to stop, or to clear from its list of ended attempts. */
 @Serializable
 @CborArray
 data class AttemptOrder(
@@ -47,8 +47,8 @@
 )
 
 /**
- * Stop a running task that can save a checkpoint, with [leewayUs] microseconds to do so. Versions that do not know this order let the task
- * run on.
+ * An order to stop a running attempt that can save a checkpoint, with [leewayUs] microseconds to save. Versions that do not support this
+ * order ignore it, so the task continues to run.
  */
 @Serializable
 data class SaveOrder(
@@ -59,8 +59,10 @@
 )
 
 /**
- * The orders of the leader to one partition. Partitions obey only the newest [term] (invariant 8), and of its frames only those with a
- * rising [seq]. [cordoned], the machines that get no more tasks, is null where it is as in the frames before.
+ * The leader's placement requests and orders to one partition.
+ *
+ * A partition accepts frames only from the newest [term] it has seen (invariant 8), and within that term only with an increasing [seq].
+ * [cordoned] has the machines that get no more tasks; null means that the set is the same as in the previous frames.
  */
 @Serializable
 @SerialName("lichenstage.cluster.LeaderFrame")
@@ -85,7 +87,7 @@
     val clears: List<AttemptOrder> = emptyList(),
     @SerialName("closed")
     val cordoned: Set<String>? = null,
-    /** Left out where there are none, so that such a frame is, byte for byte, that of versions without it. */
+    /** Omitted from the frame if empty, so that the bytes equal those of versions without this field. */
     @EncodeDefault(EncodeDefault.Mode.NEVER)
     val saves: List<SaveOrder> = emptyList(),
 ) : Frame
--- a/src/main/kotlin/lichenstage/cluster/PlacementScore.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementScore.kt
@@ -1,14 +1,15 @@
 package lichenstage.cluster
 
 /**
- * The order of the roomiest offers ("roomiest offer" of the paper: worst fit), by which partitions hold room and the leader chooses.
+ * The worst-fit order of machines (the "roomiest offer" of the paper). Partitions use it to hold capacity, and the leader to choose among
+ * offers.
  *
- * Room is counted in tasks of the request, and only as far as the request can use it: of two machines that both take all
- * that is left of it, neither is roomier. Among equals those with the image come first (a fetch takes as long as many
- * tasks run), then the fullest, so that small tasks don't take the last whole machines from large ones.
+ * Free capacity is counted in tasks of the request, up to the number of tasks still to place: two machines that can each take all of
+ * these tasks rank equal. Among equals, machines with the image come first, since fetching an image takes as long as many tasks run. The
+ * fullest machines come next, so that small tasks don't take the last empty machines from large ones.
  */
 object PlacementScore {
-    /** Up to [count] tasks on the roomiest of [offers], each machine filled before the next. */
+    /** Returns slots for up to [count] tasks on the roomiest of [offers], filling each machine before the next. */
     fun selectRoomiest(
         offers: List<HeldSlots>,
         count: Int,
@@ -19,13 +20,13 @@
         val selected = ArrayList<HeldSlots>()
         var remaining = count
         var next = 0
-        // While the roomiest is used up whole, the order does not depend on how much is left.
+        // While the roomiest machine is filled completely, the order does not depend on the remaining number of tasks.
         while (next < sorted.size && sorted[next].count <= remaining && remaining > 0) {
             val slots = sorted[next++]
             selected += slots
             remaining -= slots.count
         }
-        // Of the rest, machines that take all that is left are alike.
+        // Machines that can take all remaining tasks rank equal, so the order now depends on the remaining number.
         while (remaining > 0 && next < sorted.size) {
             var best = next
             for (i in next + 1 until sorted.size) if (isRoomier(sorted[i], sorted[best], remaining)) best = i
--- a/src/main/kotlin/lichenstage/cluster/RequestForwarder.kt
+++ b/src/main/kotlin/lichenstage/cluster/RequestForwarder.kt
@@ -5,17 +5,23 @@
 import lichenstage.common.timeOfDayUs
 import org.agrona.collections.Long2ObjectHashMap
 
-/** Has another controller, [healthyPeer], answer a user's request, as the paper's intermediate agents do. */
+/** The forwarder of users' requests to another controller, [healthyPeer], as in the intermediate agents of the paper. */
 class RequestForwarder(
     private val healthyPeer: () -> String?,
     private val send: (String, Frame) -> Unit,
 ) {
     private val pending = Long2ObjectHashMap<CompletableDeferred<ForwardedReply>>()
 
-    /** Starts where no process before this one has been: a late answer to a request of that one must not answer another. */
+    /**
+     * The number of the last request. It starts above the numbers of earlier processes of this controller, so that a late reply to one of
+     * their requests is not matched with a request of this process.
+     */
     private var lastNumber = timeOfDayUs()
 
-    /** The other controller's reply; null where none is healthy, too many requests are pending, or none comes in time. */
+    /**
+     * Forwards a user's request and returns the reply. Returns null if no other controller is healthy, [MAX_PENDING] requests are pending,
+     * or no reply arrives within [REPLY_TIMEOUT_MS].
+     */
     suspend fun forward(
         verb: UserVerb,
         text: String,
@@ -33,7 +39,7 @@
         }
     }
 
-    /** Handles the other controller's reply; one whose request has timed out is dropped. */
+    /** Handles the reply of another controller; drops it if its request has timed out. */
     fun onReply(frame: ForwardedReply) {
         pending[frame.number]?.complete(frame)
     }
--- a/src/main/kotlin/lichenstage/cluster/TaskEndCause.kt
+++ b/src/main/kotlin/lichenstage/cluster/TaskEndCause.kt
@@ -1,16 +1,16 @@
 package lichenstage.cluster
 
-/** Causes of a task's end, as workers report them and as frames between controllers carry them ([TaskState.cause]). */
+/** The causes of a task's end that workers report and frames between controllers carry ([TaskState.cause]). */
 object TaskEndCause {
     /** The task has finished its work. */
     const val DONE = "done"
 
-    /** It was stopped by a command. */
+    /** A stop command ended the task. */
     const val HALTED = "halted"
 
-    /** It has failed. */
+    /** The task has failed. */
     const val ERROR = "error"
 
-    /** Its start was refused: another attempt of the same task is on the machine. */
+    /** The worker refused the start, since another attempt of the same task is on the machine. */
     const val BUSY = "busy"
 }
--- a/src/main/kotlin/lichenstage/cluster/UserFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/UserFrames.kt
@@ -7,7 +7,7 @@
 @Serializable
 enum class UserVerb { SUBMIT, SHOW, CANCEL }
 
-/** A user's request that a controller forwards to another because the state service does not answer it. */
+/** A user's request that a controller forwards to another one because the state service is unavailable to it. */
 @Serializable
 @SerialName("lichenstage.cluster.Forward")
 data class ForwardedRequest(
@@ -26,7 +26,7 @@
     val retryAfterS: Int?,
 ) : Frame
 
-/** For display only: how many tasks of each open job are done and running, in this order. */
+/** The number of done and of running tasks, in this order, of each open job. The counts are for display only. */
 @Serializable
 @SerialName("lichenstage.cluster.Counts")
 data class TaskCounts(
--- a/src/main/kotlin/lichenstage/state/KeyValueStore.kt
+++ b/src/main/kotlin/lichenstage/state/KeyValueStore.kt
@@ -1,17 +1,19 @@
 package lichenstage.state
 
-/** The operations of the state service that decisions about records need; tests replace it by a model in memory. */
+/** The operations of the state service on single keys and transactions. Tests replace it with an in-memory implementation. */
 interface KeyValueStore {
-    /** Reads one key; gives up after [timeoutMs] milliseconds. */
+    /** Reads one key. Returns [ReadResult.Unavailable] if there is no reply within [timeoutMs] milliseconds. */
     suspend fun get(
         key: String,
         timeoutMs: Long = READ_TIMEOUT_MS,
     ): ReadResult
 
     /**
-     * Applies all [changes] atomically where all [preconditions] hold; gives up waiting for the outcome after [timeoutMs] milliseconds.
-     * Without changes the preconditions alone are checked. Bulk work ([isUrgent] false) is limited to the request rate that leases, users'
-     * requests and the records of ended jobs leave over.
+     * Applies all [changes] atomically if all [preconditions] hold. Returns [TransactionResult.Indeterminate] if there is no reply within
+     * [timeoutMs] milliseconds.
+     *
+     * Without changes, only the preconditions are checked. Bulk work ([isUrgent] false) is limited to the request rate that leases, users'
+     * requests and records of finished jobs leave unused.
      */
     suspend fun commit(
         preconditions: List<Precondition>,
--- a/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
+++ b/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
@@ -11,10 +11,10 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The HTTP client of the state service. It reports outcomes that are not known as such and retries nothing.
+ * The HTTP client of the state service. It reports unknown outcomes as indeterminate and never retries.
  *
- * The service's limits hold for all controllers together: each keeps to a share of them, [writeShare] of the [writeRps] changes a second
- * (the leader needs more than the others) and an equal part of the [rps] requests a second.
+ * The rate limits of the service apply to all controllers together, so each controller keeps to its share. The share of the [rps] requests
+ * per second is the same for all. The share of the [writeRps] changes per second is [writeShare], since the leader needs more than others.
  */
 class KeyValueStoreClient(
     vertx: Vertx,
@@ -28,7 +28,7 @@
     private val log = LoggerFactory.getLogger("lichenstage.state")
     private val requests = JsonHttpClient(vertx, address, connections = REQUEST_CONNECTIONS, queue = MAX_QUEUED_REQUESTS)
 
-    /** Watches stay open for long: they have connections of their own, and so have leases, so that nothing holds up a renewal. */
+    /** The client for watches, which occupy a connection for long. Leases too have their own client, so that nothing delays a renewal. */
     private val watches = JsonHttpClient(vertx, address, connections = WATCH_CONNECTIONS, queue = WATCH_CONNECTIONS)
     private val leases = JsonHttpClient(vertx, address, connections = LEASE_CONNECTIONS, queue = LEASE_CONNECTIONS)
     private val requestLimiter = RequestRateLimiter(clock) { rps / controllerCount }
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Reads all keys with a prefix, page by page. The revision is that of the first page, so a watch from there misses nothing. */
+    /** Reads all keys with a prefix, page by page. The result has the revision of the first page: a watch from there misses no change. */
     suspend fun scan(prefix: String): ScanResult {
         val entries = ArrayList<Entry>()
         var revision: Long? = null
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Asks for a lease that lasts [durationUs] without renewal. */
+    /** Requests a lease that lasts [durationUs] without renewal. */
     suspend fun grantLease(durationUs: Long): LeaseGrant {
         val request = KeyValueStoreCodec.encodeLeaseRequest(durationUs)
         val response = leases.call(HttpMethod.POST, KeyValueStoreCodec.LEASES_PATH, request, LEASE_TIMEOUT_MS)
@@ -114,7 +114,7 @@
         return if (lease == null) LeaseGrant.Failed else LeaseGrant.Granted(lease)
     }
 
-    /** Renews a lease for its full duration. */
+    /** Renews a lease for its full duration from now on. */
     suspend fun renewLease(lease: Long): LeaseRenewal {
         val path = KeyValueStoreCodec.leaseRenewalPath(lease)
         val response = leases.call(HttpMethod.POST, path, JsonObject(), LEASE_RENEWAL_TIMEOUT_MS)
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Ends a lease at once; its keys are deleted with it. */
+    /** Ends a lease at once. The service then deletes the keys attached to it. */
     suspend fun revokeLease(lease: Long): LeaseRevocation {
         val response = leases.call(HttpMethod.DELETE, KeyValueStoreCodec.leasePath(lease), null, LEASE_TIMEOUT_MS)
         return when (response?.status) {
@@ -134,7 +134,7 @@
         }
     }
 
-    /** Waits up to [waitMs] milliseconds for changes of keys with a prefix after a revision. */
+    /** Returns the changes after [afterRevision] to keys with a prefix, and waits up to [waitMs] milliseconds for the first one. */
     suspend fun watch(
         prefix: String,
         afterRevision: Long,
@@ -150,9 +150,9 @@
         }
     }
 
-    /** An answer of another form than the protocol's counts as none. */
+    /** Returns the decoded reply; null if the reply does not conform to the protocol, which then counts as no reply. */
     private inline fun <T : Any> decode(read: () -> T): T? =
-        decodeOrNull({ log.info("Answer of the state service could not be decoded: {}", it.message) }, read)
+        decodeOrNull({ log.info("State service reply not decodable reason={}", it.message) }, read)
 
     companion object {
         private const val REQUEST_CONNECTIONS = 24
@@ -163,10 +163,10 @@
         private const val LEASE_TIMEOUT_MS = 1500L
         private const val LEASE_RENEWAL_TIMEOUT_MS = 1200L
 
-        /** How much longer than the time that the service waits for changes its answer may take. */
+        /** The time allowed for the reply to a watch beyond the time that the service waits for changes. */
         private const val WATCH_GRACE_MS = 3000L
 
-        /** The maximum number of connections that this client has open. */
+        /** The maximum number of open connections of this client. */
         const val MAX_CONNECTIONS = REQUEST_CONNECTIONS + WATCH_CONNECTIONS + LEASE_CONNECTIONS
     }
 }
--- a/src/main/kotlin/lichenstage/state/KeyValueStoreCodec.kt
+++ b/src/main/kotlin/lichenstage/state/KeyValueStoreCodec.kt
@@ -10,9 +10,9 @@
 import lichenstage.common.requiredString
 import lichenstage.common.requiredStrings
 
-/** The paths and JSON documents of the state service's protocol; its names stand here only. */
+/** The paths and JSON documents of the state service protocol. No other file uses the names of this protocol. */
 internal object KeyValueStoreCodec {
-    /** One page of a scan; [isTruncated] where more keys follow. */
+    /** One page of a scan. [isTruncated] says whether more keys follow. */
     class ScanPage(
         val entries: List<Entry>,
         val revision: Long,
@@ -31,10 +31,10 @@
     private const val DELETE = "delete"
     private const val NO_SUCH_LEASE = "no such lease"
 
-    /** The path of one key. */
+    /** Returns the path of one key. */
     fun keyPath(key: String) = "/kv/$key"
 
-    /** The path of the next page of a scan: the keys with [prefix] after [lastKey], or from the first one on where that is null. */
+    /** Returns the path of the next page of a scan: keys with [prefix] after [lastKey], or from the first key on if that is null. */
     fun scanPath(
         prefix: String,
         lastKey: String?,
@@ -43,20 +43,20 @@
         return "/kv?prefix=$prefix$since&most=$PAGE_SIZE"
     }
 
-    /** The path of the changes of the keys with [prefix] after a revision; the service answers after [waitMs] ms at the latest. */
+    /** Returns the path of the changes after a revision to keys with [prefix]. The service replies within [waitMs] milliseconds. */
     fun watchPath(
         prefix: String,
         afterRevision: Long,
         waitMs: Long,
     ) = "/changes?prefix=$prefix&since=$afterRevision&wait_ms=$waitMs"
 
-    /** The path of one lease. */
+    /** Returns the path of one lease. */
     fun leasePath(lease: Long) = "$LEASES_PATH/$lease"
 
-    /** The path that renews a lease. */
+    /** Returns the path that renews a lease. */
     fun leaseRenewalPath(lease: Long) = "${leasePath(lease)}/renew"
 
-    /** The body of a transaction. */
+    /** Returns the body of a transaction. */
     fun encodeTransaction(
         preconditions: List<Precondition>,
         changes: List<Change>,
@@ -71,34 +71,34 @@
             is Change.Delete -> JsonObject().put(DELETE, change.key)
         }
 
-    /** The body of a request for a lease that lasts [durationUs]. */
+    /** Returns the body of a request for a lease that lasts [durationUs]. */
     fun encodeLeaseRequest(durationUs: Long): JsonObject = JsonObject().put("life_ms", durationUs / MILLI)
 
-    /** The number of a granted lease; null where the answer has none. */
+    /** Returns the number of a granted lease; null if the reply has none. */
     fun decodeLease(body: JsonObject): Long? = body.getLong(LEASE)
 
-    /** The answer names a revision, as the service itself does also where a key does not exist. */
+    /** Returns whether the reply has a revision. Replies of the service itself have one even if the key does not exist. */
     fun hasRevision(body: JsonObject): Boolean = body.containsKey(REVISION)
 
-    /** The revision of a committed transaction; 0 where the answer has none. */
+    /** Returns the revision of a committed transaction; 0 if the reply has none. */
     fun decodeCommitRevision(body: JsonObject): Long = body.getLong(REVISION) ?: 0
 
-    /** The keys of the preconditions that failed. Throws [JsonDecodingException]. */
+    /** Returns the keys of the failed preconditions. Throws [JsonDecodingException]. */
     fun decodeFailedKeys(body: JsonObject): List<String> = body.requiredStrings("failed")
 
-    /** A transaction was refused because the lease of a put has ended. */
+    /** Returns whether a transaction was refused because the lease of a put has ended. */
     fun isLeaseMissing(body: JsonObject): Boolean = body.getString("error") == NO_SUCH_LEASE
 
-    /** One key with its value. Throws [JsonDecodingException]. */
+    /** Returns one key with its value. Throws [JsonDecodingException]. */
     fun decodeEntry(row: JsonObject) = Entry(row.requiredString(KEY), row.requiredObject(VALUE), row.requiredLong(MOD_REVISION))
 
-    /** One page of a scan. Throws [JsonDecodingException]. */
+    /** Returns one page of a scan. Throws [JsonDecodingException]. */
     fun decodePage(body: JsonObject): ScanPage {
         val entries = body.requiredObjects("rows").map(::decodeEntry)
         return ScanPage(entries, body.requiredLong(REVISION), body.getBoolean("truncated") == true)
     }
 
-    /** The changes that a watch reports. Throws [JsonDecodingException]. */
+    /** Returns the changes that a watch reports. Throws [JsonDecodingException]. */
     fun decodeEvents(body: JsonObject): WatchResult.Events {
         val (puts, deletes) = body.requiredObjects("events").partition { it.getString(PUT) != null }
         return WatchResult.Events(
--- a/src/main/kotlin/lichenstage/state/LeaseResults.kt
+++ b/src/main/kotlin/lichenstage/state/LeaseResults.kt
@@ -1,32 +1,33 @@
 package lichenstage.state
 
-/** The outcome of asking for a new lease. */
+/** The outcome of a request for a new lease. */
 sealed interface LeaseGrant {
-    /** The service granted the lease with this number. */
+    /** The service granted the lease with the number [lease]. */
     data class Granted(
         val lease: Long,
     ) : LeaseGrant
 
-    /** No lease is known to be granted. */
+    /** The service refused the lease, or the outcome is unknown. */
     data object Failed : LeaseGrant
 }
 
 /** The outcome of renewing a lease. */
 enum class LeaseRenewal {
+    /** The service renewed the lease for its full duration. */
     RENEWED,
 
-    /** The service no longer has such a lease. */
+    /** The service no longer has the lease. */
     EXPIRED,
 
-    /** No answer, or one that decides nothing. */
+    /** The outcome is unknown: no reply, or one that does not show it. */
     INDETERMINATE,
 }
 
 /** The outcome of ending a lease before its time. */
 enum class LeaseRevocation {
-    /** The service does not have the lease any more. */
+    /** The service no longer has the lease. */
     REVOKED,
 
-    /** No answer, or one that decides nothing. */
+    /** The outcome is unknown: no reply, or one that does not show it. */
     INDETERMINATE,
 }
--- a/src/main/kotlin/lichenstage/state/RequestRateLimiter.kt
+++ b/src/main/kotlin/lichenstage/state/RequestRateLimiter.kt
@@ -5,8 +5,8 @@
 import lichenstage.common.SECOND
 
 /**
- * A token bucket that keeps a process within its share of a rate, [permitsPerSecond]. Urgent requests may overdraw the bucket and wait only
- * until it is balanced again; all others wait until the bucket holds enough beside them.
+ * A token bucket that keeps a process within its share of a rate, [permitsPerSecond]. Urgent requests can overdraw the bucket and wait only
+ * until its level is back at zero. Other requests wait until the bucket has enough tokens for them.
  */
 class RequestRateLimiter(
     private val clock: Clock,
@@ -15,7 +15,7 @@
     private var tokens = 0.0
     private var refilledAtUs = Long.MIN_VALUE
 
-    /** Takes [permits] from the bucket, after a wait where it does not hold as many. */
+    /** Takes [permits] from the bucket and waits if the bucket has fewer. */
     suspend fun acquire(
         permits: Int = 1,
         isUrgent: Boolean = true,
@@ -28,8 +28,8 @@
     }
 
     /**
-     * The time to wait, in milliseconds. For urgent requests the permits have been taken already; for others only where it is 0, else
-     * they have to ask again.
+     * Returns the time to wait, in milliseconds. For an urgent request the permits are taken at once. For others they are taken only if
+     * the time is 0; otherwise the caller has to call again after the wait.
      */
     fun reserve(
         permits: Int,
@@ -37,7 +37,7 @@
     ): Long {
         val rate = permitsPerSecond()
         val nowUs = clock.now()
-        // Half a second's worth may be saved up: bursts are allowed one second's worth over all processes.
+        // The bucket holds half a second of permits. The service allows bursts of one second of permits over all processes.
         val capacity = maxOf(rate / 2, 1.0)
         tokens = if (refilledAtUs == Long.MIN_VALUE) capacity else minOf(capacity, tokens + (nowUs - refilledAtUs) * rate / SECOND)
         refilledAtUs = nowUs
--- a/src/main/kotlin/lichenstage/state/SingleWriterKeys.kt
+++ b/src/main/kotlin/lichenstage/state/SingleWriterKeys.kt
@@ -1,12 +1,14 @@
 package lichenstage.state
 
 /**
- * Writes keys that only one process writes, in the order in which it does, whatever becomes of its transactions (invariant 4).
+ * A writer of keys that only one process writes. Its writes take effect in order, whatever the outcome of each transaction (invariant 4).
  *
- * A transaction without an answer can be carried out seconds later, after newer ones of the same process. With the leadership as its only
- * precondition it would put back what the newer ones have replaced: a registry page without machines that run tasks by now, or done tasks
- * that the workers have forgotten. So the revision of what it replaces is a precondition of each write, and once the outcome of one is not
- * known, what it has written is read again before the next: after that the late one conflicts, or it makes the next one conflict.
+ * A transaction with an unknown outcome can be applied seconds later, after newer transactions of the same process. With the leadership as
+ * its only precondition, it would overwrite newer values with older ones: a registry chunk would lack machines that now run tasks, or a
+ * completion chunk would lack done tasks that the workers have already cleared.
+ *
+ * So each write has the current revision of each key as a precondition. If the outcome of a write is unknown, its keys are read again
+ * before their next write. After that, either the delayed write conflicts, or it has been applied and makes the next write conflict.
  */
 class SingleWriterKeys(
     private val state: KeyValueStore,
@@ -14,13 +16,13 @@
     /** The revision of each key that exists. */
     private val modRevisions = HashMap<String, Long>()
 
-    /** The keys of writes whose outcome is not known. */
+    /** The keys of writes whose outcome is unknown. */
     private val indeterminateKeys = HashSet<String>()
 
-    /** Takes in the keys as they were read before anything was written here. */
+    /** Sets the revisions of existing keys, read before the first [write]. */
     fun load(entries: List<Entry>) = entries.forEach { modRevisions[it.key] = it.modRevision }
 
-    /** Writes [changes] in one transaction under [preconditions]; true where it is known to be committed. */
+    /** Writes [changes] in one transaction under [preconditions]. Returns true only if the transaction is known to be committed. */
     suspend fun write(
         preconditions: List<Precondition>,
         changes: List<Change>,
--- a/src/main/kotlin/lichenstage/state/Transaction.kt
+++ b/src/main/kotlin/lichenstage/state/Transaction.kt
@@ -2,7 +2,7 @@
 
 import io.vertx.core.json.JsonObject
 
-/** A condition of a transaction: the key was last changed at [modRevision], or does not exist where that is [ABSENT]. */
+/** A precondition of a transaction: [key] was last changed at [modRevision], or does not exist if that is [ABSENT]. */
 data class Precondition(
     val key: String,
     val modRevision: Long,
@@ -11,10 +11,10 @@
         /** The revision of a key that does not exist. */
         const val ABSENT = 0L
 
-        /** The key does not exist. */
+        /** Returns the precondition that [key] does not exist. */
         fun absent(key: String) = Precondition(key, ABSENT)
 
-        /** One precondition for each key of a map from keys to their revisions. */
+        /** Returns one precondition for each key of [modRevisions], a map from keys to their revisions. */
         fun allOf(modRevisions: Map<String, Long>): List<Precondition> = modRevisions.map { (key, revision) -> Precondition(key, revision) }
     }
 }
@@ -23,7 +23,7 @@
 sealed interface Change {
     val key: String
 
-    /** Writes the key; with a [lease] the key is deleted when that lease ends. */
+    /** Writes [value] to the key. If [lease] is not null, the service deletes the key when that lease ends. */
     data class Put(
         override val key: String,
         val value: JsonObject,
@@ -38,22 +38,25 @@
 
 /** The outcome of a transaction. */
 sealed interface TransactionResult {
-    /** All changes were applied, at this revision. */
+    /** All changes were applied at [revision]. */
     data class Committed(
         val revision: Long,
     ) : TransactionResult
 
-    /** A precondition did not hold and nothing was applied; [failedKeys] names the keys of those that the service reported. */
+    /** A precondition did not hold, and nothing was applied. [failedKeys] has the keys that the service reported for this. */
     data class Conflict(
         val failedKeys: List<String> = emptyList(),
     ) : TransactionResult
 
-    /** The lease of a put has ended; nothing was applied. */
+    /** The lease of a put has ended, and nothing was applied. */
     data object LeaseExpired : TransactionResult
 
-    /** The service refused the request for lack of capacity; nothing was applied. */
+    /** The service refused the request because of its load or rate limits, and nothing was applied. */
     data object Rejected : TransactionResult
 
-    /** No answer, or one that decides nothing: the transaction may still be applied later, so each carries its own preconditions. */
+    /**
+     * The outcome is unknown: no reply, or one that does not show it. The transaction may still be applied later, so every transaction
+     * carries its own preconditions.
+     */
     data object Indeterminate : TransactionResult
 }
--- a/src/main/kotlin/lichenstage/state/UnreadableRecordException.kt
+++ b/src/main/kotlin/lichenstage/state/UnreadableRecordException.kt
@@ -1,6 +1,6 @@
 package lichenstage.state
 
-/** The record under [key] can't be read, or is of a later form than this program knows; the cause says which field and why. */
+/** The failure to read the record under [key]: it is malformed or has a newer format. The cause names the field and the reason. */
 class UnreadableRecordException(
     val key: String,
     cause: Exception,
--- a/src/test/kotlin/lichenstage/authority/AcquisitionDelayTest.kt
+++ b/src/test/kotlin/lichenstage/authority/AcquisitionDelayTest.kt
@@ -16,13 +16,16 @@
         isHomeHealthy: Boolean,
     ) = delay.delayUs(isLeadership = false, heldKeyCount = 1, home = home, hasEverBeenOwned = true, isHomeHealthy = isHomeHealthy)
 
-    /** All come back within a second: whoever is first leaves the partitions of the others to them, but not for ever. */
+    /**
+     * Guards against a change of owner right after a restart of all controllers: the first one to start must leave partitions to their home
+     * controllers for a while, but not if these are unhealthy.
+     */
     @Example
-    fun `a partition waits for its home controller where that is healthy`() {
+    fun `a controller waits with a partition of another healthy home controller`() {
         val unhealthy = delayUs("b", isHomeHealthy = false)
-        assertTrue(unhealthy < SECOND, "its home controller is gone: $unhealthy")
+        assertTrue(unhealthy < SECOND, "delay with an unhealthy home controller: $unhealthy")
         val healthy = delayUs("b", isHomeHealthy = true)
-        assertTrue(healthy in 4 * SECOND..8 * SECOND, "its home controller is healthy: $healthy")
+        assertTrue(healthy in 4 * SECOND..8 * SECOND, "delay with a healthy home controller: $healthy")
     }
 
     @Example
@@ -31,10 +34,10 @@
     }
 
     @Example
-    fun `a process that runs late leaves keys to others for a bounded time`() {
-        assertEquals(0L, AcquisitionDelay.lagDelayUs(0), "in time")
-        assertEquals(0L, AcquisitionDelay.lagDelayUs(200 * MILLI), "a little late")
-        assertTrue(AcquisitionDelay.lagDelayUs(SECOND) in 500 * MILLI..SECOND, "late")
-        assertEquals(2 * SECOND, AcquisitionDelay.lagDelayUs(60 * SECOND), "very late")
+    fun `a process with event loop lag delays acquisitions for a bounded time`() {
+        assertEquals(0L, AcquisitionDelay.lagDelayUs(0), "no lag")
+        assertEquals(0L, AcquisitionDelay.lagDelayUs(200 * MILLI), "tolerated lag")
+        assertTrue(AcquisitionDelay.lagDelayUs(SECOND) in 500 * MILLI..SECOND, "lag of 1 s")
+        assertEquals(2 * SECOND, AcquisitionDelay.lagDelayUs(60 * SECOND), "lag of 60 s")
     }
 }
--- a/src/test/kotlin/lichenstage/authority/FencingTokenReservationTest.kt
+++ b/src/test/kotlin/lichenstage/authority/FencingTokenReservationTest.kt
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Tokens are taken from the counter of all terms, for as long as the partition is owned. */
+/** Guards against fencing tokens that two owners share: tokens come from the term counter, and only while the ownership exists. */
 class FencingTokenReservationTest {
-    /** A state service with one answer, which notes what it was asked for. */
+    /** A state service that replies with a fixed result and records the transactions it receives. */
     private class FixedResultStore(
         private val result: TransactionResult,
     ) : KeyValueStore {
@@ -49,7 +49,7 @@
     private fun reserve(state: KeyValueStore) = runBlocking { FencingTokenReservation(state, table).reserve(KEY, held, 4) }
 
     @Example
-    fun `they lie above all terms, the counter goes past them, and the write holds only under the ownership`() {
+    fun `reserved tokens are above all terms, advance the counter, and have the ownership as a precondition`() {
         val state = FixedResultStore(TransactionResult.Committed(50))
         assertEquals(10L..13L, reserve(state)) { "${table.lastTerm()}" }
         assertEquals(listOf(Precondition(OwnershipRecords.TERM_COUNTER_KEY, 41L), Precondition(KEY, 40L)), state.preconditions.single()) {
@@ -60,14 +60,14 @@
             written.key == OwnershipRecords.TERM_COUNTER_KEY &&
                 written.value == OwnershipRecords.encodeTermCounter(TermCounter(13, listOf(KEY))),
         ) { "$written" }
-        assertNull(written.lease) { "the counter would go with the lease" }
-        // Whoever owns the partition next, in whichever version, takes the term after the counter.
+        assertNull(written.lease) { "the counter would be deleted when the lease ends" }
+        // The next owner, in any version, takes the term after the counter.
         assertEquals(14L, table.nextCounter(KEY).term) { "${table.nextCounter(KEY).term}" }
-        assertEquals(14L..17L, reserve(FixedResultStore(TransactionResult.Committed(51)))) { "the second lot" }
+        assertEquals(14L..17L, reserve(FixedResultStore(TransactionResult.Committed(51)))) { "second reservation" }
     }
 
     @Example
-    fun `what was refused or is not known to have been written reserves nothing`() {
+    fun `a refused or indeterminate transaction reserves no tokens`() {
         for (outcome in listOf(
             TransactionResult.Conflict(),
             TransactionResult.Rejected,
--- a/src/test/kotlin/lichenstage/authority/LeaseDurationTest.kt
+++ b/src/test/kotlin/lichenstage/authority/LeaseDurationTest.kt
@@ -8,18 +8,19 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
+/** Guards against controllers that lose their lease while they stall, and against a failover that takes longer than a worker lease. */
 class LeaseDurationTest {
     @Example
-    fun `a process with enough of a core has the short lease`() {
-        assertEquals(4 * SECOND, LeaseDuration.of(26 * SECOND, 1.0), "a whole core")
-        assertEquals(4 * SECOND, LeaseDuration.of(26 * SECOND, 0.255), "a quarter")
-        assertEquals(4 * SECOND, LeaseDuration.of(17 * SECOND, 0.136), "an eighth")
-        assertEquals(2 * SECOND, LeaseDuration.of(8 * SECOND, 1.0), "short leases of workers")
+    fun `a process with a large enough share of a core gets the short lease`() {
+        assertEquals(4 * SECOND, LeaseDuration.of(26 * SECOND, 1.0), "one core")
+        assertEquals(4 * SECOND, LeaseDuration.of(26 * SECOND, 0.255), "a quarter of a core")
+        assertEquals(4 * SECOND, LeaseDuration.of(17 * SECOND, 0.136), "an eighth of a core")
+        assertEquals(2 * SECOND, LeaseDuration.of(8 * SECOND, 1.0), "short worker leases")
     }
 
-    /** Half a second of processor time at a stretch, while it is cold, must not cost it the lease. */
+    /** A newly started process can use half a second of CPU time without a break, and must not lose its lease by that. */
     @Example
-    fun `on a small machine the lease outlasts a stall`() {
+    fun `with a small share of a core the lease outlasts a stall`() {
         for (share in listOf(0.08, 0.1)) {
             val leaseUs = LeaseDuration.of(26 * SECOND, share)
             assertTrue(leaseUs >= SECOND / 2 / share, "$share of a core: $leaseUs")
@@ -27,7 +28,7 @@
     }
 
     @Property(tries = 200)
-    fun `a worker's lease outlasts failure detection, failover and its way to the new owner`(
+    fun `a process lease is at least 2 s and otherwise at most a third of the worker lease`(
         @ForAll @IntRange(min = 6, max = 120) workerLeaseS: Int,
         @ForAll @IntRange(min = 1, max = 1000) shareThousandths: Int,
     ) {
--- a/src/test/kotlin/lichenstage/authority/LocalLeaseTest.kt
+++ b/src/test/kotlin/lichenstage/authority/LocalLeaseTest.kt
@@ -9,10 +9,11 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 
+/** Guards against a process that acts on its ownerships after its lease has ended in the state service. */
 class LocalLeaseTest {
-    /** The service's clock runs up to 0.05% off, and it hears of a renewal some time after it was sent. */
+    /** The clock of the service deviates by up to 0.05%, and the service receives a request some time after it was sent. */
     @Property(tries = 300, seed = "57")
-    fun `authority ends here before the lease can end there`(
+    fun `the local lease ends before the lease in the state service`(
         @ForAll @IntRange(min = 100, max = 600_000) durationMs: Int,
         @ForAll @IntRange(min = 0, max = 3_000) delayMs: Int,
         @ForAll @IntRange(min = -5, max = 5) drift: Int,
@@ -22,24 +23,24 @@
         val rate = 1.0 + drift / 10_000.0
         val endsThere = delayMs * MILLI + (durationUs * rate).toLong()
         assertFalse(lease.isValid(endsThere)) { "still valid when the lease of $durationMs ms had ended" }
-        if (durationMs > 1_000) assertTrue(lease.isValid(durationUs / 2)) { "given up at half its life" }
+        if (durationMs > 1_000) assertTrue(lease.isValid(durationUs / 2)) { "ended after half of its duration" }
     }
 
     @Example
-    fun `renewals count from when they were sent, in whatever order they are answered`() {
+    fun `the latest sent renewal decides, whatever the order of the replies`() {
         val lease = LocalLease(5 * SECOND).apply { onGranted(1, 0) }
         lease.onRenewed(3 * SECOND)
         lease.onRenewed(2 * SECOND)
-        assertTrue(lease.isValid(7 * SECOND) && !lease.isValid(8 * SECOND)) { "the later renewal does not count" }
+        assertTrue(lease.isValid(7 * SECOND) && !lease.isValid(8 * SECOND)) { "the later renewal was ignored" }
     }
 
     @Example
-    fun `after its end only a new grant gives authority`() {
+    fun `after the end of a lease only a new grant makes it valid`() {
         val lease = LocalLease(5 * SECOND).apply { onGranted(1, 0) }
         lease.onEnded()
         lease.onRenewed(SECOND)
-        assertTrue(!lease.isValid(SECOND) && lease.id == null) { "a late answer brought it back" }
+        assertTrue(!lease.isValid(SECOND) && lease.id == null) { "a late renewal made the lease valid again" }
         lease.onGranted(2, SECOND)
-        assertTrue(lease.isValid(2 * SECOND) && lease.id == 2L) { "not granted" }
+        assertTrue(lease.isValid(2 * SECOND) && lease.id == 2L) { "the new grant has no effect" }
     }
 }
--- a/src/test/kotlin/lichenstage/authority/OwnershipTableTest.kt
+++ b/src/test/kotlin/lichenstage/authority/OwnershipTableTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** The table of ownership as a watch and a scan bring them. */
+/** Guards against ownership records that scans and watches, arriving in any order, leave outdated. */
 class OwnershipTableTest {
     private val table = OwnershipTable()
 
@@ -17,9 +17,9 @@
 
     private fun deleted(modRevision: Long) = Entry(KEY, JsonObject(), modRevision)
 
-    /** Guards against a key that nobody takes since it is taken for held by one who has let go of it. */
+    /** Guards against a key that no controller acquires, because the table still shows its former holder. */
     @Example
-    fun `a key that was put and deleted while nothing was heard is gone`() {
+    fun `a key that was put and deleted within one batch of changes is absent`() {
         table.applyChanges(listOf(held(5)), listOf(deleted(7)))
         assertTrue(KEY !in table) { "${table.holder(KEY)}" }
         table.applyChanges(listOf(held(8), held(10, "n1")), listOf(deleted(9)))
@@ -27,12 +27,12 @@
     }
 
     @Example
-    fun `a scan does not take back what has changed since it began`() {
+    fun `a scan does not undo changes after its revision`() {
         table.applyChanges(listOf(held(5)), emptyList())
         table.applyScan(emptyList(), 4)
-        assertEquals(5L, table.holder(KEY)?.modRevision) { "forgotten: ${table.holder(KEY)}" }
+        assertEquals(5L, table.holder(KEY)?.modRevision) { "the later change is lost: ${table.holder(KEY)}" }
         table.applyScan(emptyList(), 6)
-        assertTrue(KEY !in table && table.holder(KEY) == null) { "kept: ${table.holder(KEY)}" }
+        assertTrue(KEY !in table && table.holder(KEY) == null) { "the deleted key is still there: ${table.holder(KEY)}" }
     }
 
     private companion object {
--- a/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
@@ -12,9 +12,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 
+/** Guards against frames that change on their way between controllers, and against crashes on bytes that are not frames. */
 class FrameCodecTest {
     @Property(tries = 200, seed = "815")
-    fun `every frame gives itself back`(
+    fun `every frame equals its decoded encoding`(
         @ForAll("frames") frame: Frame,
     ) {
         val read = FrameCodec.decode(FrameCodec.encode(frame))
@@ -22,7 +23,7 @@
     }
 
     @Example
-    fun `bytes that are no frame are refused by a decoding error`() {
+    fun `decoding bytes that are no frame throws a decoding exception`() {
         for (bytes in listOf(ByteArray(0), byteArrayOf(1, 2, 3), "not a frame".toByteArray())) {
             assertThrows(FrameDecodingException::class.java) { FrameCodec.decode(bytes) }
         }
--- a/src/test/kotlin/lichenstage/cluster/PeerLivenessTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PeerLivenessTest.kt
@@ -24,7 +24,7 @@
     }
 
     @Example
-    fun `a controller is reachable until the silence timeout`() {
+    fun `a controller is reachable until its last frame is older than the silence timeout`() {
         assertFalse(liveness.isReachable(PEER, SECOND), "never heard from")
         liveness.onFrameReceived(PEER, SECOND)
         assertTrue(liveness.isReachable(PEER, 3 * SECOND))
@@ -32,7 +32,7 @@
     }
 
     @Example
-    fun `a controller is healthy only while the state service answers it`() {
+    fun `a controller is healthy only while its pings report an available state service`() {
         liveness.onFrameReceived(PEER, SECOND)
         assertFalse(liveness.isHealthy(PEER, SECOND), "no ping yet")
         ping(2 * SECOND)
@@ -42,7 +42,7 @@
     }
 
     @Example
-    fun `a controller is stable once it has been healthy without a gap for a while`() {
+    fun `a controller is stable once it has been healthy for the whole stability period`() {
         pingUntil(SECOND, 8 * SECOND)
         assertFalse(liveness.isStable(PEER, 8 * SECOND), "healthy for 7 s")
         pingUntil(8 * SECOND, 10 * SECOND)
--- a/src/test/kotlin/lichenstage/cluster/PingPunctualityTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PingPunctualityTest.kt
@@ -12,30 +12,30 @@
     private val pings = PingPunctuality(8 * SECOND, 700 * MILLI)
 
     @Example
-    fun `pings at their pace are punctual, after the window`() {
+    fun `pings at the expected rate are punctual once a full window has passed`() {
         var nowUs = 0L
         repeat(5) { pings.onPingReceived(nowUs.also { nowUs += 720 * MILLI }) }
-        assertFalse(pings.isPunctual(nowUs), "too few so far")
+        assertFalse(pings.isPunctual(nowUs), "too few pings so far")
         repeat(10) { pings.onPingReceived(nowUs.also { nowUs += 720 * MILLI }) }
-        assertTrue(pings.isPunctual(nowUs), "a window of them")
-        assertFalse(pings.isPunctual(nowUs + 5 * SECOND), "silence")
+        assertTrue(pings.isPunctual(nowUs), "a full window of pings")
+        assertFalse(pings.isPunctual(nowUs + 5 * SECOND), "no pings for 5 s")
     }
 
     @Example
-    fun `a sender that stalls is not punctual`() {
+    fun `a sender that sends half of its pings is not punctual`() {
         for (i in 0L..20) pings.onPingReceived(i * 1500 * MILLI)
-        assertFalse(pings.isPunctual(20 * 1500 * MILLI), "half of them")
+        assertFalse(pings.isPunctual(20 * 1500 * MILLI), "half of the pings")
     }
 
     @Example
-    fun `a receiver that stalls does not blame the sender`() {
-        // Handled in bunches, but all of them.
+    fun `a sender is punctual if a stalled receiver handles its pings in batches`() {
+        // The receiver handles all pings, but only every two seconds.
         for (i in 0L..20) pings.onPingReceived((i * 700 * MILLI / (2 * SECOND) + 1) * 2 * SECOND)
-        assertTrue(pings.isPunctual(16 * SECOND), "all have come")
+        assertTrue(pings.isPunctual(16 * SECOND), "all pings were handled")
     }
 
     @Example
-    fun `the lag of an event loop rises at once and fades`() {
+    fun `the measured event loop lag rises at once and decays slowly`() {
         val lag = EventLoopLag()
         lag.timerFired(dueUs = 0, now = 3 * SECOND)
         assertEquals(3 * SECOND, lag.currentUs, "${lag.currentUs}")
--- a/src/test/kotlin/lichenstage/cluster/PlacementScoreTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PlacementScoreTest.kt
@@ -16,7 +16,7 @@
     ) = HeldSlots(name, room, room, hasImage)
 
     @Property(tries = 300, seed = "99")
-    fun `never more than asked or held, and all that fits`(
+    fun `the selection fills the request as far as the offers allow, and no machine beyond its offer`(
         @ForAll @Size(max = 12) drawn: List<Int>,
         @ForAll @IntRange(min = 0, max = 60) count: Int,
     ) {
@@ -28,13 +28,13 @@
     }
 
     @Example
-    fun `small requests leave whole machines whole`() {
+    fun `a small request takes a partly used machine before an empty one`() {
         val taken = PlacementScore.selectRoomiest(listOf(held("whole", 16), held("broken", 5)), 3)
         assertEquals(listOf("broken"), taken.map { it.machine }) { "$taken" }
     }
 
     @Example
-    fun `what a request can use decides first, the image next`() {
+    fun `machines rank by usable capacity first and by the image next`() {
         val offers = listOf(held("whole", 16), held("warm", 3, hasImage = true), held("warm whole", 16, hasImage = true))
         assertEquals(
             listOf("warm whole"),
--- a/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
@@ -18,12 +18,15 @@
 import java.util.HexFormat
 
 /**
- * What the version in production writes, in `production.json` by its own code (deploy/service.toml names it): this version reads it,
- * and writes the same to the last byte, so that either takes the other's word while both serve.
+ * Guards against frames and records that the version in production cannot read, or that this version reads differently, while both
+ * versions run during an update.
+ *
+ * The code of the production version (named in deploy/service.toml) wrote the samples in `production.json`. This version must read them and
+ * write the same bytes.
  */
 @OptIn(ExperimentalSerializationApi::class)
 class ProductionSamplesTest {
-    /** The fields of a leader's frame as production reads them, by the names that it writes. */
+    /** The fields of a [PlacementFrame] that the version in production reads, under their serial names. */
     @Serializable
     private data class ProductionLeaderFrame(
         val part: String,
@@ -37,9 +40,9 @@
         val closed: Set<String>? = null,
     )
 
-    /** An owner of production's version passes over orders to save, and takes all else. */
+    /** A partition owner that runs the version in production ignores save orders and applies all other content of the frame. */
     @Example
-    fun `orders to save are passed over by production, and are not written where there are none`() {
+    fun `the version in production ignores save orders, and a frame without save orders omits the field`() {
         val codec =
             Cbor {
                 ignoreUnknownKeys = true
@@ -61,7 +64,7 @@
         assertEquals(listOf(false, true), names) { "$names" }
     }
 
-    /** The samples are named as production named the classes; these have another name now. Their bytes name them as before. */
+    /** Class names in production and now, of frames whose class was renamed. The samples use the old names; the serial names are unchanged. */
     private val renamedFrames = mapOf("PledgeRequest" to "MoratoriumRequest", "Pledge" to "MoratoriumGrant")
 
     private fun currentName(sample: String) = renamedFrames[sample] ?: sample
@@ -69,13 +72,13 @@
     private val samples = JsonObject(javaClass.getResource("/production.json")!!.readText())
 
     @Example
-    fun `frames are read, and written as production writes them`() {
+    fun `each sample frame is decoded and encoded to the same bytes`() {
         val frames = samples.getJsonObject("frames")
         for (name in frames.fieldNames()) {
             val bytes = HexFormat.of().parseHex(frames.getString(name))
             val frame = FrameCodec.decode(bytes)
-            assertEquals(currentName(name), frame::class.simpleName) { "$name is read as $frame" }
-            assertTrue(FrameCodec.encode(frame).contentEquals(bytes)) { "$name is written otherwise" }
+            assertEquals(currentName(name), frame::class.simpleName) { "$name was decoded as $frame" }
+            assertTrue(FrameCodec.encode(frame).contentEquals(bytes)) { "$name was encoded to other bytes" }
         }
         val kinds =
             Frame::class.java.permittedSubclasses
@@ -84,11 +87,11 @@
         assertEquals(
             kinds,
             frames.fieldNames().mapTo(HashSet(), ::currentName),
-        ) { "frames that production does not know, or no sample: $kinds" }
+        ) { "the frame classes and the samples differ: $kinds" }
     }
 
     @Example
-    fun `records are read, and those of jobs that need no others are written as production writes them`() {
+    fun `sample records are decoded, and encoded to the same document if the job has no dependencies`() {
         val records = samples.getJsonObject("records")
         val spec = JobRecordCodec.decode(records.getJsonObject("j"))
         assertTrue(JobRecordCodec.encode(spec) == records.getJsonObject("j") && spec.dependencies.isEmpty()) { "$spec" }
@@ -98,9 +101,9 @@
         assertEquals(records.getJsonObject("m"), MachineRecordCodec.encode(machines)) { "$machines" }
     }
 
-    /** All that production reads of a record is there, in the form in which it reads it; what is new beside it is passed over. */
+    /** The version in production ignores new fields, so a record must keep all fields that it reads, with the same values. */
     @Example
-    fun `what is new in a record leaves all that production reads of it`() {
+    fun `new fields of a record leave the fields that production reads unchanged`() {
         val records = samples.getJsonObject("records")
         val plain = JobRecordCodec.decode(records.getJsonObject("j"))
         val spec: JobSpec = plain.copy(dependencies = listOf("j-7"))
@@ -108,7 +111,7 @@
         assertTrue(
             records.getJsonObject("j").fieldNames().all { written.getValue(it) == records.getJsonObject("j").getValue(it) },
         ) { "$written" }
-        assertEquals(spec, JobRecordCodec.decode(written)) { "what it needs is lost" }
+        assertEquals(spec, JobRecordCodec.decode(written)) { "the dependencies are lost" }
         val over = JsonObject(JobRecordCodec.encodeFinished(FinishedJob(JobOutcome(EndStatus.DONE, 5), 12)).encode())
         assertTrue(
             records.getJsonObject("x").fieldNames().all { over.getValue(it) == records.getJsonObject("x").getValue(it) },
--- a/src/test/kotlin/lichenstage/state/InMemoryKeyValueStore.kt
+++ b/src/test/kotlin/lichenstage/state/InMemoryKeyValueStore.kt
@@ -1,6 +1,6 @@
 package lichenstage.state
 
-/** Keys, guards and revisions of the state service as the protocol has them; each test brings its own ways of failing. */
+/** An in-memory state service with keys, preconditions and revisions as in the protocol. Each test adds the failures that it needs. */
 internal abstract class InMemoryKeyValueStore : KeyValueStore {
     val entries = HashMap<String, Entry>()
     var revision = 0L
--- a/src/test/kotlin/lichenstage/state/KeyValueStoreCodecTest.kt
+++ b/src/test/kotlin/lichenstage/state/KeyValueStoreCodecTest.kt
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** The JSON documents of the state service, name by name. */
+/** Guards against paths and documents that differ from the protocol of the state service. */
 class KeyValueStoreCodecTest {
     @Example
-    fun `a transaction is written with its preconditions and changes in order`() {
+    fun `a transaction is encoded with its preconditions and changes in order`() {
         val preconditions = listOf(Precondition("c/leader", 7), Precondition.absent("j/1"))
         val changes = listOf(Change.Put("j/1", JsonObject().put("n", 1), lease = 4), Change.Put("j/2", JsonObject()), Change.Delete("j/3"))
         assertEquals(
@@ -22,7 +22,7 @@
     }
 
     @Example
-    fun `paths name the prefix, the last key and the revision`() {
+    fun `paths contain the prefix, the last key and the revision`() {
         assertEquals("/kv?prefix=j/&most=200", KeyValueStoreCodec.scanPath("j/", null))
         assertEquals("/kv?prefix=j/&since=j/9&most=200", KeyValueStoreCodec.scanPath("j/", "j/9"))
         assertEquals("/changes?prefix=c/&since=12&wait_ms=500", KeyValueStoreCodec.watchPath("c/", 12, 500))
@@ -30,7 +30,7 @@
     }
 
     @Example
-    fun `a page is read with its keys, its revision and whether more follow`() {
+    fun `a page is decoded with its keys, its revision and whether it is truncated`() {
         val page =
             KeyValueStoreCodec.decodePage(
                 JsonObject("""{"rows":[{"k":"a","value":{"x":1},"stamp":5}],"ledger_rev":9,"truncated":true}"""),
@@ -42,14 +42,14 @@
     }
 
     @Example
-    fun `events are told apart into puts and deletes`() {
+    fun `events are decoded as puts and deletes`() {
         val body = JsonObject("""{"ledger_rev":8,"events":[{"put":"a","value":{},"stamp":6},{"delete":"b","stamp":7}]}""")
         val expected = WatchResult.Events(8, listOf(Entry("a", JsonObject(), 6)), listOf(Entry("b", JsonObject(), 7)))
         assertEquals(expected, KeyValueStoreCodec.decodeEvents(body))
     }
 
     @Example
-    fun `a document of another form names the field and what was expected`() {
+    fun `decoding a malformed document throws an exception with the field and the expected type`() {
         fun failure(document: String) =
             assertThrows(JsonDecodingException::class.java) { KeyValueStoreCodec.decodeEntry(JsonObject(document)) }
 
--- a/src/test/kotlin/lichenstage/state/SingleWriterKeysTest.kt
+++ b/src/test/kotlin/lichenstage/state/SingleWriterKeysTest.kt
@@ -7,8 +7,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
+/** Guards against transactions with an unknown outcome that are applied late and overwrite newer values with older ones. */
 class SingleWriterKeysTest {
-    /** A state service that now and then gives no answer, and carries such a transaction out at once, later, or never. */
+    /** A state service that sometimes gives no reply to a transaction, and applies this transaction at once, later or never. */
     private class DelayedCommitStore(
         private val random: Random,
     ) : InMemoryKeyValueStore() {
@@ -42,7 +43,7 @@
     }
 
     @Property(tries = 500, seed = "17")
-    fun `what is known to be written is never put back by a late transaction`(
+    fun `a delayed transaction never overwrites a newer committed value`(
         @ForAll seed: Long,
     ) = runBlocking {
         val random = Random(seed)
@@ -53,7 +54,7 @@
         fun check(step: Int) =
             lastCommittedStep.forEach { (key, committedStep) ->
                 val value = store.entries[key]?.value?.getInteger("n") ?: -1
-                assertTrue(value >= committedStep) { "seed $seed step $step: $key is back at $value from $committedStep" }
+                assertTrue(value >= committedStep) { "seed $seed step $step: $key has the older value $value after $committedStep" }
             }
         var commits = 0
         repeat(120) { step ->
@@ -66,6 +67,6 @@
         }
         store.applyDelayedCommits()
         check(120)
-        assertTrue(commits > 10) { "seed $seed: only $commits writes came through" }
+        assertTrue(commits > 10) { "seed $seed: only $commits writes were committed" }
     }
 }
