--- a/src/main/kotlin/lichenstage/authority/AcquisitionDelay.kt
+++ b/src/main/kotlin/lichenstage/authority/AcquisitionDelay.kt
@@ -31,46 +31,34 @@
     /**
      * Returns the delay in microseconds.
      *
-     * [heldKeyCount] is the number of keys that this controller holds, and [home] the home controller of the partition; null if there is
+     * [heldCount] is the number of keys that this controller holds, and [home] the home controller of the partition; null if there is
      * none. [isHomeHealthy] says that the home controller is reachable and receives replies from the state service: it is about to acquire
      * the partition itself. Waiting for it avoids a second change of owner. (Seen on Baile's lean "rough" day: all processes restarted
      * within a second, the first one acquired two partitions and the leadership, and released the second partition after 36 s.)
      */
     fun delayUs(
         isLeadership: Boolean,
-        heldKeyCount: Int,
+        heldCount: Int,
         home: String?,
         hasEverBeenOwned: Boolean,
         isHomeHealthy: Boolean,
     ): Long =
         when {
-            isLeadership -> {
-                heldKeyCount * LEADERSHIP_DELAY_PER_KEY_US + rank * LEADERSHIP_DELAY_PER_RANK_US +
-                    if (isEvenlyShared) 0 else UNEVEN_SHARE_DELAY_US
-            }
-
-            home == settings.label -> {
-                0
-            }
-
-            home != null && (!hasEverBeenOwned || isHomeHealthy) -> {
-                HOME_FIRST_DELAY_US + rank * HOME_FIRST_DELAY_PER_RANK_US
-            }
-
-            else -> {
-                FOREIGN_DELAY_US + heldKeyCount * FOREIGN_DELAY_PER_KEY_US + rank * FOREIGN_DELAY_PER_RANK_US
-            }
+            isLeadership -> heldCount * LEADERSHIP_PER_KEY_US + rank * LEADERSHIP_PER_RANK_US + if (isEvenlyShared) 0 else UNEVEN_SHARE_US
+            home == settings.label -> 0
+            home != null && (!hasEverBeenOwned || isHomeHealthy) -> HOME_FIRST_US + rank * HOME_FIRST_PER_RANK_US
+            else -> FOREIGN_US + heldCount * FOREIGN_PER_KEY_US + rank * FOREIGN_PER_RANK_US
         }
 
     companion object {
-        private const val LEADERSHIP_DELAY_PER_KEY_US = 150 * MILLI
-        private const val LEADERSHIP_DELAY_PER_RANK_US = 50 * MILLI
-        private const val UNEVEN_SHARE_DELAY_US = 400 * MILLI
-        private const val HOME_FIRST_DELAY_US = 6 * SECOND
-        private const val HOME_FIRST_DELAY_PER_RANK_US = 200 * MILLI
-        private const val FOREIGN_DELAY_US = 200 * MILLI
-        private const val FOREIGN_DELAY_PER_KEY_US = 250 * MILLI
-        private const val FOREIGN_DELAY_PER_RANK_US = 100 * MILLI
+        private const val LEADERSHIP_PER_KEY_US = 150 * MILLI
+        private const val LEADERSHIP_PER_RANK_US = 50 * MILLI
+        private const val UNEVEN_SHARE_US = 400 * MILLI
+        private const val HOME_FIRST_US = 6 * SECOND
+        private const val HOME_FIRST_PER_RANK_US = 200 * MILLI
+        private const val FOREIGN_US = 200 * MILLI
+        private const val FOREIGN_PER_KEY_US = 250 * MILLI
+        private const val FOREIGN_PER_RANK_US = 100 * MILLI
         private const val TOLERATED_LAG_US = 300 * MILLI
         private const val MAX_LAG_DELAY_US = 2 * SECOND
 
--- a/src/main/kotlin/lichenstage/authority/OwnershipAcquisition.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipAcquisition.kt
@@ -52,7 +52,7 @@
     /** Returns the time in microseconds since this process acquired [key]. */
     fun heldDurationUs(key: String): Long = clock.now() - (acquiredAtUs[key] ?: 0)
 
-    /** Leaves a key to other controllers: this process treats it as unowned only from [delayUs] on. */
+    /** Leaves a key to other controllers: the acquisition delay of this process starts only after [delayUs]. */
     fun defer(
         key: String,
         delayUs: Long,
--- a/src/test/kotlin/lichenstage/authority/AcquisitionDelayTest.kt
+++ b/src/test/kotlin/lichenstage/authority/AcquisitionDelayTest.kt
@@ -14,7 +14,7 @@
     private fun delayUs(
         home: String,
         isHomeHealthy: Boolean,
-    ) = delay.delayUs(isLeadership = false, heldKeyCount = 1, home = home, hasEverBeenOwned = true, isHomeHealthy = isHomeHealthy)
+    ) = delay.delayUs(isLeadership = false, heldCount = 1, home = home, hasEverBeenOwned = true, isHomeHealthy = isHomeHealthy)
 
     /**
      * Guards against a change of owner right after a restart of all controllers: the first one to start must leave partitions to their home
--- a/src/test/kotlin/lichenstage/authority/LeaseDurationTest.kt
+++ b/src/test/kotlin/lichenstage/authority/LeaseDurationTest.kt
@@ -27,8 +27,9 @@
         }
     }
 
+    /** The rest of the worker lease must suffice for failure detection, failover and the worker's way to the new owner. */
     @Property(tries = 200)
-    fun `a process lease is at least 2 s and otherwise at most a third of the worker lease`(
+    fun `a process lease takes at most a third of the worker lease, but at least 2 s`(
         @ForAll @IntRange(min = 6, max = 120) workerLeaseS: Int,
         @ForAll @IntRange(min = 1, max = 1000) shareThousandths: Int,
     ) {
--- a/src/test/kotlin/lichenstage/cluster/PeerLivenessTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PeerLivenessTest.kt
@@ -5,6 +5,7 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 
+/** Guards against frames, requests and partitions that go to a controller which cannot handle them at that time. */
 class PeerLivenessTest {
     private val liveness = PeerLiveness()
 
@@ -25,7 +26,7 @@
 
     @Example
     fun `a controller is reachable until its last frame is older than the silence timeout`() {
-        assertFalse(liveness.isReachable(PEER, SECOND), "never heard from")
+        assertFalse(liveness.isReachable(PEER, SECOND), "no frame received yet")
         liveness.onFrameReceived(PEER, SECOND)
         assertTrue(liveness.isReachable(PEER, 3 * SECOND))
         assertFalse(liveness.isReachable(PEER, SECOND + PeerLiveness.SILENCE_TIMEOUT_US))
@@ -34,7 +35,7 @@
     @Example
     fun `a controller is healthy only while its pings report an available state service`() {
         liveness.onFrameReceived(PEER, SECOND)
-        assertFalse(liveness.isHealthy(PEER, SECOND), "no ping yet")
+        assertFalse(liveness.isHealthy(PEER, SECOND), "no ping received yet")
         ping(2 * SECOND)
         assertTrue(liveness.isHealthy(PEER, 2 * SECOND))
         ping(3 * SECOND, isStateServiceAvailable = false)
@@ -48,7 +49,7 @@
         pingUntil(8 * SECOND, 10 * SECOND)
         assertTrue(liveness.isStable(PEER, 10 * SECOND), "healthy for 9 s")
         pingUntil(13 * SECOND, 16 * SECOND)
-        assertFalse(liveness.isStable(PEER, 16 * SECOND), "healthy for 3 s after a silence")
+        assertFalse(liveness.isStable(PEER, 16 * SECOND), "healthy for 3 s after a silence of 3 s")
     }
 
     private companion object {
--- a/src/test/kotlin/lichenstage/cluster/PingPunctualityTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PingPunctualityTest.kt
@@ -8,6 +8,7 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 
+/** Guards against partitions released to a controller whose event loop lags, and against a lagging receiver that blames the sender. */
 class PingPunctualityTest {
     private val pings = PingPunctuality(8 * SECOND, 700 * MILLI)
 
--- a/src/test/kotlin/lichenstage/cluster/PlacementScoreTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PlacementScoreTest.kt
@@ -8,6 +8,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
+/** Guards against tasks placed beyond the offered capacity, and against small requests that break up empty machines. */
 class PlacementScoreTest {
     private fun held(
         name: String,
--- a/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
@@ -64,7 +64,7 @@
         assertEquals(listOf(false, true), names) { "$names" }
     }
 
-    /** Class names in production and now, of frames whose class was renamed. The samples use the old names; the serial names are unchanged. */
+    /** The current names of renamed frame classes, by their names in production, which the samples use. Serial names are unchanged. */
     private val renamedFrames = mapOf("PledgeRequest" to "MoratoriumRequest", "Pledge" to "MoratoriumGrant")
 
     private fun currentName(sample: String) = renamedFrames[sample] ?: sample
--- a/src/test/kotlin/lichenstage/state/SingleWriterKeysTest.kt
+++ b/src/test/kotlin/lichenstage/state/SingleWriterKeysTest.kt
@@ -13,7 +13,7 @@
     private class DelayedCommitStore(
         private val random: Random,
     ) : InMemoryKeyValueStore() {
-        private val delayedCommits = ArrayList<Pair<List<Precondition>, List<Change>>>()
+        private val queue = ArrayList<Pair<List<Precondition>, List<Change>>>()
 
         override suspend fun get(
             key: String,
@@ -26,20 +26,16 @@
             timeoutMs: Long,
             isUrgent: Boolean,
         ): TransactionResult {
-            if (delayedCommits.isNotEmpty() &&
-                random.nextInt(3) == 0
-            ) {
-                delayedCommits.removeAt(random.nextInt(delayedCommits.size)).let { apply(it.first, it.second) }
-            }
+            if (queue.isNotEmpty() && random.nextInt(3) == 0) queue.removeAt(random.nextInt(queue.size)).let { apply(it.first, it.second) }
             return when (random.nextInt(8)) {
                 0 -> TransactionResult.Indeterminate.also { apply(preconditions, changes) }
-                1, 2 -> TransactionResult.Indeterminate.also { delayedCommits += preconditions to changes }
+                1, 2 -> TransactionResult.Indeterminate.also { queue += preconditions to changes }
                 3 -> TransactionResult.Rejected
                 else -> apply(preconditions, changes)
             }
         }
 
-        fun applyDelayedCommits() = delayedCommits.forEach { apply(it.first, it.second) }
+        fun applyDelayedCommits() = queue.forEach { apply(it.first, it.second) }
     }
 
     @Property(tries = 500, seed = "17")
