--- a/src/main/kotlin/lichenstage/authority/AcquisitionDelay.kt
+++ b/src/main/kotlin/lichenstage/authority/AcquisitionDelay.kt
@@ -64,7 +64,7 @@
 
         /**
          * Returns the additional delay of a process whose event loop lags by [lagUs], in microseconds. It lets other controllers acquire
-         * keys first, also that of its home partition, which its owner releases once this process is healthy.
+         * keys first, including the key of its home partition. The new owner releases this partition once this process is healthy.
          */
         fun lagDelayUs(lagUs: Long): Long = (lagUs - TOLERATED_LAG_US).coerceIn(0, MAX_LAG_DELAY_US)
     }
--- a/src/main/kotlin/lichenstage/authority/AcquisitionMoratorium.kt
+++ b/src/main/kotlin/lichenstage/authority/AcquisitionMoratorium.kt
@@ -27,8 +27,8 @@
     private val peers = settings.peers.map { it.label }.toSet()
 
     /**
-     * The moratoriums of the other controllers. If the settings list fewer controllers than exist, it has no peers and never extends the
-     * lease, since the unlisted controllers cannot be asked.
+     * The moratoriums of the other controllers. If the settings list fewer controllers than exist, this has no peers and never extends
+     * the lease, since the unlisted controllers cannot be asked.
      */
     private val peerMoratoriums = PeerMoratoriums(if (settings.count == peers.size + 1) peers else emptySet())
 
--- a/src/main/kotlin/lichenstage/authority/LeaseDuration.kt
+++ b/src/main/kotlin/lichenstage/authority/LeaseDuration.kt
@@ -6,8 +6,8 @@
 /**
  * The duration of a process lease without renewal.
  *
- * The lease is short, since no controller can acquire the keys of a dead process before its lease expires. It is longer than a live process
- * stalls: a process stalls after its start, while its code is interpreted and compiled and all peers reconnect.
+ * The lease is short, since no controller can acquire the keys of a dead process before its lease expires. It must outlast the stalls
+ * of a live process, which occur after its start, while its code is interpreted and compiled and all peers reconnect.
  *
  * This guards against controllers that lose their lease because they are slow. Each loss moves their partitions, which slows down the
  * other controllers. (Seen on Baile's lean "rough" day: eleven failovers within a minute after two crashes.)
--- a/src/main/kotlin/lichenstage/cluster/RequestForwarder.kt
+++ b/src/main/kotlin/lichenstage/cluster/RequestForwarder.kt
@@ -5,7 +5,7 @@
 import lichenstage.common.timeOfDayUs
 import org.agrona.collections.Long2ObjectHashMap
 
-/** The forwarder of users' requests to another controller, [healthyPeer], as in the intermediate agents of the paper. */
+/** The forwarder of users' requests to another controller, [healthyPeer], which replies as an intermediate agent of the paper does. */
 class RequestForwarder(
     private val healthyPeer: () -> String?,
     private val send: (String, Frame) -> Unit,
--- a/src/test/kotlin/lichenstage/authority/AcquisitionDelayTest.kt
+++ b/src/test/kotlin/lichenstage/authority/AcquisitionDelayTest.kt
@@ -21,7 +21,7 @@
      * controllers for a while, but not if these are unhealthy.
      */
     @Example
-    fun `a controller waits with a partition of another healthy home controller`() {
+    fun `a controller delays acquiring a partition whose home controller is healthy`() {
         val unhealthy = delayUs("b", isHomeHealthy = false)
         assertTrue(unhealthy < SECOND, "delay with an unhealthy home controller: $unhealthy")
         val healthy = delayUs("b", isHomeHealthy = true)
--- a/src/test/kotlin/lichenstage/authority/OwnershipTableTest.kt
+++ b/src/test/kotlin/lichenstage/authority/OwnershipTableTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Guards against ownership records that scans and watches, arriving in any order, leave outdated. */
+/** Guards against an outdated ownership table after scans and watch results that arrive in any order. */
 class OwnershipTableTest {
     private val table = OwnershipTable()
 
@@ -17,7 +17,10 @@
 
     private fun deleted(modRevision: Long) = Entry(KEY, JsonObject(), modRevision)
 
-    /** Guards against a key that no controller acquires, because the table still shows its former holder. */
+    /**
+     * Guards against a key that no controller acquires, because the table still shows its former holder. This can happen if the key is put
+     * and deleted while the watch is interrupted.
+     */
     @Example
     fun `a key that was put and deleted within one batch of changes is absent`() {
         table.applyChanges(listOf(held(5)), listOf(deleted(7)))
--- a/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
@@ -18,8 +18,8 @@
     fun `every frame equals its decoded encoding`(
         @ForAll("frames") frame: Frame,
     ) {
-        val read = FrameCodec.decode(FrameCodec.encode(frame))
-        assertEquals(frame, read) { "$frame became $read" }
+        val decoded = FrameCodec.decode(FrameCodec.encode(frame))
+        assertEquals(frame, decoded) { "$frame was decoded as $decoded" }
     }
 
     @Example
@@ -61,7 +61,7 @@
             }
         val partition =
             Combinators.combine(words, numbers, numbers, Arbitraries.of(TaskPhase.entries)).`as` { w, a, b, phase ->
-                val view =
+                val machine =
                     MachineState(
                         w,
                         w,
@@ -80,7 +80,7 @@
                         },
                         listOf(TaskState(w, b, phase, null)),
                     )
-                PartitionFrame(w, a, b, a, b, a, b, a, b > 0, listOf(view), listOf(Offer(a, listOf(HeldSlots(w, 2, 3, a > 0)))))
+                PartitionFrame(w, a, b, a, b, a, b, a, b > 0, listOf(machine), listOf(Offer(a, listOf(HeldSlots(w, 2, 3, a > 0)))))
             }
         val others =
             Arbitraries.of(
--- a/src/test/kotlin/lichenstage/cluster/PlacementScoreTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PlacementScoreTest.kt
@@ -12,20 +12,20 @@
 class PlacementScoreTest {
     private fun held(
         name: String,
-        room: Int,
+        maxCount: Int,
         hasImage: Boolean = false,
-    ) = HeldSlots(name, room, room, hasImage)
+    ) = HeldSlots(name, maxCount, maxCount, hasImage)
 
     @Property(tries = 300, seed = "99")
-    fun `the selection fills the request as far as the offers allow, and no machine beyond its offer`(
-        @ForAll @Size(max = 12) drawn: List<Int>,
+    fun `the selection fills the request as far as the offers allow and never exceeds an offer`(
+        @ForAll @Size(max = 12) numbers: List<Int>,
         @ForAll @IntRange(min = 0, max = 60) count: Int,
     ) {
-        val rooms = drawn.map { Math.floorMod(it, 17) }
-        val offers = rooms.mapIndexed { i, room -> held("m$i", room, i % 3 == 0) }
+        val capacities = numbers.map { Math.floorMod(it, 17) }
+        val offers = capacities.mapIndexed { i, maxCount -> held("m$i", maxCount, i % 3 == 0) }
         val taken = PlacementScore.selectRoomiest(offers, count)
-        assertEquals(minOf(count, rooms.sum()), taken.sumOf { it.count }) { "$rooms $count: $taken" }
-        assertTrue(taken.all { it.count in 1..offers.first { o -> o.machine == it.machine }.count }) { "$rooms $count: $taken" }
+        assertEquals(minOf(count, capacities.sum()), taken.sumOf { it.count }) { "$capacities $count: $taken" }
+        assertTrue(taken.all { it.count in 1..offers.first { o -> o.machine == it.machine }.count }) { "$capacities $count: $taken" }
     }
 
     @Example
