--- a/src/test/kotlin/lichenstage/cluster/PlacementScoreTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PlacementScoreTest.kt
@@ -8,33 +8,34 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
+/** Guards against tasks placed beyond the offered capacity, and against small requests that break up empty machines. */
 class PlacementScoreTest {
     private fun held(
         name: String,
-        room: Int,
+        maxCount: Int,
         hasImage: Boolean = false,
-    ) = HeldSlots(name, room, room, hasImage)
+    ) = HeldSlots(name, maxCount, maxCount, hasImage)
 
     @Property(tries = 300, seed = "99")
-    fun `never more than asked or held, and all that fits`(
-        @ForAll @Size(max = 12) drawn: List<Int>,
+    fun `the selection fills the request as far as the offers allow and never exceeds an offer`(
+        @ForAll @Size(max = 12) numbers: List<Int>,
         @ForAll @IntRange(min = 0, max = 60) count: Int,
     ) {
-        val rooms = drawn.map { Math.floorMod(it, 17) }
-        val offers = rooms.mapIndexed { i, room -> held("m$i", room, i % 3 == 0) }
+        val capacities = numbers.map { Math.floorMod(it, 17) }
+        val offers = capacities.mapIndexed { i, maxCount -> held("m$i", maxCount, i % 3 == 0) }
         val taken = PlacementScore.selectRoomiest(offers, count)
-        assertEquals(minOf(count, rooms.sum()), taken.sumOf { it.count }) { "$rooms $count: $taken" }
-        assertTrue(taken.all { it.count in 1..offers.first { o -> o.machine == it.machine }.count }) { "$rooms $count: $taken" }
+        assertEquals(minOf(count, capacities.sum()), taken.sumOf { it.count }) { "$capacities $count: $taken" }
+        assertTrue(taken.all { it.count in 1..offers.first { o -> o.machine == it.machine }.count }) { "$capacities $count: $taken" }
     }
 
     @Example
-    fun `small requests leave whole machines whole`() {
+    fun `a small request takes a partly used machine before an empty one`() {
         val taken = PlacementScore.selectRoomiest(listOf(held("whole", 16), held("broken", 5)), 3)
         assertEquals(listOf("broken"), taken.map { it.machine }) { "$taken" }
     }
 
     @Example
-    fun `what a request can use decides first, the image next`() {
+    fun `machines rank by usable capacity first and by the image next`() {
         val offers = listOf(held("whole", 16), held("warm", 3, hasImage = true), held("warm whole", 16, hasImage = true))
         assertEquals(
             listOf("warm whole"),
--- a/src/test/kotlin/lichenstage/state/SingleWriterKeysTest.kt
+++ b/src/test/kotlin/lichenstage/state/SingleWriterKeysTest.kt
@@ -7,12 +7,13 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
+/** Guards against transactions with an unknown outcome that are applied late and overwrite newer values with older ones. */
 class SingleWriterKeysTest {
-    /** A state service that now and then gives no answer, and carries such a transaction out at once, later, or never. */
+    /** A state service that sometimes gives no reply to a transaction, and applies this transaction at once, later or never. */
     private class DelayedCommitStore(
         private val random: Random,
     ) : InMemoryKeyValueStore() {
-        private val delayedCommits = ArrayList<Pair<List<Precondition>, List<Change>>>()
+        private val queue = ArrayList<Pair<List<Precondition>, List<Change>>>()
 
         override suspend fun get(
             key: String,
@@ -25,24 +26,20 @@
             timeoutMs: Long,
             isUrgent: Boolean,
         ): TransactionResult {
-            if (delayedCommits.isNotEmpty() &&
-                random.nextInt(3) == 0
-            ) {
-                delayedCommits.removeAt(random.nextInt(delayedCommits.size)).let { apply(it.first, it.second) }
-            }
+            if (queue.isNotEmpty() && random.nextInt(3) == 0) queue.removeAt(random.nextInt(queue.size)).let { apply(it.first, it.second) }
             return when (random.nextInt(8)) {
                 0 -> TransactionResult.Indeterminate.also { apply(preconditions, changes) }
-                1, 2 -> TransactionResult.Indeterminate.also { delayedCommits += preconditions to changes }
+                1, 2 -> TransactionResult.Indeterminate.also { queue += preconditions to changes }
                 3 -> TransactionResult.Rejected
                 else -> apply(preconditions, changes)
             }
         }
 
-        fun applyDelayedCommits() = delayedCommits.forEach { apply(it.first, it.second) }
+        fun applyDelayedCommits() = queue.forEach { apply(it.first, it.second) }
     }
 
     @Property(tries = 500, seed = "17")
-    fun `what is known to be written is never put back by a late transaction`(
+    fun `a delayed transaction never overwrites a newer committed value`(
         @ForAll seed: Long,
     ) = runBlocking {
         val random = Random(seed)
@@ -53,7 +50,7 @@
         fun check(step: Int) =
             lastCommittedStep.forEach { (key, committedStep) ->
                 val value = store.entries[key]?.value?.getInteger("n") ?: -1
-                assertTrue(value >= committedStep) { "seed $seed step $step: $key is back at $value from $committedStep" }
+                assertTrue(value >= committedStep) { "seed $seed step $step: $key has the older value $value after $committedStep" }
             }
         var commits = 0
         repeat(120) { step ->
@@ -66,6 +63,6 @@
         }
         store.applyDelayedCommits()
         check(120)
-        assertTrue(commits > 10) { "seed $seed: only $commits writes came through" }
+        assertTrue(commits > 10) { "seed $seed: only $commits writes were committed" }
     }
 }
