--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -91,9 +91,9 @@
             clock,
             scope,
             object : JobEndListener {
-                override fun jobsEnded(jobs: List<String>) = leader?.tell(LeaderMessage.JobsEnded(jobs)) ?: Unit
+                override fun onJobsEnded(jobs: List<String>) = leader?.tell(LeaderMessage.JobsEnded(jobs)) ?: Unit
 
-                override fun dependencyResolved() = leader?.tell(LeaderMessage.DependenciesResolved) ?: Unit
+                override fun onDependencyResolved() = leader?.tell(LeaderMessage.DependenciesResolved) ?: Unit
             },
         )
     private val recordLimits = RecordLimits(settings.txnOps, settings.valueBytes)
@@ -106,7 +106,7 @@
             recordLimits.maxPreconditions,
             clock,
             scope,
-            replicaSync::jobCancelled,
+            replicaSync::onJobCancelled,
         )
     private val partition =
         PartitionActor(
--- a/src/main/kotlin/lichenstage/app/FrameRouter.kt
+++ b/src/main/kotlin/lichenstage/app/FrameRouter.kt
@@ -70,7 +70,7 @@
         from: String,
         frame: ForwardedRequest,
     ) = jobs.tell(
-        JobsMessage.UserRequest(frame.verb, frame.text, forwarded = true) {
+        JobsMessage.UserRequest(frame.verb, frame.text, isForwarded = true) {
             send(from, ForwardedReply(frame.number, it.status, it.body.encode(), it.retryAfterS))
         },
     )
--- a/src/main/kotlin/lichenstage/drain/DrainOperations.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainOperations.kt
@@ -38,7 +38,7 @@
 
     private suspend fun startNew(request: DrainRequest): DrainCommandResult {
         val machines = read(MachineRecordCodec.PREFIX).flatMap { MachineRecordCodec.decode(it.value) }
-        val boundZones = read(JobRecordCodec.OPEN).mapNotNullTo(HashSet()) { JobRecordCodec.decode(it.value).zone }
+        val boundZones = read(JobRecordCodec.OPEN_PREFIX).mapNotNullTo(HashSet()) { JobRecordCodec.decode(it.value).zone }
         rejectionReason(request, machines, boundZones)?.let { throw RejectedCommand(it) }
         val selected = machines.filter { it in request.selection }.sortedBy { it.name }
         return if (request.dryRun) DrainCommandResult.DryRun(request, selected) else write(request, selected)
--- a/src/main/kotlin/lichenstage/jobs/AdmissionPolicy.kt
+++ b/src/main/kotlin/lichenstage/jobs/AdmissionPolicy.kt
@@ -14,9 +14,9 @@
     private val machineTypes: () -> Map<String, MachineType>,
 ) {
     /** The reply that refuses the job, or null where it may be accepted. */
-    fun refusal(spec: JobSpec): Reply? = teamRefusal(spec) ?: machineRefusal(spec) ?: sizeRefusal(spec)
+    fun findRefusal(spec: JobSpec): Reply? = checkTeam(spec) ?: checkMachineTypes(spec) ?: checkSize(spec)
 
-    private fun teamRefusal(spec: JobSpec): Reply? {
+    private fun checkTeam(spec: JobSpec): Reply? {
         val team = teams[spec.team] ?: return Reply.rejected(HttpStatus.UNPROCESSABLE_ENTITY, SubmissionFields.TEAM, "unknown team")
         val isWithinLimits = spec.resources.cores <= team.coresMax && spec.resources.gpus <= team.gpusMax
         return if (isWithinLimits) {
@@ -30,18 +30,18 @@
         }
     }
 
-    private fun machineRefusal(spec: JobSpec): Reply? {
+    private fun checkMachineTypes(spec: JobSpec): Reply? {
         val types = machineTypes()
         return when {
             types.isEmpty() -> Reply.unavailable("machine types are not known yet")
-            MachineFit.compatibleTypes(spec, types).isEmpty() -> noMachineFits()
+            MachineFit.compatibleTypes(spec, types).isEmpty() -> noTypeFitsReply()
             else -> null
         }
     }
 
-    private fun noMachineFits() =
+    private fun noTypeFitsReply() =
         Reply.rejected(HttpStatus.UNPROCESSABLE_ENTITY, SubmissionFields.ALLOWED_TYPES, "a task fits no allowed machine type")
 
-    private fun sizeRefusal(spec: JobSpec): Reply? =
-        recordLimits.refusal(spec)?.let { (field, reason) -> Reply.rejected(HttpStatus.BAD_REQUEST, field, reason) }
+    private fun checkSize(spec: JobSpec): Reply? =
+        recordLimits.findOversizedField(spec)?.let { (field, reason) -> Reply.rejected(HttpStatus.BAD_REQUEST, field, reason) }
 }
--- a/src/main/kotlin/lichenstage/jobs/CompletedTaskRanges.kt
+++ b/src/main/kotlin/lichenstage/jobs/CompletedTaskRanges.kt
@@ -13,16 +13,16 @@
     const val TASKS_PER_CHUNK = 16_384
 
     /** What a value takes beside the text. */
-    private const val FIELD_BYTES = 16
+    private const val FIELD_OVERHEAD_BYTES = 16
 
     /** How many chunks a job of so many tasks has. */
-    fun chunks(tasks: Int) = (tasks + TASKS_PER_CHUNK - 1) / TASKS_PER_CHUNK
+    fun chunkCount(tasks: Int) = (tasks + TASKS_PER_CHUNK - 1) / TASKS_PER_CHUNK
 
     /** The key of a chunk. */
-    fun key(
+    fun chunkKey(
         job: String,
         chunk: Int,
-    ) = "${JobRecordCodec.DONE}$job/$chunk"
+    ) = "${JobRecordCodec.DONE_TASKS_PREFIX}$job/$chunk"
 
     /** The value of a chunk: ranges, or a bitmap where that is shorter. */
     fun encode(
@@ -30,7 +30,7 @@
         chunk: Int,
     ): JsonObject {
         val chunkTasks = done.get(chunk * TASKS_PER_CHUNK, (chunk + 1) * TASKS_PER_CHUNK)
-        val ranges = ranges(chunkTasks)
+        val ranges = encodeRanges(chunkTasks)
         val bitmap = Base64.getEncoder().encodeToString(chunkTasks.toByteArray())
         return if (ranges.length <= bitmap.length) JsonObject().put("ranges", ranges) else JsonObject().put("bits", bitmap)
     }
@@ -45,30 +45,30 @@
         maxBytes: Int,
     ): BitSet {
         val chunkTasks = done.get(chunk * TASKS_PER_CHUNK, (chunk + 1) * TASKS_PER_CHUNK)
-        val room = maxBytes - FIELD_BYTES
-        if (minOf(ranges(chunkTasks).length, maxBitmapLength(chunkTasks.length())) <= room) return chunkTasks
-        val asBits = chunkTasks.get(0, bitmapTasks(room))
-        val asRanges = firstRanges(chunkTasks, room)
-        return if (asBits.cardinality() >= asRanges.cardinality()) asBits else asRanges
+        val maxChars = maxBytes - FIELD_OVERHEAD_BYTES
+        if (minOf(encodeRanges(chunkTasks).length, maxBitmapLength(chunkTasks.length())) <= maxChars) return chunkTasks
+        val bitmapPart = chunkTasks.get(0, maxBitmapTasks(maxChars))
+        val rangesPart = takeRanges(chunkTasks, maxChars)
+        return if (bitmapPart.cardinality() >= rangesPart.cardinality()) bitmapPart else rangesPart
     }
 
     /** An upper bound for the Base64 characters of a bitmap of so many tasks. */
     private fun maxBitmapLength(tasks: Int) = (tasks + BITS_PER_BYTE - 1) / BITS_PER_BYTE * BASE64_CHARS / BASE64_BYTES + BASE64_CHARS
 
     /** How many tasks a bitmap of [length] Base64 characters holds, in whole groups of Base64. */
-    private fun bitmapTasks(length: Int) = length * BASE64_BYTES / BASE64_CHARS / BASE64_BYTES * BASE64_BYTES * BITS_PER_BYTE
+    private fun maxBitmapTasks(length: Int) = length * BASE64_BYTES / BASE64_CHARS / BASE64_BYTES * BASE64_BYTES * BITS_PER_BYTE
 
-    private fun firstRanges(
+    private fun takeRanges(
         chunkTasks: BitSet,
-        room: Int,
+        maxChars: Int,
     ): BitSet {
         val first = BitSet()
-        var left = room
+        var remainingChars = maxChars
         var from = chunkTasks.nextSetBit(0)
         while (from >= 0) {
             val end = chunkTasks.nextClearBit(from)
-            left -= "$from-${end - 1},".length
-            if (left < 0) break
+            remainingChars -= "$from-${end - 1},".length
+            if (remainingChars < 0) break
             first.set(from, end)
             from = chunkTasks.nextSetBit(end)
         }
@@ -81,13 +81,13 @@
         chunk: Int,
         done: BitSet,
     ) {
-        val base = chunk * TASKS_PER_CHUNK
+        val firstTask = chunk * TASKS_PER_CHUNK
         val bits = value.getString("bits")
         if (bits != null) {
             val chunkTasks = BitSet.valueOf(Base64.getDecoder().decode(bits))
             var i = chunkTasks.nextSetBit(0)
             while (i >= 0) {
-                done.set(base + i)
+                done.set(firstTask + i)
                 i = chunkTasks.nextSetBit(i + 1)
             }
             return
@@ -95,11 +95,11 @@
         value.getString("ranges").split(',').filter { it.isNotEmpty() }.forEach {
             val first = it.substringBefore('-').toInt()
             val last = it.substringAfter('-').toInt()
-            done.set(base + first, base + last + 1)
+            done.set(firstTask + first, firstTask + last + 1)
         }
     }
 
-    private fun ranges(chunkTasks: BitSet): String {
+    private fun encodeRanges(chunkTasks: BitSet): String {
         val text = StringBuilder()
         var from = chunkTasks.nextSetBit(0)
         while (from >= 0) {
--- a/src/main/kotlin/lichenstage/jobs/DependencyGraph.kt
+++ b/src/main/kotlin/lichenstage/jobs/DependencyGraph.kt
@@ -29,34 +29,34 @@
 
     /** Outcomes of ended jobs that others depend on. */
     private val outcomes = HashMap<String, JobOutcome>()
-    private val open = HashSet<String>()
+    private val openJobs = HashSet<String>()
 
     /** Ended jobs that others depend on, of which it is not known how they ended. */
     private val unresolvedJobs = LinkedHashSet<String>()
 
     /** Open jobs with a cancelled dependency, direct or transitive. */
-    private val orphaned = LinkedHashSet<String>()
+    private val orphanedJobs = LinkedHashSet<String>()
 
     /** The job has an open record. */
-    fun jobOpened(
+    fun onJobOpened(
         job: String,
         dependencies: List<String>,
     ) {
-        if (!open.add(job)) return
+        if (!openJobs.add(job)) return
         unresolvedJobs -= job
         if (dependencies.isEmpty()) return
         dependenciesByJob[job] = dependencies
         for (dependency in dependencies) {
             dependentsByJob.getOrPut(dependency) { LinkedHashSet() } += job
-            if (dependency !in open && dependency !in outcomes) unresolvedJobs += dependency
+            if (dependency !in openJobs && dependency !in outcomes) unresolvedJobs += dependency
         }
-        if (dependencies.any(::isCancelled)) orphan(job)
+        if (dependencies.any(::isCancelled)) markOrphaned(job)
     }
 
     /** The record of the job is gone. */
-    fun jobClosed(job: String) {
-        if (!open.remove(job)) return
-        orphaned -= job
+    fun onJobClosed(job: String) {
+        if (!openJobs.remove(job)) return
+        orphanedJobs -= job
         for (dependency in dependenciesByJob.remove(job).orEmpty()) {
             val dependents = dependentsByJob[dependency] ?: continue
             dependents -= job
@@ -69,24 +69,24 @@
     }
 
     /** It is recorded how the job ended. */
-    fun outcomeRecorded(
+    fun onOutcomeRecorded(
         job: String,
         outcome: JobOutcome,
     ) {
         val dependents = dependentsByJob[job] ?: return
         if (outcomes.put(job, outcome) != null) return
         unresolvedJobs -= job
-        if (!outcome.isDone) dependents.toList().forEach(::orphan)
+        if (!outcome.isDone) dependents.toList().forEach(::markOrphaned)
     }
 
-    private fun isCancelled(job: String) = job in orphaned || outcomes[job]?.isDone == false
+    private fun isCancelled(job: String) = job in orphanedJobs || outcomes[job]?.isDone == false
 
     /** Marks the job and its transitive dependents: none of them can ever be done. */
-    private fun orphan(first: String) {
-        val due = ArrayDeque(listOf(first))
-        while (due.isNotEmpty()) {
-            val job = due.removeLast()
-            if (job in open && orphaned.add(job)) due += dependentsByJob[job].orEmpty()
+    private fun markOrphaned(startJob: String) {
+        val jobsToVisit = ArrayDeque(listOf(startJob))
+        while (jobsToVisit.isNotEmpty()) {
+            val job = jobsToVisit.removeLast()
+            if (job in openJobs && orphanedJobs.add(job)) jobsToVisit += dependentsByJob[job].orEmpty()
         }
     }
 
@@ -102,19 +102,19 @@
     ): Readiness =
         when {
             dependencies.isEmpty() || readySinceUs(dependencies) != null -> Readiness.READY
-            job in orphaned || dependencies.any(::isCancelled) -> Readiness.CANCELLED
-            dependencies.any { it !in open && it !in outcomes } || reachesUnresolved(dependencies) -> Readiness.UNKNOWN
+            job in orphanedJobs || dependencies.any(::isCancelled) -> Readiness.CANCELLED
+            dependencies.any { it !in openJobs && it !in outcomes } || dependOnUnresolved(dependencies) -> Readiness.UNKNOWN
             else -> Readiness.WAITING
         }
 
-    private fun reachesUnresolved(first: List<String>): Boolean {
+    private fun dependOnUnresolved(startJobs: List<String>): Boolean {
         if (unresolvedJobs.isEmpty()) return false
-        val due = ArrayDeque(first)
-        val seen = HashSet<String>()
-        while (due.isNotEmpty()) {
-            val job = due.removeLast()
+        val jobsToVisit = ArrayDeque(startJobs)
+        val visitedJobs = HashSet<String>()
+        while (jobsToVisit.isNotEmpty()) {
+            val job = jobsToVisit.removeLast()
             if (job in unresolvedJobs) return true
-            if (seen.add(job)) due += dependenciesByJob[job].orEmpty()
+            if (visitedJobs.add(job)) jobsToVisit += dependenciesByJob[job].orEmpty()
         }
         return false
     }
@@ -126,21 +126,21 @@
     fun dependentsOf(job: String): Collection<String> = dependentsByJob[job].orEmpty()
 
     /** Up to [limit] ended jobs whose outcome is still to be read. */
-    fun unresolved(limit: Int): List<String> = unresolvedJobs.take(limit)
+    fun findUnresolved(limit: Int): List<String> = unresolvedJobs.take(limit)
 
     /** Up to [limit] open jobs that are to be recorded as cancelled, dependencies before their dependents. */
-    fun orphans(limit: Int): List<String> = orphaned.take(limit)
+    fun findOrphans(limit: Int): List<String> = orphanedJobs.take(limit)
 
     /** A dependency of the job, direct or transitive, is cancelled. */
-    fun isOrphan(job: String) = job in orphaned
+    fun isOrphaned(job: String) = job in orphanedJobs
 
     /** Time of day in microseconds at which the last of [dependencies] was done; null while one is not, 0 where no record says when. */
     fun readySinceUs(dependencies: List<String>): Long? {
-        var last = 0L
+        var lastEndedAtUs = 0L
         for (dependency in dependencies) {
             val outcome = outcomes[dependency]?.takeIf { it.isDone } ?: return null
-            last = maxOf(last, outcome.atUs ?: 0)
+            lastEndedAtUs = maxOf(lastEndedAtUs, outcome.endedAtUs ?: 0)
         }
-        return last
+        return lastEndedAtUs
     }
 }
--- a/src/main/kotlin/lichenstage/jobs/FinishedJob.kt
+++ b/src/main/kotlin/lichenstage/jobs/FinishedJob.kt
@@ -14,11 +14,11 @@
 /**
  * How a job ended.
  *
- * @property atUs time of day of the end, in microseconds; null where that is not recorded
+ * @property endedAtUs time of day of the end, in microseconds; null where that is not recorded
  */
 data class JobOutcome(
     val status: EndStatus,
-    val atUs: Long?,
+    val endedAtUs: Long?,
 ) {
     /** All of its tasks are done. */
     val isDone get() = status == EndStatus.DONE
--- a/src/main/kotlin/lichenstage/jobs/JobCompletions.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobCompletions.kt
@@ -9,7 +9,7 @@
     ): Boolean
 
     /** The time as of which the job is known to be open: no user can have seen its end before. Null where it is not known to be open. */
-    fun confirmedOpenUs(job: String): Long?
+    fun confirmedOpenAtUs(job: String): Long?
 
     /**
      * How stale the knowledge of ends may be, in microseconds: for so long after a user may have seen a job's end an answer may still
@@ -26,7 +26,7 @@
                     sinceUs: Long,
                 ) = false
 
-                override fun confirmedOpenUs(job: String): Long? = null
+                override fun confirmedOpenAtUs(job: String): Long? = null
 
                 override val maxStalenessUs = Long.MAX_VALUE
             }
--- a/src/main/kotlin/lichenstage/jobs/JobRecordCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobRecordCodec.kt
@@ -23,13 +23,13 @@
  */
 object JobRecordCodec {
     /** Prefix of the keys of open jobs. */
-    const val OPEN = "j/"
+    const val OPEN_PREFIX = "j/"
 
     /** Prefix of the keys of finished jobs. */
-    const val FINISHED = "x/"
+    const val FINISHED_PREFIX = "x/"
 
     /** Prefix of the keys of completed tasks. */
-    const val DONE = "d/"
+    const val DONE_TASKS_PREFIX = "d/"
     private const val DEPENDENCIES = "needs"
     private const val PRIORITY = "priority"
 
@@ -38,7 +38,7 @@
         JsonObject()
             .put("status", job.outcome.status.wireName)
             .put("tasks", job.completedTasks)
-            .put("at", job.outcome.atUs)
+            .put("at", job.outcome.endedAtUs)
 
     /** The end that a record of a finished job tells of; whatever is not done counts as cancelled. */
     fun decodeFinished(json: JsonObject): FinishedJob {
@@ -72,10 +72,10 @@
             .apply { if (spec.dependencies.isNotEmpty()) put(DEPENDENCIES, JsonArray(spec.dependencies)) }
 
     /** The ids of the jobs that the job of an open record depends on. Throws [JsonDecodingException]. */
-    fun dependencies(json: JsonObject): List<String> = json.optionalStrings(DEPENDENCIES) ?: emptyList()
+    fun decodeDependencies(json: JsonObject): List<String> = json.optionalStrings(DEPENDENCIES) ?: emptyList()
 
     /** When the job of an open record was submitted, in microseconds of the time of day; 0 where the record does not say. */
-    fun submittedAtUs(json: JsonObject): Long = json.getLong("at") ?: 0
+    fun decodeSubmittedAtUs(json: JsonObject): Long = json.getLong("at") ?: 0
 
     /** The job of an open record. Throws [JsonDecodingException] at the first field that can't be read. */
     fun decode(json: JsonObject): JobSpec =
@@ -83,7 +83,7 @@
             id = json.requiredString("id"),
             jobClass = json.requiredString("kind"),
             team = json.requiredString("team"),
-            priority = priority(json),
+            priority = decodePriority(json),
             tasks = json.requiredInt("tasks"),
             resources = Resources(json.requiredDouble("cores"), json.requiredDouble("cards"), json.requiredDouble("mem")),
             allowedTypes = json.optionalStrings("builds"),
@@ -98,10 +98,10 @@
             checkpointSaveUs = json.requiredLong("save"),
             deadlineUs = json.optionalLong("deadline"),
             submittedUs = json.requiredLong("at"),
-            dependencies = dependencies(json),
+            dependencies = decodeDependencies(json),
         )
 
-    private fun priority(json: JsonObject): Priority {
+    private fun decodePriority(json: JsonObject): Priority {
         val name = json.requiredString(PRIORITY)
         return Priority.entries.firstOrNull { it.name == name }
             ?: throw JsonDecodingException(PRIORITY, "one of ${Priority.entries.joinToString()}")
--- a/src/main/kotlin/lichenstage/jobs/JobReplica.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplica.kt
@@ -23,10 +23,10 @@
     /** Identifies the log of this process; increases with each process of the controller. */
     private val incarnation: Long,
     /** The labels of all other controllers; null if they are not all known, so that an outage cannot be bridged. */
-    private val others: Set<String>?,
+    private val peerLabels: Set<String>?,
     override val maxStalenessUs: Long,
 ) : JobCompletions {
-    private class End(
+    private class EndLogEntry(
         val job: String,
         val revision: Long,
     )
@@ -34,8 +34,8 @@
     /** How much of another controller's log has been applied, and as of when that was all of it. */
     private class PeerProgress(
         val incarnation: Long,
-        var upTo: Long,
-        var allUs: Long = Long.MIN_VALUE,
+        var appliedUpTo: Long,
+        var completeAsOfUs: Long = Long.MIN_VALUE,
     )
 
     private val openRevisions = HashMap<String, Long>()
@@ -47,13 +47,13 @@
         }
 
     /** Ends that this process has read from the state service, in the order in which it did. */
-    private val endLog = ArrayDeque<End>()
-    private var logStart = 0L
+    private val endLog = ArrayDeque<EndLogEntry>()
+    private var logStartIndex = 0L
 
     /** Ends up to this revision may be missing from the log. */
     private var logBaseRevision = -1L
     private val peerProgress = HashMap<String, PeerProgress>()
-    private var readUs = Long.MIN_VALUE
+    private var lastReadAtUs = Long.MIN_VALUE
 
     /** Up to here all has been read from the state service; negative before the first read. */
     var revision = -1L
@@ -62,122 +62,126 @@
     /** The revision of the job's open record, where it is known to be open. */
     fun openRevision(job: String): Long? = openRevisions[job]
 
-    /** All records, read whole by a request that was sent at [sentUs]. Returns what has ended. */
+    /** All records, read whole by a request that was sent at [sentAtUs]. Returns what has ended. */
     fun replaceAll(
-        stamps: Map<String, Long>,
+        revisionsByJob: Map<String, Long>,
         readRevision: Long,
-        sentUs: Long,
+        sentAtUs: Long,
     ): List<String> {
-        val gone = openRevisions.keys.filter { it !in stamps }
+        val endedIds = openRevisions.keys.filter { it !in revisionsByJob }
         openRevisions.clear()
-        openRevisions.putAll(stamps)
+        openRevisions.putAll(revisionsByJob)
         if (revision < 0) logBaseRevision = maxOf(logBaseRevision, readRevision)
         // When each went is not known: at the latest now.
-        gone.forEach { recordEnd(it, readRevision) }
-        read(readRevision, sentUs)
-        return gone
+        endedIds.forEach { recordEnd(it, readRevision) }
+        recordRead(readRevision, sentAtUs)
+        return endedIds
     }
 
-    /** What has changed since [revision], read by a request that was sent at [sentUs]. Returns what has ended. */
+    /** What has changed since [revision], read by a request that was sent at [sentAtUs]. Returns what has ended. */
     fun applyChanges(
         put: Map<String, Long>,
         deleted: Map<String, Long>,
         readRevision: Long,
-        sentUs: Long,
+        sentAtUs: Long,
     ): List<String> {
         openRevisions.putAll(put)
-        for ((job, at) in deleted) {
+        for ((job, endRevision) in deleted) {
             // A record is never put again under the same id.
             openRevisions.remove(job)
-            recordEnd(job, at)
+            recordEnd(job, endRevision)
         }
-        read(readRevision, sentUs)
+        recordRead(readRevision, sentAtUs)
         return deleted.keys.toList()
     }
 
-    private fun read(
+    private fun recordRead(
         readRevision: Long,
-        sentUs: Long,
+        sentAtUs: Long,
     ) {
         revision = maxOf(revision, readRevision)
-        readUs = maxOf(readUs, sentUs)
+        lastReadAtUs = maxOf(lastReadAtUs, sentAtUs)
     }
 
-    /** The state service has shown this process, otherwise than by the watch, that the job had ended by [at]. */
+    /** The state service has shown this process, otherwise than by the watch, that the job had ended by [endRevision]. */
     fun recordEnd(
         job: String,
-        at: Long,
+        endRevision: Long,
     ) {
         endedJobs[job] = Unit
-        if (at <= logBaseRevision) return
-        endLog.addLast(End(job, at))
+        if (endRevision <= logBaseRevision) return
+        endLog.addLast(EndLogEntry(job, endRevision))
         if (endLog.size > MAX_LOG_ENTRIES) {
             logBaseRevision = maxOf(logBaseRevision, endLog.removeFirst().revision)
-            logStart++
+            logStartIndex++
         }
     }
 
     /** Another controller says that these jobs have ended. Returns those that were not known to have. */
     fun markEnded(jobs: List<String>): List<String> = jobs.filter { endedJobs.put(it, Unit) == null }
 
-    /** The request to [other] for the ends that may be missing here; null before the first read, which gives the revision to start from. */
-    fun syncRequest(
-        other: String,
-        now: Long,
+    /** The request to [peer] for the ends that may be missing here; null before the first read, which gives the revision to start from. */
+    fun createSyncRequest(
+        peer: String,
+        nowUs: Long,
     ): CompletionSyncRequest? {
         if (revision < 0) return null
-        val progress = peerProgress[other]
-        return CompletionSyncRequest(incarnation, now, revision, progress?.incarnation ?: 0, progress?.upTo ?: 0)
+        val progress = peerProgress[peer]
+        return CompletionSyncRequest(incarnation, nowUs, revision, progress?.incarnation ?: 0, progress?.appliedUpTo ?: 0)
     }
 
     /** The reply to another controller's request, a piece at a time; null where this one can't know all ends that users may have seen. */
-    fun syncReply(request: CompletionSyncRequest): CompletionSyncReply? {
+    fun createSyncReply(request: CompletionSyncRequest): CompletionSyncReply? {
         if (revision < 0 || request.revision < logBaseRevision) return null
-        val since = if (request.logIncarnation == incarnation) maxOf(request.upTo, logStart) else logStart
-        val end = logStart + endLog.size
+        val since = if (request.logIncarnation == incarnation) maxOf(request.upTo, logStartIndex) else logStartIndex
+        val end = logStartIndex + endLog.size
         val jobs = ArrayList<String>()
         var upTo = since
         while (upTo < end && jobs.size < MAX_JOBS_PER_REPLY) {
-            val next = endLog[(upTo - logStart).toInt()]
+            val next = endLog[(upTo - logStartIndex).toInt()]
             if (next.revision > request.revision) jobs += next.job
             upTo++
         }
         return CompletionSyncReply(request.incarnation, request.requestedAtUs, incarnation, since, upTo, jobs, isFinal = upTo == end)
     }
 
-    /** Applies the reply of [other]; returns the ends that were not known. */
+    /** Applies the reply of [peer]; returns the ends that were not known. */
     fun applySyncReply(
-        other: String,
-        answer: CompletionSyncReply,
+        peer: String,
+        reply: CompletionSyncReply,
     ): List<String> {
-        if (answer.incarnation != incarnation) return emptyList()
+        if (reply.incarnation != incarnation) return emptyList()
         val progress =
-            peerProgress[other]?.takeIf { it.incarnation == answer.logIncarnation }
-                ?: PeerProgress(answer.logIncarnation, answer.since).also { peerProgress[other] = it }
+            peerProgress[peer]?.takeIf { it.incarnation == reply.logIncarnation }
+                ?: PeerProgress(reply.logIncarnation, reply.since).also { peerProgress[peer] = it }
         // A piece that doesn't join what was taken would leave some out unseen; it is asked for again.
-        if (answer.since > progress.upTo) return emptyList()
-        progress.upTo = maxOf(progress.upTo, answer.upTo)
-        if (answer.isFinal) progress.allUs = maxOf(progress.allUs, answer.requestedAtUs)
-        return markEnded(answer.jobs)
+        if (reply.since > progress.appliedUpTo) return emptyList()
+        progress.appliedUpTo = maxOf(progress.appliedUpTo, reply.upTo)
+        if (reply.isFinal) progress.completeAsOfUs = maxOf(progress.completeAsOfUs, reply.requestedAtUs)
+        return markEnded(reply.jobs)
     }
 
     /** The time by which every end that a user had seen is known here. */
-    private fun knowledgeTimeUs(): Long {
-        val peersUs = others?.takeIf { revision >= 0 && it.isNotEmpty() }?.minOf { peerProgress[it]?.allUs ?: Long.MIN_VALUE }
-        return maxOf(readUs, peersUs ?: Long.MIN_VALUE)
+    private fun knownEndsAsOfUs(): Long {
+        val peersAsOfUs =
+            peerLabels?.takeIf { revision >= 0 && it.isNotEmpty() }?.minOf {
+                peerProgress[it]?.completeAsOfUs
+                    ?: Long.MIN_VALUE
+            }
+        return maxOf(lastReadAtUs, peersAsOfUs ?: Long.MIN_VALUE)
     }
 
     /** Heartbeats may be answered, which renews the leases of workers (invariant 15). */
-    fun isCurrent(now: Long) = knowledgeTimeUs() > Long.MIN_VALUE && now - knowledgeTimeUs() <= maxStalenessUs
+    fun isCurrent(nowUs: Long) = knownEndsAsOfUs() > Long.MIN_VALUE && nowUs - knownEndsAsOfUs() <= maxStalenessUs
 
     /** The last read of the state service is older than is usual while it is available. */
-    fun isLagging(now: Long) = revision >= 0 && now - readUs > LAG_THRESHOLD_US
+    fun isLagging(nowUs: Long) = revision >= 0 && nowUs - lastReadAtUs > LAG_THRESHOLD_US
 
-    /** The last read of the state service is no older than [us] microseconds. */
-    fun isReadWithin(
-        us: Long,
-        now: Long,
-    ) = revision >= 0 && now - readUs <= us
+    /** The last read of the state service is no older than [maxAgeUs] microseconds. */
+    fun hasReadWithin(
+        maxAgeUs: Long,
+        nowUs: Long,
+    ) = revision >= 0 && nowUs - lastReadAtUs <= maxAgeUs
 
     /**
      * Whether the job has certainly ended, given that a task of it has been known since [sinceUs]: it was accepted before that, so if a
@@ -186,17 +190,17 @@
     override fun hasEnded(
         job: String,
         sinceUs: Long,
-    ) = job in endedJobs || (readUs > sinceUs && job !in openRevisions)
+    ) = job in endedJobs || (lastReadAtUs > sinceUs && job !in openRevisions)
 
-    override fun confirmedOpenUs(job: String): Long? =
-        knowledgeTimeUs().takeIf {
+    override fun confirmedOpenAtUs(job: String): Long? =
+        knownEndsAsOfUs().takeIf {
             job in openRevisions && job !in endedJobs &&
                 it > Long.MIN_VALUE
         }
 
     companion object {
         /** From the last answer to a worker until its lease has ended, and until what was learned has been acted on. */
-        private const val MARGIN_US = 3 * SECOND
+        private const val LEASE_END_MARGIN_US = 3 * SECOND
         private const val MIN_STALENESS_US = 5 * SECOND
         private const val LAG_THRESHOLD_US = 4 * SECOND
         private const val MAX_REMEMBERED_ENDS = 20_000
@@ -210,6 +214,6 @@
         fun maxStalenessUs(
             cancelUs: Long,
             leaseUs: Long,
-        ) = maxOf(cancelUs - withDrift(leaseUs) - MARGIN_US, MIN_STALENESS_US)
+        ) = maxOf(cancelUs - withDrift(leaseUs) - LEASE_END_MARGIN_US, MIN_STALENESS_US)
     }
 }
--- a/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
@@ -26,10 +26,10 @@
 /** Is notified of the ends of jobs. */
 interface JobEndListener {
     /** These jobs have ended. */
-    fun jobsEnded(jobs: List<String>)
+    fun onJobsEnded(jobs: List<String>)
 
     /** It became known how a job that others depend on has ended. */
-    fun dependencyResolved()
+    fun onDependencyResolved()
 }
 
 /** Keeps the [JobReplica] of this process up to date: by a watch, and by the other controllers while the state service is unavailable. */
@@ -50,7 +50,7 @@
         scope.launch {
             while (true) {
                 delay(RESOLVE_INTERVAL_MS)
-                dependencyGraph.unresolved(MAX_RESOLVED_AT_ONCE).forEach { resolve(it) }
+                dependencyGraph.findUnresolved(MAX_RESOLVED_AT_ONCE).forEach { resolveOutcome(it) }
             }
         }
         scope.launch {
@@ -59,39 +59,46 @@
         scope.launch {
             while (true) {
                 delay(PEER_SYNC_INTERVAL_MS)
-                val now = clock.now()
-                logStaleness(replica.revision >= 0 && !replica.isReadWithin(STALE_THRESHOLD_US, now))
-                if (replica.isLagging(now)) requestMissingEnds(now)
+                val nowUs = clock.now()
+                logStaleness(replica.revision >= 0 && !replica.hasReadWithin(STALE_THRESHOLD_US, nowUs))
+                if (replica.isLagging(nowUs)) requestMissingEnds(nowUs)
             }
         }
     }
 
-    private fun logStaleness(staleNow: Boolean) {
-        if (staleNow == isStale) return
-        isStale = staleNow
-        log.info { "Open jobs ${if (staleNow) "not read any more" else "read again"} revision=${replica.revision}" }
+    private fun logStaleness(isStaleNow: Boolean) {
+        if (isStaleNow == isStale) return
+        isStale = isStaleNow
+        log.info { "Open jobs ${if (isStaleNow) "not read any more" else "read again"} revision=${replica.revision}" }
     }
 
-    private fun requestMissingEnds(now: Long) {
-        for (peer in peers.labels) replica.syncRequest(peer, now)?.let { peers.send(peer, it) }
+    private fun requestMissingEnds(nowUs: Long) {
+        for (peer in peers.labels) replica.createSyncRequest(peer, nowUs)?.let { peers.send(peer, it) }
     }
 
     private suspend fun followOpenJobs() {
-        val scannedUs = clock.now()
-        val scan = state.scan(JobRecordCodec.OPEN)
+        val scanSentAtUs = clock.now()
+        val scan = state.scan(JobRecordCodec.OPEN_PREFIX)
         if (scan !is ScanResult.Complete) {
             delay(RETRY_INTERVAL_MS)
             return
         }
-        applyEnds(replica.replaceAll(scan.entries.associate { id(it.key) to it.modRevision }, scan.revision, scannedUs))
-        scan.entries.forEach { dependencyGraph.jobOpened(id(it.key), JobRecordCodec.dependencies(it.value)) }
+        applyEnds(replica.replaceAll(scan.entries.associate { jobId(it.key) to it.modRevision }, scan.revision, scanSentAtUs))
+        scan.entries.forEach { dependencyGraph.onJobOpened(jobId(it.key), JobRecordCodec.decodeDependencies(it.value)) }
         while (true) {
-            val sentUs = clock.now()
-            when (val result = state.watch(JobRecordCodec.OPEN, replica.revision, WATCH_TIMEOUT_MS)) {
+            val sentAtUs = clock.now()
+            when (val result = state.watch(JobRecordCodec.OPEN_PREFIX, replica.revision, WATCH_TIMEOUT_MS)) {
                 is WatchResult.Events -> {
-                    val put = result.puts.associate { id(it.key) to it.modRevision }
-                    result.puts.forEach { dependencyGraph.jobOpened(id(it.key), JobRecordCodec.dependencies(it.value)) }
-                    applyEnds(replica.applyChanges(put, result.deletes.associate { id(it.key) to it.modRevision }, result.revision, sentUs))
+                    val revisionsByJob = result.puts.associate { jobId(it.key) to it.modRevision }
+                    result.puts.forEach { dependencyGraph.onJobOpened(jobId(it.key), JobRecordCodec.decodeDependencies(it.value)) }
+                    applyEnds(
+                        replica.applyChanges(
+                            revisionsByJob,
+                            result.deletes.associate { jobId(it.key) to it.modRevision },
+                            result.revision,
+                            sentAtUs,
+                        ),
+                    )
                 }
 
                 WatchResult.Compacted -> {
@@ -105,28 +112,28 @@
         }
     }
 
-    private fun id(key: String) = key.removePrefix(JobRecordCodec.OPEN)
+    private fun jobId(key: String) = key.removePrefix(JobRecordCodec.OPEN_PREFIX)
 
     /** Reads how a job that others depend on has ended; they wait until that can be read. */
-    private suspend fun resolve(job: String) {
-        val read = state.get(JobRecordCodec.FINISHED + job)
-        if (read is ReadResult.Found) jobFinished(job, JobRecordCodec.decodeFinished(read.entry.value).outcome)
+    private suspend fun resolveOutcome(job: String) {
+        val read = state.get(JobRecordCodec.FINISHED_PREFIX + job)
+        if (read is ReadResult.Found) onJobFinished(job, JobRecordCodec.decodeFinished(read.entry.value).outcome)
     }
 
     /** It became known how the job has ended. */
-    fun jobFinished(
+    fun onJobFinished(
         job: String,
         outcome: JobOutcome,
     ) {
-        dependencyGraph.outcomeRecorded(job, outcome)
-        listener.dependencyResolved()
+        dependencyGraph.onOutcomeRecorded(job, outcome)
+        listener.onDependencyResolved()
     }
 
     /**
      * This process has recorded the cancellation of the job at [revision] and is about to confirm it to its user. The leader and the
      * owners of partitions are notified at once, so that the tasks stop early; nothing depends on that.
      */
-    fun jobCancelled(
+    fun onJobCancelled(
         job: String,
         revision: Long,
     ) {
@@ -141,21 +148,21 @@
         from: String,
         request: CompletionSyncRequest,
     ) {
-        replica.syncReply(request)?.let { peers.send(from, it) }
+        replica.createSyncReply(request)?.let { peers.send(from, it) }
     }
 
     /** Another controller has sent ends that this one may lack. */
     fun onSyncReply(
         from: String,
-        answer: CompletionSyncReply,
-    ) = applyEnds(replica.applySyncReply(from, answer))
+        reply: CompletionSyncReply,
+    ) = applyEnds(replica.applySyncReply(from, reply))
 
     /** Another controller has confirmed the end of jobs to its user. */
     fun onJobsEnded(frame: JobsEnded) = applyEnds(replica.markEnded(frame.jobs))
 
     private fun applyEnds(jobs: List<String>) {
-        jobs.forEach(dependencyGraph::jobClosed)
-        if (jobs.isNotEmpty()) listener.jobsEnded(jobs)
+        jobs.forEach(dependencyGraph::onJobClosed)
+        if (jobs.isNotEmpty()) listener.onJobsEnded(jobs)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
@@ -20,60 +20,77 @@
 ) {
     /** What becomes of a submission with the body [text]. */
     suspend fun submit(text: String): Reply {
-        val json = parse(text) ?: return notAnObject()
+        val json = parse(text) ?: return invalidBodyReply()
         val spec =
             try {
-                SubmissionCodec.submission(json, timeOfDayUs())
-            } catch (e: InvalidSubmission) {
+                SubmissionCodec.decode(json, timeOfDayUs())
+            } catch (e: InvalidSubmissionException) {
                 // A job that is known is answered as such, whatever its repeat looks like.
                 val id = json.getValue(SubmissionFields.ID) as? String
-                return lookup.existingOr(id.orEmpty()) { Reply.rejected(HttpStatus.BAD_REQUEST, e.field, e.message!!) }
+                return lookup.findExistingOrElse(id.orEmpty()) { Reply.rejected(HttpStatus.BAD_REQUEST, e.field, e.message!!) }
             }
-        cache.finished(spec.id)?.let { return Reply.ofFinished(spec.id, it) }
-        val refusal = admission.refusal(spec)
-        if (refusal != null) return lookup.existingOr(spec.id) { refusal }
-        return accept(spec)
+        cache.finishedJob(spec.id)?.let { return Reply.ofFinished(spec.id, it) }
+        val refusal = admission.findRefusal(spec)
+        if (refusal != null) return lookup.findExistingOrElse(spec.id) { refusal }
+        return tryToAccept(spec)
     }
 
     /**
      * Written only while all that was read of the jobs that it needs still holds: one that is cancelled at the same moment either has
      * this job's record to be cancelled with it, or is seen as cancelled here.
      */
-    private suspend fun accept(spec: JobSpec): Reply {
+    private suspend fun tryToAccept(spec: JobSpec): Reply {
         repeat(MAX_TRIES) { attempt ->
-            val dependencies = spec.dependencies.associateWith { dependency(it, fresh = attempt > 0) }
-            dependencies.entries.firstOrNull { it.value is Dependency.NeverAccepted }?.let { (id, _) ->
-                return lookup.existingOr(
+            val dependencies = spec.dependencies.associateWith { readDependency(it, mustReadRecord = attempt > 0) }
+            dependencies.entries.firstOrNull { it.value is DependencyState.NeverAccepted }?.let { (id, _) ->
+                return lookup.findExistingOrElse(
                     spec.id,
                 ) { Reply.rejected(HttpStatus.UNPROCESSABLE_ENTITY, SubmissionFields.DEPENDENCIES, "$id was never accepted") }
             }
-            if (Dependency.Indeterminate in dependencies.values) return Reply.stateUnavailable()
-            write(spec, dependencies)?.let { return it }
+            if (DependencyState.Indeterminate in dependencies.values) return Reply.stateUnavailable()
+            writeRecord(spec, dependencies)?.let { return it }
         }
-        return Reply.unavailable(JobLookup.UNDECIDED)
+        return Reply.unavailable(JobLookup.CONFLICTING_CHANGES)
     }
 
     /** Null where something that was read has changed meanwhile. */
-    private suspend fun write(
+    private suspend fun writeRecord(
         spec: JobSpec,
-        dependencies: Map<String, Dependency>,
+        dependencies: Map<String, DependencyState>,
     ): Reply? {
-        val open = JobRecordCodec.OPEN + spec.id
-        val finished = JobRecordCodec.FINISHED + spec.id
-        val revisions = hashMapOf(open to Precondition.ABSENT, finished to Precondition.ABSENT)
-        for ((id, dependency) in dependencies) if (dependency is Dependency.Open) revisions[JobRecordCodec.OPEN + id] = dependency.revision
-        val isCancelled = Dependency.Cancelled in dependencies.values
-        val end = if (isCancelled) JobLookup.finishedNow(EndStatus.CANCELLED, 0) else null
+        val openKey = JobRecordCodec.OPEN_PREFIX + spec.id
+        val finishedKey = JobRecordCodec.FINISHED_PREFIX + spec.id
+        val revisions = hashMapOf(openKey to Precondition.ABSENT, finishedKey to Precondition.ABSENT)
+        for ((id, dependency) in dependencies) {
+            if (dependency is DependencyState.Open) {
+                revisions[JobRecordCodec.OPEN_PREFIX + id] =
+                    dependency.revision
+            }
+        }
+        val isCancelled = DependencyState.Cancelled in dependencies.values
+        val finishedJob = if (isCancelled) JobLookup.createFinishedJob(EndStatus.CANCELLED, 0) else null
         val change =
-            if (end != null) Change.Put(finished, JobRecordCodec.encodeFinished(end)) else Change.Put(open, JobRecordCodec.encode(spec))
+            if (finishedJob !=
+                null
+            ) {
+                Change.Put(finishedKey, JobRecordCodec.encodeFinished(finishedJob))
+            } else {
+                Change.Put(openKey, JobRecordCodec.encode(spec))
+            }
         return when (val outcome = state.commit(Precondition.allOf(revisions), listOf(change), SUBMIT_TIMEOUT_MS)) {
             is TransactionResult.Committed -> {
-                if (end != null) cache.rememberFinished(spec.id, end) else cache.rememberOpen(spec.id, outcome.revision, spec.dependencies)
-                Reply.accepted(spec.id, end?.outcome?.status?.wireName ?: Reply.PENDING)
+                if (finishedJob !=
+                    null
+                ) {
+                    cache.rememberFinished(spec.id, finishedJob)
+                } else {
+                    cache.rememberOpen(spec.id, outcome.revision, spec.dependencies)
+                }
+                Reply.accepted(spec.id, finishedJob?.outcome?.status?.wireName ?: Reply.PENDING)
             }
 
             is TransactionResult.Conflict -> {
-                val reply = lookup.existingOr(spec.id) { Reply.unavailable(JobLookup.UNDECIDED) }
+                val reply = lookup.findExistingOrElse(spec.id) { Reply.unavailable(JobLookup.CONFLICTING_CHANGES) }
                 reply.takeIf { spec.dependencies.isEmpty() || it.status == HttpStatus.OK }
             }
 
@@ -84,43 +101,43 @@
     }
 
     /** Where a job that another needs stands. */
-    private sealed interface Dependency {
+    private sealed interface DependencyState {
         data class Open(
             val revision: Long,
-        ) : Dependency
+        ) : DependencyState
 
-        data object Done : Dependency
+        data object Done : DependencyState
 
-        data object Cancelled : Dependency
+        data object Cancelled : DependencyState
 
-        data object NeverAccepted : Dependency
+        data object NeverAccepted : DependencyState
 
-        data object Indeterminate : Dependency
+        data object Indeterminate : DependencyState
     }
 
-    /** What was learned before will do unless [fresh], since it is a condition of what is written. */
-    private suspend fun dependency(
+    /** What was learned before will do unless [mustReadRecord], since it is a condition of what is written. */
+    private suspend fun readDependency(
         id: String,
-        fresh: Boolean,
-    ): Dependency {
-        if (dependencyGraph.isOrphan(id)) return Dependency.Cancelled
-        cache.finished(id)?.let { return ofOutcome(it.outcome) }
-        if (!fresh) cache.openRevision(id)?.let { return Dependency.Open(it) }
-        return when (val read = state.get(JobRecordCodec.OPEN + id, JobLookup.READ_TIMEOUT_MS)) {
-            is ReadResult.Found -> Dependency.Open(read.entry.modRevision)
-            ReadResult.Unavailable -> Dependency.Indeterminate
-            ReadResult.NotFound -> finishedDependency(id)
+        mustReadRecord: Boolean,
+    ): DependencyState {
+        if (dependencyGraph.isOrphaned(id)) return DependencyState.Cancelled
+        cache.finishedJob(id)?.let { return toDependencyState(it.outcome) }
+        if (!mustReadRecord) cache.openRevision(id)?.let { return DependencyState.Open(it) }
+        return when (val read = state.get(JobRecordCodec.OPEN_PREFIX + id, JobLookup.READ_TIMEOUT_MS)) {
+            is ReadResult.Found -> DependencyState.Open(read.entry.modRevision)
+            ReadResult.Unavailable -> DependencyState.Indeterminate
+            ReadResult.NotFound -> readFinishedDependency(id)
         }
     }
 
-    private suspend fun finishedDependency(id: String): Dependency =
-        when (val finished = state.get(JobRecordCodec.FINISHED + id, JobLookup.READ_TIMEOUT_MS)) {
-            is ReadResult.Found -> ofOutcome(JobRecordCodec.decodeFinished(finished.entry.value).outcome)
-            ReadResult.NotFound -> Dependency.NeverAccepted
-            ReadResult.Unavailable -> Dependency.Indeterminate
+    private suspend fun readFinishedDependency(id: String): DependencyState =
+        when (val read = state.get(JobRecordCodec.FINISHED_PREFIX + id, JobLookup.READ_TIMEOUT_MS)) {
+            is ReadResult.Found -> toDependencyState(JobRecordCodec.decodeFinished(read.entry.value).outcome)
+            ReadResult.NotFound -> DependencyState.NeverAccepted
+            ReadResult.Unavailable -> DependencyState.Indeterminate
         }
 
-    private fun ofOutcome(outcome: JobOutcome) = if (outcome.isDone) Dependency.Done else Dependency.Cancelled
+    private fun toDependencyState(outcome: JobOutcome) = if (outcome.isDone) DependencyState.Done else DependencyState.Cancelled
 
     companion object {
         /** The body of a submission, or null where it is not a JSON object. */
@@ -132,7 +149,7 @@
             }
 
         /** The answer to a body that is not a JSON object. */
-        fun notAnObject() = Reply.rejected(HttpStatus.BAD_REQUEST, "body", "not a JSON object")
+        fun invalidBodyReply() = Reply.rejected(HttpStatus.BAD_REQUEST, "body", "not a JSON object")
 
         private const val MAX_TRIES = 3
         private const val SUBMIT_TIMEOUT_MS = 3000L
--- a/src/main/kotlin/lichenstage/jobs/JobsActor.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsActor.kt
@@ -38,11 +38,11 @@
     onCancelled: (String, Long) -> Unit,
 ) {
     private val cache = JobCache(openJobs.replica, openJobs.dependencyGraph)
-    private val openCheck =
+    private val openRecordCheck =
         OpenRecordCheck(maxPreconditions, scope) { state.commit(Precondition.allOf(it), emptyList(), COMPARE_TIMEOUT_MS) }
-    private val lookup = JobLookup(state, cache, openJobs.replica, openJobs.dependencyGraph, openCheck, clock, onCancelled)
+    private val lookup = JobLookup(state, cache, openJobs.replica, openJobs.dependencyGraph, openRecordCheck, clock, onCancelled)
     private val submission = JobSubmission(state, cache, lookup, openJobs.dependencyGraph, admission)
-    private var open = 0
+    private var openRequests = 0
     private val mailbox = Mailbox("jobs", scope, ::handle, shed = ::shed)
 
     /** Takes a message; a request is answered through its callback. */
@@ -50,29 +50,29 @@
 
     /** Users are asked to retry; counts are sent again anyway. */
     private fun shed(message: JobsMessage): Boolean {
-        if (message is JobsMessage.UserRequest) message.reply(Reply.unavailable(BUSY, BUSY_RETRY_S))
+        if (message is JobsMessage.UserRequest) message.reply(Reply.unavailable(BUSY_MESSAGE, BUSY_RETRY_S))
         return true
     }
 
     private fun handle(message: JobsMessage) {
         when (message) {
             is JobsMessage.UserRequest -> startRequest(message)
-            is JobsMessage.TaskCountsReceived -> cache.updateProgress(message.counts)
+            is JobsMessage.TaskCountsReceived -> cache.updateTaskCounts(message.counts)
         }
     }
 
     /** Above the bound a request is turned away at once, so that those that are taken are answered in time. */
     private fun startRequest(request: JobsMessage.UserRequest) {
-        if (open >= MAX_OPEN_REQUESTS) {
-            request.reply(Reply.unavailable(BUSY, BUSY_RETRY_S))
+        if (openRequests >= MAX_OPEN_REQUESTS) {
+            request.reply(Reply.unavailable(BUSY_MESSAGE, BUSY_RETRY_S))
             return
         }
-        open++
+        openRequests++
         scope.launch {
             try {
-                request.reply(answer(request))
+                request.reply(process(request))
             } finally {
-                open--
+                openRequests--
             }
         }
     }
@@ -81,26 +81,26 @@
      * While the state service does not answer this process, another controller is asked. If there is none, a short try of its
      * own finds out whether the service is back, and else the reply says at once when to retry.
      */
-    private suspend fun answer(request: JobsMessage.UserRequest): Reply {
-        if (fallback.isStateServiceAvailable() || cache.finished(request.text) != null) return decide(request)
-        if (request.verb == UserVerb.SUBMIT && JobSubmission.parse(request.text) == null) return JobSubmission.notAnObject()
-        val other = if (request.forwarded) null else fallback.forwarder.forward(request.verb, request.text)
-        if (other != null) return Reply(other.status, JsonObject(other.body), other.retryAfterS)
-        return withTimeoutOrNull(SHORT_TRY_MS) { decide(request) } ?: Reply.stateUnavailable()
+    private suspend fun process(request: JobsMessage.UserRequest): Reply {
+        if (fallback.isStateServiceAvailable() || cache.finishedJob(request.text) != null) return processLocally(request)
+        if (request.verb == UserVerb.SUBMIT && JobSubmission.parse(request.text) == null) return JobSubmission.invalidBodyReply()
+        val forwardedReply = if (request.isForwarded) null else fallback.forwarder.forward(request.verb, request.text)
+        if (forwardedReply != null) return Reply(forwardedReply.status, JsonObject(forwardedReply.body), forwardedReply.retryAfterS)
+        return withTimeoutOrNull(PROBE_TIMEOUT_MS) { processLocally(request) } ?: Reply.stateUnavailable()
     }
 
-    private suspend fun decide(request: JobsMessage.UserRequest): Reply =
+    private suspend fun processLocally(request: JobsMessage.UserRequest): Reply =
         when (request.verb) {
             UserVerb.SUBMIT -> submission.submit(request.text)
-            UserVerb.SHOW -> lookup.status(request.text)
+            UserVerb.SHOW -> lookup.findStatus(request.text)
             UserVerb.CANCEL -> lookup.cancel(request.text)
         }
 
     private companion object {
-        const val BUSY = "busy"
+        const val BUSY_MESSAGE = "busy"
         const val BUSY_RETRY_S = 2
         const val MAX_OPEN_REQUESTS = 300
-        const val SHORT_TRY_MS = 800L
+        const val PROBE_TIMEOUT_MS = 800L
         const val COMPARE_TIMEOUT_MS = 1200L
     }
 }
--- a/src/main/kotlin/lichenstage/jobs/JobsMessage.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsMessage.kt
@@ -9,13 +9,13 @@
      * A user's request.
      *
      * @property text the body of a submission, or a job's id
-     * @property forwarded another controller that can't answer it has passed it on
+     * @property isForwarded another controller that can't answer it has passed it on
      * @property reply takes the answer, once
      */
     data class UserRequest(
         val verb: UserVerb,
         val text: String,
-        val forwarded: Boolean = false,
+        val isForwarded: Boolean = false,
         val reply: (Reply) -> Unit,
     ) : JobsMessage
 
--- a/src/main/kotlin/lichenstage/jobs/OpenRecordCheck.kt
+++ b/src/main/kotlin/lichenstage/jobs/OpenRecordCheck.kt
@@ -18,69 +18,69 @@
 class OpenRecordCheck(
     private val maxPreconditions: Int,
     private val scope: CoroutineScope,
-    private val gather: suspend () -> Unit = { delay(GATHER_MS) },
+    private val waitForBatch: suspend () -> Unit = { delay(BATCH_DELAY_MS) },
     private val compare: suspend (Map<String, Long>) -> TransactionResult,
 ) {
     private class PendingCheck(
         val key: String,
         val revision: Long,
-        val answer: CompletableDeferred<RecordState>,
+        val result: CompletableDeferred<RecordState>,
     )
 
-    private val waiting = ArrayDeque<PendingCheck>()
-    private var running = false
+    private val pendingChecks = ArrayDeque<PendingCheck>()
+    private var isBatchRunning = false
 
     /** Whether the record at [key] is still the one of revision [revision]. Unknown at once where too many wait already. */
     suspend fun check(
         key: String,
         revision: Long,
     ): RecordState {
-        if (waiting.size >= MAX_PENDING_CHECKS) return RecordState.UNKNOWN
+        if (pendingChecks.size >= MAX_PENDING_CHECKS) return RecordState.UNKNOWN
         val check = PendingCheck(key, revision, CompletableDeferred())
-        waiting += check
-        if (!running) {
-            running = true
+        pendingChecks += check
+        if (!isBatchRunning) {
+            isBatchRunning = true
             scope.launch {
-                gather()
-                while (waiting.isNotEmpty()) answer(next())
-                running = false
+                waitForBatch()
+                while (pendingChecks.isNotEmpty()) runBatch(takeBatch())
+                isBatchRunning = false
             }
         }
-        return check.answer.await()
+        return check.result.await()
     }
 
-    private fun next() = List(minOf(maxPreconditions, waiting.size)) { waiting.removeFirst() }
+    private fun takeBatch() = List(minOf(maxPreconditions, pendingChecks.size)) { pendingChecks.removeFirst() }
 
     /** Those that are named as failed are gone; whether the others hold is asked again, since all need not be named. */
-    private suspend fun answer(checks: List<PendingCheck>) {
-        var open = checks
+    private suspend fun runBatch(checks: List<PendingCheck>) {
+        var undecided = checks
         repeat(MAX_TRIES) {
-            if (open.isEmpty()) return
-            when (val outcome = compare(open.associate { it.key to it.revision })) {
+            if (undecided.isEmpty()) return
+            when (val outcome = compare(undecided.associate { it.key to it.revision })) {
                 is TransactionResult.Committed -> {
-                    open.forEach { it.answer.complete(RecordState.OPEN) }
+                    undecided.forEach { it.result.complete(RecordState.OPEN) }
                     return
                 }
 
                 is TransactionResult.Conflict -> {
                     val failed = outcome.failedKeys.toHashSet()
-                    val (deleted, rest) = open.partition { it.key in failed }
-                    deleted.forEach { it.answer.complete(RecordState.DELETED) }
-                    open = rest
+                    val (deleted, rest) = undecided.partition { it.key in failed }
+                    deleted.forEach { it.result.complete(RecordState.DELETED) }
+                    undecided = rest
                 }
 
                 TransactionResult.LeaseExpired, TransactionResult.Rejected, TransactionResult.Indeterminate -> {
-                    open.forEach { it.answer.complete(RecordState.UNKNOWN) }
+                    undecided.forEach { it.result.complete(RecordState.UNKNOWN) }
                     return
                 }
             }
         }
-        open.forEach { it.answer.complete(RecordState.UNKNOWN) }
+        undecided.forEach { it.result.complete(RecordState.UNKNOWN) }
     }
 
     private companion object {
         /** A short wait gathers what comes together. */
-        const val GATHER_MS = 40L
+        const val BATCH_DELAY_MS = 40L
         const val MAX_TRIES = 3
         const val MAX_PENDING_CHECKS = 1000
     }
--- a/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
+++ b/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
@@ -13,36 +13,36 @@
  * lowers its limits, so it is refused at once instead of being retried forever.
  */
 class RecordLimits(
-    txnOps: Int,
-    private val valueBytes: Int,
+    maxTransactionOps: Int,
+    private val maxValueBytes: Int,
 ) {
     /** The most preconditions that one transaction may have. */
-    val maxPreconditions = txnOps * PRECONDITIONS_PER_CHANGE
+    val maxPreconditions = maxTransactionOps * PRECONDITIONS_PER_CHANGE
 
     /** The most dependencies of a job: each may be a precondition, beside the two that the job itself is new. */
     val maxDependencies = maxPreconditions - OWN_PRECONDITIONS
 
     /** What is too large, or null. */
-    fun refusal(spec: JobSpec): OversizedField? {
+    fun findOversizedField(spec: JobSpec): OversizedField? {
         if (spec.dependencies.size >
             maxDependencies
         ) {
             return OversizedField(SubmissionFields.DEPENDENCIES, "at most $maxDependencies jobs can be named")
         }
-        val bytes = size(spec)
-        if (bytes <= valueBytes) return null
+        val recordBytes = encodedSize(spec)
+        if (recordBytes <= maxValueBytes) return null
         val field =
-            if (size(spec.copy(dependencies = emptyList())) <=
-                valueBytes
+            if (encodedSize(spec.copy(dependencies = emptyList())) <=
+                maxValueBytes
             ) {
                 SubmissionFields.DEPENDENCIES
             } else {
                 SubmissionFields.ALLOWED_TYPES
             }
-        return OversizedField(field, "the record would take $bytes bytes of at most $valueBytes")
+        return OversizedField(field, "the record would take $recordBytes bytes of at most $maxValueBytes")
     }
 
-    private fun size(spec: JobSpec) =
+    private fun encodedSize(spec: JobSpec) =
         JobRecordCodec
             .encode(spec)
             .encode()
--- a/src/main/kotlin/lichenstage/jobs/Reply.kt
+++ b/src/main/kotlin/lichenstage/jobs/Reply.kt
@@ -19,8 +19,8 @@
         /** The state of an open job. */
         fun ofOpen(
             id: String,
-            counts: TaskProgress,
-        ) = ofJob(id, if (counts.running > 0) RUNNING else PENDING, counts)
+            progress: TaskProgress,
+        ) = ofJob(id, if (progress.running > 0) RUNNING else PENDING, progress)
 
         /** The state of a finished job. */
         fun ofFinished(
@@ -31,14 +31,14 @@
         private fun ofJob(
             id: String,
             status: String,
-            counts: TaskProgress,
+            progress: TaskProgress,
         ) = Reply(
             HttpStatus.OK,
             JsonObject()
                 .put(SubmissionFields.ID, id)
                 .put("status", status)
-                .put("done", counts.done)
-                .put("running", counts.running),
+                .put("done", progress.done)
+                .put("running", progress.running),
         )
 
         /** A job that was accepted just now, with its [status] from now on. */
@@ -51,17 +51,17 @@
         fun rejected(
             status: Int,
             field: String,
-            what: String,
-        ) = Reply(status, JsonObject().put("error", what).put("field", field))
+            message: String,
+        ) = Reply(status, JsonObject().put("error", message).put("field", field))
 
         /** A job that was never accepted. */
         fun unknownJob() = rejected(HttpStatus.NOT_FOUND, SubmissionFields.ID, "no such job")
 
-        /** The request can't be answered now; it can be repeated after [seconds]. */
+        /** The request can't be answered now; it can be repeated after [retryAfterS]. */
         fun unavailable(
-            why: String,
-            seconds: Int = 1,
-        ) = Reply(HttpStatus.SERVICE_UNAVAILABLE, JsonObject().put("error", why), seconds)
+            reason: String,
+            retryAfterS: Int = 1,
+        ) = Reply(HttpStatus.SERVICE_UNAVAILABLE, JsonObject().put("error", reason), retryAfterS)
 
         /** The state service did not answer. */
         fun stateUnavailable() = unavailable("the state service can't be asked")
--- a/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
@@ -8,10 +8,10 @@
 import lichenstage.model.Resources
 
 /** A submission that can't be read; names the field. */
-class InvalidSubmission(
+class InvalidSubmissionException(
     val field: String,
-    what: String,
-) : Exception("$field: $what")
+    message: String,
+) : Exception("$field: $message")
 
 /** Names of fields of a submission that replies and refusals name too. */
 internal object SubmissionFields {
@@ -24,111 +24,111 @@
 
 /** Decodes submissions: the one place where the names of the user API are mapped to those of [JobSpec]. */
 object SubmissionCodec {
-    private val idForm = Regex("j-[0-9]{1,20}")
+    private val idPattern = Regex("j-[0-9]{1,20}")
     private const val MAX_TASKS = 100_000
     private const val MAX_TEXT_LENGTH = 200
     private const val MAX_LIST_SIZE = 100
 
     /** The id has the form that users give their jobs. */
-    fun validId(id: String) = idForm.matches(id)
+    fun isValidId(id: String) = idPattern.matches(id)
 
-    /** Reads a submission that came at time of day [atUs]; throws [InvalidSubmission] at the first thing that is wrong. */
-    fun submission(
+    /** Reads a submission that came at time of day [atUs]; throws [InvalidSubmissionException] at the first thing that is wrong. */
+    fun decode(
         json: JsonObject,
-        atUs: Long,
+        submittedAtUs: Long,
     ): JobSpec {
-        val row = Row(json)
-        val id = row.text(SubmissionFields.ID)
-        if (!validId(id)) throw InvalidSubmission(SubmissionFields.ID, "a job id has the form j-NUMBER")
-        val shape = row.text("shape")
-        if (shape != "batch") throw InvalidSubmission("shape", "only batch is known")
+        val reader = SubmissionReader(json)
+        val id = reader.string(SubmissionFields.ID)
+        if (!isValidId(id)) throw InvalidSubmissionException(SubmissionFields.ID, "a job id has the form j-NUMBER")
+        val shape = reader.string("shape")
+        if (shape != "batch") throw InvalidSubmissionException("shape", "only batch is known")
         val priority =
-            Priority.entries.firstOrNull { it.name.lowercase() == row.text("urgency") }
-                ?: throw InvalidSubmission("urgency", "one of production, high, standard, low is needed")
+            Priority.entries.firstOrNull { it.name.lowercase() == reader.string("urgency") }
+                ?: throw InvalidSubmissionException("urgency", "one of production, high, standard, low is needed")
         return JobSpec(
             id = id,
-            jobClass = row.text("batchline"),
-            team = row.text(SubmissionFields.TEAM),
+            jobClass = reader.string("batchline"),
+            team = reader.string(SubmissionFields.TEAM),
             priority = priority,
-            tasks = row.whole("parts", 1, MAX_TASKS),
-            resources = Resources(row.positive(SubmissionFields.CORES), row.amount("cards"), row.amount("mem_gb")),
-            allowedTypes = row.texts(SubmissionFields.ALLOWED_TYPES),
-            zone = row.optionalText("yard"),
-            sameZone = row.flag("same_place"),
-            spread = row.flag("spread"),
-            spot = row.flag("loaners"),
-            image = row.text("bundle"),
-            imageGb = row.amount("image_gb"),
-            estimatedRunTimeUs = row.micros("guess_s"),
-            checkpointIntervalUs = row.micros("snapshot_every_s"),
-            checkpointSaveUs = row.micros("snapshot_s"),
-            deadlineUs = if (json.getValue("due_s") == null) null else row.micros("due_s"),
-            submittedUs = atUs,
-            dependencies = dependencies(row, id),
+            tasks = reader.int("parts", 1, MAX_TASKS),
+            resources = Resources(reader.positive(SubmissionFields.CORES), reader.nonNegative("cards"), reader.nonNegative("mem_gb")),
+            allowedTypes = reader.stringList(SubmissionFields.ALLOWED_TYPES),
+            zone = reader.optionalString("yard"),
+            sameZone = reader.boolean("same_place"),
+            spread = reader.boolean("spread"),
+            spot = reader.boolean("loaners"),
+            image = reader.string("bundle"),
+            imageGb = reader.nonNegative("image_gb"),
+            estimatedRunTimeUs = reader.durationUs("guess_s"),
+            checkpointIntervalUs = reader.durationUs("snapshot_every_s"),
+            checkpointSaveUs = reader.durationUs("snapshot_s"),
+            deadlineUs = if (json.getValue("due_s") == null) null else reader.durationUs("due_s"),
+            submittedUs = submittedAtUs,
+            dependencies = readDependencies(reader, id),
         )
     }
 
-    private fun dependencies(
-        row: Row,
+    private fun readDependencies(
+        reader: SubmissionReader,
         id: String,
     ): List<String> {
-        val dependencies = row.jobs(SubmissionFields.DEPENDENCIES)
-        if (id in dependencies) throw InvalidSubmission(SubmissionFields.DEPENDENCIES, "a job can't wait for itself")
+        val dependencies = reader.jobIds(SubmissionFields.DEPENDENCIES)
+        if (id in dependencies) throw InvalidSubmissionException(SubmissionFields.DEPENDENCIES, "a job can't wait for itself")
         return dependencies
     }
 
-    private class Row(
+    private class SubmissionReader(
         private val json: JsonObject,
     ) {
-        fun text(field: String): String {
-            val value = json.getValue(field) as? String ?: throw InvalidSubmission(field, "a text is needed")
+        fun string(field: String): String {
+            val value = json.getValue(field) as? String ?: throw InvalidSubmissionException(field, "a text is needed")
             if (value.isEmpty() ||
                 value.length > MAX_TEXT_LENGTH
             ) {
-                throw InvalidSubmission(field, "a text of 1 to $MAX_TEXT_LENGTH characters is needed")
+                throw InvalidSubmissionException(field, "a text of 1 to $MAX_TEXT_LENGTH characters is needed")
             }
             return value
         }
 
-        fun optionalText(field: String) = if (json.getValue(field) == null) null else text(field)
+        fun optionalString(field: String) = if (json.getValue(field) == null) null else string(field)
 
-        fun flag(field: String) = json.getValue(field) as? Boolean ?: throw InvalidSubmission(field, "true or false is needed")
+        fun boolean(field: String) = json.getValue(field) as? Boolean ?: throw InvalidSubmissionException(field, "true or false is needed")
 
-        fun amount(field: String): Double {
+        fun nonNegative(field: String): Double {
             val value = (json.getValue(field) as? Number)?.toDouble()
             return value?.takeIf { it.isFinite() && it in 0.0..MAX_AMOUNT }
-                ?: throw InvalidSubmission(field, "a number from 0 to ${MAX_AMOUNT.toLong()} is needed")
+                ?: throw InvalidSubmissionException(field, "a number from 0 to ${MAX_AMOUNT.toLong()} is needed")
         }
 
-        fun positive(field: String) = amount(field).also { if (it <= 0.0) throw InvalidSubmission(field, "must be above 0") }
+        fun positive(field: String) = nonNegative(field).also { if (it <= 0.0) throw InvalidSubmissionException(field, "must be above 0") }
 
-        fun micros(field: String) = (amount(field) * SECOND).toLong()
+        fun durationUs(field: String) = (nonNegative(field) * SECOND).toLong()
 
-        fun whole(
+        fun int(
             field: String,
             min: Int,
             max: Int,
         ): Int {
             val value = json.getValue(field) as? Number
-            val whole = value?.toDouble()
-            if (whole == null || whole != Math.rint(whole) || whole < min || whole > max) {
-                throw InvalidSubmission(field, "a whole number from $min to $max is needed")
+            val number = value?.toDouble()
+            if (number == null || number != Math.rint(number) || number < min || number > max) {
+                throw InvalidSubmissionException(field, "a whole number from $min to $max is needed")
             }
-            return whole.toInt()
+            return number.toInt()
         }
 
-        fun jobs(field: String): List<String> {
+        fun jobIds(field: String): List<String> {
             val value = json.getValue(field) ?: return emptyList()
-            val array = value as? JsonArray ?: throw InvalidSubmission(field, "a list of job ids or null is needed")
-            if (array.any { it !is String || !validId(it) }) throw InvalidSubmission(field, "a job id has the form j-NUMBER")
+            val array = value as? JsonArray ?: throw InvalidSubmissionException(field, "a list of job ids or null is needed")
+            if (array.any { it !is String || !isValidId(it) }) throw InvalidSubmissionException(field, "a job id has the form j-NUMBER")
             return array.map { it as String }.distinct()
         }
 
-        fun texts(field: String): List<String>? {
+        fun stringList(field: String): List<String>? {
             val value = json.getValue(field) ?: return null
-            val array = value as? JsonArray ?: throw InvalidSubmission(field, "a list of texts or null is needed")
-            if (array.size() > MAX_LIST_SIZE) throw InvalidSubmission(field, "at most $MAX_LIST_SIZE are allowed")
-            return array.map { it as? String ?: throw InvalidSubmission(field, "a list of texts or null is needed") }
+            val array = value as? JsonArray ?: throw InvalidSubmissionException(field, "a list of texts or null is needed")
+            if (array.size() > MAX_LIST_SIZE) throw InvalidSubmissionException(field, "at most $MAX_LIST_SIZE are allowed")
+            return array.map { it as? String ?: throw InvalidSubmissionException(field, "a list of texts or null is needed") }
         }
     }
 
--- a/src/main/kotlin/lichenstage/partition/OrderFencing.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderFencing.kt
@@ -62,7 +62,7 @@
     /** Notes as of when the job of a start that no heartbeat has listed is still open, where that is known. */
     fun updateJobConfirmedOpenTime(attempt: WorkerAttempt) {
         if (attempt.isListed) return
-        jobCompletions.confirmedOpenUs(attempt.job)?.let { attempt.jobOpenAtUs = it }
+        jobCompletions.confirmedOpenAtUs(attempt.job)?.let { attempt.jobOpenAtUs = it }
     }
 
     /** Gives newer tokens to those of [machines] that need one now. */
--- a/src/main/kotlin/lichenstage/placement/BlockedJobs.kt
+++ b/src/main/kotlin/lichenstage/placement/BlockedJobs.kt
@@ -32,7 +32,11 @@
     /** Jobs to record as cancelled next, since a dependency was; none while a record of some is being written. */
     fun takeJobsToCancel(): List<Job> {
         if (isCancellationInFlight) return emptyList()
-        val jobs = dependencyGraph.orphans(maxCancellationsPerTransaction).mapNotNull { core.jobs[it] }.filter { it.phase == JobPhase.OPEN }
+        val jobs =
+            dependencyGraph.findOrphans(maxCancellationsPerTransaction).mapNotNull { core.jobs[it] }.filter {
+                it.phase ==
+                    JobPhase.OPEN
+            }
         isCancellationInFlight = jobs.isNotEmpty()
         return jobs
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -40,7 +40,7 @@
             leadership.keyRevision,
             settings.txnOps,
             scope,
-            services.replicaSync::jobFinished,
+            services.replicaSync::onJobFinished,
             mailbox::tell,
         )
     private val registry = MachineRegistryDriver(settings, core, writer)
--- a/src/main/kotlin/lichenstage/placement/LeaderJobRecords.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderJobRecords.kt
@@ -29,10 +29,10 @@
         doneRanges: List<Entry>,
     ) {
         // In the order of their submission: the forecast gives less weight to what lies back.
-        jobs.sortedBy { JobRecordCodec.submittedAtUs(it.value) }.forEach(::add)
+        jobs.sortedBy { JobRecordCodec.decodeSubmittedAtUs(it.value) }.forEach(::add)
         val orphanedRanges = ArrayList<String>()
         for (entry in doneRanges) {
-            val (id, chunk) = entry.key.removePrefix(JobRecordCodec.DONE).split('/')
+            val (id, chunk) = entry.key.removePrefix(JobRecordCodec.DONE_TASKS_PREFIX).split('/')
             val job = core.jobs[id]
             if (job == null) {
                 orphanedRanges += entry.key
@@ -57,7 +57,7 @@
 
             is LeaderMessage.OpenJobsChanged -> {
                 message.added.forEach(::add)
-                message.removed.forEach { close(it.removePrefix(JobRecordCodec.OPEN)) }
+                message.removed.forEach { close(it.removePrefix(JobRecordCodec.OPEN_PREFIX)) }
             }
 
             is LeaderMessage.JobsEnded -> {
@@ -122,7 +122,7 @@
     }
 
     private fun reload(entries: List<Entry>) {
-        val open = entries.mapTo(HashSet()) { it.key.removePrefix(JobRecordCodec.OPEN) }
+        val open = entries.mapTo(HashSet()) { it.key.removePrefix(JobRecordCodec.OPEN_PREFIX) }
         core.jobs.keys
             .filter { it !in open }
             .forEach(::close)
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordReader.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordReader.kt
@@ -15,8 +15,8 @@
     suspend fun run() {
         // The order does not matter, since a task starts only after all is loaded.
         val machines = scan(MACHINES)
-        val jobs = scan(JobRecordCodec.OPEN)
-        val done = scan(JobRecordCodec.DONE)
+        val jobs = scan(JobRecordCodec.OPEN_PREFIX)
+        val done = scan(JobRecordCodec.DONE_TASKS_PREFIX)
         tell(LeaderMessage.RecordsLoaded(jobs.entries, done.entries, machines.entries))
         follow(jobs.revision)
     }
@@ -24,7 +24,7 @@
     private suspend fun follow(from: Long) {
         var since = from
         while (true) {
-            when (val seen = state.watch(JobRecordCodec.OPEN, since, WATCH_MS)) {
+            when (val seen = state.watch(JobRecordCodec.OPEN_PREFIX, since, WATCH_MS)) {
                 is WatchResult.Events -> {
                     since = seen.revision
                     // A job whose record was put and deleted in one batch has ended: of the two changes of a key the delete is the later.
@@ -33,7 +33,7 @@
                 }
 
                 WatchResult.Compacted -> {
-                    val again = scan(JobRecordCodec.OPEN)
+                    val again = scan(JobRecordCodec.OPEN_PREFIX)
                     since = again.revision
                     tell(LeaderMessage.OpenJobsReloaded(again.entries))
                 }
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -42,7 +42,7 @@
                 deltas.flatMap { row ->
                     row.chunks.map {
                         Change.Put(
-                            CompletedTaskRanges.key(row.job.spec.id, it),
+                            CompletedTaskRanges.chunkKey(row.job.spec.id, it),
                             CompletedTaskRanges.encode(row.recordedTasks, it),
                         )
                     }
@@ -57,17 +57,17 @@
     fun recordCompletion(job: Job) {
         scope.launch {
             val id = job.spec.id
-            val preconditions = listOf(leadership, Precondition(JobRecordCodec.OPEN + id, job.createRevision))
+            val preconditions = listOf(leadership, Precondition(JobRecordCodec.OPEN_PREFIX + id, job.createRevision))
             val end = FinishedJob(JobOutcome(EndStatus.DONE, timeOfDayUs()), job.spec.tasks)
             val outcome =
                 state.commit(
                     preconditions,
                     listOf(
-                        Change.Delete(JobRecordCodec.OPEN + id),
-                        Change.Put(JobRecordCodec.FINISHED + id, JobRecordCodec.encodeFinished(end)),
+                        Change.Delete(JobRecordCodec.OPEN_PREFIX + id),
+                        Change.Put(JobRecordCodec.FINISHED_PREFIX + id, JobRecordCodec.encodeFinished(end)),
                     ),
                 )
-            val stillOpen = outcome !is TransactionResult.Conflict || state.get(JobRecordCodec.OPEN + id) !is ReadResult.NotFound
+            val stillOpen = outcome !is TransactionResult.Conflict || state.get(JobRecordCodec.OPEN_PREFIX + id) !is ReadResult.NotFound
             if (outcome is TransactionResult.Committed) finished(id, end.outcome) else delay(RETRY_MS)
             tell(LeaderMessage.CompletionWritten(job, outcome, stillOpen))
         }
@@ -83,14 +83,14 @@
     }
 
     private suspend fun recordCancelled(jobs: List<Job>): Boolean {
-        val preconditions = jobs.map { Precondition(JobRecordCodec.OPEN + it.spec.id, it.createRevision) } + leadership
+        val preconditions = jobs.map { Precondition(JobRecordCodec.OPEN_PREFIX + it.spec.id, it.createRevision) } + leadership
         val end = FinishedJob(JobOutcome(EndStatus.CANCELLED, timeOfDayUs()), 0)
         val changes =
             jobs.flatMap {
                 val id = it.spec.id
                 listOf(
-                    Change.Delete(JobRecordCodec.OPEN + id),
-                    Change.Put(JobRecordCodec.FINISHED + id, JobRecordCodec.encodeFinished(end)),
+                    Change.Delete(JobRecordCodec.OPEN_PREFIX + id),
+                    Change.Put(JobRecordCodec.FINISHED_PREFIX + id, JobRecordCodec.encodeFinished(end)),
                 )
             }
         return state.commit(preconditions, changes, isUrgent = false) is TransactionResult.Committed
@@ -108,7 +108,7 @@
     /** Deletes the done ranges of a job that has ended. Where some are still being written, that is done after it. */
     fun deleteRanges(job: Job) {
         if (job.isRangesWriteInFlight || job.recordedTasks.isEmpty) return
-        delete((0 until CompletedTaskRanges.chunks(job.spec.tasks)).map { CompletedTaskRanges.key(job.spec.id, it) })
+        delete((0 until CompletedTaskRanges.chunkCount(job.spec.tasks)).map { CompletedTaskRanges.chunkKey(job.spec.id, it) })
     }
 
     /** Deletes done ranges that are of no more use. */
--- a/src/test/kotlin/lichenstage/jobs/DependencyCancellationTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/DependencyCancellationTest.kt
@@ -26,11 +26,11 @@
         @ForAll seed: Long,
     ) = runTest {
         val random = Random(seed)
-        val store = SlowStore(random, backgroundScope)
+        val store = UnreliableStore(random, backgroundScope)
         val actors = List(3) { actor(store, backgroundScope) }
-        val broken = ArrayList<String>()
-        val over = HashMap<String, String>()
-        var cancelledMs = Long.MAX_VALUE
+        val violations = ArrayList<String>()
+        val endStatuses = HashMap<String, String>()
+        var cancelledAtMs = Long.MAX_VALUE
         val dependencies = mapOf(1 to emptyList(), 2 to listOf(1), 3 to listOf(1), 4 to listOf(2, 3))
 
         suspend fun ask(
@@ -38,17 +38,17 @@
             text: String,
         ): Reply? = actors[random.nextInt(3)].ask(verb, text)
 
-        fun note(
+        fun checkReply(
             id: String,
-            askedMs: Long,
+            requestedAtMs: Long,
             reply: Reply,
         ) {
             if (reply.status >= 500) return
             val status = reply.body.getString("status") ?: "${reply.status}"
-            if (reply.status !in listOf(200, 201)) broken += "$id: ${reply.status} ${reply.body}"
-            over[id]?.let { if (status != it) broken += "$id: went back from $it to $status" }
-            if (status == "done" || status == "cancelled") over[id] = status
-            if (status in listOf("pending", "running") && askedMs - 20_000 > cancelledMs) broken += "$id: $status long after"
+            if (reply.status !in listOf(200, 201)) violations += "$id: ${reply.status} ${reply.body}"
+            endStatuses[id]?.let { if (status != it) violations += "$id: went back from $it to $status" }
+            if (status == "done" || status == "cancelled") endStatuses[id] = status
+            if (status in listOf("pending", "running") && requestedAtMs - 20_000 > cancelledAtMs) violations += "$id: $status long after"
         }
         coroutineScope {
             launch {
@@ -56,36 +56,42 @@
                 while (true) {
                     val reply = ask(UserVerb.CANCEL, "j-1")
                     if (reply?.status == 200) {
-                        note("j-1", testScheduler.currentTime, reply)
-                        if (over["j-1"] == "cancelled") cancelledMs = testScheduler.currentTime
+                        checkReply("j-1", testScheduler.currentTime, reply)
+                        if (endStatuses["j-1"] == "cancelled") cancelledAtMs = testScheduler.currentTime
                         break
                     }
                     delay(1000)
                 }
             }
             launch { repeat(40) { delay(1000).also { (1..4).forEach { n -> if (random.nextInt(15) == 0) store.finish("j-$n") } } } }
-            for ((n, earlier) in dependencies) {
-                val text = submission(n, 2, "red", 5.0).put("waits_on", JsonArray(earlier.map { "j-$it" })).encode()
+            for ((n, dependencyNumbers) in dependencies) {
+                val text = submission(n, 2, "red", 5.0).put("waits_on", JsonArray(dependencyNumbers.map { "j-$it" })).encode()
                 while (true) {
-                    val asked = testScheduler.currentTime
+                    val requestedAtMs = testScheduler.currentTime
                     val reply = ask(UserVerb.SUBMIT, text)
-                    if (reply != null) note("j-$n", asked, reply)
+                    if (reply != null) checkReply("j-$n", requestedAtMs, reply)
                     if (reply?.status == 200 || reply?.status == 201) break
                     delay(1000)
                 }
                 launch {
                     repeat(30) {
                         delay(500 + random.nextLong(4000))
-                        val asked = testScheduler.currentTime
-                        ask(UserVerb.SHOW, "j-$n")?.let { note("j-$n", asked, it) }
+                        val requestedAtMs = testScheduler.currentTime
+                        ask(UserVerb.SHOW, "j-$n")?.let { checkReply("j-$n", requestedAtMs, it) }
                     }
                 }
                 delay(random.nextLong(4000))
             }
         }
-        if (over["j-1"] == "cancelled") {
-            (2..4).forEach { if (over["j-$it"] != "cancelled") broken += "j-$it is ${over["j-$it"]} though j-1 is cancelled" }
+        if (endStatuses["j-1"] == "cancelled") {
+            (2..4).forEach {
+                if (endStatuses["j-$it"] !=
+                    "cancelled"
+                ) {
+                    violations += "j-$it is ${endStatuses["j-$it"]} though j-1 is cancelled"
+                }
+            }
         }
-        assertTrue(broken.isEmpty()) { "seed $seed: ${broken.take(4)}" }
+        assertTrue(violations.isEmpty()) { "seed $seed: ${violations.take(4)}" }
     }
 }
--- a/src/test/kotlin/lichenstage/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/DependencyGraphTest.kt
@@ -13,18 +13,18 @@
     @Example
     fun `between the word that a job has ended and the word how, nothing is said of what waits for it`() {
         val dependencyGraph = DependencyGraph()
-        dependencyGraph.jobOpened("j-1", emptyList())
-        dependencyGraph.jobOpened("j-2", listOf("j-1"))
-        dependencyGraph.jobOpened("j-3", listOf("j-2"))
+        dependencyGraph.onJobOpened("j-1", emptyList())
+        dependencyGraph.onJobOpened("j-2", listOf("j-1"))
+        dependencyGraph.onJobOpened("j-3", listOf("j-2"))
 
         fun readiness() =
             listOf("j-1" to emptyList(), "j-2" to listOf("j-1"), "j-3" to listOf("j-2")).map { (job, dependencies) ->
                 dependencyGraph.readiness(job, dependencies)
             }
         assertEquals(listOf(Readiness.READY, Readiness.WAITING, Readiness.WAITING), readiness()) { "${readiness()}" }
-        dependencyGraph.jobClosed("j-1")
+        dependencyGraph.onJobClosed("j-1")
         assertEquals(listOf(Readiness.UNKNOWN, Readiness.UNKNOWN), readiness().drop(1)) { "${readiness()}" }
-        dependencyGraph.outcomeRecorded("j-1", JobOutcome(EndStatus.CANCELLED, atUs = null))
+        dependencyGraph.onOutcomeRecorded("j-1", JobOutcome(EndStatus.CANCELLED, endedAtUs = null))
         assertEquals(listOf(Readiness.CANCELLED, Readiness.CANCELLED), readiness().drop(1)) { "${readiness()}" }
     }
 
@@ -32,16 +32,16 @@
     @Example
     fun `nothing is said of a job that the watch has not brought, where what it needs has ended before`() {
         val dependencyGraph = DependencyGraph()
-        dependencyGraph.jobOpened("j-1", emptyList())
-        dependencyGraph.jobOpened("j-2", listOf("j-1"))
+        dependencyGraph.onJobOpened("j-1", emptyList())
+        dependencyGraph.onJobOpened("j-2", listOf("j-1"))
         assertEquals(Readiness.WAITING, dependencyGraph.readiness("j-3", listOf("j-2"))) { "it can wait" }
-        dependencyGraph.jobClosed("j-2")
+        dependencyGraph.onJobClosed("j-2")
         assertEquals(
             Readiness.UNKNOWN,
             dependencyGraph.readiness("j-3", listOf("j-2")),
         ) { "${dependencyGraph.readiness("j-3", listOf("j-2"))}" }
-        dependencyGraph.jobOpened("j-3", listOf("j-2"))
-        dependencyGraph.outcomeRecorded("j-2", JobOutcome(EndStatus.CANCELLED, atUs = null))
+        dependencyGraph.onJobOpened("j-3", listOf("j-2"))
+        dependencyGraph.onOutcomeRecorded("j-2", JobOutcome(EndStatus.CANCELLED, endedAtUs = null))
         assertEquals(
             Readiness.CANCELLED,
             dependencyGraph.readiness("j-3", listOf("j-2")),
@@ -56,15 +56,15 @@
         val random = Random(seed)
         val dependencyGraph = DependencyGraph()
         val dependencies = LinkedHashMap<String, List<String>>()
-        val open = LinkedHashSet<String>()
-        val ended = HashMap<String, Boolean>()
-        val resolved = HashSet<String>()
+        val openJobs = LinkedHashSet<String>()
+        val isDoneByJob = HashMap<String, Boolean>()
+        val resolvedJobs = HashSet<String>()
         val orphans = LinkedHashSet<String>()
 
-        fun cancelledBefore(job: String): Boolean =
+        fun hasCancelledDependency(job: String): Boolean =
             dependencies.getValue(job).any {
-                (it in resolved && ended[it] == false) ||
-                    (it in open && (it in orphans || cancelledBefore(it)))
+                (it in resolvedJobs && isDoneByJob[it] == false) ||
+                    (it in openJobs && (it in orphans || hasCancelledDependency(it)))
             }
 
         repeat(120) { step ->
@@ -73,73 +73,73 @@
                     val job = "j-$step"
                     val all = dependencies.keys.toList()
                     dependencies[job] = List(if (all.isEmpty()) 0 else random.nextInt(4)) { all[random.nextInt(all.size)] }.distinct()
-                    open += job
-                    dependencyGraph.jobOpened(job, dependencies.getValue(job))
+                    openJobs += job
+                    dependencyGraph.onJobOpened(job, dependencies.getValue(job))
                 }
 
                 2 -> {
-                    if (open.isNotEmpty()) {
-                        val job = open.toList()[random.nextInt(open.size)]
-                        open -= job
+                    if (openJobs.isNotEmpty()) {
+                        val job = openJobs.toList()[random.nextInt(openJobs.size)]
+                        openJobs -= job
                         // Only what has all that it needs can be done.
-                        ended[job] = random.nextInt(3) > 0 && dependencies.getValue(job).all { ended[it] == true }
-                        dependencyGraph.jobClosed(job)
+                        isDoneByJob[job] = random.nextInt(3) > 0 && dependencies.getValue(job).all { isDoneByJob[it] == true }
+                        dependencyGraph.onJobClosed(job)
                     }
                 }
 
                 else -> {
-                    for (job in dependencyGraph.unresolved(random.nextInt(3))) {
-                        assertTrue(job in ended) { "asks how $job ended, which is open" }
-                        resolved += job
-                        dependencyGraph.outcomeRecorded(job, outcome(ended.getValue(job), step.toLong()))
+                    for (job in dependencyGraph.findUnresolved(random.nextInt(3))) {
+                        assertTrue(job in isDoneByJob) { "asks how $job ended, which is open" }
+                        resolvedJobs += job
+                        dependencyGraph.onOutcomeRecorded(job, outcome(isDoneByJob.getValue(job), step.toLong()))
                     }
                 }
             }
             // What nobody waits for is looked up by nobody, and forgotten.
-            resolved.removeIf { done -> open.none { done in dependencies.getValue(it) } }
+            resolvedJobs.removeIf { done -> openJobs.none { done in dependencies.getValue(it) } }
             // Once orphaned, always: what it needs may be recorded as cancelled later without being looked up.
-            orphans += open.filter(::cancelledBefore)
-            orphans.retainAll(open)
+            orphans += openJobs.filter(::hasCancelledDependency)
+            orphans.retainAll(openJobs)
             assertEquals(
                 orphans,
-                dependencyGraph.orphans(1000).toSet(),
-            ) { "seed $seed step $step: ${dependencyGraph.orphans(1000)}, not $orphans" }
-            for (job in open) {
-                val ready = dependencies.getValue(job).all { it in resolved && ended[it] == true }
+                dependencyGraph.findOrphans(1000).toSet(),
+            ) { "seed $seed step $step: ${dependencyGraph.findOrphans(1000)}, not $orphans" }
+            for (job in openJobs) {
+                val ready = dependencies.getValue(job).all { it in resolvedJobs && isDoneByJob[it] == true }
                 assertEquals(ready, (dependencyGraph.readySinceUs(dependencies.getValue(job)) != null)) { "seed $seed step $step: $job" }
             }
         }
-        while (dependencyGraph.unresolved(10).isNotEmpty()) {
-            dependencyGraph.unresolved(10).forEach { dependencyGraph.outcomeRecorded(it, outcome(ended.getValue(it), 0)) }
+        while (dependencyGraph.findUnresolved(10).isNotEmpty()) {
+            dependencyGraph.findUnresolved(10).forEach { dependencyGraph.onOutcomeRecorded(it, outcome(isDoneByJob.getValue(it), 0)) }
         }
-        open.forEach { job -> assertTrue(dependencies.getValue(job).all { it in open || it in ended }) { "lost" } }
+        openJobs.forEach { job -> assertTrue(dependencies.getValue(job).all { it in openJobs || it in isDoneByJob }) { "lost" } }
     }
 
     @Example
     fun `a change costs by who waits for it, in chains of thousands and fans of thousands`() {
         val dependencyGraph = DependencyGraph()
-        repeat(5000) { dependencyGraph.jobOpened("j-$it", if (it == 0) emptyList() else listOf("j-${it - 1}")) }
-        repeat(5000) { dependencyGraph.jobOpened("j-1$it-f", listOf("j-0")) }
-        dependencyGraph.jobClosed("j-0")
-        assertEquals(listOf("j-0"), dependencyGraph.unresolved(10)) { "${dependencyGraph.unresolved(10)}" }
-        dependencyGraph.outcomeRecorded("j-0", JobOutcome(EndStatus.CANCELLED, atUs = null))
-        assertEquals(9999, dependencyGraph.orphans(20_000).size) { "${dependencyGraph.orphans(20_000).size}" }
-        dependencyGraph.jobClosed("j-1")
-        assertEquals(9998, dependencyGraph.orphans(20_000).size) { "an end changes others" }
+        repeat(5000) { dependencyGraph.onJobOpened("j-$it", if (it == 0) emptyList() else listOf("j-${it - 1}")) }
+        repeat(5000) { dependencyGraph.onJobOpened("j-1$it-f", listOf("j-0")) }
+        dependencyGraph.onJobClosed("j-0")
+        assertEquals(listOf("j-0"), dependencyGraph.findUnresolved(10)) { "${dependencyGraph.findUnresolved(10)}" }
+        dependencyGraph.onOutcomeRecorded("j-0", JobOutcome(EndStatus.CANCELLED, endedAtUs = null))
+        assertEquals(9999, dependencyGraph.findOrphans(20_000).size) { "${dependencyGraph.findOrphans(20_000).size}" }
+        dependencyGraph.onJobClosed("j-1")
+        assertEquals(9998, dependencyGraph.findOrphans(20_000).size) { "an end changes others" }
     }
 
     @Example
     fun `the times count from the last record, where one says when`() {
         val dependencyGraph = DependencyGraph()
-        dependencyGraph.jobOpened("j-3", listOf("j-1", "j-2"))
-        dependencyGraph.outcomeRecorded("j-1", JobOutcome(EndStatus.DONE, atUs = 70))
+        dependencyGraph.onJobOpened("j-3", listOf("j-1", "j-2"))
+        dependencyGraph.onOutcomeRecorded("j-1", JobOutcome(EndStatus.DONE, endedAtUs = 70))
         assertNull(dependencyGraph.readySinceUs(listOf("j-1", "j-2"))) { "one is not done" }
-        dependencyGraph.outcomeRecorded("j-2", JobOutcome(EndStatus.DONE, atUs = null))
+        dependencyGraph.onOutcomeRecorded("j-2", JobOutcome(EndStatus.DONE, endedAtUs = null))
         assertTrue(dependencyGraph.readySinceUs(listOf("j-1", "j-2")) == 70L && dependencyGraph.readySinceUs(emptyList()) == 0L) { "when" }
     }
 
     private fun outcome(
         isDone: Boolean,
-        atUs: Long,
-    ) = JobOutcome(if (isDone) EndStatus.DONE else EndStatus.CANCELLED, atUs)
+        endedAtUs: Long,
+    ) = JobOutcome(if (isDone) EndStatus.DONE else EndStatus.CANCELLED, endedAtUs)
 }
--- a/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
@@ -27,17 +27,17 @@
             "due_s":900.0,"surprise":{"a":1}}""",
         )
 
-    private fun refusedField(json: JsonObject): String? =
+    private fun findRefusedField(json: JsonObject): String? =
         try {
-            SubmissionCodec.submission(json, 0)
+            SubmissionCodec.decode(json, 0)
             null
-        } catch (e: InvalidSubmission) {
+        } catch (e: InvalidSubmissionException) {
             e.field
         }
 
     @Example
     fun `a submission as the protocol shows it is read, unknown fields and all`() {
-        val spec = SubmissionCodec.submission(submission(), 7)
+        val spec = SubmissionCodec.decode(submission(), 7)
         assertTrue(spec.id == "j-000412" && spec.tasks == 16 && spec.resources == Resources(8.0, 1.0, 64.0)) { "$spec" }
         assertTrue(spec.deadlineUs == 900_000_000L && spec.estimatedRunTimeUs == 240_000_000L && spec.submittedUs == 7L) { "$spec" }
         assertTrue(spec.allowedTypes == listOf("g8") && spec.zone == null && spec.sameZone && spec.spot) { "$spec" }
@@ -64,26 +64,26 @@
     fun `what may be null may be left out`() {
         val json = submission()
         listOf("builds", "yard", "due_s").forEach { json.remove(it) }
-        val spec = SubmissionCodec.submission(json, 0)
+        val spec = SubmissionCodec.decode(json, 0)
         assertTrue(spec.allowedTypes == null && spec.zone == null && spec.deadlineUs == null) { "$spec" }
     }
 
     @Property(tries = 300, seed = "4711")
     fun `every wrong value is refused with the name of its field`(
-        @ForAll("wrong") wrong: Pair<String, Any?>,
+        @ForAll("wrongField") wrongField: Pair<String, Any?>,
     ) {
-        val json = submission().put(wrong.first, wrong.second)
-        assertEquals(wrong.first, refusedField(json)) { "${wrong.first} = ${wrong.second}: ${refusedField(json)}" }
+        val json = submission().put(wrongField.first, wrongField.second)
+        assertEquals(wrongField.first, findRefusedField(json)) { "${wrongField.first} = ${wrongField.second}: ${findRefusedField(json)}" }
     }
 
     @Provide
-    fun wrong(): Arbitrary<Pair<String, Any?>> {
-        val texts = listOf("batchline", "owner", "bundle").map { it to listOf<Any?>(null, "", 5, true, "x".repeat(300)) }
-        val amounts =
+    fun wrongField(): Arbitrary<Pair<String, Any?>> {
+        val textFields = listOf("batchline", "owner", "bundle").map { it to listOf<Any?>(null, "", 5, true, "x".repeat(300)) }
+        val amountFields =
             listOf("cards", "mem_gb", "image_gb", "guess_s", "snapshot_every_s", "snapshot_s").map {
                 it to listOf<Any?>(null, -0.5, "4", true, Double.POSITIVE_INFINITY, 1e300)
             }
-        val others =
+        val otherFields =
             listOf(
                 "uid" to listOf<Any?>(null, "j-", "J-1", "j-x", "job-1", 4, "j-1/2", "j- 1"),
                 "shape" to listOf<Any?>(null, "gang", 1),
@@ -97,7 +97,7 @@
                 "loaners" to listOf<Any?>(null, 0),
                 "due_s" to listOf<Any?>(-1.0, "soon", 1e300),
             )
-        return Arbitraries.of((texts + amounts + others).flatMap { (field, values) -> values.map { field to it } })
+        return Arbitraries.of((textFields + amountFields + otherFields).flatMap { (field, values) -> values.map { field to it } })
     }
 
     @Property(tries = 200, seed = "4712")
@@ -146,7 +146,7 @@
         val done = BitSet()
         for (i in 0 until tasks) if (random.nextInt(100) < density) done.set(i)
         val read = BitSet()
-        for (chunk in 0 until CompletedTaskRanges.chunks(tasks)) {
+        for (chunk in 0 until CompletedTaskRanges.chunkCount(tasks)) {
             val text = CompletedTaskRanges.encode(done, chunk).encode()
             assertTrue(text.length < 4 * 1024) { "chunk $chunk of $tasks takes ${text.length}" }
             CompletedTaskRanges.decode(JsonObject(text), chunk, read)
--- a/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
@@ -12,8 +12,8 @@
 class JobReplicaTest {
     private fun replica(
         incarnation: Long,
-        vararg others: String,
-    ) = JobReplica(incarnation, others.toSet(), BOUND)
+        vararg peers: String,
+    ) = JobReplica(incarnation, peers.toSet(), MAX_STALENESS_US)
 
     /**
      * One that can't read asks two that can; answers are lost, late and repeated, and a process of them is followed by another. Whenever
@@ -25,44 +25,48 @@
     ) {
         val random = Random(seed)
         val asker = replica(1, "a", "b").apply { replaceAll(emptyMap(), 100, 0) }
-        val others = HashMap(mapOf("a" to replica(2, "b", "asker"), "b" to replica(3, "a", "asker")))
-        others.values.forEach { it.replaceAll(emptyMap(), 100, 0) }
-        val told = ArrayList<Pair<String, Long>>()
-        val late = ArrayList<Pair<String, CompletionSyncReply>>()
+        val peers = HashMap(mapOf("a" to replica(2, "b", "asker"), "b" to replica(3, "a", "asker")))
+        peers.values.forEach { it.replaceAll(emptyMap(), 100, 0) }
+        val toldEnds = ArrayList<Pair<String, Long>>()
+        val lateReplies = ArrayList<Pair<String, CompletionSyncReply>>()
         var revision = 100L
-        var now = 0L
+        var nowUs = 0L
         repeat(400) { step ->
-            now += random.nextInt(400_000)
+            nowUs += random.nextInt(400_000)
             val name = if (random.nextBoolean()) "a" else "b"
             when (random.nextInt(8)) {
                 0, 1 -> {
                     repeat(if (random.nextInt(12) == 0) 900 else 1) { n ->
                         val job = "j-$step-$n"
-                        others.getValue(name).recordEnd(job, ++revision)
-                        told += job to now
+                        peers.getValue(name).recordEnd(job, ++revision)
+                        toldEnds += job to nowUs
                     }
                 }
 
                 2 -> {
                     if (random.nextInt(20) == 0) {
-                        others[name] = replica(10L + step, "x")
-                        if (random.nextBoolean()) others.getValue(name).replaceAll(emptyMap(), revision, now)
+                        peers[name] = replica(10L + step, "x")
+                        if (random.nextBoolean()) peers.getValue(name).replaceAll(emptyMap(), revision, nowUs)
                     }
                 }
 
                 3 -> {
-                    if (late.isNotEmpty()) late[random.nextInt(late.size)].let { (from, reply) -> asker.applySyncReply(from, reply) }
+                    if (lateReplies.isNotEmpty()) {
+                        lateReplies[random.nextInt(lateReplies.size)].let { (from, reply) ->
+                            asker.applySyncReply(from, reply)
+                        }
+                    }
                 }
 
                 else -> {
-                    val syncRequest = asker.syncRequest(name, now) ?: return@repeat
-                    val reply = others.getValue(name).syncReply(syncRequest) ?: return@repeat
-                    if (random.nextInt(3) == 0) late += name to reply else asker.applySyncReply(name, reply)
+                    val syncRequest = asker.createSyncRequest(name, nowUs) ?: return@repeat
+                    val reply = peers.getValue(name).createSyncReply(syncRequest) ?: return@repeat
+                    if (random.nextInt(3) == 0) lateReplies += name to reply else asker.applySyncReply(name, reply)
                 }
             }
-            if (!asker.isCurrent(now)) return@repeat
-            val lacking = told.filter { (job, at) -> at < now - BOUND && !asker.hasEnded(job, 0) }
-            assertTrue(lacking.isEmpty()) { "seed $seed step $step: not known: ${lacking.take(3)}" }
+            if (!asker.isCurrent(nowUs)) return@repeat
+            val unknownEnds = toldEnds.filter { (job, at) -> at < nowUs - MAX_STALENESS_US && !asker.hasEnded(job, 0) }
+            assertTrue(unknownEnds.isEmpty()) { "seed $seed step $step: not known: ${unknownEnds.take(3)}" }
         }
     }
 
@@ -71,10 +75,10 @@
         val asker = replica(1, "a", "b").apply { replaceAll(emptyMap(), 100, 0) }
         val (a, b) = List(2) { replica(2L + it, "asker").apply { replaceAll(emptyMap(), 90, 0) } }
         for (second in 1L..60) {
-            val now = second * SECOND
-            asker.applySyncReply("a", a.syncReply(asker.syncRequest("a", now)!!)!!)
-            if (second <= 30) asker.applySyncReply("b", b.syncReply(asker.syncRequest("b", now)!!)!!)
-            assertTrue(asker.isCurrent(now) == now <= 30 * SECOND + BOUND) { "after $second s" }
+            val nowUs = second * SECOND
+            asker.applySyncReply("a", a.createSyncReply(asker.createSyncRequest("a", nowUs)!!)!!)
+            if (second <= 30) asker.applySyncReply("b", b.createSyncReply(asker.createSyncRequest("b", nowUs)!!)!!)
+            assertTrue(asker.isCurrent(nowUs) == nowUs <= 30 * SECOND + MAX_STALENESS_US) { "after $second s" }
         }
     }
 
@@ -93,20 +97,20 @@
         val alone = replica(1)
         assertFalse(alone.isCurrent(0)) { "current before anything was read" }
         alone.replaceAll(emptyMap(), 1, SECOND)
-        assertTrue(alone.isCurrent(SECOND + BOUND) && !alone.isCurrent(2 * SECOND + BOUND)) { "not as of its read" }
+        assertTrue(alone.isCurrent(SECOND + MAX_STALENESS_US) && !alone.isCurrent(2 * SECOND + MAX_STALENESS_US)) { "not as of its read" }
     }
 
     @Example
     fun `the bound leaves a lease and some room within the time of a cancellation`() {
         for ((cancelS, leaseS) in listOf(46L to 26L, 47L to 17L, 60L to 15L)) {
-            val bound = JobReplica.maxStalenessUs(cancelS * SECOND, leaseS * SECOND)
+            val maxStalenessUs = JobReplica.maxStalenessUs(cancelS * SECOND, leaseS * SECOND)
             assertTrue(
-                bound > 10 * SECOND && bound + leaseS * SECOND * 1.0005 + 2 * SECOND < cancelS * SECOND,
-            ) { "$cancelS, $leaseS: $bound" }
+                maxStalenessUs > 10 * SECOND && maxStalenessUs + leaseS * SECOND * 1.0005 + 2 * SECOND < cancelS * SECOND,
+            ) { "$cancelS, $leaseS: $maxStalenessUs" }
         }
     }
 
     private companion object {
-        const val BOUND = 17 * SECOND
+        const val MAX_STALENESS_US = 17 * SECOND
     }
 }
--- a/src/test/kotlin/lichenstage/jobs/JobsActorFixture.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobsActorFixture.kt
@@ -29,7 +29,7 @@
         val replica = JobReplica(1, null, 1)
         val dependencyGraph = DependencyGraph()
         val clock = Clock { scope.coroutineContext[TestCoroutineScheduler]!!.currentTime * MILLI }
-        if (store is SlowStore) scope.launch { follow(store, replica, dependencyGraph, clock) }
+        if (store is UnreliableStore) scope.launch { followStore(store, replica, dependencyGraph, clock) }
         val limits = RecordLimits(12, 8192)
         val forwarder = RequestForwarder({ null }) { _, _ -> }
         return JobsActor(
@@ -45,8 +45,8 @@
     }
 
     /** As the feed does it, but late: now and then nothing is heard for seconds. */
-    private suspend fun follow(
-        store: SlowStore,
+    private suspend fun followStore(
+        store: UnreliableStore,
         replica: JobReplica,
         dependencyGraph: DependencyGraph,
         clock: Clock,
@@ -55,11 +55,11 @@
         while (true) {
             delay(if (random.nextInt(40) == 0) 8000 else 50 + random.nextLong(300))
             val open = store.entries.filterKeys { it.startsWith("j/") }.mapKeys { it.key.removePrefix("j/") }
-            open.forEach { (id, entry) -> dependencyGraph.jobOpened(id, JobRecordCodec.dependencies(entry.value)) }
-            replica.replaceAll(open.mapValues { it.value.modRevision }, store.revision, clock.now()).forEach(dependencyGraph::jobClosed)
-            for (id in dependencyGraph.unresolved(8)) {
+            open.forEach { (id, entry) -> dependencyGraph.onJobOpened(id, JobRecordCodec.decodeDependencies(entry.value)) }
+            replica.replaceAll(open.mapValues { it.value.modRevision }, store.revision, clock.now()).forEach(dependencyGraph::onJobClosed)
+            for (id in dependencyGraph.findUnresolved(8)) {
                 val record = store.entries["x/$id"]?.value ?: continue
-                dependencyGraph.outcomeRecorded(id, JobRecordCodec.decodeFinished(record).outcome)
+                dependencyGraph.onOutcomeRecorded(id, JobRecordCodec.decodeFinished(record).outcome)
             }
         }
     }
@@ -68,9 +68,9 @@
         verb: UserVerb,
         text: String,
     ): Reply? {
-        val answer = CompletableDeferred<Reply>()
-        tell(JobsMessage.UserRequest(verb, text) { answer.complete(it) })
+        val reply = CompletableDeferred<Reply>()
+        tell(JobsMessage.UserRequest(verb, text) { reply.complete(it) })
         // As users do: an answer that comes later is not heard.
-        return withTimeoutOrNull(5000) { answer.await() }
+        return withTimeoutOrNull(5000) { reply.await() }
     }
 }
--- a/src/test/kotlin/lichenstage/jobs/OpenRecordCheckTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/OpenRecordCheckTest.kt
@@ -15,26 +15,26 @@
 class OpenRecordCheckTest {
     private var requests = 0
 
-    /** Asks about jobs 0 until [count]; those in [deleted] are over. The service names [named] of the failed keys. */
+    /** Asks about jobs 0 until [count]; those in [deleted] are over. The service names [maxNamedKeys] of the failed keys. */
     private fun check(
         count: Int,
         deleted: Set<Int>,
-        named: Int,
+        maxNamedKeys: Int,
     ): List<RecordState> =
         runBlocking {
             val check =
-                OpenRecordCheck(192, this, gather = { yield() }) { guards ->
+                OpenRecordCheck(192, this, waitForBatch = { yield() }) { preconditions ->
                     requests++
-                    val failed = guards.keys.filter { it.removePrefix("j/").toInt() in deleted }
-                    if (failed.isEmpty()) TransactionResult.Committed(1) else TransactionResult.Conflict(failed.take(named))
+                    val failed = preconditions.keys.filter { it.removePrefix("j/").toInt() in deleted }
+                    if (failed.isEmpty()) TransactionResult.Committed(1) else TransactionResult.Conflict(failed.take(maxNamedKeys))
                 }
             List(count) { async { check.check("j/$it", 7) } }.awaitAll()
         }
 
     @Example
     fun `a thousand polls take a few requests`() {
-        val answers = check(1000, emptySet(), 0)
-        assertTrue(answers.all { it == RecordState.OPEN }) { "not all open" }
+        val states = check(1000, emptySet(), 0)
+        assertTrue(states.all { it == RecordState.OPEN }) { "not all open" }
         assertTrue(requests <= 8) { "$requests requests" }
     }
 
@@ -45,14 +45,14 @@
 
     @Property(tries = 100, seed = "2212")
     fun `nothing that is over is called open, whether or not all failed keys are named`(
-        @ForAll drawn: Set<Int>,
-        @ForAll all: Boolean,
+        @ForAll drawnNumbers: Set<Int>,
+        @ForAll areAllNamed: Boolean,
     ) {
-        val deleted = drawn.map { Math.floorMod(it, 60) }.toSet()
-        val answers = check(60, deleted, if (all) 60 else 1)
-        answers.forEachIndexed { i, answer ->
-            assertTrue((answer == RecordState.OPEN) <= (i !in deleted)) { "$i of $deleted: $answer" }
-            if (all) assertTrue(answer == if (i in deleted) RecordState.DELETED else RecordState.OPEN) { "$i of $deleted: $answer" }
+        val deleted = drawnNumbers.map { Math.floorMod(it, 60) }.toSet()
+        val states = check(60, deleted, if (areAllNamed) 60 else 1)
+        states.forEachIndexed { i, state ->
+            assertTrue((state == RecordState.OPEN) <= (i !in deleted)) { "$i of $deleted: $state" }
+            if (areAllNamed) assertTrue(state == if (i in deleted) RecordState.DELETED else RecordState.OPEN) { "$i of $deleted: $state" }
         }
     }
 }
--- a/src/test/kotlin/lichenstage/jobs/RepeatedRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/RepeatedRequestsTest.kt
@@ -23,49 +23,55 @@
         private val n: Int,
         private val random: Random,
         private val actors: List<JobsActor>,
-        private val store: SlowStore,
-        private val broken: MutableList<String>,
+        private val store: UnreliableStore,
+        private val violations: MutableList<String>,
         private val ask: suspend JobsActor.(UserVerb, String) -> Reply?,
     ) {
         private val id = "j-$n"
-        private var over: String? = null
-        private var askedToCancel = false
-        private var finished = false
+        private var endStatus: String? = null
+        private var isCancelRequested = false
+        private var isFinishRequested = false
 
-        suspend fun live() =
+        suspend fun run() =
             coroutineScope {
                 val text = submission(n, 2, "red", 5.0).encode()
-                var first = request(UserVerb.SUBMIT, text)
-                while (first?.status !in listOf(200, 201)) {
-                    if (first != null && first.status < 500) broken += "$id: accepted late or never: ${first.status}"
+                var reply = request(UserVerb.SUBMIT, text)
+                while (reply?.status !in listOf(200, 201)) {
+                    if (reply != null && reply.status < 500) violations += "$id: accepted late or never: ${reply.status}"
                     delay(1000)
-                    first = request(UserVerb.SUBMIT, text)
+                    reply = request(UserVerb.SUBMIT, text)
                 }
-                note(first!!)
+                checkReply(reply!!)
                 launch {
                     delay(random.nextLong(30_000))
-                    finished = true
+                    isFinishRequested = true
                     store.finish(id)
                 }
                 if (random.nextInt(3) > 0) {
                     launch {
                         delay(random.nextLong(30_000))
-                        askedToCancel = true
+                        isCancelRequested = true
                         while (true) {
                             val reply = request(UserVerb.CANCEL, id)
-                            reply?.let(::note)
+                            reply?.let(::checkReply)
                             if (reply?.status == 200) break
                             delay(1000)
                         }
-                        if (over == null) broken += "$id: neither done nor cancelled after a cancellation"
+                        if (endStatus == null) violations += "$id: neither done nor cancelled after a cancellation"
                     }
                 }
                 repeat(12) {
                     delay(1000 + random.nextLong(5000))
                     val verb = if (random.nextInt(3) == 0) UserVerb.SUBMIT else UserVerb.SHOW
                     // A repeat may look in any way: the job is known.
-                    val odd = submission(n, 2, "red", 5.0).apply { remove(listOf("parts", "bundle", "loaners", "x").random(random)) }
-                    request(verb, if (verb == UserVerb.SUBMIT) odd.encode() else id)?.let(::note)
+                    val changedSubmission =
+                        submission(
+                            n,
+                            2,
+                            "red",
+                            5.0,
+                        ).apply { remove(listOf("parts", "bundle", "loaners", "x").random(random)) }
+                    request(verb, if (verb == UserVerb.SUBMIT) changedSubmission.encode() else id)?.let(::checkReply)
                 }
             }
 
@@ -76,17 +82,17 @@
             text: String,
         ) = actors.random(random).ask(verb, text)
 
-        private fun note(reply: Reply) {
+        private fun checkReply(reply: Reply) {
             if (reply.status >= 500) {
-                if (reply.retryAfterS == null) broken += "$id: ${reply.status} does not say when to come again"
+                if (reply.retryAfterS == null) violations += "$id: ${reply.status} does not say when to come again"
                 return
             }
             val status = reply.body.getString("status")
-            if (reply.status !in listOf(200, 201)) broken += "$id: forgotten, ${reply.status} ${reply.body}"
-            if (status == "done" && !finished) broken += "$id: done too early"
-            if (status == "cancelled" && !askedToCancel) broken += "$id: cancelled by nobody"
-            if (over != null && status != over) broken += "$id: went back from $over to $status"
-            if (status == "done" || status == "cancelled") over = status
+            if (reply.status !in listOf(200, 201)) violations += "$id: forgotten, ${reply.status} ${reply.body}"
+            if (status == "done" && !isFinishRequested) violations += "$id: done too early"
+            if (status == "cancelled" && !isCancelRequested) violations += "$id: cancelled by nobody"
+            if (endStatus != null && status != endStatus) violations += "$id: went back from $endStatus to $status"
+            if (status == "done" || status == "cancelled") endStatus = status
         }
     }
 
@@ -95,14 +101,14 @@
         @ForAll seed: Long,
     ) = runTest {
         val random = Random(seed)
-        val store = SlowStore(random, backgroundScope)
+        val store = UnreliableStore(random, backgroundScope)
         val actors = List(3) { actor(store, backgroundScope) }
-        val broken = ArrayList<String>()
+        val violations = ArrayList<String>()
         coroutineScope {
             repeat(12) { n ->
-                launch { User(n, random, actors, store, broken) { verb, text -> ask(verb, text) }.live() }
+                launch { User(n, random, actors, store, violations) { verb, text -> ask(verb, text) }.run() }
             }
         }
-        assertTrue(broken.isEmpty()) { "seed $seed: ${broken.take(4)}" }
+        assertTrue(violations.isEmpty()) { "seed $seed: ${violations.take(4)}" }
     }
 }
--- a/src/test/kotlin/lichenstage/jobs/SubmissionRefusalTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/SubmissionRefusalTest.kt
@@ -17,10 +17,10 @@
     @Example
     fun `names of jobs that were never accepted, too many and malformed ones are refused, others not`() =
         runTest {
-            val store = SlowStore(Random(1), backgroundScope)
+            val store = UnreliableStore(Random(1), backgroundScope)
             val actor = actor(store, backgroundScope)
 
-            suspend fun submitted(
+            suspend fun submitUntilDecided(
                 n: Int,
                 waitsOn: Any?,
             ): Reply {
@@ -30,34 +30,37 @@
                 }
             }
 
-            fun refused(
+            fun assertRefused(
                 reply: Reply,
                 status: Int,
             ) = assertTrue(
                 reply.status == status && reply.body.getString("field") == "waits_on",
             ) { "$status: ${reply.status} ${reply.body}" }
-            refused(submitted(1, JsonArray(listOf("j-99"))), 422)
-            refused(submitted(1, JsonArray(listOf("j-1"))), 400)
-            refused(submitted(1, JsonArray(listOf(5))), 400)
-            refused(submitted(1, "j-2"), 400)
-            refused(submitted(1, JsonArray((1..47).map { "j-1$it" })), 400)
+            assertRefused(submitUntilDecided(1, JsonArray(listOf("j-99"))), 422)
+            assertRefused(submitUntilDecided(1, JsonArray(listOf("j-1"))), 400)
+            assertRefused(submitUntilDecided(1, JsonArray(listOf(5))), 400)
+            assertRefused(submitUntilDecided(1, "j-2"), 400)
+            assertRefused(submitUntilDecided(1, JsonArray((1..47).map { "j-1$it" })), 400)
             for ((n, empty) in listOf(null, JsonArray()).withIndex()) {
-                val reply = submitted(10 + n, empty)
+                val reply = submitUntilDecided(10 + n, empty)
                 assertTrue(reply.status in 200..201) { "${reply.status} ${reply.body}" }
             }
             store.finish("j-10")
-            val reply = submitted(20, JsonArray(listOf("j-10", "j-11", "j-11")))
+            val reply = submitUntilDecided(20, JsonArray(listOf("j-10", "j-11", "j-11")))
             assertTrue(reply.status in 200..201) { "${reply.status} ${reply.body}" }
-            assertEquals(listOf("j-10", "j-11"), JobRecordCodec.dependencies(store.entries.getValue("j/j-20").value)) { "named twice" }
+            assertEquals(
+                listOf("j-10", "j-11"),
+                JobRecordCodec.decodeDependencies(store.entries.getValue("j/j-20").value),
+            ) { "named twice" }
         }
 
     @Example
     fun `what can't run or lacks a field is refused at once with the field, and what nobody submitted is unknown`() =
         runTest {
-            val store = SlowStore(Random(1), backgroundScope)
+            val store = UnreliableStore(Random(1), backgroundScope)
             val actor = actor(store, backgroundScope)
 
-            suspend fun settled(
+            suspend fun requestUntilDecided(
                 verb: UserVerb,
                 text: String,
             ): Reply {
@@ -68,22 +71,26 @@
             }
             val refusals =
                 mapOf<JsonObject.() -> Unit, Pair<Int, String>>(
-                    { o: JsonObject -> o.put("owner", "green") }.unit() to (422 to "owner"),
-                    { o: JsonObject -> o.put("cores", 9.0) }.unit() to (422 to "builds"),
-                    { o: JsonObject -> o.put("cores", 17.0) }.unit() to (422 to "cores"),
-                    { o: JsonObject -> o.put("yard", "nowhere") }.unit() to (422 to "builds"),
-                    { o: JsonObject -> o.put("parts", 0) }.unit() to (400 to "parts"),
-                    { o: JsonObject -> o.put("mem_gb", -1) }.unit() to (400 to "mem_gb"),
+                    { o: JsonObject -> o.put("owner", "green") }.toUnit() to (422 to "owner"),
+                    { o: JsonObject -> o.put("cores", 9.0) }.toUnit() to (422 to "builds"),
+                    { o: JsonObject -> o.put("cores", 17.0) }.toUnit() to (422 to "cores"),
+                    { o: JsonObject -> o.put("yard", "nowhere") }.toUnit() to (422 to "builds"),
+                    { o: JsonObject -> o.put("parts", 0) }.toUnit() to (400 to "parts"),
+                    { o: JsonObject -> o.put("mem_gb", -1) }.toUnit() to (400 to "mem_gb"),
                 ) +
                     submission(1, 2, "red", 5.0).fieldNames().filter { it !in setOf("uid", "due_s", "yard", "builds") }.associate { field ->
-                        { o: JsonObject -> o.remove(field) }.unit() to (400 to field)
+                        { o: JsonObject -> o.remove(field) }.toUnit() to (400 to field)
                     }
             for ((change, expected) in refusals) {
-                val reply = settled(UserVerb.SUBMIT, submission(1, 2, "red", 5.0).apply(change).encode())
+                val reply = requestUntilDecided(UserVerb.SUBMIT, submission(1, 2, "red", 5.0).apply(change).encode())
                 assertTrue(reply.status to reply.body.getString("field") == expected) { "$expected: ${reply.status} ${reply.body}" }
             }
-            assertTrue(settled(UserVerb.SHOW, "j-1").status == 404 && settled(UserVerb.CANCEL, "j-1").status == 404) { "not unknown" }
+            assertTrue(
+                requestUntilDecided(UserVerb.SHOW, "j-1").status == 404 && requestUntilDecided(UserVerb.CANCEL, "j-1").status == 404,
+            ) {
+                "not unknown"
+            }
         }
 
-    private fun ((JsonObject) -> Any?).unit(): JsonObject.() -> Unit = { this@unit(this) }
+    private fun ((JsonObject) -> Any?).toUnit(): JsonObject.() -> Unit = { this@toUnit(this) }
 }
--- a/src/test/kotlin/lichenstage/jobs/SlowStore.kt
+++ b/src/test/kotlin/lichenstage/jobs/UnreliableStore.kt
@@ -12,7 +12,7 @@
 import java.util.Random
 
 /** A state service that is slow, refuses, gives no answer, and carries some transactions out late or without saying so. */
-internal class SlowStore(
+internal class UnreliableStore(
     private val random: Random,
     private val scope: CoroutineScope,
 ) : InMemoryKeyValueStore() {
@@ -60,7 +60,7 @@
     /** Records the job as done, as the leader does once all of its dependencies are recorded as done. False where it can't be. */
     fun finish(id: String): Boolean {
         val open = entries["j/$id"] ?: return false
-        if (JobRecordCodec.dependencies(open.value).any { entries["x/$it"]?.value?.getString("status") != "done" }) return false
+        if (JobRecordCodec.decodeDependencies(open.value).any { entries["x/$it"]?.value?.getString("status") != "done" }) return false
         val record = JsonObject().put("status", "done").put("tasks", 2)
         return apply(
             listOf(Precondition("j/$id", open.modRevision)),
--- a/src/test/kotlin/lichenstage/partition/FakeJobCompletions.kt
+++ b/src/test/kotlin/lichenstage/partition/FakeJobCompletions.kt
@@ -19,5 +19,5 @@
         sinceUs: Long,
     ) = job in endedJobs
 
-    override fun confirmedOpenUs(job: String): Long? = nowUs().takeIf { job !in endedJobs }
+    override fun confirmedOpenAtUs(job: String): Long? = nowUs().takeIf { job !in endedJobs }
 }
--- a/src/test/kotlin/lichenstage/world/SimulatedJobSync.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedJobSync.kt
@@ -47,7 +47,7 @@
 
     private fun readOpenJobs() {
         val stamps = state.open.mapValues { it.value.stamp }
-        state.open.values.forEach { dependencyGraph.jobOpened(it.id, it.dependencies) }
+        state.open.values.forEach { dependencyGraph.onJobOpened(it.id, it.dependencies) }
         val ended =
             if (replica.revision < 0) {
                 replica.replaceAll(stamps, state.lastRevision, now)
@@ -55,23 +55,23 @@
                 val news = state.ends.filter { it.revision > replica.revision }.associate { it.job to it.revision }
                 replica.applyChanges(stamps, news, state.lastRevision, now)
             }
-        ended.forEach(dependencyGraph::jobClosed)
+        ended.forEach(dependencyGraph::onJobClosed)
     }
 
     /** Reads the records of jobs that others need and that have ended. */
     private fun resolve() {
-        for (job in dependencyGraph.unresolved(MAX_RESOLVED)) {
+        for (job in dependencyGraph.findUnresolved(MAX_RESOLVED)) {
             val outcome = state.outcome(job) ?: continue
             if (mutation == Mutation.CANCELLED_NEEDS_UNSEEN && !outcome.isDone) continue
             val isDone = outcome.isDone || mutation == Mutation.ENDS_TAKEN_FOR_DONE
-            dependencyGraph.outcomeRecorded(job, JobOutcome(if (isDone) EndStatus.DONE else EndStatus.CANCELLED, null))
+            dependencyGraph.onOutcomeRecorded(job, JobOutcome(if (isDone) EndStatus.DONE else EndStatus.CANCELLED, null))
         }
     }
 
     /** Another controller says that these jobs have ended. */
     fun jobsEnded(jobs: List<String>) {
         replica.markEnded(jobs)
-        jobs.forEach(dependencyGraph::jobClosed)
+        jobs.forEach(dependencyGraph::onJobClosed)
         jobs.forEach(controller.leadership::jobClosed)
     }
 
@@ -80,7 +80,7 @@
         if (!replica.isLagging(now) || !controller.sharesJobEnds) return
         for (other in controller.others()) {
             val incarnation = controller.incarnation
-            val request = replica.syncRequest(other.host, now) ?: continue
+            val request = replica.createSyncRequest(other.host, now) ?: continue
             context.send(host, other.host) {
                 if (!other.alive) return@send
                 val whole =
@@ -93,7 +93,7 @@
                         emptyList(),
                         true,
                     )
-                val reply = other.replica.syncReply(request) ?: whole.takeIf { mutation == Mutation.SPOKEN_FOR_PREDECESSOR }
+                val reply = other.replica.createSyncReply(request) ?: whole.takeIf { mutation == Mutation.SPOKEN_FOR_PREDECESSOR }
                 if (reply == null) return@send
                 context.send(other.host, host) {
                     if (controller.incarnation == incarnation && controller.alive) receiveEnds(other, reply)
@@ -108,7 +108,7 @@
     ) {
         val believed = if (mutation == Mutation.HANDOVER_DROPPED) reply.copy(jobs = emptyList()) else reply
         for (job in replica.applySyncReply(other.host, believed)) {
-            dependencyGraph.jobClosed(job)
+            dependencyGraph.onJobClosed(job)
             controller.leadership.jobClosed(job)
         }
     }
@@ -122,7 +122,7 @@
                 sinceUs: Long,
             ) = controller.sharesJobEnds && known.hasEnded(job, sinceUs)
 
-            override fun confirmedOpenUs(job: String) = known.confirmedOpenUs(job)
+            override fun confirmedOpenAtUs(job: String) = known.confirmedOpenAtUs(job)
 
             override val maxStalenessUs =
                 if (!usesFencing || mutation == Mutation.ANSWERED_UNFENCED) Long.MAX_VALUE else known.maxStalenessUs
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -82,7 +82,7 @@
 
     /** Jobs of which one that they need is cancelled are recorded as such. */
     private fun cancelOrphans(leader: LeaderCore) {
-        val due = controller.dependencyGraph.orphans(6).filter { it in leader.jobs }
+        val due = controller.dependencyGraph.findOrphans(6).filter { it in leader.jobs }
         if (due.isEmpty() || isCancellingOrphans) return
         isCancellingOrphans = true
         write(leader.term, { due.filter { it in state.open }.forEach { state.end(it, isDone = false) } }) { current, ok ->
--- a/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
@@ -137,7 +137,7 @@
             }
 
             Readiness.WAITING -> {
-                val current = controller.replica.isReadWithin(10 * SECOND, context.now)
+                val current = controller.replica.hasReadWithin(10 * SECOND, context.now)
                 PollAnswer.OPEN.takeIf { current || context.mutation == Mutation.STALE_CALLED_OPEN }
             }
         }
@@ -153,7 +153,7 @@
         val job = state.open[id] ?: return
         state.end(id, isDone = false)
         controller.replica.recordEnd(id, state.lastRevision)
-        controller.dependencyGraph.jobClosed(id)
+        controller.dependencyGraph.onJobClosed(id)
         checker.cancellationConfirmed(job, context.now)
         checker.polled(job, PollAnswer.CANCELLED, context.now)
         for (other in controllers) {
