--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -91,7 +91,7 @@
             clock,
             scope,
             object : JobEndListener {
-                override fun jobsEnded(jobs: List<String>) = leader?.tell(LeaderMessage.JobsEnded(jobs)) ?: Unit
+                override fun jobsEnded(jobs: List<String>) = leader?.tell(LeaderMessage.JobsFinished(jobs)) ?: Unit
 
                 override fun dependencyResolved() = leader?.tell(LeaderMessage.DependenciesResolved) ?: Unit
             },
@@ -138,7 +138,7 @@
 
     private fun registerGauges() {
         metrics.gauge("leading") { if (leader != null) 1 else 0 }
-        metrics.gauge("open_jobs") { leader?.openJobs ?: 0 }
+        metrics.gauge("open_jobs") { leader?.openJobCount ?: 0 }
         metrics.gauge("machines") { partition.machineCount }
         metrics.gauge("starts_unanswered") { partition.indeterminateStartCount }
         metrics.gauge("oldest_unanswered_start_s") { partition.oldestIndeterminateStartAtUs?.let { (clock.now() - it) / SECOND } ?: 0 }
--- a/src/main/kotlin/lichenstage/app/WarmUp.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUp.kt
@@ -117,7 +117,7 @@
         SECOND,
         PlacementSettings(),
         ServiceObjectives(emptyList()),
-        transactionOperations = 10,
+        maxChangesPerTransaction = 10,
     ),
     LeaderLookups({ resources }),
 ) {
--- a/src/main/kotlin/lichenstage/fleet/CapacityEstimate.kt
+++ b/src/main/kotlin/lichenstage/fleet/CapacityEstimator.kt
@@ -3,7 +3,7 @@
 import kotlin.math.ceil
 
 /** How many machines of each type the demand asks for. */
-internal class CapacityEstimate(
+internal class CapacityEstimator(
     private val policy: FleetPolicy,
     private val forecast: DemandForecast,
 ) {
@@ -13,13 +13,13 @@
     private val spotTypes = HashSet<String>()
 
     /** The most machines of a type that were in use at once in this term. */
-    private val peakUsage = HashMap<String, Double>()
+    private val peakUsageByType = HashMap<String, Double>()
 
     /** Takes what jobs ask for now in place of what they asked for before. */
     fun update(demand: List<Demand>) {
         this.demand = demand
-        for ((typeName, rows) in demand.groupBy { it.typeName }) peakUsage.merge(typeName, rows.sumOf { it.busy }, ::maxOf)
-        demand.forEach { if (it.spot) spotTypes += it.typeName }
+        for ((typeName, rows) in demand.groupBy { it.typeName }) peakUsageByType.merge(typeName, rows.sumOf { it.busyMachines }, ::maxOf)
+        demand.forEach { if (it.allowsSpot) spotTypes += it.typeName }
     }
 
     /** What jobs ask for of a type now. */
@@ -29,7 +29,7 @@
     fun allowsSpot(typeName: String) = typeName in spotTypes
 
     /** Machines of a type for jobs that may not run on spot instances. */
-    fun onDemandOnly(typeName: String): Int = ceilOf(demandFor(typeName).filter { !it.spot }.sumOf { it.machines })
+    fun minOnDemandMachines(typeName: String): Int = roundUp(demandFor(typeName).filter { !it.allowsSpot }.sumOf { it.maxMachines })
 
     /**
      * How many machines of a type the work asks for: what the jobs to come will use, or more where waiting tasks could not begin within
@@ -37,57 +37,64 @@
      * ask for it. Jobs that wait for dependencies are part of what is to come: as work that waits now they were counted twice, and a
      * tenth more was paid for nothing.
      */
-    fun needed(
+    fun neededMachines(
         typeName: String,
-        now: Long,
+        nowUs: Long,
     ): Int {
-        val (foreseen, ready) = demandFor(typeName).partition { it.foreseenInUs > 0 }
-        val usable = ready.sumOf { it.machines }
-        val forBacklog = ready.sumOf { it.busy } + ready.sumOf { it.waitingUs } / policy.targetUtilization / policy.backlogUs
-        val forObjectives = forObjectives(ready.filter { it.dueUs != null }, now)
-        val forForeseen = foreseen.sumOf { it.workUs / it.foreseenInUs } / policy.targetUtilization
-        return ceilOf(maxOf(expected(typeName, now), forForeseen, minOf(usable, maxOf(forBacklog, forObjectives))))
+        val (blocked, ready) = demandFor(typeName).partition { it.readyInUs > 0 }
+        val maxUsableMachines = ready.sumOf { it.maxMachines }
+        val machinesForBacklog =
+            ready.sumOf { it.busyMachines } + ready.sumOf { it.waitingWorkUs } / policy.targetUtilization / policy.backlogUs
+        val machinesForObjectives = machinesForObjectives(ready.filter { it.dueAtUs != null }, nowUs)
+        val machinesForBlockedJobs = blocked.sumOf { it.workUs / it.readyInUs } / policy.targetUtilization
+        return roundUp(
+            maxOf(
+                expectedMachines(typeName, nowUs),
+                machinesForBlockedJobs,
+                minOf(maxUsableMachines, maxOf(machinesForBacklog, machinesForObjectives)),
+            ),
+        )
     }
 
     /** How many machines of a type to keep: those needed, and while the forecast learns those that have been in use. */
-    fun retained(
+    fun retainedMachines(
         typeName: String,
-        now: Long,
-    ): Int = maxOf(needed(typeName, now), retainedWhileLearning(typeName, now))
+        nowUs: Long,
+    ): Int = maxOf(neededMachines(typeName, nowUs), retainedMachinesWhileLearning(typeName, nowUs))
 
     /**
      * A new leader does not know the arrivals before its term, so that its forecast is too low for a while. Until then the peak usage
      * of its term is kept, with a margin. Keeping all machines cost a tenth of the price of a day on which leaders change while there
      * are too many machines.
      */
-    private fun retainedWhileLearning(
+    private fun retainedMachinesWhileLearning(
         typeName: String,
-        now: Long,
-    ): Int = if (forecast.isLearning(now)) ceil((peakUsage[typeName] ?: 0.0) * LEARNING_MARGIN).toInt() else 0
+        nowUs: Long,
+    ): Int = if (forecast.isLearning(nowUs)) ceil((peakUsageByType[typeName] ?: 0.0) * LEARNING_MARGIN).toInt() else 0
 
     /** Machines that the jobs to come are expected to use. */
-    fun expected(
+    fun expectedMachines(
         typeName: String,
-        now: Long,
-    ): Double = forecast.expectedMachines(typeName, policy.targetUtilization, now)
+        nowUs: Long,
+    ): Double = forecast.expectedMachines(typeName, policy.targetUtilization, nowUs)
 
     /** Machines with which all objectives are met in part of their time: estimates are off, machines fail, and bursts come. */
-    private fun forObjectives(
-        withObjective: List<Demand>,
-        now: Long,
+    private fun machinesForObjectives(
+        demandsWithObjective: List<Demand>,
+        nowUs: Long,
     ): Double {
         var workUs = 0.0
         var machines = 0.0
-        for (demand in withObjective.sortedBy { it.dueUs!! }) {
+        for (demand in demandsWithObjective.sortedBy { it.dueAtUs!! }) {
             workUs += demand.workUs
-            val withinUs = maxOf(((demand.dueUs!! - now) * policy.deadlineSlackFraction).toLong(), policy.minHorizonUs)
+            val withinUs = maxOf(((demand.dueAtUs!! - nowUs) * policy.deadlineSlackFraction).toLong(), policy.minHorizonUs)
             machines = maxOf(machines, workUs / policy.targetUtilization / withinUs)
         }
         return machines
     }
 
     /** Rounds up, but not for the error of a sum. */
-    private fun ceilOf(machines: Double): Int = ceil(machines - ROUNDING_ERROR).toInt()
+    private fun roundUp(machines: Double): Int = ceil(machines - ROUNDING_ERROR).toInt()
 
     private companion object {
         const val LEARNING_MARGIN = 1.25
--- a/src/main/kotlin/lichenstage/fleet/FleetCore.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetCore.kt
@@ -18,47 +18,47 @@
     forecast: DemandForecast,
 ) {
     private val inventory = FleetInventory()
-    private val capacity = CapacityEstimate(policy, forecast)
+    private val capacity = CapacityEstimator(policy, forecast)
     private val replacements = ReplacementRequests()
     private val scaleIn = ScaleIn(policy, forecast, capacity)
     private val scaleOut = ScaleOut(term, capacity, replacements)
     private var machineTypes = emptyMap<String, MachineType>()
     private var excludedMachines = emptySet<String>()
-    private var listRequestedUs = Long.MIN_VALUE / 2
-    private var terminateRequestedUs = Long.MIN_VALUE / 2
-    private var hasBeenListed = false
+    private var lastListRequestAtUs = Long.MIN_VALUE / 2
+    private var lastTerminateRequestAtUs = Long.MIN_VALUE / 2
+    private var hasReceivedList = false
 
     /** Machines that should get no more tasks. */
-    fun cordoned(): Set<String> = inventory.cordoned()
+    fun cordonedMachines(): Set<String> = inventory.cordonedMachines()
 
-    /** The machine exists, as its record or its partition shows. Where its age is not known, [provisionedUs] is the time now. */
+    /** The machine exists, as its record or its partition shows. Where its age is not known, [provisionedAtUs] is the time now. */
     fun addMachine(
         name: String,
         typeName: String,
         zone: String,
         spot: Boolean,
-        provisionedUs: Long,
-    ) = inventory.add(name, typeName, zone, spot, provisionedUs)
+        provisionedAtUs: Long,
+    ) = inventory.add(name, typeName, zone, spot, provisionedAtUs)
 
     /** Takes over the cloud's list of machines, which lags. */
-    fun machinesListed(
+    fun onMachinesListed(
         machines: List<ListedMachine>,
-        now: Long,
+        nowUs: Long,
     ) {
-        hasBeenListed = true
-        inventory.applyListing(machines, now)
+        hasReceivedList = true
+        inventory.applyListing(machines, nowUs)
     }
 
     /** Takes what is observed now, and decides which machines are drained and terminated. */
     fun observe(
         observation: FleetObservation,
-        now: Long,
+        nowUs: Long,
     ) {
         machineTypes = observation.machineTypes
         excludedMachines = observation.excludedMachines
         capacity.update(observation.demand)
-        inventory.applyStatus(observation.statusOf, machineTypes, now)
-        scaleIn.drainSurplus(inventory.serving(excludedMachines), now)
+        inventory.applyStatus(observation.statusOf, machineTypes, nowUs)
+        scaleIn.drainSurplus(inventory.servingMachines(excludedMachines), nowUs)
     }
 
     /** Requests a machine whatever the demand. */
@@ -71,56 +71,60 @@
     fun terminate(machines: Collection<String>) = inventory.terminate(machines)
 
     /** The next call to make, or null. */
-    fun nextCall(now: Long): CloudCall? {
-        scaleOut.pending?.let { return CloudCall.Provision(it) }
-        val toTerminate = inventory.toTerminate(MAX_MACHINES_PER_TERMINATION)
-        if (toTerminate.isNotEmpty() && now - terminateRequestedUs >= TERMINATE_INTERVAL_US) {
-            terminateRequestedUs = now
+    fun nextCall(nowUs: Long): CloudCall? {
+        scaleOut.pendingRequest?.let { return CloudCall.Provision(it) }
+        val toTerminate = inventory.machinesToTerminate(MAX_MACHINES_PER_TERMINATION)
+        if (toTerminate.isNotEmpty() && nowUs - lastTerminateRequestAtUs >= TERMINATE_INTERVAL_US) {
+            lastTerminateRequestAtUs = nowUs
             return CloudCall.Terminate(toTerminate)
         }
-        if (now - listRequestedUs > LIST_INTERVAL_US) {
-            listRequestedUs = now
+        if (nowUs - lastListRequestAtUs > LIST_INTERVAL_US) {
+            lastListRequestAtUs = nowUs
             return CloudCall.ListAll
         }
-        return provisionRequest(now)?.let { CloudCall.Provision(it) }
+        return nextProvisionRequest(nowUs)?.let { CloudCall.Provision(it) }
     }
 
-    private fun provisionRequest(now: Long): ProvisionRequest? {
-        scaleOut.forReplacement(now)?.let { return it }
+    private fun nextProvisionRequest(nowUs: Long): ProvisionRequest? {
+        scaleOut.createReplacementRequest(nowUs)?.let { return it }
         // A new leader does not know what the one before it provisioned.
-        return if (hasBeenListed) scaleOut.forDemand(machineTypes.values, ::servingOf, now) else null
+        return if (hasReceivedList) scaleOut.createDemandRequest(machineTypes.values, ::servingMachinesOf, nowUs) else null
     }
 
-    private fun servingOf(typeName: String) = inventory.serving(excludedMachines).filter { it.typeName == typeName }
+    private fun servingMachinesOf(typeName: String) = inventory.servingMachines(excludedMachines).filter { it.typeName == typeName }
 
     /** The outcome of a provision request; returns the names of the machines that were provisioned. */
-    fun provisionAnswered(
+    fun onProvisionReply(
         request: ProvisionRequest,
         result: ProvisionResult,
-        now: Long,
+        nowUs: Long,
     ): List<String> {
-        val names = scaleOut.answered(request, result, now)
-        names.forEach { addMachine(it, request.typeName, request.zone, request.spot, now) }
+        val names = scaleOut.onProvisionReply(request, result, nowUs)
+        names.forEach { addMachine(it, request.typeName, request.zone, request.spot, nowUs) }
         return names
     }
 
     /** These machines are proven gone. */
-    fun machinesTerminated(names: List<String>) = inventory.remove(names)
+    fun onMachinesTerminated(names: List<String>) = inventory.remove(names)
 
     /** For the log: the machines of each type, and what decides on their number. */
-    fun describe(now: Long): String = machineTypes.keys.joinToString("; ") { describe(it, now) }
+    fun describe(nowUs: Long): String = machineTypes.keys.joinToString("; ") { describe(it, nowUs) }
 
     private fun describe(
         typeName: String,
-        now: Long,
+        nowUs: Long,
     ): String {
-        val machines = inventory.all.filter { it.typeName == typeName }
+        val machines = inventory.allMachines.filter { it.typeName == typeName }
         val demand = capacity.demandFor(typeName)
-        val waitingS = demand.sumOf { it.waitingUs } / SECOND / maxOf(machines.size, 1)
-        return "type=$typeName machines=${machines.size} spot=${machines.count { it.spot }} up=${machines.count { it.hasBeenUp }} " +
-            "idle=${machines.count { it.hasBeenUp && it.tasks == 0 }} draining=${machines.count { it.draining }} " +
-            "needed=${capacity.needed(typeName, now)} " +
-            "expected=%.0f busy=%.0f waitingS=%.0f".format(capacity.expected(typeName, now), demand.sumOf { it.busy }, waitingS)
+        val waitingS = demand.sumOf { it.waitingWorkUs } / SECOND / maxOf(machines.size, 1)
+        return "type=$typeName machines=${machines.size} spot=${machines.count { it.isSpot }} up=${machines.count { it.hasBeenUp }} " +
+            "idle=${machines.count { it.hasBeenUp && it.taskCount == 0 }} draining=${machines.count { it.isDraining }} " +
+            "needed=${capacity.neededMachines(typeName, nowUs)} " +
+            "expected=%.0f busy=%.0f waitingS=%.0f".format(
+                capacity.expectedMachines(typeName, nowUs),
+                demand.sumOf { it.busyMachines },
+                waitingS,
+            )
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/fleet/FleetObservation.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetObservation.kt
@@ -4,15 +4,15 @@
 
 /** A machine as its partition shows it to the leader. */
 data class MachineStatus(
-    val up: Boolean,
+    val isUp: Boolean,
     /** No heartbeat came for longer than is usual; its lease has not expired yet. */
-    val silent: Boolean,
+    val isSilent: Boolean,
     /** Its lease has expired. */
-    val lost: Boolean,
+    val isLost: Boolean,
     /** Tasks that may be running on it. */
-    val tasks: Int,
+    val taskCount: Int,
     /** Tasks of several jobs have failed on it. */
-    val faulty: Boolean,
+    val isFaulty: Boolean,
 )
 
 /**
--- a/src/main/kotlin/lichenstage/fleet/ProvisionBackoff.kt
+++ b/src/main/kotlin/lichenstage/fleet/ProvisionBackoff.kt
@@ -6,7 +6,7 @@
 internal data class CapacityPool(
     val typeName: String,
     val zone: String,
-    val spot: Boolean,
+    val isSpot: Boolean,
 )
 
 /** Delays the next request to a pool that lately had no capacity, longer from refusal to refusal. */
@@ -17,21 +17,21 @@
     /** The pool may be asked now. */
     fun allows(
         pool: CapacityPool,
-        now: Long,
-    ): Boolean = (blockedUntilUs[pool] ?: Long.MIN_VALUE) <= now
+        nowUs: Long,
+    ): Boolean = (blockedUntilUs[pool] ?: Long.MIN_VALUE) <= nowUs
 
     /** The pool gave less than was requested. */
-    fun refused(
+    fun onRefusal(
         pool: CapacityPool,
-        now: Long,
+        nowUs: Long,
     ) {
-        val count = minOf((refusals[pool] ?: 0) + 1, MAX_REFUSALS)
+        val count = minOf((refusals[pool] ?: 0) + 1, MAX_COUNTED_REFUSALS)
         refusals[pool] = count
-        blockedUntilUs[pool] = now + (FIRST_DELAY_US shl (count - 1))
+        blockedUntilUs[pool] = nowUs + (FIRST_DELAY_US shl (count - 1))
     }
 
     /** The pool gave all that was requested. */
-    fun succeeded(pool: CapacityPool) {
+    fun onSuccess(pool: CapacityPool) {
         refusals.remove(pool)
     }
 
@@ -39,6 +39,6 @@
         const val FIRST_DELAY_US = 5 * SECOND
 
         /** The delay doubles up to so many refusals: 5, 10 and 20 s. */
-        const val MAX_REFUSALS = 3
+        const val MAX_COUNTED_REFUSALS = 3
     }
 }
--- a/src/main/kotlin/lichenstage/fleet/ReplacementRequests.kt
+++ b/src/main/kotlin/lichenstage/fleet/ReplacementRequests.kt
@@ -7,24 +7,24 @@
     val id: String,
     val typeName: String,
     val zone: String,
-    val spot: Boolean,
+    val isSpot: Boolean,
 )
 
 /** The replacements that have been requested and not been provisioned yet, and which provision request serves which of them. */
 internal class ReplacementRequests {
-    private val open = LinkedHashMap<String, ReplacementRequest>()
+    private val openRequests = LinkedHashMap<String, ReplacementRequest>()
     private val idByProvisionName = HashMap<String, String>()
 
     /** Requests a replacement; it stays open until a machine has been provisioned for it. */
     fun add(request: ReplacementRequest) {
-        open[request.id] = request
+        openRequests[request.id] = request
     }
 
     /** The first open request whose pool may be asked now. */
     fun next(
         backoff: ProvisionBackoff,
-        now: Long,
-    ): ReplacementRequest? = open.values.firstOrNull { backoff.allows(CapacityPool(it.typeName, it.zone, it.spot), now) }
+        nowUs: Long,
+    ): ReplacementRequest? = openRequests.values.firstOrNull { backoff.allows(CapacityPool(it.typeName, it.zone, it.isSpot), nowUs) }
 
     /** [provision] is sent for the request with this id. */
     fun assign(
@@ -38,7 +38,7 @@
     fun idOf(provision: ProvisionRequest): String? = idByProvisionName[provision.name]
 
     /** A machine has been provisioned. */
-    fun fulfilled(provision: ProvisionRequest) {
-        idOf(provision)?.let(open::remove)
+    fun onProvisioned(provision: ProvisionRequest) {
+        idOf(provision)?.let(openRequests::remove)
     }
 }
--- a/src/main/kotlin/lichenstage/fleet/ScaleIn.kt
+++ b/src/main/kotlin/lichenstage/fleet/ScaleIn.kt
@@ -9,44 +9,44 @@
 internal class ScaleIn(
     private val policy: FleetPolicy,
     private val forecast: DemandForecast,
-    private val capacity: CapacityEstimate,
+    private val capacity: CapacityEstimator,
 ) {
-    private val surplusSinceUs = HashMap<String, Long>()
+    private val surplusSinceUsByType = HashMap<String, Long>()
 
     /** Chooses among [machines], those that serve the demand, on-demand machines first. */
     fun drainSurplus(
         machines: Collection<FleetMachine>,
-        now: Long,
+        nowUs: Long,
     ) {
         for ((typeName, group) in machines.groupBy { it.typeName }) {
-            val surplus = group.size - capacity.retained(typeName, now)
+            val surplus = group.size - capacity.retainedMachines(typeName, nowUs)
             if (surplus <= 0) {
-                surplusSinceUs.remove(typeName)
-                group.forEach { it.draining = false }
-            } else if (now - surplusSinceUs.getOrPut(typeName) { now } >= delayUs(typeName, now)) {
-                drain(group, surplus, now)
+                surplusSinceUsByType.remove(typeName)
+                group.forEach { it.isDraining = false }
+            } else if (nowUs - surplusSinceUsByType.getOrPut(typeName) { nowUs } >= delayUs(typeName, nowUs)) {
+                drain(group, surplus, nowUs)
             }
         }
     }
 
     private fun delayUs(
         typeName: String,
-        now: Long,
-    ) = if (forecast.hasCeased(typeName, now)) policy.scaleInDelayUs / CEASED_DELAY_DIVISOR else policy.scaleInDelayUs
+        nowUs: Long,
+    ) = if (forecast.hasCeased(typeName, nowUs)) policy.scaleInDelayUs / CEASED_DELAY_DIVISOR else policy.scaleInDelayUs
 
     private fun drain(
         group: List<FleetMachine>,
         surplus: Int,
-        now: Long,
+        nowUs: Long,
     ) {
         val candidates =
             group
-                .filter { it.hasBeenUp && now - it.provisionedUs > MIN_LIFETIME_US - DRAIN_LEAD_US }
-                .sortedWith(compareBy<FleetMachine> { it.spot }.thenBy { !it.draining }.thenBy { it.tasks })
-        candidates.forEachIndexed { i, machine -> machine.draining = i < surplus }
+                .filter { it.hasBeenUp && nowUs - it.provisionedAtUs > MIN_LIFETIME_US - DRAIN_LEAD_US }
+                .sortedWith(compareBy<FleetMachine> { it.isSpot }.thenBy { !it.isDraining }.thenBy { it.taskCount })
+        candidates.forEachIndexed { i, machine -> machine.isDraining = i < surplus }
         candidates
-            .filter { it.draining && it.tasks == 0 && now - it.provisionedUs > MIN_LIFETIME_US }
-            .forEach { it.terminating = true }
+            .filter { it.isDraining && it.taskCount == 0 && nowUs - it.provisionedAtUs > MIN_LIFETIME_US }
+            .forEach { it.isTerminating = true }
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/fleet/ScaleOut.kt
+++ b/src/main/kotlin/lichenstage/fleet/ScaleOut.kt
@@ -14,103 +14,109 @@
  */
 internal class ScaleOut(
     private val term: Long,
-    private val capacity: CapacityEstimate,
+    private val capacity: CapacityEstimator,
     private val replacements: ReplacementRequests,
 ) {
     private val backoff = ProvisionBackoff()
     private var requestCounter = 0L
-    private var spotSwapUs = Long.MIN_VALUE / 2
+    private var lastSpotSwapAtUs = Long.MIN_VALUE / 2
 
     /** The request that is under way, or whose outcome is not known. */
-    var pending: ProvisionRequest? = null
+    var pendingRequest: ProvisionRequest? = null
         private set
 
     /** A request for a replacement, or null. */
-    fun forReplacement(now: Long): ProvisionRequest? {
-        val replacement = replacements.next(backoff, now) ?: return null
-        val request = request(CapacityPool(replacement.typeName, replacement.zone, replacement.spot), 1)
+    fun createReplacementRequest(nowUs: Long): ProvisionRequest? {
+        val replacement = replacements.next(backoff, nowUs) ?: return null
+        val request = createRequest(CapacityPool(replacement.typeName, replacement.zone, replacement.isSpot), 1)
         replacements.assign(replacement.id, request)
         return request
     }
 
     /** A request for machines that the demand lacks, or else for a spot instance in place of an on-demand one; null where none is due. */
-    fun forDemand(
+    fun createDemandRequest(
         machineTypes: Collection<MachineType>,
-        serving: (typeName: String) -> List<FleetMachine>,
-        now: Long,
+        servingMachines: (typeName: String) -> List<FleetMachine>,
+        nowUs: Long,
     ): ProvisionRequest? =
         machineTypes.firstNotNullOfOrNull { machineType ->
-            val machines = serving(machineType.name)
-            val shortage = capacity.needed(machineType.name, now) - machines.size
-            if (shortage > 0) forShortage(machineType, machines, shortage, now) else forSpotSwap(machineType, machines, now)
+            val machines = servingMachines(machineType.name)
+            val shortage = capacity.neededMachines(machineType.name, nowUs) - machines.size
+            if (shortage >
+                0
+            ) {
+                createShortageRequest(machineType, machines, shortage, nowUs)
+            } else {
+                createSpotSwapRequest(machineType, machines, nowUs)
+            }
         }
 
     /** On-demand machines come first as far as jobs need them that may not run on spot instances; all others come after the spot ones. */
-    private fun forShortage(
+    private fun createShortageRequest(
         machineType: MachineType,
         machines: List<FleetMachine>,
         shortage: Int,
-        now: Long,
+        nowUs: Long,
     ): ProvisionRequest? {
         val allowsSpot = capacity.allowsSpot(machineType.name)
-        val onDemandFirst = machines.count { !it.spot } < capacity.onDemandOnly(machineType.name) || !allowsSpot
-        val kinds = if (onDemandFirst) listOf(false, true) else listOf(true, false)
-        return kinds
+        val onDemandFirst = machines.count { !it.isSpot } < capacity.minOnDemandMachines(machineType.name) || !allowsSpot
+        val spotChoices = if (onDemandFirst) listOf(false, true) else listOf(true, false)
+        return spotChoices
             .filter { spot -> !spot || allowsSpot }
-            .firstNotNullOfOrNull { spot -> inEmptiestZone(machineType, machines, spot, shortage, now) }
+            .firstNotNullOfOrNull { spot -> createRequestInEmptiestZone(machineType, machines, spot, shortage, nowUs) }
     }
 
-    private fun inEmptiestZone(
+    private fun createRequestInEmptiestZone(
         machineType: MachineType,
         machines: List<FleetMachine>,
         spot: Boolean,
         shortage: Int,
-        now: Long,
+        nowUs: Long,
     ): ProvisionRequest? {
         val zone =
             machineType.zones
-                .filter { backoff.allows(CapacityPool(machineType.name, it, spot), now) }
+                .filter { backoff.allows(CapacityPool(machineType.name, it, spot), nowUs) }
                 .minByOrNull { zone -> machines.count { it.zone == zone } } ?: return null
         val count = ceil(shortage.toDouble() / machineType.zones.size).toInt().coerceIn(1, MAX_MACHINES_PER_REQUEST)
-        return request(CapacityPool(machineType.name, zone, spot), count)
+        return createRequest(CapacityPool(machineType.name, zone, spot), count)
     }
 
     /** The surplus that the spot instance makes will drain the on-demand machine. */
-    private fun forSpotSwap(
+    private fun createSpotSwapRequest(
         machineType: MachineType,
         machines: List<FleetMachine>,
-        now: Long,
+        nowUs: Long,
     ): ProvisionRequest? {
-        if (machineType.spotPrice >= machineType.price || now - spotSwapUs < SPOT_SWAP_INTERVAL_US) return null
-        if (machines.none { !it.spot && !it.draining } || !capacity.allowsSpot(machineType.name)) return null
-        val zone = machineType.zones.firstOrNull { backoff.allows(CapacityPool(machineType.name, it, true), now) } ?: return null
-        spotSwapUs = now
-        return request(CapacityPool(machineType.name, zone, true), 1)
+        if (machineType.spotPrice >= machineType.price || nowUs - lastSpotSwapAtUs < SPOT_SWAP_INTERVAL_US) return null
+        if (machines.none { !it.isSpot && !it.isDraining } || !capacity.allowsSpot(machineType.name)) return null
+        val zone = machineType.zones.firstOrNull { backoff.allows(CapacityPool(machineType.name, it, true), nowUs) } ?: return null
+        lastSpotSwapAtUs = nowUs
+        return createRequest(CapacityPool(machineType.name, zone, true), 1)
     }
 
-    private fun request(
+    private fun createRequest(
         pool: CapacityPool,
         count: Int,
-    ) = ProvisionRequest("h$term-${++requestCounter}", pool.typeName, pool.zone, pool.spot, count).also { pending = it }
+    ) = ProvisionRequest("h$term-${++requestCounter}", pool.typeName, pool.zone, pool.isSpot, count).also { pendingRequest = it }
 
     /** The cloud's answer to a request; returns the names of the machines that were provisioned. */
-    fun answered(
+    fun onProvisionReply(
         request: ProvisionRequest,
         result: ProvisionResult,
-        now: Long,
+        nowUs: Long,
     ): List<String> {
         val pool = CapacityPool(request.typeName, request.zone, request.spot)
         when (result) {
             is ProvisionResult.Provisioned -> {
-                pending = null
-                if (result.names.size < request.count) backoff.refused(pool, now) else backoff.succeeded(pool)
-                if (result.names.isNotEmpty()) replacements.fulfilled(request)
+                pendingRequest = null
+                if (result.names.size < request.count) backoff.onRefusal(pool, nowUs) else backoff.onSuccess(pool)
+                if (result.names.isNotEmpty()) replacements.onProvisioned(request)
                 return result.names
             }
 
             ProvisionResult.NoCapacity -> {
-                pending = null
-                backoff.refused(pool, now)
+                pendingRequest = null
+                backoff.onRefusal(pool, nowUs)
             }
 
             ProvisionResult.Indeterminate -> {
--- a/src/main/kotlin/lichenstage/placement/CloudCaller.kt
+++ b/src/main/kotlin/lichenstage/placement/CloudCaller.kt
@@ -19,31 +19,31 @@
     private val tell: (LeaderMessage) -> Unit,
 ) {
     private val minIntervalUs = (MICROS_PER_SECOND / (requestsPerSecond * USABLE_RATE_SHARE)).toLong()
-    private var calling = false
-    private var calledUs = Long.MIN_VALUE / 2
+    private var isCallInFlight = false
+    private var lastCallAtUs = Long.MIN_VALUE / 2
 
     /** A call may be made now: none is under way, and the last is long enough ago. */
-    fun isReady(now: Long) = !calling && now - calledUs >= minIntervalUs
+    fun canCall(nowUs: Long) = !isCallInFlight && nowUs - lastCallAtUs >= minIntervalUs
 
-    /** Begins a call; [answered] has to be called when its answer has been taken. */
+    /** Begins a call; [onReplyReceived] has to be called when its answer has been taken. */
     fun call(
         call: CloudCall,
-        now: Long,
+        nowUs: Long,
     ) {
-        calling = true
-        calledUs = now
+        isCallInFlight = true
+        lastCallAtUs = nowUs
         scope.launch {
             when (call) {
-                is CloudCall.Provision -> tell(LeaderMessage.ProvisionAnswered(call.request, cloud.provision(call.request)))
-                is CloudCall.Terminate -> tell(LeaderMessage.TerminateAnswered(call.machines, cloud.terminate(call.machines)))
-                CloudCall.ListAll -> tell(LeaderMessage.ListAnswered(listAll()))
+                is CloudCall.Provision -> tell(LeaderMessage.ProvisionReplyReceived(call.request, cloud.provision(call.request)))
+                is CloudCall.Terminate -> tell(LeaderMessage.TerminateReplyReceived(call.machines, cloud.terminate(call.machines)))
+                CloudCall.ListAll -> tell(LeaderMessage.MachineListReceived(listAll()))
             }
         }
     }
 
     /** The answer to the last call has come. */
-    fun answered() {
-        calling = false
+    fun onReplyReceived() {
+        isCallInFlight = false
     }
 
     /** Reads all pages of the list; one that can't be read makes the whole list unavailable. */
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -38,7 +38,7 @@
         if (unrecordedSinceUs.isEmpty()) return
         for (job in unrecordedSinceUs.keys.filter { it.allTasksDone && !it.isCompletionWriteInFlight }) {
             job.isCompletionWriteInFlight = true
-            emit(LeaderEffect.RecordCompletion(job))
+            emit(LeaderEffect.RecordJobCompletion(job))
         }
         if (rangesWriteInFlight) return
         val deltas = nextBatch(nowUs)
@@ -48,7 +48,7 @@
             unrecordedSinceUs.remove(it.job)
             it.job.isRangesWriteInFlight = true
         }
-        emit(LeaderEffect.WriteDoneRanges(deltas))
+        emit(LeaderEffect.WriteCompletionChunks(deltas))
     }
 
     /** What one transaction holds of the jobs that have waited long enough. */
--- a/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
+++ b/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
@@ -49,7 +49,7 @@
                 machineType,
                 concurrentTasks,
                 inputs.runUs(spec),
-            ).copy(dueUs = inputs.dueAtUs(job), foreseenInUs = leadTimeUs)
+            ).copy(dueAtUs = inputs.dueAtUs(job), readyInUs = leadTimeUs)
         }
     }
 
@@ -76,12 +76,12 @@
         val waitingUs = minOf(waitingTasks.toDouble(), concurrentTasks) * machineUsPerTask
         return Demand(
             typeName = machineType.name,
-            spot = spec.spot,
-            machines = concurrentTasks / tasksPerMachine,
+            allowsSpot = spec.spot,
+            maxMachines = concurrentTasks / tasksPerMachine,
             workUs = job.remainingTasks * machineUsPerTask,
-            dueUs = null,
-            busy = job.liveAttempts.size / tasksPerMachine,
-            waitingUs = maxOf(waitingUs - job.totalSavedProgressUs / tasksPerMachine, 0.0),
+            dueAtUs = null,
+            busyMachines = job.liveAttempts.size / tasksPerMachine,
+            waitingWorkUs = maxOf(waitingUs - job.totalSavedProgressUs / tasksPerMachine, 0.0),
         )
     }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderDrains.kt
+++ b/src/main/kotlin/lichenstage/placement/DrainDriverFactory.kt
@@ -18,23 +18,23 @@
 import lichenstage.state.SingleWriterKeys
 
 /** Makes the driver of drains for one term of leadership. */
-internal class LeaderDrains(
+internal class DrainDriverFactory(
     private val core: LeaderCore,
     private val fleet: FleetDriver,
-    private val now: () -> Long,
+    private val clockNowUs: () -> Long,
 ) {
     /** The driver of drains, which tells its own messages through [tell]. */
-    fun driver(
+    fun createDriver(
         policy: DrainPolicy,
-        store: DrainRecordAccess,
+        recordAccess: DrainRecordAccess,
         scope: CoroutineScope,
         tell: (DrainMessage) -> Unit,
     ): DrainDriver {
-        val view = LeaderDrainView(core, now)
-        return DrainDriver(policy, view, store, actions(view), DrainTracing(), scope, ::timeOfDayUs, tell)
+        val view = LeaderDrainView(core, clockNowUs)
+        return DrainDriver(policy, view, recordAccess, createActionHandler(view), DrainTracing(), scope, ::timeOfDayUs, tell)
     }
 
-    private fun actions(view: LeaderDrainView) =
+    private fun createActionHandler(view: LeaderDrainView) =
         object : DrainActionHandler {
             override fun evict(tasks: List<RunningTask>) = core.requestStops(view.attemptsOf(tasks))
 
@@ -45,15 +45,15 @@
 
     companion object {
         /** Where drains are recorded: nothing is written unless the leadership's key still has [leaderKeyRevision]. */
-        fun store(
+        fun createRecordAccess(
             store: KeyValueStoreClient,
-            ownKeys: SingleWriterKeys,
+            singleWriterKeys: SingleWriterKeys,
             leaderKeyRevision: Long,
             settings: Settings,
         ) = DrainRecordAccess(
             DrainRecords(settings.valueBytes),
             store,
-            ownKeys,
+            singleWriterKeys,
             listOf(Precondition(OwnershipRecords.LEADER_KEY, leaderKeyRevision)),
             settings.txnOps,
             store::scan,
--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -19,62 +19,62 @@
     private val observer: FleetObserver,
     private val caller: CloudCaller,
     policy: FleetPolicy,
-    now: Long,
+    nowUs: Long,
     /** Null where no drains are switched on. */
     private val drains: () -> DrainDriver?,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.placement")
-    private val forecast = DemandForecast(now)
+    private val forecast = DemandForecast(nowUs)
     private val fleet = FleetCore(core.term, policy, forecast)
 
     /** The machine of a drain that each requested replacement is for, by the request's id. */
-    private val replacementKeys = HashMap<String, DrainKey>()
-    private var decidedUs = Long.MIN_VALUE / 2
-    private var observedUs = Long.MIN_VALUE / 2
-    private var describedUs = Long.MIN_VALUE / 2
+    private val drainKeyByReplacementId = HashMap<String, DrainKey>()
+    private var lastDecisionAtUs = Long.MIN_VALUE / 2
+    private var lastObservationAtUs = Long.MIN_VALUE / 2
+    private var lastDescriptionAtUs = Long.MIN_VALUE / 2
 
     /** Machines that get no more tasks. */
-    val cordoned get() = fleet.cordoned()
+    val cordonedMachines get() = fleet.cordonedMachines()
 
     /** A machine that an earlier leader has recorded. */
     fun addRecorded(
         machine: RegisteredMachine,
-        now: Long,
-    ) = fleet.addMachine(machine.name, machine.typeName, machine.zone, machine.spot, now)
+        nowUs: Long,
+    ) = fleet.addMachine(machine.name, machine.typeName, machine.zone, machine.spot, nowUs)
 
     /** A job can run from now on, which is when the forecast counts it. */
-    fun jobReady(job: Job) {
-        observer.arrival(job)?.let(forecast::recordArrival)
+    fun onJobReady(job: Job) {
+        observer.estimateArrival(job)?.let(forecast::recordArrival)
     }
 
     /** Time has passed. */
-    fun step(now: Long) {
-        if (now - observedUs >= OBSERVE_INTERVAL_US) {
-            observedUs = now
-            observe(now)
+    fun step(nowUs: Long) {
+        if (nowUs - lastObservationAtUs >= OBSERVE_INTERVAL_US) {
+            lastObservationAtUs = nowUs
+            observe(nowUs)
         }
-        callCloud(now)
+        callCloud(nowUs)
     }
 
-    private fun observe(now: Long) {
+    private fun observe(nowUs: Long) {
         for ((id, partition) in core.partitions) {
             val zone = settings.assignment.zone(id) ?: continue
-            partition.machines.values.forEach { fleet.addMachine(it.name, it.typeName, zone, it.isSpot, now) }
+            partition.machines.values.forEach { fleet.addMachine(it.name, it.typeName, zone, it.isSpot, nowUs) }
         }
         fleet.terminate(core.machinesToFence())
         val excludedMachines = drains()?.excludedFromCapacity.orEmpty()
-        fleet.observe(observer.observe(excludedMachines, now), now)
-        cordon()
-        if (log.isDebugEnabled && now - describedUs >= DESCRIBE_INTERVAL_US) {
-            describedUs = now
-            log.debug("Fleet observed {}", fleet.describe(now))
+        fleet.observe(observer.observe(excludedMachines, nowUs), nowUs)
+        updateCordons()
+        if (log.isDebugEnabled && nowUs - lastDescriptionAtUs >= DESCRIBE_INTERVAL_US) {
+            lastDescriptionAtUs = nowUs
+            log.debug("Fleet observed {}", fleet.describe(nowUs))
         }
     }
 
-    private fun cordon() {
+    private fun updateCordons() {
         val drains = drains()
-        if (drains == null) return core.machines.setCordoned(fleet.cordoned())
-        core.machines.setCordoned(fleet.cordoned() + drains.cordoned)
+        if (drains == null) return core.machines.setCordoned(fleet.cordonedMachines())
+        core.machines.setCordoned(fleet.cordonedMachines() + drains.cordoned)
         core.machines.setDrained(drains.cordoned)
         core.machines.setOnProbation(drains.onProbation)
     }
@@ -84,51 +84,51 @@
         val machine = core.machines.stateOf(key.machine) ?: return
         val zone = core.machines.zoneOf(key.machine) ?: return
         val id = "${key.drain} ${key.machine}"
-        replacementKeys[id] = key
+        drainKeyByReplacementId[id] = key
         fleet.requestReplacement(ReplacementRequest(id, machine.typeName, zone, machine.isSpot))
     }
 
     /** Has a machine terminated. */
     fun terminate(machine: String) = fleet.terminate(listOf(machine))
 
-    private fun callCloud(now: Long) {
-        if (!caller.isReady(now)) return
+    private fun callCloud(nowUs: Long) {
+        if (!caller.canCall(nowUs)) return
         if (!core.isFailoverComplete && observer.machineTypes.isEmpty()) return
         // The decision looks at every machine, so it is not made anew after every message.
-        if (now - decidedUs < DECIDE_INTERVAL_US) return
-        decidedUs = now
-        fleet.nextCall(now)?.let { caller.call(it, now) }
+        if (nowUs - lastDecisionAtUs < DECIDE_INTERVAL_US) return
+        lastDecisionAtUs = nowUs
+        fleet.nextCall(nowUs)?.let { caller.call(it, nowUs) }
     }
 
     /** The answer to a provision request has come. */
-    fun provisionAnswered(
-        message: LeaderMessage.ProvisionAnswered,
-        now: Long,
+    fun onProvisionReply(
+        message: LeaderMessage.ProvisionReplyReceived,
+        nowUs: Long,
     ) {
-        caller.answered()
+        caller.onReplyReceived()
         val request = message.request
-        val machines = fleet.provisionAnswered(request, message.result, now)
+        val machines = fleet.onProvisionReply(request, message.result, nowUs)
         if (machines.isEmpty()) return
-        replacementKeys.remove(fleet.replacementIdOf(request))?.let { drains()?.replacementProvisioned(it, machines.first()) }
+        drainKeyByReplacementId.remove(fleet.replacementIdOf(request))?.let { drains()?.replacementProvisioned(it, machines.first()) }
         log.info("Machines provisioned count={} type={} zone={} machines={}", machines.size, request.typeName, request.zone, machines)
     }
 
     /** The answer to a call that terminates machines has come; true where they are proven gone. */
-    fun terminateAnswered(message: LeaderMessage.TerminateAnswered): Boolean {
-        caller.answered()
+    fun onTerminateReply(message: LeaderMessage.TerminateReplyReceived): Boolean {
+        caller.onReplyReceived()
         if (message.result != TerminateResult.TERMINATED) return false
         log.info("Machines terminated machines={}", message.machines)
-        fleet.machinesTerminated(message.machines)
+        fleet.onMachinesTerminated(message.machines)
         return true
     }
 
     /** The cloud's list of machines has come, or could not be read. */
-    fun listAnswered(
-        message: LeaderMessage.ListAnswered,
-        now: Long,
+    fun onMachineListReceived(
+        message: LeaderMessage.MachineListReceived,
+        nowUs: Long,
     ) {
-        caller.answered()
-        if (message.reply is CloudReply.Success) fleet.machinesListed(message.reply.value, now)
+        caller.onReplyReceived()
+        if (message.reply is CloudReply.Success) fleet.onMachinesListed(message.reply.value, nowUs)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/FleetObserver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetObserver.kt
@@ -21,21 +21,21 @@
     /** What is observed at [now]; [excludedMachines] do not serve the demand. */
     fun observe(
         excludedMachines: Set<String>,
-        now: Long,
+        nowUs: Long,
     ) = FleetObservation(
         machineTypes,
-        DemandEstimator.estimateDemand(core.jobs.values, machineTypes, DemandInputs(now)),
+        DemandEstimator.estimateDemand(core.jobs.values, machineTypes, DemandInputs(nowUs)),
         excludedMachines,
-        statusOfMachines(),
+        machineStatusLookup(),
     )
 
     /** What the whole job will use; null where it fits no machine type. */
-    fun arrival(job: Job): JobArrival? =
+    fun estimateArrival(job: Job): JobArrival? =
         DemandEstimator.estimateArrival(job, machineTypes, core.runTimes.expectedRunTimeUs(job.spec)) {
             objectives.hasStartObjectiveWithin(job.spec.jobClass, it.bootUs)
         }
 
-    private fun statusOfMachines(): (String) -> MachineStatus? {
+    private fun machineStatusLookup(): (String) -> MachineStatus? {
         val states =
             core.partitions.values
                 .flatMap { it.machines.values }
@@ -43,20 +43,20 @@
         return { name ->
             states[name]?.let {
                 MachineStatus(
-                    up = !it.isLost,
-                    silent = it.isSilent,
-                    lost = it.isLost,
-                    tasks = core.machines.attemptsOn(name).size,
-                    faulty = core.machines.failedJobsOn(name).size >= FAULTY_JOBS,
+                    isUp = !it.isLost,
+                    isSilent = it.isSilent,
+                    isLost = it.isLost,
+                    taskCount = core.machines.attemptsOn(name).size,
+                    isFaulty = core.machines.failedJobsOn(name).size >= MIN_FAILED_JOBS_OF_FAULTY_MACHINE,
                 )
             }
         }
     }
 
     private inner class DemandInputs(
-        private val now: Long,
+        private val nowUs: Long,
     ) : DemandEstimator.Inputs {
-        private val readiness = core.expectedReadiness(now)
+        private val readiness = core.expectedReadiness(nowUs)
 
         override fun maxCores(team: String) = settings.teams[team]?.coresMax ?: 0.0
 
@@ -66,14 +66,14 @@
         override fun dueAtUs(job: Job): Long? {
             if (!job.isReady) return objectives.deadlineAtUs(job)
             val runUs = runUs(job.spec)
-            return objectives.findAttainableObjectives(job, runUs, now).firstOrNull()?.let { it.startByUs + runUs }
+            return objectives.findAttainableObjectives(job, runUs, nowUs).firstOrNull()?.let { it.startByUs + runUs }
         }
 
-        override fun readyInUs(job: Job) = readiness.readyAtUs(job) - now
+        override fun readyInUs(job: Job) = readiness.readyAtUs(job) - nowUs
     }
 
     private companion object {
         /** A machine on which tasks of so many jobs failed is faulty. */
-        const val FAULTY_JOBS = 2
+        const val MIN_FAILED_JOBS_OF_FAULTY_MACHINE = 2
     }
 }
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -26,28 +26,28 @@
     parent: CoroutineScope,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.placement")
-    private val lifetime: CoroutineJob = SupervisorJob(parent.coroutineContext[CoroutineJob])
-    private val scope = parent + lifetime
+    private val supervisor: CoroutineJob = SupervisorJob(parent.coroutineContext[CoroutineJob])
+    private val scope = parent + supervisor
     private val objectives = ServiceObjectives(settings.objectives)
-    private val core = leaderCore(options)
+    private val core = createLeaderCore(options)
     private val mailbox =
         Mailbox("leader", scope, ::handle, shed = { it is LeaderMessage.PartitionFrameReceived || it is LeaderMessage.Tick })
-    private val ownKeys = SingleWriterKeys(services.store)
+    private val singleWriterKeys = SingleWriterKeys(services.store)
     private val writer =
         LeaderRecordWriter(
             services.store,
-            ownKeys,
-            leadership.keyRevision,
+            singleWriterKeys,
+            leadership.leaderKeyRevision,
             settings.txnOps,
             scope,
             services.replicaSync::jobFinished,
             mailbox::tell,
         )
     private val registry = MachineRegistryDriver(settings, core, writer)
-    private val fleet = fleetDriver(options)
-    private val drains: DrainDriver? = drainDriver(options)
-    private val jobRecords = LeaderJobRecords(services, core, fleet, writer, maxOf(1, settings.txnOps / 2))
-    private var countedUs = Long.MIN_VALUE / 2
+    private val fleet = createFleetDriver(options)
+    private val drains: DrainDriver? = createDrainDriver(options)
+    private val jobRecordHandler = LeaderJobRecordHandler(services, core, fleet, writer, maxOf(1, settings.txnOps / 2))
+    private var lastCountsSentAtUs = Long.MIN_VALUE / 2
 
     init {
         scope.launch { LeaderRecordReader(services.store, mailbox::tell).run() }
@@ -63,9 +63,9 @@
     val term get() = leadership.term
 
     /** How many jobs are open, for the metrics. */
-    val openJobs get() = core.jobs.size
+    val openJobCount get() = core.jobs.size
 
-    private fun leaderCore(options: LeaderOptions): LeaderCore {
+    private fun createLeaderCore(options: LeaderOptions): LeaderCore {
         val catalog = services.catalog
         return LeaderCore(
             leadership,
@@ -83,83 +83,83 @@
                 { MachineFit.maxFetchUs(it, catalog.machineTypes) },
                 services.dependencyGraph::dependentsOf,
             ),
-            { drains?.taskStopped(LeaderDrainView.failure(it, timeOfDayUs())) },
+            { drains?.taskStopped(LeaderDrainView.failureInterruption(it, timeOfDayUs())) },
             ::execute,
         )
     }
 
-    private fun fleetDriver(options: LeaderOptions): FleetDriver {
+    private fun createFleetDriver(options: LeaderOptions): FleetDriver {
         val observer = FleetObserver(settings, core, services.catalog, objectives)
         val caller = CloudCaller(services.cloud, settings.cloudRps, scope, mailbox::tell)
         return FleetDriver(settings, core, observer, caller, options.fleet, services.clock.now()) { drains }
     }
 
-    private fun drainDriver(options: LeaderOptions): DrainDriver? {
+    private fun createDrainDriver(options: LeaderOptions): DrainDriver? {
         val policy = options.drains ?: return null
-        val store = LeaderDrains.store(services.store, ownKeys, leadership.keyRevision, settings)
-        return LeaderDrains(core, fleet, services.clock::now)
-            .driver(policy, store, scope) { mailbox.tell(LeaderMessage.DrainEvent(it)) }
+        val store = DrainDriverFactory.createRecordAccess(services.store, singleWriterKeys, leadership.leaderKeyRevision, settings)
+        return DrainDriverFactory(core, fleet, services.clock::now)
+            .createDriver(policy, store, scope) { mailbox.tell(LeaderMessage.DrainMessageReceived(it)) }
     }
 
     /** Puts a message into the inbox. */
     fun tell(message: LeaderMessage) = mailbox.tell(message)
 
     /** Ends the term: nothing of it goes on. */
-    fun stop() = lifetime.cancel()
+    fun stop() = supervisor.cancel()
 
-    private fun mayAct() = services.authority.heldLeadership()?.term == term
+    private fun hasLeadership() = services.authority.heldLeadership()?.term == term
 
     private fun handle(message: LeaderMessage) {
-        val now = services.clock.now()
+        val nowUs = services.clock.now()
         when (message) {
-            is LeaderMessage.RecordsLoaded -> load(message, now)
-            is LeaderMessage.PartitionFrameReceived -> if (jobRecords.isLoaded) core.onPartitionFrame(message.frame, now)
-            is LeaderMessage.ProvisionAnswered -> fleet.provisionAnswered(message, now)
-            is LeaderMessage.TerminateAnswered -> if (fleet.terminateAnswered(message)) machinesTerminated(message.machines)
-            is LeaderMessage.ListAnswered -> fleet.listAnswered(message, now)
-            is LeaderMessage.RegistryPagesWritten -> registry.onChunksWritten(message)
-            is LeaderMessage.JobMessage -> jobRecords.handle(message, now)
-            is LeaderMessage.DrainEvent -> drains?.handle(message.message)
+            is LeaderMessage.RecordsLoaded -> onRecordsLoaded(message, nowUs)
+            is LeaderMessage.PartitionFrameReceived -> if (jobRecordHandler.isLoaded) core.onPartitionFrame(message.frame, nowUs)
+            is LeaderMessage.ProvisionReplyReceived -> fleet.onProvisionReply(message, nowUs)
+            is LeaderMessage.TerminateReplyReceived -> if (fleet.onTerminateReply(message)) onMachinesTerminated(message.machines)
+            is LeaderMessage.MachineListReceived -> fleet.onMachineListReceived(message, nowUs)
+            is LeaderMessage.RegistryChunksWritten -> registry.onChunksWritten(message)
+            is LeaderMessage.JobMessage -> jobRecordHandler.handle(message, nowUs)
+            is LeaderMessage.DrainMessageReceived -> drains?.handle(message.message)
             LeaderMessage.Tick -> Unit
         }
         // While authority pauses, nothing is decided: no start, no provision request, no write.
-        if (jobRecords.isLoaded && mayAct()) step(now)
+        if (jobRecordHandler.isLoaded && hasLeadership()) step(nowUs)
     }
 
-    private fun step(now: Long) {
-        core.tick(now)
-        fleet.step(now)
-        drains?.step(now)
-        registry.step(fleet::cordoned, now)
-        jobRecords.cancelOrphans()
-        if (now - countedUs >= COUNT_INTERVAL_US) sendTaskCounts(now)
+    private fun step(nowUs: Long) {
+        core.tick(nowUs)
+        fleet.step(nowUs)
+        drains?.step(nowUs)
+        registry.step(fleet::cordonedMachines, nowUs)
+        jobRecordHandler.cancelUnrunnableJobs()
+        if (nowUs - lastCountsSentAtUs >= COUNT_INTERVAL_US) sendTaskCounts(nowUs)
     }
 
-    private fun sendTaskCounts(now: Long) {
-        countedUs = now
+    private fun sendTaskCounts(nowUs: Long) {
+        lastCountsSentAtUs = nowUs
         val counts = TaskCounts(term, core.taskCounts())
         (settings.peers.map { it.label } + settings.label).forEach { services.send(it, counts) }
     }
 
-    private fun load(
+    private fun onRecordsLoaded(
         message: LeaderMessage.RecordsLoaded,
-        now: Long,
+        nowUs: Long,
     ) {
-        ownKeys.load(message.machines + message.done)
-        registry.load(message.machines).forEach { fleet.addRecorded(it, now) }
-        jobRecords.load(message.jobs, message.done)
-        log.info("Leadership begun, records loaded term={} jobs={} machines={}", term, message.jobs.size, registry.size)
+        singleWriterKeys.load(message.registryChunks + message.completionChunks)
+        registry.load(message.registryChunks).forEach { fleet.addRecorded(it, nowUs) }
+        jobRecordHandler.load(message.openJobs, message.completionChunks)
+        log.info("Leadership begun, records loaded term={} jobs={} machines={}", term, message.openJobs.size, registry.size)
     }
 
     private fun execute(effect: LeaderEffect) {
         when (effect) {
             is LeaderEffect.SendFrame -> services.authority.ownerOf(effect.partition)?.let { services.send(it.label, effect.frame) }
-            is LeaderEffect.WriteDoneRanges -> writer.writeRanges(effect.deltas)
-            is LeaderEffect.RecordCompletion -> writer.recordCompletion(effect.job)
+            is LeaderEffect.WriteCompletionChunks -> writer.writeCompletionChunks(effect.deltas)
+            is LeaderEffect.RecordJobCompletion -> writer.recordJobCompletion(effect.job)
         }
     }
 
-    private fun machinesTerminated(machines: List<String>) {
+    private fun onMachinesTerminated(machines: List<String>) {
         machines.forEach(core::onMachineTerminated)
         registry.onMachinesRemoved(machines)
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -35,7 +35,7 @@
     private val partitionTable = PartitionTable(term, settings.assignment) { outbox.resetForNewOwner(it) }
     private val directory = MachineDirectory()
     private val failover = FailoverRecovery(settings.workerLeaseUs) { partitionTable[it] }
-    private val jobTable = JobTable(leadership.keyRevision) { failover.isComplete }
+    private val jobTable = JobTable(leadership.leaderKeyRevision) { failover.isComplete }
     private val unaccountedUse = UnaccountedUse(failover, lookups.capacityOf)
     private val attempts = RunningAttempts(settings.teams)
     private val pipelineDeadlines =
@@ -43,7 +43,8 @@
     private val readiness = ReadinessForecast(runTimes, lookups.fetchUs) { jobs[it] }
     private val queue = JobQueue(settings.objectives, settings.teams, runTimes, pipelineDeadlines = pipelineDeadlines)
     private val checkpointPreemption = CheckpointPreemption(runTimes)
-    private val recorder = CompletionRecorder(settings.transactionOperations, settings.placement.recordDelayUs, settings.valueBytes, emit)
+    private val recorder =
+        CompletionRecorder(settings.maxChangesPerTransaction, settings.placement.recordDelayUs, settings.maxValueBytes, emit)
     private val outbox = PartitionOutbox(term, OutboxView(), emit)
     private val reconciler = MachineReconciler(partitionTable, jobTable, unaccountedUse, directory::isRegistered, outbox)
     private val tracker =
--- a/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
@@ -12,17 +12,17 @@
 /** The leader's machines and tasks, as the decisions on drains see them. */
 class LeaderDrainView(
     private val core: LeaderCore,
-    private val now: () -> Long,
+    private val clockNowUs: () -> Long,
 ) : DrainView {
     override val isComplete get() = core.isFailoverComplete
 
     override fun condition(machine: String): MachineCondition {
         if (core.machines.isTerminated(machine)) return MachineCondition.GONE
-        val known = core.machines.stateOf(machine)
+        val state = core.machines.stateOf(machine)
         return when {
-            known == null -> if (core.machines.isRegistered(machine)) MachineCondition.UNCONFIRMED else MachineCondition.ABSENT
-            known.isLost -> MachineCondition.LOST
-            known.isTokenConfirmed && !known.isSilent && core.machines.isRegistered(machine) -> MachineCondition.HEALTHY
+            state == null -> if (core.machines.isRegistered(machine)) MachineCondition.UNCONFIRMED else MachineCondition.ABSENT
+            state.isLost -> MachineCondition.LOST
+            state.isTokenConfirmed && !state.isSilent && core.machines.isRegistered(machine) -> MachineCondition.HEALTHY
             else -> MachineCondition.UNCONFIRMED
         }
     }
@@ -30,15 +30,15 @@
     /** Also tasks that count for no job of the leader's: the machine is not empty before they are stopped. */
     override fun tasksOn(machine: String): List<RunningTask> {
         val attempts = core.machines.attemptsOn(machine)
-        val counted = attempts.mapTo(HashSet()) { it.number }
-        val others =
+        val attemptNumbers = attempts.mapTo(HashSet()) { it.number }
+        val unaccountedTasks =
             core.machines
                 .stateOf(machine)
                 ?.tasks
                 .orEmpty()
-                .filter { it.phase != TaskPhase.ENDED && it.attempt !in counted }
+                .filter { it.phase != TaskPhase.ENDED && it.attempt !in attemptNumbers }
                 .map { RunningTask(TaskId(it.job, it.index), it.attempt, "", "", running = false, remainingUs = 0, lostProgressUs = 0) }
-        return attempts.map(::runningTask) + others
+        return attempts.map(::runningTask) + unaccountedTasks
     }
 
     private fun runningTask(attempt: Attempt): RunningTask {
@@ -49,8 +49,8 @@
             spec.team,
             spec.jobClass,
             running = attempt.phase == TaskPhase.RUNNING,
-            remainingUs = core.remainingUs(attempt, now()),
-            lostProgressUs = if (spec.checkpointIntervalUs > 0) spec.checkpointSaveUs else attempt.progressUs(now()),
+            remainingUs = core.remainingUs(attempt, clockNowUs()),
+            lostProgressUs = if (spec.checkpointIntervalUs > 0) spec.checkpointSaveUs else attempt.progressUs(clockNowUs()),
         )
     }
 
@@ -58,8 +58,8 @@
         val job = core.jobs[task.job]
         if (job == null || job.phase == JobPhase.CLOSED || job.doneTasks.get(task.index)) return TaskExecution.Finished
         val attempt = job.liveAttempts.get(task.index)
-        val runs = attempt != null && (attempt.phase == TaskPhase.RUNNING || attempt.phase == TaskPhase.SAVING)
-        return if (runs) TaskExecution.Running(attempt.number) else TaskExecution.NotRunning
+        val isRunning = attempt != null && (attempt.phase == TaskPhase.RUNNING || attempt.phase == TaskPhase.SAVING)
+        return if (isRunning) TaskExecution.Running(attempt.number) else TaskExecution.NotRunning
     }
 
     override fun runningByTeam() = core.machines.runningByTeam()
@@ -68,16 +68,16 @@
 
     /** The attempts of these tasks that may still be running. */
     fun attemptsOf(tasks: Collection<RunningTask>): List<Attempt> =
-        tasks.mapNotNull { wanted ->
-            core.jobs[wanted.task.job]
+        tasks.mapNotNull { runningTask ->
+            core.jobs[runningTask.task.job]
                 ?.liveAttempts
-                ?.get(wanted.task.index)
-                ?.takeIf { it.number == wanted.attempt }
+                ?.get(runningTask.task.index)
+                ?.takeIf { it.number == runningTask.attempt }
         }
 
     companion object {
         /** An attempt that ran has ended, and not for a drain. */
-        fun failure(
+        fun failureInterruption(
             attempt: Attempt,
             atUs: Long,
         ) = Interruption(
--- a/src/main/kotlin/lichenstage/placement/LeaderEffect.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderEffect.kt
@@ -19,12 +19,12 @@
     ) : LeaderEffect
 
     /** Record that these tasks are done, in one transaction. */
-    data class WriteDoneRanges(
+    data class WriteCompletionChunks(
         val deltas: List<CompletionDelta>,
     ) : LeaderEffect
 
     /** Record that all tasks of a job are done, and with them the job. */
-    data class RecordCompletion(
+    data class RecordJobCompletion(
         val job: Job,
     ) : LeaderEffect
 }
--- a/src/main/kotlin/lichenstage/placement/LeaderJobRecords.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderJobRecordHandler.kt
@@ -9,15 +9,15 @@
 import java.util.BitSet
 
 /** Brings the records of jobs into the leader's decisions: those with which the term begins, their changes, and what was written. */
-internal class LeaderJobRecords(
+internal class LeaderJobRecordHandler(
     private val services: LeaderServices,
     private val core: LeaderCore,
     private val fleet: FleetDriver,
     private val writer: LeaderRecordWriter,
-    cancelledAtOnce: Int,
+    maxCancellationsPerTransaction: Int,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.placement")
-    private val blockedJobs = BlockedJobs(services.dependencyGraph, core, cancelledAtOnce)
+    private val blockedJobs = BlockedJobs(services.dependencyGraph, core, maxCancellationsPerTransaction)
 
     /** The records with which the term begins are loaded. */
     var isLoaded = false
@@ -26,70 +26,70 @@
     /** Adds the jobs and done tasks that were recorded before the term. */
     fun load(
         jobs: List<Entry>,
-        doneRanges: List<Entry>,
+        completionChunks: List<Entry>,
     ) {
         // In the order of their submission: the forecast gives less weight to what lies back.
-        jobs.sortedBy { JobRecordCodec.submittedAtUs(it.value) }.forEach(::add)
-        val orphanedRanges = ArrayList<String>()
-        for (entry in doneRanges) {
+        jobs.sortedBy { JobRecordCodec.submittedAtUs(it.value) }.forEach(::addJob)
+        val obsoleteKeys = ArrayList<String>()
+        for (entry in completionChunks) {
             val (id, chunk) = entry.key.removePrefix(JobRecordCodec.DONE).split('/')
             val job = core.jobs[id]
             if (job == null) {
-                orphanedRanges += entry.key
+                obsoleteKeys += entry.key
             } else {
                 job.restoreDoneTasks(BitSet().also { CompletedTaskRanges.decode(entry.value, chunk.toInt(), it) })
             }
         }
         isLoaded = true
         releaseReadyJobs()
-        writer.delete(orphanedRanges)
+        writer.deleteKeys(obsoleteKeys)
     }
 
     /** Handles a message about jobs and their records. */
     fun handle(
         message: LeaderMessage.JobMessage,
-        now: Long,
+        nowUs: Long,
     ) {
         when (message) {
             is LeaderMessage.OpenJobsReloaded -> {
-                reload(message.jobs)
+                reloadOpenJobs(message.jobs)
             }
 
             is LeaderMessage.OpenJobsChanged -> {
-                message.added.forEach(::add)
-                message.removed.forEach { close(it.removePrefix(JobRecordCodec.OPEN)) }
+                message.addedRecords.forEach(::addJob)
+                message.removedKeys.forEach { closeJob(it.removePrefix(JobRecordCodec.OPEN)) }
             }
 
-            is LeaderMessage.JobsEnded -> {
-                if (isLoaded) message.jobs.forEach(::close)
+            is LeaderMessage.JobsFinished -> {
+                if (isLoaded) message.jobs.forEach(::closeJob)
             }
 
             LeaderMessage.DependenciesResolved -> {
                 if (isLoaded) releaseReadyJobs()
             }
 
-            is LeaderMessage.OrphansCancelled -> {
+            is LeaderMessage.UnrunnableJobsCancelled -> {
                 blockedJobs.onCancellationsWritten()
-                message.jobs.forEach { close(it.spec.id) }
+                message.jobs.forEach { closeJob(it.spec.id) }
             }
 
-            is LeaderMessage.DoneRangesWritten -> {
-                core.onRangesWritten(message.deltas, message.ok, now)
-                message.deltas.filter { it.job.phase == JobPhase.CLOSED }.forEach { writer.deleteRanges(it.job) }
+            is LeaderMessage.CompletionChunksWritten -> {
+                core.onRangesWritten(message.deltas, message.isCommitted, nowUs)
+                message.deltas.filter { it.job.phase == JobPhase.CLOSED }.forEach { writer.deleteCompletionChunks(it.job) }
             }
 
-            is LeaderMessage.CompletionWritten -> {
-                completionWritten(message, now)
+            is LeaderMessage.JobCompletionWritten -> {
+                onJobCompletionWritten(message, nowUs)
             }
         }
     }
 
     /** Has jobs recorded as cancelled of which a dependency is cancelled. */
-    fun cancelOrphans() {
-        blockedJobs.takeJobsToCancel().takeIf { it.isNotEmpty() }?.let(writer::cancelOrphans)
+    fun cancelUnrunnableJobs() {
+        blockedJobs.takeJobsToCancel().takeIf { it.isNotEmpty() }?.let(writer::cancelUnrunnableJobs)
     }
 
-    private fun add(entry: Entry) {
+    private fun addJob(entry: Entry) {
         val spec =
             try {
                 JobRecordCodec.decode(entry.value)
@@ -98,10 +98,10 @@
                 return
             }
         if (spec.id in core.jobs) return
-        val job = Job(spec, entry.modRevision, services.steadyUs(spec.submittedUs))
+        val job = Job(spec, entry.modRevision, services.toSteadyClockUs(spec.submittedUs))
         core.addJob(job)
         if (job.isReady) {
-            fleet.jobReady(job)
+            fleet.onJobReady(job)
         } else {
             blockedJobs.add(job)
             if (isLoaded) releaseReadyJobs()
@@ -111,35 +111,35 @@
     /** Releases jobs of which all dependencies are recorded as done; their times count from the last of these records. */
     private fun releaseReadyJobs() =
         blockedJobs.releaseReady { job, recordedAtUs ->
-            core.onJobReady(job, if (recordedAtUs == 0L) services.clock.now() else services.steadyUs(recordedAtUs))
-            fleet.jobReady(job)
+            core.onJobReady(job, if (recordedAtUs == 0L) services.clock.now() else services.toSteadyClockUs(recordedAtUs))
+            fleet.onJobReady(job)
         }
 
-    private fun close(id: String) {
+    private fun closeJob(id: String) {
         val job = core.jobs[id] ?: return
         core.onJobClosed(id)
-        writer.deleteRanges(job)
+        writer.deleteCompletionChunks(job)
     }
 
-    private fun reload(entries: List<Entry>) {
-        val open = entries.mapTo(HashSet()) { it.key.removePrefix(JobRecordCodec.OPEN) }
+    private fun reloadOpenJobs(entries: List<Entry>) {
+        val openIds = entries.mapTo(HashSet()) { it.key.removePrefix(JobRecordCodec.OPEN) }
         core.jobs.keys
-            .filter { it !in open }
-            .forEach(::close)
-        entries.forEach(::add)
+            .filter { it !in openIds }
+            .forEach(::closeJob)
+        entries.forEach(::addJob)
     }
 
-    private fun completionWritten(
-        message: LeaderMessage.CompletionWritten,
-        now: Long,
+    private fun onJobCompletionWritten(
+        message: LeaderMessage.JobCompletionWritten,
+        nowUs: Long,
     ) {
         val job = message.job
         if (message.outcome is TransactionResult.Committed) {
-            core.onCompletionRecorded(job, now)
-            writer.deleteRanges(job)
+            core.onCompletionRecorded(job, nowUs)
+            writer.deleteCompletionChunks(job)
         } else {
             core.onCompletionFailed(job)
-            if (!message.stillOpen) close(job.spec.id)
+            if (!message.isStillOpen) closeJob(job.spec.id)
         }
     }
 }
--- a/src/main/kotlin/lichenstage/placement/LeaderMessage.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderMessage.kt
@@ -22,9 +22,9 @@
 
     /** The records with which the term begins have been read: open jobs, done ranges, pages of the registry. */
     data class RecordsLoaded(
-        val jobs: List<Entry>,
-        val done: List<Entry>,
-        val machines: List<Entry>,
+        val openJobs: List<Entry>,
+        val completionChunks: List<Entry>,
+        val registryChunks: List<Entry>,
     ) : LeaderMessage
 
     /** All open jobs, read anew after the revision of the watch was compacted. */
@@ -34,12 +34,12 @@
 
     /** Records of open jobs that were created since the last change of the watch, and the keys of those that were deleted. */
     data class OpenJobsChanged(
-        val added: List<Entry>,
-        val removed: List<String>,
+        val addedRecords: List<Entry>,
+        val removedKeys: List<String>,
     ) : JobMessage
 
     /** Jobs that other controllers know to have ended; the watch of this leader may be the only one that is not answered. */
-    data class JobsEnded(
+    data class JobsFinished(
         val jobs: List<String>,
     ) : JobMessage
 
@@ -47,48 +47,48 @@
     data object DependenciesResolved : JobMessage
 
     /** These are recorded as cancelled, since a dependency of each is. */
-    data class OrphansCancelled(
+    data class UnrunnableJobsCancelled(
         val jobs: List<Job>,
     ) : JobMessage
 
     /** The outcome of a transaction with done ranges. */
-    data class DoneRangesWritten(
+    data class CompletionChunksWritten(
         val deltas: List<CompletionDelta>,
-        val ok: Boolean,
+        val isCommitted: Boolean,
     ) : JobMessage
 
-    /** The outcome of the transaction that records a job as done; [stillOpen] unless its open record is known to be deleted. */
-    data class CompletionWritten(
+    /** The outcome of the transaction that records a job as done; [isStillOpen] unless its open record is known to be deleted. */
+    data class JobCompletionWritten(
         val job: Job,
         val outcome: TransactionResult,
-        val stillOpen: Boolean,
+        val isStillOpen: Boolean,
     ) : JobMessage
 
-    /** The outcome of a transaction with [pages] of the registry. */
-    data class RegistryPagesWritten(
-        val pages: List<RegistryChunk>,
-        val ok: Boolean,
+    /** The outcome of a transaction with [chunks] of the registry. */
+    data class RegistryChunksWritten(
+        val chunks: List<RegistryChunk>,
+        val isCommitted: Boolean,
     ) : LeaderMessage
 
     /** The cloud's answer to a provision request. */
-    data class ProvisionAnswered(
+    data class ProvisionReplyReceived(
         val request: ProvisionRequest,
         val result: ProvisionResult,
     ) : LeaderMessage
 
     /** The cloud's answer to a call that terminates machines. */
-    data class TerminateAnswered(
+    data class TerminateReplyReceived(
         val machines: List<String>,
         val result: TerminateResult,
     ) : LeaderMessage
 
     /** The cloud's list of machines, whole. */
-    data class ListAnswered(
+    data class MachineListReceived(
         val reply: CloudReply<List<ListedMachine>>,
     ) : LeaderMessage
 
     /** About drains. */
-    data class DrainEvent(
+    data class DrainMessageReceived(
         val message: DrainMessage,
     ) : LeaderMessage
 
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordReader.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordReader.kt
@@ -8,38 +8,38 @@
 
 /** Reads the records that a term of leadership begins with, and follows the open jobs from there. */
 internal class LeaderRecordReader(
-    private val state: KeyValueStoreClient,
+    private val store: KeyValueStoreClient,
     private val tell: (LeaderMessage) -> Unit,
 ) {
     /** Runs until it is cancelled. */
     suspend fun run() {
         // The order does not matter, since a task starts only after all is loaded.
-        val machines = scan(MACHINES)
-        val jobs = scan(JobRecordCodec.OPEN)
-        val done = scan(JobRecordCodec.DONE)
-        tell(LeaderMessage.RecordsLoaded(jobs.entries, done.entries, machines.entries))
-        follow(jobs.revision)
+        val registryChunks = scan(REGISTRY_PREFIX)
+        val openJobs = scan(JobRecordCodec.OPEN)
+        val completionChunks = scan(JobRecordCodec.DONE)
+        tell(LeaderMessage.RecordsLoaded(openJobs.entries, completionChunks.entries, registryChunks.entries))
+        watchOpenJobs(openJobs.revision)
     }
 
-    private suspend fun follow(from: Long) {
-        var since = from
+    private suspend fun watchOpenJobs(startRevision: Long) {
+        var revision = startRevision
         while (true) {
-            when (val seen = state.watch(JobRecordCodec.OPEN, since, WATCH_MS)) {
+            when (val result = store.watch(JobRecordCodec.OPEN, revision, WATCH_TIMEOUT_MS)) {
                 is WatchResult.Events -> {
-                    since = seen.revision
+                    revision = result.revision
                     // A job whose record was put and deleted in one batch has ended: of the two changes of a key the delete is the later.
-                    val removed = seen.deletes.map { it.key }
-                    if (seen.puts.isNotEmpty() || removed.isNotEmpty()) tell(LeaderMessage.OpenJobsChanged(seen.puts, removed))
+                    val removedKeys = result.deletes.map { it.key }
+                    if (result.puts.isNotEmpty() || removedKeys.isNotEmpty()) tell(LeaderMessage.OpenJobsChanged(result.puts, removedKeys))
                 }
 
                 WatchResult.Compacted -> {
-                    val again = scan(JobRecordCodec.OPEN)
-                    since = again.revision
-                    tell(LeaderMessage.OpenJobsReloaded(again.entries))
+                    val reloaded = scan(JobRecordCodec.OPEN)
+                    revision = reloaded.revision
+                    tell(LeaderMessage.OpenJobsReloaded(reloaded.entries))
                 }
 
                 WatchResult.Unavailable -> {
-                    delay(UNAVAILABLE_MS)
+                    delay(UNAVAILABLE_RETRY_MS)
                 }
             }
         }
@@ -48,16 +48,16 @@
     /** Reads all keys with a prefix; retries until the key-value store answers. */
     private suspend fun scan(prefix: String): ScanResult.Complete {
         while (true) {
-            val result = state.scan(prefix)
+            val result = store.scan(prefix)
             if (result is ScanResult.Complete) return result
-            delay(RETRY_MS)
+            delay(SCAN_RETRY_MS)
         }
     }
 
     private companion object {
-        const val MACHINES = "m/"
-        const val WATCH_MS = 8000L
-        const val UNAVAILABLE_MS = 250L
-        const val RETRY_MS = 300L
+        const val REGISTRY_PREFIX = "m/"
+        const val WATCH_TIMEOUT_MS = 8000L
+        const val UNAVAILABLE_RETRY_MS = 250L
+        const val SCAN_RETRY_MS = 300L
     }
 }
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -24,101 +24,101 @@
  * meanwhile are deleted. A late one of this leader is kept from changing anything by [SingleWriterKeys].
  */
 internal class LeaderRecordWriter(
-    private val state: KeyValueStoreClient,
-    private val owned: SingleWriterKeys,
+    private val store: KeyValueStoreClient,
+    private val singleWriterKeys: SingleWriterKeys,
     /** The revision of the leadership's key. */
     leaderKeyRevision: Long,
     private val txnOps: Int,
     private val scope: CoroutineScope,
-    private val finished: (String, JobOutcome) -> Unit,
+    private val onJobFinished: (String, JobOutcome) -> Unit,
     private val tell: (LeaderMessage) -> Unit,
 ) {
-    private val leadership = Precondition(OwnershipRecords.LEADER_KEY, leaderKeyRevision)
+    private val leadershipPrecondition = Precondition(OwnershipRecords.LEADER_KEY, leaderKeyRevision)
 
-    /** Records done tasks; answered by [LeaderMessage.DoneRangesWritten]. */
-    fun writeRanges(deltas: List<CompletionDelta>) {
+    /** Records done tasks; answered by [LeaderMessage.CompletionChunksWritten]. */
+    fun writeCompletionChunks(deltas: List<CompletionDelta>) {
         scope.launch {
             val puts =
-                deltas.flatMap { row ->
-                    row.chunks.map {
+                deltas.flatMap { delta ->
+                    delta.chunks.map {
                         Change.Put(
-                            CompletedTaskRanges.key(row.job.spec.id, it),
-                            CompletedTaskRanges.encode(row.recordedTasks, it),
+                            CompletedTaskRanges.key(delta.job.spec.id, it),
+                            CompletedTaskRanges.encode(delta.recordedTasks, it),
                         )
                     }
                 }
-            val written = writeAll(puts)
-            if (!written) delay(RETRY_MS)
-            tell(LeaderMessage.DoneRangesWritten(deltas, written))
+            val isCommitted = writeAll(puts)
+            if (!isCommitted) delay(RETRY_MS)
+            tell(LeaderMessage.CompletionChunksWritten(deltas, isCommitted))
         }
     }
 
-    /** Records a job as done and deletes its open record; answered by [LeaderMessage.CompletionWritten]. */
-    fun recordCompletion(job: Job) {
+    /** Records a job as done and deletes its open record; answered by [LeaderMessage.JobCompletionWritten]. */
+    fun recordJobCompletion(job: Job) {
         scope.launch {
             val id = job.spec.id
-            val preconditions = listOf(leadership, Precondition(JobRecordCodec.OPEN + id, job.createRevision))
-            val end = FinishedJob(JobOutcome(EndStatus.DONE, timeOfDayUs()), job.spec.tasks)
+            val preconditions = listOf(leadershipPrecondition, Precondition(JobRecordCodec.OPEN + id, job.createRevision))
+            val finishedJob = FinishedJob(JobOutcome(EndStatus.DONE, timeOfDayUs()), job.spec.tasks)
             val outcome =
-                state.commit(
+                store.commit(
                     preconditions,
                     listOf(
                         Change.Delete(JobRecordCodec.OPEN + id),
-                        Change.Put(JobRecordCodec.FINISHED + id, JobRecordCodec.encodeFinished(end)),
+                        Change.Put(JobRecordCodec.FINISHED + id, JobRecordCodec.encodeFinished(finishedJob)),
                     ),
                 )
-            val stillOpen = outcome !is TransactionResult.Conflict || state.get(JobRecordCodec.OPEN + id) !is ReadResult.NotFound
-            if (outcome is TransactionResult.Committed) finished(id, end.outcome) else delay(RETRY_MS)
-            tell(LeaderMessage.CompletionWritten(job, outcome, stillOpen))
+            val isStillOpen = outcome !is TransactionResult.Conflict || store.get(JobRecordCodec.OPEN + id) !is ReadResult.NotFound
+            if (outcome is TransactionResult.Committed) onJobFinished(id, finishedJob.outcome) else delay(RETRY_MS)
+            tell(LeaderMessage.JobCompletionWritten(job, outcome, isStillOpen))
         }
     }
 
     /** Records jobs that can never run as cancelled: in one transaction, or one by one where one of them has ended meanwhile. */
-    fun cancelOrphans(jobs: List<Job>) {
+    fun cancelUnrunnableJobs(jobs: List<Job>) {
         scope.launch {
-            val written = if (recordCancelled(jobs)) jobs else jobs.filter { recordCancelled(listOf(it)) }
-            if (written.isEmpty()) delay(RETRY_MS)
-            tell(LeaderMessage.OrphansCancelled(written))
+            val cancelledJobs = if (recordCancelled(jobs)) jobs else jobs.filter { recordCancelled(listOf(it)) }
+            if (cancelledJobs.isEmpty()) delay(RETRY_MS)
+            tell(LeaderMessage.UnrunnableJobsCancelled(cancelledJobs))
         }
     }
 
     private suspend fun recordCancelled(jobs: List<Job>): Boolean {
-        val preconditions = jobs.map { Precondition(JobRecordCodec.OPEN + it.spec.id, it.createRevision) } + leadership
-        val end = FinishedJob(JobOutcome(EndStatus.CANCELLED, timeOfDayUs()), 0)
+        val preconditions = jobs.map { Precondition(JobRecordCodec.OPEN + it.spec.id, it.createRevision) } + leadershipPrecondition
+        val finishedJob = FinishedJob(JobOutcome(EndStatus.CANCELLED, timeOfDayUs()), 0)
         val changes =
             jobs.flatMap {
                 val id = it.spec.id
                 listOf(
                     Change.Delete(JobRecordCodec.OPEN + id),
-                    Change.Put(JobRecordCodec.FINISHED + id, JobRecordCodec.encodeFinished(end)),
+                    Change.Put(JobRecordCodec.FINISHED + id, JobRecordCodec.encodeFinished(finishedJob)),
                 )
             }
-        return state.commit(preconditions, changes, isUrgent = false) is TransactionResult.Committed
+        return store.commit(preconditions, changes, isUrgent = false) is TransactionResult.Committed
     }
 
-    /** Writes pages of the registry; answered by [LeaderMessage.RegistryPagesWritten]. */
-    fun writePages(pages: List<RegistryChunk>) {
+    /** Writes pages of the registry; answered by [LeaderMessage.RegistryChunksWritten]. */
+    fun writeRegistryChunks(chunks: List<RegistryChunk>) {
         scope.launch {
-            val written = owned.write(listOf(leadership), pages.map { it.change }, isUrgent = true)
-            if (!written) delay(RETRY_MS)
-            tell(LeaderMessage.RegistryPagesWritten(pages, written))
+            val isCommitted = singleWriterKeys.write(listOf(leadershipPrecondition), chunks.map { it.change }, isUrgent = true)
+            if (!isCommitted) delay(RETRY_MS)
+            tell(LeaderMessage.RegistryChunksWritten(chunks, isCommitted))
         }
     }
 
     /** Deletes the done ranges of a job that has ended. Where some are still being written, that is done after it. */
-    fun deleteRanges(job: Job) {
+    fun deleteCompletionChunks(job: Job) {
         if (job.isRangesWriteInFlight || job.recordedTasks.isEmpty) return
-        delete((0 until CompletedTaskRanges.chunks(job.spec.tasks)).map { CompletedTaskRanges.key(job.spec.id, it) })
+        deleteKeys((0 until CompletedTaskRanges.chunks(job.spec.tasks)).map { CompletedTaskRanges.key(job.spec.id, it) })
     }
 
     /** Deletes done ranges that are of no more use. */
-    fun delete(keys: List<String>) {
+    fun deleteKeys(keys: List<String>) {
         if (keys.isNotEmpty()) scope.launch { writeAll(keys.map { Change.Delete(it) }) }
     }
 
     private suspend fun writeAll(changes: List<Change>): Boolean {
-        val preconditions = listOf(leadership)
-        return changes.chunked(txnOps).all { owned.write(preconditions, it, isUrgent = false) }
+        val preconditions = listOf(leadershipPrecondition)
+        return changes.chunked(txnOps).all { singleWriterKeys.write(preconditions, it, isUrgent = false) }
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/LeaderServices.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderServices.kt
@@ -33,8 +33,8 @@
     val send: (String, Frame) -> Unit,
 ) {
     /** A recorded time of day (microseconds) on this process's steady clock, now at the latest. */
-    fun steadyUs(recordedUs: Long): Long {
-        val agoUs = timeOfDayUs() - recordedUs
-        return clock.now() - agoUs.coerceAtLeast(0)
+    fun toSteadyClockUs(recordedUs: Long): Long {
+        val ageUs = timeOfDayUs() - recordedUs
+        return clock.now() - ageUs.coerceAtLeast(0)
     }
 }
--- a/src/main/kotlin/lichenstage/placement/LeaderSettings.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderSettings.kt
@@ -10,7 +10,7 @@
     /** Rises with every leadership; the high part of all attempt numbers (invariant 7). */
     val term: Long,
     /** The revision of the leadership's key: a job record with a higher create revision was accepted within the term. */
-    val keyRevision: Long,
+    val leaderKeyRevision: Long,
 )
 
 /** What a leader's decisions follow for the whole of its term. */
@@ -22,9 +22,9 @@
     val placement: PlacementSettings,
     val objectives: ServiceObjectives,
     /** Changes that one transaction of the key-value store takes. */
-    val transactionOperations: Int,
+    val maxChangesPerTransaction: Int,
     /** Size limit of a value in the key-value store. */
-    val valueBytes: Int = Int.MAX_VALUE,
+    val maxValueBytes: Int = Int.MAX_VALUE,
 )
 
 /** What a leader looks up outside: it may change while the term lasts. */
--- a/src/main/kotlin/lichenstage/placement/MachineRegistryDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineRegistryDriver.kt
@@ -55,13 +55,13 @@
         val chunks = registry.takeDueChunks(settings.txnOps)
         if (chunks.isEmpty()) return
         isWriteInFlight = true
-        writer.writePages(chunks)
+        writer.writeRegistryChunks(chunks)
     }
 
-    fun onChunksWritten(message: LeaderMessage.RegistryPagesWritten) {
+    fun onChunksWritten(message: LeaderMessage.RegistryChunksWritten) {
         isWriteInFlight = false
-        if (!message.ok) return registry.onWriteFailed(message.pages)
-        val addedMachines = message.pages.flatMap { it.machines }.filter { !core.machines.isRegistered(it.name) }
+        if (!message.isCommitted) return registry.onWriteFailed(message.chunks)
+        val addedMachines = message.chunks.flatMap { it.machines }.filter { !core.machines.isRegistered(it.name) }
         core.onMachinesRegistered(addedMachines.associate { it.name to settings.assignment.partitionOf(it.name, it.zone)!! })
     }
 
--- a/src/test/kotlin/lichenstage/fleet/DemandForecastTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/DemandForecastTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 class DemandForecastTest {
-    private val forecast = DemandForecast(startedUs = 0)
+    private val forecast = DemandForecast(startedAtUs = 0)
 
     private fun arrive(
         atS: Long,
--- a/src/test/kotlin/lichenstage/fleet/FleetInventoryTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/FleetInventoryTest.kt
@@ -19,14 +19,15 @@
         status: ListedStatus = ListedStatus.RUNNING,
     ) = ListedMachine(name, "t", "z", true, status, 20 * SECOND)
 
-    private fun status(faulty: Boolean = false) = MachineStatus(up = true, silent = false, lost = false, tasks = 1, faulty = faulty)
+    private fun status(faulty: Boolean = false) =
+        MachineStatus(isUp = true, isSilent = false, isLost = false, taskCount = 1, isFaulty = faulty)
 
     @Example
     fun `a terminated machine is not brought back by a list that lags`() {
         inventory.applyListing(listOf(listed("m1"), listed("m2")), 100 * SECOND)
         inventory.remove(listOf("m1"))
         inventory.applyListing(listOf(listed("m1"), listed("m2")), 101 * SECOND)
-        assertEquals(1, inventory.all.size)
+        assertEquals(1, inventory.allMachines.size)
     }
 
     @Example
@@ -34,7 +35,7 @@
         inventory.add("m1", "t", "z", true, 100 * SECOND)
         inventory.applyListing(listOf(listed("m1"), listed("m2")), 100 * SECOND)
         inventory.applyListing(emptyList(), 104 * SECOND)
-        assertEquals(listOf(100 * SECOND, 80 * SECOND), inventory.all.map { it.provisionedUs })
+        assertEquals(listOf(100 * SECOND, 80 * SECOND), inventory.allMachines.map { it.provisionedAtUs })
     }
 
     @Example
@@ -42,25 +43,25 @@
         inventory.applyListing(listOf(listed("m1"), listed("m2", ListedStatus.FAILED), listed("m3"), listed("m4")), 0)
         inventory.applyStatus({ status(faulty = it == "m3") }, machineTypes, SECOND)
         inventory.terminate(listOf("m4", "unknown"))
-        assertEquals(listOf("m2", "m3", "m4"), inventory.toTerminate(10))
-        assertEquals(listOf("m2", "m3"), inventory.toTerminate(2))
-        assertEquals(setOf("m2", "m3", "m4"), inventory.cordoned())
+        assertEquals(listOf("m2", "m3", "m4"), inventory.machinesToTerminate(10))
+        assertEquals(listOf("m2", "m3"), inventory.machinesToTerminate(2))
+        assertEquals(setOf("m2", "m3", "m4"), inventory.cordonedMachines())
     }
 
     @Example
     fun `a machine that never comes up is terminated after three boot times and ten seconds`() {
         inventory.add("m1", "t", "z", true, 0)
         inventory.applyStatus({ null }, machineTypes, 100 * SECOND)
-        assertTrue(inventory.toTerminate(10).isEmpty(), "just in time")
+        assertTrue(inventory.machinesToTerminate(10).isEmpty(), "just in time")
         inventory.applyStatus({ null }, machineTypes, 100 * SECOND + 1)
-        assertEquals(listOf("m1"), inventory.toTerminate(10))
+        assertEquals(listOf("m1"), inventory.machinesToTerminate(10))
     }
 
     @Example
     fun `excluded and terminating machines do not serve the demand`() {
         inventory.applyListing(listOf(listed("m1"), listed("m2"), listed("m3")), 0)
         inventory.terminate(listOf("m1"))
-        assertEquals(2, inventory.serving(emptySet()).size)
-        assertEquals(1, inventory.serving(setOf("m2")).size)
+        assertEquals(2, inventory.servingMachines(emptySet()).size)
+        assertEquals(1, inventory.servingMachines(setOf("m2")).size)
     }
 }
--- a/src/test/kotlin/lichenstage/fleet/ScaleOutTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/ScaleOutTest.kt
@@ -11,44 +11,44 @@
 
 class ScaleOutTest {
     private val replacements = ReplacementRequests()
-    private val scaleOut = ScaleOut(3, CapacityEstimate(FleetPolicy(), DemandForecast(0)), replacements)
+    private val scaleOut = ScaleOut(3, CapacityEstimator(FleetPolicy(), DemandForecast(0)), replacements)
 
     @Example
     fun `a replacement is requested until a machine has been provisioned for it`() {
-        replacements.add(ReplacementRequest("drain m1", "t", "z", spot = true))
-        val first = scaleOut.forReplacement(0)!!
+        replacements.add(ReplacementRequest("drain m1", "t", "z", isSpot = true))
+        val first = scaleOut.createReplacementRequest(0)!!
         assertEquals(ProvisionRequest("h3-1", "t", "z", spot = true, count = 1), first)
         assertEquals("drain m1", replacements.idOf(first))
-        scaleOut.answered(first, ProvisionResult.NoCapacity, 0)
-        assertNull(scaleOut.forReplacement(SECOND), "asked again at once")
-        val second = scaleOut.forReplacement(5 * SECOND)!!
+        scaleOut.onProvisionReply(first, ProvisionResult.NoCapacity, 0)
+        assertNull(scaleOut.createReplacementRequest(SECOND), "asked again at once")
+        val second = scaleOut.createReplacementRequest(5 * SECOND)!!
         assertEquals("h3-2", second.name, "the name was used again")
-        assertEquals(listOf("vm-1"), scaleOut.answered(second, ProvisionResult.Provisioned(listOf("vm-1")), 6 * SECOND))
-        assertNull(scaleOut.forReplacement(60 * SECOND), "provisioned twice")
+        assertEquals(listOf("vm-1"), scaleOut.onProvisionReply(second, ProvisionResult.Provisioned(listOf("vm-1")), 6 * SECOND))
+        assertNull(scaleOut.createReplacementRequest(60 * SECOND), "provisioned twice")
     }
 
     @Example
     fun `a request stays pending until its outcome is known`() {
-        replacements.add(ReplacementRequest("drain m1", "t", "z", spot = false))
-        val request = scaleOut.forReplacement(0)!!
-        scaleOut.answered(request, ProvisionResult.Indeterminate, SECOND)
-        assertEquals(request, scaleOut.pending)
-        scaleOut.answered(request, ProvisionResult.NoCapacity, 2 * SECOND)
-        assertNull(scaleOut.pending)
+        replacements.add(ReplacementRequest("drain m1", "t", "z", isSpot = false))
+        val request = scaleOut.createReplacementRequest(0)!!
+        scaleOut.onProvisionReply(request, ProvisionResult.Indeterminate, SECOND)
+        assertEquals(request, scaleOut.pendingRequest)
+        scaleOut.onProvisionReply(request, ProvisionResult.NoCapacity, 2 * SECOND)
+        assertNull(scaleOut.pendingRequest)
     }
 
     @Example
     fun `a pool without capacity is asked after 5, 10 and 20 s and for others at once`() {
         val backoff = ProvisionBackoff()
-        val pool = CapacityPool("t", "z", spot = true)
+        val pool = CapacityPool("t", "z", isSpot = true)
         for (delayUs in listOf(5 * SECOND, 10 * SECOND, 20 * SECOND, 20 * SECOND)) {
-            backoff.refused(pool, 0)
+            backoff.onRefusal(pool, 0)
             assertFalse(backoff.allows(pool, delayUs - 1))
             assertTrue(backoff.allows(pool, delayUs))
         }
-        assertTrue(backoff.allows(pool.copy(spot = false), 0))
-        backoff.succeeded(pool)
-        backoff.refused(pool, 0)
+        assertTrue(backoff.allows(pool.copy(isSpot = false), 0))
+        backoff.onSuccess(pool)
+        backoff.onRefusal(pool, 0)
         assertTrue(backoff.allows(pool, 5 * SECOND), "refusals before a success count")
     }
 }
--- a/src/test/kotlin/lichenstage/placement/CloudCallerTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CloudCallerTest.kt
@@ -33,22 +33,22 @@
         override suspend fun listMachines(after: String?) = pages.getValue(after)
     }
 
-    private fun answerTo(
+    private fun replyTo(
         call: CloudCall,
         pages: Map<String?, CloudReply<MachinePage>> = emptyMap(),
     ): LeaderMessage {
-        val answers = ArrayList<LeaderMessage>()
-        runBlocking { CloudCaller(PagedCloud(pages), requestsPerSecond = 1000.0, this, answers::add).call(call, 0) }
-        return answers.single()
+        val replies = ArrayList<LeaderMessage>()
+        runBlocking { CloudCaller(PagedCloud(pages), requestsPerSecond = 1000.0, this, replies::add).call(call, 0) }
+        return replies.single()
     }
 
     @Example
     fun `the answer names the call that it belongs to`() {
         val request = ProvisionRequest("h3-1", "t", "z", true, 1)
-        assertEquals(LeaderMessage.ProvisionAnswered(request, ProvisionResult.NoCapacity), answerTo(CloudCall.Provision(request)))
+        assertEquals(LeaderMessage.ProvisionReplyReceived(request, ProvisionResult.NoCapacity), replyTo(CloudCall.Provision(request)))
         assertEquals(
-            LeaderMessage.TerminateAnswered(listOf("m1"), TerminateResult.TERMINATED),
-            answerTo(CloudCall.Terminate(listOf("m1"))),
+            LeaderMessage.TerminateReplyReceived(listOf("m1"), TerminateResult.TERMINATED),
+            replyTo(CloudCall.Terminate(listOf("m1"))),
         )
     }
 
@@ -56,10 +56,10 @@
     fun `all pages of the list are read, and one that can't be read makes the list unavailable`() {
         val first = CloudReply.Success(MachinePage(machines.take(2), hasMore = true))
         val last = CloudReply.Success(MachinePage(machines.drop(2), hasMore = false))
-        val whole = answerTo(CloudCall.ListAll, mapOf(null to first, "m1" to last))
-        assertEquals(LeaderMessage.ListAnswered(CloudReply.Success(machines)), whole)
+        val completeList = replyTo(CloudCall.ListAll, mapOf(null to first, "m1" to last))
+        assertEquals(LeaderMessage.MachineListReceived(CloudReply.Success(machines)), completeList)
         for (failure in listOf(CloudReply.Unavailable, CloudReply.Refused(429))) {
-            assertEquals(LeaderMessage.ListAnswered(failure), answerTo(CloudCall.ListAll, mapOf(null to first, "m1" to failure)))
+            assertEquals(LeaderMessage.MachineListReceived(failure), replyTo(CloudCall.ListAll, mapOf(null to first, "m1" to failure)))
         }
     }
 
@@ -67,12 +67,12 @@
     fun `one call is under way at a time, and seven tenths of the rate limit are used`() {
         runBlocking {
             val caller = CloudCaller(PagedCloud(emptyMap()), requestsPerSecond = 2.0, this) {}
-            assertTrue(caller.isReady(0))
+            assertTrue(caller.canCall(0))
             caller.call(CloudCall.Terminate(listOf("m1")), 0)
-            assertFalse(caller.isReady(10 * SECOND), "no answer has come")
-            caller.answered()
-            assertFalse(caller.isReady(714_284))
-            assertTrue(caller.isReady(714_285))
+            assertFalse(caller.canCall(10 * SECOND), "no answer has come")
+            caller.onReplyReceived()
+            assertFalse(caller.canCall(714_284))
+            assertTrue(caller.canCall(714_285))
         }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/DemandEstimatorTest.kt
+++ b/src/test/kotlin/lichenstage/placement/DemandEstimatorTest.kt
@@ -44,24 +44,24 @@
         fun demandWhenReadyIn(readyInS: Long) = DemandEstimator.estimateDemand(listOf(blockedJob), machineTypes, inputs(readyInS))
         assertTrue(demandWhenReadyIn(60).isEmpty()) { "asks a minute before" }
         val demand = demandWhenReadyIn(40).single()
-        assertTrue(demand.busy == 0.0 && demand.foreseenInUs == 45 * SECOND && demand.dueUs == null) { "$demand" }
+        assertTrue(demand.busyMachines == 0.0 && demand.readyInUs == 45 * SECOND && demand.dueAtUs == null) { "$demand" }
     }
 
     @Example
     fun `demand counts run and fetch time of all tasks that are left, by machine`() {
         val demand = DemandEstimator.estimateDemand(listOf(job(1, tasks = 32)), machineTypes, inputs(dueAtUs = 99)).single()
-        assertEquals(2.0, demand.machines)
+        assertEquals(2.0, demand.maxMachines)
         assertEquals(2.0 * 52 * SECOND, demand.workUs, "50 s of run and 2 s of fetch for 16 tasks on each machine")
-        assertEquals(demand.workUs, demand.waitingUs)
-        assertEquals(99L, demand.dueUs)
-        assertEquals(0L, demand.foreseenInUs)
+        assertEquals(demand.workUs, demand.waitingWorkUs)
+        assertEquals(99L, demand.dueAtUs)
+        assertEquals(0L, demand.readyInUs)
     }
 
     @Example
     fun `jobs of a team share its quota, and one without any left asks for nothing`() {
         val jobs = listOf(job(1, tasks = 16), job(2, tasks = 16), job(3, tasks = 16))
         val demand = DemandEstimator.estimateDemand(jobs, machineTypes, inputs(maxCores = 24.0))
-        assertEquals(listOf(1.0, 0.5), demand.map { it.machines })
+        assertEquals(listOf(1.0, 0.5), demand.map { it.maxMachines })
     }
 
     @Example
@@ -69,7 +69,7 @@
         val arrival = DemandEstimator.estimateArrival(job(1, tasks = 32), machineTypes, 50 * SECOND) { it.bootUs > 20 * SECOND }!!
         assertEquals(2.0, arrival.machines)
         assertEquals(52 * SECOND, arrival.runUs)
-        assertTrue(arrival.urgent)
+        assertTrue(arrival.isUrgent)
         assertNull(DemandEstimator.estimateArrival(job(1), emptyMap(), 50 * SECOND) { false })
     }
 }
--- a/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -26,7 +26,7 @@
         objectives: ServiceObjectives = ServiceObjectives(emptyList()),
         lookups: LeaderLookups = LeaderLookups({ Resources(16.0, 0.0, 64.0) }),
     ): LeaderCore {
-        val settings = LeaderSettings(assignment, teams, 20 * SECOND, PlacementSettings(), objectives, transactionOperations = 10)
+        val settings = LeaderSettings(assignment, teams, 20 * SECOND, PlacementSettings(), objectives, maxChangesPerTransaction = 10)
         return LeaderCore(LeaderTerm(7, 100), settings, lookups) { effects += it }
     }
 
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -148,7 +148,7 @@
         leader.onPartitionFrame(partitionFrame("z", seq, machineState("m1", *ended.toTypedArray())), 2 * SECOND)
         effects.clear()
         leader.tick(2 * SECOND)
-        val end = effects.filterIsInstance<LeaderEffect.RecordCompletion>().single()
+        val end = effects.filterIsInstance<LeaderEffect.RecordJobCompletion>().single()
         assertTrue(framesTo("z").all { it.clears.isEmpty() }) { "cleared before the record was written" }
         leader.onCompletionRecorded(end.job, 3 * SECOND)
         leader.tick(4 * SECOND)
--- a/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
@@ -60,7 +60,7 @@
     private var steppedUs = 0L
 
     /** An attempt ran and ended although its task is not done. */
-    fun attemptInterrupted(attempt: Attempt) = core.taskLost(LeaderDrainView.failure(attempt, context.now))
+    fun attemptInterrupted(attempt: Attempt) = core.taskLost(LeaderDrainView.failureInterruption(attempt, context.now))
 
     fun step() {
         if (context.now - steppedUs < SECOND) return
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -115,7 +115,7 @@
                 lease,
                 PlacementSettings(),
                 ServiceObjectives(emptyList()),
-                transactionOperations = 12,
+                maxChangesPerTransaction = 12,
             ),
             LeaderLookups({ Resources(MACHINE_CORES, 0.0, MACHINE_MEMORY_GB) }, dependentsOf = controller.dependencyGraph::dependentsOf),
             { drains?.attemptInterrupted(it) },
@@ -186,11 +186,11 @@
                 context.send(host, hostOf(to.id)) { if (to.incarnation == receiver) to.deliver(effect.frame) }
             }
 
-            is LeaderEffect.WriteDoneRanges -> {
+            is LeaderEffect.WriteCompletionChunks -> {
                 write(term, { effect.deltas.forEach(::recorded) }) { leader, ok -> leader.onRangesWritten(effect.deltas, ok, now) }
             }
 
-            is LeaderEffect.RecordCompletion -> {
+            is LeaderEffect.RecordJobCompletion -> {
                 write(term, { state.finish(effect.job.spec.id) }) { leader, ok ->
                     if (ok) leader.onCompletionRecorded(effect.job, now) else leader.onCompletionFailed(effect.job)
                 }
