--- a/src/main/kotlin/lichenstage/placement/BlockedJobs.kt
+++ b/src/main/kotlin/lichenstage/placement/BlockedJobs.kt
@@ -2,24 +2,29 @@
 
 import lichenstage.jobs.DependencyGraph
 
-/** The leader's jobs with open dependencies: released once all of those are recorded as done, or cancelled with one that is. */
+/**
+ * The leader's jobs that wait for dependencies. A job is released when all its dependencies are recorded as done. It is cancelled when
+ * one of them is recorded as cancelled.
+ */
 internal class BlockedJobs(
     private val dependencyGraph: DependencyGraph,
     private val core: LeaderCore,
-    /** How many jobs one transaction records as cancelled, at the most. */
+    /** The maximum number of jobs that one transaction records as cancelled. */
     private val maxCancellationsPerTransaction: Int,
 ) {
     private val waitingJobs = LinkedHashSet<Job>()
     private var isCancellationInFlight = false
 
-    /** The job has dependencies that are not recorded as done. */
+    /** Adds a job with dependencies that are not recorded as done. */
     fun add(job: Job) {
         waitingJobs += job
     }
 
     /**
-     * Releases the jobs whose dependencies are all recorded as done, with the time of day of the last of these records in microseconds,
-     * or 0 where no record says.
+     * Releases the jobs whose dependencies are all recorded as done, and removes closed jobs.
+     *
+     * @param onReady called for each released job with the time of day, in microseconds, of the last of these records, or with 0 if no
+     *   record has a time
      */
     fun releaseReady(onReady: (job: Job, recordedAtUs: Long) -> Unit) {
         waitingJobs.removeIf { job ->
@@ -29,7 +34,10 @@
         }
     }
 
-    /** Jobs to record as cancelled next, since a dependency was; none while a record of some is being written. */
+    /**
+     * Returns the jobs to record as cancelled next because a dependency was cancelled. Empty while the previous cancellations are being
+     * written.
+     */
     fun takeJobsToCancel(): List<Job> {
         if (isCancellationInFlight) return emptyList()
         val jobs = dependencyGraph.orphans(maxCancellationsPerTransaction).mapNotNull { core.jobs[it] }.filter { it.phase == JobPhase.OPEN }
@@ -37,7 +45,7 @@
         return jobs
     }
 
-    /** The write of the last cancellations has ended, successfully or not. */
+    /** Allows further cancellations. Called when the write of the previous ones has ended, successfully or not. */
     fun onCancellationsWritten() {
         isCancellationInFlight = false
     }
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -4,8 +4,8 @@
 import java.util.BitSet
 
 /**
- * Decides which done tasks are recorded next. One transaction holds at most [maxWritesPerTransaction] changes, and the done tasks of a job
- * are recorded [recordDelayUs] microseconds after the first of them at the earliest.
+ * The scheduler of the records of done tasks. One transaction holds at most [maxWritesPerTransaction] changes. The done tasks of a job
+ * wait for at least [recordDelayUs] before they are recorded.
  */
 class CompletionRecorder(
     private val maxWritesPerTransaction: Int,
@@ -13,11 +13,11 @@
     private val valueBytes: Int,
     private val emit: (LeaderEffect) -> Unit,
 ) {
-    /** Jobs with tasks that are done but not recorded, with when that began, the oldest first. */
+    /** Jobs with done tasks that are not recorded, each with the time at which its wait began, the oldest first. */
     private val unrecordedSinceUs = LinkedHashMap<Job, Long>()
     private var rangesWriteInFlight = false
 
-    /** Something of the job is done that is not recorded, since [sinceUs] unless it was known already. */
+    /** Notes that the job has done tasks that are not recorded, since [sinceUs]. A time that was noted before stays. */
     fun markUnrecorded(
         job: Job,
         sinceUs: Long,
@@ -25,14 +25,15 @@
         unrecordedSinceUs.putIfAbsent(job, sinceUs)
     }
 
-    /** The job's completion is recorded. */
+    /** Removes a job that needs no further records because it is closed. */
     fun onCompletionRecorded(job: Job) {
         unrecordedSinceUs.remove(job)
     }
 
     /**
-     * Has recorded what is done: the end of a job at once, ranges in one batch after the other, the oldest first. Ranges take
-     * what writes the rest leaves, so that the more jobs there are, the longer each waits.
+     * Requests the records that are due. The completion of a job is recorded at once. Ranges of done tasks are recorded in one batch
+     * after the other, the oldest first. They use the write rate that other records leave unused, so each job waits longer if there are
+     * more jobs.
      */
     fun writeDueCompletions(nowUs: Long) {
         if (unrecordedSinceUs.isEmpty()) return
@@ -51,17 +52,17 @@
         emit(LeaderEffect.WriteDoneRanges(deltas))
     }
 
-    /** What one transaction holds of the jobs that have waited long enough. */
+    /** Returns the changes of one transaction, from the jobs that have waited long enough. */
     private fun nextBatch(nowUs: Long): List<CompletionDelta> {
         val deltas = ArrayList<CompletionDelta>()
         var writes = 0
-        // The oldest come first, and this runs after every message: what is not due yet is not looked at.
+        // This runs after every message, so it visits only the jobs that are due. The oldest come first.
         val dueJobs = unrecordedSinceUs.entries.takeWhile { nowUs - it.value >= recordDelayUs }.map { it.key }
         for (job in dueJobs.filter { !it.allTasksDone }) {
             if (writes >= maxWritesPerTransaction) break
             val delta = createDelta(job)
             if (delta.chunks.isEmpty()) {
-                // Too large for a record: it comes again with the next of its tasks that is done.
+                // The ranges are too large for a record. The job is tried again when another of its tasks is done.
                 unrecordedSinceUs.remove(job)
             } else {
                 if (writes + delta.chunks.size > maxWritesPerTransaction && deltas.isNotEmpty()) break
@@ -79,8 +80,8 @@
     }
 
     /**
-     * Adds the done tasks that a record of the chunk can hold to [recordedTasks]. Returns false, and adds nothing, where the record would
-     * add no task or would lose a durable one: the workers have forgotten durable tasks, so they must stay recorded.
+     * Adds the done tasks that a record of the chunk can hold to [recordedTasks]. Returns false and adds nothing if this would add no
+     * task, or if the record would lose a durable task. Durable tasks must stay recorded, because the workers have forgotten them.
      */
     private fun addRecordableTasks(
         job: Job,
@@ -107,7 +108,7 @@
         }
     }
 
-    /** The outcome of a transaction with done ranges. */
+    /** Handles the result of a transaction that records ranges of done tasks. */
     fun onRangesWritten(
         deltas: List<CompletionDelta>,
         isCommitted: Boolean,
--- a/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
+++ b/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
@@ -6,26 +6,26 @@
 import lichenstage.model.MachineFit
 import lichenstage.model.MachineType
 
-/** Translates jobs into demand for machines, which is all that the fleet knows of them. */
+/** The translation of jobs into demand for machines. The fleet knows jobs only by this demand. */
 internal object DemandEstimator {
-    /** What the estimate needs to know of jobs beside their own state; all times are steady-clock microseconds. */
+    /** The inputs of the estimate besides the state of the jobs. All times are in microseconds on the steady clock. */
     interface Inputs {
-        /** The most cores that the team may use at once. */
+        /** Returns the maximum number of cores that the team may use at once. */
         fun maxCores(team: String): Double
 
-        /** Expected run time of one task. */
+        /** Returns the expected run time of one task. */
         fun runUs(spec: JobSpec): Long
 
-        /** When the job should be complete; null where no objective can be met any more. */
+        /** Returns the time by which the job should be complete, or null if no objective can be met any more. */
         fun dueAtUs(job: Job): Long?
 
-        /** Expected time until all dependencies of the job are complete. */
+        /** Returns the expected time until all dependencies of the job are complete. */
         fun readyInUs(job: Job): Long
     }
 
     /**
-     * The remaining demand of each open job. A job that waits for dependencies counts from when a machine that is provisioned now
-     * would come up too late for it.
+     * Returns the remaining demand of each open job. A blocked job has a demand from the moment at which a machine that is provisioned
+     * later would boot too late for it.
      */
     fun estimateDemand(
         jobs: Collection<Job>,
@@ -49,7 +49,7 @@
         }
     }
 
-    /** How many tasks of the job may run at once within [availableCores] of its team's quota. */
+    /** Returns how many tasks of the job may run at once within [availableCores], the unused part of its team's quota. */
     private fun concurrentTasks(
         job: Job,
         availableCores: Double,
@@ -82,8 +82,9 @@
     }
 
     /**
-     * The machines that the whole job uses, for the forecast of arrivals; null where no type is compatible. [isUrgent] tells whether the
-     * job must start before a machine of the type could boot.
+     * Returns the machines that the whole job uses, for the forecast of arrivals. Null if no machine type is compatible.
+     *
+     * @param isUrgent returns whether the job must start before a machine of the type could boot
      */
     fun estimateArrival(
         job: Job,
@@ -97,6 +98,6 @@
         return JobArrival(machineType.name, job.readyUs, machines, runUs + machineType.fetchUs(spec.imageGb), isUrgent(machineType))
     }
 
-    /** Machines usually boot within one and a half times the boot time of their type. */
+    /** Machines usually boot within the boot time of their type multiplied by this factor. */
     private const val BOOT_TIME_MARGIN = 1.5
 }
--- a/src/main/kotlin/lichenstage/placement/GraphFold.kt
+++ b/src/main/kotlin/lichenstage/placement/GraphFold.kt
@@ -1,8 +1,8 @@
 package lichenstage.placement
 
 /**
- * Computes a value for nodes of an acyclic graph from the values of the nodes that they depend on, each once. Chains may be thousands
- * of nodes deep, so there is no recursion.
+ * A computation over an acyclic graph: the value of a node follows from the values of its dependencies, and each node is computed once.
+ * Chains may be thousands of nodes deep, so there is no recursion.
  */
 internal class GraphFold<N : Any, V : Any>(
     private val dependencies: (N) -> List<N>,
@@ -10,7 +10,7 @@
 ) {
     private val values = HashMap<N, V>()
 
-    /** The value of a node. */
+    /** Returns the value of a node. Computes the missing values of its direct and indirect dependencies first. */
     fun valueOf(node: N): V {
         values[node]?.let { return it }
         val stack = ArrayDeque(listOf(node))
--- a/src/main/kotlin/lichenstage/placement/JobQueue.kt
+++ b/src/main/kotlin/lichenstage/placement/JobQueue.kt
@@ -5,10 +5,11 @@
 import lichenstage.config.Team
 
 /**
- * The order in which waiting jobs are placed: that of [ObjectiveOrder], with ageing against starvation.
+ * The queue of waiting jobs. It sorts them by [ObjectiveOrder] and adds ageing against starvation.
  *
- * Jobs for which no objective is left would come last for as long as more is asked than the machines can do. So every second place goes
- * to the job that has waited longest beyond [agingThresholdUs], counted from its record, so that a failover does not reset its age.
+ * Without ageing, jobs that can't meet any objective would stay at the end of the queue for as long as the machines are overloaded.
+ * Therefore every second position goes to the longest-waiting job among those that have waited for more than [agingThresholdUs]. The
+ * waiting time counts from the job's record, so a failover does not reset it.
  */
 class JobQueue(
     private val serviceObjectives: ServiceObjectives,
@@ -28,26 +29,28 @@
         }
     }
 
-    /** The mean number of tasks of the jobs of a class. */
+    /** The mean number of tasks per job, by job class. */
     private val meanTasksByClass = HashMap<String, Mean>()
     private var cachedOrder = emptyList<Job>()
     private var orderComputedAtUs = Long.MIN_VALUE / 2
     private var isStale = true
 
-    /** A job has been accepted. */
+    /** Adds an accepted job to the mean of its class and marks the order as stale. */
     fun onJobAdded(job: Job) {
         meanTasksByClass.getOrPut(job.spec.jobClass) { Mean() }.add(job.spec.tasks)
         isStale = true
     }
 
-    /** The order has to be computed anew soon. */
+    /** Marks the order as stale, so that it is computed again after the shorter interval. */
     fun markOrderStale() {
         isStale = true
     }
 
     /**
-     * The jobs with tasks to place, in the order in which they are placed. The order is computed anew at intervals, not for every call;
-     * [cores] gives the cores of all machines.
+     * Returns the jobs with tasks to place, in the order of placement. The order is computed again after [ORDER_INTERVAL_US], or after
+     * [STALE_ORDER_INTERVAL_US] if it is stale, and not on every call.
+     *
+     * @param cores returns the number of cores of all machines
      */
     fun sortWaitingJobs(
         jobs: Collection<Job>,
@@ -107,7 +110,7 @@
     }
 
     private companion object {
-        /** The part of the machines' cores that tasks use. */
+        /** The fraction of all cores that is assumed to run tasks. */
         const val TARGET_UTILIZATION = 0.85
         const val AGING_THRESHOLD_US = 120 * SECOND
         const val STALE_ORDER_INTERVAL_US = 50 * MILLI
--- a/src/main/kotlin/lichenstage/placement/JobTable.kt
+++ b/src/main/kotlin/lichenstage/placement/JobTable.kt
@@ -3,40 +3,42 @@
 import lichenstage.cluster.TaskPhase
 
 /**
- * The leader's jobs, and when their tasks may be placed: at once where the job was accepted within the term, since no earlier leader
- * can have started any of it; else once the failover is complete (invariant 5).
+ * The leader's jobs, with the rule when their tasks may be placed (invariant 5).
+ *
+ * Tasks of a job that was accepted in this term may be placed at once, since no earlier leader can have started any of them. Tasks of
+ * other jobs may be placed after the failover is complete.
  */
 internal class JobTable(
     private val leaderKeyRevision: Long,
     private val isFailoverComplete: () -> Boolean,
 ) {
-    /** Open jobs, and closed ones of which something may still run, by id. */
+    /** Open jobs, and closed jobs with attempts that may still be running, by job id. */
     val byId = LinkedHashMap<String, Job>()
 
-    /** Adds a job; false where it is known already. */
+    /** Adds a job. Returns false if the table already contains it. */
     fun add(job: Job): Boolean {
         if (byId.containsKey(job.spec.id)) return false
         byId[job.spec.id] = job
         return true
     }
 
-    /** The job was accepted within this term. */
+    /** Returns whether the job was accepted in this term. */
     fun isFromThisTerm(job: Job) = job.createRevision > leaderKeyRevision
 
-    /** Queues the tasks of a job where it is ready and they may be placed. */
+    /** Queues the tasks of a job if the job is ready and its tasks may be placed. */
     fun enqueueIfPlaceable(job: Job) {
         if (job.ready && (isFailoverComplete() || isFromThisTerm(job))) job.enqueueTasks()
     }
 
-    /** The failover is complete: queues the tasks of all ready jobs that had to wait for it. */
+    /** Queues the tasks of all ready jobs that had to wait for the failover. Called when the failover is complete. */
     fun enqueueAllReady() = byId.values.forEach { if (it.ready && !it.placeable) it.enqueueTasks() }
 
-    /** Forgets a closed job of which nothing can run any more. */
+    /** Removes a closed job once none of its attempts can be running. */
     fun removeIfClosed(job: Job) {
         if (job.phase == JobPhase.CLOSED && job.liveAttempts.isEmpty()) byId.remove(job.spec.id)
     }
 
-    /** For display: done and running tasks of each open job. */
+    /** Returns the numbers of done and of running tasks of each open job, for display. */
     fun taskCounts(): Map<String, List<Int>> =
         byId.values.filter { it.phase != JobPhase.CLOSED }.associate { job ->
             job.spec.id to listOf(job.spec.tasks - job.remainingTasks, job.liveAttempts.values.count { it.phase != TaskPhase.PENDING })
--- a/src/main/kotlin/lichenstage/placement/MachineRegistry.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineRegistry.kt
@@ -7,7 +7,7 @@
 import lichenstage.state.Entry
 import lichenstage.state.UnreadableRecord
 
-/** One key of the registry as it is to be written; without machines it is deleted. */
+/** One registry chunk to write, stored under one key. A chunk without machines is deleted. */
 data class RegistryChunk(
     val key: String,
     val machines: List<RegisteredMachine>,
@@ -16,8 +16,8 @@
 }
 
 /**
- * The durable list of machines, several to a key: hundreds come and go within seconds, and the key-value store accepts few changes
- * in a second. Only the leader writes it, under its own guard.
+ * The durable list of machines. A chunk holds several machines under one key, because hundreds of machines come and go within seconds and
+ * the key-value store accepts only a few changes per second. Only the leader writes the registry, with its leadership as a precondition.
  */
 class MachineRegistry(
     valueBytes: Int,
@@ -27,15 +27,17 @@
     private val chunkOfMachine = HashMap<String, String>()
     private val unwrittenChunks = LinkedHashSet<String>()
 
-    /** Pages of which machines have moved to others: written only after those, so that each is in the record all the time. */
+    /**
+     * Chunks from which machines have moved to other chunks. They are written after those, so that each machine is recorded at all times.
+     */
     private val chunksWithMovedMachines = LinkedHashSet<String>()
 
     val size get() = chunkOfMachine.size
 
-    /** The machine is recorded, or due to be. */
+    /** Returns whether the machine is recorded or due to be recorded. */
     operator fun contains(name: String) = chunkOfMachine.containsKey(name)
 
-    /** Loads a chunk that an earlier leader wrote; throws [UnreadableRecord]. */
+    /** Loads a chunk that an earlier leader wrote. Throws [UnreadableRecord] if the chunk cannot be decoded. */
     fun load(entry: Entry): List<RegisteredMachine> {
         val machines = decode(entry)
         val chunk = LinkedHashMap<String, RegisteredMachine>()
@@ -56,8 +58,8 @@
         }
 
     /**
-     * To be called once all is loaded: chunks that were written under a larger limit are split. What is on them stays readable, but could
-     * not be written again. An earlier version reads the chunks as well as the one that they were.
+     * Splits the chunks that were written under a larger size limit. They can be read, but not be written again. To be called after all
+     * chunks are loaded. An earlier version of the service can read the new chunks as well as the original one.
      */
     fun splitOversizedChunks() {
         for ((key, chunk) in machinesByChunk.filterValues { it.size > maxMachinesPerChunk }) {
@@ -68,10 +70,10 @@
         }
     }
 
-    /** Pages are due to be written. */
+    /** Whether chunks are due to be written. */
     val hasUnwritten get() = unwrittenChunks.isNotEmpty() || chunksWithMovedMachines.isNotEmpty()
 
-    /** A machine is to be recorded. */
+    /** Adds a machine that is to be recorded. */
     fun add(machine: RegisteredMachine) {
         val key = machinesByChunk.entries.firstOrNull { it.value.size < maxMachinesPerChunk }?.key ?: createChunk()
         machinesByChunk.getValue(key)[machine.name] = machine
@@ -94,7 +96,9 @@
         }
     }
 
-    /** Up to [maxChunks] chunks that differ from their records. They count as written unless [onWriteFailed] is called with them. */
+    /**
+     * Returns up to [maxChunks] chunks that differ from their records. They count as written unless [onWriteFailed] is called with them.
+     */
     fun takeDueChunks(maxChunks: Int): List<RegistryChunk> {
         val chunksWithoutMoves = unwrittenChunks.filter { it !in chunksWithMovedMachines }.take(maxChunks)
         val keys = chunksWithoutMoves.ifEmpty { (unwrittenChunks + chunksWithMovedMachines).take(maxChunks) }
@@ -103,13 +107,13 @@
         return keys.map { key -> RegistryChunk(key, machinesByChunk.getValue(key).values.toList()) }
     }
 
-    /** These chunks could not be written: they stay due. */
+    /** Marks chunks that could not be written as due again. */
     fun onWriteFailed(failedChunks: List<RegistryChunk>) {
         unwrittenChunks += failedChunks.map { it.key }
     }
 
     private companion object {
-        /** The size of one machine in a value at most, with names of usual length. */
+        /** The maximum size of one encoded machine with names of usual length. */
         const val MAX_MACHINE_BYTES = 120
         const val MAX_MACHINES_PER_CHUNK = 100
     }
--- a/src/main/kotlin/lichenstage/placement/MachineRegistryDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineRegistryDriver.kt
@@ -6,10 +6,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Keeps the durable registry up to date with the machines.
+ * The driver that keeps the durable registry up to date with the machines.
  *
- * Machines get tasks only once they have a record (invariant 4), and are recorded only once they have shown the fencing token: a
- * later leader need not wait for one that never came up, and a late copy of a heartbeat does not bring back one that was terminated.
+ * A machine gets tasks only after it is recorded (invariant 4), and it is recorded only after it has confirmed the fencing token. So a
+ * later leader does not have to wait for a machine that never came up, and a late copy of a heartbeat does not bring back a terminated
+ * machine.
  */
 internal class MachineRegistryDriver(
     private val settings: Settings,
@@ -23,7 +24,7 @@
 
     val size get() = registry.size
 
-    /** Loads the pages of an earlier leader; returns the machines of this deployment's zones. */
+    /** Loads the chunks of an earlier leader. Returns the machines in the zones of this deployment. */
     fun load(chunks: List<Entry>): List<RegisteredMachine> {
         val machines = chunks.flatMap(registry::load).filter(::addRecoveredMachine)
         registry.splitOversizedChunks()
@@ -33,7 +34,7 @@
     private fun addRecoveredMachine(machine: RegisteredMachine): Boolean {
         val partition = settings.assignment.partitionOf(machine.name, machine.zone)
         if (partition == null) {
-            log.error("Recorded machine ignored, its zone is not in this deployment machine={} zone={}", machine.name, machine.zone)
+            log.error("Recorded machine ignored, zone not in this deployment machine={} zone={}", machine.name, machine.zone)
             return false
         }
         core.addRecoveredMachines(listOf(RecoveredMachine(machine.name, partition, machine.typeName, machine.address)))
@@ -45,7 +46,7 @@
         nowUs: Long,
     ) {
         if (isWriteInFlight || nowUs - lastStepAtUs < if (registry.hasUnwritten) BACKLOG_INTERVAL_US else STEP_INTERVAL_US) return
-        // Also where nothing is due: the search looks at every machine, and this runs after every message.
+        // Set also if nothing is due: this runs after every message, and the search visits every machine.
         lastStepAtUs = nowUs
         val cordonedMachines = cordoned()
         for ((id, machine) in core.machines.unregistered()) {
--- a/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
+++ b/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
@@ -4,10 +4,10 @@
 import java.util.PriorityQueue
 
 /**
- * A service objective of a waiting job, as the order of the queue sees it.
+ * A service objective of a waiting job, in the form that [ObjectiveOrder] uses.
  *
- * @property dueAtUs when all work of the job must be done for it, on the steady clock
- * @property value what meeting it is worth, in jobs of the job's class
+ * @property dueAtUs time on the steady clock by which all work of the job must be done to meet the objective
+ * @property value value of meeting the objective; the unit is one average job of the job's class
  */
 data class PlannedObjective(
     val dueAtUs: Long,
@@ -15,12 +15,12 @@
 )
 
 /**
- * A waiting job, as the order of the queue sees it.
+ * A waiting job, in the form that [ObjectiveOrder] uses.
  *
- * @property remainingWork the work left, in core microseconds
- * @property objectives those that can still be met, the earliest first
+ * @property remainingWork remaining work in core microseconds
+ * @property objectives objectives that can still be met, the earliest first
  * @property runUs expected run time of one task
- * @property priority the job's own, or a higher one inherited from a dependent
+ * @property priority priority of the job, or a higher one that it inherits from a dependent
  */
 class QueuedJob(
     val job: Job,
@@ -32,26 +32,33 @@
     private var objectiveIndex = 0
     private val currentObjective get() = objectives[objectiveIndex]
 
-    /** When the work must be done for the objective that the job is planned for. */
+    /** The time by which the work must be done to meet the current objective. */
     val dueAtUs get() = currentObjective.dueAtUs
 
-    /** What meeting that objective is worth for each unit of work. */
+    /** The value of meeting the current objective per unit of work. */
     val valuePerWork get() = currentObjective.value / remainingWork
 
-    /** Plans the job for its next objective; false where it has none left. */
+    /** Plans the job for its next objective. Returns false if no objective is left. */
     fun advanceToNextObjective(): Boolean = ++objectiveIndex < objectives.size
 }
 
 /**
- * The order of the queue: it meets as many service objectives as the machines allow.
+ * The sort order of waiting jobs that meets as many service objectives as the machines allow.
  *
- * Where not all can be met, the job of the lowest priority with the least value for its work is postponed to its next objective (after
- * Moore and Hodgson: by due time, and whenever a job would be late, the one of least value so far is taken out). A deadline counts by
- * jobs, so that large jobs have the least value for their work; a start counts by tasks, so that they don't. Jobs for which no objective
- * is left come last, the longest tasks first, so that all is done early.
+ * The algorithm follows Moore and Hodgson. It schedules the jobs by due time. Whenever a job would be late, it takes out the scheduled
+ * job of the lowest priority, and among those the one with the least value per unit of work. A job that is taken out is postponed to its
+ * next objective.
+ *
+ * A deadline counts once per job, so large jobs have the least value per unit of work. A start objective counts per task, so a large job
+ * is not at a disadvantage. Jobs without an objective left come last, by priority and then by descending run time of a task, so that all
+ * jobs finish early.
  */
 object ObjectiveOrder {
-    /** All jobs of [waitingJobs] in their order; [capacityCores] is the work that the machines do in a microsecond, in cores. */
+    /**
+     * Returns all [waitingJobs] in the order of placement.
+     *
+     * @param capacityCores number of cores that run tasks, which is the work that the machines do per microsecond
+     */
     fun sort(
         waitingJobs: List<QueuedJob>,
         capacityCores: Double,
@@ -70,7 +77,7 @@
         return (plannedJobs.sortedWith(BY_DUE_TIME) + withoutObjective.sortedWith(BY_RUN_TIME)).map { it.job }
     }
 
-    /** The jobs to postpone when [plannedJobs], in the order of their due times, are worked off. */
+    /** Returns the jobs to postpone when the machines process [plannedJobs], which are sorted by due time. */
     private fun selectJobsToPostpone(
         plannedJobs: List<QueuedJob>,
         capacityCores: Double,
@@ -97,6 +104,6 @@
         compareByDescending<QueuedJob> { it.priority }.thenByDescending { it.runUs }.thenBy { it.job.createRevision }
     private val BY_VALUE = compareBy<QueuedJob> { it.priority }.thenBy { it.valuePerWork }
 
-    /** How often jobs are postponed at the most; what is still late after that keeps its place. */
+    /** The maximum number of rounds of postponement. Jobs that are still late after the last round keep their position. */
     private const val MAX_ROUNDS = 4
 }
--- a/src/main/kotlin/lichenstage/placement/OfferSelection.kt
+++ b/src/main/kotlin/lichenstage/placement/OfferSelection.kt
@@ -3,21 +3,23 @@
 import lichenstage.cluster.HeldSlots
 import lichenstage.cluster.PlacementScore
 
-/** Room for one task on a machine, chosen from an offer. */
+/** Capacity for one task on a machine, selected from an offer. */
 data class SelectedSlot(
     val partition: String,
     val machine: String,
 )
 
 /**
- * Chooses among the offers for one request. The "roomiest offer" of the paper that docs/design.md follows is worst fit: the machine with
- * room for most of the request's tasks is filled first. [PlacementScore] decides between machines with the same room.
+ * The selection among the offers for one placement request, by worst fit: the machine with room for most tasks of the request is filled
+ * first. The paper that docs/design.md follows calls this the "roomiest offer". [PlacementScore] decides between machines with the same
+ * room.
  */
 object OfferSelection {
     /**
-     * Up to [maxTasks] slots by worst fit; [offers] are by partition.
+     * Returns up to [maxTasks] slots, selected by worst fit.
      *
-     * @param maxTasksInZone how many more tasks of the job a zone may get (spread and single-zone jobs)
+     * @param offers held slots by partition
+     * @param maxTasksInZone returns the number of further tasks of the job that a zone may get (spread and single-zone jobs)
      */
     fun selectRoomiest(
         offers: Map<String, List<HeldSlots>>,
@@ -38,7 +40,7 @@
             }
     }
 
-    /** The zone that offers room for most tasks, for a job whose tasks must share a zone; null where none offers any. */
+    /** Returns the zone that offers room for most tasks, for a job whose tasks must share a zone. Null if there are no offers. */
     fun bestZone(
         offers: Map<String, List<HeldSlots>>,
         zoneOf: (String) -> String,
--- a/src/main/kotlin/lichenstage/placement/PendingCommands.kt
+++ b/src/main/kotlin/lichenstage/placement/PendingCommands.kt
@@ -3,15 +3,15 @@
 import lichenstage.cluster.AttemptOrder
 import lichenstage.common.SECOND
 
-/** Stops and clears that go out together. */
+/** The stop and clear commands that are sent in one frame. */
 data class DueCommands(
     val stops: List<AttemptOrder>,
     val clears: List<AttemptOrder>,
 )
 
 /**
- * The stops and clears that machines still need. Each goes out once, and again after a while as long as the machine has not
- * shown that it is done: frames get lost.
+ * The stop and clear commands that machines still have to execute. A command is sent once, and is repeated after an interval until the
+ * machine has shown that it is executed, because frames can be lost.
  */
 class PendingCommands {
     private class PendingCommand(
@@ -23,7 +23,7 @@
 
     private val commandsByPartition = HashMap<String, LinkedHashMap<String, List<PendingCommand>>>()
 
-    /** Sets the orders that [machine] needs now. True where one of them is new. */
+    /** Replaces the pending commands of [machine]. Returns whether one of them is new. */
     fun replace(
         partition: String,
         machine: String,
@@ -46,7 +46,7 @@
         return added
     }
 
-    /** The machine is terminated. */
+    /** Removes the commands of a terminated machine. */
     fun removeMachine(
         partition: String,
         machine: String,
@@ -54,12 +54,12 @@
         commandsByPartition[partition]?.remove(machine)
     }
 
-    /** A new owner of the partition gets all orders anew. */
+    /** Removes the commands of a partition that has a new owner. Commands that are added again are then sent to the new owner at once. */
     fun removePartition(partition: String) {
         commandsByPartition.remove(partition)
     }
 
-    /** The stops and the clears to send to a partition now. */
+    /** Returns the commands to send to a partition now, and marks them as sent. */
     fun takeDue(
         partition: String,
         nowUs: Long,
--- a/src/main/kotlin/lichenstage/placement/PipelineDeadlines.kt
+++ b/src/main/kotlin/lichenstage/placement/PipelineDeadlines.kt
@@ -3,10 +3,10 @@
 import lichenstage.model.Priority
 
 /**
- * The priority and due time that a job inherits from its dependents, direct and indirect.
+ * The priority and the due time that a job inherits from its direct and indirect dependents.
  *
- * @property dueAtUs when it should be complete for the tightest of their deadlines; null where none has a deadline
- * @property priority the highest of its own and theirs
+ * @property dueAtUs time by which the job should be complete to meet the tightest deadline of the dependents; null if none has a deadline
+ * @property priority highest priority of the job and its dependents
  */
 data class InheritedPriority(
     val dueAtUs: Long?,
@@ -14,21 +14,22 @@
 )
 
 /**
- * Priority inheritance in pipelines, computed backwards from their end. Users set a deadline, and the priority that they care about, on
- * the last job only: a job inherits the highest priority of its dependents, and should be complete early enough for the longest chain of
- * them.
+ * Priority inheritance in pipelines of jobs, computed backwards from the last job.
+ *
+ * Users set a deadline and a priority only on the last job of a pipeline. The earlier jobs inherit the highest priority of their
+ * dependents, and a due time that leaves enough time for the longest chain of dependents.
  */
 class PipelineDeadlines(
     private val serviceObjectives: ServiceObjectives,
     private val runTimes: RunTimeEstimates,
     private val dependentsOf: (Job) -> List<Job>,
 ) {
-    /** The jobs as they are now: what several jobs share is computed once. */
+    /** The inherited priorities for the current state of the jobs. The result of each job is computed once and shared. */
     inner class Snapshot {
-        // A job depends only on jobs that were accepted before it, so that there is no cycle.
+        // The graph has no cycles, because a job depends only on jobs that were accepted before it.
         private val inheritedByJob = GraphFold({ job -> dependentsOf(job).filter { it.phase == JobPhase.OPEN } }, ::inherit)
 
-        /** What the job inherits. */
+        /** Returns the priority and the due time that the job inherits. */
         fun inheritedPriorityOf(job: Job): InheritedPriority = inheritedByJob.valueOf(job)
 
         private fun inherit(
--- a/src/main/kotlin/lichenstage/placement/PlacementSettings.kt
+++ b/src/main/kotlin/lichenstage/placement/PlacementSettings.kt
@@ -4,15 +4,16 @@
 import lichenstage.common.SECOND
 
 /**
- * The operators' settings of placement, all times in microseconds. Alpha and beta are names of the paper that docs/design.md follows.
+ * The operators' settings for placement. All times are in microseconds. Alpha and beta are names from the paper that docs/design.md
+ * follows.
  *
- * @property alphaUs how long a round of requests waits for a first offer
- * @property betaUs how long it waits for another offer after each
- * @property idleRoundIntervalUs the time between rounds when nothing has changed that a request could gain by
- * @property minRoundIntervalUs the least time between rounds
- * @property recordDelayUs how long a completed task may wait to be recorded
- * @property maxJobsPerRound jobs that are requested for in one round
- * @property maxTasksPerRequest the most tasks that one request asks for
+ * @property alphaUs time that a round of requests waits for the first offer
+ * @property betaUs time that a round waits for the next offer after each offer
+ * @property idleRoundIntervalUs time between rounds if nothing has changed that a request could benefit from
+ * @property minRoundIntervalUs minimum time between rounds
+ * @property recordDelayUs time after which a done task is due to be recorded
+ * @property maxJobsPerRound maximum number of jobs that request capacity in one round
+ * @property maxTasksPerRequest maximum number of tasks that one request asks for
  */
 data class PlacementSettings(
     val alphaUs: Long = 2 * SECOND,
--- a/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
+++ b/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
@@ -4,16 +4,16 @@
 import lichenstage.model.JobSpec
 
 /**
- * Forecasts when blocked jobs will be ready: at the end of the longest chain of their dependencies, by expected run times.
+ * The forecast of when blocked jobs become ready: at the end of the longest chain of their dependencies, by expected run times.
  *
- * Machines take a while to boot. With this forecast the fleet has them when a stage becomes ready, and not a boot time later.
+ * Machines need time to boot. With this forecast the fleet can provision them before a stage becomes ready.
  */
 class ReadinessForecast(
     private val runTimes: RunTimeEstimates,
     private val fetchUs: (JobSpec) -> Long,
     private val findJob: (String) -> Job?,
 ) {
-    /** The forecast as of [nowUs]: what several jobs share is computed once. */
+    /** The forecast as of [nowUs]. The end of each job is computed once and shared. */
     inner class Snapshot(
         private val nowUs: Long,
     ) {
@@ -25,10 +25,10 @@
                 )
             }
 
-        /** When all dependencies of [job] are expected to be complete, on the steady clock. */
+        /** Returns the time on the steady clock at which all dependencies of [job] are expected to be complete. */
         fun readyAtUs(job: Job): Long = openDependencies(job).maxOfOrNull { endTimes.valueOf(it) + STAGE_TRANSITION_US } ?: nowUs
 
-        /** Dependencies that are not open any more delay nothing. */
+        /** Returns the dependencies that delay the job. Dependencies that are no longer open cause no delay. */
         private fun openDependencies(job: Job): List<Job> =
             if (job.ready) {
                 emptyList()
@@ -51,7 +51,7 @@
     }
 
     companion object {
-        /** Time from the end of one stage until the tasks of the next run: its record, a round of requests. */
+        /** Time from the end of one stage to the start of the next: the completion is recorded, then a round of requests runs. */
         const val STAGE_TRANSITION_US = 4 * SECOND
     }
 }
--- a/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
@@ -5,13 +5,13 @@
 import lichenstage.model.JobSpec
 import lichenstage.model.Resources
 
-/** A placement request that is broadcast, and the job that it is for. */
+/** A placement request that is broadcast to the partitions, with its job. */
 data class JobRequest(
     val request: PlacementRequest,
     val job: Job,
 )
 
-/** Plans the requests of a round for the jobs in the order of the queue. */
+/** The planner of the placement requests of one round, for jobs in queue order. */
 internal class RequestPlanner(
     private val settings: PlacementSettings,
     private val objectives: ServiceObjectives,
@@ -19,7 +19,7 @@
     private val zones: ZoneConstraints,
     private val fetchUs: (JobSpec) -> Long,
 ) {
-    /** Room for so many tasks of a job is to be requested. */
+    /** The decision to request capacity for [tasks] tasks of a job. */
     private class PlannedRequest(
         val job: Job,
         val tasks: Int,
@@ -28,9 +28,10 @@
     private var requestCounter = 0L
 
     /**
-     * Requests for the first of [jobs], within the quotas of their teams.
+     * Returns the placement requests for the first of [jobs], within the quotas of their teams.
      *
-     * @param allowedTasks how many tasks of a job its team may start beside the resources that are planned in this round
+     * @param allowedTasks returns how many tasks of a job its team may start in addition to the resources already planned for the team in
+     *   this round
      */
     fun planRequests(
         jobs: List<Job>,
@@ -52,9 +53,12 @@
     }
 
     /**
-     * Consecutive jobs of the same urgency request room on machines that have their image first, all of them, and any room with later
-     * stamps: otherwise the first would take, with a fetch before it, the room that the next could use at once. A less urgent job does
-     * not come before a more urgent one because its image is there.
+     * Creates the requests for consecutive jobs of the same urgency. First all of them request machines that have their image; a job with
+     * a short fetch requests any machine from the start. The other requests for any machine follow, with higher request numbers.
+     * Otherwise the first job could take capacity that the next job could use at once, and occupy it while it fetches its image.
+     *
+     * Only jobs of the same urgency are treated together, so that a less urgent job does not overtake a more urgent one because its image
+     * is present.
      */
     private fun createImageRequestsFirst(
         planned: List<PlannedRequest>,
@@ -92,12 +96,16 @@
 
     private fun isUrgent(job: Job) = objectives.hasStartObjectiveWithin(job.spec.jobClass, URGENT_START_WITHIN_US)
 
-    /** Room is not used while an image is fetched for it: worth avoiding where the fetch isn't short beside the run. */
+    /**
+     * Returns whether the job should prefer machines that have its image. Capacity is not used during a fetch, so the preference pays off
+     * unless the fetch is short compared to the run.
+     */
     private fun benefitsFromImage(job: Job) = fetchUs(job.spec) * SHORT_FETCH_DIVISOR > runTimes.expectedRunTimeUs(job.spec)
 
     /**
-     * A job that is not urgent waits a moment for room on machines that have its image: where room becomes free all the time, some of it
-     * does there. Then it takes any room once, and so its image gets to more machines.
+     * Returns whether the job should wait for a machine that has its image. Only jobs that are not urgent wait, and only for a moment:
+     * where capacity becomes free all the time, some of it is on such machines. After the wait the job takes any machine once, which
+     * brings its image to more machines.
      */
     private fun shouldWaitForImage(
         job: Job,
@@ -112,10 +120,10 @@
         const val URGENT_START_WITHIN_US = 8 * SECOND
         const val MAX_IMAGE_WAIT_US = 3 * SECOND
 
-        /** A fetch is short where it takes less than one part in so many of the run. */
+        /** A fetch is short if it takes less than the run time divided by this number. */
         const val SHORT_FETCH_DIVISOR = 20
 
-        /** A job waits for one part in so many of its fetch. */
+        /** A job waits for its fetch time divided by this number, at most [MAX_IMAGE_WAIT_US]. */
         const val IMAGE_WAIT_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/lichenstage/placement/RequestRound.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRound.kt
@@ -3,10 +3,10 @@
 import lichenstage.cluster.HeldSlots
 
 /**
- * Placement requests that were broadcast together, and the offers that have come for them.
+ * The placement requests that were broadcast together, and the offers received for them.
  *
- * The round ends when the leader has waited alpha for a first offer or, after any offer, beta for another (names of the paper that
- * docs/design.md follows).
+ * The round ends if no offer is received for alpha after the start, or if no other partition makes an offer for beta after the last one
+ * (alpha and beta are names from the paper that docs/design.md follows).
  */
 class RequestRound(
     val requests: List<JobRequest>,
@@ -20,8 +20,8 @@
         private set
 
     /**
-     * Adds a partition's offer for the request with this [requestNumber]; offers for requests of other rounds are ignored. The first
-     * offer of each partition moves the end of the round to [betaUs] after [nowUs].
+     * Adds a partition's offer for the request with this number. Offers for requests of other rounds are ignored. The first offer of each
+     * partition moves the end of the round to [betaUs] after [nowUs].
      */
     fun addOffer(
         partition: String,
@@ -35,9 +35,9 @@
         if (partitionsWithOffer.add(partition)) endsAtUs = nowUs + betaUs
     }
 
-    /** All of [partitions] have made an offer, perhaps an empty one. */
+    /** Returns whether all of [partitions] have made an offer. An empty offer counts. */
     fun hasOfferFromAll(partitions: Set<String>) = partitionsWithOffer.containsAll(partitions)
 
-    /** The offers for the request with this [requestNumber], by partition. */
+    /** Returns the offers for the request with this number, by partition. */
     fun offersFor(requestNumber: Long): Map<String, List<HeldSlots>> = offers[requestNumber] ?: emptyMap()
 }
--- a/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
@@ -6,27 +6,27 @@
 import lichenstage.model.PartitionAssignment
 import lichenstage.model.Resources
 
-/** What the leader knows that a round of requests depends on. */
+/** The part of the leader's state that a round of requests depends on. */
 internal interface RoundContext {
-    /** The state of a partition; null while no frame of it has come. */
+    /** Returns the state of a partition, or null if no frame from it has been received. */
     fun partition(id: String): PartitionState?
 
-    /** How many of the [held] slots on a machine may be used. */
+    /** Returns how many of the [held] slots on a machine may be used. */
     fun usableSlots(
         machine: String,
         held: Int,
     ): Int
 
-    /** Resources in use that can't be attributed to a team, and so count for each of them. */
+    /** Returns the resources in use that can't be attributed to a team. They count against the quota of every team. */
     fun unaccountedUse(): Resources
 
-    /** Partitions of which a frame came not long ago: a round waits for no others. */
+    /** Returns the partitions that have recently sent a frame. A round waits only for their offers. */
     fun reachablePartitions(nowUs: Long): Set<String>
 }
 
 /**
- * Runs rounds of placement requests, one at a time: broadcasts requests, collects offers, starts tasks on the roomiest of them (worst
- * fit), and releases the rest.
+ * The runner of rounds of placement requests, one round at a time. A round broadcasts requests, collects offers, starts tasks on the
+ * roomiest offers (worst fit), and releases the other offers.
  */
 internal class RequestRoundRunner(
     private val term: Long,
@@ -43,19 +43,23 @@
     private var hasChangedSinceRound = true
     private var roundStartedAtUs = Long.MIN_VALUE / 2
 
-    /** Something has changed that a request could gain by: the next round need not wait for the idle interval. */
+    /** Records a change from which a request could benefit. The next round then does not wait for the idle interval. */
     fun markChanged() {
         hasChangedSinceRound = true
     }
 
-    /** Takes a partition's offer; one for an earlier round is ignored. */
+    /** Adds a partition's offer to the current round. Offers for earlier rounds are ignored. */
     fun addOffer(
         partition: String,
         offer: Offer,
         nowUs: Long,
     ) = currentRound?.addOffer(partition, offer.stamp, offer.held, nowUs, settings.betaUs)
 
-    /** Ends and begins rounds as time passes; [waiting] gives the jobs with tasks to place, in the order of the queue. */
+    /**
+     * Ends the current round and begins the next one if they are due.
+     *
+     * @param waiting returns the jobs with tasks to place, in queue order
+     */
     fun tick(
         nowUs: Long,
         waiting: () -> List<Job>,
@@ -89,7 +93,7 @@
         assignment.partitions.forEach { outbox.send(it, nowUs, requests = frames) }
     }
 
-    /** Starts tasks on the roomiest of the held slots, and releases the rest. */
+    /** Starts tasks on the roomiest of the held slots, and releases the other slots. */
     private fun endRound(
         endingRound: RequestRound,
         nowUs: Long,
@@ -132,7 +136,7 @@
             if (index < 0) break
             val attempt = Attempt(job, index, nextAttemptNumber(), slot.machine, slot.partition)
             attempt.partitionTerm = context.partition(slot.partition)!!.term
-            // Until the frame with its start is sent, no frame of the partition tells anything of it.
+            // A frame from the partition says nothing about the attempt until the frame with its start has been sent.
             attempt.seq = Long.MAX_VALUE
             attempts.track(attempt)
             job.placedUs = nowUs
@@ -147,7 +151,10 @@
         return if (usable > 0) held.copy(count = usable) else null
     }
 
-    /** Unique and rising over all leaders without a write: the term is the high part (invariant 7). */
+    /**
+     * Returns an attempt number that is unique and increases over all leaders. The term is its high part, so no write is needed
+     * (invariant 7).
+     */
     private fun nextAttemptNumber() = (term shl TERM_SHIFT) + ++attemptCounter
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/RunTimeEstimates.kt
+++ b/src/main/kotlin/lichenstage/placement/RunTimeEstimates.kt
@@ -5,11 +5,13 @@
 import kotlin.math.ln
 
 /**
- * Expected run times of tasks. The owners' estimates are the prior; the mean error of the estimates of a class is learned from its
- * completions, since on some days they are mostly too high or mostly too low.
+ * The expected run times of tasks.
+ *
+ * The users' estimates are the prior. The mean error of the estimates of a class is learned from completed tasks, because on some days
+ * the estimates are mostly too high or mostly too low.
  */
 class RunTimeEstimates {
-    /** The weighted sum of the logarithms of run time by estimate, which forgets old completions. */
+    /** The weighted sum of the logarithms of run time divided by estimate. Old completions lose their weight. */
     private class LogRatio(
         var sum: Double = 0.0,
         var weight: Double = 0.0,
@@ -17,7 +19,7 @@
 
     private val logRatioByClass = HashMap<String, LogRatio>()
 
-    /** A task of the job has completed after [actualRunTimeUs]. */
+    /** Records that a task of the job has completed with a run time of [actualRunTimeUs]. */
     fun recordCompletion(
         spec: JobSpec,
         actualRunTimeUs: Long,
@@ -25,26 +27,26 @@
         if (spec.estimatedRunTimeUs <= 0 || actualRunTimeUs <= 0) return
         val logRatio = logRatioByClass.getOrPut(spec.jobClass) { LogRatio() }
         val ratio = ln(actualRunTimeUs.toDouble() / spec.estimatedRunTimeUs).coerceIn(-MAX_LOG_RATIO, MAX_LOG_RATIO)
-        // One task of a large job says less than one of a small job: all of a job's tasks share its estimate.
+        // All tasks of a job share one estimate, so a task of a large job counts less than a task of a small job.
         val weight = 1.0 / spec.tasks
         logRatio.sum = logRatio.sum * (1 - weight / DECAY_JOBS) + ratio * weight
         logRatio.weight = logRatio.weight * (1 - weight / DECAY_JOBS) + weight
     }
 
-    /** Expected run time of one task of the job, in microseconds. */
+    /** Returns the expected run time of one task of the job, in microseconds. */
     fun expectedRunTimeUs(spec: JobSpec): Long {
         val logRatio = logRatioByClass[spec.jobClass] ?: return spec.estimatedRunTimeUs
         return (spec.estimatedRunTimeUs * exp(logRatio.sum / (logRatio.weight + PRIOR_WEIGHT_JOBS))).toLong()
     }
 
     private companion object {
-        /** The logarithm of the largest factor by which the estimates of a class are taken to be off. */
+        /** The largest error that is learned from one task, as the natural logarithm of run time divided by estimate. */
         const val MAX_LOG_RATIO = 1.5
 
-        /** After so many jobs the learned error counts half. */
+        /** The number of completed jobs after which the learned error counts half. */
         const val PRIOR_WEIGHT_JOBS = 3.0
 
-        /** After so many further jobs a completion has lost most of its weight. */
+        /** The number of further jobs after which a completion has lost most of its weight. */
         const val DECAY_JOBS = 30.0
     }
 }
--- a/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
+++ b/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
@@ -7,15 +7,15 @@
 /**
  * A time by which all tasks of a job should have started.
  *
- * @property startByUs on the steady clock
- * @property isPerTask each task counts that starts in time; otherwise the job counts as a whole
+ * @property startByUs time on the steady clock
+ * @property isPerTask true if each task that starts in time counts, false if the job counts as a whole
  */
 data class StartObjective(
     val startByUs: Long,
     val isPerTask: Boolean,
 )
 
-/** The service-level objectives of each class of jobs, as times by which tasks must start. */
+/** The service-level objectives of each job class, as times by which tasks must start. */
 class ServiceObjectives(
     objectives: List<Objective>,
 ) {
@@ -26,7 +26,7 @@
 
     private val guaranteeUs = objectives.filter { it.kind == ObjectiveKind.GUARANTEE }.mapNotNull { it.withinUs }.minOrNull()
 
-    /** The jobs that fit into their team's guarantee together with the team's earlier open jobs. */
+    /** Returns the jobs that fit into their team's guarantee together with the earlier open jobs of the team. */
     fun selectGuaranteedJobs(
         jobs: Collection<Job>,
         teams: Map<String, Team>,
@@ -46,28 +46,31 @@
             }
     }
 
-    /** Some objective of the class asks for a start within less than [withinUs]. */
+    /** Returns whether an objective of the class requires a start in less than [withinUs]. */
     fun hasStartObjectiveWithin(
         jobClass: String,
         withinUs: Long,
     ) = timesByKindAndClass[ObjectiveKind.WAIT to jobClass].orEmpty().any { it < withinUs }
 
-    /** The job's own deadline on the steady clock, counted from its submission however long it was blocked; null where it has none. */
+    /**
+     * Returns the time on the steady clock of the job's own deadline, or null if it has none. A deadline counts from the submission, also
+     * while the job is blocked.
+     */
     fun deadlineAtUs(job: Job): Long? = job.spec.deadlineUs?.let { job.submittedAtUs + it }
 
-    /** The times by which the job should be complete, the earliest first. */
+    /** Returns the times by which the job should be complete, the earliest first. */
     private fun dueTimesAtUs(job: Job): List<Long> {
         val finishWithinUs = timesByKindAndClass[ObjectiveKind.FINISHED to job.spec.jobClass].orEmpty()
         return (listOfNotNull(deadlineAtUs(job)) + finishWithinUs.map { job.readyUs + it }).sorted()
     }
 
     /**
-     * The objectives of the job that can still be met, the earliest first. One that would be missed by little is kept, since run times
-     * are estimates; its time is then now.
+     * Returns the objectives of the job that can still be met, the earliest first. Run times are estimates, so an objective that would be
+     * missed by a small margin is kept, with the current time as its start time.
      *
      * @param runUs expected run time of one task
-     * @param isGuaranteed the job is within its team's guarantee, which has an objective of its own
-     * @param inheritedDueAtUs when the job's dependents need it to be complete; null where none does
+     * @param isGuaranteed whether the job is within its team's guarantee, which has an objective of its own
+     * @param inheritedDueAtUs time by which the dependents need the job to be complete; null if they have no deadline
      */
     fun findAttainableObjectives(
         job: Job,
@@ -87,7 +90,7 @@
     }
 
     private companion object {
-        /** An objective can still be met while it is missed by no more than one part in so many of the run time. */
+        /** An objective can still be met if its start is late by at most the run time divided by this number. */
         const val TOLERANCE_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/lichenstage/placement/ZoneConstraints.kt
+++ b/src/main/kotlin/lichenstage/placement/ZoneConstraints.kt
@@ -3,14 +3,14 @@
 import lichenstage.cluster.HeldSlots
 import lichenstage.model.PartitionAssignment
 
-/** The zones in which tasks of a job may be placed, given its other tasks: single-zone and spread jobs. */
+/** The zones in which tasks of a job may be placed. For single-zone and spread jobs they depend on where the other tasks are. */
 internal class ZoneConstraints(
     private val assignment: PartitionAssignment,
 ) {
-    /** The zone of a partition. */
+    /** Returns the zone of a partition, or the name of the partition if the assignment does not contain it. */
     fun zoneOf(partition: String) = assignment.zone(partition) ?: partition
 
-    /** The only zone to request room in, or null. A job whose tasks must share a zone stays in the one where tasks of it are. */
+    /** Returns the only zone to request capacity in, or null for all zones. A single-zone job stays in the zone of its live attempts. */
     fun requestedZone(job: Job): String? {
         if (job.spec.zone != null || !job.spec.sameZone) return job.spec.zone
         return job.liveAttempts.values
@@ -18,7 +18,10 @@
             ?.let { assignment.zone(it.partition) }
     }
 
-    /** How many more tasks of the job each zone may get. A spread job has at most half of its tasks in one zone. */
+    /**
+     * Returns a function from a zone to the number of further tasks of the job that may be placed there. A spread job has at most half of
+     * its tasks in one zone, rounded up.
+     */
     fun remainingTasksByZone(
         job: Job,
         offers: Map<String, List<HeldSlots>>,
--- a/src/test/kotlin/lichenstage/placement/DemandEstimatorTest.kt
+++ b/src/test/kotlin/lichenstage/placement/DemandEstimatorTest.kt
@@ -36,19 +36,22 @@
         override fun readyInUs(job: Job) = readyInS * SECOND
     }
 
-    /** Neither as work due now nor first when it is ready: a machine needs a boot time. */
+    /**
+     * Guards against two faults: a blocked job counts as work that is due now, or it counts only once it is ready. Machines need time to
+     * boot.
+     */
     @Example
-    fun `a job that waits for dependencies asks for machines from one and a half boot times before it is ready`() {
+    fun `a blocked job demands machines from one and a half boot times before it is ready`() {
         val blockedJob = job(2, dependencies = listOf("j-1"))
 
         fun demandWhenReadyIn(readyInS: Long) = DemandEstimator.estimateDemand(listOf(blockedJob), machineTypes, inputs(readyInS))
-        assertTrue(demandWhenReadyIn(60).isEmpty()) { "asks a minute before" }
+        assertTrue(demandWhenReadyIn(60).isEmpty()) { "demands machines a minute before it is ready" }
         val demand = demandWhenReadyIn(40).single()
         assertTrue(demand.busy == 0.0 && demand.foreseenInUs == 45 * SECOND && demand.dueUs == null) { "$demand" }
     }
 
     @Example
-    fun `demand counts run and fetch time of all tasks that are left, by machine`() {
+    fun `demand includes the run time and the fetch time of all remaining tasks per machine`() {
         val demand = DemandEstimator.estimateDemand(listOf(job(1, tasks = 32)), machineTypes, inputs(dueAtUs = 99)).single()
         assertEquals(2.0, demand.machines)
         assertEquals(2.0 * 52 * SECOND, demand.workUs, "50 s of run and 2 s of fetch for 16 tasks on each machine")
@@ -58,14 +61,14 @@
     }
 
     @Example
-    fun `jobs of a team share its quota, and one without any left asks for nothing`() {
+    fun `jobs of a team share its quota, and a job for which no quota is left has no demand`() {
         val jobs = listOf(job(1, tasks = 16), job(2, tasks = 16), job(3, tasks = 16))
         val demand = DemandEstimator.estimateDemand(jobs, machineTypes, inputs(maxCores = 24.0))
         assertEquals(listOf(1.0, 0.5), demand.map { it.machines })
     }
 
     @Example
-    fun `an arrival counts the whole job, and one that fits nowhere is none`() {
+    fun `an arrival covers the whole job, and a job without a compatible machine type has no arrival`() {
         val arrival = DemandEstimator.estimateArrival(job(1, tasks = 32), machineTypes, 50 * SECOND) { it.bootUs > 20 * SECOND }!!
         assertEquals(2.0, arrival.machines)
         assertEquals(52 * SECOND, arrival.runUs)
--- a/src/test/kotlin/lichenstage/placement/GraphFoldTest.kt
+++ b/src/test/kotlin/lichenstage/placement/GraphFoldTest.kt
@@ -13,7 +13,7 @@
         }
 
     @Example
-    fun `a node is computed from its dependencies, and each node once`() {
+    fun `each node is computed once, from its dependencies`() {
         assertEquals(3, depth.valueOf("d"))
         assertEquals(2, depth.valueOf("b"))
         assertEquals(setOf("a", "b", "c", "d"), computed.toSet())
--- a/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
+++ b/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Assertions.assertSame
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Who comes first, and that nobody waits for ever. */
+/** Tests which job comes first, and that no job waits forever. */
 class JobQueueTest {
     private val serviceObjectives = ServiceObjectives(listOf(Objective(ObjectiveKind.WAIT, "quick", 2 * SECOND)))
 
@@ -22,8 +22,11 @@
     ) = Job(oneCoreSpec(number, jobClass, priority, tasks), number.toLong(), submittedAtUs).apply { enqueueTasks() }
 
     /**
-     * Twice as much comes as can be done, all of it promised and of higher priority; the largest job of the class without a
-     * promise still begins in time. With [agingThresholdUs] out of reach it does not: the guard is what does it.
+     * Returns the time in microseconds at which the largest job, which has no objective, starts under lasting overload. Null if it never
+     * starts.
+     *
+     * Twice as many tasks arrive as can be placed. All of them have an objective and a higher priority. If [agingThresholdUs] is out of
+     * reach the largest job never starts, which shows that ageing is the cause of its start.
      */
     private fun largestJobStartUs(agingThresholdUs: Long): Long? {
         val queue = JobQueue(serviceObjectives, emptyMap(), RunTimeEstimates(), agingThresholdUs)
@@ -38,7 +41,7 @@
                 jobs[number] = quickJob
                 queue.onJobAdded(quickJob)
             }
-            // 20 tasks are placed in a second, for the first jobs in the order.
+            // 20 tasks are placed per second, in queue order.
             var freeSlots = 20
             for (job in queue.sortWaitingJobs(jobs.values, { 20.0 }, s * SECOND)) {
                 if (job === largeJob) return s * SECOND
@@ -51,18 +54,18 @@
     }
 
     @Example
-    fun `the largest job of the least class begins within four minutes under lasting overload`() {
+    fun `under lasting overload the largest job of the lowest priority starts within four minutes`() {
         val startUs = largestJobStartUs(120 * SECOND)
-        assertTrue(startUs != null && startUs < 240 * SECOND) { "began after $startUs" }
-        assertNull(largestJobStartUs(Long.MAX_VALUE / 4)) { "it would have begun without ageing" }
+        assertTrue(startUs != null && startUs < 240 * SECOND) { "startUs=$startUs" }
+        assertNull(largestJobStartUs(Long.MAX_VALUE / 4)) { "the job starts without ageing" }
     }
 
     @Example
-    fun `age comes from the record, so that a new leader lets nobody wait anew`() {
+    fun `the age of a job counts from its record and survives a leader change`() {
         val queue = JobQueue(serviceObjectives, emptyMap(), RunTimeEstimates())
         val oldJob = job(1, "slow", 5, -200 * SECOND, Priority.LOW)
         val newJobs = List(5) { job(2 + it, "quick", 5, 0) }
         (newJobs + oldJob).forEach(queue::onJobAdded)
-        assertSame(oldJob, queue.sortWaitingJobs(newJobs + oldJob, { 1.0 }, 0).first()) { "not first" }
+        assertSame(oldJob, queue.sortWaitingJobs(newJobs + oldJob, { 1.0 }, 0).first()) { "the oldest job is not first" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/JobTableTest.kt
+++ b/src/test/kotlin/lichenstage/placement/JobTableTest.kt
@@ -5,25 +5,25 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** When the tasks of jobs may be placed, and how long a job is kept (invariant 5). */
+/** Tests when the tasks of jobs may be placed, and how long a job is kept (invariant 5). */
 class JobTableTest : LeaderFixture() {
     private var failoverComplete = false
     private val table = JobTable(leaderKeyRevision = 100) { failoverComplete }
 
     @Example
-    fun `when the failover is not complete then only jobs of this term are queued`() {
+    fun `before the failover is complete only jobs of this term are queued`() {
         val earlierTermJob = job("j-1", createRevision = 100)
         val currentTermJob = job("j-2", createRevision = 101)
         listOf(earlierTermJob, currentTermJob).forEach {
-            assertTrue(table.add(it)) { "${it.spec.id} was known" }
+            assertTrue(table.add(it)) { "${it.spec.id} is already in the table" }
             table.enqueueIfPlaceable(it)
         }
         assertFalse(earlierTermJob.placeable) { "an earlier leader may have started it" }
-        assertEquals(2, currentTermJob.pending.size) { "not queued" }
+        assertEquals(2, currentTermJob.pending.size) { "the job of this term is not queued" }
     }
 
     @Example
-    fun `when the failover completes then all ready jobs are queued, and none twice`() {
+    fun `when the failover completes all ready jobs are queued, and none of them twice`() {
         val earlierTermJob = job("j-1", createRevision = 50)
         val currentTermJob = job("j-2", createRevision = 101)
         listOf(earlierTermJob, currentTermJob).forEach(table::add)
@@ -31,30 +31,30 @@
         currentTermJob.nextPendingTask()
         failoverComplete = true
         table.enqueueAllReady()
-        assertEquals(2, earlierTermJob.pending.size) { "not queued" }
-        assertEquals(1, currentTermJob.pending.size) { "queued again" }
+        assertEquals(2, earlierTermJob.pending.size) { "the job of an earlier term is not queued" }
+        assertEquals(1, currentTermJob.pending.size) { "a placed task is queued again" }
     }
 
     @Example
-    fun `a job that has open dependencies is not queued`() {
+    fun `a job with open dependencies is not queued`() {
         failoverComplete = true
         val blockedJob = Job(spec("j-2").copy(dependencies = listOf("j-1")), 101, 0)
         table.add(blockedJob)
         table.enqueueIfPlaceable(blockedJob)
         table.enqueueAllReady()
-        assertTrue(blockedJob.pending.isEmpty && !blockedJob.placeable) { "queued" }
+        assertTrue(blockedJob.pending.isEmpty && !blockedJob.placeable) { "the blocked job is queued" }
     }
 
     @Example
-    fun `a closed job is kept as long as an attempt may be running`() {
+    fun `a closed job is kept while an attempt may be running`() {
         val job = job("j-1")
         table.add(job)
         job.liveAttempts.put(0, Attempt(job, 0, 1, "m1", "z/0"))
         job.phase = JobPhase.CLOSED
         table.removeIfClosed(job)
-        assertTrue("j-1" in table.byId) { "forgotten while it may be running" }
+        assertTrue("j-1" in table.byId) { "removed while an attempt may be running" }
         job.liveAttempts.clear()
         table.removeIfClosed(job)
-        assertTrue(table.byId.isEmpty()) { "kept" }
+        assertTrue(table.byId.isEmpty()) { "not removed after its last attempt" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -11,11 +11,13 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** What the leader asks for, starts, gives up and has recorded. */
+/** Tests the leader's requests, starts, stops, clears and records of tasks. */
 class LeaderRequestsTest : LeaderFixture() {
-    /** The order goes out with the next frame, the progress counts once the task is seen stopped, and the task is queued again. */
+    /**
+     * The save command goes out with the next frame. The progress counts once the task is seen as stopped, and the task is queued again.
+     */
     @Example
-    fun `when a machine has a spot notice then its tasks with checkpoints are ordered to save, and go on elsewhere`() {
+    fun `when a machine has a spot notice its tasks with checkpoints are told to save and are queued again`() {
         val spec =
             spec("j-1", tasks = 1).copy(
                 estimatedRunTimeUs = 100 * SECOND,
@@ -44,15 +46,15 @@
         assertEquals(listOf(attempt), sent("z").flatMap { it.saves }.map { it.attempt }) { "${sent("z").last()}" }
         receiveMachineFrame(TaskPhase.ENDED, 4, 45)
         assertTrue(job.totalSavedUs in 37 * SECOND..39 * SECOND) { "${job.totalSavedUs}" }
-        assertTrue(leader.machines.attemptsOn("m1").isEmpty() && job.pending.size == 1) { "not queued again" }
+        assertTrue(leader.machines.attemptsOn("m1").isEmpty() && job.pending.size == 1) { "the task is not queued again" }
     }
 
     @Example
-    fun `a start is dropped only when its partition has received it and does not list it`() {
+    fun `a start is dropped only if its partition has received it and does not list the attempt`() {
         val leader = placed()
         val seq = sent("z").last { it.starts.isNotEmpty() }.seq
         leader.partitionFrameReceived(partition("z", seq - 1, view("m1")), 2 * SECOND)
-        assertEquals(2, leader.machines.attemptsOn("m1").size) { "given up by a frame from before it" }
+        assertEquals(2, leader.machines.attemptsOn("m1").size) { "dropped because of a frame that was sent before the start was received" }
         leader.partitionFrameReceived(
             partition("z", seq, view("m1", TaskState("j-1/${starts()[0].index}", starts()[0].attempt, TaskPhase.PENDING))),
             2 * SECOND,
@@ -65,21 +67,21 @@
         ) { "${leader.machines.attemptsOn("m1").map { it.task }}" }
     }
 
-    /** A version before this one says in pieces what it told in whole frames that were lost. */
+    /** An earlier version puts into partial frames what it has reported in lost complete frames. */
     @Example
-    fun `a piece of a frame ends no attempt, whatever it claims`() {
+    fun `a partial frame ends no attempt, whatever it contains`() {
         val leader = placed()
         val seq = sent("z").last { it.starts.isNotEmpty() }.seq
         leader.partitionFrameReceived(partition("z", seq, view("m2"), whole = false), 2 * SECOND)
         leader.partitionFrameReceived(partition("z", seq, view("m1"), whole = false), 3 * SECOND)
         leader.tick(4 * SECOND)
-        assertEquals(2, leader.machines.attemptsOn("m1").size) { "given up by a frame that leaves out machines" }
+        assertEquals(2, leader.machines.attemptsOn("m1").size) { "ended by a partial frame, which leaves out machines" }
         leader.partitionFrameReceived(partition("z", seq, view("m1")), 5 * SECOND)
-        assertTrue(leader.machines.attemptsOn("m1").isEmpty()) { "kept although all is told" }
+        assertTrue(leader.machines.attemptsOn("m1").isEmpty()) { "kept after the final frame" }
     }
 
     @Example
-    fun `when a start is refused for another attempt on the machine then that one counts, in whatever order they are listed`() {
+    fun `when a start is refused because of another attempt on the machine the other attempt counts, in whatever order they are listed`() {
         for (refusedFirst in listOf(true, false)) {
             effects.clear()
             val job = job("j-1", tasks = 1)
@@ -95,45 +97,45 @@
                 leader.machines.attemptsOn("m1").map { it.number },
             ) { "${leader.machines.attemptsOn("m1").map { it.number }}" }
             leader.tick(60 * SECOND)
-            assertTrue(sent("z").none { frame -> frame.stops.any { it.attempt == attempt - 1 } }) { "the one that runs is stopped" }
+            assertTrue(sent("z").none { frame -> frame.stops.any { it.attempt == attempt - 1 } }) { "the running attempt is stopped" }
             leader.partitionFrameReceived(
                 partition("z", seq, view("m1", refused, otherAttempt.copy(phase = TaskPhase.ENDED, cause = "done"))),
                 61 * SECOND,
             )
-            assertTrue(job.allTasksDone) { "its end does not count" }
+            assertTrue(job.allTasksDone) { "the end of the running attempt does not count" }
         }
     }
 
     @Example
-    fun `a task on a machine that is recorded only later is tracked from then on`() {
+    fun `a task on a machine without a record is tracked once the machine is recorded`() {
         val leader = leader()
         leader.jobAdded(job("j-1", tasks = 1))
         leader.partitionFrameReceived(partition("z", 0, view("m1", TaskState("j-1/0", 9, TaskPhase.RUNNING))), SECOND)
-        assertTrue(leader.machines.attemptsOn("m1").isEmpty()) { "believed of a machine without record" }
+        assertTrue(leader.machines.attemptsOn("m1").isEmpty()) { "tracked on a machine without a record" }
         leader.machinesRegistered(mapOf("m1" to "z/0"))
-        assertEquals(listOf(9L), leader.machines.attemptsOn("m1").map { it.number }) { "not looked at again" }
+        assertEquals(listOf(9L), leader.machines.attemptsOn("m1").map { it.number }) { "not tracked after the machine is recorded" }
     }
 
     @Example
-    fun `under a new owner no attempt ends before the worker has shown the new fencing token`() {
+    fun `under a new owner no attempt ends before the worker has confirmed the new fencing token`() {
         val leader = placed()
         leader.partitionFrameReceived(partition("z", 0, view("m1", tokenConfirmed = false), term = 4), 3 * SECOND)
-        assertEquals(2, leader.machines.attemptsOn("m1").size) { "given up too early" }
+        assertEquals(2, leader.machines.attemptsOn("m1").size) { "ended before the fencing token is confirmed" }
         leader.partitionFrameReceived(partition("z", 0, view("m1"), term = 4), 4 * SECOND)
-        assertTrue(leader.machines.attemptsOn("m1").isEmpty()) { "kept" }
+        assertTrue(leader.machines.attemptsOn("m1").isEmpty()) { "kept after the fencing token is confirmed" }
     }
 
     @Example
-    fun `limits count what is started`() {
+    fun `started tasks count against the limit of the team`() {
         val leader = placed()
         leader.jobAdded(job("j-2"))
         effects.clear()
         leader.tick(5 * SECOND)
-        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "asked beyond the limit of 8 cores" }
+        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "requested beyond the limit of 8 cores" }
     }
 
     @Example
-    fun `a done task is recorded before it is cleared, and the job is closed only with its record`() {
+    fun `a done task is recorded before it is cleared, and the job is closed once its completion is recorded`() {
         val leader = placed()
         val ended = starts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.ENDED, "done") }
         val seq = sent("z").last().seq
@@ -144,11 +146,11 @@
         assertTrue(sent("z").all { it.clears.isEmpty() }) { "cleared before the record was written" }
         leader.completionRecorded(end.job, 3 * SECOND)
         leader.tick(4 * SECOND)
-        assertTrue(sent("z").last().clears.size == 2 && "j-1" !in leader.jobs) { "not cleared" }
+        assertTrue(sent("z").last().clears.size == 2 && "j-1" !in leader.jobs) { "tasks not cleared or job not closed" }
     }
 
     @Example
-    fun `attempts of a cancelled job are stopped and count until they have ended`() {
+    fun `attempts of a cancelled job are stopped, and count against the limit until they have ended`() {
         val leader = placed()
         val running = starts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.RUNNING) }.toTypedArray()
         leader.partitionFrameReceived(partition("z", sent("z").last().seq, view("m1", *running)), 2 * SECOND)
@@ -156,45 +158,45 @@
         leader.jobAdded(job("j-2"))
         effects.clear()
         leader.tick(3 * SECOND)
-        assertEquals(2, sent("z").last().stops.size) { "not stopped" }
-        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "its cores were given away" }
+        assertEquals(2, sent("z").last().stops.size) { "attempts not stopped" }
+        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "cores of running attempts were requested again" }
         leader.partitionFrameReceived(
             partition("z", sent("z").last().seq, view("m1").copy(removedAttempts = running.map { it.attempt })),
             4 * SECOND,
         )
         leader.tick(4 * SECOND)
-        assertEquals("j-2", lastAsk().requests.single().job) { "its cores were not freed" }
+        assertEquals("j-2", lastAsk().requests.single().job) { "cores were not released after the attempts had ended" }
     }
 
     @Example
-    fun `attempts rise from leader to leader`() {
+    fun `attempt numbers increase from leader to leader`() {
         placed()
         assertTrue(starts().all { it.attempt > (6L shl 32) + 0xffff_ffffL }) { "${starts()}" }
     }
 
     @Example
-    fun `a job with open dependencies requests nothing and counts for no limit until all of them are recorded as done`() {
+    fun `a job with open dependencies requests nothing and counts against no limit until all of them are recorded as done`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         val blockedJob = Job(spec("j-2").copy(dependencies = listOf("j-1")), 101, 0)
         leader.jobAdded(blockedJob)
         leader.partitionFrameReceived(partition("z", 0, view("m1")), SECOND)
         leader.tick(2 * SECOND)
-        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "asked before all that it needs was done" }
+        assertTrue(sent("z").none { it.requests.isNotEmpty() }) { "requested before all its dependencies are done" }
         leader.jobAdded(job("j-3", createRevision = 102))
         leader.tick(3 * SECOND)
-        assertEquals("j-3", lastAsk().requests.single().job) { "the other job is held up" }
+        assertEquals("j-3", lastAsk().requests.single().job) { "the job without dependencies is held up" }
         leader.partitionFrameReceived(partition("z", 1, view("m1"), offers = offer(lastAsk(), "m1", 2)), 3 * SECOND)
         leader.tick(4 * SECOND)
         leader.jobReady(blockedJob, 4 * SECOND)
         leader.tick(5 * SECOND)
-        assertTrue(blockedJob.placeable && blockedJob.readyUs == 4 * SECOND) { "not let go" }
+        assertTrue(blockedJob.placeable && blockedJob.readyUs == 4 * SECOND) { "not released" }
         leader.jobReady(blockedJob, 9 * SECOND)
-        assertEquals(4 * SECOND, blockedJob.readyUs) { "ready twice" }
+        assertEquals(4 * SECOND, blockedJob.readyUs) { "the second call has changed the time" }
     }
 
     @Example
-    fun `room with the image is asked for before any room, but not before what is in more of a hurry`() {
+    fun `machines with the image are requested before any machine, but not before the requests of a more urgent job`() {
         val serviceObjectives = ServiceObjectives(listOf(Objective(ObjectiveKind.WAIT, "quick", 2 * SECOND)))
         val leader =
             leader(
--- a/src/test/kotlin/lichenstage/placement/MachineRegistryTest.kt
+++ b/src/test/kotlin/lichenstage/placement/MachineRegistryTest.kt
@@ -15,9 +15,12 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 class MachineRegistryTest {
-    /** Written under 8 KiB, read under 2: in whatever order writes fail, every machine is in the record all the time. */
+    /**
+     * The chunks are written under a limit of 8 KiB and loaded under a limit of 2 KiB. Every machine must be recorded at all times, in
+     * whatever order writes fail.
+     */
     @Property(tries = 100, seed = "78")
-    fun `pages of a larger limit are split without a machine being left out for a moment`(
+    fun `chunks of a larger limit are split while every machine stays recorded`(
         @ForAll outcomes: List<Boolean>,
     ) {
         val earlierRegistry = MachineRegistry(8192)
@@ -39,13 +42,13 @@
             val chunks = registry.takeDueChunks(4)
             if (!ok) registry.onWriteFailed(chunks)
             for (chunk in chunks.takeIf { ok }.orEmpty()) {
-                assertTrue(MachineRecordCodec.encode(chunk.machines).encode().length <= 2048) { "a page over the limit" }
+                assertTrue(MachineRecordCodec.encode(chunk.machines).encode().length <= 2048) { "a chunk exceeds the limit" }
                 store[chunk.key] = Entry(chunk.key, MachineRecordCodec.encode(chunk.machines), 1)
             }
             val recordedNames = store.values.flatMap { MachineRecordCodec.decode(it.value) }.mapTo(HashSet()) { it.name }
-            assertTrue(machines.all { it.name in recordedNames || it.name in removedNames }) { "left out for a moment" }
+            assertTrue(machines.all { it.name in recordedNames || it.name in removedNames }) { "a machine is temporarily not recorded" }
         }
-        assertTrue(!registry.hasUnwritten && store.values.all { it.value.encode().length <= 2048 }) { "not split" }
+        assertTrue(!registry.hasUnwritten && store.values.all { it.value.encode().length <= 2048 }) { "the chunks are not split" }
         val nextRegistry = MachineRegistry(2048)
         assertEquals(
             machines.map { it.name }.toSet() - removedNames.toSet(),
@@ -53,14 +56,14 @@
                 .flatMap(nextRegistry::load)
                 .map { it.name }
                 .toSet(),
-        ) { "lost" }
+        ) { "the records differ from the machines" }
     }
 
     private fun machine(number: Int) = RegisteredMachine("vm-${1000000 + number}", "type", "zone", number % 2 == 0, "10.200.100.50:9000")
 
-    /** Machines come and go and writes fail; what a new leader reads is what was there at the last write that succeeded. */
+    /** Machines come and go, and writes fail. A new leader must read the state at the last write that succeeded. */
     @Property(tries = 100, seed = "77")
-    fun `what is written is what a new leader reads, in few changes`(
+    fun `a new leader reads the machines that were written, and few changes are needed`(
         @ForAll steps: List<Int>,
     ) {
         val registry = MachineRegistry(8192)
@@ -77,7 +80,7 @@
                     is Change.Put -> store[change.key] = Entry(change.key, change.value, 1)
                     is Change.Delete -> store.remove(change.key)
                 }
-                if (change is Change.Put) assertTrue(change.value.encode().length <= 8192) { "a page over the limit" }
+                if (change is Change.Put) assertTrue(change.value.encode().length <= 8192) { "a chunk exceeds the limit" }
             }
         }
         for (step in steps) {
@@ -93,12 +96,12 @@
         repeat(30) { write(ok = true) }
         val nextRegistry = MachineRegistry(8192)
         val read = store.values.flatMap(nextRegistry::load)
-        assertEquals(expectedNumbers.map(::machine).toSet(), read.toSet()) { "$read, not $expectedNumbers" }
+        assertEquals(expectedNumbers.map(::machine).toSet(), read.toSet()) { "read $read instead of $expectedNumbers" }
         assertTrue(changes <= steps.size + 30) { "$changes changes for ${steps.size} steps" }
     }
 
     @Example
-    fun `when a page can't be read then the error names its key and the machine on it`() {
+    fun `the error for an unreadable chunk names its key and the machine in it`() {
         val readable =
             JsonArray()
                 .add("m1")
--- a/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
@@ -27,13 +27,13 @@
     private fun ids(jobs: List<Job>) = jobs.map { it.spec.id }
 
     @Example
-    fun `where all objectives can be met the earliest due comes first whatever its priority`() {
+    fun `if all objectives can be met the job with the earliest due time comes first, whatever its priority`() {
         val order = ObjectiveOrder.sort(listOf(queuedJob(1, 5.0, 100), queuedJob(2, 5.0, 50, priority = Priority.LOW)), 1.0, 0)
         assertEquals(listOf("j-2", "j-1"), ids(order)) { "${ids(order)}" }
     }
 
     @Example
-    fun `the largest of the lowest priority is postponed`() {
+    fun `if not all objectives can be met the largest job of the lowest priority is postponed`() {
         val queuedJobs =
             listOf(
                 queuedJob(1, 60.0, 70),
@@ -48,14 +48,14 @@
     }
 
     @Example
-    fun `where starts are counted by tasks a large job is not postponed for its size`() {
+    fun `a large job is not postponed for its size if its start objective counts per task`() {
         val large = QueuedJob(Job(spec(1, Priority.HIGH), 1, 0), 60.0, listOf(PlannedObjective(70, 6.0)), SECOND)
         val small = QueuedJob(Job(spec(2, Priority.HIGH), 2, 0), 20.0, listOf(PlannedObjective(75, 1.0)), SECOND)
-        assertEquals(listOf("j-1", "j-2"), ids(ObjectiveOrder.sort(listOf(large, small), 1.0, 0))) { "the large one was postponed" }
+        assertEquals(listOf("j-1", "j-2"), ids(ObjectiveOrder.sort(listOf(large, small), 1.0, 0))) { "the large job was postponed" }
     }
 
     @Example
-    fun `a job that is postponed is planned for its next objective`() {
+    fun `a postponed job is planned for its next objective`() {
         val queuedJobs = listOf(queuedJob(1, 60.0, 70, 200), queuedJob(2, 20.0, 75), queuedJob(3, 30.0, 300))
         assertEquals(
             listOf("j-2", "j-1", "j-3"),
@@ -64,7 +64,7 @@
     }
 
     @Property(tries = 200, seed = "31")
-    fun `every job is in the order once`(
+    fun `every job appears exactly once in the order`(
         @ForAll @IntRange(min = 0, max = 40) count: Int,
         @ForAll seed: Long,
     ) {
--- a/src/test/kotlin/lichenstage/placement/OfferSelectionTest.kt
+++ b/src/test/kotlin/lichenstage/placement/OfferSelectionTest.kt
@@ -31,27 +31,27 @@
     ) = liveAttempts.put(index, Attempt(this, index, 10L + index, "m", partition))
 
     @Example
-    fun `a zone gets no more tasks than it may, and single-zone jobs the zone that offers most`() {
+    fun `a zone gets no more tasks than its limit, and the best zone is the one that offers most`() {
         val spread = OfferSelection.selectRoomiest(offers, 9, ::zoneOf) { 5 }
         assertTrue(spread.count { zoneOf(it.partition) == "z" } == 5 && spread.size == 9) { "$spread" }
-        assertEquals("z", OfferSelection.bestZone(offers, ::zoneOf)) { "not the larger offer" }
+        assertEquals("z", OfferSelection.bestZone(offers, ::zoneOf)) { "not the zone with the larger offer" }
     }
 
     @Example
-    fun `the machine with room for most tasks is filled first, and among equals the fullest`() {
+    fun `the machine with room for most tasks is filled first, and among equals the fullest machine`() {
         fun selected(maxTasks: Int) = OfferSelection.selectRoomiest(offers, maxTasks, ::zoneOf) { Int.MAX_VALUE }.map { it.machine }
-        assertEquals(List(6) { "c" } + "b", selected(7), "one task is left, and b has least room beside it")
-        assertEquals(listOf("b"), selected(1), "all have room for it")
+        assertEquals(List(6) { "c" } + "b", selected(7), "one task is left, and b has the least room besides it")
+        assertEquals(listOf("b"), selected(1), "all machines have room for the task")
     }
 
     @Example
-    fun `without offers nothing is selected and no zone is best`() {
+    fun `without offers no slot is selected and there is no best zone`() {
         assertTrue(OfferSelection.selectRoomiest(emptyMap(), 5, ::zoneOf) { Int.MAX_VALUE }.isEmpty())
         assertNull(OfferSelection.bestZone(emptyMap(), ::zoneOf))
     }
 
     @Example
-    fun `an independent job may use any zone without limit`() {
+    fun `a job without zone constraints may use any zone without limit`() {
         val remaining = zones.remainingTasksByZone(job(), offers)
         assertEquals(listOf(Int.MAX_VALUE, Int.MAX_VALUE), listOf("y", "z").map(remaining))
     }
@@ -67,7 +67,7 @@
     }
 
     @Example
-    fun `a single-zone job begins in the zone that offers most and stays where its tasks are`() {
+    fun `a single-zone job starts in the zone that offers most and stays in the zone of its tasks`() {
         val job = job(sameZone = true)
         assertNull(zones.requestedZone(job))
         assertEquals(listOf(0, Int.MAX_VALUE), listOf("y", "z").map(zones.remainingTasksByZone(job, offers)))
--- a/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
@@ -19,7 +19,7 @@
     ) = Job(oneCoreSpec(number, "c", priority, 2, runS * SECOND).copy(deadlineUs = dueS?.let { it * SECOND }), number.toLong(), 0)
 
     @Example
-    fun `a deadline is planned backwards along the longest chain, a priority comes from whoever waits`() {
+    fun `a job inherits a due time along the longest chain and the highest priority of its dependents`() {
         val first = job(1, 10)
         val thumbs = job(2, 25)
         val drafts = job(3, 60)
@@ -40,14 +40,14 @@
     }
 
     @Example
-    fun `deep chains are walked without recursion, and each job once`() {
+    fun `a chain of 20000 jobs is computed without recursion and each job once`() {
         val jobs = List(20_000) { job(it, 1, dueS = if (it == 19_999) 100 else null) }
         jobs.zipWithNext { a, b -> dependents[a] = listOf(b) }
-        assertNotNull(pipelineDeadlines.Snapshot().inheritedPriorityOf(jobs[0]).dueAtUs) { "the last deadline is lost" }
+        assertNotNull(pipelineDeadlines.Snapshot().inheritedPriorityOf(jobs[0]).dueAtUs) { "the deadline of the last job is not inherited" }
     }
 
     @Example
-    fun `a first stage of low priority is placed before what has more time`() {
+    fun `a first stage of low priority is placed before a job with a later due time`() {
         val first = job(1, 10)
         val last = job(2, 8, dueS = 60, priority = Priority.HIGH)
         dependents[first] = listOf(last)
@@ -60,6 +60,6 @@
         assertEquals(
             listOf(first, laterDueJob),
             queue.sortWaitingJobs(listOf(laterDueJob, first), { 2.0 }, SECOND),
-        ) { "not planned backwards" }
+        ) { "the first stage has no inherited due time" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
@@ -32,7 +32,7 @@
     ) = (forecast.Snapshot(nowS * SECOND).readyAtUs(job) - nowS * SECOND) / SECOND
 
     @Example
-    fun `a job is ready at the end of the longest chain of what it needs`() {
+    fun `a job is ready at the end of the longest chain of its dependencies`() {
         job(1, 10)
         val thumbs = job(2, 25, 1)
         job(3, 60, 1)
@@ -42,18 +42,18 @@
     }
 
     @Example
-    fun `what runs counts from its start, and what is over holds nothing up`() {
+    fun `a running dependency counts from its start, and a finished dependency causes no delay`() {
         val first = job(1, 10)
         val next = job(2, 5, 1, 77)
         while (first.nextPendingTask() >= 0) first.placedUs = 20 * SECOND
         assertEquals(1 + 10 - 5 + 4L, readyInS(next, nowS = 25)) { "${readyInS(next, nowS = 25)}" }
-        assertEquals(4L, readyInS(next, nowS = 99)) { "an overdue end is expected now" }
+        assertEquals(4L, readyInS(next, nowS = 99)) { "an overdue dependency is expected to end now" }
         first.phase = JobPhase.CLOSED
         assertEquals(0L, readyInS(next, nowS = 99)) { "${readyInS(next, nowS = 99)}" }
     }
 
     @Example
-    fun `deep chains are walked without recursion`() {
+    fun `a chain of 20000 jobs is forecast without recursion`() {
         job(0, 1)
         repeat(20_000) { job(it + 1, 1, it) }
         assertTrue(readyInS(jobs.getValue("j-20000")) > 100_000) { "the chain was cut short" }
--- a/src/test/kotlin/lichenstage/placement/RequestRoundTest.kt
+++ b/src/test/kotlin/lichenstage/placement/RequestRoundTest.kt
@@ -22,14 +22,14 @@
     ) = round.addOffer(partition, requestNumber, held, nowS * SECOND, betaUs = SECOND)
 
     @Example
-    fun `the round ends alpha after its begin, and beta after the first offer of each partition`() {
+    fun `a round ends alpha after its start, and beta after the first offer of each partition`() {
         assertEquals(2 * SECOND, round.endsAtUs)
         addOffer("y/0", 7, nowS = 1)
         assertEquals(2 * SECOND, round.endsAtUs)
         addOffer("z/0", 7, nowS = 2)
         assertEquals(3 * SECOND, round.endsAtUs)
         addOffer("z/0", 7, nowS = 3)
-        assertEquals(3 * SECOND, round.endsAtUs, "a second offer of the same partition extends nothing")
+        assertEquals(3 * SECOND, round.endsAtUs, "a second offer of the same partition does not extend the round")
     }
 
     @Example
@@ -40,7 +40,7 @@
     }
 
     @Example
-    fun `all have answered when each of the partitions has made an offer`() {
+    fun `a round has offers from all partitions when each of them has made an offer`() {
         addOffer("y/0", 7, nowS = 1)
         assertFalse(round.hasOfferFromAll(setOf("y/0", "z/0")))
         addOffer("z/0", 7, nowS = 1)
--- a/src/test/kotlin/lichenstage/placement/RunTimeEstimatesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/RunTimeEstimatesTest.kt
@@ -15,7 +15,7 @@
     ) = oneCoreSpec(1, jobClass, Priority.HIGH, tasks, estimatedRunTimeUs = 10 * SECOND)
 
     @Example
-    fun `run times are learned by class and fade in from the estimate`() {
+    fun `run times are learned per class and move gradually away from the user's estimate`() {
         assertEquals(10 * SECOND, estimates.expectedRunTimeUs(spec())) { "${estimates.expectedRunTimeUs(spec())}" }
         repeat(20) { estimates.recordCompletion(spec(), 20 * SECOND) }
         assertTrue(estimates.expectedRunTimeUs(spec()) in 16 * SECOND..20 * SECOND) { "${estimates.expectedRunTimeUs(spec())}" }
@@ -31,10 +31,10 @@
     }
 
     @Example
-    fun `a single absurd run time is bounded`() {
+    fun `the effect of a single extreme run time is limited`() {
         estimates.recordCompletion(spec(), 10_000_000 * SECOND)
         assertTrue(estimates.expectedRunTimeUs(spec()) < 15 * SECOND) { "${estimates.expectedRunTimeUs(spec())}" }
         estimates.recordCompletion(spec(), 0)
-        assertTrue(estimates.expectedRunTimeUs(spec()) > 14 * SECOND) { "a run time of 0 says nothing" }
+        assertTrue(estimates.expectedRunTimeUs(spec()) > 14 * SECOND) { "a run time of 0 must be ignored" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/ServiceObjectivesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ServiceObjectivesTest.kt
@@ -37,11 +37,14 @@
     fun `an objective that is missed by a quarter of the run time is due now`() {
         val start = serviceObjectives.findAttainableObjectives(job(), 8 * SECOND, 17 * SECOND).first()
         assertEquals(StartObjective(17 * SECOND, isPerTask = true), start)
-        assertFalse(serviceObjectives.findAttainableObjectives(job(), 8 * SECOND, 17 * SECOND + 1).first().isPerTask, "missed by more")
+        assertFalse(
+            serviceObjectives.findAttainableObjectives(job(), 8 * SECOND, 17 * SECOND + 1).first().isPerTask,
+            "an objective that is missed by more is kept",
+        )
     }
 
     @Example
-    fun `a deadline counts from the submission and the class's objectives from when the job is ready`() {
+    fun `a deadline counts from the submission, and class objectives count from the time at which the job is ready`() {
         val spec = oneCoreSpec(1, "c", Priority.HIGH, 2).copy(deadlineUs = 60 * SECOND, dependencies = listOf("j-0"))
         val job = Job(spec, 1, 0).apply { markReady(40 * SECOND) }
         assertEquals(60 * SECOND, serviceObjectives.deadlineAtUs(job))
@@ -53,13 +56,13 @@
     }
 
     @Example
-    fun `what dependents need is an objective too`() {
+    fun `a due time inherited from dependents is an objective`() {
         val due = serviceObjectives.findAttainableObjectives(job(), SECOND, 0, inheritedDueAtUs = 10 * SECOND)
         assertEquals(StartObjective(9 * SECOND, isPerTask = false), due.first())
     }
 
     @Example
-    fun `a class starts within a time when its objective is shorter`() {
+    fun `a class has a start objective within a time only if the objective is shorter`() {
         assertTrue(serviceObjectives.hasStartObjectiveWithin("c", 15 * SECOND + 1))
         assertFalse(serviceObjectives.hasStartObjectiveWithin("c", 15 * SECOND))
         assertFalse(serviceObjectives.hasStartObjectiveWithin("other", Long.MAX_VALUE))
@@ -73,12 +76,12 @@
         val team = mapOf("red" to Team("red", 12.0, 99.0, 0.0, 9.0))
         val jobs = listOf(Job(fourCoreSpec(1), 1, 30), Job(fourCoreSpec(2), 2, 10), Job(fourCoreSpec(3), 3, 20))
         val guaranteedJobs = serviceObjectives.selectGuaranteedJobs(jobs, team).map { it.spec.id }
-        assertEquals(listOf("j-2"), guaranteedJobs) { "8 of 12 cores are j-2's, with j-3 it would be 16: $guaranteedJobs" }
+        assertEquals(listOf("j-2"), guaranteedJobs) { "j-2 uses 8 of 12 cores, j-3 would increase this to 16: $guaranteedJobs" }
         assertEquals(
             10 + 5 * SECOND,
             serviceObjectives.findAttainableObjectives(jobs[1], SECOND, 0, isGuaranteed = true).first().startByUs,
         ) {
-            "no promise of it"
+            "the guarantee gives no objective"
         }
     }
 }
