--- a/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
+++ b/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
@@ -37,15 +37,10 @@
             val spec = job.spec
             val machineType = MachineFit.cheapestType(spec, machineTypes)
             val leadTimeUs = if (job.ready || machineType == null) 0 else (machineType.bootUs * BOOT_TIME_MARGIN).toLong()
-            val concurrentTasks = concurrentTasks(job, inputs.maxCores(spec.team) - (plannedCoresByTeam[spec.team] ?: 0.0))
-            if (machineType == null || concurrentTasks <= 0.0 || (!job.ready && inputs.readyInUs(job) > leadTimeUs)) return@mapNotNull null
-            plannedCoresByTeam.merge(spec.team, concurrentTasks * spec.resources.cores, Double::plus)
-            remainingDemand(
-                job,
-                machineType,
-                concurrentTasks,
-                inputs.runUs(spec),
-            ).copy(dueUs = inputs.dueAtUs(job), foreseenInUs = leadTimeUs)
+            val tasks = concurrentTasks(job, inputs.maxCores(spec.team) - (plannedCoresByTeam[spec.team] ?: 0.0))
+            if (machineType == null || tasks <= 0.0 || (!job.ready && inputs.readyInUs(job) > leadTimeUs)) return@mapNotNull null
+            plannedCoresByTeam.merge(spec.team, tasks * spec.resources.cores, Double::plus)
+            remainingDemand(job, machineType, tasks, inputs.runUs(spec)).copy(dueUs = inputs.dueAtUs(job), foreseenInUs = leadTimeUs)
         }
     }
 
--- a/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
+++ b/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
@@ -45,9 +45,9 @@
 /**
  * The sort order of waiting jobs that meets as many service objectives as the machines allow.
  *
- * The algorithm follows Moore and Hodgson. It schedules the jobs by due time. Whenever a job would be late, it takes out the scheduled
- * job of the lowest priority, and among those the one with the least value per unit of work. A job that is taken out is postponed to its
- * next objective.
+ * The algorithm follows Moore and Hodgson. It schedules the jobs by due time. Whenever a job would be late, it takes out one of the jobs
+ * that are scheduled so far: of those with the lowest priority, the one with the least value per unit of work. This job is postponed to
+ * its next objective.
  *
  * A deadline counts once per job, so large jobs have the least value per unit of work. A start objective counts per task, so a large job
  * is not at a disadvantage. Jobs without an objective left come last, by priority and then by descending run time of a task, so that all
--- a/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
@@ -33,7 +33,7 @@
      * @param allowedTasks returns how many tasks of a job its team may start in addition to the resources already planned for the team in
      *   this round
      */
-    fun planRequests(
+    fun plan(
         jobs: List<Job>,
         nowUs: Long,
         allowedTasks: (JobSpec, Resources) -> Int,
--- a/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
@@ -64,12 +64,8 @@
         nowUs: Long,
         waiting: () -> List<Job>,
     ) {
-        val openRound = currentRound
-        if (openRound != null &&
-            (openRound.hasOfferFromAll(context.reachablePartitions(nowUs)) || nowUs >= openRound.endsAtUs)
-        ) {
-            endRound(openRound, nowUs)
-        }
+        val round = currentRound
+        if (round != null && (round.hasOfferFromAll(context.reachablePartitions(nowUs)) || nowUs >= round.endsAtUs)) endRound(round, nowUs)
         val intervalUs = if (hasChangedSinceRound) settings.minRoundIntervalUs else settings.idleRoundIntervalUs
         if (currentRound == null && nowUs - roundStartedAtUs >= intervalUs) beginRound(waiting, nowUs)
     }
@@ -83,10 +79,7 @@
         roundStartedAtUs = nowUs
         val unaccountedUse = context.unaccountedUse()
         val requests =
-            planner.planRequests(
-                waiting(),
-                nowUs,
-            ) { spec, planned -> attempts.allowance(spec.team, spec.resources, unaccountedUse, planned) }
+            planner.plan(waiting(), nowUs) { spec, planned -> attempts.allowance(spec.team, spec.resources, unaccountedUse, planned) }
         if (requests.isEmpty()) return
         currentRound = RequestRound(requests, nowUs, settings.alphaUs)
         val frames = requests.map { it.request }
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -67,7 +67,10 @@
         ) { "${leader.machines.attemptsOn("m1").map { it.task }}" }
     }
 
-    /** An earlier version puts into partial frames what it has reported in lost complete frames. */
+    /**
+     * An earlier version of the service repeats the content of lost complete frames in partial frames. A partial frame leaves out
+     * machines, so it must not end an attempt.
+     */
     @Example
     fun `a partial frame ends no attempt, whatever it contains`() {
         val leader = placed()
@@ -196,7 +199,7 @@
     }
 
     @Example
-    fun `machines with the image are requested before any machine, but not before the requests of a more urgent job`() {
+    fun `requests for machines with the image come before requests for any machine, but not before those of a more urgent job`() {
         val serviceObjectives = ServiceObjectives(listOf(Objective(ObjectiveKind.WAIT, "quick", 2 * SECOND)))
         val leader =
             leader(
--- a/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
@@ -51,15 +51,12 @@
         val first = job(1, 10)
         val last = job(2, 8, dueS = 60, priority = Priority.HIGH)
         dependents[first] = listOf(last)
-        val laterDueJob = job(3, 10, dueS = 400, priority = Priority.HIGH)
+        val laterJob = job(3, 10, dueS = 400, priority = Priority.HIGH)
         val queue = JobQueue(serviceObjectives, emptyMap(), RunTimeEstimates(), pipelineDeadlines = pipelineDeadlines)
-        listOf(laterDueJob, first).forEach {
+        listOf(laterJob, first).forEach {
             it.enqueueTasks()
             queue.onJobAdded(it)
         }
-        assertEquals(
-            listOf(first, laterDueJob),
-            queue.sortWaitingJobs(listOf(laterDueJob, first), { 2.0 }, SECOND),
-        ) { "the first stage has no inherited due time" }
+        assertEquals(listOf(first, laterJob), queue.sortWaitingJobs(listOf(laterJob, first), { 2.0 }, SECOND)) { "due time not inherited" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/ServiceObjectivesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ServiceObjectivesTest.kt
@@ -37,10 +37,7 @@
     fun `an objective that is missed by a quarter of the run time is due now`() {
         val start = serviceObjectives.findAttainableObjectives(job(), 8 * SECOND, 17 * SECOND).first()
         assertEquals(StartObjective(17 * SECOND, isPerTask = true), start)
-        assertFalse(
-            serviceObjectives.findAttainableObjectives(job(), 8 * SECOND, 17 * SECOND + 1).first().isPerTask,
-            "an objective that is missed by more is kept",
-        )
+        assertFalse(serviceObjectives.findAttainableObjectives(job(), 8 * SECOND, 17 * SECOND + 1).first().isPerTask, "missed by more")
     }
 
     @Example
@@ -72,15 +69,12 @@
 
     @Example
     fun `a guarantee applies to the earliest jobs that fit into it together`() {
-        val serviceObjectives = ServiceObjectives(listOf(Objective(ObjectiveKind.GUARANTEE, null, 5 * SECOND)))
+        val objectives = ServiceObjectives(listOf(Objective(ObjectiveKind.GUARANTEE, null, 5 * SECOND)))
         val team = mapOf("red" to Team("red", 12.0, 99.0, 0.0, 9.0))
         val jobs = listOf(Job(fourCoreSpec(1), 1, 30), Job(fourCoreSpec(2), 2, 10), Job(fourCoreSpec(3), 3, 20))
-        val guaranteedJobs = serviceObjectives.selectGuaranteedJobs(jobs, team).map { it.spec.id }
+        val guaranteedJobs = objectives.selectGuaranteedJobs(jobs, team).map { it.spec.id }
         assertEquals(listOf("j-2"), guaranteedJobs) { "j-2 uses 8 of 12 cores, j-3 would increase this to 16: $guaranteedJobs" }
-        assertEquals(
-            10 + 5 * SECOND,
-            serviceObjectives.findAttainableObjectives(jobs[1], SECOND, 0, isGuaranteed = true).first().startByUs,
-        ) {
+        assertEquals(10 + 5 * SECOND, objectives.findAttainableObjectives(jobs[1], SECOND, 0, isGuaranteed = true).first().startByUs) {
             "the guarantee gives no objective"
         }
     }
