--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -15,7 +15,7 @@
 ) {
     /** Jobs with done tasks that are not recorded, each with the time at which its wait began, the oldest first. */
     private val unrecordedSinceUs = LinkedHashMap<Job, Long>()
-    private var rangesWriteInFlight = false
+    private var isRangesWriteInFlight = false
 
     /** Notes that the job has done tasks that are not recorded, since [sinceUs]. A time that was noted before stays. */
     fun markUnrecorded(
@@ -25,8 +25,8 @@
         unrecordedSinceUs.putIfAbsent(job, sinceUs)
     }
 
-    /** Removes a job that needs no further records because it is closed. */
-    fun onCompletionRecorded(job: Job) {
+    /** Removes a closed job, which needs no further records. */
+    fun onJobClosed(job: Job) {
         unrecordedSinceUs.remove(job)
     }
 
@@ -41,10 +41,10 @@
             job.completionWriteInFlight = true
             emit(LeaderEffect.RecordCompletion(job))
         }
-        if (rangesWriteInFlight) return
+        if (isRangesWriteInFlight) return
         val deltas = nextBatch(nowUs)
         if (deltas.isEmpty()) return
-        rangesWriteInFlight = true
+        isRangesWriteInFlight = true
         deltas.forEach {
             unrecordedSinceUs.remove(it.job)
             it.job.rangesWriteInFlight = true
@@ -114,7 +114,7 @@
         isCommitted: Boolean,
         nowUs: Long,
     ) {
-        rangesWriteInFlight = false
+        isRangesWriteInFlight = false
         for ((job, recordedTasks) in deltas) {
             job.rangesWriteInFlight = false
             if (isCommitted) job.durable.or(recordedTasks)
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -177,7 +177,7 @@
 
     private fun close(job: Job) {
         job.phase = JobPhase.CLOSED
-        recorder.onCompletionRecorded(job)
+        recorder.onJobClosed(job)
         reconciler.reconcileMachinesOf(job)
         jobTable.removeIfClosed(job)
     }
--- a/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
@@ -58,28 +58,28 @@
     /**
      * Ends the current round and begins the next one if they are due.
      *
-     * @param waiting returns the jobs with tasks to place, in queue order
+     * @param waitingJobs returns the jobs with tasks to place, in queue order
      */
     fun tick(
         nowUs: Long,
-        waiting: () -> List<Job>,
+        waitingJobs: () -> List<Job>,
     ) {
         val round = currentRound
         if (round != null && (round.hasOfferFromAll(context.reachablePartitions(nowUs)) || nowUs >= round.endsAtUs)) endRound(round, nowUs)
         val intervalUs = if (hasChangedSinceRound) settings.minRoundIntervalUs else settings.idleRoundIntervalUs
-        if (currentRound == null && nowUs - roundStartedAtUs >= intervalUs) beginRound(waiting, nowUs)
+        if (currentRound == null && nowUs - roundStartedAtUs >= intervalUs) beginRound(waitingJobs, nowUs)
     }
 
     /** Broadcasts requests for the first jobs of the queue. */
     private fun beginRound(
-        waiting: () -> List<Job>,
+        waitingJobs: () -> List<Job>,
         nowUs: Long,
     ) {
         hasChangedSinceRound = false
         roundStartedAtUs = nowUs
         val unaccountedUse = context.unaccountedUse()
         val requests =
-            planner.plan(waiting(), nowUs) { spec, planned -> attempts.allowance(spec.team, spec.resources, unaccountedUse, planned) }
+            planner.plan(waitingJobs(), nowUs) { spec, planned -> attempts.allowance(spec.team, spec.resources, unaccountedUse, planned) }
         if (requests.isEmpty()) return
         currentRound = RequestRound(requests, nowUs, settings.alphaUs)
         val frames = requests.map { it.request }
