--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -28,7 +28,7 @@
 import lichenstage.jobs.PeerChannel
 import lichenstage.jobs.PeerFallback
 import lichenstage.jobs.RecordLimits
-import lichenstage.partition.OrderJournal
+import lichenstage.partition.OrderEventRecorder
 import lichenstage.partition.OwnedPartitions
 import lichenstage.partition.PartitionActor
 import lichenstage.partition.WorkerClient
@@ -54,7 +54,7 @@
     private val connectionBudget =
         ConnectionBudget(
             settings.maxSockets,
-            KeyValueStoreClient.MAX_CONNECTIONS + CloudClient.SOCKETS + settings.peers.size * PEER_SOCKETS + SPARE_SOCKETS,
+            KeyValueStoreClient.MAX_CONNECTIONS + CloudClient.MAX_CONNECTIONS + settings.peers.size * PEER_SOCKETS + SPARE_SOCKETS,
         )
     private val state =
         KeyValueStoreClient(vertx, settings.state, clock, controllers, settings.stateRps, settings.stateWriteRps, ::writeShare)
@@ -110,7 +110,7 @@
         )
     private val partition =
         PartitionActor(
-            OwnedPartitions(settings, authority, replica, OrderJournal(metrics, clock), clock, catalog::limits),
+            OwnedPartitions(settings, authority, replica, OrderEventRecorder(metrics, clock), clock, catalog::limitsOf),
             clock,
             scope,
             WorkerClient(vertx, clock, metrics.counter("orders"), connectionBudget::maxOrderConnections),
@@ -141,7 +141,7 @@
         metrics.gauge("open_jobs") { leader?.openJobs ?: 0 }
         metrics.gauge("machines") { partition.machineCount }
         metrics.gauge("starts_unanswered") { partition.indeterminateStartCount }
-        metrics.gauge("oldest_unanswered_start_s") { partition.oldestIndeterminateStartUs?.let { (clock.now() - it) / SECOND } ?: 0 }
+        metrics.gauge("oldest_unanswered_start_s") { partition.oldestIndeterminateStartAtUs?.let { (clock.now() - it) / SECOND } ?: 0 }
         metrics.gauge("served_connections") { connectionBudget.servedConnections }
         metrics.gauge("heap_bytes") { Runtime.getRuntime().let { it.totalMemory() - it.freeMemory() } }
     }
@@ -208,7 +208,7 @@
     }
 
     private fun toLeader(frame: PartitionFrame) {
-        val holder = authority.ownership().leader ?: return
+        val holder = authority.ownershipView().leader ?: return
         links.send(holder.label, frame)
     }
 
--- a/src/main/kotlin/lichenstage/partition/PartitionCore.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionCore.kt
@@ -26,19 +26,20 @@
     private val events: (OrderEvent) -> Unit = {},
     limitsOf: (String) -> MachineLimits?,
 ) {
-    private val requirements = LruMap<String, JobRequirements>(MAX_CACHED_JOBS)
-    private val requirementsOf: (String) -> JobRequirements? = { requirements[it] }
-    private val changes = ChangeLog(parameters)
-    private val fencingTokens = FencingTokens(parameters.term, parameters.acquiredUs)
-    private val machines = MachineRegistry(parameters, fencingTokens, changes, limitsOf)
-    private val heartbeats = HeartbeatProcessor(fencingTokens, changes, events, requirementsOf)
-    private val orders = OrderQueue()
-    private val fencing = OrderFencing(fencingTokens, changes, jobCompletions, events)
-    private val probes = ProbeSchedule(parameters.term)
-    private val holds = HoldTable(parameters.zone, limitsOf, requirementsOf, machines::get)
-    private val placement = PlacementOffers(parameters, machines, holds, requirements, jobCompletions)
-    private val endedJobStops = EndedJobStops(jobCompletions, machines, orders, fencing, events)
-    private val leaderFrames = LeaderFrameHandler(parameters.term, machines, changes, placement, orders, fencing, probes, events)
+    private val requirementsByJob = LruMap<String, JobRequirements>(MAX_CACHED_JOBS)
+    private val requirementsOf: (String) -> JobRequirements? = { requirementsByJob[it] }
+    private val changeLog = ChangeLog(parameters)
+    private val fencingTokens = FencingTokens(parameters.term, parameters.acquiredAtUs)
+    private val machines = MachineRegistry(parameters, fencingTokens, changeLog, limitsOf)
+    private val heartbeatProcessor = HeartbeatProcessor(fencingTokens, changeLog, events, requirementsOf)
+    private val orderQueue = OrderQueue()
+    private val orderFencing = OrderFencing(fencingTokens, changeLog, jobCompletions, events)
+    private val probeSchedule = ProbeSchedule(parameters.term)
+    private val holdTable = HoldTable(parameters.zone, limitsOf, requirementsOf, machines::get)
+    private val placementOffers = PlacementOffers(parameters, machines, holdTable, requirementsByJob, jobCompletions)
+    private val endedJobStops = EndedJobStopper(jobCompletions, machines, orderQueue, orderFencing, events)
+    private val leaderFrameHandler =
+        LeaderFrameHandler(parameters.term, machines, changeLog, placementOffers, orderQueue, orderFencing, probeSchedule, events)
 
     /** The partition's name. */
     val id get() = parameters.id
@@ -50,68 +51,68 @@
     val machineCount get() = machines.size
 
     /** A newer fencing token is needed now, and none is left. */
-    val lacksTokens get() = fencing.lacksTokens
+    val lacksTokens get() = orderFencing.lacksTokens
 
     /** Applies a heartbeat that a worker sent to this controller, and decides on its answer. */
     fun onHeartbeat(
         heartbeat: Heartbeat,
-        now: Long,
+        nowUs: Long,
     ): HeartbeatOutcome {
-        if (heartbeat.fencingToken > fencingTokens.highest) return HeartbeatOutcome.Superseded
-        val machine = machines.getOrAdd(heartbeat, now)
-        if (heartbeats.apply(machine, heartbeat, now)) {
-            probes.add(heartbeat.machine, heartbeat.address)
-            machine.ordersBlocked = false
-            machine.lastHeartbeatUs = now
-            if (machine.attempts.isNotEmpty()) orders.add(machine)
+        if (heartbeat.fencingToken > fencingTokens.highestIssued) return HeartbeatOutcome.Superseded
+        val machine = machines.getOrAdd(heartbeat, nowUs)
+        if (heartbeatProcessor.apply(machine, heartbeat, nowUs)) {
+            probeSchedule.add(heartbeat.machine, heartbeat.address)
+            machine.areDirectOrdersBlocked = false
+            machine.lastHeartbeatAtUs = nowUs
+            if (machine.attempts.isNotEmpty()) orderQueue.add(machine)
         }
-        if (!fencing.mayRenewLease(machine, now)) return HeartbeatOutcome.Withheld
+        if (!orderFencing.mayRenewLease(machine, nowUs)) return HeartbeatOutcome.Withheld
         val isCurrentEpoch = heartbeat.agentEpoch == machine.agentEpoch
         // Even where it is an old one: the answer to an order may have overtaken it, and the worker counts its lease from it.
         if (isCurrentEpoch) {
-            machine.lastAnsweredUs = now
-            machine.heartbeatSequence = maxOf(machine.heartbeatSequence, heartbeat.sequence)
-            fencing.removeDisprovenStarts(machine)
+            machine.lastReplyAtUs = nowUs
+            machine.lastHeartbeatSequence = maxOf(machine.lastHeartbeatSequence, heartbeat.sequence)
+            orderFencing.removeUnexecutedStarts(machine)
         }
-        val takesCommands = machine.tokenConfirmed && isCurrentEpoch && !machine.lost
-        val commands = if (takesCommands) orders.commandsForAnswer(machine, heartbeat.sequence, now) else emptyList()
+        val canTakeCommands = machine.isTokenConfirmed && isCurrentEpoch && !machine.isLost
+        val commands = if (canTakeCommands) orderQueue.commandsForReply(machine, heartbeat.sequence, nowUs) else emptyList()
         return HeartbeatOutcome.Accepted(machine.fencingToken, commands)
     }
 
     /** Applies a frame of the leader; one that is older than the newest received is not obeyed (invariant 8). */
     fun onLeaderFrame(
         frame: PlacementFrame,
-        now: Long,
-    ) = leaderFrames.apply(frame, now)
+        nowUs: Long,
+    ) = leaderFrameHandler.apply(frame, nowUs)
 
     /** Applies the result of a probe: the worker's heartbeat, or null where it could not be had. */
     fun onProbeResult(
         probe: StatusProbe,
         heartbeat: Heartbeat?,
-        now: Long,
+        nowUs: Long,
     ) {
-        probes.complete(probe)
+        probeSchedule.handleProbeEnd(probe)
         if (heartbeat == null || heartbeat.machine != probe.machine || heartbeat.zone != parameters.zone) return
-        if (heartbeat.fencingToken > fencingTokens.highest) return
-        val machine = machines.getOrAdd(heartbeat, now)
+        if (heartbeat.fencingToken > fencingTokens.highestIssued) return
+        val machine = machines.getOrAdd(heartbeat, nowUs)
         markResponsive(machine)
-        heartbeats.apply(machine, heartbeat, now)
+        heartbeatProcessor.apply(machine, heartbeat, nowUs)
     }
 
     /** Applies the outcome of a direct order. */
     fun onOrderOutcome(
         order: DirectOrder,
         outcome: OrderOutcome,
-        now: Long,
+        nowUs: Long,
     ) {
         val machine = machines[order.machine] ?: return
-        val proven = outcome.provenFor(order)
-        orders.complete(machine, order, proven)
+        val proven = outcome.verifiedFor(order)
+        orderQueue.onOrderCompleted(machine, order, proven)
         when (proven) {
-            is OrderOutcome.Answered -> {
+            is OrderOutcome.Replied -> {
                 markResponsive(machine)
-                proven.heartbeat?.let { heartbeats.apply(machine, it, now) }
-                if (!proven.executed) machine.ordersBlocked = true
+                proven.heartbeat?.let { heartbeatProcessor.apply(machine, it, nowUs) }
+                if (!proven.isExecuted) machine.areDirectOrdersBlocked = true
             }
 
             OrderOutcome.NotSent -> {
@@ -119,73 +120,73 @@
             }
 
             OrderOutcome.Indeterminate -> {
-                events(OrderEvent.Unanswered(order))
+                events(OrderEvent.OrderUnanswered(order))
                 markUnresponsive(machine)
             }
         }
-        fencing.removeDisprovenStarts(machine)
+        orderFencing.removeUnexecutedStarts(machine)
     }
 
     /** The machine has answered an order or a probe, so commands reach it (invariant 12). */
     private fun markResponsive(machine: Machine) {
-        machine.ordersBlocked = false
-        if (machine.attempts.isNotEmpty()) orders.add(machine)
-        if (machine.unresponsive) {
-            machine.unresponsive = false
-            changes.record(machine)
+        machine.areDirectOrdersBlocked = false
+        if (machine.attempts.isNotEmpty()) orderQueue.add(machine)
+        if (machine.isUnresponsive) {
+            machine.isUnresponsive = false
+            changeLog.record(machine)
         }
     }
 
     private fun markUnresponsive(machine: Machine) {
-        machine.ordersBlocked = true
-        if (!machine.unresponsive) {
-            machine.unresponsive = true
-            changes.record(machine)
+        machine.areDirectOrdersBlocked = true
+        if (!machine.isUnresponsive) {
+            machine.isUnresponsive = true
+            changeLog.record(machine)
         }
     }
 
     /** Does what depends on time alone; to be called a few times a second. */
-    fun tick(now: Long) {
-        holds.expire(now)
-        machines.expire(now)
-        endedJobStops.check(now)
-        fencing.removeDisprovenStarts()
-        fencing.raiseTokens(machines.all, now)
-        machines.removeLongLost(now).forEach(::remove)
+    fun tick(nowUs: Long) {
+        holdTable.expire(nowUs)
+        machines.updateLiveness(nowUs)
+        endedJobStops.stopTasksOfEndedJobs(nowUs)
+        orderFencing.removeUnexecutedStarts()
+        orderFencing.raiseTokens(machines.all, nowUs)
+        machines.removeLongLostMachines(nowUs).forEach(::removeMachine)
     }
 
-    private fun remove(machine: Machine) {
-        probes.remove(machine.name)
-        changes.remove(machine)
-        orders.remove(machine)
-        fencing.remove(machine)
+    private fun removeMachine(machine: Machine) {
+        probeSchedule.remove(machine.name)
+        changeLog.remove(machine)
+        orderQueue.remove(machine)
+        orderFencing.remove(machine)
     }
 
     /** The direct orders to send now, at most [limit]. Each outcome is reported by [onOrderOutcome]. */
     fun nextDirectOrders(
-        now: Long,
+        nowUs: Long,
         limit: Int = Int.MAX_VALUE,
-    ): List<DirectOrder> = orders.nextDirectOrders(now, limit)
+    ): List<DirectOrder> = orderQueue.nextDirectOrders(nowUs, limit)
 
     /** The probes to send now, at most [limit]. Each result is reported by [onProbeResult]. */
     fun nextProbes(
-        now: Long,
+        nowUs: Long,
         limit: Int = Int.MAX_VALUE,
-    ): List<StatusProbe> = probes.next(now, limit, machines::get)
+    ): List<StatusProbe> = probeSchedule.nextProbes(nowUs, limit, machines::get)
 
     /** The next frame for the leader, or null while none is due. */
-    fun nextFrame(now: Long): PartitionFrame? = changes.nextFrame(now, machines.size)
+    fun nextFrame(nowUs: Long): PartitionFrame? = changeLog.nextFrame(nowUs, machines.size)
 
     /** Whether fencing tokens should be reserved for this owner now; a true answer counts as an attempt to do so. */
-    fun tokenReservationDue(now: Long) = fencingTokens.reservationDue(now, lacksTokens)
+    fun shouldReserveTokens(nowUs: Long) = fencingTokens.beginReservationIfDue(nowUs, lacksTokens)
 
     /** Adds fencing tokens that are reserved for this owner alone, above all that were ever handed out. */
-    fun addReservedTokens(range: LongRange) = fencingTokens.add(range)
+    fun addReservedTokens(range: LongRange) = fencingTokens.addReserved(range)
 
     /** The starts whose direct order got no answer and may still be executed. */
     internal fun indeterminateStarts(): Sequence<WorkerAttempt> =
         machines.all.asSequence().flatMap { machine ->
-            machine.attempts.values.filter { it.isStartIndeterminate && it.canExecuteUnder(machine.observedFencingToken) }
+            machine.attempts.values.filter { it.isStartIndeterminate && it.isStartExecutableUnder(machine.observedFencingToken) }
         }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -37,8 +37,8 @@
      */
     fun writeDueCompletions(nowUs: Long) {
         if (unrecordedSinceUs.isEmpty()) return
-        for (job in unrecordedSinceUs.keys.filter { it.allTasksDone && !it.completionWriteInFlight }) {
-            job.completionWriteInFlight = true
+        for (job in unrecordedSinceUs.keys.filter { it.allTasksDone && !it.isCompletionWriteInFlight }) {
+            job.isCompletionWriteInFlight = true
             emit(LeaderEffect.RecordCompletion(job))
         }
         if (isRangesWriteInFlight) return
@@ -47,7 +47,7 @@
         isRangesWriteInFlight = true
         deltas.forEach {
             unrecordedSinceUs.remove(it.job)
-            it.job.rangesWriteInFlight = true
+            it.job.isRangesWriteInFlight = true
         }
         emit(LeaderEffect.WriteDoneRanges(deltas))
     }
@@ -74,7 +74,7 @@
     }
 
     private fun createDelta(job: Job): CompletionDelta {
-        val recordedTasks = job.durable.clone() as BitSet
+        val recordedTasks = job.recordedTasks.clone() as BitSet
         val chunks = changedChunks(job).filter { addRecordableTasks(job, it, recordedTasks) }
         return CompletionDelta(job, recordedTasks, chunks)
     }
@@ -88,8 +88,12 @@
         chunk: Int,
         recordedTasks: BitSet,
     ): Boolean {
-        val recordableTasks = CompletedTaskRanges.truncateToFit(job.done, chunk, valueBytes)
-        val durableTasks = job.durable.get(chunk * CompletedTaskRanges.TASKS_PER_CHUNK, (chunk + 1) * CompletedTaskRanges.TASKS_PER_CHUNK)
+        val recordableTasks = CompletedTaskRanges.truncateToFit(job.doneTasks, chunk, valueBytes)
+        val durableTasks =
+            job.recordedTasks.get(
+                chunk * CompletedTaskRanges.TASKS_PER_CHUNK,
+                (chunk + 1) * CompletedTaskRanges.TASKS_PER_CHUNK,
+            )
         val droppedTasks = (durableTasks.clone() as BitSet).apply { andNot(recordableTasks) }
         if (!droppedTasks.isEmpty || recordableTasks == durableTasks) return false
         var next = recordableTasks.nextSetBit(0)
@@ -101,7 +105,7 @@
     }
 
     private fun changedChunks(job: Job): List<Int> {
-        val unrecordedTasks = (job.done.clone() as BitSet).apply { andNot(job.durable) }
+        val unrecordedTasks = (job.doneTasks.clone() as BitSet).apply { andNot(job.recordedTasks) }
         return (0 until CompletedTaskRanges.chunks(job.spec.tasks)).filter {
             val next = unrecordedTasks.nextSetBit(it * CompletedTaskRanges.TASKS_PER_CHUNK)
             next >= 0 && next < (it + 1) * CompletedTaskRanges.TASKS_PER_CHUNK
@@ -116,9 +120,9 @@
     ) {
         isRangesWriteInFlight = false
         for ((job, recordedTasks) in deltas) {
-            job.rangesWriteInFlight = false
-            if (isCommitted) job.durable.or(recordedTasks)
-            if (job.phase == JobPhase.OPEN && job.done.cardinality() != job.durable.cardinality()) markUnrecorded(job, nowUs)
+            job.isRangesWriteInFlight = false
+            if (isCommitted) job.recordedTasks.or(recordedTasks)
+            if (job.phase == JobPhase.OPEN && job.doneTasks.cardinality() != job.recordedTasks.cardinality()) markUnrecorded(job, nowUs)
         }
     }
 }
--- a/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
+++ b/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
@@ -36,9 +36,13 @@
         return jobs.filter { it.remainingTasks > 0 && it.phase == JobPhase.OPEN }.mapNotNull { job ->
             val spec = job.spec
             val machineType = MachineFit.cheapestType(spec, machineTypes)
-            val leadTimeUs = if (job.ready || machineType == null) 0 else (machineType.bootUs * BOOT_TIME_MARGIN).toLong()
+            val leadTimeUs = if (job.isReady || machineType == null) 0 else (machineType.bootUs * BOOT_TIME_MARGIN).toLong()
             val tasks = concurrentTasks(job, inputs.maxCores(spec.team) - (plannedCoresByTeam[spec.team] ?: 0.0))
-            if (machineType == null || tasks <= 0.0 || (!job.ready && inputs.readyInUs(job) > leadTimeUs)) return@mapNotNull null
+            if (machineType == null || tasks <= 0.0 ||
+                (!job.isReady && inputs.readyInUs(job) > leadTimeUs)
+            ) {
+                return@mapNotNull null
+            }
             plannedCoresByTeam.merge(spec.team, tasks * spec.resources.cores, Double::plus)
             remainingDemand(job, machineType, tasks, inputs.runUs(spec)).copy(dueUs = inputs.dueAtUs(job), foreseenInUs = leadTimeUs)
         }
@@ -63,7 +67,7 @@
         val spec = job.spec
         val tasksPerMachine = MachineFit.tasksPerMachine(machineType, spec.resources).toDouble()
         val machineUsPerTask = (runUs + machineType.fetchUs(spec.imageGb)) / tasksPerMachine
-        val waitingTasks = if (job.placeable) job.pending.size else job.remainingTasks
+        val waitingTasks = if (job.isPlaceable) job.pendingTasks.size else job.remainingTasks
         val waitingUs = minOf(waitingTasks.toDouble(), concurrentTasks) * machineUsPerTask
         return Demand(
             typeName = machineType.name,
@@ -72,7 +76,7 @@
             workUs = job.remainingTasks * machineUsPerTask,
             dueUs = null,
             busy = job.liveAttempts.size / tasksPerMachine,
-            waitingUs = maxOf(waitingUs - job.totalSavedUs / tasksPerMachine, 0.0),
+            waitingUs = maxOf(waitingUs - job.totalSavedProgressUs / tasksPerMachine, 0.0),
         )
     }
 
@@ -90,7 +94,7 @@
         val spec = job.spec
         val machineType = MachineFit.cheapestType(spec, machineTypes) ?: return null
         val machines = spec.tasks.toDouble() / MachineFit.tasksPerMachine(machineType, spec.resources)
-        return JobArrival(machineType.name, job.readyUs, machines, runUs + machineType.fetchUs(spec.imageGb), isUrgent(machineType))
+        return JobArrival(machineType.name, job.readyAtUs, machines, runUs + machineType.fetchUs(spec.imageGb), isUrgent(machineType))
     }
 
     /** Machines usually boot within the boot time of their type multiplied by this factor. */
--- a/src/main/kotlin/lichenstage/placement/FleetObserver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetObserver.kt
@@ -43,9 +43,9 @@
         return { name ->
             states[name]?.let {
                 MachineStatus(
-                    up = !it.lost,
-                    silent = it.silent,
-                    lost = it.lost,
+                    up = !it.isLost,
+                    silent = it.isSilent,
+                    lost = it.isLost,
                     tasks = core.machines.attemptsOn(name).size,
                     faulty = core.machines.failedJobsOn(name).size >= FAULTY_JOBS,
                 )
@@ -64,7 +64,7 @@
 
         /** Of a job that waits for dependencies only the deadline is known. */
         override fun dueAtUs(job: Job): Long? {
-            if (!job.ready) return objectives.deadlineAtUs(job)
+            if (!job.isReady) return objectives.deadlineAtUs(job)
             val runUs = runUs(job.spec)
             return objectives.findAttainableObjectives(job, runUs, now).firstOrNull()?.let { it.startByUs + runUs }
         }
--- a/src/main/kotlin/lichenstage/placement/JobQueue.kt
+++ b/src/main/kotlin/lichenstage/placement/JobQueue.kt
@@ -65,7 +65,7 @@
         return cachedOrder.filter { isWaiting(it) && nowUs >= it.backoffUntilUs }
     }
 
-    private fun isWaiting(job: Job) = job.phase == JobPhase.OPEN && job.placeable && !job.pending.isEmpty
+    private fun isWaiting(job: Job) = job.phase == JobPhase.OPEN && job.isPlaceable && !job.pendingTasks.isEmpty
 
     private fun computeOrder(
         jobs: Collection<Job>,
@@ -77,7 +77,7 @@
         val pipelineSnapshot = pipelineDeadlines.Snapshot()
         val queuedJobs = waitingJobs.map { toQueuedJob(it, it in guaranteedJobs, pipelineSnapshot.inheritedPriorityOf(it), nowUs) }
         val jobsByObjective = ObjectiveOrder.sort(queuedJobs, maxOf(cores, 1.0) * TARGET_UTILIZATION, nowUs)
-        val agedJobs = waitingJobs.filter { nowUs - it.readyUs > agingThresholdUs }.sortedBy { it.readyUs }
+        val agedJobs = waitingJobs.filter { nowUs - it.readyAtUs > agingThresholdUs }.sortedBy { it.readyAtUs }
         return if (agedJobs.isEmpty()) jobsByObjective else interleave(agedJobs, jobsByObjective)
     }
 
@@ -88,12 +88,12 @@
         nowUs: Long,
     ): QueuedJob {
         val runUs = runTimes.expectedRunTimeUs(job.spec)
-        val shareOfMeanJob = job.pending.size / meanTasksByClass.getValue(job.spec.jobClass).value
+        val shareOfMeanJob = job.pendingTasks.size / meanTasksByClass.getValue(job.spec.jobClass).value
         val objectives =
             serviceObjectives
                 .findAttainableObjectives(job, runUs, nowUs, isGuaranteed, inheritedPriority.dueAtUs)
                 .map { PlannedObjective(it.startByUs + runUs, if (it.isPerTask) shareOfMeanJob else 1.0) }
-        val remainingWorkUs = maxOf(job.pending.size * runUs - job.totalSavedUs, 1)
+        val remainingWorkUs = maxOf(job.pendingTasks.size * runUs - job.totalSavedProgressUs, 1)
         return QueuedJob(job, remainingWorkUs * job.spec.resources.cores, objectives, runUs, inheritedPriority.priority)
     }
 
--- a/src/main/kotlin/lichenstage/placement/JobTable.kt
+++ b/src/main/kotlin/lichenstage/placement/JobTable.kt
@@ -27,11 +27,11 @@
 
     /** Queues the tasks of a job if the job is ready and its tasks may be placed. */
     fun enqueueIfPlaceable(job: Job) {
-        if (job.ready && (isFailoverComplete() || isFromThisTerm(job))) job.enqueueTasks()
+        if (job.isReady && (isFailoverComplete() || isFromThisTerm(job))) job.enqueueTasks()
     }
 
     /** Queues the tasks of all ready jobs that had to wait for the failover. Called when the failover is complete. */
-    fun enqueueAllReady() = byId.values.forEach { if (it.ready && !it.placeable) it.enqueueTasks() }
+    fun enqueueAllReady() = byId.values.forEach { if (it.isReady && !it.isPlaceable) it.enqueueTasks() }
 
     /** Removes a closed job once none of its attempts can be running. */
     fun removeIfClosed(job: Job) {
--- a/src/main/kotlin/lichenstage/placement/MachineRegistry.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineRegistry.kt
@@ -5,7 +5,7 @@
 import lichenstage.model.RegisteredMachine
 import lichenstage.state.Change
 import lichenstage.state.Entry
-import lichenstage.state.UnreadableRecord
+import lichenstage.state.UnreadableRecordException
 
 /** One registry chunk to write, stored under one key. A chunk without machines is deleted. */
 data class RegistryChunk(
@@ -37,7 +37,7 @@
     /** Returns whether the machine is recorded or due to be recorded. */
     operator fun contains(name: String) = chunkOfMachine.containsKey(name)
 
-    /** Loads a chunk that an earlier leader wrote. Throws [UnreadableRecord] if the chunk cannot be decoded. */
+    /** Loads a chunk that an earlier leader wrote. Throws [UnreadableRecordException] if the chunk cannot be decoded. */
     fun load(entry: Entry): List<RegisteredMachine> {
         val machines = decode(entry)
         val chunk = LinkedHashMap<String, RegisteredMachine>()
@@ -54,7 +54,7 @@
         try {
             MachineRecordCodec.decode(entry.value)
         } catch (e: JsonDecodingException) {
-            throw UnreadableRecord(entry.key, e)
+            throw UnreadableRecordException(entry.key, e)
         }
 
     /**
--- a/src/main/kotlin/lichenstage/placement/MachineRegistryDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineRegistryDriver.kt
@@ -49,9 +49,9 @@
         // Set also if nothing is due: this runs after every message, and the search visits every machine.
         lastStepAtUs = nowUs
         val cordonedMachines = cordoned()
-        for ((id, machine) in core.machines.unregistered()) {
+        for ((id, machine) in core.machines.unregisteredMachines()) {
             if (machine.name in cordonedMachines || machine.name in registry) continue
-            registry.add(RegisteredMachine(machine.name, machine.typeName, settings.assignment.zone(id)!!, machine.spot, machine.address))
+            registry.add(RegisteredMachine(machine.name, machine.typeName, settings.assignment.zone(id)!!, machine.isSpot, machine.address))
         }
         val chunks = registry.takeDueChunks(settings.txnOps)
         if (chunks.isEmpty()) return
@@ -63,7 +63,7 @@
         isWriteInFlight = false
         if (!message.ok) return registry.onWriteFailed(message.pages)
         val addedMachines = message.pages.flatMap { it.machines }.filter { !core.machines.isRegistered(it.name) }
-        core.machinesRegistered(addedMachines.associate { it.name to settings.assignment.partitionOf(it.name, it.zone)!! })
+        core.onMachinesRegistered(addedMachines.associate { it.name to settings.assignment.partitionOf(it.name, it.zone)!! })
     }
 
     fun onMachinesRemoved(machines: List<String>) = registry.remove(machines)
--- a/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
+++ b/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
@@ -30,7 +30,7 @@
 
         /** Returns the dependencies that delay the job. Dependencies that are no longer open cause no delay. */
         private fun openDependencies(job: Job): List<Job> =
-            if (job.ready) {
+            if (job.isReady) {
                 emptyList()
             } else {
                 job.spec.dependencies
@@ -43,9 +43,9 @@
             dependenciesEndAtUs: Long,
         ): Long {
             val runUs = runTimes.expectedRunTimeUs(job.spec)
-            if (!job.ready) return maxOf(dependenciesEndAtUs + STAGE_TRANSITION_US, nowUs) + fetchUs(job.spec) + runUs
-            val isWaiting = !job.placeable || !job.pending.isEmpty
-            val startedAtUs = if (isWaiting) nowUs else job.placedUs
+            if (!job.isReady) return maxOf(dependenciesEndAtUs + STAGE_TRANSITION_US, nowUs) + fetchUs(job.spec) + runUs
+            val isWaiting = !job.isPlaceable || !job.pendingTasks.isEmpty
+            val startedAtUs = if (isWaiting) nowUs else job.lastPlacedAtUs
             return maxOf(startedAtUs + fetchUs(job.spec) + runUs, nowUs)
         }
     }
--- a/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
@@ -43,8 +43,8 @@
         for (job in jobs) {
             if (selected.size >= settings.maxJobsPerRound) break
             val spec = job.spec
-            val plannedResources = plannedByTeam[spec.team] ?: RunningAttempts.NONE
-            val count = minOf(job.pending.size, settings.maxTasksPerRequest, allowedTasks(spec, plannedResources))
+            val plannedResources = plannedByTeam[spec.team] ?: RunningAttempts.NO_RESOURCES
+            val count = minOf(job.pendingTasks.size, settings.maxTasksPerRequest, allowedTasks(spec, plannedResources))
             if (count <= 0) continue
             plannedByTeam[spec.team] = plannedResources - spec.resources * -count
             selected += PlannedRequest(job, count)
@@ -113,7 +113,7 @@
     ): Boolean {
         if (isUrgent(job)) return false
         val maxWaitUs = (fetchUs(job.spec) / IMAGE_WAIT_DIVISOR).coerceAtMost(MAX_IMAGE_WAIT_US)
-        return nowUs - maxOf(job.readyUs, job.placedUs) < maxWaitUs
+        return nowUs - maxOf(job.readyAtUs, job.lastPlacedAtUs) < maxWaitUs
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
@@ -53,7 +53,7 @@
         partition: String,
         offer: Offer,
         nowUs: Long,
-    ) = currentRound?.addOffer(partition, offer.stamp, offer.held, nowUs, settings.betaUs)
+    ) = currentRound?.addOffer(partition, offer.requestNumber, offer.slots, nowUs, settings.betaUs)
 
     /**
      * Ends the current round and begins the next one if they are due.
@@ -79,7 +79,7 @@
         roundStartedAtUs = nowUs
         val unaccountedUse = context.unaccountedUse()
         val requests =
-            planner.plan(waitingJobs(), nowUs) { spec, planned -> attempts.allowance(spec.team, spec.resources, unaccountedUse, planned) }
+            planner.plan(waitingJobs(), nowUs) { spec, planned -> attempts.allowedTaskCount(spec.team, spec.resources, unaccountedUse, planned) }
         if (requests.isEmpty()) return
         currentRound = RequestRound(requests, nowUs, settings.alphaUs)
         val frames = requests.map { it.request }
@@ -100,15 +100,15 @@
             for (attempt in createAttempts(request, endingRound, unaccountedUse, nowUs)) {
                 startedAttempts += attempt
                 startsByPartition.getOrPut(attempt.partition) { ArrayList() } +=
-                    StartOrder(request.request.stamp, attempt.machine, attempt.index, attempt.number)
+                    StartOrder(request.request.requestNumber, attempt.machine, attempt.index, attempt.number)
             }
         }
-        val allRequestNumbers = endingRound.requests.map { it.request.stamp }
+        val allRequestNumbers = endingRound.requests.map { it.request.requestNumber }
         for (id in assignment.partitions) {
             val startsOfPartition = startsByPartition[id].orEmpty()
-            val startedRequests = startsOfPartition.mapTo(HashSet()) { it.stamp }
+            val startedRequests = startsOfPartition.mapTo(HashSet()) { it.requestNumber }
             val seq = outbox.send(id, nowUs, starts = startsOfPartition, releases = allRequestNumbers.filter { it !in startedRequests })
-            startedAttempts.forEach { if (it.partition == id) it.seq = seq }
+            startedAttempts.forEach { if (it.partition == id) it.startSeq = seq }
         }
         if (startedAttempts.isNotEmpty()) hasChangedSinceRound = true
     }
@@ -121,8 +121,8 @@
         nowUs: Long,
     ): List<Attempt> {
         val job = jobRequest.job
-        val maxTasks = minOf(jobRequest.request.count, attempts.allowance(job.spec.team, job.spec.resources, unaccountedUse))
-        val offers = endingRound.offersFor(jobRequest.request.stamp).mapValues { (_, held) -> held.mapNotNull(::usableSlots) }
+        val maxTasks = minOf(jobRequest.request.count, attempts.allowedTaskCount(job.spec.team, job.spec.resources, unaccountedUse))
+        val offers = endingRound.offersFor(jobRequest.request.requestNumber).mapValues { (_, held) -> held.mapNotNull(::usableSlots) }
         val createdAttempts = ArrayList<Attempt>()
         for (slot in OfferSelection.selectRoomiest(offers, maxTasks, zones::zoneOf, zones.remainingTasksByZone(job, offers))) {
             val index = job.nextPendingTask()
@@ -130,9 +130,9 @@
             val attempt = Attempt(job, index, nextAttemptNumber(), slot.machine, slot.partition)
             attempt.partitionTerm = context.partition(slot.partition)!!.term
             // A frame from the partition says nothing about the attempt until the frame with its start has been sent.
-            attempt.seq = Long.MAX_VALUE
+            attempt.startSeq = Long.MAX_VALUE
             attempts.track(attempt)
-            job.placedUs = nowUs
+            job.lastPlacedAtUs = nowUs
             createdAttempts += attempt
         }
         return createdAttempts
--- a/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
+++ b/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
@@ -35,8 +35,8 @@
         val coresByTeam = HashMap<String, Double>()
         val gpusByTeam = HashMap<String, Double>()
         return jobs
-            .filter { it.phase == JobPhase.OPEN && it.ready }
-            .sortedBy { it.readyUs }
+            .filter { it.phase == JobPhase.OPEN && it.isReady }
+            .sortedBy { it.readyAtUs }
             .filterTo(HashSet()) {
                 val spec = it.spec
                 val team = teams[spec.team]
@@ -61,7 +61,7 @@
     /** Returns the times by which the job should be complete, the earliest first. */
     private fun dueTimesAtUs(job: Job): List<Long> {
         val finishWithinUs = timesByKindAndClass[ObjectiveKind.FINISHED to job.spec.jobClass].orEmpty()
-        return (listOfNotNull(deadlineAtUs(job)) + finishWithinUs.map { job.readyUs + it }).sorted()
+        return (listOfNotNull(deadlineAtUs(job)) + finishWithinUs.map { job.readyAtUs + it }).sorted()
     }
 
     /**
@@ -82,7 +82,7 @@
         val startWithinUs =
             timesByKindAndClass[ObjectiveKind.WAIT to job.spec.jobClass].orEmpty() + listOfNotNull(guaranteeUs?.takeIf { isGuaranteed })
         return (
-            startWithinUs.map { StartObjective(job.readyUs + it, isPerTask = true) } +
+            startWithinUs.map { StartObjective(job.readyAtUs + it, isPerTask = true) } +
                 (dueTimesAtUs(job) + listOfNotNull(inheritedDueAtUs)).map { StartObjective(it - runUs, isPerTask = false) }
         ).filter { it.startByUs + runUs / TOLERANCE_DIVISOR >= nowUs }
             .map { it.copy(startByUs = maxOf(it.startByUs, nowUs)) }
--- a/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
+++ b/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
@@ -48,7 +48,7 @@
                 while (freeSlots > 0 && job.nextPendingTask() >= 0) freeSlots--
                 if (freeSlots == 0) break
             }
-            jobs.values.removeIf { it.pending.isEmpty }
+            jobs.values.removeIf { it.pendingTasks.isEmpty }
         }
         return null
     }
--- a/src/test/kotlin/lichenstage/placement/JobTableTest.kt
+++ b/src/test/kotlin/lichenstage/placement/JobTableTest.kt
@@ -18,8 +18,8 @@
             assertTrue(table.add(it)) { "${it.spec.id} is already in the table" }
             table.enqueueIfPlaceable(it)
         }
-        assertFalse(earlierTermJob.placeable) { "an earlier leader may have started it" }
-        assertEquals(2, currentTermJob.pending.size) { "the job of this term is not queued" }
+        assertFalse(earlierTermJob.isPlaceable) { "an earlier leader may have started it" }
+        assertEquals(2, currentTermJob.pendingTasks.size) { "the job of this term is not queued" }
     }
 
     @Example
@@ -31,8 +31,8 @@
         currentTermJob.nextPendingTask()
         failoverComplete = true
         table.enqueueAllReady()
-        assertEquals(2, earlierTermJob.pending.size) { "the job of an earlier term is not queued" }
-        assertEquals(1, currentTermJob.pending.size) { "a placed task is queued again" }
+        assertEquals(2, earlierTermJob.pendingTasks.size) { "the job of an earlier term is not queued" }
+        assertEquals(1, currentTermJob.pendingTasks.size) { "a placed task is queued again" }
     }
 
     @Example
@@ -42,7 +42,7 @@
         table.add(blockedJob)
         table.enqueueIfPlaceable(blockedJob)
         table.enqueueAllReady()
-        assertTrue(blockedJob.pending.isEmpty && !blockedJob.placeable) { "the blocked job is queued" }
+        assertTrue(blockedJob.pendingTasks.isEmpty && !blockedJob.isPlaceable) { "the blocked job is queued" }
     }
 
     @Example
