--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -81,7 +81,7 @@
 
     /**
      * Adds the done tasks that a record of the chunk can hold to [recordedTasks]. Returns false and adds nothing if this would add no
-     * task, or if the record would lose a durable task. Durable tasks must stay recorded, because the workers have forgotten them.
+     * task, or if the record would lose a recorded task. A recorded task must stay recorded, because the workers have forgotten it.
      */
     private fun addRecordableTasks(
         job: Job,
@@ -89,13 +89,9 @@
         recordedTasks: BitSet,
     ): Boolean {
         val recordableTasks = CompletedTaskRanges.truncateToFit(job.doneTasks, chunk, valueBytes)
-        val durableTasks =
-            job.recordedTasks.get(
-                chunk * CompletedTaskRanges.TASKS_PER_CHUNK,
-                (chunk + 1) * CompletedTaskRanges.TASKS_PER_CHUNK,
-            )
-        val droppedTasks = (durableTasks.clone() as BitSet).apply { andNot(recordableTasks) }
-        if (!droppedTasks.isEmpty || recordableTasks == durableTasks) return false
+        val recorded = job.recordedTasks.get(chunk * CompletedTaskRanges.TASKS_PER_CHUNK, (chunk + 1) * CompletedTaskRanges.TASKS_PER_CHUNK)
+        val droppedTasks = (recorded.clone() as BitSet).apply { andNot(recordableTasks) }
+        if (!droppedTasks.isEmpty || recordableTasks == recorded) return false
         var next = recordableTasks.nextSetBit(0)
         while (next >= 0) {
             recordedTasks.set(chunk * CompletedTaskRanges.TASKS_PER_CHUNK + next)
--- a/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
+++ b/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
@@ -36,15 +36,11 @@
         return jobs.filter { it.remainingTasks > 0 && it.phase == JobPhase.OPEN }.mapNotNull { job ->
             val spec = job.spec
             val machineType = MachineFit.cheapestType(spec, machineTypes)
-            val leadTimeUs = if (job.isReady || machineType == null) 0 else (machineType.bootUs * BOOT_TIME_MARGIN).toLong()
+            val leadUs = if (job.isReady || machineType == null) 0 else (machineType.bootUs * BOOT_TIME_MARGIN).toLong()
             val tasks = concurrentTasks(job, inputs.maxCores(spec.team) - (plannedCoresByTeam[spec.team] ?: 0.0))
-            if (machineType == null || tasks <= 0.0 ||
-                (!job.isReady && inputs.readyInUs(job) > leadTimeUs)
-            ) {
-                return@mapNotNull null
-            }
+            if (machineType == null || tasks <= 0.0 || (!job.isReady && inputs.readyInUs(job) > leadUs)) return@mapNotNull null
             plannedCoresByTeam.merge(spec.team, tasks * spec.resources.cores, Double::plus)
-            remainingDemand(job, machineType, tasks, inputs.runUs(spec)).copy(dueUs = inputs.dueAtUs(job), foreseenInUs = leadTimeUs)
+            remainingDemand(job, machineType, tasks, inputs.runUs(spec)).copy(dueUs = inputs.dueAtUs(job), foreseenInUs = leadUs)
         }
     }
 
--- a/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
@@ -72,14 +72,14 @@
 
     /** Broadcasts requests for the first jobs of the queue. */
     private fun beginRound(
-        waitingJobs: () -> List<Job>,
+        waiting: () -> List<Job>,
         nowUs: Long,
     ) {
         hasChangedSinceRound = false
         roundStartedAtUs = nowUs
-        val unaccountedUse = context.unaccountedUse()
+        val unaccounted = context.unaccountedUse()
         val requests =
-            planner.plan(waitingJobs(), nowUs) { spec, planned -> attempts.allowedTaskCount(spec.team, spec.resources, unaccountedUse, planned) }
+            planner.plan(waiting(), nowUs) { spec, planned -> attempts.allowedTaskCount(spec.team, spec.resources, unaccounted, planned) }
         if (requests.isEmpty()) return
         currentRound = RequestRound(requests, nowUs, settings.alphaUs)
         val frames = requests.map { it.request }
