--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -4,8 +4,8 @@
 import java.util.BitSet
 
 /**
- * Decides which done tasks are recorded next. One transaction holds at most [maxWritesPerTransaction] changes, and the done tasks of a job
- * are recorded [recordDelayUs] microseconds after the first of them at the earliest.
+ * The scheduler of the records of done tasks. One transaction holds at most [maxWritesPerTransaction] changes. The done tasks of a job
+ * wait for at least [recordDelayUs] before they are recorded.
  */
 class CompletionRecorder(
     private val maxWritesPerTransaction: Int,
@@ -13,11 +13,11 @@
     private val valueBytes: Int,
     private val emit: (LeaderEffect) -> Unit,
 ) {
-    /** Jobs with tasks that are done but not recorded, with when that began, the oldest first. */
+    /** Jobs with done tasks that are not recorded, each with the time at which its wait began, the oldest first. */
     private val unrecordedSinceUs = LinkedHashMap<Job, Long>()
-    private var rangesWriteInFlight = false
+    private var isRangesWriteInFlight = false
 
-    /** Something of the job is done that is not recorded, since [sinceUs] unless it was known already. */
+    /** Notes that the job has done tasks that are not recorded, since [sinceUs]. A time that was noted before stays. */
     fun markUnrecorded(
         job: Job,
         sinceUs: Long,
@@ -25,14 +25,15 @@
         unrecordedSinceUs.putIfAbsent(job, sinceUs)
     }
 
-    /** The job's completion is recorded. */
-    fun onCompletionRecorded(job: Job) {
+    /** Removes a closed job, which needs no further records. */
+    fun onJobClosed(job: Job) {
         unrecordedSinceUs.remove(job)
     }
 
     /**
-     * Has recorded what is done: the end of a job at once, ranges in one batch after the other, the oldest first. Ranges take
-     * what writes the rest leaves, so that the more jobs there are, the longer each waits.
+     * Requests the records that are due. The completion of a job is recorded at once. Ranges of done tasks are recorded in one batch
+     * after the other, the oldest first. They use the write rate that other records leave unused, so each job waits longer if there are
+     * more jobs.
      */
     fun writeDueCompletions(nowUs: Long) {
         if (unrecordedSinceUs.isEmpty()) return
@@ -40,10 +41,10 @@
             job.isCompletionWriteInFlight = true
             emit(LeaderEffect.RecordJobCompletion(job))
         }
-        if (rangesWriteInFlight) return
+        if (isRangesWriteInFlight) return
         val deltas = nextBatch(nowUs)
         if (deltas.isEmpty()) return
-        rangesWriteInFlight = true
+        isRangesWriteInFlight = true
         deltas.forEach {
             unrecordedSinceUs.remove(it.job)
             it.job.isRangesWriteInFlight = true
@@ -51,17 +52,17 @@
         emit(LeaderEffect.WriteCompletionChunks(deltas))
     }
 
-    /** What one transaction holds of the jobs that have waited long enough. */
+    /** Returns the changes of one transaction, from the jobs that have waited long enough. */
     private fun nextBatch(nowUs: Long): List<CompletionDelta> {
         val deltas = ArrayList<CompletionDelta>()
         var writes = 0
-        // The oldest come first, and this runs after every message: what is not due yet is not looked at.
+        // This runs after every message, so it visits only the jobs that are due. The oldest come first.
         val dueJobs = unrecordedSinceUs.entries.takeWhile { nowUs - it.value >= recordDelayUs }.map { it.key }
         for (job in dueJobs.filter { !it.allTasksDone }) {
             if (writes >= maxWritesPerTransaction) break
             val delta = createDelta(job)
             if (delta.chunks.isEmpty()) {
-                // Too large for a record: it comes again with the next of its tasks that is done.
+                // The ranges are too large for a record. The job is tried again when another of its tasks is done.
                 unrecordedSinceUs.remove(job)
             } else {
                 if (writes + delta.chunks.size > maxWritesPerTransaction && deltas.isNotEmpty()) break
@@ -79,8 +80,8 @@
     }
 
     /**
-     * Adds the done tasks that a record of the chunk can hold to [recordedTasks]. Returns false, and adds nothing, where the record would
-     * add no task or would lose a durable one: the workers have forgotten durable tasks, so they must stay recorded.
+     * Adds the done tasks that a record of the chunk can hold to [recordedTasks]. Returns false and adds nothing if this would add no
+     * task, or if the record would lose a recorded task. A recorded task must stay recorded, because the workers have forgotten it.
      */
     private fun addRecordableTasks(
         job: Job,
@@ -88,13 +89,9 @@
         recordedTasks: BitSet,
     ): Boolean {
         val recordableTasks = CompletedTaskRanges.truncateToFit(job.doneTasks, chunk, valueBytes)
-        val durableTasks =
-            job.recordedTasks.get(
-                chunk * CompletedTaskRanges.TASKS_PER_CHUNK,
-                (chunk + 1) * CompletedTaskRanges.TASKS_PER_CHUNK,
-            )
-        val droppedTasks = (durableTasks.clone() as BitSet).apply { andNot(recordableTasks) }
-        if (!droppedTasks.isEmpty || recordableTasks == durableTasks) return false
+        val recorded = job.recordedTasks.get(chunk * CompletedTaskRanges.TASKS_PER_CHUNK, (chunk + 1) * CompletedTaskRanges.TASKS_PER_CHUNK)
+        val droppedTasks = (recorded.clone() as BitSet).apply { andNot(recordableTasks) }
+        if (!droppedTasks.isEmpty || recordableTasks == recorded) return false
         var next = recordableTasks.nextSetBit(0)
         while (next >= 0) {
             recordedTasks.set(chunk * CompletedTaskRanges.TASKS_PER_CHUNK + next)
@@ -111,13 +108,13 @@
         }
     }
 
-    /** The outcome of a transaction with done ranges. */
+    /** Handles the result of a transaction that records ranges of done tasks. */
     fun onRangesWritten(
         deltas: List<CompletionDelta>,
         isCommitted: Boolean,
         nowUs: Long,
     ) {
-        rangesWriteInFlight = false
+        isRangesWriteInFlight = false
         for ((job, recordedTasks) in deltas) {
             job.isRangesWriteInFlight = false
             if (isCommitted) job.recordedTasks.or(recordedTasks)
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -181,7 +181,7 @@
 
     private fun closeJob(job: Job) {
         job.phase = JobPhase.CLOSED
-        recorder.onCompletionRecorded(job)
+        recorder.onJobClosed(job)
         reconciler.reconcileMachinesOf(job)
         jobTable.removeIfClosed(job)
     }
