--- a/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
@@ -77,7 +77,7 @@
     }
 
     @Example
-    fun `a checkpoint stop is repeated only when the first one must have been lost`() {
+    fun `a checkpoint stop is sent once and repeated only when the first one must have been lost`() {
         val partition = running()
         partition.onLeaderFrame(checkpointStopFrame(), SECOND)
         val order = partition.nextDirectOrders(SECOND).single()
@@ -232,8 +232,8 @@
         .any { 1L in it.removedAttempts }
 
     /**
-     * Guards against an exceeded limit or a task that runs twice. Both happened if the worker executed the start from the reply but its
-     * later heartbeats were lost, and the partition removed the start after some time.
+     * Guards against an exceeded limit or a task that runs twice. The cause is a worker that executes the start from the reply while its
+     * later heartbeats are lost, so that the partition does not see the running task.
      */
     @Example
     fun `a start sent in a reply counts until a later heartbeat does not list it, however long that takes`() {
