--- a/src/main/kotlin/lichenstage/partition/OrderFencing.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderFencing.kt
@@ -45,13 +45,13 @@
         if (machine !in machinesWithUnwantedStarts) return
         val unexecutedStarts =
             machine.attempts.values.filter {
-                it.isStopRequested && it.isProvenNotExecuted(machine.heartbeatSequence, machine.observedFencingToken)
+                it.isStopRequested && it.isProvenNotExecuted(machine.lastHeartbeatSequence, machine.observedFencingToken)
             }
         unexecutedStarts.filter { it.isStartIndeterminate }.forEach { reportEvent(startProvenNotExecuted(machine, it)) }
         if (unexecutedStarts.isNotEmpty()) machine.removeAttempts { it in unexecutedStarts }
         if (machine.attempts.values.none { it.isUnwantedStart }) machinesWithUnwantedStarts -= machine
         if (unexecutedStarts.isNotEmpty()) {
-            machine.invalidateUsage()
+            machine.invalidateUsedResources()
             changes.record(machine)
         }
     }
@@ -106,7 +106,7 @@
      * because the machine would refuse that order too. The clears can wait for the next round.
      */
     private fun mustRefuseStartsBeforeClear(machine: Machine) =
-        machine.acceptsOrders && machine.attempts.values.any { it.needsNewerTokenToClear(machine.fencingToken) }
+        machine.canTakeOrders && machine.attempts.values.any { it.needsNewerTokenToClear(machine.fencingToken) }
 
     /**
      * Returns whether the partition may reply to a heartbeat of [machine]. The reply renews the machine's lease. Returns false if the
--- a/src/main/kotlin/lichenstage/partition/OrderQueue.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderQueue.kt
@@ -104,7 +104,7 @@
         for (machine in candidates) {
             if (orders.size >= limit) break
             dueMachines -= machine
-            if (machine.acceptsOrders && needsDirectOrder(machine, nowUs)) orders += createOrder(machine, nowUs)
+            if (machine.canTakeOrders && needsDirectOrder(machine, nowUs)) orders += createOrder(machine, nowUs)
         }
         return orders
     }
@@ -119,7 +119,7 @@
             it.directStartToken = machine.fencingToken
             it.startOrdersInFlight++
         }
-        machine.orderInFlight = true
+        machine.hasOrderInFlight = true
         return DirectOrder(machine.name, machine.address, machine.fencingToken, machine.agentEpoch, commands)
     }
 
@@ -141,7 +141,7 @@
         order: DirectOrder,
         outcome: OrderOutcome,
     ) {
-        machine.orderInFlight = false
+        machine.hasOrderInFlight = false
         if (machine.agentEpoch != order.agentEpoch) return
         for (command in order.commands) {
             if (command !is Command.Start) continue
--- a/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
@@ -15,7 +15,7 @@
     /** Guards against cancelled tasks that keep running because a burst of starts occupies all connections. */
     @Example
     fun `if connections are scarce, orders with stops are sent before orders with starts`() {
-        val partition = partition()
+        val partition = newPartition()
         for (name in listOf("m1", "m2")) partition.onHeartbeat(heartbeat(5, machine = name), 1)
         partition.onHeartbeat(heartbeat(5, TaskReport("j-9/0", 9, TaskPhase.RUNNING, null), machine = "m3"), 2)
         partition.nextDirectOrders(2)
@@ -30,20 +30,20 @@
     @Example
     fun `a done task is cleared without a newer token and a failed one only under a newer token, however much time passes`() {
         for (cause in listOf("done", "error")) {
-            val partition = partition()
-            val order = started(partition)
+            val partition = newPartition()
+            val order = startTask(partition)
             val ended = TaskReport("j-1/0", 1, TaskPhase.ENDED, cause)
             partition.onOrderOutcome(order, OrderOutcome.Replied(true, heartbeat(5, ended)), 2)
             partition.onLeaderFrame(frame(clears = listOf(AttemptOrder("m", "j-1/0", 1))), 3)
-            for (nowUs in listOf(9 * SECOND, 29 * LEASE, 31 * LEASE, 1000 * LEASE)) {
+            for (nowUs in listOf(9 * SECOND, 29 * LEASE_US, 31 * LEASE_US, 1000 * LEASE_US)) {
                 val commands = partition.commands(heartbeat(5, ended), nowUs)
                 assertEquals((cause == "done"), commands.any { it is Command.Clear }) { "$cause at $nowUs: $commands" }
             }
             partition.addReservedTokens(6L..9L)
-            partition.tick(1001 * LEASE)
-            val commandsBefore = partition.commands(heartbeat(5, ended), 1001 * LEASE)
+            partition.tick(1001 * LEASE_US)
+            val commandsBefore = partition.commands(heartbeat(5, ended), 1001 * LEASE_US)
             assertEquals((cause == "done"), commandsBefore.any { it is Command.Clear }) { "$cause, newer token not shown: $commandsBefore" }
-            val commandsAfter = partition.commands(heartbeat(if (cause == "done") 5 else 6, ended), 1001 * LEASE + SECOND)
+            val commandsAfter = partition.commands(heartbeat(if (cause == "done") 5 else 6, ended), 1001 * LEASE_US + SECOND)
             assertTrue(commandsAfter.any { it is Command.Clear }) { "$cause: $commandsAfter" }
         }
     }
@@ -51,8 +51,8 @@
     /** Guards against a delayed order that starts a done task again, possibly after its job was cancelled. */
     @Example
     fun `a done task whose order got no reply is cleared only under a newer token`() {
-        val partition = partition()
-        val order = started(partition)
+        val partition = newPartition()
+        val order = startTask(partition)
         val done = TaskReport("j-1/0", 1, TaskPhase.ENDED, "done")
         partition.onOrderOutcome(order, OrderOutcome.Indeterminate, 3 * SECOND)
         partition.onProbeResult(StatusProbe("m", "1.2.3.4:5", 5, 1), heartbeat(5, done), 5 * SECOND)
@@ -66,8 +66,8 @@
 
     @Example
     fun `no clear is sent while the worker may still execute the start from a reply to a heartbeat`() {
-        val partition = partition()
-        val order = started(partition)
+        val partition = newPartition()
+        val order = startTask(partition)
         val ended = TaskReport("j-1/0", 1, TaskPhase.ENDED, "done")
         assertTrue(partition.commands(heartbeat(5), 10).single() is Command.Start) { "the reply does not carry the start" }
         partition.onOrderOutcome(order, OrderOutcome.Replied(true, heartbeat(5, ended)), 11)
@@ -78,33 +78,35 @@
 
     @Example
     fun `a checkpoint stop is sent once and repeated only when the first one must have been lost`() {
-        val partition = running()
+        val partition = partitionWithRunningTask()
         partition.onLeaderFrame(checkpointStopFrame(), SECOND)
         val order = partition.nextDirectOrders(SECOND).single()
         assertEquals(listOf(Command.Stop("j-1/0", 1, 5.0)), order.commands) { "$order" }
         partition.onOrderOutcome(order, OrderOutcome.NotSent, SECOND)
         partition.onLeaderFrame(checkpointStopFrame(), 3 * SECOND)
-        assertTrue(partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 4 * SECOND).isEmpty()) { "the second stop was sent too early" }
-        val repeatedCommands = partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 8 * SECOND)
+        assertTrue(
+            partition.commands(heartbeat(5, taskReport(TaskPhase.RUNNING)), 4 * SECOND).isEmpty(),
+        ) { "the second stop was sent too early" }
+        val repeatedCommands = partition.commands(heartbeat(5, taskReport(TaskPhase.RUNNING)), 8 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 5.0)), repeatedCommands) { "$repeatedCommands" }
-        assertTrue(partition.commands(heartbeat(5, task(TaskPhase.SAVING)), 20 * SECOND).isEmpty()) { "stopped while saving" }
-        assertTrue(partition.commands(heartbeat(5, task(TaskPhase.ENDED)), 21 * SECOND).isEmpty()) { "stopped after the task ended" }
+        assertTrue(partition.commands(heartbeat(5, taskReport(TaskPhase.SAVING)), 20 * SECOND).isEmpty()) { "stopped while saving" }
+        assertTrue(partition.commands(heartbeat(5, taskReport(TaskPhase.ENDED)), 21 * SECOND).isEmpty()) { "stopped after the task ended" }
     }
 
     @Example
     fun `a task that saves a checkpoint is stopped again when its job is cancelled`() {
-        val partition = running()
+        val partition = partitionWithRunningTask()
         partition.onLeaderFrame(checkpointStopFrame(), SECOND)
         partition.nextDirectOrders(SECOND)
-        partition.onHeartbeat(heartbeat(5, task(TaskPhase.SAVING)), 2 * SECOND)
+        partition.onHeartbeat(heartbeat(5, taskReport(TaskPhase.SAVING)), 2 * SECOND)
         partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2 * SECOND)
-        val commands = partition.commands(heartbeat(5, task(TaskPhase.SAVING)), 3 * SECOND)
+        val commands = partition.commands(heartbeat(5, taskReport(TaskPhase.SAVING)), 3 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "$commands" }
     }
 
     @Example
     fun `a task whose checkpoint stop got no reply counts as running until its machine's lease has expired`() {
-        val partition = running()
+        val partition = partitionWithRunningTask()
         partition.onLeaderFrame(checkpointStopFrame(), SECOND)
         partition.onOrderOutcome(partition.nextDirectOrders(SECOND).single(), OrderOutcome.Indeterminate, 4 * SECOND)
         assertTrue(partition.nextDirectOrders(5 * SECOND).isEmpty()) { "sent an order to an unresponsive machine" }
@@ -117,48 +119,48 @@
                 ?.tasks
                 .orEmpty()
         assertEquals(TaskPhase.RUNNING, listedTasks(5 * SECOND).single().phase) { "the task is no longer listed as running" }
-        partition.tick(2 * LEASE)
-        assertTrue(onlyMachine(partition, 2 * LEASE).lost) { "not lost after its lease expired" }
+        partition.tick(2 * LEASE_US)
+        assertTrue(onlyMachineOfNextFrame(partition, 2 * LEASE_US).isLost) { "not lost after its lease expired" }
     }
 
     @Example
     fun `a machine that did not reply to an order is not offered until it replies to one, however many heartbeats it sends`() {
-        val partition = partition()
-        val order = started(partition)
+        val partition = newPartition()
+        val order = startTask(partition)
         partition.onOrderOutcome(order, OrderOutcome.Indeterminate, 3 * SECOND)
         partition.onHeartbeat(heartbeat(5), 4 * SECOND)
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), 4 * SECOND)
-        assertTrue(offered(partition, 4 * SECOND).isEmpty()) { "offered although unresponsive" }
+        assertTrue(machinesOfferedInNextFrame(partition, 4 * SECOND).isEmpty()) { "offered although unresponsive" }
         val probe = partition.nextProbes(5 * SECOND).single()
-        partition.onProbeResult(probe, heartbeat(5, task(TaskPhase.RUNNING)), 5 * SECOND)
+        partition.onProbeResult(probe, heartbeat(5, taskReport(TaskPhase.RUNNING)), 5 * SECOND)
         partition.onLeaderFrame(frame(requests = listOf(request(3, 1))), 5 * SECOND)
-        assertEquals(listOf("m"), offered(partition, 5 * SECOND)) { "not offered although it replies again" }
+        assertEquals(listOf("m"), machinesOfferedInNextFrame(partition, 5 * SECOND)) { "not offered although it replies again" }
     }
 
     @Example
     fun `a machine whose lease expired despite replies to its heartbeats is not offered until it replies to an order`() {
-        val partition = partition()
-        started(partition)
+        val partition = newPartition()
+        startTask(partition)
         partition.onHeartbeat(heartbeat(5, agentEpoch = 2), 20 * SECOND)
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), 20 * SECOND)
-        assertTrue(offered(partition, 20 * SECOND).isEmpty()) { "offered before it replied to an order" }
+        assertTrue(machinesOfferedInNextFrame(partition, 20 * SECOND).isEmpty()) { "offered before it replied to an order" }
         assertEquals(2L, partition.nextProbes(20 * SECOND).single().agentEpoch) { "no probe was sent for the new agent epoch" }
     }
 
     @Example
     fun `an unwanted start whose order was never sent is removed`() {
-        val partition = partition()
-        val order = started(partition)
+        val partition = newPartition()
+        val order = startTask(partition)
         partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
-        assertEquals(1, onlyMachine(partition, 2).tasks.size) { "removed while its order is in flight" }
+        assertEquals(1, onlyMachineOfNextFrame(partition, 2).tasks.size) { "removed while its order is in flight" }
         partition.onOrderOutcome(order, OrderOutcome.NotSent, 3)
-        assertTrue(onlyMachine(partition, SECOND).tasks.isEmpty()) { "not removed" }
+        assertTrue(onlyMachineOfNextFrame(partition, SECOND).tasks.isEmpty()) { "not removed" }
     }
 
     @Example
     fun `an indeterminate start occupies capacity until its machine shows a newer token, however long that takes`() {
-        val partition = partition()
-        val order = started(partition)
+        val partition = newPartition()
+        val order = startTask(partition)
         partition.onOrderOutcome(order, OrderOutcome.Indeterminate, SECOND)
         partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), SECOND)
 
@@ -175,11 +177,11 @@
                 ?.tasks
                 ?.size ?: -1
         }
-        assertTrue((1L..50).all { taskCount(it * LEASE) != 0 }) { "removed while it may still be executed" }
+        assertTrue((1L..50).all { taskCount(it * LEASE_US) != 0 }) { "removed while it may still be executed" }
         partition.addReservedTokens(6L..9L)
-        assertNotEquals(0, taskCount(51 * LEASE)) { "removed before the newer token was shown" }
-        assertNotEquals(0, taskCount(51 * LEASE + SECOND)) { "removed before the newer token was shown" }
-        assertEquals(0, taskCount(51 * LEASE + 2 * SECOND, fencingToken = 6)) { "not removed after the newer token was shown" }
+        assertNotEquals(0, taskCount(51 * LEASE_US)) { "removed before the newer token was shown" }
+        assertNotEquals(0, taskCount(51 * LEASE_US + SECOND)) { "removed before the newer token was shown" }
+        assertEquals(0, taskCount(51 * LEASE_US + 2 * SECOND, fencingToken = 6)) { "not removed after the newer token was shown" }
     }
 
     @Example
@@ -195,16 +197,16 @@
                 OrderOutcome.Replied(false, heartbeat(5)),
             )
         for (outcome in inconclusiveOutcomes) {
-            val partition = partition()
-            val order = started(partition)
+            val partition = newPartition()
+            val order = startTask(partition)
             partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
             partition.onOrderOutcome(order, outcome, SECOND)
             partition.onHeartbeat(heartbeat(5), SECOND)
             assertFalse(isAttemptRemoved(partition, SECOND)) { "$outcome" }
             assertEquals(1, partition.indeterminateStarts().count()) { "$outcome" }
         }
-        val refusedPartition = partition()
-        val order = started(refusedPartition)
+        val refusedPartition = newPartition()
+        val order = startTask(refusedPartition)
         refusedPartition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
         refusedPartition.onOrderOutcome(order, OrderOutcome.Replied(false, heartbeat(5, agentEpoch = 2)), SECOND)
         assertTrue(isAttemptRemoved(refusedPartition, SECOND)) { "not removed although the order was refused for its agent epoch" }
@@ -237,7 +239,7 @@
      */
     @Example
     fun `a start sent in a reply counts until a later heartbeat does not list it, however long that takes`() {
-        val partition = partition()
+        val partition = newPartition()
         val repliedHeartbeat = startInReply(partition)
         partition.tick(10 * SECOND)
         assertFalse(isAttemptRemoved(partition, 10 * SECOND)) { "removed because time has passed" }
@@ -254,25 +256,25 @@
 
     @Example
     fun `an unwanted start sent in a reply is stopped when a heartbeat lists it`() {
-        val partition = partition()
+        val partition = newPartition()
         startInReply(partition)
         partition.tick(10 * SECOND)
-        val commands = partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 11 * SECOND)
+        val commands = partition.commands(heartbeat(5, taskReport(TaskPhase.RUNNING)), 11 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "$commands" }
     }
 
     @Example
     fun `a partition stops the tasks of an ended job and starts no more, whatever the leader requests`() {
-        val jobCompletions = FakeJobCompletions(LEASE) { 0 }
-        val partition = partition(jobCompletions = jobCompletions)
-        started(partition)
+        val jobCompletions = FakeJobCompletions(LEASE_US) { 0 }
+        val partition = newPartition(jobCompletions = jobCompletions)
+        startTask(partition)
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), SECOND)
-        partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), SECOND)
+        partition.commands(heartbeat(5, taskReport(TaskPhase.RUNNING)), SECOND)
         jobCompletions.endJob("j-1")
         partition.onLeaderFrame(frame(requests = listOf(request(3, 1)), starts = listOf(StartOrder(2, "m", 1, 2))), 2 * SECOND)
-        assertTrue(lastOffer(partition, 2 * SECOND).held.isEmpty()) { "offered for an ended job" }
+        assertTrue(lastOfferOfNextFrame(partition, 2 * SECOND).slots.isEmpty()) { "offered for an ended job" }
         partition.tick(3 * SECOND)
-        val commands = partition.commands(heartbeat(5, task(TaskPhase.RUNNING)), 3 * SECOND)
+        val commands = partition.commands(heartbeat(5, taskReport(TaskPhase.RUNNING)), 3 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "expected only a stop: $commands" }
     }
 }
