--- a/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
@@ -84,9 +84,7 @@
         assertEquals(listOf(Command.Stop("j-1/0", 1, 5.0)), order.commands) { "$order" }
         partition.onOrderOutcome(order, OrderOutcome.NotSent, SECOND)
         partition.onLeaderFrame(checkpointStopFrame(), 3 * SECOND)
-        assertTrue(
-            partition.commands(heartbeat(5, taskReport(TaskPhase.RUNNING)), 4 * SECOND).isEmpty(),
-        ) { "the second stop was sent too early" }
+        assertTrue(partition.commands(heartbeat(5, taskReport(TaskPhase.RUNNING)), 4 * SECOND).isEmpty()) { "second stop sent too early" }
         val repeatedCommands = partition.commands(heartbeat(5, taskReport(TaskPhase.RUNNING)), 8 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 5.0)), repeatedCommands) { "$repeatedCommands" }
         assertTrue(partition.commands(heartbeat(5, taskReport(TaskPhase.SAVING)), 20 * SECOND).isEmpty()) { "stopped while saving" }
