--- a/src/main/kotlin/lichenstage/placement/Attempt.kt
+++ b/src/main/kotlin/lichenstage/placement/Attempt.kt
@@ -2,7 +2,12 @@
 
 import lichenstage.cluster.TaskPhase
 
-/** One execution of a task, from the sending of its start until the attempt is proven to be gone (invariant 6). */
+/**
+ * One execution of a task, from the sending of its start until the attempt is proven to be gone (invariant 6).
+ *
+ * @property index the index of the task in its job
+ * @property number the number of the attempt, with the leader's term as its high part (invariant 7)
+ */
 class Attempt(
     val job: Job,
     val index: Int,
