--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -128,7 +128,7 @@
         job: Job,
         currentAttempt: Attempt?,
     ) {
-        if (machine.tokenConfirmed && isRegistered(machine.name) && (currentAttempt == null || task.attempt > currentAttempt.number)) {
+        if (machine.isTokenConfirmed && isRegistered(machine.name) && (currentAttempt == null || task.attempt > currentAttempt.number)) {
             val attempt = Attempt(job, task.index, task.attempt, machine.name, partition.id)
             attempt.partitionTerm = partition.state.term
             attempt.startSeq = partition.state.reflectedSeq
--- a/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
@@ -41,7 +41,7 @@
         machine: MachineState,
         nowUs: Long,
     ) {
-        val leftUs = machine.recallUs ?: return
+        val leftUs = machine.timeUntilReclaimUs ?: return
         reclaimDeadlinesUs.merge(machine.name, nowUs + leftUs, ::minOf)
     }
 
@@ -111,7 +111,7 @@
         nowUs: Long,
     ): Long {
         val progressUs = attempt.progressUs(nowUs)
-        return maxOf(runTimes.expectedUs(attempt.job.spec) - progressUs, progressUs / OVERRUN_DIVISOR)
+        return maxOf(runTimes.expectedRunTimeUs(attempt.job.spec) - progressUs, progressUs / OVERRUN_DIVISOR)
     }
 
     private fun savesCheckpoints(attempt: Attempt) = attempt.job.spec.checkpointIntervalUs > 0
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -13,7 +13,7 @@
  *
  * The class connects the parts: jobs ([JobTable]), partitions ([PartitionTable]), machines ([MachineDirectory]), attempts that may be
  * running ([AttemptTracker]), failover ([FailoverRecovery]), reconciliation ([MachineReconciler]), stops with a checkpoint
- * ([CheckpointStops]), rounds of placement requests ([RequestRounds]) and the recording of completions ([CompletionRecorder]).
+ * ([CheckpointStops]), rounds of placement requests ([RequestRoundRunner]) and the recording of completions ([CompletionRecorder]).
  *
  * The leader starts a task only if no other attempt of the task can be running. It stays within the team limits, which count all
  * attempts that may be running (invariant 11). The cost of handling a frame depends on the changes in the frame; work that goes through
@@ -46,7 +46,7 @@
     private val readiness = ReadinessForecast(runTimes, lookups.fetchUs) { jobs[it] }
     private val queue = JobQueue(settings.objectives, settings.teams, runTimes, pipelineDeadlines = pipelineDeadlines)
     private val checkpointPreemption = CheckpointPreemption(runTimes)
-    private val recorder = CompletionRecorder(settings.transactionOperations, settings.placement.flushUs, settings.valueBytes, emit)
+    private val recorder = CompletionRecorder(settings.transactionOperations, settings.placement.recordDelayUs, settings.valueBytes, emit)
     private val outbox = PartitionOutbox(term, OutboxView(), emit)
     private val reconciler = MachineReconciler(partitionTable, jobTable, unaccountedUse, directory::isRegistered, outbox)
     private val tracker =
@@ -60,10 +60,10 @@
     private var lastSweepAtUs = Long.MIN_VALUE / 2
     private var totalCores = 0.0
 
-    private fun createRequestRounds(): RequestRounds {
+    private fun createRequestRounds(): RequestRoundRunner {
         val zones = ZoneConstraints(settings.assignment)
         val planner = RequestPlanner(settings.placement, settings.objectives, runTimes, zones, lookups.fetchUs)
-        return RequestRounds(term, settings.assignment, settings.placement, planner, zones, attempts, outbox, RoundView())
+        return RequestRoundRunner(term, settings.assignment, settings.placement, planner, zones, attempts, outbox, RoundView())
     }
 
     private inner class OutboxView : OutboxSource {
@@ -86,7 +86,7 @@
 
         override fun unaccountedUse() = unaccountedUse.total()
 
-        override fun reachablePartitions(now: Long) = partitionTable.reachablePartitions(now)
+        override fun reachablePartitions(nowUs: Long) = partitionTable.reachablePartitions(nowUs)
     }
 
     private inner class AttemptEvents : AttemptListener {
@@ -148,7 +148,7 @@
     /** Adds a job that was just accepted or was read from its record. Does nothing if the job is already present. */
     fun addJob(job: Job) {
         if (!jobTable.add(job)) return
-        queue.jobAdded(job)
+        queue.onJobAdded(job)
         rounds.markChanged()
         jobTable.enqueueIfPlaceable(job)
         if (!jobTable.isFromThisTerm(job)) recovery.recoverAttemptsOf(job)
@@ -163,7 +163,7 @@
         if (job.isReady || job.phase == JobPhase.CLOSED) return
         job.markReady(atUs)
         jobTable.enqueueIfPlaceable(job)
-        queue.invalidate()
+        queue.markOrderStale()
         rounds.markChanged()
     }
 
@@ -180,7 +180,7 @@
 
     private fun closeJob(job: Job) {
         job.phase = JobPhase.CLOSED
-        recorder.completionRecorded(job)
+        recorder.onCompletionRecorded(job)
         reconciler.reconcileMachinesOf(job)
         jobTable.removeIfClosed(job)
     }
@@ -203,7 +203,7 @@
         delta: MachineState,
         nowUs: Long,
     ) {
-        val machine = delta.appliedTo(partition.state.machines[delta.name])
+        val machine = delta.applyTo(partition.state.machines[delta.name])
         partition.state.machines[machine.name] = machine
         directory.setAddress(machine.name, machine.address)
         checkpointPreemption.onMachineUpdate(machine, nowUs)
@@ -243,8 +243,8 @@
     /** Does the work that is due at [nowUs]: the sweep, rounds of placement requests, records and frames to partitions. */
     fun tick(nowUs: Long) {
         if (nowUs - lastSweepAtUs >= SWEEP_INTERVAL_US) sweep(nowUs)
-        rounds.tick(nowUs) { queue.order(jobs.values, { totalCores }, nowUs) }
-        recorder.writeDue(nowUs)
+        rounds.tick(nowUs) { queue.sortWaitingJobs(jobs.values, { totalCores }, nowUs) }
+        recorder.writeDueCompletions(nowUs)
         settings.assignment.partitions
             .filter { outbox.isDue(it, nowUs) }
             .forEach { outbox.send(it, nowUs) }
@@ -272,7 +272,7 @@
         ok: Boolean,
         nowUs: Long,
     ) {
-        recorder.rangesWritten(deltas, ok, nowUs)
+        recorder.onRangesWritten(deltas, ok, nowUs)
         if (ok) deltas.forEach { if (it.job.phase == JobPhase.OPEN) reconciler.reconcileMachinesOf(it.job) }
     }
 
--- a/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
@@ -33,8 +33,8 @@
             val state = partition.machines[machine]
             return when {
                 state == null -> if (partition.ownershipAgeUs > withDrift(leaseUs) + NO_HEARTBEAT_MARGIN_US) LEASE_EXPIRED else UNKNOWN
-                state.lost -> LEASE_EXPIRED
-                state.tokenConfirmed -> LISTED
+                state.isLost -> LEASE_EXPIRED
+                state.isTokenConfirmed -> LISTED
                 else -> UNKNOWN
             }
         }
--- a/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
@@ -36,7 +36,7 @@
     private val lastSentAtUs = HashMap<String, Long>()
     private val duePartitions = HashSet<String>()
     private val partitionSync = PartitionSync()
-    private val orders = TaskOrders()
+    private val pendingCommands = PendingCommands()
     private val saves = HashMap<String, List<SaveOrder>>()
 
     /** Makes the next frame to the partition due soon, because there is something to send. */
@@ -46,7 +46,7 @@
 
     /** Handles a change of the partition's owner: the new owner receives all stops and clears again. */
     fun resetForNewOwner(partition: String) {
-        orders.forget(partition)
+        pendingCommands.removePartition(partition)
         markDue(partition)
     }
 
@@ -54,7 +54,7 @@
     fun removeMachine(
         partition: String,
         machine: String,
-    ) = orders.forget(partition, machine)
+    ) = pendingCommands.removeMachine(partition, machine)
 
     /** Replaces the stops and clears that a machine needs. */
     fun setStopsAndClears(
@@ -63,7 +63,7 @@
         stops: List<AttemptOrder>,
         clears: List<AttemptOrder>,
     ) {
-        if (orders.set(partition, machine, stops, clears)) markDue(partition)
+        if (pendingCommands.replace(partition, machine, stops, clears)) markDue(partition)
     }
 
     /** Replaces the commands to save a checkpoint and stop, by partition. They are sent with the next frame to each partition. */
@@ -99,7 +99,7 @@
         duePartitions -= id
         val partition = source.partition(id)
         val needsInitialState = !partitionSync.hasInitialState(id, partition, seq)
-        val (stops, clears) = orders.take(id, nowUs)
+        val (stops, clears) = pendingCommands.takeDue(id, nowUs)
         val frame =
             PlacementFrame(
                 partition = id,
--- a/src/main/kotlin/lichenstage/placement/PartitionTable.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionTable.kt
@@ -30,10 +30,10 @@
         val partition = stateFor(frame) ?: return null
         // The owner sends the changes since the version that the leader has acknowledged, so a frame that skips a change is outdated.
         if (frame.since > partition.version || frame.version < partition.version) return null
-        if (frame.whole && frame.seq < partition.reflectedSeq) return null
+        if (frame.isFinal && frame.seq < partition.reflectedSeq) return null
         partition.version = frame.version
         partition.receivedSeq = frame.receivedSeq
-        if (frame.whole) {
+        if (frame.isFinal) {
             // A partial frame never raises these values (invariant 17): in earlier versions of the service, the number in a partial
             // frame covers effects that were sent in final frames which got lost.
             partition.reflectedSeq = frame.seq
@@ -67,7 +67,7 @@
 
     /** Returns the total number of cores of all machines that are not lost. [coresOf] returns the cores of a machine type. */
     fun totalCores(coresOf: (String) -> Double): Double =
-        byId.values.sumOf { partition -> partition.machines.values.sumOf { if (it.lost) 0.0 else coresOf(it.typeName) } }
+        byId.values.sumOf { partition -> partition.machines.values.sumOf { if (it.isLost) 0.0 else coresOf(it.typeName) } }
 
     private companion object {
         const val REACHABLE_TIMEOUT_US = 2500 * MILLI
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -28,21 +28,25 @@
         val attempt = sentStarts().single().attempt
         val seq = framesTo("z").last().seq
 
-        fun shown(
+        fun receiveMachineFrame(
             phase: TaskPhase,
             recallS: Long?,
             nowS: Long,
         ) {
             val cause = if (phase == TaskPhase.ENDED) "halted" else null
-            val machine = machineState("m1", TaskState("j-1/0", attempt, phase, cause)).copy(recallUs = recallS?.let { it * SECOND })
+            val machine =
+                machineState(
+                    "m1",
+                    TaskState("j-1/0", attempt, phase, cause),
+                ).copy(timeUntilReclaimUs = recallS?.let { it * SECOND })
             leader.onPartitionFrame(partitionFrame("z", seq, machine), nowS * SECOND)
             leader.tick(nowS * SECOND)
         }
-        shown(TaskPhase.RUNNING, null, 2)
-        shown(TaskPhase.RUNNING, 9, 40)
+        receiveMachineFrame(TaskPhase.RUNNING, null, 2)
+        receiveMachineFrame(TaskPhase.RUNNING, 9, 40)
         leader.tick(41 * SECOND)
         assertEquals(listOf(attempt), framesTo("z").flatMap { it.saves }.map { it.attempt }) { "${framesTo("z").last()}" }
-        shown(TaskPhase.ENDED, 4, 45)
+        receiveMachineFrame(TaskPhase.ENDED, 4, 45)
         assertTrue(job.totalSavedProgressUs in 37 * SECOND..39 * SECOND) { "${job.totalSavedProgressUs}" }
         assertTrue(leader.machines.attemptsOn("m1").isEmpty() && job.pendingTasks.size == 1) { "not queued again" }
     }
@@ -91,9 +95,9 @@
             val attempt = sentStarts().single().attempt
             val seq = framesTo("z").last().seq
             val refused = TaskState("j-1/0", attempt, TaskPhase.ENDED, "busy")
-            val other = TaskState("j-1/0", attempt - 1, TaskPhase.RUNNING)
-            val rows = if (refusedFirst) arrayOf(refused, other) else arrayOf(other, refused)
-            leader.onPartitionFrame(partitionFrame("z", seq, machineState("m1", *rows)), 2 * SECOND)
+            val otherAttempt = TaskState("j-1/0", attempt - 1, TaskPhase.RUNNING)
+            val taskStates = if (refusedFirst) arrayOf(refused, otherAttempt) else arrayOf(otherAttempt, refused)
+            leader.onPartitionFrame(partitionFrame("z", seq, machineState("m1", *taskStates)), 2 * SECOND)
             assertEquals(
                 listOf(attempt - 1),
                 leader.machines.attemptsOn("m1").map { it.number },
@@ -101,7 +105,7 @@
             leader.tick(60 * SECOND)
             assertTrue(framesTo("z").none { frame -> frame.stops.any { it.attempt == attempt - 1 } }) { "the one that runs is stopped" }
             leader.onPartitionFrame(
-                partitionFrame("z", seq, machineState("m1", refused, other.copy(phase = TaskPhase.ENDED, cause = "done"))),
+                partitionFrame("z", seq, machineState("m1", refused, otherAttempt.copy(phase = TaskPhase.ENDED, cause = "done"))),
                 61 * SECOND,
             )
             assertTrue(job.allTasksDone) { "its end does not count" }
@@ -180,8 +184,8 @@
     fun `a job with open dependencies requests nothing and counts for no limit until all of them are recorded as done`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
-        val waiting = Job(spec("j-2").copy(dependencies = listOf("j-1")), 101, 0)
-        leader.addJob(waiting)
+        val blockedJob = Job(spec("j-2").copy(dependencies = listOf("j-1")), 101, 0)
+        leader.addJob(blockedJob)
         leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1")), SECOND)
         leader.tick(2 * SECOND)
         assertTrue(framesTo("z").none { it.requests.isNotEmpty() }) { "asked before all that it needs was done" }
@@ -190,11 +194,11 @@
         assertEquals("j-3", lastRequestFrame().requests.single().job) { "the other job is held up" }
         leader.onPartitionFrame(partitionFrame("z", 1, machineState("m1"), offers = offersFor(lastRequestFrame(), "m1", 2)), 3 * SECOND)
         leader.tick(4 * SECOND)
-        leader.onJobReady(waiting, 4 * SECOND)
+        leader.onJobReady(blockedJob, 4 * SECOND)
         leader.tick(5 * SECOND)
-        assertTrue(waiting.isPlaceable && waiting.readyAtUs == 4 * SECOND) { "not let go" }
-        leader.onJobReady(waiting, 9 * SECOND)
-        assertEquals(4 * SECOND, waiting.readyAtUs) { "ready twice" }
+        assertTrue(blockedJob.isPlaceable && blockedJob.readyAtUs == 4 * SECOND) { "not let go" }
+        leader.onJobReady(blockedJob, 9 * SECOND)
+        assertEquals(4 * SECOND, blockedJob.readyAtUs) { "ready twice" }
     }
 
     @Example
@@ -211,8 +215,8 @@
         }
         leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1")), 5 * SECOND)
         leader.tick(5 * SECOND)
-        val requests = lastRequestFrame().requests.sortedBy { it.stamp }
-        assertEquals(listOf(true, true, false, false, true, false), requests.map { it.imageOnly }) { "$requests" }
+        val requests = lastRequestFrame().requests.sortedBy { it.requestNumber }
+        assertEquals(listOf(true, true, false, false, true, false), requests.map { it.isImageRequired }) { "$requests" }
         assertTrue(requests.takeLast(2).all { it.job == "j-3" }) { "$requests" }
     }
 }
