--- a/src/main/kotlin/lichenstage/partition/ChangeLog.kt
+++ b/src/main/kotlin/lichenstage/partition/ChangeLog.kt
@@ -162,7 +162,7 @@
         receivedSeq = receivedSeq,
         since = acknowledgedVersion,
         version = if (isFinal) version else includedMachines.last().version,
-        whole = isFinal,
+        isFinal = isFinal,
         machines = includedMachines.map { it.toMachineState() },
         offers = ArrayList(pendingOffers),
     )
--- a/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
+++ b/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
@@ -27,7 +27,7 @@
         machine.isLost = false
         machine.address = heartbeat.address
         machine.recallUs = heartbeat.recallUs
-        if (fencingTokens.isOwnersToken(heartbeat.fencingToken)) {
+        if (fencingTokens.isIssuedByOwner(heartbeat.fencingToken)) {
             if (!machine.isTokenConfirmed) hasChanged = true
             machine.observedFencingToken = maxOf(machine.observedFencingToken, heartbeat.fencingToken)
             if (applyTasks(machine, heartbeat, nowUs)) hasChanged = true
@@ -86,7 +86,7 @@
         if (attempt.phase == report.phase && attempt.cause == report.cause) return existing == null
         // The worker has executed a start, which proves that commands reach it.
         if (!attempt.isListed) machine.isUnresponsive = false
-        if (attempt.isUnwantedStart) events(OrderEvent.LateStart(machine.name, machine.agentEpoch, attempt.task, attempt.number))
+        if (attempt.isUnwantedStart) events(OrderEvent.UnwantedStartListed(machine.name, machine.agentEpoch, attempt.task, attempt.number))
         attempt.phase = report.phase
         attempt.cause = report.cause
         attempt.version = changeLog.nextVersion
--- a/src/main/kotlin/lichenstage/partition/HoldTable.kt
+++ b/src/main/kotlin/lichenstage/partition/HoldTable.kt
@@ -60,7 +60,7 @@
         if (holdsByRequest.isEmpty()) return
         holdsByRequest.values
             .filter { nowUs - it.grantedAtUs > HOLD_LIFETIME_US }
-            .map { it.request.stamp }
+            .map { it.request.requestNumber }
             .forEach(::release)
     }
 
@@ -81,15 +81,15 @@
         if (requests.isEmpty()) return emptyList()
         val grantedTasks = HashMap<String, Int>()
         val candidates = selectCandidates(requests, usableMachines)
-        return requests.sortedBy { it.stamp }.map { request ->
+        return requests.sortedBy { it.requestNumber }.map { request ->
             val maxTasks = request.count - (grantedTasks[request.job] ?: 0)
             val offer = if (hasJobEnded(request.job)) emptyOffer(request) else grant(request, maxTasks, candidates, nowUs)
-            grantedTasks.merge(request.job, offer.held.sumOf { it.count }, Int::plus)
+            grantedTasks.merge(request.job, offer.slots.sumOf { it.count }, Int::plus)
             offer
         }
     }
 
-    private fun emptyOffer(request: PlacementRequest) = Offer(request.stamp, emptyList())
+    private fun emptyOffer(request: PlacementRequest) = Offer(request.requestNumber, emptyList())
 
     /**
      * Returns the machines that have capacity for a task with the smallest resources of all requests.
@@ -120,10 +120,10 @@
         if (request.zone != null && request.zone != zone) return emptyOffer(request)
         val heldSlots = PlacementScore.selectRoomiest(candidates.mapNotNull { findFreeSlots(request, it) }, maxTasks)
         if (heldSlots.isNotEmpty()) {
-            holdsByRequest[request.stamp] = Hold(request, nowUs, heldSlots.associateTo(HashMap()) { it.machine to it.count })
+            holdsByRequest[request.requestNumber] = Hold(request, nowUs, heldSlots.associateTo(HashMap()) { it.machine to it.count })
             heldSlots.forEach { findMachine(it.machine)!!.adjustHold(request.requirements.resources, it.count) }
         }
-        return Offer(request.stamp, heldSlots)
+        return Offer(request.requestNumber, heldSlots)
     }
 
     /** Returns the slots that a machine has for a request, or null if there are none. */
@@ -132,9 +132,9 @@
         machine: Machine,
     ): HeldSlots? {
         if (request.allowedTypes != null && machine.typeName !in request.allowedTypes) return null
-        if (machine.spot && !request.spot) return null
+        if (machine.spot && !request.isSpot) return null
         val hasImage = machine.hasImage(request.requirements.image)
-        if (request.imageOnly && !hasImage) return null
+        if (request.isImageRequired && !hasImage) return null
         val limits = limitsOf(machine.typeName) ?: return null
         val tasks = machine.countFreeSlots(request.requirements.resources, limits.capacity, requirementsOf)
         return if (tasks > 0) HeldSlots(machine.name, tasks, tasks, hasImage) else null
--- a/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
+++ b/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
@@ -32,9 +32,9 @@
         frame.releases.forEach(placementOffers::release)
         for (order in frame.starts) handleStart(order, nowUs)
         // The leader has not chosen the capacity that remains in a hold after its starts.
-        frame.starts.forEach { placementOffers.release(it.stamp) }
-        for (order in frame.stops) updateAttempt(order) { it.stopRequested = true }
-        for (order in frame.clears) updateAttempt(order) { it.clearRequested = true }
+        frame.starts.forEach { placementOffers.release(it.requestNumber) }
+        for (order in frame.stops) updateAttempt(order) { it.isStopRequested = true }
+        for (order in frame.clears) updateAttempt(order) { it.isClearRequested = true }
         frame.saves.forEach(::requestCheckpointStop)
         placementOffers.grant(frame.requests, nowUs).forEach(changeLog::addOffer)
         if (frame.requests.isNotEmpty() || frame.starts.isNotEmpty() || frame.stops.isNotEmpty()) changeLog.requestFrame()
@@ -54,7 +54,7 @@
         nowUs: Long,
     ) {
         val machine = machines[order.machine] ?: return
-        val request = placementOffers.findHeldRequest(order.stamp, machine)
+        val request = placementOffers.findHeldRequest(order.requestNumber, machine)
         val refusal = placementOffers.findRefusal(request, machine, nowUs)
         if (refusal != null) {
             val task = request?.let { "${it.job}/${order.index}" }.orEmpty()
@@ -71,12 +71,12 @@
         machine: Machine,
         nowUs: Long,
     ) {
-        placementOffers.consume(order.stamp, machine)
+        placementOffers.consume(order.requestNumber, machine)
         machine.recordImageUse(request.requirements)
         if (!machine.attempts.containsKey(order.attempt)) {
             val attempt = WorkerAttempt("${request.job}/${order.index}", order.attempt, nowUs)
             attempt.version = changeLog.nextVersion
-            orderFencing.noteOpenJob(attempt)
+            orderFencing.updateJobConfirmedOpenTime(attempt)
             machine.attempts.put(order.attempt, attempt)
             machine.invalidateUsedResources()
         }
@@ -92,7 +92,7 @@
         update(attempt)
         orderQueue.add(machine)
         if (attempt.isUnwantedStart) orderFencing.addUnwantedStart(machine)
-        orderFencing.removeDisprovenStarts(machine)
+        orderFencing.removeUnexecutedStarts(machine)
         changeLog.requestFrame()
     }
 
--- a/src/main/kotlin/lichenstage/partition/MachineRegistry.kt
+++ b/src/main/kotlin/lichenstage/partition/MachineRegistry.kt
@@ -33,7 +33,7 @@
         val machine = Machine(heartbeat.machine, heartbeat, cacheGb)
         machine.agentEpochFirstSeenAtUs = nowUs
         // A machine that was removed may come back with the newer fencing token that this owner gave it.
-        machine.fencingToken = if (fencingTokens.isOwnersToken(heartbeat.fencingToken)) heartbeat.fencingToken else parameters.term
+        machine.fencingToken = if (fencingTokens.isIssuedByOwner(heartbeat.fencingToken)) heartbeat.fencingToken else parameters.term
         changeLog.record(machine)
         return machine
     }
--- a/src/main/kotlin/lichenstage/partition/PartitionActor.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionActor.kt
@@ -45,7 +45,7 @@
 
     /** The time at which the oldest of these starts was sent, in microseconds; null if there are none. */
     val oldestIndeterminateStartAtUs
-        get() = partitions.all.mapNotNull { partition -> partition.indeterminateStarts().minOfOrNull { it.startOrderedUs } }.minOrNull()
+        get() = partitions.all.mapNotNull { partition -> partition.indeterminateStarts().minOfOrNull { it.directStartAtUs } }.minOrNull()
 
     /** Adds a message to the actor's mailbox. */
     fun tell(message: PartitionMessage) = mailbox.tell(message)
@@ -132,7 +132,7 @@
             partition.tick(nowUs)
             if (!partitions.isAuthorized(partition)) continue
             if (partition.shouldReserveTokens(nowUs)) dispatcher.reserveTokens(partition)
-            partition.nextProbes(nowUs, dispatcher.available / 2).forEach { dispatcher.probe(partition, it) }
+            partition.nextProbes(nowUs, dispatcher.availableConnections / 2).forEach { dispatcher.sendProbe(partition, it) }
             sendDueOrdersAndFrame(partition, nowUs)
         }
     }
@@ -143,7 +143,7 @@
         nowUs: Long,
     ) {
         if (!partitions.isAuthorized(partition)) return
-        partition.nextDirectOrders(nowUs, dispatcher.available).forEach { dispatcher.send(partition, it) }
+        partition.nextDirectOrders(nowUs, dispatcher.availableConnections).forEach { dispatcher.sendOrder(partition, it) }
         partition.nextFrame(nowUs)?.let(sendToLeader)
     }
 
--- a/src/main/kotlin/lichenstage/partition/PartitionCore.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionCore.kt
@@ -39,7 +39,7 @@
     private val probeSchedule = ProbeSchedule(parameters.term)
     private val holdTable = HoldTable(parameters.zone, limitsOf, requirementsOf, machines::get)
     private val placementOffers = PlacementOffers(parameters, machines, holdTable, requirementsByJob, jobCompletions)
-    private val endedJobStops = EndedJobStops(jobCompletions, machines, orderQueue, orderFencing, events)
+    private val endedJobStops = EndedJobStopper(jobCompletions, machines, orderQueue, orderFencing, events)
     private val leaderFrameHandler =
         LeaderFrameHandler(parameters.term, machines, changeLog, placementOffers, orderQueue, orderFencing, probeSchedule, events)
 
@@ -60,7 +60,7 @@
         heartbeat: Heartbeat,
         nowUs: Long,
     ): HeartbeatOutcome {
-        if (heartbeat.fencingToken > fencingTokens.highest) return HeartbeatOutcome.Superseded
+        if (heartbeat.fencingToken > fencingTokens.highestIssued) return HeartbeatOutcome.Superseded
         val machine = machines.getOrAdd(heartbeat, nowUs)
         if (heartbeatProcessor.apply(machine, heartbeat, nowUs)) {
             probeSchedule.add(heartbeat.machine, heartbeat.address)
@@ -75,10 +75,10 @@
         if (isCurrentEpoch) {
             machine.lastReplyAtUs = nowUs
             machine.lastHeartbeatSequence = maxOf(machine.lastHeartbeatSequence, heartbeat.sequence)
-            orderFencing.removeDisprovenStarts(machine)
+            orderFencing.removeUnexecutedStarts(machine)
         }
         val canTakeCommands = machine.isTokenConfirmed && isCurrentEpoch && !machine.isLost
-        val commands = if (canTakeCommands) orderQueue.commandsForAnswer(machine, heartbeat.sequence, nowUs) else emptyList()
+        val commands = if (canTakeCommands) orderQueue.commandsForReply(machine, heartbeat.sequence, nowUs) else emptyList()
         return HeartbeatOutcome.Accepted(machine.fencingToken, commands)
     }
 
@@ -96,7 +96,7 @@
     ) {
         probeSchedule.handleProbeEnd(probe)
         if (heartbeat == null || heartbeat.machine != probe.machine || heartbeat.zone != parameters.zone) return
-        if (heartbeat.fencingToken > fencingTokens.highest) return
+        if (heartbeat.fencingToken > fencingTokens.highestIssued) return
         val machine = machines.getOrAdd(heartbeat, nowUs)
         markResponsive(machine)
         heartbeatProcessor.apply(machine, heartbeat, nowUs)
@@ -109,13 +109,13 @@
         nowUs: Long,
     ) {
         val machine = machines[order.machine] ?: return
-        val proven = outcome.provenFor(order)
-        orderQueue.complete(machine, order, proven)
+        val proven = outcome.verifiedFor(order)
+        orderQueue.onOrderCompleted(machine, order, proven)
         when (proven) {
-            is OrderOutcome.Answered -> {
+            is OrderOutcome.Replied -> {
                 markResponsive(machine)
                 proven.heartbeat?.let { heartbeatProcessor.apply(machine, it, nowUs) }
-                if (!proven.executed) machine.areDirectOrdersBlocked = true
+                if (!proven.isExecuted) machine.areDirectOrdersBlocked = true
             }
 
             OrderOutcome.NotSent -> {
@@ -123,11 +123,11 @@
             }
 
             OrderOutcome.Indeterminate -> {
-                events(OrderEvent.Unanswered(order))
+                events(OrderEvent.OrderUnanswered(order))
                 markUnresponsive(machine)
             }
         }
-        orderFencing.removeDisprovenStarts(machine)
+        orderFencing.removeUnexecutedStarts(machine)
     }
 
     /** Records that the machine has replied to an order or a probe, which proves that commands reach it (invariant 12). */
@@ -153,8 +153,8 @@
     fun tick(nowUs: Long) {
         holdTable.expire(nowUs)
         machines.updateLiveness(nowUs)
-        endedJobStops.check(nowUs)
-        orderFencing.removeDisprovenStarts()
+        endedJobStops.stopTasksOfEndedJobs(nowUs)
+        orderFencing.removeUnexecutedStarts()
         orderFencing.raiseTokens(machines.all, nowUs)
         machines.removeLongLostMachines(nowUs).forEach(::removeMachine)
     }
@@ -182,15 +182,15 @@
     fun nextFrame(nowUs: Long): PartitionFrame? = changeLog.nextFrame(nowUs, machines.size)
 
     /** Returns whether to reserve fencing tokens for this owner now. A result of true counts as a reservation attempt. */
-    fun shouldReserveTokens(nowUs: Long) = fencingTokens.reservationDue(nowUs, lacksTokens)
+    fun shouldReserveTokens(nowUs: Long) = fencingTokens.beginReservationIfDue(nowUs, lacksTokens)
 
     /** Adds fencing tokens that are reserved for this owner. They are higher than all tokens that were reserved before. */
-    fun addReservedTokens(range: LongRange) = fencingTokens.add(range)
+    fun addReservedTokens(range: LongRange) = fencingTokens.addReserved(range)
 
     /** Returns the starts whose direct order got no reply and which a worker may still execute. */
     internal fun indeterminateStarts(): Sequence<WorkerAttempt> =
         machines.all.asSequence().flatMap { machine ->
-            machine.attempts.values.filter { it.isStartIndeterminate && it.canExecuteUnder(machine.observedFencingToken) }
+            machine.attempts.values.filter { it.isStartIndeterminate && it.isStartExecutableUnder(machine.observedFencingToken) }
         }
 
     private companion object {
--- a/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
@@ -16,10 +16,10 @@
         val partition = newPartition()
         partition.onHeartbeat(heartbeat(3), 1)
         partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), 1)
-        assertTrue(onlyOfferOfNextFrame(partition, 2).held.isEmpty()) { "machine m was offered before its token was confirmed" }
+        assertTrue(onlyOfferOfNextFrame(partition, 2).slots.isEmpty()) { "machine m was offered before its token was confirmed" }
         partition.onHeartbeat(heartbeat(5), 2)
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), 3)
-        assertEquals("m", onlyOfferOfNextFrame(partition, 4).held.single().machine) { "m was not offered after its token was confirmed" }
+        assertEquals("m", onlyOfferOfNextFrame(partition, 4).slots.single().machine) { "m was not offered after its token was confirmed" }
     }
 
     @Example
@@ -32,7 +32,7 @@
         val partition = newPartition()
         partition.onHeartbeat(heartbeat(5), 1)
         partition.onLeaderFrame(frame(requests = listOf(request(9, 2).copy(job = "j-2"), request(3, 1))), 1)
-        val offers = partition.nextFrame(2)!!.offers.associate { it.stamp to it.held.sumOf { held -> held.count } }
+        val offers = partition.nextFrame(2)!!.offers.associate { it.requestNumber to it.slots.sumOf { held -> held.count } }
         assertEquals(mapOf(3L to 1, 9L to 1), offers) { "$offers" }
     }
 
@@ -58,7 +58,7 @@
             assertEquals(0, limitLookups) { "a heartbeat caused $limitLookups limit look-ups with $machines machines" }
             partition.onLeaderFrame(frame(requests = (1L..24L).map { request(10 + it, 1).copy(job = "j-$it") }), 2)
             assertTrue(limitLookups in machines..machines + 1 + 24) { "24 requests: $limitLookups limit look-ups with $machines machines" }
-            val held = partition.nextFrame(3)!!.offers.sumOf { offer -> offer.held.sumOf { it.count } }
+            val held = partition.nextFrame(3)!!.offers.sumOf { offer -> offer.slots.sumOf { it.count } }
             assertEquals(2, held) { "$held slots are held on the free machine, expected 2" }
         }
     }
@@ -91,10 +91,10 @@
         repeat(130) { partition.onHeartbeat(heartbeat(5, machine = "m$it"), 1) }
         partition.onLeaderFrame(frame(), 1)
         val first = partition.nextFrame(SECOND)!!
-        assertTrue(!first.whole && first.machines.size == 100 && first.seq == 0L && first.receivedSeq == seq) { "$first" }
+        assertTrue(!first.isFinal && first.machines.size == 100 && first.seq == 0L && first.receivedSeq == seq) { "$first" }
         partition.onLeaderFrame(PlacementFrame("z/0", 1, ++seq, 5, first.version), SECOND)
         val second = partition.nextFrame(2 * SECOND)!!
-        assertTrue(second.whole && second.machines.size == 30 && second.seq == seq) { "$second" }
+        assertTrue(second.isFinal && second.machines.size == 30 && second.seq == seq) { "$second" }
         val names = (first.machines + second.machines).map { it.name }.toSet()
         assertEquals(130, names.size) { "${names.size} machines" }
     }
@@ -104,7 +104,7 @@
         val partition = newPartition()
         val lateHeartbeat = heartbeat(5)
         val order = startTask(partition)
-        partition.onOrderOutcome(order, OrderOutcome.Answered(true, heartbeat(5, taskReport(TaskPhase.RUNNING))), 2)
+        partition.onOrderOutcome(order, OrderOutcome.Replied(true, heartbeat(5, taskReport(TaskPhase.RUNNING))), 2)
         partition.nextFrame(2)
         partition.onHeartbeat(lateHeartbeat, 3)
         assertEquals(
@@ -118,14 +118,14 @@
         val partition = newPartition()
         val order = startTask(partition, nowUs = SECOND)
         val running = taskReport(TaskPhase.RUNNING)
-        partition.onOrderOutcome(order, OrderOutcome.Answered(true, heartbeat(5, running)), SECOND)
+        partition.onOrderOutcome(order, OrderOutcome.Replied(true, heartbeat(5, running)), SECOND)
         val lateHeartbeat = heartbeat(5, running)
         partition.tick(SECOND + LEASE_US)
-        assertFalse(onlyMachineOfNextFrame(partition, SECOND + LEASE_US).lost) { "the machine was lost before its lease expired" }
+        assertFalse(onlyMachineOfNextFrame(partition, SECOND + LEASE_US).isLost) { "the machine was lost before its lease expired" }
         partition.tick(3 * SECOND + LEASE_US)
         partition.onHeartbeat(lateHeartbeat, 4 * SECOND + LEASE_US)
         val machine = onlyMachineOfNextFrame(partition, 5 * SECOND + LEASE_US)
-        assertTrue(machine.lost && machine.tasks.isEmpty()) { "$machine" }
+        assertTrue(machine.isLost && machine.tasks.isEmpty()) { "$machine" }
     }
 
     @Example
@@ -135,7 +135,7 @@
         partition.onProbeResult(StatusProbe("m", "1.2.3.4:5", 5), heartbeat(5), probedAtUs)
         partition.tick(probedAtUs + LEASE_US / 2)
         partition.onLeaderFrame(frame(), probedAtUs + LEASE_US / 2)
-        assertFalse(onlyMachineOfNextFrame(partition, probedAtUs + LEASE_US / 2).lost) { "lost half a lease after the probe" }
+        assertFalse(onlyMachineOfNextFrame(partition, probedAtUs + LEASE_US / 2).isLost) { "lost half a lease after the probe" }
     }
 
     @Example
@@ -143,7 +143,7 @@
         val partition = newPartition()
         partition.onHeartbeat(heartbeat(5, TaskReport("j-77/0", 1, TaskPhase.RUNNING, null)), 1)
         partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), 2)
-        assertTrue(onlyOfferOfNextFrame(partition, 3).held.isEmpty()) { "the machine was offered" }
+        assertTrue(onlyOfferOfNextFrame(partition, 3).slots.isEmpty()) { "the machine was offered" }
     }
 
     @Example
@@ -155,7 +155,7 @@
         partition.nextDirectOrders(3)
         partition.onHeartbeat(heartbeat(5, TaskReport("j-1/0", 1, TaskPhase.ENDED, "done"), machine = "b"), 4)
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), 5)
-        assertEquals("b", lastOfferOfNextFrame(partition, 6).held.single().machine) { "a machine without the image was offered first" }
+        assertEquals("b", lastOfferOfNextFrame(partition, 6).slots.single().machine) { "a machine without the image was offered first" }
     }
 
     @Example
@@ -164,13 +164,13 @@
         listOf("a", "b").forEach { partition.onHeartbeat(heartbeat(5, machine = it), 1) }
         partition.onLeaderFrame(frame(requests = listOf(request(1, 4))), 2)
         partition.onLeaderFrame(frame(starts = listOf(StartOrder(1, "b", 0, 1))), 3)
-        partition.onLeaderFrame(frame(requests = listOf(request(2, 3).copy(imageOnly = true), request(3, 3))), 4)
+        partition.onLeaderFrame(frame(requests = listOf(request(2, 3).copy(isImageRequired = true), request(3, 3))), 4)
         val counts =
             partition
                 .nextFrame(SECOND)!!
                 .offers
                 .takeLast(2)
-                .map { offer -> offer.held.sumOf { it.count } }
+                .map { offer -> offer.slots.sumOf { it.count } }
         assertTrue(counts.sum() == 3 && counts[0] in 1..2) { "$counts" }
     }
 
@@ -178,12 +178,12 @@
     fun `a request for machines with the image is offered no machine without it`() {
         val partition = newPartition()
         listOf("a", "b").forEach { partition.onHeartbeat(heartbeat(5, machine = it), 1) }
-        partition.onLeaderFrame(frame(requests = listOf(request(1, 3).copy(imageOnly = true))), 2)
+        partition.onLeaderFrame(frame(requests = listOf(request(1, 3).copy(isImageRequired = true))), 2)
         assertTrue(machinesOfferedInNextFrame(partition, 2).isEmpty()) { "a machine without the image was offered" }
         partition.onLeaderFrame(frame(requests = listOf(request(2, 4))), 3)
         partition.onLeaderFrame(frame(starts = listOf(StartOrder(2, "b", 0, 1))), 4)
         partition.nextDirectOrders(4)
-        partition.onLeaderFrame(frame(requests = listOf(request(3, 3).copy(imageOnly = true))), 5)
+        partition.onLeaderFrame(frame(requests = listOf(request(3, 3).copy(isImageRequired = true))), 5)
         assertEquals(listOf("b"), machinesOfferedInNextFrame(partition, 5)) { "expected only the machine that fetches the image" }
     }
 
@@ -198,7 +198,7 @@
             partition.onProbeResult(StatusProbe("m", "1.2.3.4:5", 5, 1), heartbeat(5, taskReport(TaskPhase.RUNNING)), nowUs)
         }
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), nowUs)
-        val offer = partition.nextFrame(nowUs + SECOND)!!.offers.single { it.stamp == 2L }
-        assertTrue(offer.held.isEmpty()) { "expected no held slots, was ${offer.held}" }
+        val offer = partition.nextFrame(nowUs + SECOND)!!.offers.single { it.requestNumber == 2L }
+        assertTrue(offer.slots.isEmpty()) { "expected no held slots, was ${offer.slots}" }
     }
 }
--- a/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
@@ -81,12 +81,12 @@
 
         fun receive(frame: PartitionFrame) {
             if (frame.since > version || frame.version < version) return
-            val isSeqUsed = frame.whole || isEarlierRelease
+            val isSeqUsed = frame.isFinal || isEarlierRelease
             if (isSeqUsed && frame.seq < seq) return
             if (isSeqUsed) seq = frame.seq
-            if (frame.whole) finalSeq = frame.seq
+            if (frame.isFinal) finalSeq = frame.seq
             version = frame.version
-            frame.machines.forEach { machines[it.name] = it.appliedTo(machines[it.name]) }
+            frame.machines.forEach { machines[it.name] = it.applyTo(machines[it.name]) }
         }
     }
 
@@ -175,7 +175,7 @@
                 assertTrue(frame.machines.size <= 100 * (machines / 400)) { "${frame.machines.size} of $machines machines in one frame" }
                 acknowledgedVersion = frame.version
                 leaderFrame(machines.toLong(), acknowledgedVersion)
-                if (frame.whole) break
+                if (frame.isFinal) break
             }
             val attempt =
                 tasks
@@ -204,13 +204,13 @@
         val confirmed = acknowledgeAll()
         leaderFrame(1, confirmed.version, startedMachine = "m1")
         val lostFrame = nextFrame()!!
-        assertTrue(lostFrame.whole && lostFrame.seq == seq && lostFrame.machines.single().name == "m1") { "$lostFrame" }
+        assertTrue(lostFrame.isFinal && lostFrame.seq == seq && lostFrame.machines.single().name == "m1") { "$lostFrame" }
         listOf("m2", "m1").forEach { machine ->
             tasks.getOrPut(machine) { HashMap() }[++lastAttempt] = TaskReport("j-2/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null)
             heartbeat(machine)
         }
         val partialFrame = nextFrame()!!
-        assertTrue(!partialFrame.whole && partialFrame.machines.single().name == "m2") { "$partialFrame" }
+        assertTrue(!partialFrame.isFinal && partialFrame.machines.single().name == "m2") { "$partialFrame" }
         assertTrue(
             partialFrame.seq <= confirmed.seq,
         ) { "the frame claims ${partialFrame.seq}, but only ${confirmed.seq} is confirmed" }
@@ -222,7 +222,7 @@
         tasks.getValue("m1")[++lastAttempt] = TaskReport("j-2/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null)
         heartbeat("m1")
         val next = nextFrame()!!
-        assertTrue(!next.whole && next.seq <= confirmed.seq) { "the frame claims ${next.seq}, but only ${confirmed.seq} is confirmed" }
+        assertTrue(!next.isFinal && next.seq <= confirmed.seq) { "the frame claims ${next.seq}, but only ${confirmed.seq} is confirmed" }
     }
 
     @Example
@@ -239,7 +239,7 @@
         }
         val partialFrame = nextFrame()!!
         assertTrue(
-            !partialFrame.whole && partialFrame.seq == finalFrame.seq,
+            !partialFrame.isFinal && partialFrame.seq == finalFrame.seq,
         ) { "the frame claims ${partialFrame.seq}, the leader has ${finalFrame.seq}" }
     }
 
@@ -261,7 +261,7 @@
                     repeat(count / CHANGING_SHARE) { change(machines[nextMachine++ % count]) }
                     val frame = nextFrame()!!
                     leaderFrame(1, frame.version)
-                    frame.whole
+                    frame.isFinal
                 }
             assertEquals(ROUNDS, finalFrames) { "$count machines: $finalFrames of $ROUNDS frames were final" }
         }
@@ -281,7 +281,7 @@
             val frame = nextFrame()!!
             sizes += FrameCodec.encode(frame).size
             leaderFrame(1, frame.version)
-            if (frame.whole) break
+            if (frame.isFinal) break
         }
         assertTrue(sizes.max() < 4 * 1024 * 1024) { "frame sizes in bytes: $sizes" }
     }
@@ -297,7 +297,7 @@
         while (true) {
             val frame = nextFrame()!!
             leaderFrame(1, frame.version)
-            if (frame.whole) return frame
+            if (frame.isFinal) return frame
         }
     }
 
--- a/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
@@ -70,7 +70,7 @@
     /** Creates a partition with j-1/0 running as attempt 1 on machine m. */
     protected fun partitionWithRunningTask(): PartitionCore {
         val partition = newPartition()
-        partition.onOrderOutcome(startTask(partition), OrderOutcome.Answered(true, heartbeat(5, taskReport(TaskPhase.RUNNING))), 2)
+        partition.onOrderOutcome(startTask(partition), OrderOutcome.Replied(true, heartbeat(5, taskReport(TaskPhase.RUNNING))), 2)
         return partition
     }
 
@@ -96,7 +96,7 @@
     protected fun machinesOfferedInNextFrame(
         partition: PartitionCore,
         nowUs: Long,
-    ) = lastOfferOfNextFrame(partition, nowUs).held.map { it.machine }
+    ) = lastOfferOfNextFrame(partition, nowUs).slots.map { it.machine }
 
     companion object {
         const val TERM = 5L
--- a/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
@@ -76,14 +76,14 @@
     private fun register() {
         val due =
             leader.machines
-                .unregistered()
+                .unregisteredMachines()
                 .map { it.machine.name }
                 .filter { it !in draining }
         if (isRegistering || due.isEmpty()) return
         isRegistering = true
         site.write({ registry.add(due) }) { ok ->
             isRegistering = false
-            if (ok) leader.machinesRegistered(due.associateWith { site.recoveredMachine(it).partition })
+            if (ok) leader.onMachinesRegistered(due.associateWith { site.recoveredMachine(it).partition })
         }
     }
 
@@ -97,8 +97,8 @@
     private fun terminateDue() {
         if (isTerminating) return
         val views = leader.partitions.values.flatMap { it.machines.values }
-        val silent = views.filter { it.silent }.map { it.name }
-        val lost = views.filter { it.lost }.map { it.name }
+        val silent = views.filter { it.isSilent }.map { it.name }
+        val lost = views.filter { it.isLost }.map { it.name }
         val empty = draining.filter { leader.machines.attemptsOn(it).isEmpty() }
         val due =
             (
@@ -129,7 +129,7 @@
     private fun terminated(names: List<String>) {
         isTerminating = false
         if (!site.leads(leader)) return
-        names.forEach(leader::machineTerminated)
+        names.forEach(leader::onMachineTerminated)
         draining -= names.toSet()
         emptied -= names.toSet()
         site.write({ registry.remove(names) }) { }
