--- a/src/main/kotlin/lichenstage/partition/OwnedPartitions.kt
+++ b/src/main/kotlin/lichenstage/partition/OwnedPartitions.kt
@@ -18,7 +18,7 @@
     private val settings: Settings,
     private val authority: Authority,
     private val replica: JobReplica,
-    private val journal: OrderEventRecorder,
+    private val orderEventRecorder: OrderEventRecorder,
     private val clock: Clock,
     private val limitsOf: (String) -> MachineLimits?,
 ) {
@@ -79,6 +79,6 @@
     ): PartitionCore {
         val zone = assignment.zone(id)!!
         val parameters = PartitionParameters(id, zone, term, settings.workerLeaseUs, settings.heartbeatIntervalUs, nowUs)
-        return PartitionCore(parameters, replica, { journal.record(id, term, it) }, limitsOf)
+        return PartitionCore(parameters, replica, { orderEventRecorder.record(id, term, it) }, limitsOf)
     }
 }
--- a/src/main/kotlin/lichenstage/partition/PartitionCore.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionCore.kt
@@ -39,7 +39,7 @@
     private val probeSchedule = ProbeSchedule(parameters.term)
     private val holdTable = HoldTable(parameters.zone, limitsOf, requirementsOf, machines::get)
     private val placementOffers = PlacementOffers(parameters, machines, holdTable, requirementsByJob, jobCompletions)
-    private val endedJobStops = EndedJobStopper(jobCompletions, machines, orderQueue, orderFencing, events)
+    private val endedJobStopper = EndedJobStopper(jobCompletions, machines, orderQueue, orderFencing, events)
     private val leaderFrameHandler =
         LeaderFrameHandler(parameters.term, machines, changeLog, placementOffers, orderQueue, orderFencing, probeSchedule, events)
 
@@ -109,13 +109,13 @@
         nowUs: Long,
     ) {
         val machine = machines[order.machine] ?: return
-        val proven = outcome.verifiedFor(order)
-        orderQueue.onOrderCompleted(machine, order, proven)
-        when (proven) {
+        val verifiedOutcome = outcome.verifiedFor(order)
+        orderQueue.onOrderCompleted(machine, order, verifiedOutcome)
+        when (verifiedOutcome) {
             is OrderOutcome.Replied -> {
                 markResponsive(machine)
-                proven.heartbeat?.let { heartbeatProcessor.apply(machine, it, nowUs) }
-                if (!proven.isExecuted) machine.areDirectOrdersBlocked = true
+                verifiedOutcome.heartbeat?.let { heartbeatProcessor.apply(machine, it, nowUs) }
+                if (!verifiedOutcome.isExecuted) machine.areDirectOrdersBlocked = true
             }
 
             OrderOutcome.NotSent -> {
@@ -153,7 +153,7 @@
     fun tick(nowUs: Long) {
         holdTable.expire(nowUs)
         machines.updateLiveness(nowUs)
-        endedJobStops.stopTasksOfEndedJobs(nowUs)
+        endedJobStopper.stopTasksOfEndedJobs(nowUs)
         orderFencing.removeUnexecutedStarts()
         orderFencing.raiseTokens(machines.all, nowUs)
         machines.removeLongLostMachines(nowUs).forEach(::removeMachine)
--- a/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
@@ -32,7 +32,7 @@
         val partition = newPartition()
         partition.onHeartbeat(heartbeat(5), 1)
         partition.onLeaderFrame(frame(requests = listOf(request(9, 2).copy(job = "j-2"), request(3, 1))), 1)
-        val offers = partition.nextFrame(2)!!.offers.associate { it.requestNumber to it.slots.sumOf { held -> held.count } }
+        val offers = partition.nextFrame(2)!!.offers.associate { it.requestNumber to it.slots.sumOf { slots -> slots.count } }
         assertEquals(mapOf(3L to 1, 9L to 1), offers) { "$offers" }
     }
 
@@ -58,8 +58,8 @@
             assertEquals(0, limitLookups) { "a heartbeat caused $limitLookups limit look-ups with $machines machines" }
             partition.onLeaderFrame(frame(requests = (1L..24L).map { request(10 + it, 1).copy(job = "j-$it") }), 2)
             assertTrue(limitLookups in machines..machines + 1 + 24) { "24 requests: $limitLookups limit look-ups with $machines machines" }
-            val held = partition.nextFrame(3)!!.offers.sumOf { offer -> offer.slots.sumOf { it.count } }
-            assertEquals(2, held) { "$held slots are held on the free machine, expected 2" }
+            val heldSlots = partition.nextFrame(3)!!.offers.sumOf { offer -> offer.slots.sumOf { it.count } }
+            assertEquals(2, heldSlots) { "$heldSlots slots are held on the free machine, expected 2" }
         }
     }
 
