--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -43,7 +43,7 @@
             services.replicaSync::jobFinished,
             mailbox::tell,
         )
-    private val registry = RegistryDriver(settings, core, writer)
+    private val registry = MachineRegistryDriver(settings, core, writer)
     private val fleet = fleetDriver(options)
     private val drains: DrainDriver? = drainDriver(options)
     private val jobRecords = LeaderJobRecords(services, core, fleet, writer, maxOf(1, settings.txnOps / 2))
@@ -113,11 +113,11 @@
         val now = services.clock.now()
         when (message) {
             is LeaderMessage.RecordsLoaded -> load(message, now)
-            is LeaderMessage.PartitionFrameReceived -> if (jobRecords.isLoaded) core.partitionFrameReceived(message.frame, now)
+            is LeaderMessage.PartitionFrameReceived -> if (jobRecords.isLoaded) core.onPartitionFrame(message.frame, now)
             is LeaderMessage.ProvisionAnswered -> fleet.provisionAnswered(message, now)
             is LeaderMessage.TerminateAnswered -> if (fleet.terminateAnswered(message)) machinesTerminated(message.machines)
             is LeaderMessage.ListAnswered -> fleet.listAnswered(message, now)
-            is LeaderMessage.RegistryPagesWritten -> registry.written(message)
+            is LeaderMessage.RegistryPagesWritten -> registry.onChunksWritten(message)
             is LeaderMessage.JobMessage -> jobRecords.handle(message, now)
             is LeaderMessage.DrainEvent -> drains?.handle(message.message)
             LeaderMessage.Tick -> Unit
@@ -160,8 +160,8 @@
     }
 
     private fun machinesTerminated(machines: List<String>) {
-        machines.forEach(core::machineTerminated)
-        registry.removed(machines)
+        machines.forEach(core::onMachineTerminated)
+        registry.onMachinesRemoved(machines)
     }
 
     private companion object {
