--- a/src/main/kotlin/lichenstage/app/HclBlock.kt
+++ b/src/main/kotlin/lichenstage/app/HclBlock.kt
@@ -1,7 +1,7 @@
 package lichenstage.app
 
 import lichenstage.config.InvalidSettingsException
-import lichenstage.drain.Hours
+import lichenstage.drain.HourRange
 
 /**
  * One block of an HCL file at [path]. Each accessor reads one key; [finish] then rejects every key that no accessor has read. All
@@ -27,11 +27,11 @@
     }
 
     /** Hours of the day as "FROM-TO"; null if the key is missing. */
-    fun hours(key: String): Hours? {
+    fun hours(key: String): HourRange? {
         val value = read(key) ?: return null
         val parts = (value as? String)?.split('-')?.map { it.toIntOrNull() ?: -1 }.orEmpty()
         if (parts.size != 2 || parts.any { it !in 0..HOURS_A_DAY }) fail(key, "hours of the day as \"FROM-TO\" are needed")
-        return Hours(parts[0], parts[1])
+        return HourRange(parts[0], parts[1])
     }
 
     private fun read(key: String): Any? {
--- a/src/main/kotlin/lichenstage/app/OperatorSettings.kt
+++ b/src/main/kotlin/lichenstage/app/OperatorSettings.kt
@@ -20,7 +20,7 @@
 ) {
     /** Checks these settings against the deployment; throws [InvalidSettingsException] for a team that it does not have. */
     fun check(settings: Settings) {
-        val unknown = drains?.byTeam?.keys?.firstOrNull { it !in settings.teams } ?: return
+        val unknown = drains?.budgetByTeam?.keys?.firstOrNull { it !in settings.teams } ?: return
         throw InvalidSettingsException("drains.teams.$unknown: unknown team")
     }
 
@@ -81,17 +81,21 @@
             val byTeam = teams.keys.associateWith { budget(teams.section(it)) }
             teams.finish()
             block.finish()
-            val policy = DrainPolicy(byTeam = byTeam)
-            return policy.copy(default = default ?: policy.default, replacementFailures = failures ?: policy.replacementFailures)
+            val policy = DrainPolicy(budgetByTeam = byTeam)
+            return policy.copy(
+                defaultBudget = default ?: policy.defaultBudget,
+                maxReplacementFailures =
+                    failures ?: policy.maxReplacementFailures,
+            )
         }
 
         private fun budget(block: HclBlock): DisruptionBudget {
             val budget =
                 DisruptionBudget(
-                    jobs = block.wholeNumber("jobs", 0, 1_000_000)?.toInt(),
-                    share = block.wholeNumber("share_percent", 0, 100)?.div(PERCENT),
-                    hours = block.hours("hours"),
-                    neverClasses = block.strings("never").toSet(),
+                    maxJobs = block.wholeNumber("jobs", 0, 1_000_000)?.toInt(),
+                    maxTaskShare = block.wholeNumber("share_percent", 0, 100)?.div(PERCENT),
+                    allowedHours = block.hours("hours"),
+                    uninterruptibleClasses = block.strings("never").toSet(),
                 )
             block.finish()
             return budget
--- a/src/main/kotlin/lichenstage/drain/DrainCommand.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCommand.kt
@@ -45,7 +45,7 @@
     /** What is asked for, checked as far as that goes without the state service. */
     private class Arguments(
         val settings: Settings,
-        val verb: String,
+        val subcommand: String,
         val name: String?,
         val parsed: ParsedArguments,
     )
@@ -58,35 +58,35 @@
                 print(commandLine.help())
                 0
             } else {
-                val arguments = check(parsed)
-                report(execute(arguments), parsed.has("json"))
+                val arguments = parseArguments(parsed)
+                printResult(execute(arguments), parsed.has("json"))
             }
         } catch (e: InvalidArgumentsException) {
             reject("${e.message}")
         }
 
-    private fun check(parsed: ParsedArguments): Arguments {
-        val verb = parsed.operands.firstOrNull().orEmpty()
+    private fun parseArguments(parsed: ParsedArguments): Arguments {
+        val subcommand = parsed.operands.firstOrNull().orEmpty()
         val name = parsed.operands.getOrNull(1)
-        if (verb !in VERBS) throw InvalidArgumentsException("one of ${VERBS.joinToString()} is needed, found \"$verb\"")
-        if (name == null && verb != STATUS) throw InvalidArgumentsException("the drain's name is needed")
-        if (verb == START && !selects(parsed)) throw InvalidArgumentsException("machines are to be selected, or --all")
+        if (subcommand !in SUBCOMMANDS) throw InvalidArgumentsException("expected ${SUBCOMMANDS.joinToString()}, was \"$subcommand\"")
+        if (name == null && subcommand != STATUS) throw InvalidArgumentsException("the drain's name is needed")
+        if (subcommand == START && !hasSelection(parsed)) throw InvalidArgumentsException("machines are to be selected, or --all")
         val config = parsed.text("config") ?: throw InvalidArgumentsException("--config FILE is needed")
-        return Arguments(settings(config), verb, name, parsed)
+        return Arguments(loadSettings(config), subcommand, name, parsed)
     }
 
-    private fun settings(path: String): Settings =
+    private fun loadSettings(path: String): Settings =
         try {
             readSettings(path)
         } catch (e: InvalidSettingsException) {
             throw InvalidArgumentsException(e.message, e)
         }
 
-    private fun selects(parsed: ParsedArguments) = SELECTING.any { parsed.has(it) }
+    private fun hasSelection(parsed: ParsedArguments) = SELECTION_OPTIONS.any { parsed.has(it) }
 
-    private fun reject(why: String): Int {
-        printError("lichenstage drain: $why")
-        return REFUSED
+    private fun reject(reason: String): Int {
+        printError("lichenstage drain: $reason")
+        return EXIT_INVALID_REQUEST
     }
 
     private fun execute(arguments: Arguments): DrainCommandResult {
@@ -104,10 +104,10 @@
                             settings.count,
                             settings.stateRps,
                             settings.stateWriteRps,
-                        ) { SHARE }
-                    val operations = DrainOperations(state, state::scan, DrainRecords(settings.valueBytes), settings, ::timeOfDayUs)
-                    when (arguments.verb) {
-                        START -> operations.start(request(name!!, arguments.parsed))
+                        ) { STATE_WRITE_SHARE }
+                    val operations = DrainOperations(state, state::scan, DrainRecordCodec(settings.valueBytes), settings, ::timeOfDayUs)
+                    when (arguments.subcommand) {
+                        START -> operations.start(buildRequest(name!!, arguments.parsed))
                         STATUS -> operations.status(name)
                         "pause" -> operations.changeStatus(name!!, DrainStatus.PAUSED)
                         "resume" -> operations.changeStatus(name!!, DrainStatus.RUNNING)
@@ -120,7 +120,7 @@
         }
     }
 
-    private fun request(
+    private fun buildRequest(
         name: String,
         parsed: ParsedArguments,
     ): DrainRequest {
@@ -141,7 +141,7 @@
             replace = parsed.has("replace"),
             maxConcurrent = maxConcurrent(parsed),
             deadlineUs = deadlineS?.let { timeOfDayUs() + it * SECOND },
-            dryRun = parsed.has("dry-run"),
+            isDryRun = parsed.has("dry-run"),
         )
     }
 
@@ -151,31 +151,31 @@
         return machines.toInt()
     }
 
-    private fun report(
+    private fun printResult(
         result: DrainCommandResult,
         asJson: Boolean,
     ): Int {
         when (result) {
             is DrainCommandResult.Status -> {
                 if (asJson) {
-                    print(JsonArray(result.reports.map { it.json() }).encodePrettily())
+                    print(JsonArray(result.reports.map { it.toJson() }).encodePrettily())
                 } else {
-                    print(result.reports.joinToString("\n") { it.text() }.ifEmpty { "no drains" })
+                    print(result.reports.joinToString("\n") { it.toText() }.ifEmpty { "no drains" })
                 }
             }
 
             is DrainCommandResult.DryRun -> {
                 val steps = result.machines.chunked(result.request.maxConcurrent).map { step -> JsonArray(step.map { it.name }) }
-                print(if (asJson) JsonObject().put("steps", JsonArray(steps)).encodePrettily() else DrainReport.dryRunText(result))
+                print(if (asJson) JsonObject().put("steps", JsonArray(steps)).encodePrettily() else DrainReport.formatDryRun(result))
             }
 
             is DrainCommandResult.Rejected -> {
-                return reject(result.why)
+                return reject(result.reason)
             }
 
             DrainCommandResult.Unavailable -> {
                 printError("lichenstage drain: the state service does not answer, or the record has changed meanwhile; ask again")
-                return UNAVAILABLE
+                return EXIT_UNAVAILABLE
             }
         }
         return 0
@@ -184,12 +184,12 @@
     private companion object {
         const val START = "start"
         const val STATUS = "status"
-        val VERBS = listOf(START, STATUS, "pause", "resume", "cancel")
-        val SELECTING = listOf("machine", "type", "zone", "spot", "ordinary", "hired-up-to", "all")
-        const val REFUSED = 2
-        const val UNAVAILABLE = 1
+        val SUBCOMMANDS = listOf(START, STATUS, "pause", "resume", "cancel")
+        val SELECTION_OPTIONS = listOf("machine", "type", "zone", "spot", "ordinary", "hired-up-to", "all")
+        const val EXIT_INVALID_REQUEST = 2
+        const val EXIT_UNAVAILABLE = 1
 
         /** The part of the state service's changes that the command may use: leases and users come first. */
-        const val SHARE = 0.1
+        const val STATE_WRITE_SHARE = 0.1
     }
 }
--- a/src/main/kotlin/lichenstage/drain/DrainCore.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCore.kt
@@ -15,11 +15,11 @@
     /** How many interruptions can be recorded. Half of them are for what fails by itself. */
     private val maxInterruptions: Int,
 ) {
-    private class Pending(
+    private class PendingStep(
         val proposal: DrainProposal,
-        val from: DrainState,
+        val previousState: DrainState,
         /** The new replacements that it takes account of. */
-        val replacements: Map<DrainKey, String>,
+        val includedReplacements: Map<DrainKey, String>,
     )
 
     /** The state as it is recorded. */
@@ -29,7 +29,7 @@
     /** Drains as operators last requested them. */
     var drains: List<Drain> = emptyList()
         private set
-    private var pending: Pending? = null
+    private var pendingStep: PendingStep? = null
 
     /** Replacements that were requested and are not provisioned yet. */
     private val pendingProvisions = HashSet<DrainKey>()
@@ -42,55 +42,56 @@
      * and only until it runs again. (It held 2,000 at the most, and a zone of some hundred machines lost more: what was left out was
      * forgotten, and drains interrupted beside it.)
      */
-    private val lostTasks = LinkedHashMap<TaskId, Interruption>()
-    private val newReplacements = HashMap<DrainKey, String>()
+    private val unrecordedFailures = LinkedHashMap<TaskId, Interruption>()
+    private val unrecordedReplacements = HashMap<DrainKey, String>()
 
     /** Some drain is running. */
     val isActive get() = drains.any { it.status == DrainStatus.RUNNING }
 
     /** Machines that get no more tasks. */
-    val cordoned: Set<String> get() = namesOf { it.stage.isCordoned }
+    val cordoned: Set<String> get() = machineNames { it.stage.isCordoned }
 
     /** Replacements that have not started a task yet: they get one at a time. */
-    val onProbation: Set<String> get() = replacements { it.stage == Stage.PREPARING }
+    val onProbation: Set<String> get() = replacementNames { it.stage == Stage.PREPARING }
 
     /** Replacements of machines that are still there: the fleet has one machine too many for each. */
-    val surplusReplacements: Set<String> get() = replacements { !it.stage.isOver }
+    val surplusReplacements: Set<String> get() = replacementNames { !it.stage.isOver }
 
-    private fun running() = drains.filter { it.status == DrainStatus.RUNNING }.mapTo(HashSet()) { it.name }
+    private fun runningDrainNames() = drains.filter { it.status == DrainStatus.RUNNING }.mapTo(HashSet()) { it.name }
 
-    private fun machinesWhere(which: (DrainedMachine) -> Boolean): List<DrainedMachine> {
-        val names = running()
-        return if (names.isEmpty()) emptyList() else state.machines.values.filter { it.drain in names && which(it) }
+    private fun activeMachines(predicate: (DrainedMachine) -> Boolean): List<DrainedMachine> {
+        val names = runningDrainNames()
+        return if (names.isEmpty()) emptyList() else state.machines.values.filter { it.drain in names && predicate(it) }
     }
 
-    private fun namesOf(which: (DrainedMachine) -> Boolean) = machinesWhere(which).mapTo(HashSet()) { it.name }
+    private fun machineNames(predicate: (DrainedMachine) -> Boolean) = activeMachines(predicate).mapTo(HashSet()) { it.name }
 
-    private fun replacements(which: (DrainedMachine) -> Boolean) = machinesWhere(which).mapNotNullTo(HashSet()) { it.replacement }
+    private fun replacementNames(predicate: (DrainedMachine) -> Boolean) =
+        activeMachines(predicate).mapNotNullTo(HashSet()) { it.replacement }
 
     /** The drains as their records stand, with the machines of those that are new. */
     fun updateDrains(
-        current: List<Drain>,
+        requestedDrains: List<Drain>,
         machines: List<DrainedMachine>,
     ) {
-        drains = current
-        pendingStatusChanges.retainAll(running())
-        val news = machines.filter { it.key !in state.machines }
-        if (news.isNotEmpty()) state = state.copy(machines = state.machines.putAll(news.associateBy { it.key }))
+        drains = requestedDrains
+        pendingStatusChanges.retainAll(runningDrainNames())
+        val newMachines = machines.filter { it.key !in state.machines }
+        if (newMachines.isNotEmpty()) state = state.copy(machines = state.machines.putAll(newMachines.associateBy { it.key }))
     }
 
     /** A task that ran does not any more, and not for a drain. Counted only while there is a drain that it may hold up. */
-    fun taskLost(interruption: Interruption) {
-        if (isActive && interruption.task !in state.interruptions) lostTasks[interruption.task] = interruption
+    fun onTaskLost(interruption: Interruption) {
+        if (isActive && interruption.task !in state.interruptions) unrecordedFailures[interruption.task] = interruption
     }
 
     /** A replacement was provisioned. */
-    fun replacementProvisioned(
+    fun onReplacementProvisioned(
         key: DrainKey,
         machine: String,
     ) {
         pendingProvisions -= key
-        newReplacements[key] = machine
+        unrecordedReplacements[key] = machine
     }
 
     /** The next state, to be recorded before anything else is done; null while one is being recorded, or nothing is to be done. */
@@ -98,11 +99,11 @@
         nowUs: Long,
         hour: Int,
     ): DrainState? {
-        if (!view.isComplete || pending != null || !isActive) return null
-        val before = withObservedChanges(state, nowUs)
-        val due = drains.filter { it.name !in pendingStatusChanges }
-        val proposal = DrainPlan(policy, view, hour, nowUs, maxInterruptions / 2, before).next(due)
-        pending = Pending(proposal, state, HashMap(newReplacements))
+        if (!view.isComplete || pendingStep != null || !isActive) return null
+        val baseState = withObservedChanges(state, nowUs)
+        val drainsToAdvance = drains.filter { it.name !in pendingStatusChanges }
+        val proposal = DrainPlanner(policy, view, hour, nowUs, maxInterruptions / 2, baseState).planStep(drainsToAdvance)
+        pendingStep = PendingStep(proposal, state, HashMap(unrecordedReplacements))
         return proposal.state
     }
 
@@ -111,53 +112,53 @@
      * replacement's time begins when it was hired, however long that was refused.
      */
     private fun withObservedChanges(
-        before: DrainState,
+        baseState: DrainState,
         nowUs: Long,
     ): DrainState {
-        var machines: PersistentMap<DrainKey, DrainedMachine> = before.machines
-        for ((key, name) in newReplacements) {
+        var machines: PersistentMap<DrainKey, DrainedMachine> = baseState.machines
+        for ((key, name) in unrecordedReplacements) {
             val machine = machines[key] ?: continue
             machines = machines.put(key, machine.copy(replacement = name, sinceUs = nowUs))
         }
         // Room is made first: what waits to be recorded must not be passed over for a step.
-        var interruptions = before.interruptions
-        for (row in before.interruptions.values) if (row.isOver(view.execution(row.task))) interruptions = interruptions.remove(row.task)
-        lostTasks.values.removeAll { it.isOver(view.execution(it.task)) }
-        for ((task, row) in lostTasks) {
+        var interruptions = baseState.interruptions
+        for (row in baseState.interruptions.values) if (row.isOver(view.execution(row.task))) interruptions = interruptions.remove(row.task)
+        unrecordedFailures.values.removeAll { it.isOver(view.execution(it.task)) }
+        for ((task, interruption) in unrecordedFailures) {
             if (interruptions.size >= maxInterruptions) break
-            if (task !in interruptions) interruptions = interruptions.put(task, row)
+            if (task !in interruptions) interruptions = interruptions.put(task, interruption)
         }
         return DrainState(machines, interruptions)
     }
 
     /** The state of the last step is recorded, or could not be; returns what may be done now. */
-    fun stateRecorded(ok: Boolean): List<DrainAction> {
-        val done = pending ?: return emptyList()
-        pending = null
-        if (!ok) return emptyList()
+    fun onStateRecorded(isRecorded: Boolean): List<DrainAction> {
+        val completedStep = pendingStep ?: return emptyList()
+        pendingStep = null
+        if (!isRecorded) return emptyList()
         // What was asked for meanwhile has come to the state before.
-        val news = state.machines.filterKeys { it !in done.from.machines }
+        val newMachines = state.machines.filterKeys { it !in completedStep.previousState.machines }
         state =
-            done.proposal.state.copy(
+            completedStep.proposal.state.copy(
                 machines =
-                    done.proposal.state.machines
-                        .putAll(news),
+                    completedStep.proposal.state.machines
+                        .putAll(newMachines),
             )
-        done.replacements.forEach { (key, name) -> newReplacements.remove(key, name) }
-        lostTasks.keys.removeAll { it in state.interruptions }
-        return done.proposal.actions.filter(::isNew)
+        completedStep.includedReplacements.forEach { (key, name) -> unrecordedReplacements.remove(key, name) }
+        unrecordedFailures.keys.removeAll { it in state.interruptions }
+        return completedStep.proposal.actions.filter(::registerRequest)
     }
 
-    private fun isNew(act: DrainAction) =
-        when (act) {
-            is DrainAction.ProvisionReplacement -> act.key !in newReplacements && pendingProvisions.add(act.key)
-            is DrainAction.Pause -> pendingStatusChanges.add(act.drain)
-            is DrainAction.Finish -> pendingStatusChanges.add(act.drain)
+    private fun registerRequest(action: DrainAction) =
+        when (action) {
+            is DrainAction.ProvisionReplacement -> action.key !in unrecordedReplacements && pendingProvisions.add(action.key)
+            is DrainAction.Pause -> pendingStatusChanges.add(action.drain)
+            is DrainAction.Finish -> pendingStatusChanges.add(action.drain)
             else -> true
         }
 
     /** The status of a drain could not be written: the change is requested again. */
-    fun statusChangeFailed(drain: String) {
+    fun onStatusChangeFailed(drain: String) {
         pendingStatusChanges -= drain
     }
 }
--- a/src/main/kotlin/lichenstage/drain/DrainDriver.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainDriver.kt
@@ -21,25 +21,25 @@
     private val policy: DrainPolicy,
     private val view: DrainView,
     private val recordAccess: DrainRecordAccess,
-    private val actions: DrainActionHandler,
+    private val actionHandler: DrainActionHandler,
     private val tracing: DrainTracing,
     private val scope: CoroutineScope,
     private val timeOfDayUs: () -> Long,
-    private val tell: (DrainMessage) -> Unit,
+    private val sendMessage: (DrainMessage) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.drain")
     private var core: DrainCore? = null
-    private var recorded: Map<String, JsonObject> = emptyMap()
-    private var writing = false
-    private var reading = false
-    private var readUs = Long.MIN_VALUE / 2
-    private var steppedUs = Long.MIN_VALUE / 2
+    private var recordedValues: Map<String, JsonObject> = emptyMap()
+    private var isWriting = false
+    private var isReading = false
+    private var lastReadUs = Long.MIN_VALUE / 2
+    private var lastStepUs = Long.MIN_VALUE / 2
 
     /** Keys of records that can't be read: each is logged once. */
-    private val reportedUnreadable = HashSet<String>()
+    private val loggedUnreadableKeys = HashSet<String>()
 
     /** The stamps of the drains' records as last read, for changes of them. */
-    private val stamps = HashMap<String, Long>()
+    private val drainRevisions = HashMap<String, Long>()
 
     /** Machines that get no more tasks. */
     val cordoned: Set<String> get() = core?.cordoned.orEmpty()
@@ -51,57 +51,60 @@
     val excludedFromCapacity: Set<String> get() = core?.let { it.cordoned + it.surplusReplacements }.orEmpty()
 
     /** A machine was provisioned for a request of [DrainActionHandler.provisionReplacement]. */
-    fun replacementProvisioned(
+    fun onReplacementProvisioned(
         key: DrainKey,
         machine: String,
-    ) = core?.replacementProvisioned(key, machine) ?: Unit
+    ) = core?.onReplacementProvisioned(key, machine) ?: Unit
 
     /** A task that ran has stopped, whatever the cause. */
-    fun taskStopped(interruption: Interruption) = core?.taskLost(interruption) ?: Unit
-
-    /** To be called regularly; [now] is a time of the steady clock in microseconds. */
-    fun step(now: Long) {
-        if (!reading && now - readUs >= READ_INTERVAL_US) read(now)
-        val drains = core ?: return
-        if (writing || now - steppedUs < STEP_INTERVAL_US) return
-        steppedUs = now
-        val atUs = timeOfDayUs()
-        val next = drains.step(atUs, hourOf(atUs)) ?: return
-        record(next)
+    fun onTaskStopped(interruption: Interruption) = core?.onTaskLost(interruption) ?: Unit
+
+    /** To be called regularly; [nowUs] is a time of the steady clock in microseconds. */
+    fun step(nowUs: Long) {
+        if (!isReading && nowUs - lastReadUs >= READ_INTERVAL_US) readRecords(nowUs)
+        val drainCore = core ?: return
+        if (isWriting || nowUs - lastStepUs < STEP_INTERVAL_US) return
+        lastStepUs = nowUs
+        val wallClockUs = timeOfDayUs()
+        val nextState = drainCore.step(wallClockUs, hourOf(wallClockUs)) ?: return
+        recordState(nextState)
     }
 
-    private fun hourOf(atUs: Long) = Instant.ofEpochMilli(atUs / MILLI).atOffset(ZoneOffset.UTC).hour
+    private fun hourOf(wallClockUs: Long) = Instant.ofEpochMilli(wallClockUs / MILLI).atOffset(ZoneOffset.UTC).hour
 
-    private fun read(now: Long) {
-        reading = true
-        readUs = now
+    private fun readRecords(nowUs: Long) {
+        isReading = true
+        lastReadUs = nowUs
         scope.launch {
-            tell(DrainMessage.RecordsRead((recordAccess.scan(DrainRecords.PREFIX) as? ScanResult.Complete)?.entries))
+            sendMessage(DrainMessage.RecordsRead((recordAccess.scan(DrainRecordCodec.PREFIX) as? ScanResult.Complete)?.entries))
         }
     }
 
-    private fun record(state: DrainState) {
-        val wanted = recordAccess.codec.encodeState(state)
-        val changes = DrainRecords.changes(recorded, wanted)
-        if (changes.isEmpty()) return execute(recorded = true)
-        writing = true
+    private fun recordState(state: DrainState) {
+        val newValues = recordAccess.codec.encodeState(state)
+        val changes = DrainRecordCodec.changes(recordedValues, newValues)
+        if (changes.isEmpty()) return executeActions(isRecorded = true)
+        isWriting = true
         scope.launch {
-            val ok = changes.chunked(recordAccess.txnOps).all { recordAccess.owned.write(recordAccess.leaderGuard, it, isUrgent = false) }
-            if (!ok) delay(RETRY_INTERVAL_MS)
-            tell(DrainMessage.StateRecorded(wanted, ok))
+            val isWritten =
+                changes.chunked(recordAccess.maxTxnOps).all {
+                    recordAccess.singleWriterKeys.write(recordAccess.leaderPreconditions, it, isUrgent = false)
+                }
+            if (!isWritten) delay(RETRY_INTERVAL_MS)
+            sendMessage(DrainMessage.StateRecorded(newValues, isWritten))
         }
     }
 
-    private fun execute(recorded: Boolean) {
-        val drains = core ?: return
-        for (act in drains.stateRecorded(recorded)) {
-            tracing.act(act)
-            when (act) {
-                is DrainAction.EvictTasks -> actions.evict(act.tasks)
-                is DrainAction.ProvisionReplacement -> actions.provisionReplacement(act.key)
-                is DrainAction.Terminate -> actions.terminate(act.machine)
-                is DrainAction.Pause -> changeStatus(act.drain, DrainStatus.PAUSED, act.reason)
-                is DrainAction.Finish -> changeStatus(act.drain, DrainStatus.FINISHED, null)
+    private fun executeActions(isRecorded: Boolean) {
+        val drainCore = core ?: return
+        for (action in drainCore.onStateRecorded(isRecorded)) {
+            tracing.recordAction(action)
+            when (action) {
+                is DrainAction.EvictTasks -> actionHandler.evict(action.tasks)
+                is DrainAction.ProvisionReplacement -> actionHandler.provisionReplacement(action.key)
+                is DrainAction.Terminate -> actionHandler.terminate(action.machine)
+                is DrainAction.Pause -> changeStatus(action.drain, DrainStatus.PAUSED, action.reason)
+                is DrainAction.Finish -> changeStatus(action.drain, DrainStatus.FINISHED, null)
             }
         }
     }
@@ -114,12 +117,12 @@
     ) {
         val drain = core?.drains?.firstOrNull { it.name == name } ?: return
         log.info("Drain status changed drain={} status={} reason={}", name, status.name.lowercase(), reason ?: "none")
-        val key = DrainRecords.DRAINS + name
-        val guards = recordAccess.leaderGuard + Precondition(key, stamps[key] ?: Precondition.ABSENT)
+        val key = DrainRecordCodec.DRAIN_PREFIX + name
+        val preconditions = recordAccess.leaderPreconditions + Precondition(key, drainRevisions[key] ?: Precondition.ABSENT)
         val change = Change.Put(key, recordAccess.codec.encode(drain.copy(status = status, reason = reason)))
         scope.launch {
-            val outcome = recordAccess.store.commit(guards, listOf(change), isUrgent = false)
-            tell(DrainMessage.StatusChanged(name, outcome is TransactionResult.Committed))
+            val outcome = recordAccess.store.commit(preconditions, listOf(change), isUrgent = false)
+            sendMessage(DrainMessage.StatusChanged(name, outcome is TransactionResult.Committed))
         }
     }
 
@@ -127,49 +130,55 @@
     fun handle(message: DrainMessage) {
         when (message) {
             is DrainMessage.RecordsRead -> {
-                reading = false
+                isReading = false
                 message.entries?.let(::applyRecords)
             }
 
             is DrainMessage.StateRecorded -> {
-                writing = false
+                isWriting = false
                 // Where that is not known, all is written again.
-                recorded = if (message.ok) recorded + message.written else emptyMap()
-                execute(message.ok)
+                recordedValues = if (message.isSuccess) recordedValues + message.writtenValues else emptyMap()
+                executeActions(message.isSuccess)
             }
 
             is DrainMessage.StatusChanged -> {
-                if (!message.ok) core?.statusChangeFailed(message.drain)
+                if (!message.isSuccess) core?.onStatusChangeFailed(message.drain)
             }
         }
     }
 
     private fun applyRecords(entries: List<Entry>) {
-        val pages = entries.filter { it.key.startsWith(DrainRecords.MACHINES) }
-        val machines = pages.groupBy { it.key.removePrefix(DrainRecords.MACHINES).substringBeforeLast('/') }
-        val readable = machines.mapNotNull { (drain, rows) -> readMachines(rows)?.let { drain to it } }.toMap()
-        if (core == null) initialize(entries, readable)
-        val drains = entries.filter { it.key.startsWith(DrainRecords.DRAINS) }.mapNotNull { readDrain(it, readable) }
-        val known = core ?: return
-        val news = drains.filter { drain -> known.drains.none { it.name == drain.name } }
+        val pages = entries.filter { it.key.startsWith(DrainRecordCodec.MACHINE_PREFIX) }
+        val pagesByDrain = pages.groupBy { it.key.removePrefix(DrainRecordCodec.MACHINE_PREFIX).substringBeforeLast('/') }
+        val machinesByDrain = pagesByDrain.mapNotNull { (drain, drainPages) -> decodeMachinePages(drainPages)?.let { drain to it } }.toMap()
+        if (core == null) initializeCore(entries, machinesByDrain)
+        val drains =
+            entries
+                .filter {
+                    it.key.startsWith(
+                        DrainRecordCodec.DRAIN_PREFIX,
+                    )
+                }.mapNotNull { decodeDrain(it, machinesByDrain) }
+        val drainCore = core ?: return
+        val newDrains = drains.filter { drain -> drainCore.drains.none { it.name == drain.name } }
         // Pages of a drain that is new here were written by the command: from now on they are this leader's.
-        for (drain in news) {
-            val own = machines[drain.name].orEmpty()
-            recordAccess.owned.load(own)
-            recorded = recorded + own.associate { it.key to it.value }
+        for (drain in newDrains) {
+            val drainPages = pagesByDrain[drain.name].orEmpty()
+            recordAccess.singleWriterKeys.load(drainPages)
+            recordedValues = recordedValues + drainPages.associate { it.key to it.value }
         }
-        known.updateDrains(drains, news.flatMap { readable.getValue(it.name) })
+        drainCore.updateDrains(drains, newDrains.flatMap { machinesByDrain.getValue(it.name) })
     }
 
-    private fun initialize(
+    private fun initializeCore(
         entries: List<Entry>,
         machines: Map<String, List<DrainedMachine>>,
     ) {
-        val pages = entries.filter { it.key.startsWith(DrainRecords.INTERRUPTIONS) }
+        val pages = entries.filter { it.key.startsWith(DrainRecordCodec.INTERRUPTION_PREFIX) }
         // Without these pages the interruptions in progress are unknown, so no more are started.
-        val interruptions = pages.map { page -> readable(page) { recordAccess.codec.decodeInterruptions(it) } ?: return }
-        recordAccess.owned.load(pages)
-        recorded = pages.associate { it.key to it.value }
+        val interruptions = pages.map { page -> decodeOrNull(page) { recordAccess.codec.decodeInterruptions(it) } ?: return }
+        recordAccess.singleWriterKeys.load(pages)
+        recordedValues = pages.associate { it.key to it.value }
         val state =
             DrainState().let { empty ->
                 empty.copy(interruptions = empty.interruptions.putAll(interruptions.flatten().associateBy { it.task }))
@@ -178,26 +187,26 @@
         if (machines.isNotEmpty()) log.info("Drains found in records drains={}", machines.keys)
     }
 
-    private fun readMachines(pages: List<Entry>): List<DrainedMachine>? =
-        pages.map { page -> readable(page) { recordAccess.codec.decodeMachines(it) } ?: return null }.flatten()
+    private fun decodeMachinePages(pages: List<Entry>): List<DrainedMachine>? =
+        pages.map { page -> decodeOrNull(page) { recordAccess.codec.decodeMachines(it) } ?: return null }.flatten()
 
-    private fun readDrain(
+    private fun decodeDrain(
         entry: Entry,
         machines: Map<String, List<DrainedMachine>>,
     ): Drain? {
-        val name = entry.key.removePrefix(DrainRecords.DRAINS)
-        stamps[entry.key] = entry.modRevision
-        return if (name in machines) readable(entry) { recordAccess.codec.decodeDrain(it) } else null
+        val name = entry.key.removePrefix(DrainRecordCodec.DRAIN_PREFIX)
+        drainRevisions[entry.key] = entry.modRevision
+        return if (name in machines) decodeOrNull(entry) { recordAccess.codec.decodeDrain(it) } else null
     }
 
-    private fun <T : Any> readable(
+    private fun <T : Any> decodeOrNull(
         entry: Entry,
-        read: (Entry) -> T,
+        decode: (Entry) -> T,
     ): T? =
         try {
-            read(entry)
+            decode(entry)
         } catch (e: UnreadableRecordException) {
-            if (reportedUnreadable.add(
+            if (loggedUnreadableKeys.add(
                     entry.key,
                 )
             ) {
--- a/src/main/kotlin/lichenstage/drain/DrainMessage.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainMessage.kt
@@ -12,13 +12,13 @@
 
     /** The state of the last step is recorded, or not. */
     data class StateRecorded(
-        val written: Map<String, JsonObject>,
-        val ok: Boolean,
+        val writtenValues: Map<String, JsonObject>,
+        val isSuccess: Boolean,
     ) : DrainMessage
 
     /** The record of a drain was changed, or not. */
     data class StatusChanged(
         val drain: String,
-        val ok: Boolean,
+        val isSuccess: Boolean,
     ) : DrainMessage
 }
--- a/src/main/kotlin/lichenstage/drain/DrainOperations.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainOperations.kt
@@ -20,52 +20,52 @@
 class DrainOperations(
     private val store: KeyValueStore,
     private val scan: suspend (String) -> ScanResult,
-    private val records: DrainRecords,
+    private val codec: DrainRecordCodec,
     private val settings: Settings,
     private val timeOfDayUs: () -> Long,
 ) {
     /** Records a drain, or shows what it would do. Idempotent: a repeat of the same request succeeds. */
     suspend fun start(request: DrainRequest): DrainCommandResult =
-        resultOf {
+        toCommandResult {
             if (!NAME.matches(request.name)) throw RejectedCommand("${request.name}: a name of letters, digits and dashes is needed")
             if (request.maxConcurrent < 1) throw RejectedCommand("--at-most ${request.maxConcurrent}: at least 1 is needed")
-            when (val known = store.get(DrainRecords.DRAINS + request.name)) {
-                is ReadResult.Found -> startRepeated(request, known.entry)
+            when (val existing = store.get(DrainRecordCodec.DRAIN_PREFIX + request.name)) {
+                is ReadResult.Found -> repeatStart(request, existing.entry)
                 ReadResult.NotFound -> startNew(request)
                 ReadResult.Unavailable -> throw StateServiceUnavailable()
             }
         }
 
     private suspend fun startNew(request: DrainRequest): DrainCommandResult {
-        val machines = read(MachineRecordCodec.PREFIX).flatMap { MachineRecordCodec.decode(it.value) }
-        val boundZones = read(JobRecordCodec.OPEN).mapNotNullTo(HashSet()) { JobRecordCodec.decode(it.value).zone }
+        val machines = scanEntries(MachineRecordCodec.PREFIX).flatMap { MachineRecordCodec.decode(it.value) }
+        val boundZones = scanEntries(JobRecordCodec.OPEN).mapNotNullTo(HashSet()) { JobRecordCodec.decode(it.value).zone }
         rejectionReason(request, machines, boundZones)?.let { throw RejectedCommand(it) }
         val selected = machines.filter { it in request.selection }.sortedBy { it.name }
-        return if (request.dryRun) DrainCommandResult.DryRun(request, selected) else write(request, selected)
+        return if (request.isDryRun) DrainCommandResult.DryRun(request, selected) else recordDrain(request, selected)
     }
 
-    private suspend fun startRepeated(
+    private suspend fun repeatStart(
         request: DrainRequest,
         entry: Entry,
     ): DrainCommandResult {
-        val asked = records.decodeDrain(entry)
-        if (asked.replace != request.replace || asked.maxConcurrent != request.maxConcurrent) {
+        val existing = codec.decodeDrain(entry)
+        if (existing.replace != request.replace || existing.maxConcurrent != request.maxConcurrent) {
             throw RejectedCommand("${request.name}: there is a drain of this name with other options")
         }
-        return statusOf(request.name)
+        return readStatus(request.name)
     }
 
     /** The command can't be executed as it was given. */
     private class RejectedCommand(
-        why: String,
-    ) : Exception(why)
+        reason: String,
+    ) : Exception(reason)
 
     /** The state service does not answer, or has changed meanwhile. */
     private class StateServiceUnavailable : Exception()
 
-    private suspend fun resultOf(work: suspend () -> DrainCommandResult): DrainCommandResult =
+    private suspend fun toCommandResult(operation: suspend () -> DrainCommandResult): DrainCommandResult =
         try {
-            work()
+            operation()
         } catch (e: RejectedCommand) {
             DrainCommandResult.Rejected("${e.message}")
         } catch (e: UnreadableRecordException) {
@@ -74,7 +74,7 @@
             DrainCommandResult.Unavailable
         }
 
-    private suspend fun read(prefix: String): List<Entry> =
+    private suspend fun scanEntries(prefix: String): List<Entry> =
         (scan(prefix) as? ScanResult.Complete)?.entries ?: throw StateServiceUnavailable()
 
     private suspend fun commit(
@@ -90,34 +90,34 @@
         boundZones: Set<String>,
     ): String? {
         val selection = request.selection
-        val unknown = selection.names.firstOrNull { name -> machines.none { it.name == name } }
+        val unknownMachine = selection.names.firstOrNull { name -> machines.none { it.name == name } }
         val typeName = selection.typeName
-        val zones = machines.filter { it in selection }.map { it.zone }.distinct()
-        val emptied = zones.firstOrNull { zone -> zone in boundZones && machines.none { it.zone == zone && it !in selection } }
+        val selectedZones = machines.filter { it in selection }.map { it.zone }.distinct()
+        val emptiedZone = selectedZones.firstOrNull { zone -> zone in boundZones && machines.none { it.zone == zone && it !in selection } }
         return when {
-            unknown != null -> "--machine $unknown: no such machine is recorded"
+            unknownMachine != null -> "--machine $unknownMachine: no such machine is recorded"
             selection.zone != null && selection.zone !in settings.zones -> "--zone ${selection.zone}: no zone of this deployment"
             typeName != null && machines.none { it.typeName == typeName } -> "--type $typeName: no machine of this type is recorded"
-            zones.isEmpty() -> "no recorded machine is selected"
-            emptied == null || request.replace -> null
-            else -> "--zone $emptied: jobs are bound to it, and no machine would be left: --replace is needed"
+            selectedZones.isEmpty() -> "no recorded machine is selected"
+            emptiedZone == null || request.replace -> null
+            else -> "--zone $emptiedZone: jobs are bound to it, and no machine would be left: --replace is needed"
         }
     }
 
     /** The machines first: the drain is there once its own record is. */
-    private suspend fun write(
+    private suspend fun recordDrain(
         request: DrainRequest,
         machines: List<RegisteredMachine>,
     ): DrainCommandResult {
-        val now = timeOfDayUs()
-        val rows = machines.map { DrainedMachine(it.name, request.name, Stage.WAITING, now) }
-        val pages = records.encodeMachines(request.name, rows)
-        val stamps = read("${DrainRecords.MACHINES}${request.name}/").associate { it.key to it.modRevision }
-        val changes = pages.map { Change.Put(it.key, it.value) } + (stamps.keys - pages.keys).map { Change.Delete(it) }
-        val drainKey = DrainRecords.DRAINS + request.name
-        for (part in changes.chunked(settings.txnOps)) {
-            val preconditions = part.map { Precondition(it.key, stamps[it.key] ?: Precondition.ABSENT) } + Precondition.absent(drainKey)
-            commit(preconditions, part)
+        val nowUs = timeOfDayUs()
+        val drainedMachines = machines.map { DrainedMachine(it.name, request.name, Stage.WAITING, nowUs) }
+        val pages = codec.encodeMachines(request.name, drainedMachines)
+        val revisions = scanEntries("${DrainRecordCodec.MACHINE_PREFIX}${request.name}/").associate { it.key to it.modRevision }
+        val changes = pages.map { Change.Put(it.key, it.value) } + (revisions.keys - pages.keys).map { Change.Delete(it) }
+        val drainKey = DrainRecordCodec.DRAIN_PREFIX + request.name
+        for (batch in changes.chunked(settings.txnOps)) {
+            val preconditions = batch.map { Precondition(it.key, revisions[it.key] ?: Precondition.ABSENT) } + Precondition.absent(drainKey)
+            commit(preconditions, batch)
         }
         val drain =
             Drain(
@@ -126,23 +126,27 @@
                 request.maxConcurrent,
                 DrainStatus.RUNNING,
                 null,
-                now,
+                nowUs,
                 request.deadlineUs,
             )
-        commit(listOf(Precondition.absent(drainKey)), listOf(Change.Put(drainKey, records.encode(drain))))
-        return statusOf(request.name)
+        commit(listOf(Precondition.absent(drainKey)), listOf(Change.Put(drainKey, codec.encode(drain))))
+        return readStatus(request.name)
     }
 
     /** All drains, or the one of a [name]. */
-    suspend fun status(name: String?): DrainCommandResult = resultOf { statusOf(name) }
-
-    private suspend fun statusOf(name: String?): DrainCommandResult {
-        val all = read(DrainRecords.PREFIX)
-        val entries = all.filter { it.key.startsWith(DrainRecords.DRAINS) && (name == null || it.key == DrainRecords.DRAINS + name) }
+    suspend fun status(name: String?): DrainCommandResult = toCommandResult { readStatus(name) }
+
+    private suspend fun readStatus(name: String?): DrainCommandResult {
+        val allEntries = scanEntries(DrainRecordCodec.PREFIX)
+        val entries =
+            allEntries.filter {
+                it.key.startsWith(DrainRecordCodec.DRAIN_PREFIX) &&
+                    (name == null || it.key == DrainRecordCodec.DRAIN_PREFIX + name)
+            }
         if (entries.isEmpty() && name != null) throw RejectedCommand("$name: there is no such drain")
-        val pages = all.filter { it.key.startsWith(DrainRecords.MACHINES) }
-        val state = records.decodeState(pages, all.filter { it.key.startsWith(DrainRecords.INTERRUPTIONS) })
-        return DrainCommandResult.Status(entries.map { DrainReport.of(records.decodeDrain(it), state, timeOfDayUs()) })
+        val pages = allEntries.filter { it.key.startsWith(DrainRecordCodec.MACHINE_PREFIX) }
+        val state = codec.decodeState(pages, allEntries.filter { it.key.startsWith(DrainRecordCodec.INTERRUPTION_PREFIX) })
+        return DrainCommandResult.Status(entries.map { DrainReport.create(codec.decodeDrain(it), state, timeOfDayUs()) })
     }
 
     /** Pauses, resumes or cancels a drain. */
@@ -150,9 +154,9 @@
         name: String,
         status: DrainStatus,
     ): DrainCommandResult =
-        resultOf {
-            when (val read = store.get(DrainRecords.DRAINS + name)) {
-                is ReadResult.Found -> writeStatus(read.entry, status)
+        toCommandResult {
+            when (val result = store.get(DrainRecordCodec.DRAIN_PREFIX + name)) {
+                is ReadResult.Found -> writeStatus(result.entry, status)
                 ReadResult.NotFound -> throw RejectedCommand("$name: there is no such drain")
                 ReadResult.Unavailable -> throw StateServiceUnavailable()
             }
@@ -162,15 +166,15 @@
         entry: Entry,
         status: DrainStatus,
     ): DrainCommandResult {
-        val drain = records.decodeDrain(entry)
+        val drain = codec.decodeDrain(entry)
         val isOver = drain.status == DrainStatus.FINISHED || drain.status == DrainStatus.CANCELLED
         if (isOver && drain.status != status) throw RejectedCommand("${drain.name}: it is ${drain.status.name.lowercase()}")
         if (drain.status != status) {
             val reason = if (status == DrainStatus.RUNNING) null else "by an operator"
-            val put = Change.Put(entry.key, records.encode(drain.copy(status = status, reason = reason)))
+            val put = Change.Put(entry.key, codec.encode(drain.copy(status = status, reason = reason)))
             commit(listOf(Precondition(entry.key, entry.modRevision)), listOf(put))
         }
-        return statusOf(drain.name)
+        return readStatus(drain.name)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/drain/DrainPlan.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainPlanner.kt
@@ -15,7 +15,7 @@
  * which least progress would be lost. Tasks are interrupted only where the budget of their team allows it beside all that is
  * interrupted already; tasks near their end are waited for. No deadline changes that.
  */
-class DrainPlan(
+class DrainPlanner(
     private val policy: DrainPolicy,
     private val view: DrainView,
     private val hour: Int,
@@ -25,38 +25,38 @@
     private var state: DrainState,
 ) {
     private val actions = ArrayList<DrainAction>()
-    private val interrupted = ArrayList<RunningTask>()
+    private val tasksToEvict = ArrayList<PlacedTask>()
 
     /** The next steps of these drains, the one that was asked for first before the others. */
-    fun next(drains: List<Drain>): DrainProposal {
+    fun planStep(drains: List<Drain>): DrainProposal {
         val running = drains.filter { it.status == DrainStatus.RUNNING }.sortedBy { it.requestedUs }
-        running.forEach(::advance)
-        running.forEach { begin(it, machinesUnderWay(running)) }
-        interrupt(running)
+        running.forEach(::advanceMachines)
+        running.forEach { startDraining(it, machinesInProgress(running)) }
+        interruptTasks(running)
         running.filter(::isOver).forEach { actions += DrainAction.Finish(it.name) }
-        return DrainProposal(state, actions + listOfNotNull(DrainAction.EvictTasks(interrupted).takeIf { interrupted.isNotEmpty() }))
+        return DrainProposal(state, actions + listOfNotNull(DrainAction.EvictTasks(tasksToEvict).takeIf { tasksToEvict.isNotEmpty() }))
     }
 
     private fun machinesOf(drain: Drain) = state.machines.values.filter { it.drain == drain.name }
 
     private fun isOver(drain: Drain) = machinesOf(drain).all { it.stage.isOver }
 
-    private fun set(machine: DrainedMachine) {
+    private fun updateMachine(machine: DrainedMachine) {
         state = state.copy(machines = state.machines.put(machine.key, machine))
     }
 
-    private fun move(
+    private fun enterStage(
         machine: DrainedMachine,
         stage: Stage,
-    ) = set(machine.copy(stage = stage, sinceUs = nowUs))
+    ) = updateMachine(machine.copy(stage = stage, sinceUs = nowUs))
 
-    private fun advance(drain: Drain) {
+    private fun advanceMachines(drain: Drain) {
         for (machine in machinesOf(drain)) {
             if (machine.stage.isOver) continue
             when (view.condition(machine.name)) {
-                MachineCondition.GONE, MachineCondition.ABSENT -> move(machine, stageAfterRemoval(machine))
-                MachineCondition.LOST -> if (machine.stage != Stage.EMPTIED) move(machine, Stage.FAILED)
-                MachineCondition.HEALTHY, MachineCondition.UNCONFIRMED -> advance(drain, machine)
+                MachineCondition.GONE, MachineCondition.ABSENT -> enterStage(machine, stageAfterRemoval(machine))
+                MachineCondition.LOST -> if (machine.stage != Stage.EMPTIED) enterStage(machine, Stage.FAILED)
+                MachineCondition.HEALTHY, MachineCondition.UNCONFIRMED -> advanceMachine(drain, machine)
             }
         }
     }
@@ -69,18 +69,18 @@
             else -> Stage.GONE
         }
 
-    private fun advance(
+    private fun advanceMachine(
         drain: Drain,
         machine: DrainedMachine,
     ) {
         when (machine.stage) {
             Stage.PREPARING -> {
-                prepare(drain, machine)
+                checkReplacement(drain, machine)
             }
 
             Stage.CORDONED, Stage.EMPTYING -> {
                 if (isCordonEffective(machine) && view.tasksOn(machine.name).isEmpty()) {
-                    move(machine, Stage.EMPTIED)
+                    enterStage(machine, Stage.EMPTIED)
                     actions += DrainAction.Terminate(machine.name)
                 }
             }
@@ -100,7 +100,7 @@
     private fun isCordonEffective(machine: DrainedMachine) = nowUs - machine.sinceUs >= CORDON_PROPAGATION_US
 
     /** A replacement that does not come up, is faulty or is lost is terminated, and another one is requested after a growing delay. */
-    private fun prepare(
+    private fun checkReplacement(
         drain: Drain,
         machine: DrainedMachine,
     ) {
@@ -108,23 +108,23 @@
         val replacement = machine.replacement
         when {
             replacement == null -> {
-                if (waitedUs >= backoffUs(machine.failures)) actions += DrainAction.ProvisionReplacement(machine.key)
+                if (waitedUs >= backoffUs(machine.failedReplacements)) actions += DrainAction.ProvisionReplacement(machine.key)
             }
 
             hasFailed(replacement, waitedUs) -> {
                 actions += DrainAction.Terminate(replacement)
-                set(machine.copy(replacement = null, failures = machine.failures + 1, sinceUs = nowUs))
-                if (machine.failures + 1 >= policy.replacementFailures) {
+                updateMachine(machine.copy(replacement = null, failedReplacements = machine.failedReplacements + 1, sinceUs = nowUs))
+                if (machine.failedReplacements + 1 >= policy.maxReplacementFailures) {
                     actions +=
                         DrainAction.Pause(
                             drain.name,
-                            "${machine.failures + 1} replacements of ${machine.name} failed, the last was $replacement",
+                            "${machine.failedReplacements + 1} replacements of ${machine.name} failed, the last was $replacement",
                         )
                 }
             }
 
-            hasProven(replacement, waitedUs) -> {
-                move(machine, Stage.CORDONED)
+            isProven(replacement, waitedUs) -> {
+                enterStage(machine, Stage.CORDONED)
             }
         }
     }
@@ -139,91 +139,91 @@
     }
 
     /** It has completed a start; where there has been nothing to start for long, it is taken for good. */
-    private fun hasProven(
+    private fun isProven(
         replacement: String,
         waitedUs: Long,
     ): Boolean =
         view.condition(replacement) == MachineCondition.HEALTHY &&
-            (view.tasksOn(replacement).any { it.running } || (waitedUs > IDLE_TRIAL_US && view.tasksOn(replacement).isEmpty()))
+            (view.tasksOn(replacement).any { it.isRunning } || (waitedUs > IDLE_TRIAL_US && view.tasksOn(replacement).isEmpty()))
 
     private fun backoffUs(failures: Int) = if (failures == 0) 0 else (INITIAL_BACKOFF_US shl minOf(failures - 1, MAX_BACKOFF_DOUBLINGS))
 
     /** What another drain is emptying is left to it. */
-    private fun machinesUnderWay(drains: List<Drain>): Set<String> {
+    private fun machinesInProgress(drains: List<Drain>): Set<String> {
         val names = drains.mapTo(HashSet()) { it.name }
         return state.machines.values
-            .filter { it.drain in names && it.stage.isUnderWay }
+            .filter { it.drain in names && it.stage.isInProgress }
             .mapTo(HashSet()) { it.name }
     }
 
     /** Takes up as many more machines as may be on their way out at once. */
-    private fun begin(
+    private fun startDraining(
         drain: Drain,
-        machinesUnderWay: Set<String>,
+        machinesInProgress: Set<String>,
     ) {
-        val all = machinesOf(drain)
-        val free = drain.maxConcurrent - all.count { it.stage.isUnderWay }
-        if (free <= 0) return
-        val waiting =
-            all.filter {
-                it.stage == Stage.WAITING && it.name !in machinesUnderWay &&
+        val drainMachines = machinesOf(drain)
+        val availableSlots = drain.maxConcurrent - drainMachines.count { it.stage.isInProgress }
+        if (availableSlots <= 0) return
+        val waitingMachines =
+            drainMachines.filter {
+                it.stage == Stage.WAITING && it.name !in machinesInProgress &&
                     view.condition(it.name) == MachineCondition.HEALTHY
             }
-        waiting.sortedWith(order()).take(free).forEach { machine ->
+        waitingMachines.sortedWith(drainOrder()).take(availableSlots).forEach { machine ->
             if (drain.replace) {
-                move(machine, Stage.PREPARING)
+                enterStage(machine, Stage.PREPARING)
                 actions += DrainAction.ProvisionReplacement(machine.key)
             } else {
-                move(machine, Stage.CORDONED)
+                enterStage(machine, Stage.CORDONED)
             }
         }
     }
 
-    private fun order(): Comparator<DrainedMachine> {
-        val tasks = HashMap<String, List<RunningTask>>()
+    private fun drainOrder(): Comparator<DrainedMachine> {
+        val tasksByMachine = HashMap<String, List<PlacedTask>>()
 
-        fun on(machine: DrainedMachine) = tasks.getOrPut(machine.name) { view.tasksOn(machine.name) }
-        return compareBy<DrainedMachine> { on(it).isNotEmpty() }
-            .thenBy { machine -> on(machine).maxOfOrNull { it.remainingUs / NEAR_END_US } ?: 0 }
-            .thenBy { machine -> on(machine).sumOf { it.lostProgressUs } }
+        fun tasksOf(machine: DrainedMachine) = tasksByMachine.getOrPut(machine.name) { view.tasksOn(machine.name) }
+        return compareBy<DrainedMachine> { tasksOf(it).isNotEmpty() }
+            .thenBy { machine -> tasksOf(machine).maxOfOrNull { it.remainingUs / NEAR_END_US } ?: 0 }
+            .thenBy { machine -> tasksOf(machine).sumOf { it.lostProgressUs } }
             .thenBy { it.name }
     }
 
     /** Stops what the budgets of all teams allow on cordoned machines, the machine that was cordoned first before the others. */
-    private fun interrupt(drains: List<Drain>) {
+    private fun interruptTasks(drains: List<Drain>) {
         val names = drains.mapTo(HashSet()) { it.name }
         val cordoned =
             state.machines.values
                 .filter { it.drain in names && (it.stage == Stage.CORDONED || it.stage == Stage.EMPTYING) && isCordonEffective(it) }
                 .sortedWith(compareBy({ it.sinceUs }, { it.name }))
         if (cordoned.isEmpty()) return
-        val check = BudgetCheck(policy, runningTasks(), hour, state.interruptions.values)
-        cordoned.forEach { interrupt(it, check) }
+        val budgetTracker = BudgetTracker(policy, countRunningTasksByTeam(), hour, state.interruptions.values)
+        cordoned.forEach { interruptTasksOn(it, budgetTracker) }
     }
 
     /** Those left out of which the stop is announced, and may be on its way. */
-    private fun runningTasks(): Map<String, Int> {
-        val running = HashMap(view.runningByTeam())
+    private fun countRunningTasksByTeam(): Map<String, Int> {
+        val taskCounts = HashMap(view.runningByTeam())
         for (interruption in state.interruptions.values) {
-            if (view.execution(interruption.task) is TaskExecution.Running) running.merge(interruption.team, -1, Int::plus)
+            if (view.execution(interruption.task) is TaskExecution.Running) taskCounts.merge(interruption.team, -1, Int::plus)
         }
-        return running
+        return taskCounts
     }
 
-    private fun interrupt(
+    private fun interruptTasksOn(
         machine: DrainedMachine,
-        check: BudgetCheck,
+        budgetTracker: BudgetTracker,
     ) {
         // What a leader before has announced may not have been stopped: it is counted, and stopped again.
-        val tasks = view.tasksOn(machine.name).filter { it.running }
-        interrupted += tasks.filter { state.interruptions[it.task]?.attempt == it.attempt }
+        val tasks = view.tasksOn(machine.name).filter { it.isRunning }
+        tasksToEvict += tasks.filter { state.interruptions[it.task]?.attempt == it.attempt }
         // Least progress lost first: tasks that have saved.
         for (task in tasks.filter { it.task !in state.interruptions && it.remainingUs > NEAR_END_US }.sortedBy { it.lostProgressUs }) {
-            if (state.interruptions.size >= maxInterruptions || !check.take(task)) continue
-            val row = Interruption(task.task, task.attempt, task.team, InterruptionCause.DRAIN, nowUs)
-            state = state.copy(interruptions = state.interruptions.put(task.task, row))
-            interrupted += task
-            if (machine.stage == Stage.CORDONED) set(state.machines.getValue(machine.key).copy(stage = Stage.EMPTYING))
+            if (state.interruptions.size >= maxInterruptions || !budgetTracker.tryInterrupt(task)) continue
+            val interruption = Interruption(task.task, task.attempt, task.team, InterruptionCause.DRAIN, nowUs)
+            state = state.copy(interruptions = state.interruptions.put(task.task, interruption))
+            tasksToEvict += task
+            if (machine.stage == Stage.CORDONED) updateMachine(state.machines.getValue(machine.key).copy(stage = Stage.EMPTYING))
         }
     }
 
--- a/src/main/kotlin/lichenstage/drain/DrainRecords.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainRecordCodec.kt
@@ -13,18 +13,18 @@
  * `drain/d/NAME` is the drain as operators ask for it, `drain/m/NAME/PAGE` holds its machines, `drain/i/PAGE` the interruptions of all
  * drains. Several machines and interruptions share a record, each within [valueBytes].
  */
-class DrainRecords(
+class DrainRecordCodec(
     valueBytes: Int,
 ) {
-    private val perPage = (valueBytes / ROW_BYTES).coerceAtLeast(1)
+    private val rowsPerPage = (valueBytes / MAX_ROW_BYTES).coerceAtLeast(1)
 
     /** How many interruptions the records hold, with room for tasks that fall on the pages unevenly. */
-    val maxInterruptions = perPage * INTERRUPTION_PAGES / 2
+    val maxInterruptions = rowsPerPage * INTERRUPTION_PAGES / 2
 
     /** The record of a drain. */
     fun encode(drain: Drain): JsonObject =
         JsonObject()
-            .put(FORM, CURRENT_FORM)
+            .put(FORMAT_FIELD, CURRENT_FORMAT)
             .put("status", drain.status.name)
             .put("replace", drain.replace)
             .put("at_most", drain.maxConcurrent)
@@ -36,9 +36,9 @@
 
     /** The drain of a record. */
     fun decodeDrain(entry: Entry): Drain =
-        reading(entry) {
+        decode(entry) {
             Drain(
-                name = entry.key.removePrefix(DRAINS),
+                name = entry.key.removePrefix(DRAIN_PREFIX),
                 replace = it.getBoolean("replace")!!,
                 maxConcurrent = it.getInteger("at_most")!!,
                 status = DrainStatus.valueOf(it.getString("status")),
@@ -55,31 +55,31 @@
     ): Map<String, JsonObject> =
         machines
             .sortedBy { it.name }
-            .chunked(perPage)
+            .chunked(rowsPerPage)
             .withIndex()
-            .associate { (page, rows) -> "$MACHINES$drain/$page" to page(rows.map(::encodeMachine)) }
+            .associate { (page, rows) -> "$MACHINE_PREFIX$drain/$page" to encodePage(rows.map(::encodeMachine)) }
 
     private fun encodeMachine(machine: DrainedMachine) =
         JsonArray()
             .add(machine.name)
             .add(machine.stage.name)
             .add(machine.sinceUs)
-            .add(machine.failures)
+            .add(machine.failedReplacements)
             .apply { machine.replacement?.let { add(it) } }
 
     /** The machines on a page. */
     fun decodeMachines(entry: Entry): List<DrainedMachine> =
-        reading(entry) { value ->
-            val drain = entry.key.removePrefix(MACHINES).substringBeforeLast('/')
-            rows(value).map {
+        decode(entry) { value ->
+            val drain = entry.key.removePrefix(MACHINE_PREFIX).substringBeforeLast('/')
+            rowsOf(value).map {
                 val replacement = if (it.size() > MACHINE_REPLACEMENT) it.getString(MACHINE_REPLACEMENT) else null
                 DrainedMachine(
                     it.getString(MACHINE_NAME),
                     drain,
                     Stage.valueOf(it.getString(MACHINE_STAGE)),
-                    it.getLong(MACHINE_SINCE),
+                    it.getLong(MACHINE_STAGE_SINCE),
                     replacement,
-                    it.getInteger(MACHINE_FAILURES),
+                    it.getInteger(MACHINE_FAILED_REPLACEMENTS),
                 )
             }
         }
@@ -88,28 +88,28 @@
     fun encodeInterruptions(interruptions: Collection<Interruption>): Map<String, JsonObject> {
         val byPage = interruptions.groupBy { Math.floorMod(it.task.hashCode(), INTERRUPTION_PAGES) }
         return (0 until INTERRUPTION_PAGES).associate { page ->
-            "$INTERRUPTIONS$page" to page(byPage[page].orEmpty().sortedBy { it.task.toString() }.map(::encodeInterruption))
+            "$INTERRUPTION_PREFIX$page" to encodePage(byPage[page].orEmpty().sortedBy { it.task.toString() }.map(::encodeInterruption))
         }
     }
 
-    private fun encodeInterruption(row: Interruption) =
+    private fun encodeInterruption(interruption: Interruption) =
         JsonArray()
-            .add(row.task.toString())
-            .add(row.attempt)
-            .add(row.team)
-            .add(row.cause.name)
-            .add(row.sinceUs)
+            .add(interruption.task.toString())
+            .add(interruption.attempt)
+            .add(interruption.team)
+            .add(interruption.cause.name)
+            .add(interruption.sinceUs)
 
     /** The interruptions on a page. */
     fun decodeInterruptions(entry: Entry): List<Interruption> =
-        reading(entry) { value ->
-            rows(value).map {
+        decode(entry) { value ->
+            rowsOf(value).map {
                 Interruption(
                     TaskId.parse(it.getString(INTERRUPTION_TASK))!!,
                     it.getLong(INTERRUPTION_ATTEMPT),
                     it.getString(INTERRUPTION_TEAM),
                     InterruptionCause.valueOf(it.getString(INTERRUPTION_CAUSE)),
-                    it.getLong(INTERRUPTION_AT),
+                    it.getLong(INTERRUPTION_SINCE),
                 )
             }
         }
@@ -132,36 +132,36 @@
         return machines.associate { it.key to it.value } + encodeInterruptions(state.interruptions.values)
     }
 
-    private fun page(rows: List<JsonArray>) = JsonObject().put(FORM, CURRENT_FORM).put(ROWS, JsonArray(rows))
+    private fun encodePage(rows: List<JsonArray>) = JsonObject().put(FORMAT_FIELD, CURRENT_FORMAT).put(ROWS_FIELD, JsonArray(rows))
 
-    private fun rows(value: JsonObject) = value.getJsonArray(ROWS).map { it as JsonArray }
+    private fun rowsOf(value: JsonObject) = value.getJsonArray(ROWS_FIELD).map { it as JsonArray }
 
     @Suppress("TooGenericExceptionCaught") // Missing fields, wrong types and unknown names all mean the same.
-    private fun <T> reading(
+    private fun <T> decode(
         entry: Entry,
-        read: (JsonObject) -> T,
+        decodeValue: (JsonObject) -> T,
     ): T =
         try {
-            val form = entry.value.getInteger(FORM)
-            require(form == CURRENT_FORM) { "form $form is not known" }
-            read(entry.value)
+            val form = entry.value.getInteger(FORMAT_FIELD)
+            require(form == CURRENT_FORMAT) { "form $form is not known" }
+            decodeValue(entry.value)
         } catch (e: RuntimeException) {
             throw UnreadableRecordException(entry.key, e)
         }
 
     companion object {
         const val PREFIX = "drain/"
-        const val DRAINS = "drain/d/"
-        const val MACHINES = "drain/m/"
-        const val INTERRUPTIONS = "drain/i/"
-        private const val FORM = "form"
-        private const val ROWS = "rows"
+        const val DRAIN_PREFIX = "drain/d/"
+        const val MACHINE_PREFIX = "drain/m/"
+        const val INTERRUPTION_PREFIX = "drain/i/"
+        private const val FORMAT_FIELD = "form"
+        private const val ROWS_FIELD = "rows"
 
         // Positions in the array that records a machine.
         private const val MACHINE_NAME = 0
         private const val MACHINE_STAGE = 1
-        private const val MACHINE_SINCE = 2
-        private const val MACHINE_FAILURES = 3
+        private const val MACHINE_STAGE_SINCE = 2
+        private const val MACHINE_FAILED_REPLACEMENTS = 3
         private const val MACHINE_REPLACEMENT = 4
 
         // Positions in the array that records an interruption.
@@ -169,11 +169,11 @@
         private const val INTERRUPTION_ATTEMPT = 1
         private const val INTERRUPTION_TEAM = 2
         private const val INTERRUPTION_CAUSE = 3
-        private const val INTERRUPTION_AT = 4
-        private const val CURRENT_FORM = 1
+        private const val INTERRUPTION_SINCE = 4
+        private const val CURRENT_FORMAT = 1
 
         /** What a machine or an interruption takes of a value at the most, with names of usual length. */
-        private const val ROW_BYTES = 110
+        private const val MAX_ROW_BYTES = 110
         private const val INTERRUPTION_PAGES = 8
 
         /**
@@ -182,10 +182,10 @@
          */
         fun changes(
             recorded: Map<String, JsonObject>,
-            wanted: Map<String, JsonObject>,
+            desired: Map<String, JsonObject>,
         ): List<Change> =
-            wanted
-                .filter { (key, value) -> recorded[key] != value && (key in recorded || !value.getJsonArray(ROWS).isEmpty) }
-                .map { Change.Put(it.key, it.value) } + (recorded.keys - wanted.keys).map { Change.Delete(it) }
+            desired
+                .filter { (key, value) -> recorded[key] != value && (key in recorded || !value.getJsonArray(ROWS_FIELD).isEmpty) }
+                .map { Change.Put(it.key, it.value) } + (recorded.keys - desired.keys).map { Change.Delete(it) }
     }
 }
--- a/src/main/kotlin/lichenstage/drain/DrainReport.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainReport.kt
@@ -16,7 +16,7 @@
     val isLate: Boolean,
 ) {
     /** For programs. */
-    fun json(): JsonObject =
+    fun toJson(): JsonObject =
         JsonObject()
             .put("name", drain.name)
             .put("status", drain.status.name.lowercase())
@@ -25,47 +25,47 @@
             .put("at_most", drain.maxConcurrent)
             .put("late", isLate)
             .put("stages", JsonObject(stages.entries.associate { it.key.name.lowercase() to it.value }))
-            .put("under_way", JsonArray(inProgress.map(::json)))
-            .put("interrupted", JsonObject(interrupted.mapValues { (_, rows) -> json(rows) }))
+            .put("under_way", JsonArray(inProgress.map(::machineJson)))
+            .put("interrupted", JsonObject(interrupted.mapValues { (_, interruptions) -> interruptionsJson(interruptions) }))
 
-    private fun json(machine: DrainedMachine) =
+    private fun machineJson(machine: DrainedMachine) =
         JsonObject()
             .put("machine", machine.name)
             .put("stage", machine.stage.name.lowercase())
-            .put("since", time(machine.sinceUs))
+            .put("since", formatTime(machine.sinceUs))
             .put("replacement", machine.replacement)
-            .put("failed_replacements", machine.failures)
+            .put("failed_replacements", machine.failedReplacements)
 
-    private fun json(rows: List<Interruption>) =
+    private fun interruptionsJson(interruptions: List<Interruption>) =
         JsonObject()
-            .put("jobs", JsonArray(rows.map { it.task.job }.distinct().sorted()))
-            .put("tasks", rows.size)
-            .put("by_drains", rows.count { it.cause == InterruptionCause.DRAIN })
+            .put("jobs", JsonArray(interruptions.map { it.task.job }.distinct().sorted()))
+            .put("tasks", interruptions.size)
+            .put("by_drains", interruptions.count { it.cause == InterruptionCause.DRAIN })
 
     /** For people. */
-    fun text(): String {
+    fun toText(): String {
         val lines = ArrayList<String>()
-        val why = drain.reason?.let { " ($it)" }.orEmpty()
+        val reason = drain.reason?.let { " ($it)" }.orEmpty()
         lines +=
-            "${drain.name}: ${drain.status.name.lowercase()}$why, at most ${drain.maxConcurrent} at once" +
+            "${drain.name}: ${drain.status.name.lowercase()}$reason, at most ${drain.maxConcurrent} at once" +
             if (drain.replace) ", replaced" else ""
-        drain.deadlineUs?.let { lines += "  deadline ${time(it)}${if (isLate) ": it can't be kept" else ""}" }
+        drain.deadlineUs?.let { lines += "  deadline ${formatTime(it)}${if (isLate) ": it can't be kept" else ""}" }
         lines += "  " + stages.entries.joinToString { "${it.value} ${it.key.name.lowercase()}" }
         for (machine in inProgress) {
-            val follower = machine.replacement?.let { ", followed by $it" }.orEmpty()
-            val failures = if (machine.failures > 0) ", ${machine.failures} replacements failed" else ""
-            lines += "  ${machine.name} ${machine.stage.name.lowercase()} since ${time(machine.sinceUs)}$follower$failures"
+            val replacement = machine.replacement?.let { ", followed by $it" }.orEmpty()
+            val failures = if (machine.failedReplacements > 0) ", ${machine.failedReplacements} replacements failed" else ""
+            lines += "  ${machine.name} ${machine.stage.name.lowercase()} since ${formatTime(machine.sinceUs)}$replacement$failures"
         }
-        for ((team, rows) in interrupted) {
-            val jobs = rows.map { it.task.job }.distinct()
-            lines += "  $team: ${jobs.size} jobs interrupted (${jobs.sorted().joinToString(" ")}), ${rows.size} tasks"
+        for ((team, interruptions) in interrupted) {
+            val jobs = interruptions.map { it.task.job }.distinct()
+            lines += "  $team: ${jobs.size} jobs interrupted (${jobs.sorted().joinToString(" ")}), ${interruptions.size} tasks"
         }
         return lines.joinToString("\n")
     }
 
     companion object {
         /** The drain as its records stand at the time of day [nowUs]. */
-        fun of(
+        fun create(
             drain: Drain,
             state: DrainState,
             nowUs: Long,
@@ -77,7 +77,7 @@
             return DrainReport(
                 drain,
                 machines.groupingBy { it.stage }.eachCount().toSortedMap(),
-                machines.filter { it.stage.isUnderWay },
+                machines.filter { it.stage.isInProgress },
                 state.interruptions.values
                     .groupBy { it.team }
                     .toSortedMap(),
@@ -91,18 +91,18 @@
             nowUs: Long,
         ): Boolean {
             val deadlineUs = drain.deadlineUs ?: return false
-            val over = machines.count { it.stage.isOver }
-            val left = machines.size - over
-            if (left == 0) return false
-            val perMachineUs = (nowUs - drain.requestedUs) / maxOf(over, 1)
-            return nowUs + (if (over == 0) 0 else perMachineUs * left) > deadlineUs
+            val completedMachines = machines.count { it.stage.isOver }
+            val remainingMachines = machines.size - completedMachines
+            if (remainingMachines == 0) return false
+            val perMachineUs = (nowUs - drain.requestedUs) / maxOf(completedMachines, 1)
+            return nowUs + (if (completedMachines == 0) 0 else perMachineUs * remainingMachines) > deadlineUs
         }
 
-        private fun time(us: Long): String = Instant.ofEpochSecond(us / SECOND).toString()
+        private fun formatTime(us: Long): String = Instant.ofEpochSecond(us / SECOND).toString()
 
         /** The steps of a drain that is only planned: the leader takes idle machines first. */
-        fun dryRunText(answer: DrainCommandResult.DryRun): String {
-            val steps = answer.machines.chunked(answer.request.maxConcurrent)
+        fun formatDryRun(dryRun: DrainCommandResult.DryRun): String {
+            val steps = dryRun.machines.chunked(dryRun.request.maxConcurrent)
             val lines =
                 steps.mapIndexed {
                     i,
@@ -112,7 +112,7 @@
                 }
             return (
                 listOf(
-                    "${answer.request.name} would drain ${answer.machines.size} machines; idle ones go first",
+                    "${dryRun.request.name} would drain ${dryRun.machines.size} machines; idle ones go first",
                 ) + lines
             ).joinToString("\n")
         }
--- a/src/main/kotlin/lichenstage/drain/DrainRequest.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainRequest.kt
@@ -25,7 +25,7 @@
     val replace: Boolean,
     val maxConcurrent: Int,
     val deadlineUs: Long?,
-    val dryRun: Boolean,
+    val isDryRun: Boolean,
 )
 
 /** The result of a command. */
@@ -43,7 +43,7 @@
 
     /** It can't be done; nothing was written. */
     data class Rejected(
-        val why: String,
+        val reason: String,
     ) : DrainCommandResult
 
     /** The state service does not answer; the command can be repeated as it was. */
--- a/src/main/kotlin/lichenstage/drain/DrainTracing.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainTracing.kt
@@ -10,51 +10,51 @@
 class DrainTracing(
     private val tracer: Tracer? = null,
 ) {
-    private val open = LinkedHashMap<String, Span>()
+    private val openSpans = LinkedHashMap<String, Span>()
 
     /** An act is about to be carried out. */
-    fun act(act: DrainAction) {
-        val known = tracer ?: return
-        when (act) {
-            is DrainAction.EvictTasks -> note(known, "interrupt", null) { it.setAttribute("tasks", act.tasks.size.toLong()) }
-            is DrainAction.ProvisionReplacement -> note(known, "hire", act.key.drain) { it.setAttribute("machine", act.key.machine) }
-            is DrainAction.Terminate -> note(known, "give back", null) { it.setAttribute("machine", act.machine) }
-            is DrainAction.Pause -> end(known, act.drain, act.reason)
-            is DrainAction.Finish -> end(known, act.drain, "finished")
+    fun recordAction(action: DrainAction) {
+        val tracer = tracer ?: return
+        when (action) {
+            is DrainAction.EvictTasks -> emit(tracer, "interrupt", null) { it.setAttribute("tasks", action.tasks.size.toLong()) }
+            is DrainAction.ProvisionReplacement -> emit(tracer, "hire", action.key.drain) { it.setAttribute("machine", action.key.machine) }
+            is DrainAction.Terminate -> emit(tracer, "give back", null) { it.setAttribute("machine", action.machine) }
+            is DrainAction.Pause -> endDrainSpan(tracer, action.drain, action.reason)
+            is DrainAction.Finish -> endDrainSpan(tracer, action.drain, "finished")
         }
     }
 
-    private fun note(
+    private fun emit(
         tracer: Tracer,
         name: String,
         drain: String?,
-        describe: (Span) -> Unit,
+        setAttributes: (Span) -> Unit,
     ) {
         val builder = tracer.spanBuilder(name)
         val span = builder.startSpan()
         drain?.let {
             span.setAttribute("drain", it)
-            spanOf(tracer, it).addEvent(name)
+            openDrainSpan(tracer, it).addEvent(name)
         }
-        describe(span)
+        setAttributes(span)
         span.end()
     }
 
-    private fun spanOf(
+    private fun openDrainSpan(
         tracer: Tracer,
         drain: String,
     ): Span {
-        if (open.size >= MAX_OPEN_SPANS && drain !in open) open.remove(open.keys.first())?.end()
-        return open.getOrPut(drain) { tracer.spanBuilder("drain").startSpan().also { it.setAttribute("drain", drain) } }
+        if (openSpans.size >= MAX_OPEN_SPANS && drain !in openSpans) openSpans.remove(openSpans.keys.first())?.end()
+        return openSpans.getOrPut(drain) { tracer.spanBuilder("drain").startSpan().also { it.setAttribute("drain", drain) } }
     }
 
-    private fun end(
+    private fun endDrainSpan(
         tracer: Tracer,
         drain: String,
-        how: String,
+        outcome: String,
     ) {
-        spanOf(tracer, drain).setAttribute("end", how).end()
-        open.remove(drain)
+        openDrainSpan(tracer, drain).setAttribute("end", outcome).end()
+        openSpans.remove(drain)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/drain/DrainTypes.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainTypes.kt
@@ -57,7 +57,7 @@
     val isOver get() = this >= GONE
 
     /** Something is being done with it. */
-    val isUnderWay get() = this != WAITING && !isOver
+    val isInProgress get() = this != WAITING && !isOver
 
     /** It takes no tasks. */
     val isCordoned get() = this == CORDONED || this == EMPTYING || this == EMPTIED
@@ -72,7 +72,7 @@
     val sinceUs: Long,
     val replacement: String? = null,
     /** How many of its replacements have failed. */
-    val failures: Int = 0,
+    val failedReplacements: Int = 0,
 ) {
     val key get() = DrainKey(drain, name)
 }
@@ -130,13 +130,13 @@
 )
 
 /** A task that may be running, as drains see it. */
-data class RunningTask(
+data class PlacedTask(
     val task: TaskId,
     val attempt: Long,
     val team: String,
     val jobClass: String,
     /** It runs, and is not saving. */
-    val running: Boolean,
+    val isRunning: Boolean,
     /** How long it is expected to go on. */
     val remainingUs: Long,
     /** Progress that is lost where it is stopped now. */
@@ -183,7 +183,7 @@
     fun condition(machine: String): MachineCondition
 
     /** What may be running on a machine. */
-    fun tasksOn(machine: String): List<RunningTask>
+    fun tasksOn(machine: String): List<PlacedTask>
 
     /** Whether a task runs. */
     fun execution(task: TaskId): TaskExecution
@@ -199,7 +199,7 @@
 sealed interface DrainAction {
     /** Evicts these tasks gracefully: with time to save a checkpoint where they can. */
     data class EvictTasks(
-        val tasks: List<RunningTask>,
+        val tasks: List<PlacedTask>,
     ) : DrainAction
 
     /** Provisions a machine to replace this one. */
--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -109,7 +109,7 @@
         val request = message.request
         val machines = fleet.provisionAnswered(request, message.result, now)
         if (machines.isEmpty()) return
-        replacementKeys.remove(fleet.replacementIdOf(request))?.let { drains()?.replacementProvisioned(it, machines.first()) }
+        replacementKeys.remove(fleet.replacementIdOf(request))?.let { drains()?.onReplacementProvisioned(it, machines.first()) }
         log.info("Machines provisioned count={} type={} zone={} machines={}", machines.size, request.typeName, request.zone, machines)
     }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -83,7 +83,7 @@
                 { MachineFit.maxFetchUs(it, catalog.machineTypes) },
                 services.dependencyGraph::dependentsOf,
             ),
-            { drains?.taskStopped(LeaderDrainView.failure(it, timeOfDayUs())) },
+            { drains?.onTaskStopped(LeaderDrainView.failure(it, timeOfDayUs())) },
             ::execute,
         )
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
@@ -5,7 +5,7 @@
 import lichenstage.drain.Interruption
 import lichenstage.drain.InterruptionCause
 import lichenstage.drain.MachineCondition
-import lichenstage.drain.RunningTask
+import lichenstage.drain.PlacedTask
 import lichenstage.drain.TaskExecution
 import lichenstage.drain.TaskId
 
@@ -28,7 +28,7 @@
     }
 
     /** Also tasks that count for no job of the leader's: the machine is not empty before they are stopped. */
-    override fun tasksOn(machine: String): List<RunningTask> {
+    override fun tasksOn(machine: String): List<PlacedTask> {
         val attempts = core.machines.attemptsOn(machine)
         val counted = attempts.mapTo(HashSet()) { it.number }
         val others =
@@ -37,18 +37,18 @@
                 ?.tasks
                 .orEmpty()
                 .filter { it.phase != TaskPhase.ENDED && it.attempt !in counted }
-                .map { RunningTask(TaskId(it.job, it.index), it.attempt, "", "", running = false, remainingUs = 0, lostProgressUs = 0) }
+                .map { PlacedTask(TaskId(it.job, it.index), it.attempt, "", "", isRunning = false, remainingUs = 0, lostProgressUs = 0) }
         return attempts.map(::runningTask) + others
     }
 
-    private fun runningTask(attempt: Attempt): RunningTask {
+    private fun runningTask(attempt: Attempt): PlacedTask {
         val spec = attempt.job.spec
-        return RunningTask(
+        return PlacedTask(
             TaskId(spec.id, attempt.index),
             attempt.number,
             spec.team,
             spec.jobClass,
-            running = attempt.phase == TaskPhase.RUNNING,
+            isRunning = attempt.phase == TaskPhase.RUNNING,
             remainingUs = core.remainingUs(attempt, now()),
             lostProgressUs = if (spec.checkpointIntervalUs > 0) spec.checkpointSaveUs else attempt.progressUs(now()),
         )
@@ -67,7 +67,7 @@
     override fun isFaulty(machine: String) = core.machines.failedJobsOn(machine).isNotEmpty()
 
     /** The attempts of these tasks that may still be running. */
-    fun attemptsOf(tasks: Collection<RunningTask>): List<Attempt> =
+    fun attemptsOf(tasks: Collection<PlacedTask>): List<Attempt> =
         tasks.mapNotNull { wanted ->
             core.jobs[wanted.task.job]
                 ?.liveAttempts
--- a/src/main/kotlin/lichenstage/placement/LeaderDrains.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrains.kt
@@ -10,9 +10,9 @@
 import lichenstage.drain.DrainMessage
 import lichenstage.drain.DrainPolicy
 import lichenstage.drain.DrainRecordAccess
-import lichenstage.drain.DrainRecords
+import lichenstage.drain.DrainRecordCodec
 import lichenstage.drain.DrainTracing
-import lichenstage.drain.RunningTask
+import lichenstage.drain.PlacedTask
 import lichenstage.state.KeyValueStoreClient
 import lichenstage.state.Precondition
 import lichenstage.state.SingleWriterKeys
@@ -36,7 +36,7 @@
 
     private fun actions(view: LeaderDrainView) =
         object : DrainActionHandler {
-            override fun evict(tasks: List<RunningTask>) = core.requestStops(view.attemptsOf(tasks))
+            override fun evict(tasks: List<PlacedTask>) = core.requestStops(view.attemptsOf(tasks))
 
             override fun provisionReplacement(key: DrainKey) = fleet.requestReplacement(key)
 
@@ -51,7 +51,7 @@
             leaderKeyRevision: Long,
             settings: Settings,
         ) = DrainRecordAccess(
-            DrainRecords(settings.valueBytes),
+            DrainRecordCodec(settings.valueBytes),
             store,
             ownKeys,
             listOf(Precondition(OwnershipRecords.LEADER_KEY, leaderKeyRevision)),
--- a/src/test/kotlin/lichenstage/config/SettingsTest.kt
+++ b/src/test/kotlin/lichenstage/config/SettingsTest.kt
@@ -115,17 +115,17 @@
                     }
                     """,
                 ).drains!!
-        assertTrue(policy.default.jobs == 3 && policy.replacementFailures == 2) { "$policy" }
-        val red = policy.of("red")
-        assertTrue(red.share == 0.2 && red.jobs == null && red.neverClasses == setOf("invoice-draft")) { "$red" }
-        assertTrue(23 in red.hours!! && 5 in red.hours!! && 6 !in red.hours!!) { "${red.hours}" }
+        assertTrue(policy.defaultBudget.maxJobs == 3 && policy.maxReplacementFailures == 2) { "$policy" }
+        val red = policy.budgetOf("red")
+        assertTrue(red.maxTaskShare == 0.2 && red.maxJobs == null && red.uninterruptibleClasses == setOf("invoice-draft")) { "$red" }
+        assertTrue(23 in red.allowedHours!! && 5 in red.allowedHours!! && 6 !in red.allowedHours!!) { "${red.allowedHours}" }
         assertEquals(
             1,
             OperatorSettings
                 .parse("drains {\n}\n")
                 .drains
-                ?.default
-                ?.jobs,
+                ?.defaultBudget
+                ?.maxJobs,
         ) { "the default" }
         val wrong =
             mapOf(
--- a/src/test/kotlin/lichenstage/drain/DrainCoreFixture.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainCoreFixture.kt
@@ -9,7 +9,7 @@
     internal var nowUs = 1_000 * SECOND
 
     internal fun core(
-        policy: DrainPolicy = DrainPolicy(DisruptionBudget(jobs = 1)),
+        policy: DrainPolicy = DrainPolicy(DisruptionBudget(maxJobs = 1)),
         state: DrainState = DrainState(),
     ) = DrainCore(policy, cluster, state, 300)
 
@@ -27,17 +27,17 @@
     ) = names.map { DrainedMachine(it, drain, Stage.WAITING, nowUs) }
 
     /** One step with its record written, [afterS] seconds later: after as long as a cordon needs. Returns the actions of the step. */
-    internal fun DrainCore.go(
+    internal fun DrainCore.runStep(
         afterS: Long = 3,
         hour: Int = 12,
     ): List<DrainAction> {
         nowUs += afterS * SECOND
-        return if (step(nowUs, hour) == null) emptyList() else stateRecorded(true)
+        return if (step(nowUs, hour) == null) emptyList() else onStateRecorded(true)
     }
 
-    internal fun List<DrainAction>.interrupted() = filterIsInstance<DrainAction.EvictTasks>().flatMap { it.tasks }.map { it.task }
+    internal fun List<DrainAction>.evictedTasks() = filterIsInstance<DrainAction.EvictTasks>().flatMap { it.tasks }.map { it.task }
 
-    internal fun DrainCore.stage(
+    internal fun DrainCore.stageOf(
         machine: String,
         drain: String = "d",
     ) = state.machines.getValue(DrainKey(drain, machine)).stage
--- a/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
@@ -18,8 +18,8 @@
 /** The driver of drains against a model of the state service. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class DrainDriverTest {
-    private class Records : InMemoryKeyValueStore() {
-        var refusing = false
+    private class FakeStore : InMemoryKeyValueStore() {
+        var isRejecting = false
 
         override suspend fun get(
             key: String,
@@ -31,22 +31,22 @@
             changes: List<Change>,
             timeoutMs: Long,
             isUrgent: Boolean,
-        ) = if (refusing) TransactionResult.Rejected else apply(preconditions, changes)
+        ) = if (isRejecting) TransactionResult.Rejected else apply(preconditions, changes)
 
         fun scan(prefix: String) = ScanResult.Complete(entries.values.filter { it.key.startsWith(prefix) }.sortedBy { it.key }, revision)
     }
 
-    private class RecordedActions : DrainActionHandler {
-        val interrupted = ArrayList<TaskId>()
-        val hired = ArrayList<DrainKey>()
+    private class RecordingActionHandler : DrainActionHandler {
+        val evicted = ArrayList<TaskId>()
+        val provisioned = ArrayList<DrainKey>()
         val terminated = ArrayList<String>()
 
-        override fun evict(tasks: List<RunningTask>) {
-            interrupted += tasks.map { it.task }
+        override fun evict(tasks: List<PlacedTask>) {
+            evicted += tasks.map { it.task }
         }
 
         override fun provisionReplacement(key: DrainKey) {
-            hired += key
+            provisioned += key
         }
 
         override fun terminate(machine: String) {
@@ -54,12 +54,12 @@
         }
     }
 
-    private val store = Records()
-    private val actions = RecordedActions()
+    private val store = FakeStore()
+    private val actionHandler = RecordingActionHandler()
     private val cluster = FakeCluster()
-    private val records = DrainRecords(2_048)
+    private val codec = DrainRecordCodec(2_048)
     private val scope = TestScope()
-    private var now = 0L
+    private var nowUs = 0L
 
     init {
         store.apply(emptyList(), listOf(Change.Put("c/leader", JsonObject())))
@@ -67,52 +67,54 @@
 
     private fun driver(): DrainDriver {
         val guard = listOf(Precondition("c/leader", store.entries.getValue("c/leader").modRevision))
-        val access = DrainRecordAccess(records, store, SingleWriterKeys(store), guard, 4) { store.scan(it) }
+        val access = DrainRecordAccess(codec, store, SingleWriterKeys(store), guard, 4) { store.scan(it) }
         lateinit var driver: DrainDriver
-        driver = DrainDriver(DrainPolicy(), cluster, access, actions, DrainTracing(), scope, { now }) { driver.handle(it) }
+        driver = DrainDriver(DrainPolicy(), cluster, access, actionHandler, DrainTracing(), scope, { nowUs }) { driver.handle(it) }
         return driver
     }
 
-    private fun ask(
+    private fun requestDrain(
         name: String,
         vararg machines: String,
     ) {
         val rows = machines.map { DrainedMachine(it, name, Stage.WAITING, 0) }
         val drain = Drain(name, false, 10, DrainStatus.RUNNING, null, 0, null)
-        val pages = records.encodeMachines(name, rows).map { Change.Put(it.key, it.value) }
-        store.apply(emptyList(), pages + Change.Put(DrainRecords.DRAINS + name, records.encode(drain)))
+        val pages = codec.encodeMachines(name, rows).map { Change.Put(it.key, it.value) }
+        store.apply(emptyList(), pages + Change.Put(DrainRecordCodec.DRAIN_PREFIX + name, codec.encode(drain)))
     }
 
     private fun DrainDriver.run(seconds: Int) =
         repeat(seconds) {
-            now += SECOND
-            step(now)
+            nowUs += SECOND
+            step(nowUs)
             scope.advanceUntilIdle()
         }
 
     private fun status(name: String) =
         store.entries
-            .getValue(DrainRecords.DRAINS + name)
+            .getValue(DrainRecordCodec.DRAIN_PREFIX + name)
             .value
             .getString("status")
 
     private fun stages(name: String) =
         store
-            .scan("${DrainRecords.MACHINES}$name/")
+            .scan("${DrainRecordCodec.MACHINE_PREFIX}$name/")
             .entries
-            .flatMap(records::decodeMachines)
+            .flatMap(codec::decodeMachines)
             .associate { it.name to it.stage }
 
     @Example
     fun `a drain is taken up, recorded step by step, and its record says when it is finished`() {
-        cluster.machine("m1")
-        ask("d", "m1")
+        cluster.addMachine("m1")
+        requestDrain("d", "m1")
         val driver = driver()
         driver.run(2)
         assertTrue(stages("d") == mapOf("m1" to Stage.CORDONED) && driver.cordoned == setOf("m1")) { "${stages("d")}" }
-        assertTrue(actions.terminated.isEmpty()) { "given back before all know that it is cordoned" }
+        assertTrue(actionHandler.terminated.isEmpty()) { "given back before all know that it is cordoned" }
         driver.run(3)
-        assertTrue(stages("d") == mapOf("m1" to Stage.EMPTIED) && "m1" in actions.terminated) { "${stages("d")} ${actions.terminated}" }
+        assertTrue(
+            stages("d") == mapOf("m1" to Stage.EMPTIED) && "m1" in actionHandler.terminated,
+        ) { "${stages("d")} ${actionHandler.terminated}" }
         cluster.conditions["m1"] = MachineCondition.GONE
         driver.run(6)
         assertTrue(stages("d").getValue("m1") == Stage.GONE && status("d") == "FINISHED") { "${stages("d")} ${status("d")}" }
@@ -123,16 +125,16 @@
 
     @Example
     fun `nothing is done where it can't be recorded, and a leader that was followed by another writes nothing`() {
-        cluster.machine("m1", FakeCluster.task(1, remainingS = 5))
-        ask("d", "m1")
+        cluster.addMachine("m1", FakeCluster.task(1, remainingS = 5))
+        requestDrain("d", "m1")
         val driver = driver()
         driver.run(3)
         val before = stages("d")
-        store.refusing = true
+        store.isRejecting = true
         cluster.conditions["m1"] = MachineCondition.GONE
         driver.run(5)
         assertTrue(stages("d") == before && driver.cordoned == setOf("m1")) { "${stages("d")}" }
-        store.refusing = false
+        store.isRejecting = false
         store.apply(emptyList(), listOf(Change.Put("c/leader", JsonObject().put("label", "another"))))
         driver.run(5)
         assertTrue(stages("d") == before && status("d") == "RUNNING") { "${stages("d")} ${status("d")}" }
@@ -140,10 +142,10 @@
 
     @Example
     fun `a record that can't be read stops its drain and no other`() {
-        listOf("m1", "m2").forEach { cluster.machine(it, FakeCluster.task(1, remainingS = 5)) }
-        ask("broken", "m1")
-        ask("whole", "m2")
-        store.apply(emptyList(), listOf(Change.Put(DrainRecords.DRAINS + "broken", JsonObject().put("form", 9))))
+        listOf("m1", "m2").forEach { cluster.addMachine(it, FakeCluster.task(1, remainingS = 5)) }
+        requestDrain("broken", "m1")
+        requestDrain("whole", "m2")
+        store.apply(emptyList(), listOf(Change.Put(DrainRecordCodec.DRAIN_PREFIX + "broken", JsonObject().put("form", 9))))
         driver().run(4)
         assertTrue(
             stages("broken").getValue("m1") == Stage.WAITING && stages("whole").getValue("m2") == Stage.CORDONED,
@@ -152,26 +154,26 @@
 
     @Example
     fun `without a readable account of interruptions nothing is drained`() {
-        cluster.machine("m1")
-        ask("d", "m1")
-        store.apply(emptyList(), listOf(Change.Put(DrainRecords.INTERRUPTIONS + "0", JsonObject().put("form", 9))))
+        cluster.addMachine("m1")
+        requestDrain("d", "m1")
+        store.apply(emptyList(), listOf(Change.Put(DrainRecordCodec.INTERRUPTION_PREFIX + "0", JsonObject().put("form", 9))))
         driver().run(6)
         assertEquals(Stage.WAITING, stages("d").getValue("m1")) { "${stages("d")}" }
     }
 
     @Example
     fun `a drain that an operator pauses lifts its cordon, and a new leader goes on where the one before it was`() {
-        cluster.machine("m1", FakeCluster.task(1, remainingS = 5))
-        ask("d", "m1")
+        cluster.addMachine("m1", FakeCluster.task(1, remainingS = 5))
+        requestDrain("d", "m1")
         val first = driver()
         first.run(4)
         assertEquals(setOf("m1"), first.cordoned) { "not cordoned" }
         val second = driver()
         second.run(4)
         assertEquals(setOf("m1"), second.cordoned) { "a new leader has forgotten it" }
-        val entry = store.entries.getValue(DrainRecords.DRAINS + "d")
-        val paused = records.decodeDrain(entry).copy(status = DrainStatus.PAUSED)
-        store.apply(emptyList(), listOf(Change.Put(entry.key, records.encode(paused))))
+        val entry = store.entries.getValue(DrainRecordCodec.DRAIN_PREFIX + "d")
+        val paused = codec.decodeDrain(entry).copy(status = DrainStatus.PAUSED)
+        store.apply(emptyList(), listOf(Change.Put(entry.key, codec.encode(paused))))
         second.run(4)
         assertTrue(second.cordoned.isEmpty()) { "still cordoned" }
     }
--- a/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
@@ -24,26 +24,26 @@
 
 /** What operators ask for on the command line. */
 class DrainOperationsTest {
-    private class Records : InMemoryKeyValueStore() {
-        var away = false
+    private class FakeStore : InMemoryKeyValueStore() {
+        var isUnavailable = false
 
         /** After so many transactions nothing is answered. */
-        var answered = Int.MAX_VALUE
+        var transactionsLeft = Int.MAX_VALUE
 
         override suspend fun get(
             key: String,
             timeoutMs: Long,
-        ) = if (away) ReadResult.Unavailable else read(key)
+        ) = if (isUnavailable) ReadResult.Unavailable else read(key)
 
         override suspend fun commit(
             preconditions: List<Precondition>,
             changes: List<Change>,
             timeoutMs: Long,
             isUrgent: Boolean,
-        ) = if (away || answered-- <= 0) TransactionResult.Rejected else apply(preconditions, changes)
+        ) = if (isUnavailable || transactionsLeft-- <= 0) TransactionResult.Rejected else apply(preconditions, changes)
 
         fun scan(prefix: String): ScanResult =
-            if (away) {
+            if (isUnavailable) {
                 ScanResult.Unavailable
             } else {
                 ScanResult.Complete(
@@ -53,9 +53,9 @@
             }
     }
 
-    private val store = Records()
+    private val store = FakeStore()
     private val settings = Settings.parse(warmUpSettings(8080, 8081, 8082))
-    private val operations = DrainOperations(store, store::scan, DrainRecords(settings.valueBytes), settings) { 1_000 * SECOND }
+    private val operations = DrainOperations(store, store::scan, DrainRecordCodec(settings.valueBytes), settings) { 1_000 * SECOND }
 
     init {
         val machines =
@@ -98,7 +98,7 @@
         val bound =
             JobSpec("j-1", "c", "t", Priority.HIGH, 1, Resources(1.0, 0.0, 1.0), null, "y", false, false, true, "i", 1.0, 1, 0, 0, null, 0)
         store.apply(emptyList(), listOf(Change.Put("j/j-1", JobRecordCodec.encode(bound))))
-        val refusals =
+        val errors =
             mapOf(
                 request(DrainSelection(setOf("vm-001", "vm-999"))) to "--machine vm-999: no such machine is recorded",
                 request(DrainSelection(zone = "moon")) to "--zone moon: no zone of this deployment",
@@ -108,23 +108,27 @@
                 request(name = "a/b") to "a/b: a name of letters, digits and dashes is needed",
                 request(DrainSelection(zone = "y")) to "--zone y: jobs are bound to it, and no machine would be left: --replace is needed",
             )
-        for ((request, why) in refusals) assertEquals(DrainCommandResult.Rejected(why), start(request)) { "${start(request)}, not $why" }
+        for ((request, text) in errors) assertEquals(DrainCommandResult.Rejected(text), start(request)) { "${start(request)}, not $text" }
         assertEquals(before + 1, store.revision) { "something was written" }
         assertTrue(start(request(DrainSelection(zone = "y"), replace = true)) is DrainCommandResult.Status) { "refused with --replace" }
     }
 
     @Example
     fun `machines are selected by name, type, zone, kind and the order of hiring`() {
-        fun planned(selection: DrainSelection) =
+        fun select(selection: DrainSelection) =
             (start(request(selection, dryRun = true)) as DrainCommandResult.DryRun).machines.map { it.name }
         val before = store.revision
-        assertEquals(listOf("vm-007"), planned(DrainSelection(setOf("vm-007")))) { "by name" }
-        assertEquals(50, planned(DrainSelection(typeName = "g", zone = "y")).size) { "by type and zone" }
-        assertTrue(planned(DrainSelection(spot = true)).size == 100 && planned(DrainSelection(spot = false)).size == 200) { "by kind" }
-        assertEquals("vm-010", planned(DrainSelection(provisionedUpTo = "vm-010")).last()) { "by order" }
+        assertEquals(listOf("vm-007"), select(DrainSelection(setOf("vm-007")))) { "by name" }
+        assertEquals(50, select(DrainSelection(typeName = "g", zone = "y")).size) { "by type and zone" }
+        assertTrue(
+            select(DrainSelection(spot = true)).size == 100 && select(DrainSelection(spot = false)).size == 200,
+        ) {
+            "by kind"
+        }
+        assertEquals("vm-010", select(DrainSelection(provisionedUpTo = "vm-010")).last()) { "by order" }
         assertEquals(before, store.revision) { "a dry run writes" }
         val text =
-            DrainReport.dryRunText(
+            DrainReport.formatDryRun(
                 start(request(DrainSelection(provisionedUpTo = "vm-003"), dryRun = true)) as DrainCommandResult.DryRun,
             )
         assertTrue(text.lines().size == 3 && text.lines().last() == "step 2: vm-003 (h, z)") { text }
@@ -132,16 +136,16 @@
 
     @Example
     fun `a drain that was asked for half is asked for again under its name, and is there once`() {
-        store.answered = 1
+        store.transactionsLeft = 1
         assertEquals(DrainCommandResult.Unavailable, start(request())) { "told as done" }
-        assertTrue(store.entries.keys.none { it.startsWith(DrainRecords.DRAINS) }) { "there without its machines" }
-        store.answered = Int.MAX_VALUE
-        val shown = start(request()) as DrainCommandResult.Status
-        assertEquals(mapOf(Stage.WAITING to 150), shown.reports.single().stages) { "${shown.reports.single().stages}" }
+        assertTrue(store.entries.keys.none { it.startsWith(DrainRecordCodec.DRAIN_PREFIX) }) { "there without its machines" }
+        store.transactionsLeft = Int.MAX_VALUE
+        val result = start(request()) as DrainCommandResult.Status
+        assertEquals(mapOf(Stage.WAITING to 150), result.reports.single().stages) { "${result.reports.single().stages}" }
         val revision = store.revision
         assertTrue(start(request()) is DrainCommandResult.Status && store.revision == revision) { "a repeat writes" }
         assertTrue(start(request(maxConcurrent = 7)) is DrainCommandResult.Rejected) { "another drain under the same name" }
-        store.away = true
+        store.isUnavailable = true
         assertEquals(DrainCommandResult.Unavailable, start(request())) { "decided without the state service" }
     }
 
@@ -151,8 +155,8 @@
 
         fun change(to: DrainStatus) = runBlocking { operations.changeStatus("spring", to) }
 
-        fun status(answer: DrainCommandResult) =
-            (answer as? DrainCommandResult.Status)
+        fun status(result: DrainCommandResult) =
+            (result as? DrainCommandResult.Status)
                 ?.reports
                 ?.single()
                 ?.drain
@@ -167,7 +171,7 @@
                 operations.changeStatus("autumn", DrainStatus.PAUSED)
             },
         ) { "unknown" }
-        val json = (runBlocking { operations.status(null) } as DrainCommandResult.Status).reports.single().json()
+        val json = (runBlocking { operations.status(null) } as DrainCommandResult.Status).reports.single().toJson()
         assertTrue(json.getString("status") == "cancelled" && json.getJsonObject("stages").getInteger("waiting") == 150) { json.encode() }
     }
 
@@ -176,11 +180,11 @@
         val drain = Drain("d", false, 1, DrainStatus.RUNNING, null, 0, 100 * SECOND)
         val rows = (1..10).map { DrainedMachine("m$it", "d", if (it <= 2) Stage.GONE else Stage.WAITING, 0) }
         val state = DrainState().let { it.copy(machines = it.machines.putAll(rows.associateBy { row -> row.key })) }
-        assertFalse(DrainReport.of(drain, state, 10 * SECOND).isLate) { "5 s a machine leave time" }
-        assertTrue(DrainReport.of(drain, state, 40 * SECOND).isLate) { "20 s a machine do not" }
-        assertTrue(DrainReport.of(drain, state, 40 * SECOND).text().contains("it can't be kept")) {
-            DrainReport.of(drain, state, 40 * SECOND).text()
+        assertFalse(DrainReport.create(drain, state, 10 * SECOND).isLate) { "5 s a machine leave time" }
+        assertTrue(DrainReport.create(drain, state, 40 * SECOND).isLate) { "20 s a machine do not" }
+        assertTrue(DrainReport.create(drain, state, 40 * SECOND).toText().contains("it can't be kept")) {
+            DrainReport.create(drain, state, 40 * SECOND).toText()
         }
-        assertTrue(JsonObject(DrainReport.of(drain, state, 40 * SECOND).json().encode()).getBoolean("late")) { "not in JSON" }
+        assertTrue(JsonObject(DrainReport.create(drain, state, 40 * SECOND).toJson().encode()).getBoolean("late")) { "not in JSON" }
     }
 }
--- a/src/test/kotlin/lichenstage/drain/DrainOrderTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainOrderTest.kt
@@ -10,57 +10,59 @@
 class DrainOrderTest : DrainCoreFixture() {
     @Example
     fun `the idle machine goes first, then the one whose tasks end soonest, then the one that loses least`() {
-        cluster.machine("m1", task(1, remainingS = 300, lostS = 10))
-        cluster.machine("m2", task(2, remainingS = 300, lostS = 5))
-        cluster.machine("m3", task(3, remainingS = 30))
-        cluster.machine("m4")
-        val core = core(DrainPolicy(DisruptionBudget(jobs = 0)))
+        cluster.addMachine("m1", task(1, remainingS = 300, lostS = 10))
+        cluster.addMachine("m2", task(2, remainingS = 300, lostS = 5))
+        cluster.addMachine("m3", task(3, remainingS = 30))
+        cluster.addMachine("m4")
+        val core = core(DrainPolicy(DisruptionBudget(maxJobs = 0)))
         core.updateDrains(listOf(drain()), machines("m1", "m2", "m3", "m4"))
         val order = ArrayList<String>()
         repeat(60) {
-            core.go()
+            core.runStep()
             for (name in core.cordoned - order.toSet()) order += name
             order.forEach { name ->
-                if (core.stage(name) == Stage.EMPTIED) cluster.conditions[name] = MachineCondition.GONE else cluster.tasks[name]?.clear()
+                if (core.stageOf(name) == Stage.EMPTIED) cluster.conditions[name] = MachineCondition.GONE else cluster.tasks[name]?.clear()
             }
         }
         assertEquals(listOf("m4", "m3", "m2", "m1"), order) { "$order" }
-        assertTrue(core.go().none { it is DrainAction.EvictTasks }) { "interrupted" }
+        assertTrue(core.runStep().none { it is DrainAction.EvictTasks }) { "interrupted" }
     }
 
     @Example
     fun `of two drains over a machine the first empties it, and the second finds it gone`() {
-        cluster.machine("m1")
-        cluster.machine("m2", task(1))
+        cluster.addMachine("m1")
+        cluster.addMachine("m2", task(1))
         val core = core()
         core.updateDrains(
             listOf(drain("late", requestedUs = 2), drain("early", requestedUs = 1)),
             machines("m1", drain = "early") + machines("m1", "m2", drain = "late"),
         )
-        core.go()
-        assertTrue(core.stage("m1", "early") == Stage.CORDONED && core.stage("m1", "late") == Stage.WAITING) { "${core.state.machines}" }
-        assertEquals(Stage.CORDONED, core.stage("m2", "late")) { "the second drain waits for nothing" }
-        core.go()
+        core.runStep()
+        assertTrue(
+            core.stageOf("m1", "early") == Stage.CORDONED && core.stageOf("m1", "late") == Stage.WAITING,
+        ) { "${core.state.machines}" }
+        assertEquals(Stage.CORDONED, core.stageOf("m2", "late")) { "the second drain waits for nothing" }
+        core.runStep()
         cluster.conditions["m1"] = MachineCondition.GONE
-        core.go()
-        assertTrue(core.stage("m1", "early") == Stage.GONE && core.stage("m1", "late") == Stage.GONE) { "${core.state.machines}" }
-        assertTrue(core.go().none { it is DrainAction.Finish }) { "asked to finish twice" }
+        core.runStep()
+        assertTrue(core.stageOf("m1", "early") == Stage.GONE && core.stageOf("m1", "late") == Stage.GONE) { "${core.state.machines}" }
+        assertTrue(core.runStep().none { it is DrainAction.Finish }) { "asked to finish twice" }
     }
 
     @Example
     fun `a machine that is lost before it is empty is told as failed, and a drain that is over is finished once`() {
-        cluster.machine("m1", task(1, remainingS = 10))
+        cluster.addMachine("m1", task(1, remainingS = 10))
         val core = core()
         core.updateDrains(listOf(drain()), machines("m1"))
-        core.go()
+        core.runStep()
         cluster.conditions["m1"] = MachineCondition.LOST
-        val actions = (1..5).flatMap { core.go() }
-        assertTrue(core.stage("m1") == Stage.FAILED && actions == listOf(DrainAction.Finish("d"))) { "$actions" }
+        val actions = (1..5).flatMap { core.runStep() }
+        assertTrue(core.stageOf("m1") == Stage.FAILED && actions == listOf(DrainAction.Finish("d"))) { "$actions" }
     }
 
     @Example
     fun `nothing is done while machines of an earlier leader are not accounted for`() {
-        cluster.machine("m1")
+        cluster.addMachine("m1")
         cluster.isComplete = false
         val core = core()
         core.updateDrains(listOf(drain()), machines("m1"))
--- a/src/test/kotlin/lichenstage/drain/DrainRecordsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainRecordCodecTest.kt
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
-class DrainRecordsTest {
+class DrainRecordCodecTest {
     private fun state(random: Random): DrainState {
         val machines =
             List(random.nextInt(400)) {
@@ -42,19 +42,19 @@
     ) {
         val random = Random(seed)
         val valueBytes = listOf(2_048, 8_192, 16_384)[random.nextInt(3)]
-        val records = DrainRecords(valueBytes)
+        val codec = DrainRecordCodec(valueBytes)
         val state = state(random)
-        val pages = records.encodeState(state)
+        val pages = codec.encodeState(state)
         val entries = pages.map { Entry(it.key, JsonObject(it.value.encode()), 1) }
         val read =
-            records.decodeState(
+            codec.decodeState(
                 entries.filter {
-                    it.key.startsWith(DrainRecords.MACHINES)
+                    it.key.startsWith(DrainRecordCodec.MACHINE_PREFIX)
                 },
-                entries.filter { it.key.startsWith(DrainRecords.INTERRUPTIONS) },
+                entries.filter { it.key.startsWith(DrainRecordCodec.INTERRUPTION_PREFIX) },
             )
         assertEquals(state, read) { "seed $seed" }
-        val machines = pages.filterKeys { it.startsWith(DrainRecords.MACHINES) }
+        val machines = pages.filterKeys { it.startsWith(DrainRecordCodec.MACHINE_PREFIX) }
         assertTrue(
             machines.values.all { it.encode().length <= valueBytes },
         ) { "seed $seed: ${machines.values.maxOf { it.encode().length }}" }
@@ -62,30 +62,37 @@
 
     @Example
     fun `only pages that differ are written, and none that is empty and not there`() {
-        val records = DrainRecords(8_192)
+        val codec = DrainRecordCodec(8_192)
         val state = state(Random(5))
-        val pages = records.encodeState(state)
-        assertTrue(DrainRecords.changes(pages, pages).isEmpty()) { "written again" }
+        val pages = codec.encodeState(state)
+        assertTrue(DrainRecordCodec.changes(pages, pages).isEmpty()) { "written again" }
         val one = state.machines.values.first()
-        val moved = records.encodeState(state.copy(machines = state.machines.put(one.key, one.copy(stage = Stage.WAITING, sinceUs = 7))))
-        assertEquals(1, DrainRecords.changes(pages, moved).size) { "${DrainRecords.changes(pages, moved).size} pages for one machine" }
-        assertTrue(DrainRecords.changes(emptyMap(), records.encodeState(DrainState())).isEmpty()) { "empty pages are written" }
-        val cleared = DrainRecords.changes(pages, records.encodeState(state.copy(interruptions = DrainState().interruptions)))
+        val moved = codec.encodeState(state.copy(machines = state.machines.put(one.key, one.copy(stage = Stage.WAITING, sinceUs = 7))))
+        assertEquals(
+            1,
+            DrainRecordCodec.changes(pages, moved).size,
+        ) { "${DrainRecordCodec.changes(pages, moved).size} pages for one machine" }
+        assertTrue(DrainRecordCodec.changes(emptyMap(), codec.encodeState(DrainState())).isEmpty()) { "empty pages are written" }
+        val cleared = DrainRecordCodec.changes(pages, codec.encodeState(state.copy(interruptions = DrainState().interruptions)))
         assertTrue(cleared.all { (it as Change.Put).value.getJsonArray("rows").isEmpty }) { "$cleared" }
     }
 
     @Example
     fun `a record that can't be read or is of a later form is told with its key`() {
-        val records = DrainRecords(8_192)
+        val codec = DrainRecordCodec(8_192)
         val drain = Drain("d", true, 3, DrainStatus.PAUSED, "why", 5, 9)
-        val entry = Entry(DrainRecords.DRAINS + "d", records.encode(drain), 1)
-        assertEquals(drain, records.decodeDrain(entry)) { "${records.decodeDrain(entry)}" }
-        for (wrong in listOf(JsonObject(), records.encode(drain).put("form", 2), records.encode(drain).put("status", "DANCING"))) {
-            val complaint = runCatching { records.decodeDrain(Entry(entry.key, wrong, 1)) }.exceptionOrNull()
+        val entry = Entry(DrainRecordCodec.DRAIN_PREFIX + "d", codec.encode(drain), 1)
+        assertEquals(drain, codec.decodeDrain(entry)) { "${codec.decodeDrain(entry)}" }
+        for (wrong in listOf(JsonObject(), codec.encode(drain).put("form", 2), codec.encode(drain).put("status", "DANCING"))) {
+            val complaint = runCatching { codec.decodeDrain(Entry(entry.key, wrong, 1)) }.exceptionOrNull()
             assertTrue(complaint is UnreadableRecordException && complaint.message!!.startsWith(entry.key)) { "$wrong: $complaint" }
         }
         val page =
-            runCatching { records.decodeMachines(Entry(DrainRecords.MACHINES + "d/0", JsonObject().put("form", 1).put("rows", "x"), 1)) }
+            runCatching {
+                codec.decodeMachines(
+                    Entry(DrainRecordCodec.MACHINE_PREFIX + "d/0", JsonObject().put("form", 1).put("rows", "x"), 1),
+                )
+            }
         assertTrue(page.exceptionOrNull() is UnreadableRecordException) { "$page" }
     }
 }
--- a/src/test/kotlin/lichenstage/drain/DrainTracingTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainTracingTest.kt
@@ -19,14 +19,14 @@
     @Example
     fun `a drain is one span with its acts, ended when it is finished`() {
         val tracing = DrainTracing(tracer)
-        tracing.act(DrainAction.ProvisionReplacement(DrainKey("d", "m1")))
-        tracing.act(DrainAction.EvictTasks(listOf(FakeCluster.task(1))))
-        tracing.act(DrainAction.Terminate("m1"))
+        tracing.recordAction(DrainAction.ProvisionReplacement(DrainKey("d", "m1")))
+        tracing.recordAction(DrainAction.EvictTasks(listOf(FakeCluster.task(1))))
+        tracing.recordAction(DrainAction.Terminate("m1"))
         assertEquals(
             listOf("hire", "interrupt", "give back"),
             exporter.finishedSpanItems.map { it.name },
         ) { "${exporter.finishedSpanItems}" }
-        tracing.act(DrainAction.Finish("d"))
+        tracing.recordAction(DrainAction.Finish("d"))
         val drain = exporter.finishedSpanItems.last()
         assertTrue(drain.name == "drain" && drain.events.map { it.name } == listOf("hire")) { "$drain" }
     }
@@ -34,9 +34,9 @@
     @Example
     fun `spans of drains that never end are bounded, and without a tracer there are none`() {
         val tracing = DrainTracing(tracer)
-        repeat(100) { tracing.act(DrainAction.ProvisionReplacement(DrainKey("d$it", "m"))) }
+        repeat(100) { tracing.recordAction(DrainAction.ProvisionReplacement(DrainKey("d$it", "m"))) }
         assertTrue(exporter.finishedSpanItems.count { it.name == "drain" } >= 68) { "all kept open" }
-        DrainTracing().act(DrainAction.Finish("x"))
+        DrainTracing().recordAction(DrainAction.Finish("x"))
         assertTrue(
             exporter.finishedSpanItems.none { it.name == "drain" && it.attributes.toString().contains("drain=\"x\"") },
         ) { "traced" }
--- a/src/test/kotlin/lichenstage/drain/FakeCluster.kt
+++ b/src/test/kotlin/lichenstage/drain/FakeCluster.kt
@@ -6,31 +6,31 @@
 internal class FakeCluster : DrainView {
     override var isComplete = true
     val conditions = HashMap<String, MachineCondition>()
-    val tasks = HashMap<String, MutableList<RunningTask>>()
-    val waiting = HashSet<TaskId>()
-    val faulty = HashSet<String>()
+    val tasks = HashMap<String, MutableList<PlacedTask>>()
+    val waitingTasks = HashSet<TaskId>()
+    val faultyMachines = HashSet<String>()
 
-    fun machine(
+    fun addMachine(
         name: String,
-        vararg running: RunningTask,
+        vararg running: PlacedTask,
     ) {
         conditions[name] = MachineCondition.HEALTHY
         tasks[name] = running.toMutableList()
     }
 
     /** The task is stopped, and waits. */
-    fun stop(task: TaskId) {
+    fun stopTask(task: TaskId) {
         tasks.values.forEach { rows -> rows.removeIf { it.task == task } }
-        waiting += task
+        waitingTasks += task
     }
 
     /** The task runs again as [attempt]. */
-    fun restart(
+    fun restartTask(
         machine: String,
-        task: RunningTask,
+        task: PlacedTask,
         attempt: Long,
     ) {
-        waiting -= task.task
+        waitingTasks -= task.task
         tasks.getValue(machine) += task.copy(attempt = attempt)
     }
 
@@ -42,7 +42,7 @@
         val running = tasks.values.flatten().firstOrNull { it.task == task }
         return when {
             running != null -> TaskExecution.Running(running.attempt)
-            task in waiting -> TaskExecution.NotRunning
+            task in waitingTasks -> TaskExecution.NotRunning
             else -> TaskExecution.Finished
         }
     }
@@ -53,7 +53,7 @@
             .groupingBy { it.team }
             .eachCount()
 
-    override fun isFaulty(machine: String) = machine in faulty
+    override fun isFaulty(machine: String) = machine in faultyMachines
 
     companion object {
         fun task(
@@ -63,6 +63,6 @@
             remainingS: Long = 300,
             lostS: Long = 60,
             jobClass: String = "batch",
-        ) = RunningTask(TaskId("j-$job", index), 1, team, jobClass, true, remainingS * SECOND, lostS * SECOND)
+        ) = PlacedTask(TaskId("j-$job", index), 1, team, jobClass, true, remainingS * SECOND, lostS * SECOND)
     }
 }
--- a/src/test/kotlin/lichenstage/world/DrainFaultsTest.kt
+++ b/src/test/kotlin/lichenstage/world/DrainFaultsTest.kt
@@ -15,7 +15,7 @@
  * held up by stops at each moment, and never finds one team over its budget (`over_budget`); each guard that is taken out makes it find one.
  */
 class DrainFaultsTest {
-    private val policy = DrainPolicy(DisruptionBudget(jobs = 1))
+    private val policy = DrainPolicy(DisruptionBudget(maxJobs = 1))
 
     private fun play(
         seed: Long,
@@ -34,7 +34,7 @@
                 controllersWithoutDrains = controllersWithoutDrains,
             )
         return SimulatedCluster(seed, mutation, profile).apply {
-            checker.jobsInterruptible = policy.default.jobs
+            checker.jobsInterruptible = policy.defaultBudget.maxJobs
             repeat(16) { n -> script(SECOND + n * SECOND) { submitLong(n, 150 * SECOND) } }
             script()
             run(FAULTS_US, CALM_US)
@@ -55,7 +55,7 @@
             world.check(seed)
             interruptions += world.checker.interruptions
         }
-        assertTrue(interruptions > 0 || policy.default.jobs == 0) { "nothing was interrupted for any seed" }
+        assertTrue(interruptions > 0 || policy.defaultBudget.maxJobs == 0) { "nothing was interrupted for any seed" }
     }
 
     private fun SimulatedCluster.isOver(seed: Long) {
@@ -132,7 +132,7 @@
     fun `a budget of zero interrupts nothing, and the drain ends with the tasks`() =
         keepsBudgets(
             1L..4L,
-            DrainPolicy(DisruptionBudget(jobs = 0)),
+            DrainPolicy(DisruptionBudget(maxJobs = 0)),
             script = { script(30 * SECOND) { drainAll("all", atMost = 12, replace = false) } },
         ) { seed ->
             assertEquals(0, checker.interruptions) { "seed $seed: ${checker.interruptions} interrupted" }
--- a/src/test/kotlin/lichenstage/world/DrainMeasure.kt
+++ b/src/test/kotlin/lichenstage/world/DrainMeasure.kt
@@ -34,10 +34,10 @@
 private val SIZES = listOf(100, 400, 1_600)
 private val WAYS: List<(Int) -> Way> =
     listOf(
-        { n -> Way("1 job a team", DisruptionBudget(jobs = 1), n / 10) },
-        { n -> Way("4 jobs a team", DisruptionBudget(jobs = 4), n / 10) },
-        { n -> Way("16 jobs a team", DisruptionBudget(jobs = 16), n / 10) },
-        { n -> Way("2% of tasks", DisruptionBudget(share = 0.02), n / 10) },
+        { n -> Way("1 job a team", DisruptionBudget(maxJobs = 1), n / 10) },
+        { n -> Way("4 jobs a team", DisruptionBudget(maxJobs = 4), n / 10) },
+        { n -> Way("16 jobs a team", DisruptionBudget(maxJobs = 16), n / 10) },
+        { n -> Way("2% of tasks", DisruptionBudget(maxTaskShare = 0.02), n / 10) },
         { n -> Way("steps of ${n / 20}, no budget", DisruptionBudget(), n / 20) },
         { n -> Way("all at once, no budget", DisruptionBudget(), n) },
     )
--- a/src/test/kotlin/lichenstage/world/SeedSweep.kt
+++ b/src/test/kotlin/lichenstage/world/SeedSweep.kt
@@ -72,10 +72,10 @@
 
 /** A drain of every machine under the conditions of [ClusterProfile.ADVERSE], with one controller of a version without drains. */
 private fun drained(seed: Long): SimulatedCluster {
-    val policy = DrainPolicy(DisruptionBudget(jobs = 1 + (seed % 3).toInt()))
+    val policy = DrainPolicy(DisruptionBudget(maxJobs = 1 + (seed % 3).toInt()))
     val profile = ClusterProfile.ADVERSE.copy(teamCores = 60.0, drainPolicy = policy, controllersWithoutDrains = setOf((seed % 6).toInt()))
     return SimulatedCluster(seed, profile = profile).apply {
-        checker.jobsInterruptible = policy.default.jobs
+        checker.jobsInterruptible = policy.defaultBudget.maxJobs
         repeat(18) { n -> script(SECOND + n * SECOND) { submitLong(n, 120 * SECOND) } }
         script(30 * SECOND) { drainAll("all", atMost = 1 + (seed % 5).toInt(), replace = seed % 2 == 0L) }
         repeat(12) { n -> script((32 + 7L * n) * SECOND) { injectRandomFault() } }
--- a/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
@@ -60,7 +60,7 @@
     private var steppedUs = 0L
 
     /** An attempt ran and ended although its task is not done. */
-    fun attemptInterrupted(attempt: Attempt) = core.taskLost(LeaderDrainView.failure(attempt, context.now))
+    fun attemptInterrupted(attempt: Attempt) = core.onTaskLost(LeaderDrainView.failure(attempt, context.now))
 
     fun step() {
         if (context.now - steppedUs < SECOND) return
@@ -70,9 +70,9 @@
         leader.machines.setDrained(core.cordoned)
         leader.machines.setOnProbation(core.onProbation)
         val next = core.step(context.now, hour = 0) ?: return
-        if (next == core.state) return core.stateRecorded(ok = true).forEach(::execute)
+        if (next == core.state) return core.onStateRecorded(isRecorded = true).forEach(::execute)
         state.drainWrites++
-        site.write({ state.drainState = next }) { ok -> core.stateRecorded(ok).forEach(::execute) }
+        site.write({ state.drainState = next }) { ok -> core.onStateRecorded(ok).forEach(::execute) }
     }
 
     private fun execute(action: DrainAction) {
@@ -85,7 +85,7 @@
                 val worker = machines.named(action.key.machine)
                 val name = machines.provision(worker.zone)
                 machines.replaced += worker.name
-                context.at(SECOND / 2) { core.replacementProvisioned(action.key, name) }
+                context.at(SECOND / 2) { core.onReplacementProvisioned(action.key, name) }
             }
 
             is DrainAction.Terminate -> {
