--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -109,7 +109,7 @@
         val request = message.request
         val machines = fleet.onProvisionReply(request, message.result, nowUs)
         if (machines.isEmpty()) return
-        drainKeyByReplacementId.remove(fleet.replacementIdOf(request))?.let { drains()?.replacementProvisioned(it, machines.first()) }
+        drainKeyByReplacementId.remove(fleet.replacementIdOf(request))?.let { drains()?.onReplacementProvisioned(it, machines.first()) }
         log.info("Machines provisioned count={} type={} zone={} machines={}", machines.size, request.typeName, request.zone, machines)
     }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -83,7 +83,7 @@
                 { MachineFit.maxFetchUs(it, catalog.machineTypes) },
                 services.dependencyGraph::dependentsOf,
             ),
-            { drains?.taskStopped(LeaderDrainView.failureInterruption(it, timeOfDayUs())) },
+            { drains?.onTaskStopped(LeaderDrainView.failureInterruption(it, timeOfDayUs())) },
             ::execute,
         )
     }
