--- a/src/main/kotlin/lichenstage/placement/CloudCaller.kt
+++ b/src/main/kotlin/lichenstage/placement/CloudCaller.kt
@@ -9,8 +9,8 @@
 import lichenstage.fleet.CloudCall
 
 /**
- * Carries out the fleet's calls to the cloud, one at a time and within its rate limit of [requestsPerSecond]. The answer comes as a
- * message through [tell].
+ * Makes the fleet's calls to the cloud, one at a time and within the cloud's rate limit of [requestsPerSecond]. Each reply is delivered to
+ * the leader as a message through [tell].
  */
 internal class CloudCaller(
     private val cloud: Cloud,
@@ -22,10 +22,10 @@
     private var isCallInFlight = false
     private var lastCallAtUs = Long.MIN_VALUE / 2
 
-    /** A call may be made now: none is under way, and the last is long enough ago. */
+    /** Returns whether a call may be made now: no call is in flight, and the last call was long enough ago. */
     fun canCall(nowUs: Long) = !isCallInFlight && nowUs - lastCallAtUs >= minIntervalUs
 
-    /** Begins a call; [onReplyReceived] has to be called when its answer has been taken. */
+    /** Starts a call. [onReplyReceived] has to be called once the reply has been handled. */
     fun call(
         call: CloudCall,
         nowUs: Long,
@@ -41,12 +41,12 @@
         }
     }
 
-    /** The answer to the last call has come. */
+    /** Marks the call in flight as finished. */
     fun onReplyReceived() {
         isCallInFlight = false
     }
 
-    /** Reads all pages of the list; one that can't be read makes the whole list unavailable. */
+    /** Reads all pages of the machine list. If one page cannot be read, the whole list is unavailable. */
     private suspend fun listAll(): CloudReply<List<ListedMachine>> {
         val machines = ArrayList<ListedMachine>()
         while (true) {
@@ -72,7 +72,7 @@
         const val MICROS_PER_SECOND = 1_000_000
         const val MILLIS_PER_SECOND = 1_000
 
-        /** The part of the cloud's rate limit that is used: bursts of an earlier leader may still count. */
+        /** The part of the cloud's rate limit that is used. The rest is left for bursts of an earlier leader, which may still count. */
         const val USABLE_RATE_SHARE = 0.7
     }
 }
--- a/src/main/kotlin/lichenstage/placement/DrainDriverFactory.kt
+++ b/src/main/kotlin/lichenstage/placement/DrainDriverFactory.kt
@@ -17,13 +17,13 @@
 import lichenstage.state.Precondition
 import lichenstage.state.SingleWriterKeys
 
-/** Makes the driver of drains for one term of leadership. */
+/** Creates the driver of drains for one term of leadership. */
 internal class DrainDriverFactory(
     private val core: LeaderCore,
     private val fleet: FleetDriver,
     private val clockNowUs: () -> Long,
 ) {
-    /** The driver of drains, which tells its own messages through [tell]. */
+    /** Creates the driver, which receives its own messages back through [tell]. */
     fun createDriver(
         policy: DrainPolicy,
         recordAccess: DrainRecordAccess,
@@ -44,7 +44,10 @@
         }
 
     companion object {
-        /** Where drains are recorded: nothing is written unless the leadership's key still has [leaderKeyRevision]. */
+        /**
+         * Creates the access to the records of drains. Writes succeed only while the revision of the leadership's key is
+         * [leaderKeyRevision].
+         */
         fun createRecordAccess(
             store: KeyValueStoreClient,
             singleWriterKeys: SingleWriterKeys,
--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -12,7 +12,9 @@
 import lichenstage.model.RegisteredMachine
 import org.slf4j.LoggerFactory
 
-/** Joins the fleet's decisions with the leader: shows them what it knows, has their calls made, and takes the answers. */
+/**
+ * Connects the fleet's scaling decisions with the leader: passes on observations, makes the calls to the cloud, and handles the replies.
+ */
 internal class FleetDriver(
     private val settings: Settings,
     private val core: LeaderCore,
@@ -20,34 +22,34 @@
     private val caller: CloudCaller,
     policy: FleetPolicy,
     nowUs: Long,
-    /** Null where no drains are switched on. */
+    /** Returns the driver of drains; null if drains are not enabled. */
     private val drains: () -> DrainDriver?,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.placement")
     private val forecast = DemandForecast(nowUs)
     private val fleet = FleetCore(core.term, policy, forecast)
 
-    /** The machine of a drain that each requested replacement is for, by the request's id. */
+    /** The drained machine that each requested replacement is for, by the id of the replacement request. */
     private val drainKeyByReplacementId = HashMap<String, DrainKey>()
     private var lastDecisionAtUs = Long.MIN_VALUE / 2
     private var lastObservationAtUs = Long.MIN_VALUE / 2
     private var lastDescriptionAtUs = Long.MIN_VALUE / 2
 
-    /** Machines that get no more tasks. */
+    /** The names of the machines that scale-in has cordoned or marked for termination. */
     val cordonedMachines get() = fleet.cordonedMachines()
 
-    /** A machine that an earlier leader has recorded. */
+    /** Adds a machine that an earlier leader has recorded. */
     fun addRecorded(
         machine: RegisteredMachine,
         nowUs: Long,
     ) = fleet.addMachine(machine.name, machine.typeName, machine.zone, machine.spot, nowUs)
 
-    /** A job can run from now on, which is when the forecast counts it. */
+    /** Counts a job in the demand forecast. The leader calls this when the job becomes ready to run. */
     fun onJobReady(job: Job) {
         observer.estimateArrival(job)?.let(forecast::recordArrival)
     }
 
-    /** Time has passed. */
+    /** Observes the fleet and makes the next call to the cloud, each when its interval has passed. */
     fun step(nowUs: Long) {
         if (nowUs - lastObservationAtUs >= OBSERVE_INTERVAL_US) {
             lastObservationAtUs = nowUs
@@ -79,7 +81,7 @@
         core.machines.setOnProbation(drains.onProbation)
     }
 
-    /** Requests a machine of the type, zone and kind of the one that [key] names. */
+    /** Requests a replacement for the drained machine [key]: a machine of the same type and zone, and likewise spot or on-demand. */
     fun requestReplacement(key: DrainKey) {
         val machine = core.machines.stateOf(key.machine) ?: return
         val zone = core.machines.zoneOf(key.machine) ?: return
@@ -88,19 +90,19 @@
         fleet.requestReplacement(ReplacementRequest(id, machine.typeName, zone, machine.isSpot))
     }
 
-    /** Has a machine terminated. */
+    /** Marks a machine for termination. */
     fun terminate(machine: String) = fleet.terminate(listOf(machine))
 
     private fun callCloud(nowUs: Long) {
         if (!caller.canCall(nowUs)) return
         if (!core.isFailoverComplete && observer.machineTypes.isEmpty()) return
-        // The decision looks at every machine, so it is not made anew after every message.
+        // Each decision examines every machine, so it is made at intervals and not after every message.
         if (nowUs - lastDecisionAtUs < DECIDE_INTERVAL_US) return
         lastDecisionAtUs = nowUs
         fleet.nextCall(nowUs)?.let { caller.call(it, nowUs) }
     }
 
-    /** The answer to a provision request has come. */
+    /** Handles the reply to a provision request. */
     fun onProvisionReply(
         message: LeaderMessage.ProvisionReplyReceived,
         nowUs: Long,
@@ -113,7 +115,7 @@
         log.info("Machines provisioned count={} type={} zone={} machines={}", machines.size, request.typeName, request.zone, machines)
     }
 
-    /** The answer to a call that terminates machines has come; true where they are proven gone. */
+    /** Handles the reply to a terminate call. Returns whether the machines are proven gone. */
     fun onTerminateReply(message: LeaderMessage.TerminateReplyReceived): Boolean {
         caller.onReplyReceived()
         if (message.result != TerminateResult.TERMINATED) return false
@@ -122,7 +124,7 @@
         return true
     }
 
-    /** The cloud's list of machines has come, or could not be read. */
+    /** Handles the cloud's list of machines, or the failure to read it. */
     fun onMachineListReceived(
         message: LeaderMessage.MachineListReceived,
         nowUs: Long,
--- a/src/main/kotlin/lichenstage/placement/FleetObserver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetObserver.kt
@@ -8,17 +8,17 @@
 import lichenstage.model.JobSpec
 import lichenstage.model.MachineType
 
-/** Shows the fleet what the leader knows of jobs and machines. */
+/** Builds the observations that the fleet's scaling decisions are based on, from the leader's jobs and machines. */
 internal class FleetObserver(
     private val settings: Settings,
     private val core: LeaderCore,
     private val catalog: MachineCatalog,
     private val objectives: ServiceObjectives,
 ) {
-    /** The machine types by name; empty while they are not known. */
+    /** The machine types by name; empty until they are known. */
     val machineTypes: Map<String, MachineType> get() = catalog.machineTypes
 
-    /** What is observed at [now]; [excludedMachines] do not serve the demand. */
+    /** Returns the observation at [nowUs]. The machines in [excludedMachines] do not serve the demand. */
     fun observe(
         excludedMachines: Set<String>,
         nowUs: Long,
@@ -29,7 +29,7 @@
         machineStatusLookup(),
     )
 
-    /** What the whole job will use; null where it fits no machine type. */
+    /** Returns the machine use of all tasks of a job, for the demand forecast; null if the job fits no machine type. */
     fun estimateArrival(job: Job): JobArrival? =
         DemandEstimator.estimateArrival(job, machineTypes, core.runTimes.expectedRunTimeUs(job.spec)) {
             objectives.hasStartObjectiveWithin(job.spec.jobClass, it.bootUs)
@@ -62,7 +62,7 @@
 
         override fun runUs(spec: JobSpec) = core.runTimes.expectedRunTimeUs(spec)
 
-        /** Of a job that waits for dependencies only the deadline is known. */
+        /** Returns when the job should be done. For a job that waits for dependencies, only the deadline is known. */
         override fun dueAtUs(job: Job): Long? {
             if (!job.isReady) return objectives.deadlineAtUs(job)
             val runUs = runUs(job.spec)
@@ -73,7 +73,7 @@
     }
 
     private companion object {
-        /** A machine on which tasks of so many jobs failed is faulty. */
+        /** A machine is faulty once tasks of this many jobs have failed on it. */
         const val MIN_FAILED_JOBS_OF_FAULTY_MACHINE = 2
     }
 }
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -17,7 +17,7 @@
 import org.slf4j.LoggerFactory
 import kotlinx.coroutines.Job as CoroutineJob
 
-/** One term of leadership: loads the records, then places jobs and provisions machines until the term ends. */
+/** The actor of one term of leadership. Loads the records, then places jobs and provisions machines until the term ends. */
 class LeaderActor(
     private val settings: Settings,
     options: LeaderOptions,
@@ -59,10 +59,10 @@
         }
     }
 
-    /** The term of the leadership. */
+    /** The number of this term. */
     val term get() = leadership.term
 
-    /** How many jobs are open, for the metrics. */
+    /** The number of open jobs, for the metrics. */
     val openJobCount get() = core.jobs.size
 
     private fun createLeaderCore(options: LeaderOptions): LeaderCore {
@@ -101,10 +101,10 @@
             .createDriver(policy, store, scope) { mailbox.tell(LeaderMessage.DrainMessageReceived(it)) }
     }
 
-    /** Puts a message into the inbox. */
+    /** Adds a message to the mailbox. */
     fun tell(message: LeaderMessage) = mailbox.tell(message)
 
-    /** Ends the term: nothing of it goes on. */
+    /** Ends the term by cancelling all of its coroutines. */
     fun stop() = supervisor.cancel()
 
     private fun hasLeadership() = services.authority.heldLeadership()?.term == term
@@ -122,7 +122,7 @@
             is LeaderMessage.DrainMessageReceived -> drains?.handle(message.message)
             LeaderMessage.Tick -> Unit
         }
-        // While authority pauses, nothing is decided: no start, no provision request, no write.
+        // While authority is paused, the leader decides nothing: it starts no task, sends no provision request and writes no record.
         if (jobRecordHandler.isLoaded && hasLeadership()) step(nowUs)
     }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
@@ -9,7 +9,7 @@
 import lichenstage.drain.TaskExecution
 import lichenstage.drain.TaskId
 
-/** The leader's machines and tasks, as the decisions on drains see them. */
+/** The leader's machines and tasks, as drain decisions see them. */
 class LeaderDrainView(
     private val core: LeaderCore,
     private val clockNowUs: () -> Long,
@@ -27,7 +27,10 @@
         }
     }
 
-    /** Also tasks that count for no job of the leader's: the machine is not empty before they are stopped. */
+    /**
+     * Returns the tasks on a machine, including tasks that belong to no attempt of the leader: the machine is not empty before these are
+     * stopped.
+     */
     override fun tasksOn(machine: String): List<RunningTask> {
         val attempts = core.machines.attemptsOn(machine)
         val attemptNumbers = attempts.mapTo(HashSet()) { it.number }
@@ -66,7 +69,7 @@
 
     override fun isFaulty(machine: String) = core.machines.failedJobsOn(machine).isNotEmpty()
 
-    /** The attempts of these tasks that may still be running. */
+    /** Returns the attempts of [tasks] that may still be running. */
     fun attemptsOf(tasks: Collection<RunningTask>): List<Attempt> =
         tasks.mapNotNull { runningTask ->
             core.jobs[runningTask.task.job]
@@ -76,7 +79,7 @@
         }
 
     companion object {
-        /** An attempt that ran has ended, and not for a drain. */
+        /** Returns the interruption by a failure: the attempt was running and has ended for a reason other than a drain. */
         fun failureInterruption(
             attempt: Attempt,
             atUs: Long,
--- a/src/main/kotlin/lichenstage/placement/LeaderJobRecordHandler.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderJobRecordHandler.kt
@@ -8,7 +8,7 @@
 import org.slf4j.LoggerFactory
 import java.util.BitSet
 
-/** Brings the records of jobs into the leader's decisions: those with which the term begins, their changes, and what was written. */
+/** Applies job records to the leader's state: the records at the start of the term, their later changes, and the outcomes of writes. */
 internal class LeaderJobRecordHandler(
     private val services: LeaderServices,
     private val core: LeaderCore,
@@ -19,16 +19,16 @@
     private val log = LoggerFactory.getLogger("lichenstage.placement")
     private val blockedJobs = BlockedJobs(services.dependencyGraph, core, maxCancellationsPerTransaction)
 
-    /** The records with which the term begins are loaded. */
+    /** Whether the records at the start of the term have been loaded. */
     var isLoaded = false
         private set
 
-    /** Adds the jobs and done tasks that were recorded before the term. */
+    /** Adds the jobs and the done tasks that were recorded before the term. */
     fun load(
         jobs: List<Entry>,
         completionChunks: List<Entry>,
     ) {
-        // In the order of their submission: the forecast gives less weight to what lies back.
+        // Jobs are added in the order of their submission, because the forecast gives less weight to older arrivals.
         jobs.sortedBy { JobRecordCodec.submittedAtUs(it.value) }.forEach(::addJob)
         val obsoleteKeys = ArrayList<String>()
         for (entry in completionChunks) {
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Has jobs recorded as cancelled of which a dependency is cancelled. */
+    /** Cancels jobs that can never run because one of their dependencies is cancelled. */
     fun cancelUnrunnableJobs() {
         blockedJobs.takeJobsToCancel().takeIf { it.isNotEmpty() }?.let(writer::cancelUnrunnableJobs)
     }
@@ -94,7 +94,7 @@
             try {
                 JobRecordCodec.decode(entry.value)
             } catch (e: JsonDecodingException) {
-                log.error("Record unreadable key={} error={}", entry.key, e.message)
+                log.error("Job record unreadable key={} error={}", entry.key, e.message)
                 return
             }
         if (spec.id in core.jobs) return
@@ -108,7 +108,9 @@
         }
     }
 
-    /** Releases jobs of which all dependencies are recorded as done; their times count from the last of these records. */
+    /**
+     * Releases the jobs whose dependencies are all recorded as done. The last of these records sets the time at which a job became ready.
+     */
     private fun releaseReadyJobs() =
         blockedJobs.releaseReady { job, recordedAtUs ->
             core.onJobReady(job, if (recordedAtUs == 0L) services.clock.now() else services.toSteadyClockUs(recordedAtUs))
--- a/src/main/kotlin/lichenstage/placement/LeaderMessage.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderMessage.kt
@@ -10,88 +10,94 @@
 import lichenstage.state.Entry
 import lichenstage.state.TransactionResult
 
-/** Messages to the leader's actor: from other actors and controllers, and outcomes of its own calls. */
+/** A message to the leader's actor: from another actor or controller, or the outcome of one of its own calls. */
 sealed interface LeaderMessage {
-    /** About jobs and their records. */
+    /** A message about jobs and their records. */
     sealed interface JobMessage : LeaderMessage
 
-    /** A frame of a partition's owner: what has changed there. */
+    /** A frame from the owner of a partition, with the changes in the partition. */
     data class PartitionFrameReceived(
         val frame: PartitionFrame,
     ) : LeaderMessage
 
-    /** The records with which the term begins have been read: open jobs, done ranges, pages of the registry. */
+    /** The records at the start of the term have been read: open jobs, completion chunks and registry chunks. */
     data class RecordsLoaded(
         val openJobs: List<Entry>,
         val completionChunks: List<Entry>,
         val registryChunks: List<Entry>,
     ) : LeaderMessage
 
-    /** All open jobs, read anew after the revision of the watch was compacted. */
+    /** All open jobs have been read again, because the store has compacted the revision that the watch continued from. */
     data class OpenJobsReloaded(
         val jobs: List<Entry>,
     ) : JobMessage
 
-    /** Records of open jobs that were created since the last change of the watch, and the keys of those that were deleted. */
+    /**
+     * Open jobs have changed since the last event of the watch: [addedRecords] were created, and the records at [removedKeys] were
+     * deleted.
+     */
     data class OpenJobsChanged(
         val addedRecords: List<Entry>,
         val removedKeys: List<String>,
     ) : JobMessage
 
-    /** Jobs that other controllers know to have ended; the watch of this leader may be the only one that is not answered. */
+    /**
+     * Other controllers have reported that [jobs] are finished. The leader needs this if its own watch is the only one that gets no
+     * replies.
+     */
     data class JobsFinished(
         val jobs: List<String>,
     ) : JobMessage
 
-    /** It has become known how dependencies of jobs ended. */
+    /** The end of some dependencies has become known. */
     data object DependenciesResolved : JobMessage
 
-    /** These are recorded as cancelled, since a dependency of each is. */
+    /** Jobs have been recorded as cancelled, each because one of its dependencies is cancelled. */
     data class UnrunnableJobsCancelled(
         val jobs: List<Job>,
     ) : JobMessage
 
-    /** The outcome of a transaction with done ranges. */
+    /** The outcome of a write of completion chunks. */
     data class CompletionChunksWritten(
         val deltas: List<CompletionDelta>,
         val isCommitted: Boolean,
     ) : JobMessage
 
-    /** The outcome of the transaction that records a job as done; [isStillOpen] unless its open record is known to be deleted. */
+    /** The outcome of the transaction that records a job as done. [isStillOpen] is true unless the open record is known to be deleted. */
     data class JobCompletionWritten(
         val job: Job,
         val outcome: TransactionResult,
         val isStillOpen: Boolean,
     ) : JobMessage
 
-    /** The outcome of a transaction with [chunks] of the registry. */
+    /** The outcome of a write of registry chunks. */
     data class RegistryChunksWritten(
         val chunks: List<RegistryChunk>,
         val isCommitted: Boolean,
     ) : LeaderMessage
 
-    /** The cloud's answer to a provision request. */
+    /** The cloud's reply to a provision request. */
     data class ProvisionReplyReceived(
         val request: ProvisionRequest,
         val result: ProvisionResult,
     ) : LeaderMessage
 
-    /** The cloud's answer to a call that terminates machines. */
+    /** The cloud's reply to a terminate call. */
     data class TerminateReplyReceived(
         val machines: List<String>,
         val result: TerminateResult,
     ) : LeaderMessage
 
-    /** The cloud's list of machines, whole. */
+    /** The cloud's complete list of machines, or the failure to read it. */
     data class MachineListReceived(
         val reply: CloudReply<List<ListedMachine>>,
     ) : LeaderMessage
 
-    /** About drains. */
+    /** A message to the driver of drains. */
     data class DrainMessageReceived(
         val message: DrainMessage,
     ) : LeaderMessage
 
-    /** Time has passed. */
+    /** The timer of the leader's actor has fired. */
     data object Tick : LeaderMessage
 }
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordReader.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordReader.kt
@@ -6,14 +6,14 @@
 import lichenstage.state.ScanResult
 import lichenstage.state.WatchResult
 
-/** Reads the records that a term of leadership begins with, and follows the open jobs from there. */
+/** Reads the records at the start of a term of leadership, and then watches the open jobs. */
 internal class LeaderRecordReader(
     private val store: KeyValueStoreClient,
     private val tell: (LeaderMessage) -> Unit,
 ) {
-    /** Runs until it is cancelled. */
+    /** Reads the records, then watches the open jobs until it is cancelled. */
     suspend fun run() {
-        // The order does not matter, since a task starts only after all is loaded.
+        // The order of the scans does not matter, because a task starts only after all records are loaded.
         val registryChunks = scan(REGISTRY_PREFIX)
         val openJobs = scan(JobRecordCodec.OPEN)
         val completionChunks = scan(JobRecordCodec.DONE)
@@ -27,7 +27,7 @@
             when (val result = store.watch(JobRecordCodec.OPEN, revision, WATCH_TIMEOUT_MS)) {
                 is WatchResult.Events -> {
                     revision = result.revision
-                    // A job whose record was put and deleted in one batch has ended: of the two changes of a key the delete is the later.
+                    // If one batch puts and deletes the same key, the delete is the later change: the job is finished.
                     val removedKeys = result.deletes.map { it.key }
                     if (result.puts.isNotEmpty() || removedKeys.isNotEmpty()) tell(LeaderMessage.OpenJobsChanged(result.puts, removedKeys))
                 }
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Reads all keys with a prefix; retries until the key-value store answers. */
+    /** Reads all keys with a prefix. Retries until the key-value store replies. */
     private suspend fun scan(prefix: String): ScanResult.Complete {
         while (true) {
             val result = store.scan(prefix)
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -18,10 +18,10 @@
 import lichenstage.state.TransactionResult
 
 /**
- * Writes what the leader records: done tasks, ends of jobs, pages of the registry.
+ * Writes the leader's records: completion chunks, finished jobs and registry chunks.
  *
- * Guarded by the leadership: a late transaction of an earlier leader changes nothing, and ranges of a job that ended
- * meanwhile are deleted. A late one of this leader is kept from changing anything by [SingleWriterKeys].
+ * The leadership is a precondition of every write, so a late transaction of an earlier leader changes nothing. [SingleWriterKeys] prevents
+ * a late transaction of this leader from changing anything. Completion chunks of a job that has finished in the meantime are deleted.
  */
 internal class LeaderRecordWriter(
     private val store: KeyValueStoreClient,
@@ -35,7 +35,7 @@
 ) {
     private val leadershipPrecondition = Precondition(OwnershipRecords.LEADER_KEY, leaderKeyRevision)
 
-    /** Records done tasks; answered by [LeaderMessage.CompletionChunksWritten]. */
+    /** Records tasks as done. The outcome arrives as [LeaderMessage.CompletionChunksWritten]. */
     fun writeCompletionChunks(deltas: List<CompletionDelta>) {
         scope.launch {
             val puts =
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Records a job as done and deletes its open record; answered by [LeaderMessage.JobCompletionWritten]. */
+    /** Records a job as done and deletes its open record. The outcome arrives as [LeaderMessage.JobCompletionWritten]. */
     fun recordJobCompletion(job: Job) {
         scope.launch {
             val id = job.spec.id
@@ -73,7 +73,10 @@
         }
     }
 
-    /** Records jobs that can never run as cancelled: in one transaction, or one by one where one of them has ended meanwhile. */
+    /**
+     * Records jobs that can never run as cancelled, in one transaction. If that fails, because one of them has finished in the meantime,
+     * each job is recorded in a transaction of its own.
+     */
     fun cancelUnrunnableJobs(jobs: List<Job>) {
         scope.launch {
             val cancelledJobs = if (recordCancelled(jobs)) jobs else jobs.filter { recordCancelled(listOf(it)) }
@@ -96,7 +99,7 @@
         return store.commit(preconditions, changes, isUrgent = false) is TransactionResult.Committed
     }
 
-    /** Writes pages of the registry; answered by [LeaderMessage.RegistryChunksWritten]. */
+    /** Writes registry chunks. The outcome arrives as [LeaderMessage.RegistryChunksWritten]. */
     fun writeRegistryChunks(chunks: List<RegistryChunk>) {
         scope.launch {
             val isCommitted = singleWriterKeys.write(listOf(leadershipPrecondition), chunks.map { it.change }, isUrgent = true)
@@ -105,13 +108,16 @@
         }
     }
 
-    /** Deletes the done ranges of a job that has ended. Where some are still being written, that is done after it. */
+    /**
+     * Deletes the completion chunks of a finished job. While a write of them is in flight, they stay; the outcome of that write triggers
+     * the deletion.
+     */
     fun deleteCompletionChunks(job: Job) {
         if (job.isRangesWriteInFlight || job.recordedTasks.isEmpty) return
         deleteKeys((0 until CompletedTaskRanges.chunks(job.spec.tasks)).map { CompletedTaskRanges.key(job.spec.id, it) })
     }
 
-    /** Deletes done ranges that are of no more use. */
+    /** Deletes completion chunks that are no longer needed. */
     fun deleteKeys(keys: List<String>) {
         if (keys.isNotEmpty()) scope.launch { writeAll(keys.map { Change.Delete(it) }) }
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderServices.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderServices.kt
@@ -12,15 +12,15 @@
 import lichenstage.jobs.JobReplicaSync
 import lichenstage.state.KeyValueStoreClient
 
-/** What operators may set of a leader. */
+/** The settings of a leader that operators can change. */
 data class LeaderOptions(
     val fleet: FleetPolicy,
     val placementSettings: PlacementSettings,
-    /** Null where drains are not switched on. */
+    /** The policy of drains; null if drains are not enabled. */
     val drains: DrainPolicy?,
 )
 
-/** What a leader uses of its process. */
+/** The services of the controller that a leader uses. */
 class LeaderServices(
     val authority: Authority,
     val store: KeyValueStoreClient,
@@ -29,10 +29,12 @@
     val clock: Clock,
     val replicaSync: JobReplicaSync,
     val dependencyGraph: DependencyGraph,
-    /** Sends a frame to the controller with a label. */
+    /** Sends a frame to the controller with the given label. */
     val send: (String, Frame) -> Unit,
 ) {
-    /** A recorded time of day (microseconds) on this process's steady clock, now at the latest. */
+    /**
+     * Converts a recorded time of day, in microseconds, to this process's steady clock. A time in the future becomes the current time.
+     */
     fun toSteadyClockUs(recordedUs: Long): Long {
         val ageUs = timeOfDayUs() - recordedUs
         return clock.now() - ageUs.coerceAtLeast(0)
--- a/src/main/kotlin/lichenstage/placement/LeaderSettings.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderSettings.kt
@@ -5,34 +5,36 @@
 import lichenstage.model.PartitionAssignment
 import lichenstage.model.Resources
 
-/** One term of leadership. */
+/** The identity of one term of leadership. */
 data class LeaderTerm(
-    /** Rises with every leadership; the high part of all attempt numbers (invariant 7). */
+    /**
+     * The number of the term. It increases with every change of leadership and forms the high part of all attempt numbers (invariant 7).
+     */
     val term: Long,
-    /** The revision of the leadership's key: a job record with a higher create revision was accepted within the term. */
+    /** The revision of the leadership's key. A job record with a higher create revision was accepted during this term. */
     val leaderKeyRevision: Long,
 )
 
-/** What a leader's decisions follow for the whole of its term. */
+/** The settings of a leader, which are fixed for its whole term. */
 data class LeaderSettings(
     val assignment: PartitionAssignment,
     val teams: Map<String, Team>,
-    /** How long a worker runs tasks without an answer. */
+    /** How long a worker keeps running its tasks without a reply to its heartbeats, in microseconds. */
     val workerLeaseUs: Long,
     val placement: PlacementSettings,
     val objectives: ServiceObjectives,
-    /** Changes that one transaction of the key-value store takes. */
+    /** The maximum number of changes in one transaction of the key-value store. */
     val maxChangesPerTransaction: Int,
-    /** Size limit of a value in the key-value store. */
+    /** The maximum size of a value in the key-value store, in bytes. */
     val maxValueBytes: Int = Int.MAX_VALUE,
 )
 
-/** What a leader looks up outside: it may change while the term lasts. */
+/** The lookups of a leader whose results may change during its term. */
 class LeaderLookups(
-    /** The capacity of a machine type, by its name; null where the type is not known. */
+    /** Returns the capacity of a machine type by its name; null if the type is not known. */
     val capacityOf: (String) -> Resources?,
-    /** How long fetching a job's image takes, in microseconds. */
+    /** Returns how long fetching a job's image takes, in microseconds. */
     val fetchUs: (JobSpec) -> Long = { 0 },
-    /** The ids of the jobs that depend on a job, by its id. */
+    /** Returns the ids of the jobs that depend on the job with the given id. */
     val dependentsOf: (String) -> Collection<String> = { emptyList() },
 )
--- a/src/test/kotlin/lichenstage/placement/CloudCallerTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CloudCallerTest.kt
@@ -20,7 +20,10 @@
 class CloudCallerTest {
     private val machines = List(3) { ListedMachine("m$it", "t", "z", true, ListedStatus.RUNNING, 0) }
 
-    /** Lists its pages, the first one after no name and each other one after the last name of the one before. */
+    /**
+     * A cloud that returns its machine list in [pages]. The key of a page is the last name of the page before, and null for the first
+     * page.
+     */
     private class PagedCloud(
         private val pages: Map<String?, CloudReply<MachinePage>>,
     ) : Cloud {
@@ -43,7 +46,7 @@
     }
 
     @Example
-    fun `the answer names the call that it belongs to`() {
+    fun `a reply carries the request that it belongs to`() {
         val request = ProvisionRequest("h3-1", "t", "z", true, 1)
         assertEquals(LeaderMessage.ProvisionReplyReceived(request, ProvisionResult.NoCapacity), replyTo(CloudCall.Provision(request)))
         assertEquals(
@@ -53,7 +56,7 @@
     }
 
     @Example
-    fun `all pages of the list are read, and one that can't be read makes the list unavailable`() {
+    fun `the machine list contains all pages, and is unavailable if one page cannot be read`() {
         val first = CloudReply.Success(MachinePage(machines.take(2), hasMore = true))
         val last = CloudReply.Success(MachinePage(machines.drop(2), hasMore = false))
         val completeList = replyTo(CloudCall.ListAll, mapOf(null to first, "m1" to last))
@@ -64,12 +67,12 @@
     }
 
     @Example
-    fun `one call is under way at a time, and seven tenths of the rate limit are used`() {
+    fun `the next call has to wait for the reply and for the interval of 70 percent of the rate limit`() {
         runBlocking {
             val caller = CloudCaller(PagedCloud(emptyMap()), requestsPerSecond = 2.0, this) {}
             assertTrue(caller.canCall(0))
             caller.call(CloudCall.Terminate(listOf("m1")), 0)
-            assertFalse(caller.canCall(10 * SECOND), "no answer has come")
+            assertFalse(caller.canCall(10 * SECOND), "allowed a second call before the reply to the first")
             caller.onReplyReceived()
             assertFalse(caller.canCall(714_284))
             assertTrue(caller.canCall(714_285))
