--- a/src/main/kotlin/lichenstage/fleet/CapacityEstimator.kt
+++ b/src/main/kotlin/lichenstage/fleet/CapacityEstimator.kt
@@ -2,40 +2,44 @@
 
 import kotlin.math.ceil
 
-/** How many machines of each type the demand asks for. */
+/** Estimates how many machines of each type the demand requires. */
 internal class CapacityEstimator(
     private val policy: FleetPolicy,
     private val forecast: DemandForecast,
 ) {
     private var demand = emptyList<Demand>()
 
-    /** Types that jobs have asked for in this term which may run on spot instances. */
+    /** The machine types that were requested in this term by a job that may run on spot machines. */
     private val spotTypes = HashSet<String>()
 
-    /** The most machines of a type that were in use at once in this term. */
+    /** The highest number of machines of each type that were in use at once in this term. */
     private val peakUsageByType = HashMap<String, Double>()
 
-    /** Takes what jobs ask for now in place of what they asked for before. */
+    /** Replaces the demand by the current one. */
     fun update(demand: List<Demand>) {
         this.demand = demand
-        for ((typeName, rows) in demand.groupBy { it.typeName }) peakUsageByType.merge(typeName, rows.sumOf { it.busyMachines }, ::maxOf)
+        for ((typeName, demands) in demand.groupBy { it.typeName }) peakUsageByType.merge(typeName, demands.sumOf { it.busyMachines }, ::maxOf)
         demand.forEach { if (it.allowsSpot) spotTypes += it.typeName }
     }
 
-    /** What jobs ask for of a type now. */
+    /** Returns the current demand for a machine type. */
     fun demandFor(typeName: String): List<Demand> = demand.filter { it.typeName == typeName }
 
-    /** Some job has asked for the type which may run on spot instances. */
+    /** Returns whether any job in this term has requested the type and may run on spot machines. */
     fun allowsSpot(typeName: String) = typeName in spotTypes
 
-    /** Machines of a type for jobs that may not run on spot instances. */
+    /** Returns how many machines of a type are needed for jobs that may not run on spot machines. */
     fun minOnDemandMachines(typeName: String): Int = roundUp(demandFor(typeName).filter { !it.allowsSpot }.sumOf { it.maxMachines })
 
     /**
-     * How many machines of a type the work asks for: what the jobs to come will use, or more where waiting tasks could not begin within
-     * [FleetPolicy.backlogUs] without (a busy machine costs the same now as later, and a backlog only grows late) or where objectives
-     * ask for it. Jobs that wait for dependencies are part of what is to come: as work that waits now they were counted twice, and a
-     * tenth more was paid for nothing.
+     * Returns how many machines of a type are needed: the largest of the machines that future jobs are expected to use, the machines for
+     * jobs that wait for dependencies, and the machines for ready jobs.
+     *
+     * Ready jobs need enough machines for all waiting tasks to start within [FleetPolicy.backlogUs] and for their objectives to be met,
+     * but no more than they can use. A backlog saves nothing: a busy machine costs the same now as later, and the jobs only become late.
+     *
+     * Jobs that wait for dependencies count as future jobs. Counting them as waiting work counted them twice and
+     * raised the cost by a tenth without any benefit.
      */
     fun neededMachines(
         typeName: String,
@@ -56,29 +60,37 @@
         )
     }
 
-    /** How many machines of a type to keep: those needed, and while the forecast learns those that have been in use. */
+    /**
+     * Returns how many machines of a type to keep: the needed machines, or the peak usage of this term if that is higher and the forecast
+     * is still learning.
+     */
     fun retainedMachines(
         typeName: String,
         nowUs: Long,
     ): Int = maxOf(neededMachines(typeName, nowUs), retainedMachinesWhileLearning(typeName, nowUs))
 
     /**
-     * A new leader does not know the arrivals before its term, so that its forecast is too low for a while. Until then the peak usage
-     * of its term is kept, with a margin. Keeping all machines cost a tenth of the price of a day on which leaders change while there
-     * are too many machines.
+     * Returns how many machines of a type to keep while the forecast is learning: the peak usage of this term plus a margin, and 0
+     * afterwards.
+     *
+     * A new leader does not know the arrivals before its term, so its forecast is too low at first. Keeping all machines instead cost a
+     * tenth of the price of a day with leader changes and a surplus of machines.
      */
     private fun retainedMachinesWhileLearning(
         typeName: String,
         nowUs: Long,
     ): Int = if (forecast.isLearning(nowUs)) ceil((peakUsageByType[typeName] ?: 0.0) * LEARNING_MARGIN).toInt() else 0
 
-    /** Machines that the jobs to come are expected to use. */
+    /** Returns how many machines future jobs are expected to use. */
     fun expectedMachines(
         typeName: String,
         nowUs: Long,
     ): Double = forecast.expectedMachines(typeName, policy.targetUtilization, nowUs)
 
-    /** Machines with which all objectives are met in part of their time: estimates are off, machines fail, and bursts come. */
+    /**
+     * Returns how many machines are needed to meet all objectives in a part of the remaining time. The rest of the time is a reserve,
+     * because estimates are inaccurate, machines fail and load comes in bursts.
+     */
     private fun machinesForObjectives(
         demandsWithObjective: List<Demand>,
         nowUs: Long,
@@ -93,7 +105,7 @@
         return machines
     }
 
-    /** Rounds up, but not for the error of a sum. */
+    /** Rounds up, but ignores the rounding error of a sum. */
     private fun roundUp(machines: Double): Int = ceil(machines - ROUNDING_ERROR).toInt()
 
     private companion object {
--- a/src/main/kotlin/lichenstage/fleet/CloudCall.kt
+++ b/src/main/kotlin/lichenstage/fleet/CloudCall.kt
@@ -2,18 +2,18 @@
 
 import lichenstage.cloud.ProvisionRequest
 
-/** The next call to the cloud. */
+/** A call to the cloud that the fleet has decided on. */
 sealed interface CloudCall {
-    /** Provision machines. */
+    /** Provisions machines. */
     data class Provision(
         val request: ProvisionRequest,
     ) : CloudCall
 
-    /** Terminate the named machines. */
+    /** Terminates the named machines. */
     data class Terminate(
         val machines: List<String>,
     ) : CloudCall
 
-    /** Read the list of all machines. */
+    /** Reads the list of all machines. */
     data object ListAll : CloudCall
 }
--- a/src/main/kotlin/lichenstage/fleet/Demand.kt
+++ b/src/main/kotlin/lichenstage/fleet/Demand.kt
@@ -1,15 +1,15 @@
 package lichenstage.fleet
 
 /**
- * What one job still asks of machines of type [typeName].
+ * The remaining demand of one job for machines of type [typeName].
  *
- * @property allowsSpot its tasks may run on spot instances
- * @property maxMachines the most machines that it can use at once
- * @property workUs machine time of all that is left, in microseconds
- * @property dueAtUs when it should be complete, on the steady clock; null where no objective can be met any more
- * @property busyMachines machines that it uses now
- * @property waitingWorkUs the part of [workUs] that could begin now and has not
- * @property readyInUs the job waits for dependencies and is expected to be ready within that time; 0 where it is ready
+ * @property allowsSpot whether the tasks of the job may run on spot machines
+ * @property maxMachines the highest number of machines that the job can use at once
+ * @property workUs the machine time of all remaining tasks, in microseconds
+ * @property dueAtUs when the job should be done, on the steady clock; null if no objective can be met any more
+ * @property busyMachines the number of machines that the job uses now
+ * @property waitingWorkUs the part of [workUs] that could start now but has not started
+ * @property readyInUs the time within which a job that waits for dependencies is expected to be ready; 0 if the job is ready
  */
 data class Demand(
     val typeName: String,
--- a/src/main/kotlin/lichenstage/fleet/DemandForecast.kt
+++ b/src/main/kotlin/lichenstage/fleet/DemandForecast.kt
@@ -5,12 +5,12 @@
 import kotlin.math.sqrt
 
 /**
- * What a job that was just accepted, or has become ready, will use of machines of one type.
+ * The expected machine use of a job that was just accepted or has become ready.
  *
- * @property arrivedAtUs when it can begin, on the steady clock
- * @property machines the machines that it uses while it runs
- * @property runUs how long it uses them, in microseconds
- * @property isUrgent it must start sooner than a machine of the type boots
+ * @property arrivedAtUs when the job can start, on the steady clock
+ * @property machines the number of machines that the job uses while it runs
+ * @property runUs how long the job uses the machines, in microseconds
+ * @property isUrgent whether the job must start sooner than a machine of the type can boot
  */
 data class JobArrival(
     val typeName: String,
@@ -21,20 +21,21 @@
 )
 
 /**
- * Forecasts how many machines the jobs to come will use, from recent arrivals with exponentially decaying weight. Where no job comes
- * for much longer than is usual, no more are expected.
+ * Forecasts how many machines future jobs will use. Recent arrivals are the basis, and their weight decays exponentially. If no job
+ * arrives for much longer than usual, the forecast is 0.
  *
- * For urgent jobs the machines for the variation of their use must be there beforehand: one standard deviation, that of many independent
- * jobs that each use their machines for their run time (Campbell's theorem). For the others the queue evens it out.
+ * Urgent jobs cannot wait for a machine to boot, so the forecast for them covers the variation of their use as well: it adds one standard
+ * deviation. This is the deviation of many independent jobs that each use their machines for their run time (Campbell's theorem). For
+ * other jobs, the queue evens out the variation.
  *
- * @param startedAtUs when the term began; arrivals before it are hardly known
+ * @param startedAtUs when the term started; most arrivals before it are unknown
  * @param windowUs the time constant of the decay
  */
 class DemandForecast(
     private val startedAtUs: Long,
     private val windowUs: Long = WINDOW_US,
 ) {
-    /** A sum in which what was added loses weight with time. */
+    /** A sum whose terms lose weight exponentially with time. */
     private class DecayingSum(
         private val windowUs: Long,
     ) {
@@ -52,7 +53,10 @@
         fun valueAt(nowUs: Long) = value * exp(-(nowUs - updatedAtUs).coerceAtLeast(0).toDouble() / windowUs)
     }
 
-    /** The arrivals of one machine type: machine time of urgent jobs, its second moment, machine time of the others, and their number. */
+    /**
+     * The arrivals for one machine type: the machine time of urgent jobs and its second moment, the machine time of all other jobs, and
+     * the number of jobs.
+     */
     private class Arrivals(
         windowUs: Long,
     ) {
@@ -65,7 +69,7 @@
 
     private val arrivalsByType = HashMap<String, Arrivals>()
 
-    /** A job has been accepted, or has become ready. */
+    /** Records that a job has been accepted or has become ready. */
     fun recordArrival(arrival: JobArrival) {
         val arrivals = arrivalsByType.getOrPut(arrival.typeName) { Arrivals(windowUs) }
         val nowUs = maxOf(arrival.arrivedAtUs, startedAtUs - windowUs)
@@ -80,7 +84,7 @@
         arrivals.lastArrivalAtUs = maxOf(arrivals.lastArrivalAtUs, nowUs)
     }
 
-    /** No job came for so long that it is not by chance. */
+    /** Returns whether no job has arrived for so long that chance cannot explain it. */
     fun hasCeased(
         typeName: String,
         nowUs: Long,
@@ -89,7 +93,10 @@
         return (nowUs - arrivals.lastArrivalAtUs) * arrivals.jobCount.valueAt(arrivals.lastArrivalAtUs) / windowUs > CEASED_AFTER_JOBS
     }
 
-    /** Machines in use on average, and for urgent jobs nearly always, where [utilization] of a machine's time can be filled. */
+    /**
+     * Returns how many machines future jobs will use: on average, and for urgent jobs nearly always. For other jobs, [utilization] is the
+     * part of a machine's time that can be filled.
+     */
     fun expectedMachines(
         typeName: String,
         utilization: Double,
@@ -97,21 +104,21 @@
     ): Double {
         val arrivals = arrivalsByType[typeName] ?: return 0.0
         if (hasCeased(typeName, nowUs)) return 0.0
-        val urgent = arrivals.urgentWork.valueAt(nowUs) / windowUs
+        val urgentMachines = arrivals.urgentWork.valueAt(nowUs) / windowUs
         val deviation = sqrt(arrivals.urgentVariance.valueAt(nowUs) / windowUs)
-        return urgent + HELD_DEVIATIONS * deviation + arrivals.nonUrgentWork.valueAt(nowUs) / windowUs / utilization
+        return urgentMachines + HELD_DEVIATIONS * deviation + arrivals.nonUrgentWork.valueAt(nowUs) / windowUs / utilization
     }
 
-    /** Arrivals before this term are not known: for a while too few machines are expected. */
+    /** Returns whether the forecast is still too low because the arrivals before this term are unknown. */
     fun isLearning(nowUs: Long) = nowUs - startedAtUs < windowUs
 
     private companion object {
         const val WINDOW_US = 100 * SECOND
 
-        /** Standard deviations of the use of urgent jobs that are held beside its mean. */
+        /** The number of standard deviations of the use of urgent jobs that are held in addition to the mean. */
         const val HELD_DEVIATIONS = 1.0
 
-        /** Arrivals have ceased when so many jobs would have been expected since the last. */
+        /** Arrivals have ceased once this many jobs would have been expected since the last one. */
         const val CEASED_AFTER_JOBS = 8.0
     }
 }
--- a/src/main/kotlin/lichenstage/fleet/FleetCore.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetCore.kt
@@ -7,10 +7,11 @@
 import lichenstage.model.MachineType
 
 /**
- * Scales the fleet out and in. Plain code: it takes observations, names the next call to the cloud, and takes its outcome.
+ * Scales the fleet out and in. Does no I/O: it receives observations, returns the next call to the cloud, and receives the outcome of the
+ * call.
  *
- * One call is under way at a time. The calls come in this order: the provision request whose outcome is not known, machines to
- * terminate, the list of machines, replacements, and what the demand asks for.
+ * Only one call is in flight at a time. The order of calls is: a provision request with an indeterminate outcome, terminations, the list
+ * of machines, replacements, and machines for the demand.
  */
 class FleetCore(
     term: Long,
@@ -28,10 +29,10 @@
     private var lastTerminateRequestAtUs = Long.MIN_VALUE / 2
     private var hasReceivedList = false
 
-    /** Machines that should get no more tasks. */
+    /** Returns the names of the machines that should get no more tasks. */
     fun cordonedMachines(): Set<String> = inventory.cordonedMachines()
 
-    /** The machine exists, as its record or its partition shows. Where its age is not known, [provisionedAtUs] is the time now. */
+    /** Adds a machine that a record or a partition shows. If the age of the machine is unknown, [provisionedAtUs] is the current time. */
     fun addMachine(
         name: String,
         typeName: String,
@@ -40,7 +41,7 @@
         provisionedAtUs: Long,
     ) = inventory.add(name, typeName, zone, spot, provisionedAtUs)
 
-    /** Takes over the cloud's list of machines, which lags. */
+    /** Applies the cloud's list of machines, which lags behind the actual state. */
     fun onMachinesListed(
         machines: List<ListedMachine>,
         nowUs: Long,
@@ -49,7 +50,7 @@
         inventory.applyListing(machines, nowUs)
     }
 
-    /** Takes what is observed now, and decides which machines are drained and terminated. */
+    /** Applies an observation, and decides which machines to drain and to terminate. */
     fun observe(
         observation: FleetObservation,
         nowUs: Long,
@@ -61,16 +62,16 @@
         scaleIn.drainSurplus(inventory.servingMachines(excludedMachines), nowUs)
     }
 
-    /** Requests a machine whatever the demand. */
+    /** Requests a replacement, which is provisioned regardless of the demand. */
     fun requestReplacement(request: ReplacementRequest) = replacements.add(request)
 
-    /** The id of the replacement that a provision request was sent for; null where it was sent for the demand. */
+    /** Returns the id of the replacement that a provision request was sent for; null if it was sent for the demand. */
     fun replacementIdOf(request: ProvisionRequest): String? = replacements.idOf(request)
 
     /** Marks machines for termination, which proves that nothing runs on them any more. */
     fun terminate(machines: Collection<String>) = inventory.terminate(machines)
 
-    /** The next call to make, or null. */
+    /** Returns the next call to make; null if there is none. */
     fun nextCall(nowUs: Long): CloudCall? {
         scaleOut.pendingRequest?.let { return CloudCall.Provision(it) }
         val toTerminate = inventory.machinesToTerminate(MAX_MACHINES_PER_TERMINATION)
@@ -87,13 +88,13 @@
 
     private fun nextProvisionRequest(nowUs: Long): ProvisionRequest? {
         scaleOut.createReplacementRequest(nowUs)?.let { return it }
-        // A new leader does not know what the one before it provisioned.
+        // A new leader does not know which machines its predecessor has provisioned, so it waits for the first list.
         return if (hasReceivedList) scaleOut.createDemandRequest(machineTypes.values, ::servingMachinesOf, nowUs) else null
     }
 
     private fun servingMachinesOf(typeName: String) = inventory.servingMachines(excludedMachines).filter { it.typeName == typeName }
 
-    /** The outcome of a provision request; returns the names of the machines that were provisioned. */
+    /** Handles the outcome of a provision request. Returns the names of the provisioned machines. */
     fun onProvisionReply(
         request: ProvisionRequest,
         result: ProvisionResult,
@@ -104,10 +105,10 @@
         return names
     }
 
-    /** These machines are proven gone. */
+    /** Removes machines that are proven gone. */
     fun onMachinesTerminated(names: List<String>) = inventory.remove(names)
 
-    /** For the log: the machines of each type, and what decides on their number. */
+    /** Returns a text for the log: for each machine type, its machines and the values that determine their number. */
     fun describe(nowUs: Long): String = machineTypes.keys.joinToString("; ") { describe(it, nowUs) }
 
     private fun describe(
@@ -131,7 +132,7 @@
         const val LIST_INTERVAL_US = 4 * SECOND
         const val TERMINATE_INTERVAL_US = SECOND
 
-        /** The cloud's limit. */
+        /** The cloud's limit on the number of machines in one terminate call. */
         const val MAX_MACHINES_PER_TERMINATION = 100
     }
 }
--- a/src/main/kotlin/lichenstage/fleet/FleetInventory.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetInventory.kt
@@ -10,22 +10,22 @@
     val typeName: String,
     val zone: String,
     val isSpot: Boolean,
-    /** When it was provisioned, on the steady clock. */
+    /** When the machine was provisioned, on the steady clock. */
     val provisionedAtUs: Long,
 ) {
-    /** It has stopped by itself, as the cloud's list says. */
+    /** Whether the machine has stopped by itself, according to the cloud's list. */
     var hasFailed = false
 
-    /** Its worker has been seen up at least once in this term. */
+    /** Whether the worker of the machine has been seen up at least once in this term. */
     var hasBeenUp = false
 
-    /** Tasks that may be running on it. */
+    /** The number of tasks that may be running on the machine. */
     var taskCount = 0
 
-    /** It gets no more tasks and is terminated when it is empty. */
+    /** Whether the machine gets no more tasks and is terminated once it is empty. */
     var isDraining = false
 
-    /** It is to be terminated, whatever runs on it. */
+    /** Whether the machine is to be terminated, even if tasks run on it. */
     var isTerminating = false
 }
 
@@ -33,19 +33,19 @@
 internal class FleetInventory {
     private val machines = LinkedHashMap<String, FleetMachine>()
 
-    /** Machines that are gone: the cloud's list, which lags, must not bring them back. */
+    /** The names of machines that are gone. The cloud's list lags and may still contain them; they must not be added again. */
     private val terminatedNames = HashSet<String>()
 
-    /** All machines. */
+    /** All machines, including those that are draining or marked for termination. */
     val allMachines: Collection<FleetMachine> get() = machines.values
 
-    /** Machines that should get no more tasks. */
+    /** Returns the names of the machines that should get no more tasks. */
     fun cordonedMachines(): Set<String> = machines.filterValues { it.isTerminating || it.isDraining }.keys
 
-    /** The first [limit] machines to terminate. */
+    /** Returns the names of the first [limit] machines to terminate. */
     fun machinesToTerminate(limit: Int): List<String> = machines.filterValues { it.isTerminating }.keys.take(limit)
 
-    /** The machines that serve the demand: neither terminating nor among [excludedNames]. */
+    /** Returns the machines that serve the demand: those that are neither marked for termination nor in [excludedNames]. */
     fun servingMachines(excludedNames: Set<String>): Collection<FleetMachine> =
         if (excludedNames.isEmpty()) {
             machines.values.filter { !it.isTerminating }
@@ -53,7 +53,7 @@
             machines.filter { (name, machine) -> !machine.isTerminating && name !in excludedNames }.values
         }
 
-    /** Adds a machine, unless it is known already or has been terminated. */
+    /** Adds a machine, unless it has already been added or has been terminated. */
     fun add(
         name: String,
         typeName: String,
@@ -64,7 +64,7 @@
         if (name !in terminatedNames) machines.getOrPut(name) { FleetMachine(typeName, zone, spot, provisionedAtUs) }
     }
 
-    /** Takes over the cloud's list. A machine that is missing from it stays: the list lags. */
+    /** Applies the cloud's list. A machine that is missing from the list is kept, because the list lags. */
     fun applyListing(
         listed: List<ListedMachine>,
         nowUs: Long,
@@ -75,14 +75,14 @@
         }
     }
 
-    /** Takes over what the partitions show, and marks machines that are of no more use for termination. */
+    /** Applies the status that the partitions show, and marks machines that are of no more use for termination. */
     fun applyStatus(
         statusOf: (String) -> MachineStatus?,
         machineTypes: Map<String, MachineType>,
         nowUs: Long,
     ) {
-        // A machine that hangs is replaced before its lease has expired: its termination is the fastest proof that its tasks may
-        // run elsewhere. Where many are silent, the network is at fault, not they.
+        // A hanging machine is replaced before its lease has expired: its termination is the fastest proof that its tasks may run
+        // elsewhere. If many machines are silent at once, the network is at fault and the machines are kept.
         val silentMachines = machines.keys.filter { statusOf(it)?.isSilent == true }
         if (silentMachines.size <= maxOf(MIN_SILENT_LIMIT, machines.size / SILENT_FLEET_DIVISOR)) terminate(silentMachines)
         for ((name, machine) in machines) update(machine, statusOf(name), machineTypes[machine.typeName]?.bootUs ?: DEFAULT_BOOT_US, nowUs)
@@ -100,25 +100,28 @@
         if (status?.isLost == true || status?.isFaulty == true || machine.hasFailed || bootFailed) machine.isTerminating = true
     }
 
-    /** Marks machines for termination; unknown names are ignored. */
+    /** Marks machines for termination. Unknown names are ignored. */
     fun terminate(names: Collection<String>) = names.forEach { machines[it]?.isTerminating = true }
 
-    /** These machines are proven gone. */
+    /** Removes machines that are proven gone. */
     fun remove(names: Collection<String>) {
         names.forEach { machines.remove(it) }
         terminatedNames += names
     }
 
     private companion object {
-        /** Up to so many silent machines are terminated at once, or one part in [SILENT_FLEET_DIVISOR] of the fleet where that is more. */
+        /**
+         * The number of silent machines up to which they are terminated. In large fleets, the limit is one part in [SILENT_FLEET_DIVISOR]
+         * of the machines.
+         */
         const val MIN_SILENT_LIMIT = 2
         const val SILENT_FLEET_DIVISOR = 100
 
-        /** A machine that has not come up after so many boot times and the margin never will. */
+        /** A machine that has not come up after this many boot times plus the margin is considered failed. */
         const val BOOT_TIMEOUT_FACTOR = 3
         const val BOOT_TIMEOUT_MARGIN_US = 10 * SECOND
 
-        /** Where the machine types are not known yet. */
+        /** The boot time that is assumed while the machine types are not known. */
         const val DEFAULT_BOOT_US = 60 * SECOND
     }
 }
--- a/src/main/kotlin/lichenstage/fleet/FleetObservation.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetObservation.kt
@@ -2,26 +2,27 @@
 
 import lichenstage.model.MachineType
 
-/** A machine as its partition shows it to the leader. */
+/** The status of a machine, as its partition shows it to the leader. */
 data class MachineStatus(
     val isUp: Boolean,
-    /** No heartbeat came for longer than is usual; its lease has not expired yet. */
+    /** Whether no heartbeat has come for longer than usual, while the lease has not expired yet. */
     val isSilent: Boolean,
-    /** Its lease has expired. */
+    /** Whether the lease of the machine has expired. */
     val isLost: Boolean,
-    /** Tasks that may be running on it. */
+    /** The number of tasks that may be running on the machine. */
     val taskCount: Int,
-    /** Tasks of several jobs have failed on it. */
+    /** Whether tasks of several jobs have failed on the machine. */
     val isFaulty: Boolean,
 )
 
 /**
- * What decisions about the fleet are based on at one moment.
+ * The state of jobs and machines at one moment, on which decisions about the fleet are based.
  *
  * @property machineTypes the types that can be provisioned, by name
- * @property demand what jobs ask for now
- * @property excludedMachines machines that do not serve the demand: on their way out, or spare until another one is
- * @property statusOf the status of a machine by name; null while its partition has not shown it
+ * @property demand the current demand of jobs
+ * @property excludedMachines the names of machines that do not serve the demand: they are being drained, or are replacements for
+ *   machines that still serve it
+ * @property statusOf returns the status of a machine by its name; null until its partition has shown the machine
  */
 class FleetObservation(
     val machineTypes: Map<String, MachineType>,
--- a/src/main/kotlin/lichenstage/fleet/FleetPolicy.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetPolicy.kt
@@ -3,13 +3,14 @@
 import lichenstage.common.SECOND
 
 /**
- * How the fleet is scaled out and in.
+ * The policy by which the fleet is scaled out and in.
  *
- * @property minHorizonUs work that is due sooner than this counts as due then: provisioning can't help it
- * @property deadlineSlackFraction the part of the time until an objective in which its work should be done
- * @property backlogUs waiting tasks should begin within this time
+ * @property minHorizonUs the minimum time until work counts as due; work that is due sooner counts as due after this time, because
+ *   provisioning cannot help it
+ * @property deadlineSlackFraction the part of the time until an objective within which its work should be done
+ * @property backlogUs the time within which waiting tasks should start
  * @property targetUtilization the part of a machine's time that can be filled, above 0 and at most 1
- * @property scaleInDelayUs how long machines must have been in surplus before any is drained
+ * @property scaleInDelayUs how long a surplus of machines must last before any of them is drained
  */
 data class FleetPolicy(
     val minHorizonUs: Long = 40 * SECOND,
--- a/src/main/kotlin/lichenstage/fleet/ProvisionBackoff.kt
+++ b/src/main/kotlin/lichenstage/fleet/ProvisionBackoff.kt
@@ -2,25 +2,25 @@
 
 import lichenstage.common.SECOND
 
-/** Where machines are provisioned: a type in a zone, as spot or on-demand instances. The cloud's capacity differs by it. */
+/** The cloud's pool of machines of one type in one zone, either spot or on-demand. Each pool has its own capacity. */
 internal data class CapacityPool(
     val typeName: String,
     val zone: String,
     val isSpot: Boolean,
 )
 
-/** Delays the next request to a pool that lately had no capacity, longer from refusal to refusal. */
+/** Delays the next request to a pool that recently had no capacity. The delay grows with each refusal. */
 internal class ProvisionBackoff {
     private val blockedUntilUs = HashMap<CapacityPool, Long>()
     private val refusals = HashMap<CapacityPool, Int>()
 
-    /** The pool may be asked now. */
+    /** Returns whether a request may be sent to the pool now. */
     fun allows(
         pool: CapacityPool,
         nowUs: Long,
     ): Boolean = (blockedUntilUs[pool] ?: Long.MIN_VALUE) <= nowUs
 
-    /** The pool gave less than was requested. */
+    /** Records that the pool provided fewer machines than were requested. */
     fun onRefusal(
         pool: CapacityPool,
         nowUs: Long,
@@ -30,7 +30,7 @@
         blockedUntilUs[pool] = nowUs + (FIRST_DELAY_US shl (count - 1))
     }
 
-    /** The pool gave all that was requested. */
+    /** Records that the pool provided all requested machines. */
     fun onSuccess(pool: CapacityPool) {
         refusals.remove(pool)
     }
@@ -38,7 +38,7 @@
     private companion object {
         const val FIRST_DELAY_US = 5 * SECOND
 
-        /** The delay doubles up to so many refusals: 5, 10 and 20 s. */
+        /** The number of refusals up to which the delay doubles: 5, 10 and 20 s. */
         const val MAX_COUNTED_REFUSALS = 3
     }
 }
--- a/src/main/kotlin/lichenstage/fleet/ReplacementRequests.kt
+++ b/src/main/kotlin/lichenstage/fleet/ReplacementRequests.kt
@@ -2,7 +2,7 @@
 
 import lichenstage.cloud.ProvisionRequest
 
-/** A machine that is wanted whatever the demand, to replace another. [id] is the requester's own. */
+/** A request for a machine that replaces another one, regardless of the demand. The requester chooses [id]. */
 data class ReplacementRequest(
     val id: String,
     val typeName: String,
@@ -10,23 +10,23 @@
     val isSpot: Boolean,
 )
 
-/** The replacements that have been requested and not been provisioned yet, and which provision request serves which of them. */
+/** The replacements that have been requested but not provisioned yet, and the provision request that was sent for each. */
 internal class ReplacementRequests {
     private val openRequests = LinkedHashMap<String, ReplacementRequest>()
     private val idByProvisionName = HashMap<String, String>()
 
-    /** Requests a replacement; it stays open until a machine has been provisioned for it. */
+    /** Adds a request for a replacement. The request stays open until a machine has been provisioned for it. */
     fun add(request: ReplacementRequest) {
         openRequests[request.id] = request
     }
 
-    /** The first open request whose pool may be asked now. */
+    /** Returns the first open request whose pool may be asked now. */
     fun next(
         backoff: ProvisionBackoff,
         nowUs: Long,
     ): ReplacementRequest? = openRequests.values.firstOrNull { backoff.allows(CapacityPool(it.typeName, it.zone, it.isSpot), nowUs) }
 
-    /** [provision] is sent for the request with this id. */
+    /** Records that [provision] is sent for the replacement with this id. */
     fun assign(
         id: String,
         provision: ProvisionRequest,
@@ -34,10 +34,10 @@
         idByProvisionName[provision.name] = id
     }
 
-    /** The id of the replacement that [provision] was sent for; null where it was sent for the demand. */
+    /** Returns the id of the replacement that [provision] was sent for; null if it was sent for the demand. */
     fun idOf(provision: ProvisionRequest): String? = idByProvisionName[provision.name]
 
-    /** A machine has been provisioned. */
+    /** Closes the replacement that [provision] was sent for, because a machine has been provisioned. */
     fun onProvisioned(provision: ProvisionRequest) {
         idOf(provision)?.let(openRequests::remove)
     }
--- a/src/main/kotlin/lichenstage/fleet/ScaleIn.kt
+++ b/src/main/kotlin/lichenstage/fleet/ScaleIn.kt
@@ -3,8 +3,8 @@
 import lichenstage.common.SECOND
 
 /**
- * Drains machines in surplus and terminates them when they are empty: the machine with most room gets the next task, so that none
- * would become empty by itself.
+ * Drains surplus machines and terminates them once they are empty. Without draining, no machine would become empty by itself, because the
+ * machine with the most free capacity gets the next task.
  */
 internal class ScaleIn(
     private val policy: FleetPolicy,
@@ -13,7 +13,7 @@
 ) {
     private val surplusSinceUsByType = HashMap<String, Long>()
 
-    /** Chooses among [machines], those that serve the demand, on-demand machines first. */
+    /** Drains the surplus among [machines], which are the machines that serve the demand. On-demand machines are drained first. */
     fun drainSurplus(
         machines: Collection<FleetMachine>,
         nowUs: Long,
@@ -50,13 +50,13 @@
     }
 
     private companion object {
-        /** A machine is paid for 60 s at the least: just short of that, for the time that the call takes. */
+        /** A machine is billed for at least 60 s. The limit is slightly shorter, because the call to terminate takes time. */
         const val MIN_LIFETIME_US = 55 * SECOND
 
-        /** Draining may begin so long before the machine may be terminated. */
+        /** Draining may start this long before the machine may be terminated. */
         const val DRAIN_LEAD_US = 10 * SECOND
 
-        /** Where no job of a type is expected to come any more, the delay is divided by this. */
+        /** The divisor of the scale-in delay for a type that no more jobs are expected for. */
         const val CEASED_DELAY_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/lichenstage/fleet/ScaleOut.kt
+++ b/src/main/kotlin/lichenstage/fleet/ScaleOut.kt
@@ -9,8 +9,8 @@
 /**
  * Decides which machines to provision next.
  *
- * Names of requests are unique over all leaders, and a request with an indeterminate outcome is repeated under its name until it is
- * answered (invariant 14).
+ * The names of requests are unique across all leaders. A request with an indeterminate outcome is repeated under the same name until its
+ * outcome is known (invariant 14).
  */
 internal class ScaleOut(
     private val term: Long,
@@ -21,11 +21,11 @@
     private var requestCounter = 0L
     private var lastSpotSwapAtUs = Long.MIN_VALUE / 2
 
-    /** The request that is under way, or whose outcome is not known. */
+    /** The request that is in flight or has an indeterminate outcome; null if there is none. */
     var pendingRequest: ProvisionRequest? = null
         private set
 
-    /** A request for a replacement, or null. */
+    /** Creates a request for a replacement; null if none is due. */
     fun createReplacementRequest(nowUs: Long): ProvisionRequest? {
         val replacement = replacements.next(backoff, nowUs) ?: return null
         val request = createRequest(CapacityPool(replacement.typeName, replacement.zone, replacement.isSpot), 1)
@@ -33,7 +33,10 @@
         return request
     }
 
-    /** A request for machines that the demand lacks, or else for a spot instance in place of an on-demand one; null where none is due. */
+    /**
+     * Creates a request for machines that the demand lacks. If it lacks none, creates a request for a spot machine in place of an
+     * on-demand one. Returns null if no request is due.
+     */
     fun createDemandRequest(
         machineTypes: Collection<MachineType>,
         servingMachines: (typeName: String) -> List<FleetMachine>,
@@ -51,7 +54,10 @@
             }
         }
 
-    /** On-demand machines come first as far as jobs need them that may not run on spot instances; all others come after the spot ones. */
+    /**
+     * Creates a request for missing machines. On-demand machines come first as long as jobs that may not run on spot machines need them.
+     * After that, spot machines come before on-demand ones.
+     */
     private fun createShortageRequest(
         machineType: MachineType,
         machines: List<FleetMachine>,
@@ -81,7 +87,10 @@
         return createRequest(CapacityPool(machineType.name, zone, spot), count)
     }
 
-    /** The surplus that the spot instance makes will drain the on-demand machine. */
+    /**
+     * Creates a request for a spot machine in place of an on-demand one. The spot machine creates a surplus, and scale-in then drains the
+     * on-demand machine.
+     */
     private fun createSpotSwapRequest(
         machineType: MachineType,
         machines: List<FleetMachine>,
@@ -99,7 +108,7 @@
         count: Int,
     ) = ProvisionRequest("h$term-${++requestCounter}", pool.typeName, pool.zone, pool.isSpot, count).also { pendingRequest = it }
 
-    /** The cloud's answer to a request; returns the names of the machines that were provisioned. */
+    /** Handles the cloud's reply to a request. Returns the names of the provisioned machines. */
     fun onProvisionReply(
         request: ProvisionRequest,
         result: ProvisionResult,
@@ -127,7 +136,7 @@
     }
 
     private companion object {
-        /** The cloud's limit. */
+        /** The cloud's limit on the number of machines in one provision request. */
         const val MAX_MACHINES_PER_REQUEST = 50
         const val SPOT_SWAP_INTERVAL_US = 10 * SECOND
     }
--- a/src/main/kotlin/lichenstage/placement/CloudCaller.kt
+++ b/src/main/kotlin/lichenstage/placement/CloudCaller.kt
@@ -72,7 +72,10 @@
         const val MICROS_PER_SECOND = 1_000_000
         const val MILLIS_PER_SECOND = 1_000
 
-        /** The part of the cloud's rate limit that is used. The rest is left for bursts of an earlier leader, which may still count. */
+        /**
+         * The part of the cloud's rate limit that is used. The rest is left for bursts of an earlier leader, which may still count towards
+         * it.
+         */
         const val USABLE_RATE_SHARE = 0.7
     }
 }
--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -81,7 +81,7 @@
         core.machines.setOnProbation(drains.onProbation)
     }
 
-    /** Requests a replacement for the drained machine [key]: a machine of the same type and zone, and likewise spot or on-demand. */
+    /** Requests a replacement for the drained machine [key], with the same type, zone and kind (spot or on-demand). */
     fun requestReplacement(key: DrainKey) {
         val machine = core.machines.stateOf(key.machine) ?: return
         val zone = core.machines.zoneOf(key.machine) ?: return
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -96,9 +96,9 @@
 
     private fun createDrainDriver(options: LeaderOptions): DrainDriver? {
         val policy = options.drains ?: return null
-        val store = DrainDriverFactory.createRecordAccess(services.store, singleWriterKeys, leadership.leaderKeyRevision, settings)
+        val recordAccess = DrainDriverFactory.createRecordAccess(services.store, singleWriterKeys, leadership.leaderKeyRevision, settings)
         return DrainDriverFactory(core, fleet, services.clock::now)
-            .createDriver(policy, store, scope) { mailbox.tell(LeaderMessage.DrainMessageReceived(it)) }
+            .createDriver(policy, recordAccess, scope) { mailbox.tell(LeaderMessage.DrainMessageReceived(it)) }
     }
 
     /** Adds a message to the mailbox. */
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Records jobs that can never run as cancelled, in one transaction. If that fails, because one of them has finished in the meantime,
-     * each job is recorded in a transaction of its own.
+     * Records jobs that can never run as cancelled, in one transaction. If that fails, for example because one of them has finished in the
+     * meantime, each job is recorded in a transaction of its own.
      */
     fun cancelUnrunnableJobs(jobs: List<Job>) {
         scope.launch {
--- a/src/test/kotlin/lichenstage/fleet/DemandForecastTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/DemandForecastTest.kt
@@ -15,13 +15,13 @@
     ) = forecast.recordArrival(JobArrival("t", atS * SECOND, machines = 5.0, runUs = 20 * SECOND, urgent))
 
     @Example
-    fun `a type that no job has asked for is expected to be idle`() {
+    fun `no machines are expected for a type that no job has requested`() {
         assertTrue(forecast.hasCeased("t", 0))
         assertEquals(0.0, forecast.expectedMachines("t", 1.0, 0))
     }
 
     @Example
-    fun `the weight of an arrival decays with the window`() {
+    fun `the weight of an arrival decays exponentially with the window as time constant`() {
         arrive(atS = 0)
         assertEquals(1.0, forecast.expectedMachines("t", 1.0, 0), 1e-9, "100 machine seconds in a window of 100 s")
         assertEquals(Math.exp(-0.5), forecast.expectedMachines("t", 1.0, 50 * SECOND), 1e-9)
@@ -29,20 +29,20 @@
     }
 
     @Example
-    fun `urgent arrivals count with one standard deviation, whatever the utilization`() {
+    fun `urgent arrivals add one standard deviation regardless of the utilization`() {
         arrive(atS = 0, urgent = true)
         assertEquals(1.0 + Math.sqrt(5.0), forecast.expectedMachines("t", 0.5, 0), 1e-9)
     }
 
     @Example
-    fun `arrivals have ceased when eight would have been expected since the last`() {
+    fun `arrivals have ceased once eight would have been expected since the last one`() {
         arrive(atS = 0)
         assertFalse(forecast.hasCeased("t", 800 * SECOND))
         assertTrue(forecast.hasCeased("t", 800 * SECOND + 1))
     }
 
     @Example
-    fun `the forecast learns for one window`() {
+    fun `the forecast is learning for one window after the start of the term`() {
         assertTrue(forecast.isLearning(100 * SECOND - 1))
         assertFalse(forecast.isLearning(100 * SECOND))
     }
--- a/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
@@ -37,27 +37,27 @@
     ) = MachineStatus(isUp = !lost, isSilent = false, isLost = lost, taskCount = tasks, isFaulty = false)
 
     @Example
-    fun `a request with an indeterminate outcome is repeated under its name, and its name is never used again`() {
+    fun `a request with an indeterminate outcome is repeated under its name, and no later request has this name`() {
         val fleet = fleet()
         fleet.observeDemand(demand(4.0), { null }, SECOND)
         val first = fleet.nextProvision(SECOND)!!
         fleet.onProvisionReply(first, ProvisionResult.Indeterminate, SECOND)
-        assertEquals(first, fleet.nextProvision(2 * SECOND)) { "another request was made" }
+        assertEquals(first, fleet.nextProvision(2 * SECOND)) { "a different request was sent" }
         fleet.onProvisionReply(first, ProvisionResult.Provisioned(listOf("vm-1")), 2 * SECOND)
         val second = fleet.nextProvision(3 * SECOND)!!
-        assertNotEquals(first.name, second.name) { "the name was used again" }
+        assertNotEquals(first.name, second.name) { "the name of the first request was reused" }
     }
 
     @Example
-    fun `nothing is provisioned before the list was read once`() {
+    fun `nothing is provisioned before the list of machines has been read once`() {
         val fleet = FleetCore(3, FleetPolicy(), DemandForecast(0))
         fleet.observeDemand(demand(4.0), { null }, SECOND)
-        assertEquals(CloudCall.ListAll, fleet.nextCall(SECOND)) { "the list comes first" }
-        assertNull(fleet.nextCall(2 * SECOND)) { "provisioned without knowing what there is" }
+        assertEquals(CloudCall.ListAll, fleet.nextCall(SECOND)) { "the first call does not read the list" }
+        assertNull(fleet.nextCall(2 * SECOND)) { "provisioned before the list was read" }
     }
 
     @Example
-    fun `spot instances come first, on-demand ones where no spot capacity is left`() {
+    fun `spot machines are requested first, and on-demand ones once no zone has spot capacity`() {
         val fleet = fleet()
         fleet.observeDemand(demand(4.0), { null }, SECOND)
         val spotChoices = ArrayList<Boolean>()
@@ -69,30 +69,33 @@
         assertEquals(listOf(true, true, false), spotChoices) { "$spotChoices" }
     }
 
-    /** As work that waits now they were counted beside what is expected of their classes, and a tenth more was paid for nothing. */
+    /**
+     * Guards against counting jobs that wait for dependencies twice. As waiting work, they were added to the forecast of their classes,
+     * which already included them, and the cost rose by a tenth without any benefit.
+     */
     @Example
-    fun `machines are provisioned for jobs that wait for dependencies, but not beside what is expected anyway`() {
-        val foreseen = Demand("t", true, 4.0, 4.0 * 45 * SECOND, null, readyInUs = 45 * SECOND)
-        val idle = fleet()
-        idle.observeDemand(listOf(foreseen), { null }, SECOND)
-        assertEquals(2, idle.nextProvision(SECOND)?.count) { "4 machines are 2 in each of two zones" }
+    fun `jobs that wait for dependencies get machines, but none on top of those that the forecast expects`() {
+        val blockedDemand = Demand("t", true, 4.0, 4.0 * 45 * SECOND, null, readyInUs = 45 * SECOND)
+        val fleetWithoutForecast = fleet()
+        fleetWithoutForecast.observeDemand(listOf(blockedDemand), { null }, SECOND)
+        assertEquals(2, fleetWithoutForecast.nextProvision(SECOND)?.count) { "expected 2 of the 4 machines, as there are two zones" }
         val forecast = DemandForecast(0)
         val fleet = fleet(forecast)
         for (s in 1L..200L step 10) forecast.recordArrival(JobArrival("t", s * SECOND, 5.0, 20 * SECOND, isUrgent = false))
         repeat(14) { fleet.addMachine("m$it", "t", "z", true, 200 * SECOND) }
-        fleet.observeDemand(listOf(foreseen), { status(1) }, 200 * SECOND)
-        assertTrue(fleet.nextCall(202 * SECOND) !is CloudCall.Provision) { "provisioned beside the 10 that are expected" }
+        fleet.observeDemand(listOf(blockedDemand), { status(1) }, 200 * SECOND)
+        assertTrue(fleet.nextCall(202 * SECOND) !is CloudCall.Provision) { "provisioned machines on top of the 10 expected ones" }
     }
 
     @Example
-    fun `jobs that may not run on spot instances get on-demand ones`() {
+    fun `jobs that may not run on spot machines get on-demand ones`() {
         val fleet = fleet()
         fleet.observeDemand(listOf(Demand("t", false, 4.0, 400.0 * SECOND, null)), { null }, SECOND)
-        assertEquals(false, fleet.nextProvision(SECOND)?.spot) { "provisioned a spot instance" }
+        assertEquals(false, fleet.nextProvision(SECOND)?.spot) { "requested a spot machine" }
     }
 
     @Example
-    fun `a machine without work is drained and terminated, and one that never came up is terminated`() {
+    fun `an idle machine and a machine that never came up are terminated, and a busy surplus machine is cordoned`() {
         val fleet = fleet()
         listOf("a", "b", "c").forEach { fleet.addMachine(it, "t", "z", false, 0) }
         var nowUs = 100 * SECOND
@@ -107,7 +110,7 @@
     }
 
     @Example
-    fun `machines for the jobs that keep coming stay, those of urgent classes with what their variation needs`() {
+    fun `machines for recurring jobs are kept, and for urgent jobs also those that the variation needs`() {
         val forecast = DemandForecast(0)
         val fleet = fleet(forecast)
         repeat(40) { fleet.addMachine("m$it", "t", "z", false, 0) }
@@ -118,18 +121,21 @@
         ) = forecast.recordArrival(JobArrival("t", nowUs, 5.0, 20 * SECOND, urgent))
         for (s in 1L..300L step 10) recordArrival(s * SECOND, urgent = false)
         val nonUrgentMachines = forecast.expectedMachines("t", 0.85, 300 * SECOND)
-        assertTrue(nonUrgentMachines in 9.0..15.0) { "5 machines for 20 s every 10 s are 10 on average: $nonUrgentMachines" }
+        assertTrue(nonUrgentMachines in 9.0..15.0) { "expected about 10 machines for 5 machines used 20 s every 10 s: $nonUrgentMachines" }
         for (s in 1L..300L step 10) recordArrival(300 * SECOND + s * SECOND, urgent = true)
         val machinesWithUrgent = forecast.expectedMachines("t", 0.85, 600 * SECOND)
-        assertTrue(machinesWithUrgent in 14.0..20.0) { "and 7 is their spread: $machinesWithUrgent" }
+        assertTrue(machinesWithUrgent in 14.0..20.0) { "expected 10 machines and about 7 for the standard deviation: $machinesWithUrgent" }
         for (s in 0L..50L step 10) fleet.observeDemand(emptyList(), { status(0) }, (600 + s) * SECOND)
         assertTrue(fleet.cordonedMachines().size in 8..30) { "${fleet.cordonedMachines()}" }
-        assertEquals(0.0, forecast.expectedMachines("t", 0.85, 900 * SECOND)) { "nothing comes any more" }
+        assertEquals(0.0, forecast.expectedMachines("t", 0.85, 900 * SECOND)) { "machines are expected although arrivals have ceased" }
     }
 
-    /** On the upgrade days each new leader kept hundreds of idle machines for the 100 s in which its forecast learns. */
+    /**
+     * Guards against the cost of leader changes: on days of upgrades, each new leader kept hundreds of idle machines for the 100 s in
+     * which its forecast learns.
+     */
     @Example
-    fun `a new leader keeps what has been in use with room to spare, and not all that there is`() {
+    fun `a new leader keeps the peak usage of its term plus a margin, and drains the other machines`() {
         val termStartUs = 100 * SECOND
         val fleet = fleet(DemandForecast(termStartUs))
         repeat(40) { fleet.addMachine("m$it", "t", "z", false, termStartUs - 100 * SECOND) }
@@ -140,16 +146,16 @@
         ) = fleet.observeDemand(listOf(Demand("t", true, busy, 0.0, null, busy, 0.0)), { status(1) }, termStartUs + afterS * SECOND)
         observe(1, 20.0)
         observe(2, 8.0)
-        assertTrue(fleet.cordonedMachines().isEmpty()) { "drained at once" }
+        assertTrue(fleet.cordonedMachines().isEmpty()) { "drained machines without the scale-in delay" }
         observe(40, 8.0)
         assertEquals(
             15,
             fleet.cordonedMachines().size,
-        ) { "20 were in use, 25 are to be kept: ${fleet.cordonedMachines().size} of 40 drain" }
+        ) { "expected to keep 25 machines after a peak of 20: ${fleet.cordonedMachines().size} of 40 drain" }
     }
 
     @Example
-    fun `a silent machine is replaced, many silent ones are not`() {
+    fun `a single silent machine is terminated, and five silent machines at once are kept`() {
         for (count in listOf(1, 5)) {
             val fleet = fleet()
             val names = List(count) { "m$it" }
--- a/src/test/kotlin/lichenstage/fleet/FleetInventoryTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/FleetInventoryTest.kt
@@ -23,7 +23,7 @@
         MachineStatus(isUp = true, isSilent = false, isLost = false, taskCount = 1, isFaulty = faulty)
 
     @Example
-    fun `a terminated machine is not brought back by a list that lags`() {
+    fun `a list that lags does not bring back a terminated machine`() {
         inventory.applyListing(listOf(listed("m1"), listed("m2")), 100 * SECOND)
         inventory.remove(listOf("m1"))
         inventory.applyListing(listOf(listed("m1"), listed("m2")), 101 * SECOND)
@@ -31,7 +31,7 @@
     }
 
     @Example
-    fun `a machine that is missing from the list stays, and its age comes from where it was first shown`() {
+    fun `a machine that is missing from the list is kept, and the first report of a machine determines its age`() {
         inventory.add("m1", "t", "z", true, 100 * SECOND)
         inventory.applyListing(listOf(listed("m1"), listed("m2")), 100 * SECOND)
         inventory.applyListing(emptyList(), 104 * SECOND)
@@ -39,7 +39,7 @@
     }
 
     @Example
-    fun `failed and faulty machines are terminated, in the order in which they came and up to the limit`() {
+    fun `failed and faulty machines are terminated in the order of their addition and up to the limit`() {
         inventory.applyListing(listOf(listed("m1"), listed("m2", ListedStatus.FAILED), listed("m3"), listed("m4")), 0)
         inventory.applyStatus({ status(faulty = it == "m3") }, machineTypes, SECOND)
         inventory.terminate(listOf("m4", "unknown"))
@@ -52,7 +52,7 @@
     fun `a machine that never comes up is terminated after three boot times and ten seconds`() {
         inventory.add("m1", "t", "z", true, 0)
         inventory.applyStatus({ null }, machineTypes, 100 * SECOND)
-        assertTrue(inventory.machinesToTerminate(10).isEmpty(), "just in time")
+        assertTrue(inventory.machinesToTerminate(10).isEmpty(), "terminated before the timeout")
         inventory.applyStatus({ null }, machineTypes, 100 * SECOND + 1)
         assertEquals(listOf("m1"), inventory.machinesToTerminate(10))
     }
--- a/src/test/kotlin/lichenstage/fleet/ScaleOutTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/ScaleOutTest.kt
@@ -20,11 +20,11 @@
         assertEquals(ProvisionRequest("h3-1", "t", "z", spot = true, count = 1), first)
         assertEquals("drain m1", replacements.idOf(first))
         scaleOut.onProvisionReply(first, ProvisionResult.NoCapacity, 0)
-        assertNull(scaleOut.createReplacementRequest(SECOND), "asked again at once")
+        assertNull(scaleOut.createReplacementRequest(SECOND), "sent a request to a pool that had just refused one")
         val second = scaleOut.createReplacementRequest(5 * SECOND)!!
-        assertEquals("h3-2", second.name, "the name was used again")
+        assertEquals("h3-2", second.name, "the name of the first request was reused")
         assertEquals(listOf("vm-1"), scaleOut.onProvisionReply(second, ProvisionResult.Provisioned(listOf("vm-1")), 6 * SECOND))
-        assertNull(scaleOut.createReplacementRequest(60 * SECOND), "provisioned twice")
+        assertNull(scaleOut.createReplacementRequest(60 * SECOND), "requested a second machine for the same replacement")
     }
 
     @Example
@@ -38,7 +38,7 @@
     }
 
     @Example
-    fun `a pool without capacity is asked after 5, 10 and 20 s and for others at once`() {
+    fun `a pool without capacity is blocked for 5, 10 and then 20 s, and other pools are not blocked`() {
         val backoff = ProvisionBackoff()
         val pool = CapacityPool("t", "z", isSpot = true)
         for (delayUs in listOf(5 * SECOND, 10 * SECOND, 20 * SECOND, 20 * SECOND)) {
@@ -49,6 +49,6 @@
         assertTrue(backoff.allows(pool.copy(isSpot = false), 0))
         backoff.onSuccess(pool)
         backoff.onRefusal(pool, 0)
-        assertTrue(backoff.allows(pool, 5 * SECOND), "refusals before a success count")
+        assertTrue(backoff.allows(pool, 5 * SECOND), "refusals before a success still count")
     }
 }
