--- a/src/main/kotlin/lichenstage/fleet/CapacityEstimator.kt
+++ b/src/main/kotlin/lichenstage/fleet/CapacityEstimator.kt
@@ -18,13 +18,7 @@
     /** Replaces the demand by the current one. */
     fun update(demand: List<Demand>) {
         this.demand = demand
-        for ((typeName, demands) in demand.groupBy { it.typeName }) {
-            peakUsageByType.merge(
-                typeName,
-                demands.sumOf { it.busyMachines },
-                ::maxOf,
-            )
-        }
+        for ((typeName, group) in demand.groupBy { it.typeName }) peakUsageByType.merge(typeName, group.sumOf { it.busyMachines }, ::maxOf)
         demand.forEach { if (it.allowsSpot) spotTypes += it.typeName }
     }
 
--- a/src/main/kotlin/lichenstage/fleet/ScaleIn.kt
+++ b/src/main/kotlin/lichenstage/fleet/ScaleIn.kt
@@ -50,13 +50,16 @@
     }
 
     private companion object {
-        /** A machine is billed for at least 60 s. The limit is slightly shorter, because the call to terminate takes time. */
+        /**
+         * The minimum age at which a machine is terminated. A machine is billed for at least 60 s; this limit is slightly lower, because
+         * the call to terminate takes time.
+         */
         const val MIN_LIFETIME_US = 55 * SECOND
 
         /** Draining may start this long before the machine may be terminated. */
         const val DRAIN_LEAD_US = 10 * SECOND
 
-        /** The divisor of the scale-in delay for a type that no more jobs are expected for. */
+        /** The divisor of the scale-in delay for a type for which no more jobs are expected. */
         const val CEASED_DELAY_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/lichenstage/fleet/ScaleOut.kt
+++ b/src/main/kotlin/lichenstage/fleet/ScaleOut.kt
@@ -45,20 +45,14 @@
         machineTypes.firstNotNullOfOrNull { machineType ->
             val machines = servingMachines(machineType.name)
             val shortage = capacity.neededMachines(machineType.name, nowUs) - machines.size
-            if (shortage >
-                0
-            ) {
-                createShortageRequest(machineType, machines, shortage, nowUs)
-            } else {
-                createSpotSwapRequest(machineType, machines, nowUs)
-            }
+            if (shortage > 0) requestMachines(machineType, machines, shortage, nowUs) else requestSpotSwap(machineType, machines, nowUs)
         }
 
     /**
      * Creates a request for missing machines. On-demand machines come first as long as jobs that may not run on spot machines need them.
      * After that, spot machines come before on-demand ones.
      */
-    private fun createShortageRequest(
+    private fun requestMachines(
         machineType: MachineType,
         machines: List<FleetMachine>,
         shortage: Int,
@@ -69,10 +63,10 @@
         val spotChoices = if (onDemandFirst) listOf(false, true) else listOf(true, false)
         return spotChoices
             .filter { spot -> !spot || allowsSpot }
-            .firstNotNullOfOrNull { spot -> createRequestInEmptiestZone(machineType, machines, spot, shortage, nowUs) }
+            .firstNotNullOfOrNull { spot -> requestInEmptiestZone(machineType, machines, spot, shortage, nowUs) }
     }
 
-    private fun createRequestInEmptiestZone(
+    private fun requestInEmptiestZone(
         machineType: MachineType,
         machines: List<FleetMachine>,
         spot: Boolean,
@@ -91,7 +85,7 @@
      * Creates a request for a spot machine in place of an on-demand one. The spot machine creates a surplus, and scale-in then drains the
      * on-demand machine.
      */
-    private fun createSpotSwapRequest(
+    private fun requestSpotSwap(
         machineType: MachineType,
         machines: List<FleetMachine>,
         nowUs: Long,
--- a/src/main/kotlin/lichenstage/placement/CloudCaller.kt
+++ b/src/main/kotlin/lichenstage/placement/CloudCaller.kt
@@ -46,7 +46,7 @@
         isCallInFlight = false
     }
 
-    /** Reads all pages of the machine list. If one page cannot be read, the whole list is unavailable. */
+    /** Reads all pages of the machine list. If one page cannot be read, returns that failure in place of the list. */
     private suspend fun listAll(): CloudReply<List<ListedMachine>> {
         val machines = ArrayList<ListedMachine>()
         while (true) {
--- a/src/test/kotlin/lichenstage/placement/CloudCallerTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CloudCallerTest.kt
@@ -56,7 +56,7 @@
     }
 
     @Example
-    fun `the machine list contains all pages, and is unavailable if one page cannot be read`() {
+    fun `the machine list contains all pages, and reading it fails if one page cannot be read`() {
         val first = CloudReply.Success(MachinePage(machines.take(2), hasMore = true))
         val last = CloudReply.Success(MachinePage(machines.drop(2), hasMore = false))
         val completeList = replyTo(CloudCall.ListAll, mapOf(null to first, "m1" to last))
