--- a/src/main/kotlin/lichenstage/jobs/CompletedTaskRanges.kt
+++ b/src/main/kotlin/lichenstage/jobs/CompletedTaskRanges.kt
@@ -5,26 +5,28 @@
 import java.util.BitSet
 
 /**
- * The done tasks of a job, in chunks that each fit a value of the state service in any pattern: as ranges while those are
- * the shorter form, else as a bitmap.
+ * Encodes the completed tasks of a job for the state service.
+ *
+ * The tasks are split into chunks. Each chunk fits one value of the state service, whichever of its tasks are completed: it is written as
+ * ranges while these are shorter, otherwise as a bitmap.
  */
 object CompletedTaskRanges {
-    /** A bitmap of this many tasks takes 2,732 characters. */
+    /** The number of tasks in a chunk. A bitmap of this many tasks takes 2,732 characters. */
     const val TASKS_PER_CHUNK = 16_384
 
-    /** What a value takes beside the text. */
+    /** The bytes of a value beside its text: braces, field name and quotes. */
     private const val FIELD_OVERHEAD_BYTES = 16
 
-    /** How many chunks a job of so many tasks has. */
+    /** Returns the number of chunks of a job that has this many tasks. */
     fun chunkCount(tasks: Int) = (tasks + TASKS_PER_CHUNK - 1) / TASKS_PER_CHUNK
 
-    /** The key of a chunk. */
+    /** Returns the key of a chunk in the state service. */
     fun chunkKey(
         job: String,
         chunk: Int,
     ) = "${JobRecordCodec.DONE_TASKS_PREFIX}$job/$chunk"
 
-    /** The value of a chunk: ranges, or a bitmap where that is shorter. */
+    /** Returns the value of a chunk: ranges, or a bitmap if that is shorter. */
     fun encode(
         done: BitSet,
         chunk: Int,
@@ -36,8 +38,10 @@
     }
 
     /**
-     * As much of the done tasks of [chunk] as a value of [maxBytes] holds, the first of them: a chunk is sized for larger values than
-     * the state service may take one day. What is left out stays in its worker's task list until a later record holds it.
+     * Returns the first completed tasks of [chunk] that fit a value of [maxBytes], numbered from the start of the chunk.
+     *
+     * Not all of them may fit, because chunks are sized for larger values than the state service may accept one day. A task that is left
+     * out stays in its worker's task list until a later record holds it.
      */
     fun truncateToFit(
         done: BitSet,
@@ -52,12 +56,13 @@
         return if (bitmapPart.cardinality() >= rangesPart.cardinality()) bitmapPart else rangesPart
     }
 
-    /** An upper bound for the Base64 characters of a bitmap of so many tasks. */
+    /** Returns an upper bound for the Base64 characters of a bitmap of this many tasks. */
     private fun maxBitmapLength(tasks: Int) = (tasks + BITS_PER_BYTE - 1) / BITS_PER_BYTE * BASE64_CHARS / BASE64_BYTES + BASE64_CHARS
 
-    /** How many tasks a bitmap of [length] Base64 characters holds, in whole groups of Base64. */
+    /** Returns the number of tasks in a bitmap of [length] Base64 characters. Only complete Base64 groups count. */
     private fun maxBitmapTasks(length: Int) = length * BASE64_BYTES / BASE64_CHARS / BASE64_BYTES * BASE64_BYTES * BITS_PER_BYTE
 
+    /** Returns the tasks of the first ranges that take at most [maxChars] characters. */
     private fun takeRanges(
         chunkTasks: BitSet,
         maxChars: Int,
@@ -75,7 +80,7 @@
         return first
     }
 
-    /** Adds what [value] says of [chunk] to [done]. */
+    /** Adds the completed tasks of [chunk] in [value] to [done]. */
     fun decode(
         value: JsonObject,
         chunk: Int,
@@ -114,7 +119,7 @@
 
     private const val BITS_PER_BYTE = 8
 
-    /** Base64 writes groups of [BASE64_BYTES] bytes as [BASE64_CHARS] characters. */
+    /** Base64 encodes each group of [BASE64_BYTES] bytes as [BASE64_CHARS] characters. */
     private const val BASE64_BYTES = 3
     private const val BASE64_CHARS = 4
 }
--- a/src/main/kotlin/lichenstage/jobs/DependencyGraph.kt
+++ b/src/main/kotlin/lichenstage/jobs/DependencyGraph.kt
@@ -1,43 +1,44 @@
 package lichenstage.jobs
 
-/** Whether a job with an open record may start, by what is known of its dependencies. */
+/** The readiness of an open job, judged by the dependencies that this process knows of. */
 enum class Readiness {
-    /** All of its dependencies are done. */
+    /** All dependencies of the job are done. */
     READY,
 
-    /** Some of its dependencies may yet be done. */
+    /** Some dependencies of the job are not done yet, but all of them still can be. */
     WAITING,
 
-    /** A dependency, direct or transitive, is cancelled. */
+    /** A direct or transitive dependency is cancelled. */
     CANCELLED,
 
-    /** A dependency, direct or transitive, has ended, and it is not known how. */
+    /** A direct or transitive dependency has ended, but its outcome is not known. */
     UNKNOWN,
 }
 
 /**
- * The dependencies between jobs: the open jobs that have any, and the outcomes of those that have ended (invariant 16).
+ * The dependencies between jobs: the open jobs that have dependencies, and the outcomes of the finished jobs that they depend on
+ * (invariant 16).
  *
- * Everything here follows from records: a job may start once all of its dependencies are **recorded** as done (`too_early`), and is as
- * good as cancelled once one that it needs, directly or through others, is recorded as cancelled (`orphaned`). Either never goes back,
- * so each controller may find it out for itself, at any time and after any change of leader. A change costs by the jobs that wait for
- * what has changed.
+ * All state here is derived from records. A job may start once all its dependencies are **recorded** as done; an earlier start would
+ * violate the rule `too_early`. A job must be cancelled once a direct or transitive dependency is recorded as cancelled; otherwise it
+ * would violate the rule `orphaned`. Neither conclusion is ever reversed, so each controller can draw it independently, at any time and
+ * after any change of leader. The cost of a change depends only on the number of jobs that depend on the changed job.
  */
 class DependencyGraph {
     private val dependenciesByJob = HashMap<String, List<String>>()
     private val dependentsByJob = HashMap<String, LinkedHashSet<String>>()
 
-    /** Outcomes of ended jobs that others depend on. */
+    /** The outcomes of finished jobs that others depend on. */
     private val outcomes = HashMap<String, JobOutcome>()
     private val openJobs = HashSet<String>()
 
-    /** Ended jobs that others depend on, of which it is not known how they ended. */
+    /** Finished jobs that others depend on and whose outcome is not known yet. */
     private val unresolvedJobs = LinkedHashSet<String>()
 
-    /** Open jobs with a cancelled dependency, direct or transitive. */
+    /** Open jobs with a direct or transitive dependency that is cancelled. */
     private val orphanedJobs = LinkedHashSet<String>()
 
-    /** The job has an open record. */
+    /** Adds a job that has an open record. */
     fun onJobOpened(
         job: String,
         dependencies: List<String>,
@@ -53,7 +54,7 @@
         if (dependencies.any(::isCancelled)) markOrphaned(job)
     }
 
-    /** The record of the job is gone. */
+    /** Removes a job whose open record was deleted. Its outcome becomes unresolved if other jobs depend on it. */
     fun onJobClosed(job: String) {
         if (!openJobs.remove(job)) return
         orphanedJobs -= job
@@ -68,7 +69,7 @@
         if (job in dependentsByJob && job !in outcomes) unresolvedJobs += job
     }
 
-    /** It is recorded how the job ended. */
+    /** Stores the recorded outcome of a job if other jobs depend on it. */
     fun onOutcomeRecorded(
         job: String,
         outcome: JobOutcome,
@@ -81,7 +82,7 @@
 
     private fun isCancelled(job: String) = job in orphanedJobs || outcomes[job]?.isDone == false
 
-    /** Marks the job and its transitive dependents: none of them can ever be done. */
+    /** Marks a job and its transitive dependents as orphaned: none of them can ever be done. */
     private fun markOrphaned(startJob: String) {
         val jobsToVisit = ArrayDeque(listOf(startJob))
         while (jobsToVisit.isNotEmpty()) {
@@ -91,10 +92,12 @@
     }
 
     /**
-     * Whether [job], which has [dependencies], may start. Guards against a user who sees a job as waiting long after a dependency was
-     * cancelled: from when a job is known to have ended until its outcome is known, the state of its dependents is unknown. That holds
-     * too where the job itself is not known yet: another controller can report an end before the watch has brought the record.
-     * (Found in the simulated cluster: a job submitted right after an outage was called open although its chain was cancelled.)
+     * Returns whether [job], which has these [dependencies], may start.
+     *
+     * Guards against a user who sees a job as waiting long after a dependency was cancelled. A dependency's end is known before its
+     * outcome is. In between, the state of its dependents is unknown. This also applies if the record of [job] is not known here:
+     * another controller can report the end of a dependency before the watch delivers that record. (The simulated cluster found this
+     * fault: a job that was submitted right after an outage was reported as open although its chain was cancelled.)
      */
     fun readiness(
         job: String,
@@ -107,6 +110,7 @@
             else -> Readiness.WAITING
         }
 
+    /** Returns whether any of [startJobs] or of their transitive dependencies is unresolved. */
     private fun dependOnUnresolved(startJobs: List<String>): Boolean {
         if (unresolvedJobs.isEmpty()) return false
         val jobsToVisit = ArrayDeque(startJobs)
@@ -119,22 +123,25 @@
         return false
     }
 
-    /** The direct dependencies of a job; none where its record is not known. */
+    /** Returns the direct dependencies of a job; empty if its record is not known. */
     fun dependenciesOf(job: String): List<String> = dependenciesByJob[job].orEmpty()
 
-    /** The jobs that depend on this one directly. */
+    /** Returns the jobs that depend directly on [job]. */
     fun dependentsOf(job: String): Collection<String> = dependentsByJob[job].orEmpty()
 
-    /** Up to [limit] ended jobs whose outcome is still to be read. */
+    /** Returns up to [limit] finished jobs whose outcome has to be read. */
     fun findUnresolved(limit: Int): List<String> = unresolvedJobs.take(limit)
 
-    /** Up to [limit] open jobs that are to be recorded as cancelled, dependencies before their dependents. */
+    /** Returns up to [limit] open jobs that have to be recorded as cancelled, dependencies before their dependents. */
     fun findOrphans(limit: Int): List<String> = orphanedJobs.take(limit)
 
-    /** A dependency of the job, direct or transitive, is cancelled. */
+    /** Returns whether a direct or transitive dependency of the open job is cancelled. */
     fun isOrphaned(job: String) = job in orphanedJobs
 
-    /** Time of day in microseconds at which the last of [dependencies] was done; null while one is not, 0 where no record says when. */
+    /**
+     * Returns the time of day in microseconds at which the last of [dependencies] was done. Returns null while one of them is not done,
+     * and 0 if no record contains a time.
+     */
     fun readySinceUs(dependencies: List<String>): Long? {
         var lastEndedAtUs = 0L
         for (dependency in dependencies) {
--- a/src/main/kotlin/lichenstage/jobs/FinishedJob.kt
+++ b/src/main/kotlin/lichenstage/jobs/FinishedJob.kt
@@ -1,33 +1,33 @@
 package lichenstage.jobs
 
-/** How a job ended. Records and answers name it [wireName]. */
+/** The final status of a job. Records and replies contain its [wireName]. */
 enum class EndStatus(
     val wireName: String,
 ) {
-    /** All of its tasks are done. */
+    /** All tasks of the job are done. */
     DONE("done"),
 
-    /** It was cancelled by its user, or a job that it depends on was. */
+    /** The job was cancelled, either by its user or because a job that it depends on was cancelled. */
     CANCELLED("cancelled"),
 }
 
 /**
- * How a job ended.
+ * The final status of a job and the time of its end.
  *
- * @property endedAtUs time of day of the end, in microseconds; null where that is not recorded
+ * @property endedAtUs time of day of the end, in microseconds; null if the record does not contain it
  */
 data class JobOutcome(
     val status: EndStatus,
     val endedAtUs: Long?,
 ) {
-    /** All of its tasks are done. */
+    /** Whether all tasks of the job are done. */
     val isDone get() = status == EndStatus.DONE
 }
 
 /**
- * The end of a job as it is recorded. It never changes.
+ * The recorded end of a job. It never changes.
  *
- * @property completedTasks how many of its tasks were done
+ * @property completedTasks number of the job's tasks that were done
  */
 data class FinishedJob(
     val outcome: JobOutcome,
--- a/src/main/kotlin/lichenstage/jobs/JobCache.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobCache.kt
@@ -3,22 +3,22 @@
 import lichenstage.cluster.TaskCounts
 import lichenstage.common.LruMap
 
-/** What the user API caches of jobs: their ends, which never change, and what the replica may lack of open records. */
+/** The user API's cache of jobs: their recorded ends, which never change, and data of open records that [replica] may lack. */
 class JobCache(
     private val replica: JobReplica,
     private val dependencyGraph: DependencyGraph,
 ) {
     private val finishedJobs = LruMap<String, FinishedJob>(MAX_FINISHED_JOBS)
 
-    /** Revisions of open records: with them one request asks for many jobs. */
+    /** Revisions of open records. They allow one request to check many jobs (see [OpenRecordCheck]). */
     private val openRevisions = LruMap<String, Long>(MAX_OPEN_JOBS)
     private val dependenciesByJob = LruMap<String, List<String>>(MAX_OPEN_JOBS)
     private var taskCounts = TaskCounts(0, emptyMap())
 
-    /** The job's end, where it is known to have ended. */
+    /** Returns the job's recorded end, or null if the job is not known to have ended. */
     fun finishedJob(id: String): FinishedJob? = finishedJobs[id]
 
-    /** The job has ended. */
+    /** Stores the recorded end of a job. */
     fun rememberFinished(
         id: String,
         job: FinishedJob,
@@ -26,13 +26,13 @@
         finishedJobs[id] = job
     }
 
-    /** The revision of the job's open record, as it was last seen. */
+    /** Returns the last known revision of the job's open record, or null if none is known. */
     fun openRevision(id: String): Long? = openRevisions[id] ?: replica.openRevision(id)
 
-    /** The ids of the jobs that the job depends on, as far as they are known. */
+    /** Returns the ids of the job's dependencies; empty if its record is not known. */
     fun dependenciesOf(id: String): List<String> = dependenciesByJob[id] ?: dependencyGraph.dependenciesOf(id)
 
-    /** The job's record was seen open at revision [openRevision]. */
+    /** Stores the revision and the dependencies of an open record that was seen in the state service. */
     fun rememberOpen(
         id: String,
         openRevision: Long,
@@ -42,17 +42,17 @@
         if (dependencyIds.isNotEmpty()) dependenciesByJob[id] = dependencyIds
     }
 
-    /** The open record of the job is gone. */
+    /** Removes the revision of an open record that was deleted. */
     fun forgetOpen(id: String) {
         openRevisions.remove(id)
     }
 
-    /** Takes over the counts of a leader, unless those of a later term are known. */
+    /** Stores the task counts of a leader, unless the stored ones are of a later term. */
     fun updateTaskCounts(newCounts: TaskCounts) {
         if (newCounts.term >= taskCounts.term) taskCounts = newCounts
     }
 
-    /** How far an open job is, as the leader counts. */
+    /** Returns the task counts that the leader last sent for an open job; zeros if there are none. */
     fun taskProgress(id: String): TaskProgress {
         val (done, running) = taskCounts.jobs[id] ?: listOf(0, 0)
         return TaskProgress(done, running)
--- a/src/main/kotlin/lichenstage/jobs/JobCompletions.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobCompletions.kt
@@ -1,24 +1,27 @@
 package lichenstage.jobs
 
-/** The ends of jobs that a controller knows of, as far as answers and orders to workers depend on them (invariant 15). */
+/** The ends of jobs that a controller knows of. Its replies and orders to workers depend on them (invariant 15). */
 interface JobCompletions {
-    /** The job has certainly ended, where a task of it has been known since [sinceUs]. */
+    /** Returns whether the job has certainly ended, given that one of its tasks has been known since [sinceUs]. */
     fun hasEnded(
         job: String,
         sinceUs: Long,
     ): Boolean
 
-    /** The time as of which the job is known to be open: no user can have seen its end before. Null where it is not known to be open. */
+    /**
+     * Returns the latest time at which the job is known to have been open; null if the job is not known to be open. No user can have seen
+     * the end of the job before that time.
+     */
     fun confirmedOpenAtUs(job: String): Long?
 
     /**
-     * How stale the knowledge of ends may be, in microseconds: for so long after a user may have seen a job's end an answer may still
-     * renew the lease of a worker that may run its tasks. The lease then ends before the cancellation has had its time.
+     * The maximum age of the known ends, in microseconds. For this long after a user may have seen the end of a job, a reply may still
+     * renew the lease of a worker that may run its tasks. That lease then expires before the time limit of the cancellation.
      */
     val maxStalenessUs: Long
 
     companion object {
-        /** No job ever ends. */
+        /** An implementation in which no job ever ends. */
         val NONE =
             object : JobCompletions {
                 override fun hasEnded(
--- a/src/main/kotlin/lichenstage/jobs/JobLookup.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobLookup.kt
@@ -10,7 +10,7 @@
 import lichenstage.state.ReadResult
 import lichenstage.state.TransactionResult
 
-/** Reads the state of jobs for users, and cancels jobs. */
+/** Reads the state of jobs for users and cancels jobs. */
 class JobLookup(
     private val state: KeyValueStore,
     private val cache: JobCache,
@@ -18,13 +18,13 @@
     private val dependencyGraph: DependencyGraph,
     private val openRecordCheck: OpenRecordCheck,
     private val clock: Clock,
-    /** Called with the id and the revision of the cancellation before its user is answered. */
+    /** Called with the job's id and the revision of its cancellation, before the user gets the reply. */
     private val onCancelled: (String, Long) -> Unit,
 ) {
-    /** The reply to a user's request for the state of a job. */
+    /** Returns the reply to a user's request for the state of a job. */
     suspend fun findStatus(id: String): Reply = if (SubmissionCodec.isValidId(id)) find(id) else Reply.unknownJob()
 
-    /** The current state of a job that is known, else [fallback]. */
+    /** Returns the current state of a job that was accepted, otherwise [fallback]. */
     suspend fun findExistingOrElse(
         id: String,
         fallback: () -> Reply,
@@ -34,8 +34,8 @@
     }
 
     /**
-     * The open record first, the finished one after: a record moves from the one to the other in one transaction, so that
-     * a job missing in both was never accepted.
+     * Reads the open record first and the finished record second. One transaction deletes the open record and puts the finished one, so
+     * a job that is missing in both reads was never accepted.
      */
     private suspend fun find(id: String): Reply {
         cache.finishedJob(id)?.let { return Reply.ofFinished(id, it) }
@@ -83,8 +83,11 @@
         }
 
     /**
-     * The record is open, but a dependency may be cancelled. The job is then recorded as cancelled before its user sees that: another
-     * controller may not know yet, and must not give an older answer. While the replica of this one is stale the state is not known.
+     * Returns the reply for a job with an open record.
+     *
+     * If a dependency is cancelled, the job is recorded as cancelled before its user sees that status. Another controller may not know of
+     * the cancellation yet and must not reply with an older status. While the replica of this controller is stale, the state of a waiting
+     * job is unknown.
      */
     private suspend fun openJobReply(
         id: String,
@@ -99,7 +102,7 @@
 
     private fun isReplicaFresh() = replica.hasReadWithin(MAX_STALENESS_US, clock.now())
 
-    /** Records the job as cancelled, unless it is over. */
+    /** Records the job as cancelled, unless it has already ended, and returns its state. */
     suspend fun cancel(id: String): Reply {
         if (!SubmissionCodec.isValidId(id)) return Reply.unknownJob()
         repeat(MAX_TRIES) {
@@ -113,7 +116,7 @@
         return Reply.unavailable(CONFLICTING_CHANGES)
     }
 
-    /** Null where the record has changed meanwhile. */
+    /** Records the job as cancelled. Returns null if its open record is no longer at [revision]. */
     private suspend fun recordCancellation(
         id: String,
         revision: Long,
@@ -142,21 +145,24 @@
     }
 
     companion object {
-        /** The end of a job that ends now. */
+        /** Returns the end of a job that ends now. */
         fun createFinishedJob(
             status: EndStatus,
             completedTasks: Int,
         ) = FinishedJob(JobOutcome(status, timeOfDayUs()), completedTasks)
 
-        /** How long a read of the state service may take for a user. */
+        /** The time limit for a read of the state service on behalf of a user. */
         const val READ_TIMEOUT_MS = 1400L
 
-        /** Why a request is to be repeated: its transactions met changes by others. */
-        const val CONFLICTING_CHANGES = "undecided"
-        private const val STATE_NOT_KNOWN_YET = "not known yet"
+        /** The error message for a request whose transactions conflicted with other changes, so that the user should repeat it. */
+        const val CONFLICTING_CHANGES = "the job's records were changed by other requests"
+        private const val STATE_NOT_KNOWN_YET = "the state of the job's dependencies is not known yet"
         private const val MAX_TRIES = 3
 
-        /** Well within the time that a cancellation has, with the rest of it left for what has to be written. */
+        /**
+         * The maximum age of the replica in a reply about a waiting job. It is well below the time limit of a cancellation (`cancel_s`), so
+         * that enough time is left to write the cancellations.
+         */
         private const val MAX_STALENESS_US = 10 * SECOND
     }
 }
--- a/src/main/kotlin/lichenstage/jobs/JobRecordCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobRecordCodec.kt
@@ -16,10 +16,11 @@
 import lichenstage.model.Resources
 
 /**
- * The records of jobs in the state service.
+ * Encodes and decodes the records of jobs in the state service.
  *
- * An open job has the record `j/ID`, a finished one `x/ID`; a job has exactly one of the two from its acceptance on, since one
- * transaction deletes the one and puts the other. `d/ID/CHUNK` holds completed tasks of an open job ([CompletedTaskRanges]).
+ * An open job has the record `j/ID`, and a finished job has the record `x/ID`. From its acceptance on, a job has exactly one of the two,
+ * because one transaction deletes the first and puts the second. The records `d/ID/CHUNK` hold the completed tasks of an open job
+ * ([CompletedTaskRanges]).
  */
 object JobRecordCodec {
     /** Prefix of the keys of open jobs. */
@@ -28,25 +29,25 @@
     /** Prefix of the keys of finished jobs. */
     const val FINISHED_PREFIX = "x/"
 
-    /** Prefix of the keys of completed tasks. */
+    /** Prefix of the keys of completed tasks of open jobs. */
     const val DONE_TASKS_PREFIX = "d/"
     private const val DEPENDENCIES = "needs"
     private const val PRIORITY = "priority"
 
-    /** The record of a finished job. */
+    /** Returns the record of a finished job. */
     fun encodeFinished(job: FinishedJob): JsonObject =
         JsonObject()
             .put("status", job.outcome.status.wireName)
             .put("tasks", job.completedTasks)
             .put("at", job.outcome.endedAtUs)
 
-    /** The end that a record of a finished job tells of; whatever is not done counts as cancelled. */
+    /** Returns the end in the record of a finished job. Any status other than `done` counts as cancelled. */
     fun decodeFinished(json: JsonObject): FinishedJob {
         val status = if (json.getString("status") == EndStatus.DONE.wireName) EndStatus.DONE else EndStatus.CANCELLED
         return FinishedJob(JobOutcome(status, json.getLong("at")), json.getInteger("tasks") ?: 0)
     }
 
-    /** The record of an open job. */
+    /** Returns the record of an open job. */
     fun encode(spec: JobSpec): JsonObject =
         JsonObject()
             .put("id", spec.id)
@@ -71,13 +72,13 @@
             .put("at", spec.submittedUs)
             .apply { if (spec.dependencies.isNotEmpty()) put(DEPENDENCIES, JsonArray(spec.dependencies)) }
 
-    /** The ids of the jobs that the job of an open record depends on. Throws [JsonDecodingException]. */
+    /** Returns the ids of the dependencies in an open record. Throws [JsonDecodingException] if they are not a list of strings. */
     fun decodeDependencies(json: JsonObject): List<String> = json.optionalStrings(DEPENDENCIES) ?: emptyList()
 
-    /** When the job of an open record was submitted, in microseconds of the time of day; 0 where the record does not say. */
+    /** Returns the time of day in microseconds at which the job of an open record was submitted; 0 if the record has no time. */
     fun decodeSubmittedAtUs(json: JsonObject): Long = json.getLong("at") ?: 0
 
-    /** The job of an open record. Throws [JsonDecodingException] at the first field that can't be read. */
+    /** Returns the job of an open record. Throws [JsonDecodingException] at the first field that cannot be decoded. */
     fun decode(json: JsonObject): JobSpec =
         JobSpec(
             id = json.requiredString("id"),
--- a/src/main/kotlin/lichenstage/jobs/JobReplica.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplica.kt
@@ -6,23 +6,25 @@
 import lichenstage.common.withDrift
 
 /**
- * This process's copy of the keys of the open jobs, and how stale it may be (invariant 15).
+ * This process's copy of the keys of the open jobs, with its age (invariant 15).
  *
- * Guards against an owner that keeps tasks of a cancelled job alive because it does not know of the cancellation. Authority can outlast
- * the answers of the state service: it means that no other controller may act, not that its holder's data is fresh. So heartbeats are
- * answered, which renews the leases of workers, only while [isCurrent]: every end that a user may have seen until [maxStalenessUs] ago
- * is known here. There are two proofs of that:
- * - a read of the state service, as of when the request was sent;
- * - during an outage, replies of **all** other controllers, each with all the ends that it has learned of after the revision up to which
- *   this one has read. Users are answered by controllers only, and only with what those have learned.
+ * Guards against an owner that keeps tasks of a cancelled job alive because it does not know of the cancellation. An owner can hold its
+ * authority for longer than the state service replies to it: authority means that no other controller may act, not that the owner's data
+ * is fresh. A reply to a heartbeat renews the lease of its worker. Heartbeats therefore get replies only while [isCurrent] holds: this
+ * process then knows every end that a user may have seen up to [maxStalenessUs] ago. Either of two proofs is sufficient:
+ * - A read of the state service proves it as of the time at which the request was sent.
+ * - During an outage, replies of **all** other controllers prove it. Each reply contains all ends that its sender learned of after the
+ *   revision up to which this process has read. Users get replies only from controllers, and a controller reports only ends that it has
+ *   learned of.
  *
- * A controller that has not read the state service itself since before that revision cannot know what an earlier process of its own has
- * answered to users, and replies with nothing. Without either proof heartbeats go unanswered, and lease expiry ends the tasks in time.
+ * A controller whose process has been reading the state service only since a later revision sends no such reply: it cannot know which
+ * ends an earlier process of the same controller reported to users. Without either proof, heartbeats get no reply, and the tasks end in
+ * time because the leases of their workers expire.
  */
 class JobReplica(
-    /** Identifies the log of this process; increases with each process of the controller. */
+    /** Identifies the end log of this process. It increases with each process of the controller. */
     private val incarnation: Long,
-    /** The labels of all other controllers; null if they are not all known, so that an outage cannot be bridged. */
+    /** The labels of all other controllers. Null if not all of them are known, in which case an outage cannot be bridged. */
     private val peerLabels: Set<String>?,
     override val maxStalenessUs: Long,
 ) : JobCompletions {
@@ -31,7 +33,10 @@
         val revision: Long,
     )
 
-    /** How much of another controller's log has been applied, and as of when that was all of it. */
+    /**
+     * The progress of applying another controller's end log. Entries before index [appliedUpTo] have been applied. [completeAsOfUs] is the
+     * time of the latest request whose reply completed the log.
+     */
     private class PeerProgress(
         val incarnation: Long,
         var appliedUpTo: Long,
@@ -40,29 +45,33 @@
 
     private val openRevisions = HashMap<String, Long>()
 
-    /** The ends that became known last, from any source. */
+    /** The most recently learned ends, from any source. */
     private val endedJobs =
         object : LinkedHashMap<String, Unit>() {
             override fun removeEldestEntry(eldest: MutableMap.MutableEntry<String, Unit>) = size > MAX_REMEMBERED_ENDS
         }
 
-    /** Ends that this process has read from the state service, in the order in which it did. */
+    /** The ends that this process has read from the state service, in the order of reading. */
     private val endLog = ArrayDeque<EndLogEntry>()
+
+    /** The index of the first entry that [endLog] still contains. */
     private var logStartIndex = 0L
 
-    /** Ends up to this revision may be missing from the log. */
+    /** The log may lack ends up to this revision. */
     private var logBaseRevision = -1L
     private val peerProgress = HashMap<String, PeerProgress>()
+
+    /** The time at which the request of the latest successful read was sent. */
     private var lastReadAtUs = Long.MIN_VALUE
 
-    /** Up to here all has been read from the state service; negative before the first read. */
+    /** The revision up to which all changes have been read from the state service; negative before the first read. */
     var revision = -1L
         private set
 
-    /** The revision of the job's open record, where it is known to be open. */
+    /** Returns the revision of the job's open record, or null if the job is not known to be open. */
     fun openRevision(job: String): Long? = openRevisions[job]
 
-    /** All records, read whole by a request that was sent at [sentAtUs]. Returns what has ended. */
+    /** Replaces the copy by all open records, read by a request that was sent at [sentAtUs]. Returns the jobs that have ended. */
     fun replaceAll(
         revisionsByJob: Map<String, Long>,
         readRevision: Long,
@@ -72,13 +81,13 @@
         openRevisions.clear()
         openRevisions.putAll(revisionsByJob)
         if (revision < 0) logBaseRevision = maxOf(logBaseRevision, readRevision)
-        // When each went is not known: at the latest now.
+        // The revision of each end is not known, but it is at most that of this read.
         endedIds.forEach { recordEnd(it, readRevision) }
         recordRead(readRevision, sentAtUs)
         return endedIds
     }
 
-    /** What has changed since [revision], read by a request that was sent at [sentAtUs]. Returns what has ended. */
+    /** Applies the changes since [revision], read by a request that was sent at [sentAtUs]. Returns the jobs that have ended. */
     fun applyChanges(
         put: Map<String, Long>,
         deleted: Map<String, Long>,
@@ -87,7 +96,7 @@
     ): List<String> {
         openRevisions.putAll(put)
         for ((job, endRevision) in deleted) {
-            // A record is never put again under the same id.
+            // A deleted record is never put again under the same id, so a deletion overrides a put.
             openRevisions.remove(job)
             recordEnd(job, endRevision)
         }
@@ -103,7 +112,10 @@
         lastReadAtUs = maxOf(lastReadAtUs, sentAtUs)
     }
 
-    /** The state service has shown this process, otherwise than by the watch, that the job had ended by [endRevision]. */
+    /**
+     * Adds an end that this process has seen in the state service, by the watch or by another request. [endRevision] is the revision of the
+     * end or a later one.
+     */
     fun recordEnd(
         job: String,
         endRevision: Long,
@@ -117,10 +129,13 @@
         }
     }
 
-    /** Another controller says that these jobs have ended. Returns those that were not known to have. */
+    /** Adds ends that another controller has reported. Returns the jobs whose end was not known before. */
     fun markEnded(jobs: List<String>): List<String> = jobs.filter { endedJobs.put(it, Unit) == null }
 
-    /** The request to [peer] for the ends that may be missing here; null before the first read, which gives the revision to start from. */
+    /**
+     * Returns the request to [peer] for ends that may be missing here. Returns null before the first read, because that read determines the
+     * revision to start from.
+     */
     fun createSyncRequest(
         peer: String,
         nowUs: Long,
@@ -130,7 +145,10 @@
         return CompletionSyncRequest(incarnation, nowUs, revision, progress?.incarnation ?: 0, progress?.appliedUpTo ?: 0)
     }
 
-    /** The reply to another controller's request, a piece at a time; null where this one can't know all ends that users may have seen. */
+    /**
+     * Returns the next piece of the reply to another controller's request. Returns null if this process cannot know all ends that users may
+     * have seen.
+     */
     fun createSyncReply(request: CompletionSyncRequest): CompletionSyncReply? {
         if (revision < 0 || request.revision < logBaseRevision) return null
         val since = if (request.logIncarnation == incarnation) maxOf(request.upTo, logStartIndex) else logStartIndex
@@ -145,7 +163,7 @@
         return CompletionSyncReply(request.incarnation, request.requestedAtUs, incarnation, since, upTo, jobs, isFinal = upTo == end)
     }
 
-    /** Applies the reply of [peer]; returns the ends that were not known. */
+    /** Applies a reply of [peer]. Returns the jobs whose end was not known before. */
     fun applySyncReply(
         peer: String,
         reply: CompletionSyncReply,
@@ -154,14 +172,14 @@
         val progress =
             peerProgress[peer]?.takeIf { it.incarnation == reply.logIncarnation }
                 ?: PeerProgress(reply.logIncarnation, reply.since).also { peerProgress[peer] = it }
-        // A piece that doesn't join what was taken would leave some out unseen; it is asked for again.
+        // A gap between the applied pieces and this one would hide ends. The missing piece is requested again.
         if (reply.since > progress.appliedUpTo) return emptyList()
         progress.appliedUpTo = maxOf(progress.appliedUpTo, reply.upTo)
         if (reply.isFinal) progress.completeAsOfUs = maxOf(progress.completeAsOfUs, reply.requestedAtUs)
         return markEnded(reply.jobs)
     }
 
-    /** The time by which every end that a user had seen is known here. */
+    /** Returns the time as of which every end that a user had seen is known here; [Long.MIN_VALUE] if there is none. */
     private fun knownEndsAsOfUs(): Long {
         val peersAsOfUs =
             peerLabels?.takeIf { revision >= 0 && it.isNotEmpty() }?.minOf {
@@ -171,21 +189,21 @@
         return maxOf(lastReadAtUs, peersAsOfUs ?: Long.MIN_VALUE)
     }
 
-    /** Heartbeats may be answered, which renews the leases of workers (invariant 15). */
+    /** Returns whether heartbeats may get replies, which renew the leases of workers (invariant 15). */
     fun isCurrent(nowUs: Long) = knownEndsAsOfUs() > Long.MIN_VALUE && nowUs - knownEndsAsOfUs() <= maxStalenessUs
 
-    /** The last read of the state service is older than is usual while it is available. */
+    /** Returns whether the last read of the state service is older than usual while the service is available. */
     fun isLagging(nowUs: Long) = revision >= 0 && nowUs - lastReadAtUs > LAG_THRESHOLD_US
 
-    /** The last read of the state service is no older than [maxAgeUs] microseconds. */
+    /** Returns whether the last read of the state service is at most [maxAgeUs] microseconds old. */
     fun hasReadWithin(
         maxAgeUs: Long,
         nowUs: Long,
     ) = revision >= 0 && nowUs - lastReadAtUs <= maxAgeUs
 
     /**
-     * Whether the job has certainly ended, given that a task of it has been known since [sinceUs]: it was accepted before that, so if a
-     * later read does not find its open record, it has ended.
+     * Returns whether the job has certainly ended, given that one of its tasks has been known since [sinceUs]. The job was accepted before
+     * that time, so it has ended if a later read does not find its open record.
      */
     override fun hasEnded(
         job: String,
@@ -193,13 +211,10 @@
     ) = job in endedJobs || (lastReadAtUs > sinceUs && job !in openRevisions)
 
     override fun confirmedOpenAtUs(job: String): Long? =
-        knownEndsAsOfUs().takeIf {
-            job in openRevisions && job !in endedJobs &&
-                it > Long.MIN_VALUE
-        }
+        knownEndsAsOfUs().takeIf { job in openRevisions && job !in endedJobs && it > Long.MIN_VALUE }
 
     companion object {
-        /** From the last answer to a worker until its lease has ended, and until what was learned has been acted on. */
+        /** Allows for the delay until a worker's lease, once no longer renewed, has expired, and until a newly learned end is acted on. */
         private const val LEASE_END_MARGIN_US = 3 * SECOND
         private const val MIN_STALENESS_US = 5 * SECOND
         private const val LAG_THRESHOLD_US = 4 * SECOND
@@ -208,8 +223,8 @@
         private const val MAX_JOBS_PER_REPLY = 400
 
         /**
-         * How stale an answer to a worker may be: the lease that it renews ends a cancelled task at the latest that long after, and
-         * within `cancel_s` of the cancellation all the same.
+         * Returns the maximum age of the known ends, in microseconds, at which a heartbeat may still get a reply. The lease that such a
+         * reply renews still ends a cancelled task within `cancel_s` of the cancellation.
          */
         fun maxStalenessUs(
             cancelUs: Long,
--- a/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
@@ -15,24 +15,27 @@
 import lichenstage.state.ScanResult
 import lichenstage.state.WatchResult
 
-/** The other controllers of the deployment. */
+/** The channel to the other controllers of the deployment. */
 class PeerChannel(
-    /** Their labels. */
+    /** The labels of the other controllers. */
     val labels: List<String>,
-    /** Sends a frame to the one of a label; it may be lost. */
+    /** Sends a frame to the controller with the given label. The frame may be lost. */
     val send: (String, Frame) -> Unit,
 )
 
-/** Is notified of the ends of jobs. */
+/** Receives notifications about the ends of jobs. */
 interface JobEndListener {
-    /** These jobs have ended. */
+    /** Handles the end of these jobs. */
     fun onJobsEnded(jobs: List<String>)
 
-    /** It became known how a job that others depend on has ended. */
+    /** Handles a newly known outcome of a job that others depend on. */
     fun onDependencyResolved()
 }
 
-/** Keeps the [JobReplica] of this process up to date: by a watch, and by the other controllers while the state service is unavailable. */
+/**
+ * Keeps the [JobReplica] of this process up to date. It watches the state service, and it asks the other controllers for ends while the
+ * service is unavailable.
+ */
 class JobReplicaSync(
     private val replica: JobReplica,
     private val dependencyGraph: DependencyGraph,
@@ -45,7 +48,7 @@
     private val log = RateLimitedLog.of("lichenstage.jobs", clock)
     private var isStale = false
 
-    /** Starts to follow the open jobs. */
+    /** Starts following the open jobs. */
     fun start() {
         scope.launch {
             while (true) {
@@ -69,7 +72,7 @@
     private fun logStaleness(isStaleNow: Boolean) {
         if (isStaleNow == isStale) return
         isStale = isStaleNow
-        log.info { "Open jobs ${if (isStaleNow) "not read any more" else "read again"} revision=${replica.revision}" }
+        log.info { "Reads of open jobs ${if (isStaleNow) "stopped" else "resumed"} revision=${replica.revision}" }
     }
 
     private fun requestMissingEnds(nowUs: Long) {
@@ -114,13 +117,13 @@
 
     private fun jobId(key: String) = key.removePrefix(JobRecordCodec.OPEN_PREFIX)
 
-    /** Reads how a job that others depend on has ended; they wait until that can be read. */
+    /** Reads the outcome of a finished job that others depend on. Its dependents wait until the read succeeds. */
     private suspend fun resolveOutcome(job: String) {
         val read = state.get(JobRecordCodec.FINISHED_PREFIX + job)
         if (read is ReadResult.Found) onJobFinished(job, JobRecordCodec.decodeFinished(read.entry.value).outcome)
     }
 
-    /** It became known how the job has ended. */
+    /** Handles the outcome of a finished job, for the jobs that depend on it. */
     fun onJobFinished(
         job: String,
         outcome: JobOutcome,
@@ -130,8 +133,8 @@
     }
 
     /**
-     * This process has recorded the cancellation of the job at [revision] and is about to confirm it to its user. The leader and the
-     * owners of partitions are notified at once, so that the tasks stop early; nothing depends on that.
+     * Handles a cancellation that this process has recorded at [revision] and is about to confirm to the user. The leader and the owners
+     * of partitions are notified at once so that the tasks stop early. Correctness does not depend on these notifications.
      */
     fun onJobCancelled(
         job: String,
@@ -143,7 +146,7 @@
         peers.labels.forEach { peers.send(it, JobsEnded(listOf(job))) }
     }
 
-    /** Another controller requests the ends that it may lack. */
+    /** Handles another controller's request for ends that it may lack. */
     fun onSyncRequest(
         from: String,
         request: CompletionSyncRequest,
@@ -151,13 +154,13 @@
         replica.createSyncReply(request)?.let { peers.send(from, it) }
     }
 
-    /** Another controller has sent ends that this one may lack. */
+    /** Handles another controller's reply with ends that may be missing here. */
     fun onSyncReply(
         from: String,
         reply: CompletionSyncReply,
     ) = applyEnds(replica.applySyncReply(from, reply))
 
-    /** Another controller has confirmed the end of jobs to its user. */
+    /** Handles another controller's notification that it is confirming the end of jobs to a user. */
     fun onJobsEnded(frame: JobsEnded) = applyEnds(replica.markEnded(frame.jobs))
 
     private fun applyEnds(jobs: List<String>) {
@@ -170,11 +173,11 @@
         const val RETRY_INTERVAL_MS = 300L
         const val RESOLVE_INTERVAL_MS = 100L
 
-        /** Longer than the watch takes while nothing changes: what was read counts from when it was asked for. */
+        /** Longer than a watch request takes while nothing changes: the age of a read counts from the time of its request. */
         const val STALE_THRESHOLD_US = 8 * SECOND
         const val MAX_RESOLVED_AT_ONCE = 8
 
-        /** Short: what was read counts from when it was asked for, and must not seem stale while nothing happens. */
+        /** Short, because the age of a read counts from the time of its request: the replica must not seem stale while nothing changes. */
         const val WATCH_TIMEOUT_MS = 2500L
     }
 }
--- a/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
@@ -10,7 +10,7 @@
 import lichenstage.state.ReadResult
 import lichenstage.state.TransactionResult
 
-/** Takes submissions: reads them, refuses what can never run, and writes the record of what is accepted. */
+/** Handles submissions: decodes them, refuses jobs that can never run, and writes the records of accepted jobs. */
 class JobSubmission(
     private val state: KeyValueStore,
     private val cache: JobCache,
@@ -18,14 +18,14 @@
     private val dependencyGraph: DependencyGraph,
     private val admission: AdmissionPolicy,
 ) {
-    /** What becomes of a submission with the body [text]. */
+    /** Handles a submission with the body [text] and returns the reply. */
     suspend fun submit(text: String): Reply {
         val json = parse(text) ?: return invalidBodyReply()
         val spec =
             try {
                 SubmissionCodec.decode(json, timeOfDayUs())
             } catch (e: InvalidSubmissionException) {
-                // A job that is known is answered as such, whatever its repeat looks like.
+                // If the job already exists, the reply is its state, even if the repeated submission is malformed.
                 val id = json.getValue(SubmissionFields.ID) as? String
                 return lookup.findExistingOrElse(id.orEmpty()) { Reply.rejected(HttpStatus.BAD_REQUEST, e.field, e.message!!) }
             }
@@ -36,16 +36,23 @@
     }
 
     /**
-     * Written only while all that was read of the jobs that it needs still holds: one that is cancelled at the same moment either has
-     * this job's record to be cancelled with it, or is seen as cancelled here.
+     * Writes the job's record on the condition that everything read about its dependencies still holds. If a dependency is cancelled at the
+     * same moment, one of two things happens: the cancellation finds this job's record and includes it, or this submission sees that the
+     * dependency is cancelled.
      */
     private suspend fun tryToAccept(spec: JobSpec): Reply {
-        repeat(MAX_TRIES) { attempt ->
-            val dependencies = spec.dependencies.associateWith { readDependency(it, mustReadRecord = attempt > 0) }
+        repeat(MAX_TRIES) { tryIndex ->
+            val dependencies = spec.dependencies.associateWith { readDependency(it, mustReadRecord = tryIndex > 0) }
             dependencies.entries.firstOrNull { it.value is DependencyState.NeverAccepted }?.let { (id, _) ->
                 return lookup.findExistingOrElse(
                     spec.id,
-                ) { Reply.rejected(HttpStatus.UNPROCESSABLE_ENTITY, SubmissionFields.DEPENDENCIES, "$id was never accepted") }
+                ) {
+                    Reply.rejected(
+                        HttpStatus.UNPROCESSABLE_ENTITY,
+                        SubmissionFields.DEPENDENCIES,
+                        "${SubmissionFields.DEPENDENCIES}: must name accepted jobs, was $id",
+                    )
+                }
             }
             if (DependencyState.Indeterminate in dependencies.values) return Reply.stateUnavailable()
             writeRecord(spec, dependencies)?.let { return it }
@@ -53,7 +60,7 @@
         return Reply.unavailable(JobLookup.CONFLICTING_CHANGES)
     }
 
-    /** Null where something that was read has changed meanwhile. */
+    /** Writes the job's record. Returns null if a record that was read has changed in the meantime. */
     private suspend fun writeRecord(
         spec: JobSpec,
         dependencies: Map<String, DependencyState>,
@@ -62,26 +69,19 @@
         val finishedKey = JobRecordCodec.FINISHED_PREFIX + spec.id
         val revisions = hashMapOf(openKey to Precondition.ABSENT, finishedKey to Precondition.ABSENT)
         for ((id, dependency) in dependencies) {
-            if (dependency is DependencyState.Open) {
-                revisions[JobRecordCodec.OPEN_PREFIX + id] =
-                    dependency.revision
-            }
+            if (dependency is DependencyState.Open) revisions[JobRecordCodec.OPEN_PREFIX + id] = dependency.revision
         }
         val isCancelled = DependencyState.Cancelled in dependencies.values
         val finishedJob = if (isCancelled) JobLookup.createFinishedJob(EndStatus.CANCELLED, 0) else null
         val change =
-            if (finishedJob !=
-                null
-            ) {
+            if (finishedJob != null) {
                 Change.Put(finishedKey, JobRecordCodec.encodeFinished(finishedJob))
             } else {
                 Change.Put(openKey, JobRecordCodec.encode(spec))
             }
         return when (val outcome = state.commit(Precondition.allOf(revisions), listOf(change), SUBMIT_TIMEOUT_MS)) {
             is TransactionResult.Committed -> {
-                if (finishedJob !=
-                    null
-                ) {
+                if (finishedJob != null) {
                     cache.rememberFinished(spec.id, finishedJob)
                 } else {
                     cache.rememberOpen(spec.id, outcome.revision, spec.dependencies)
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Where a job that another needs stands. */
+    /** The state of a job that another job depends on. */
     private sealed interface DependencyState {
         data class Open(
             val revision: Long,
@@ -115,7 +115,10 @@
         data object Indeterminate : DependencyState
     }
 
-    /** What was learned before will do unless [mustReadRecord], since it is a condition of what is written. */
+    /**
+     * Returns the state of a dependency. Cached data is sufficient unless [mustReadRecord] is true, because the cached revision becomes a
+     * precondition of the write.
+     */
     private suspend fun readDependency(
         id: String,
         mustReadRecord: Boolean,
@@ -140,7 +143,7 @@
     private fun toDependencyState(outcome: JobOutcome) = if (outcome.isDone) DependencyState.Done else DependencyState.Cancelled
 
     companion object {
-        /** The body of a submission, or null where it is not a JSON object. */
+        /** Returns the JSON object in the body of a submission, or null if the body is not a JSON object. */
         fun parse(text: String): JsonObject? =
             try {
                 JsonObject(text)
@@ -148,8 +151,8 @@
                 null
             }
 
-        /** The answer to a body that is not a JSON object. */
-        fun invalidBodyReply() = Reply.rejected(HttpStatus.BAD_REQUEST, "body", "not a JSON object")
+        /** Returns the reply to a body that is not a JSON object. */
+        fun invalidBodyReply() = Reply.rejected(HttpStatus.BAD_REQUEST, "body", "body: must be a JSON object")
 
         private const val MAX_TRIES = 3
         private const val SUBMIT_TIMEOUT_MS = 3000L
--- a/src/main/kotlin/lichenstage/jobs/JobsActor.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsActor.kt
@@ -11,21 +11,21 @@
 import lichenstage.state.KeyValueStore
 import lichenstage.state.Precondition
 
-/** What this process knows of the open jobs: their records, and which depend on which. */
+/** The open jobs that this process knows of: their records and the dependencies between them. */
 class OpenJobs(
     val replica: JobReplica,
     val dependencyGraph: DependencyGraph,
 )
 
-/** Who answers users while the state service does not answer this process. */
+/** The way to get replies from other controllers while the state service does not reply to this process. */
 class PeerFallback(
     val forwarder: RequestForwarder,
     val isStateServiceAvailable: () -> Boolean,
 )
 
 /**
- * The user API. Every answer about a job that isn't over is decided on the state service's record (never on a copy); only
- * what can't change any more is remembered.
+ * Handles the requests of users. Each reply about an unfinished job is decided on its record in the state service, never on a copy. Only
+ * data that can no longer change is cached for replies.
  */
 class JobsActor(
     state: KeyValueStore,
@@ -45,10 +45,10 @@
     private var openRequests = 0
     private val mailbox = Mailbox("jobs", scope, ::handle, shed = ::shed)
 
-    /** Takes a message; a request is answered through its callback. */
+    /** Enqueues a message. The reply to a request goes to its callback. */
     fun tell(message: JobsMessage) = mailbox.tell(message)
 
-    /** Users are asked to retry; counts are sent again anyway. */
+    /** Drops a message because the mailbox is full. A user is asked to retry, and task counts are sent again anyway. */
     private fun shed(message: JobsMessage): Boolean {
         if (message is JobsMessage.UserRequest) message.reply(Reply.unavailable(BUSY_MESSAGE, BUSY_RETRY_S))
         return true
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Above the bound a request is turned away at once, so that those that are taken are answered in time. */
+    /** Starts a request. If [MAX_OPEN_REQUESTS] are open, it is refused at once so that the open requests get their replies in time. */
     private fun startRequest(request: JobsMessage.UserRequest) {
         if (openRequests >= MAX_OPEN_REQUESTS) {
             request.reply(Reply.unavailable(BUSY_MESSAGE, BUSY_RETRY_S))
@@ -78,8 +78,9 @@
     }
 
     /**
-     * While the state service does not answer this process, another controller is asked. If there is none, a short try of its
-     * own finds out whether the service is back, and else the reply says at once when to retry.
+     * Returns the reply to a request. While the state service does not reply to this process, the request is forwarded to another
+     * controller. If none replies, a short local try finds out whether the service is available again. If that fails too, the reply says
+     * when to retry.
      */
     private suspend fun process(request: JobsMessage.UserRequest): Reply {
         if (fallback.isStateServiceAvailable() || cache.finishedJob(request.text) != null) return processLocally(request)
@@ -97,7 +98,7 @@
         }
 
     private companion object {
-        const val BUSY_MESSAGE = "busy"
+        const val BUSY_MESSAGE = "the controller has too many open requests"
         const val BUSY_RETRY_S = 2
         const val MAX_OPEN_REQUESTS = 300
         const val PROBE_TIMEOUT_MS = 800L
--- a/src/main/kotlin/lichenstage/jobs/JobsMessage.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsMessage.kt
@@ -3,14 +3,14 @@
 import lichenstage.cluster.TaskCounts
 import lichenstage.cluster.UserVerb
 
-/** Messages to [JobsActor]. */
+/** The messages that [JobsActor] handles. */
 sealed interface JobsMessage {
     /**
      * A user's request.
      *
-     * @property text the body of a submission, or a job's id
-     * @property isForwarded another controller that can't answer it has passed it on
-     * @property reply takes the answer, once
+     * @property text the body of a submission, or the job's id in other requests
+     * @property isForwarded whether another controller forwarded the request because the state service does not reply to it
+     * @property reply the callback for the reply, called once
      */
     data class UserRequest(
         val verb: UserVerb,
@@ -19,7 +19,7 @@
         val reply: (Reply) -> Unit,
     ) : JobsMessage
 
-    /** A leader's counts of tasks. */
+    /** The task counts that a leader has sent. */
     data class TaskCountsReceived(
         val counts: TaskCounts,
     ) : JobsMessage
--- a/src/main/kotlin/lichenstage/jobs/OpenRecordCheck.kt
+++ b/src/main/kotlin/lichenstage/jobs/OpenRecordCheck.kt
@@ -6,14 +6,14 @@
 import kotlinx.coroutines.launch
 import lichenstage.state.TransactionResult
 
-/** What the state service says of an open record that was seen before. It never changes but for its end. */
+/** The state of an open record that was seen earlier. Such a record never changes; it can only be deleted when its job ends. */
 enum class RecordState { OPEN, DELETED, UNKNOWN }
 
 /**
- * Asks the state service for many jobs at once whether they are still open: a transaction that only compares.
+ * Checks many jobs at once: a transaction that only compares revisions asks the state service whether their records are still open.
  *
- * Guards against `forgotten`: thousands of jobs are polled within seconds, and one request for each would be far above what the
- * state service takes.
+ * Guards against a violation of the rule `forgotten`. Thousands of jobs are polled within seconds, and one request for each job would far
+ * exceed the request limit of the state service.
  */
 class OpenRecordCheck(
     private val maxPreconditions: Int,
@@ -30,7 +30,7 @@
     private val pendingChecks = ArrayDeque<PendingCheck>()
     private var isBatchRunning = false
 
-    /** Whether the record at [key] is still the one of revision [revision]. Unknown at once where too many wait already. */
+    /** Returns whether the record at [key] still has [revision]; [RecordState.UNKNOWN] at once if too many checks are pending. */
     suspend fun check(
         key: String,
         revision: Long,
@@ -51,7 +51,10 @@
 
     private fun takeBatch() = List(minOf(maxPreconditions, pendingChecks.size)) { pendingChecks.removeFirst() }
 
-    /** Those that are named as failed are gone; whether the others hold is asked again, since all need not be named. */
+    /**
+     * Completes the checks of a batch. The records of failed keys are deleted. The other checks are repeated, because a conflict may name
+     * only some of the failed keys.
+     */
     private suspend fun runBatch(checks: List<PendingCheck>) {
         var undecided = checks
         repeat(MAX_TRIES) {
@@ -79,7 +82,7 @@
     }
 
     private companion object {
-        /** A short wait gathers what comes together. */
+        /** The delay in which checks are collected for one batch. */
         const val BATCH_DELAY_MS = 40L
         const val MAX_TRIES = 3
         const val MAX_PENDING_CHECKS = 1000
--- a/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
+++ b/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
@@ -2,44 +2,43 @@
 
 import lichenstage.model.JobSpec
 
-/** A [field] of a submission that is too large, and why. */
+/** A [field] of a submission that is too large, and the [reason] for the user. */
 data class OversizedField(
     val field: String,
     val reason: String,
 )
 
 /**
- * The limits of one record and of one transaction. A submission that exceeds them could never be written, now or once the state service
- * lowers its limits, so it is refused at once instead of being retried forever.
+ * The size limits of one record and of one transaction. A submission that exceeds them could not be written, either now or after the
+ * state service has lowered its limits. It is refused at once instead of being retried forever.
  */
 class RecordLimits(
     maxTransactionOps: Int,
     private val maxValueBytes: Int,
 ) {
-    /** The most preconditions that one transaction may have. */
+    /** The maximum number of preconditions of one transaction. */
     val maxPreconditions = maxTransactionOps * PRECONDITIONS_PER_CHANGE
 
-    /** The most dependencies of a job: each may be a precondition, beside the two that the job itself is new. */
+    /** The maximum number of dependencies of a job. Each can need a precondition, in addition to the two that check that the job is new. */
     val maxDependencies = maxPreconditions - OWN_PRECONDITIONS
 
-    /** What is too large, or null. */
+    /** Returns the field that makes the submission too large, or null if the submission is within the limits. */
     fun findOversizedField(spec: JobSpec): OversizedField? {
-        if (spec.dependencies.size >
-            maxDependencies
-        ) {
-            return OversizedField(SubmissionFields.DEPENDENCIES, "at most $maxDependencies jobs can be named")
+        if (spec.dependencies.size > maxDependencies) {
+            return OversizedField(
+                SubmissionFields.DEPENDENCIES,
+                "${SubmissionFields.DEPENDENCIES}: must name at most $maxDependencies jobs, was ${spec.dependencies.size}",
+            )
         }
         val recordBytes = encodedSize(spec)
         if (recordBytes <= maxValueBytes) return null
         val field =
-            if (encodedSize(spec.copy(dependencies = emptyList())) <=
-                maxValueBytes
-            ) {
+            if (encodedSize(spec.copy(dependencies = emptyList())) <= maxValueBytes) {
                 SubmissionFields.DEPENDENCIES
             } else {
                 SubmissionFields.ALLOWED_TYPES
             }
-        return OversizedField(field, "the record would take $recordBytes bytes of at most $maxValueBytes")
+        return OversizedField(field, "$field: must let the record fit $maxValueBytes bytes, was $recordBytes")
     }
 
     private fun encodedSize(spec: JobSpec) =
--- a/src/main/kotlin/lichenstage/jobs/Reply.kt
+++ b/src/main/kotlin/lichenstage/jobs/Reply.kt
@@ -4,11 +4,11 @@
 import lichenstage.common.HttpStatus
 
 /**
- * An answer to a user.
+ * A reply to a user.
  *
  * @property status the HTTP status
  * @property body the JSON body
- * @property retryAfterS when the user should come again, where it can't be answered now
+ * @property retryAfterS the seconds after which the user should repeat the request; null if the reply is final
  */
 data class Reply(
     val status: Int,
@@ -16,13 +16,13 @@
     val retryAfterS: Int? = null,
 ) {
     companion object {
-        /** The state of an open job. */
+        /** Returns the state of an open job. */
         fun ofOpen(
             id: String,
             progress: TaskProgress,
         ) = ofJob(id, if (progress.running > 0) RUNNING else PENDING, progress)
 
-        /** The state of a finished job. */
+        /** Returns the state of a finished job. */
         fun ofFinished(
             id: String,
             job: FinishedJob,
@@ -41,38 +41,38 @@
                 .put("running", progress.running),
         )
 
-        /** A job that was accepted just now, with its [status] from now on. */
+        /** Returns the confirmation that a job was accepted, with its initial [status]. */
         fun accepted(
             id: String,
             status: String,
         ) = Reply(HttpStatus.CREATED, JsonObject().put(SubmissionFields.ID, id).put("status", status))
 
-        /** A request that is wrong in [field]. */
+        /** Returns the rejection of a request because of [field]. */
         fun rejected(
             status: Int,
             field: String,
             message: String,
         ) = Reply(status, JsonObject().put("error", message).put("field", field))
 
-        /** A job that was never accepted. */
-        fun unknownJob() = rejected(HttpStatus.NOT_FOUND, SubmissionFields.ID, "no such job")
+        /** Returns the reply about a job that was never accepted. */
+        fun unknownJob() = rejected(HttpStatus.NOT_FOUND, SubmissionFields.ID, "${SubmissionFields.ID}: must be the id of an accepted job")
 
-        /** The request can't be answered now; it can be repeated after [retryAfterS]. */
+        /** Returns the reply to a request that cannot be handled now. The user can repeat it after [retryAfterS] seconds. */
         fun unavailable(
             reason: String,
             retryAfterS: Int = 1,
         ) = Reply(HttpStatus.SERVICE_UNAVAILABLE, JsonObject().put("error", reason), retryAfterS)
 
-        /** The state service did not answer. */
-        fun stateUnavailable() = unavailable("the state service can't be asked")
+        /** Returns the reply to a request that the state service did not reply to. */
+        fun stateUnavailable() = unavailable("the state service is unavailable")
 
-        /** Status of a job none of whose tasks runs. */
+        /** The status of an open job without running tasks. */
         const val PENDING = "pending"
         private const val RUNNING = "running"
     }
 }
 
-/** How many tasks of a job are done and running, for display. */
+/** The numbers of done and running tasks of a job, for display only. */
 data class TaskProgress(
     val done: Int,
     val running: Int,
--- a/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
@@ -7,13 +7,13 @@
 import lichenstage.model.Priority
 import lichenstage.model.Resources
 
-/** A submission that can't be read; names the field. */
+/** Thrown for a submission that cannot be decoded; [field] names the invalid field. */
 class InvalidSubmissionException(
     val field: String,
     message: String,
 ) : Exception("$field: $message")
 
-/** Names of fields of a submission that replies and refusals name too. */
+/** Names of submission fields that replies contain too. */
 internal object SubmissionFields {
     const val ID = "uid"
     const val TEAM = "owner"
@@ -22,29 +22,35 @@
     const val DEPENDENCIES = "waits_on"
 }
 
-/** Decodes submissions: the one place where the names of the user API are mapped to those of [JobSpec]. */
+/** Decodes submissions. Only this object maps the field names of the user API to the properties of [JobSpec]. */
 object SubmissionCodec {
     private val idPattern = Regex("j-[0-9]{1,20}")
     private const val MAX_TASKS = 100_000
     private const val MAX_TEXT_LENGTH = 200
     private const val MAX_LIST_SIZE = 100
 
-    /** The id has the form that users give their jobs. */
+    /** Returns whether [id] has the form `j-NUMBER` of the ids that users give their jobs. */
     fun isValidId(id: String) = idPattern.matches(id)
 
-    /** Reads a submission that came at time of day [atUs]; throws [InvalidSubmissionException] at the first thing that is wrong. */
+    /**
+     * Returns the job of a submission that arrived at the time of day [submittedAtUs]. Throws [InvalidSubmissionException] at the first
+     * invalid field.
+     */
     fun decode(
         json: JsonObject,
         submittedAtUs: Long,
     ): JobSpec {
         val reader = SubmissionReader(json)
         val id = reader.string(SubmissionFields.ID)
-        if (!isValidId(id)) throw InvalidSubmissionException(SubmissionFields.ID, "a job id has the form j-NUMBER")
+        if (!isValidId(id)) throw InvalidSubmissionException(SubmissionFields.ID, "must have the form j-NUMBER, was $id")
         val shape = reader.string("shape")
-        if (shape != "batch") throw InvalidSubmissionException("shape", "only batch is known")
+        if (shape != "batch") throw InvalidSubmissionException("shape", "must be batch, was $shape")
         val priority =
             Priority.entries.firstOrNull { it.name.lowercase() == reader.string("urgency") }
-                ?: throw InvalidSubmissionException("urgency", "one of production, high, standard, low is needed")
+                ?: throw InvalidSubmissionException(
+                    "urgency",
+                    "must be one of production, high, standard, low, was ${reader.string("urgency")}",
+                )
         return JobSpec(
             id = id,
             jobClass = reader.string("batchline"),
@@ -73,7 +79,7 @@
         id: String,
     ): List<String> {
         val dependencies = reader.jobIds(SubmissionFields.DEPENDENCIES)
-        if (id in dependencies) throw InvalidSubmissionException(SubmissionFields.DEPENDENCIES, "a job can't wait for itself")
+        if (id in dependencies) throw InvalidSubmissionException(SubmissionFields.DEPENDENCIES, "must not name the job itself, was $id")
         return dependencies
     }
 
@@ -81,26 +87,25 @@
         private val json: JsonObject,
     ) {
         fun string(field: String): String {
-            val value = json.getValue(field) as? String ?: throw InvalidSubmissionException(field, "a text is needed")
-            if (value.isEmpty() ||
-                value.length > MAX_TEXT_LENGTH
-            ) {
-                throw InvalidSubmissionException(field, "a text of 1 to $MAX_TEXT_LENGTH characters is needed")
+            val value = json.getValue(field) as? String ?: throw InvalidSubmissionException(field, "must be a string")
+            if (value.isEmpty() || value.length > MAX_TEXT_LENGTH) {
+                throw InvalidSubmissionException(field, "must have 1 to $MAX_TEXT_LENGTH characters, was ${value.length}")
             }
             return value
         }
 
         fun optionalString(field: String) = if (json.getValue(field) == null) null else string(field)
 
-        fun boolean(field: String) = json.getValue(field) as? Boolean ?: throw InvalidSubmissionException(field, "true or false is needed")
+        fun boolean(field: String) = json.getValue(field) as? Boolean ?: throw InvalidSubmissionException(field, "must be true or false")
 
         fun nonNegative(field: String): Double {
             val value = (json.getValue(field) as? Number)?.toDouble()
             return value?.takeIf { it.isFinite() && it in 0.0..MAX_AMOUNT }
-                ?: throw InvalidSubmissionException(field, "a number from 0 to ${MAX_AMOUNT.toLong()} is needed")
+                ?: throw InvalidSubmissionException(field, "must be a number from 0 to ${MAX_AMOUNT.toLong()}, was ${value ?: "no number"}")
         }
 
-        fun positive(field: String) = nonNegative(field).also { if (it <= 0.0) throw InvalidSubmissionException(field, "must be above 0") }
+        fun positive(field: String) =
+            nonNegative(field).also { if (it <= 0.0) throw InvalidSubmissionException(field, "must be above 0, was $it") }
 
         fun durationUs(field: String) = (nonNegative(field) * SECOND).toLong()
 
@@ -112,23 +117,23 @@
             val value = json.getValue(field) as? Number
             val number = value?.toDouble()
             if (number == null || number != Math.rint(number) || number < min || number > max) {
-                throw InvalidSubmissionException(field, "a whole number from $min to $max is needed")
+                throw InvalidSubmissionException(field, "must be a whole number from $min to $max, was ${number ?: "no number"}")
             }
             return number.toInt()
         }
 
         fun jobIds(field: String): List<String> {
             val value = json.getValue(field) ?: return emptyList()
-            val array = value as? JsonArray ?: throw InvalidSubmissionException(field, "a list of job ids or null is needed")
-            if (array.any { it !is String || !isValidId(it) }) throw InvalidSubmissionException(field, "a job id has the form j-NUMBER")
+            val array = value as? JsonArray ?: throw InvalidSubmissionException(field, "must be a list of job ids or null")
+            if (array.any { it !is String || !isValidId(it) }) throw InvalidSubmissionException(field, "ids must have the form j-NUMBER")
             return array.map { it as String }.distinct()
         }
 
         fun stringList(field: String): List<String>? {
             val value = json.getValue(field) ?: return null
-            val array = value as? JsonArray ?: throw InvalidSubmissionException(field, "a list of texts or null is needed")
-            if (array.size() > MAX_LIST_SIZE) throw InvalidSubmissionException(field, "at most $MAX_LIST_SIZE are allowed")
-            return array.map { it as? String ?: throw InvalidSubmissionException(field, "a list of texts or null is needed") }
+            val array = value as? JsonArray ?: throw InvalidSubmissionException(field, "must be a list of strings or null")
+            if (array.size() > MAX_LIST_SIZE) throw InvalidSubmissionException(field, "at most $MAX_LIST_SIZE entries, was ${array.size()}")
+            return array.map { it as? String ?: throw InvalidSubmissionException(field, "must be a list of strings or null") }
         }
     }
 
