--- a/src/test/kotlin/lichenstage/jobs/DependencyCancellationTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/DependencyCancellationTest.kt
@@ -13,16 +13,16 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
-/** Jobs that others depend on are cancelled while those are submitted and asked about. */
+/** Guards against dependents that stay open after a cancellation which falls between their submissions and the requests of users. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class DependencyCancellationTest : JobsActorFixture() {
     /**
-     * A pipeline of four (a diamond), submitted one after the other through any controller, the first of which is called off at some
-     * moment, also between two submissions: from a while after, no controller calls one of the others anything else, and no answer
-     * goes back.
+     * The four jobs of a diamond are submitted one after the other, each through any controller. The first job is cancelled at some moment,
+     * possibly between two submissions. In requests from 20 seconds after the cancellation on, no controller may report any of the jobs as
+     * open. No reply may revert a final status, and in the end all four jobs must be cancelled.
      */
     @Property(tries = 60, seed = "6")
-    fun `with a job all that need it are cancelled, in whatever order words come`(
+    fun `all dependents of a cancelled job are cancelled whatever the order of messages`(
         @ForAll seed: Long,
     ) = runTest {
         val random = Random(seed)
@@ -46,9 +46,9 @@
             if (reply.status >= 500) return
             val status = reply.body.getString("status") ?: "${reply.status}"
             if (reply.status !in listOf(200, 201)) violations += "$id: ${reply.status} ${reply.body}"
-            endStatuses[id]?.let { if (status != it) violations += "$id: went back from $it to $status" }
+            endStatuses[id]?.let { if (status != it) violations += "$id: status changed from final $it to $status" }
             if (status == "done" || status == "cancelled") endStatuses[id] = status
-            if (status in listOf("pending", "running") && requestedAtMs - 20_000 > cancelledAtMs) violations += "$id: $status long after"
+            if (status in listOf("pending", "running") && requestedAtMs - 20_000 > cancelledAtMs) violations += "$id: still $status"
         }
         coroutineScope {
             launch {
@@ -85,10 +85,8 @@
         }
         if (endStatuses["j-1"] == "cancelled") {
             (2..4).forEach {
-                if (endStatuses["j-$it"] !=
-                    "cancelled"
-                ) {
-                    violations += "j-$it is ${endStatuses["j-$it"]} though j-1 is cancelled"
+                if (endStatuses["j-$it"] != "cancelled") {
+                    violations += "j-$it is ${endStatuses["j-$it"]} although j-1 is cancelled"
                 }
             }
         }
--- a/src/test/kotlin/lichenstage/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/DependencyGraphTest.kt
@@ -8,10 +8,14 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
+/** The dependency graph derives readiness and cancellations only from records, in whatever order these become known. */
 class DependencyGraphTest {
-    /** Found by the simulated world: after an outage longer than cancel_s a waiting job was called pending at that moment. */
+    /**
+     * Guards against a waiting job that is reported as pending between the time when a dependency is known to have ended and the time when
+     * its outcome is known. The simulated cluster found this after an outage longer than `cancel_s`.
+     */
     @Example
-    fun `between the word that a job has ended and the word how, nothing is said of what waits for it`() {
+    fun `the dependents of an ended job have an unknown state until its outcome is known`() {
         val dependencyGraph = DependencyGraph()
         dependencyGraph.onJobOpened("j-1", emptyList())
         dependencyGraph.onJobOpened("j-2", listOf("j-1"))
@@ -28,13 +32,16 @@
         assertEquals(listOf(Readiness.CANCELLED, Readiness.CANCELLED), readiness().drop(1)) { "${readiness()}" }
     }
 
-    /** Found by the simulated world: a job that was submitted right after an outage was called pending although its chain was cancelled. */
+    /**
+     * Guards against a job that is reported as pending although its chain is cancelled. The simulated cluster found this for a job that was
+     * submitted right after an outage, when its own record was not known yet.
+     */
     @Example
-    fun `nothing is said of a job that the watch has not brought, where what it needs has ended before`() {
+    fun `a job whose record is not known yet has an unknown state if its dependency has ended`() {
         val dependencyGraph = DependencyGraph()
         dependencyGraph.onJobOpened("j-1", emptyList())
         dependencyGraph.onJobOpened("j-2", listOf("j-1"))
-        assertEquals(Readiness.WAITING, dependencyGraph.readiness("j-3", listOf("j-2"))) { "it can wait" }
+        assertEquals(Readiness.WAITING, dependencyGraph.readiness("j-3", listOf("j-2"))) { "must be waiting while its dependency is open" }
         dependencyGraph.onJobClosed("j-2")
         assertEquals(
             Readiness.UNKNOWN,
@@ -48,9 +55,12 @@
         ) { "${dependencyGraph.readiness("j-3", listOf("j-2"))}" }
     }
 
-    /** Jobs that need any that came before; ends become known, and how they ended, in any order. A simple model says what follows. */
+    /**
+     * Jobs depend on any earlier jobs. Ends and outcomes become known in any order. After each step, the graph must agree with a simple
+     * model.
+     */
     @Property(tries = 300, seed = "23")
-    fun `who is ready and who is orphaned follows from what is recorded`(
+    fun `readiness and orphans follow from the records alone`(
         @ForAll seed: Long,
     ) {
         val random = Random(seed)
@@ -81,7 +91,7 @@
                     if (openJobs.isNotEmpty()) {
                         val job = openJobs.toList()[random.nextInt(openJobs.size)]
                         openJobs -= job
-                        // Only what has all that it needs can be done.
+                        // A job can only be done if all its dependencies are done.
                         isDoneByJob[job] = random.nextInt(3) > 0 && dependencies.getValue(job).all { isDoneByJob[it] == true }
                         dependencyGraph.onJobClosed(job)
                     }
@@ -89,15 +99,15 @@
 
                 else -> {
                     for (job in dependencyGraph.findUnresolved(random.nextInt(3))) {
-                        assertTrue(job in isDoneByJob) { "asks how $job ended, which is open" }
+                        assertTrue(job in isDoneByJob) { "$job is unresolved but open" }
                         resolvedJobs += job
                         dependencyGraph.onOutcomeRecorded(job, outcome(isDoneByJob.getValue(job), step.toLong()))
                     }
                 }
             }
-            // What nobody waits for is looked up by nobody, and forgotten.
+            // The graph forgets outcomes that no open job depends on.
             resolvedJobs.removeIf { done -> openJobs.none { done in dependencies.getValue(it) } }
-            // Once orphaned, always: what it needs may be recorded as cancelled later without being looked up.
+            // A job stays orphaned after its orphaned dependency is closed, even if the outcome of that dependency is never read.
             orphans += openJobs.filter(::hasCancelledDependency)
             orphans.retainAll(openJobs)
             assertEquals(
@@ -112,11 +122,13 @@
         while (dependencyGraph.findUnresolved(10).isNotEmpty()) {
             dependencyGraph.findUnresolved(10).forEach { dependencyGraph.onOutcomeRecorded(it, outcome(isDoneByJob.getValue(it), 0)) }
         }
-        openJobs.forEach { job -> assertTrue(dependencies.getValue(job).all { it in openJobs || it in isDoneByJob }) { "lost" } }
+        openJobs.forEach { job ->
+            assertTrue(dependencies.getValue(job).all { it in openJobs || it in isDoneByJob }) { "$job depends on an unknown job" }
+        }
     }
 
     @Example
-    fun `a change costs by who waits for it, in chains of thousands and fans of thousands`() {
+    fun `a change affects only the dependents of its job in chains and fans of thousands of jobs`() {
         val dependencyGraph = DependencyGraph()
         repeat(5000) { dependencyGraph.onJobOpened("j-$it", if (it == 0) emptyList() else listOf("j-${it - 1}")) }
         repeat(5000) { dependencyGraph.onJobOpened("j-1$it-f", listOf("j-0")) }
@@ -125,17 +137,19 @@
         dependencyGraph.onOutcomeRecorded("j-0", JobOutcome(EndStatus.CANCELLED, endedAtUs = null))
         assertEquals(9999, dependencyGraph.findOrphans(20_000).size) { "${dependencyGraph.findOrphans(20_000).size}" }
         dependencyGraph.onJobClosed("j-1")
-        assertEquals(9998, dependencyGraph.findOrphans(20_000).size) { "an end changes others" }
+        assertEquals(9998, dependencyGraph.findOrphans(20_000).size) { "the end of one orphan must remove only that orphan" }
     }
 
     @Example
-    fun `the times count from the last record, where one says when`() {
+    fun `a job is ready since the latest recorded time of its dependencies`() {
         val dependencyGraph = DependencyGraph()
         dependencyGraph.onJobOpened("j-3", listOf("j-1", "j-2"))
         dependencyGraph.onOutcomeRecorded("j-1", JobOutcome(EndStatus.DONE, endedAtUs = 70))
-        assertNull(dependencyGraph.readySinceUs(listOf("j-1", "j-2"))) { "one is not done" }
+        assertNull(dependencyGraph.readySinceUs(listOf("j-1", "j-2"))) { "one dependency is not done" }
         dependencyGraph.onOutcomeRecorded("j-2", JobOutcome(EndStatus.DONE, endedAtUs = null))
-        assertTrue(dependencyGraph.readySinceUs(listOf("j-1", "j-2")) == 70L && dependencyGraph.readySinceUs(emptyList()) == 0L) { "when" }
+        assertTrue(dependencyGraph.readySinceUs(listOf("j-1", "j-2")) == 70L && dependencyGraph.readySinceUs(emptyList()) == 0L) {
+            "must be the latest recorded time, or 0 without dependencies"
+        }
     }
 
     private fun outcome(
--- a/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
@@ -18,6 +18,7 @@
 import java.util.BitSet
 import java.util.Random
 
+/** Submissions, job records and completed task ranges are encoded and decoded without loss and within their size limits. */
 class JobFormatsTest {
     private fun submission() =
         JsonObject(
@@ -36,16 +37,19 @@
         }
 
     @Example
-    fun `a submission as the protocol shows it is read, unknown fields and all`() {
+    fun `a submission as documented by the protocol is decoded and its unknown fields are ignored`() {
         val spec = SubmissionCodec.decode(submission(), 7)
         assertTrue(spec.id == "j-000412" && spec.tasks == 16 && spec.resources == Resources(8.0, 1.0, 64.0)) { "$spec" }
         assertTrue(spec.deadlineUs == 900_000_000L && spec.estimatedRunTimeUs == 240_000_000L && spec.submittedUs == 7L) { "$spec" }
         assertTrue(spec.allowedTypes == listOf("g8") && spec.zone == null && spec.sameZone && spec.spot) { "$spec" }
     }
 
-    /** What does not fit is left for a later record; what fits is never less than before, nor more than is done. */
+    /**
+     * Tasks that do not fit are left for a later record. The recorded tasks must all be completed tasks. They must be more than half of
+     * these if at least 3 percent of the tasks are completed.
+     */
     @Property(tries = 100, seed = "31")
-    fun `done tasks are recorded as far as a small value holds them`(
+    fun `completed tasks are truncated to what a small value holds`(
         @ForAll @IntRange(min = 1, max = 100) percent: Int,
         @ForAll seed: Long,
     ) {
@@ -54,14 +58,16 @@
         for (i in 0 until CompletedTaskRanges.TASKS_PER_CHUNK) if (random.nextInt(100) < percent) done.set(i)
         val fitting = CompletedTaskRanges.truncateToFit(done, 0, 2048)
         val text = CompletedTaskRanges.encode(fitting, 0).encode()
-        assertTrue(text.length <= 2048) { "$percent percent take ${text.length}" }
+        assertTrue(text.length <= 2048) { "$percent percent of the tasks take ${text.length} characters" }
         val read = BitSet().also { CompletedTaskRanges.decode(JsonObject(text), 0, it) }
-        assertTrue(read == fitting && (fitting.clone() as BitSet).apply { andNot(done) }.isEmpty) { "not what is done" }
-        assertTrue(fitting.cardinality() * 2 > done.cardinality() || percent < 3) { "${fitting.cardinality()} of ${done.cardinality()}" }
+        assertTrue(read == fitting && (fitting.clone() as BitSet).apply { andNot(done) }.isEmpty) { "tasks that are not completed" }
+        assertTrue(fitting.cardinality() * 2 > done.cardinality() || percent < 3) {
+            "only ${fitting.cardinality()} of ${done.cardinality()} tasks recorded"
+        }
     }
 
     @Example
-    fun `what may be null may be left out`() {
+    fun `fields that may be null may be missing`() {
         val json = submission()
         listOf("builds", "yard", "due_s").forEach { json.remove(it) }
         val spec = SubmissionCodec.decode(json, 0)
@@ -69,7 +75,7 @@
     }
 
     @Property(tries = 300, seed = "4711")
-    fun `every wrong value is refused with the name of its field`(
+    fun `every invalid value is refused with the name of its field`(
         @ForAll("wrongField") wrongField: Pair<String, Any?>,
     ) {
         val json = submission().put(wrongField.first, wrongField.second)
@@ -101,7 +107,7 @@
     }
 
     @Property(tries = 200, seed = "4712")
-    fun `a record gives back the job it was made from`(
+    fun `a decoded record equals the job that was encoded`(
         @ForAll("specs") spec: JobSpec,
     ) {
         val read = JobRecordCodec.decode(JsonObject(JobRecordCodec.encode(spec).encode()))
@@ -137,7 +143,7 @@
     }
 
     @Property(tries = 150, seed = "4713")
-    fun `done ranges give back any pattern and fit a value`(
+    fun `any pattern of completed tasks survives encoding and fits a value`(
         @ForAll @IntRange(min = 1, max = 100_000) tasks: Int,
         @ForAll seed: Long,
     ) {
@@ -148,7 +154,7 @@
         val read = BitSet()
         for (chunk in 0 until CompletedTaskRanges.chunkCount(tasks)) {
             val text = CompletedTaskRanges.encode(done, chunk).encode()
-            assertTrue(text.length < 4 * 1024) { "chunk $chunk of $tasks takes ${text.length}" }
+            assertTrue(text.length < 4 * 1024) { "chunk $chunk of $tasks tasks takes ${text.length} characters" }
             CompletedTaskRanges.decode(JsonObject(text), chunk, read)
         }
         assertEquals(done, read) { "$tasks tasks, seed $seed" }
--- a/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
@@ -9,6 +9,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
+/** A replica may call itself current only while it knows every end that users were told of longer ago than its maximum staleness. */
 class JobReplicaTest {
     private fun replica(
         incarnation: Long,
@@ -16,11 +17,12 @@
     ) = JobReplica(incarnation, peers.toSet(), MAX_STALENESS_US)
 
     /**
-     * One that can't read asks two that can; answers are lost, late and repeated, and a process of them is followed by another. Whenever
-     * it holds itself for current, it knows every end that a user had been told of longer than the bound ago.
+     * Guards against a current replica that lacks an end. A controller that cannot read the state service sends requests to two controllers
+     * that can. Their replies are lost, late or repeated, and their processes are replaced by new ones. Whenever the replica is current, it
+     * must know every end that a user was told of more than [MAX_STALENESS_US] ago.
      */
     @Property(tries = 400, seed = "91")
-    fun `who is current knows what users were told`(
+    fun `a current replica knows the ends that users were told of`(
         @ForAll seed: Long,
     ) {
         val random = Random(seed)
@@ -66,12 +68,12 @@
             }
             if (!asker.isCurrent(nowUs)) return@repeat
             val unknownEnds = toldEnds.filter { (job, at) -> at < nowUs - MAX_STALENESS_US && !asker.hasEnded(job, 0) }
-            assertTrue(unknownEnds.isEmpty()) { "seed $seed step $step: not known: ${unknownEnds.take(3)}" }
+            assertTrue(unknownEnds.isEmpty()) { "seed $seed step $step: unknown ends: ${unknownEnds.take(3)}" }
         }
     }
 
     @Example
-    fun `word of all others keeps it current, word of some does not`() {
+    fun `replies of all other controllers keep a replica current and replies of some do not`() {
         val asker = replica(1, "a", "b").apply { replaceAll(emptyMap(), 100, 0) }
         val (a, b) = List(2) { replica(2L + it, "asker").apply { replaceAll(emptyMap(), 90, 0) } }
         for (second in 1L..60) {
@@ -83,30 +85,32 @@
     }
 
     @Example
-    fun `a task is not taken for over because its job is newer than what was read`() {
+    fun `a job that is newer than the last read does not count as ended`() {
         val replica = replica(1).apply { replaceAll(mapOf("j-1" to 5L), 10, 100) }
         assertTrue(!replica.hasEnded("j-1", 50) && !replica.hasEnded("j-2", 200) && replica.hasEnded("j-2", 50)) {
-            "only what a later read does not find is over"
+            "only a job that a later read does not find has ended"
         }
         replica.applyChanges(mapOf("j-2" to 11L), mapOf("j-1" to 12L), 12, 300)
-        assertTrue(replica.hasEnded("j-1", 400) && !replica.hasEnded("j-2", 200)) { "the watch says otherwise" }
+        assertTrue(replica.hasEnded("j-1", 400) && !replica.hasEnded("j-2", 200)) { "the changes of the watch are not applied" }
     }
 
     @Example
-    fun `a single controller is as stale as its last read`() {
+    fun `the replica of a single controller is as old as its last read`() {
         val alone = replica(1)
-        assertFalse(alone.isCurrent(0)) { "current before anything was read" }
+        assertFalse(alone.isCurrent(0)) { "current before the first read" }
         alone.replaceAll(emptyMap(), 1, SECOND)
-        assertTrue(alone.isCurrent(SECOND + MAX_STALENESS_US) && !alone.isCurrent(2 * SECOND + MAX_STALENESS_US)) { "not as of its read" }
+        assertTrue(alone.isCurrent(SECOND + MAX_STALENESS_US) && !alone.isCurrent(2 * SECOND + MAX_STALENESS_US)) {
+            "age does not count from the last read"
+        }
     }
 
     @Example
-    fun `the bound leaves a lease and some room within the time of a cancellation`() {
+    fun `the maximum staleness leaves time for a lease and a margin within the cancellation limit`() {
         for ((cancelS, leaseS) in listOf(46L to 26L, 47L to 17L, 60L to 15L)) {
             val maxStalenessUs = JobReplica.maxStalenessUs(cancelS * SECOND, leaseS * SECOND)
             assertTrue(
                 maxStalenessUs > 10 * SECOND && maxStalenessUs + leaseS * SECOND * 1.0005 + 2 * SECOND < cancelS * SECOND,
-            ) { "$cancelS, $leaseS: $maxStalenessUs" }
+            ) { "cancelS=$cancelS leaseS=$leaseS: $maxStalenessUs" }
         }
     }
 
--- a/src/test/kotlin/lichenstage/jobs/JobsActorFixture.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobsActorFixture.kt
@@ -17,9 +17,10 @@
 import lichenstage.state.KeyValueStore
 import java.util.Random
 
-/** Controllers that answer users from one state service. */
+/** Creates controllers that reply to users from one shared state service. */
 @OptIn(ExperimentalCoroutinesApi::class)
 abstract class JobsActorFixture {
+    /** Creates the actor of a controller that has its own, possibly late, view of the open jobs in [store]. */
     internal fun actor(
         store: KeyValueStore,
         scope: CoroutineScope,
@@ -44,7 +45,7 @@
         )
     }
 
-    /** As the feed does it, but late: now and then nothing is heard for seconds. */
+    /** Follows the store as [JobReplicaSync] does, but late: now and then no change arrives for 8 seconds. */
     private suspend fun followStore(
         store: UnreliableStore,
         replica: JobReplica,
@@ -64,13 +65,14 @@
         }
     }
 
+    /** Sends a user's request to a controller. Returns null if no reply arrives in time. */
     internal suspend fun JobsActor.ask(
         verb: UserVerb,
         text: String,
     ): Reply? {
         val reply = CompletableDeferred<Reply>()
         tell(JobsMessage.UserRequest(verb, text) { reply.complete(it) })
-        // As users do: an answer that comes later is not heard.
+        // Users give up after 5 seconds; a later reply is ignored.
         return withTimeoutOrNull(5000) { reply.await() }
     }
 }
--- a/src/test/kotlin/lichenstage/jobs/OpenRecordCheckTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/OpenRecordCheckTest.kt
@@ -11,11 +11,14 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Thousands of polls are answered by few requests, each as the state service has it. */
+/** Guards against one request per poll: thousands of polls must be checked by a few requests, with the result of the state service. */
 class OpenRecordCheckTest {
     private var requests = 0
 
-    /** Asks about jobs 0 until [count]; those in [deleted] are over. The service names [maxNamedKeys] of the failed keys. */
+    /**
+     * Checks the jobs with numbers below [count], of which those in [deleted] have ended. The state service names at most [maxNamedKeys] of
+     * the failed keys.
+     */
     private fun check(
         count: Int,
         deleted: Set<Int>,
@@ -32,19 +35,19 @@
         }
 
     @Example
-    fun `a thousand polls take a few requests`() {
+    fun `a thousand polls are checked by at most eight requests`() {
         val states = check(1000, emptySet(), 0)
         assertTrue(states.all { it == RecordState.OPEN }) { "not all open" }
         assertTrue(requests <= 8) { "$requests requests" }
     }
 
     @Example
-    fun `more than can wait are turned away at once`() {
-        assertEquals(500, check(1500, emptySet(), 0).count { it == RecordState.UNKNOWN }) { "held back" }
+    fun `checks above the limit of pending checks return unknown at once`() {
+        assertEquals(500, check(1500, emptySet(), 0).count { it == RecordState.UNKNOWN }) { "500 of 1500 checks must be refused" }
     }
 
     @Property(tries = 100, seed = "2212")
-    fun `nothing that is over is called open, whether or not all failed keys are named`(
+    fun `a deleted record never counts as open even if only some failed keys are named`(
         @ForAll drawnNumbers: Set<Int>,
         @ForAll areAllNamed: Boolean,
     ) {
--- a/src/test/kotlin/lichenstage/jobs/RepeatedRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/RepeatedRequestsTest.kt
@@ -13,12 +13,12 @@
 import java.util.Random
 
 /**
- * Three controllers share a state service that is slow, refuses, gives no answer and carries such transactions out late: users repeat
- * submissions, ask and cancel while the last task ends.
+ * Guards against contradictory replies about a job. Three controllers share a state service that is slow, refuses requests, sends no
+ * reply, and applies transactions without a reply late. Users repeat submissions, request the state and cancel while the last task ends.
  */
 @OptIn(ExperimentalCoroutinesApi::class)
 class RepeatedRequestsTest : JobsActorFixture() {
-    /** One user with one job, who asks through any controller and notes what can't be. */
+    /** A user with one job, who sends requests to any controller and records impossible replies in [violations]. */
     private class User(
         private val n: Int,
         private val random: Random,
@@ -35,13 +35,13 @@
         suspend fun run() =
             coroutineScope {
                 val text = submission(n, 2, "red", 5.0).encode()
-                var reply = request(UserVerb.SUBMIT, text)
-                while (reply?.status !in listOf(200, 201)) {
-                    if (reply != null && reply.status < 500) violations += "$id: accepted late or never: ${reply.status}"
+                var submitReply = request(UserVerb.SUBMIT, text)
+                while (submitReply?.status !in listOf(200, 201)) {
+                    if (submitReply != null && submitReply.status < 500) violations += "$id: submission refused with ${submitReply.status}"
                     delay(1000)
-                    reply = request(UserVerb.SUBMIT, text)
+                    submitReply = request(UserVerb.SUBMIT, text)
                 }
-                checkReply(reply!!)
+                checkReply(submitReply!!)
                 launch {
                     delay(random.nextLong(30_000))
                     isFinishRequested = true
@@ -63,14 +63,9 @@
                 repeat(12) {
                     delay(1000 + random.nextLong(5000))
                     val verb = if (random.nextInt(3) == 0) UserVerb.SUBMIT else UserVerb.SHOW
-                    // A repeat may look in any way: the job is known.
+                    // A repeated submission may be malformed, because the job already exists.
                     val changedSubmission =
-                        submission(
-                            n,
-                            2,
-                            "red",
-                            5.0,
-                        ).apply { remove(listOf("parts", "bundle", "loaners", "x").random(random)) }
+                        submission(n, 2, "red", 5.0).apply { remove(listOf("parts", "bundle", "loaners", "x").random(random)) }
                     request(verb, if (verb == UserVerb.SUBMIT) changedSubmission.encode() else id)?.let(::checkReply)
                 }
             }
@@ -84,20 +79,20 @@
 
         private fun checkReply(reply: Reply) {
             if (reply.status >= 500) {
-                if (reply.retryAfterS == null) violations += "$id: ${reply.status} does not say when to come again"
+                if (reply.retryAfterS == null) violations += "$id: ${reply.status} without Retry-After"
                 return
             }
             val status = reply.body.getString("status")
-            if (reply.status !in listOf(200, 201)) violations += "$id: forgotten, ${reply.status} ${reply.body}"
-            if (status == "done" && !isFinishRequested) violations += "$id: done too early"
-            if (status == "cancelled" && !isCancelRequested) violations += "$id: cancelled by nobody"
-            if (endStatus != null && status != endStatus) violations += "$id: went back from $endStatus to $status"
+            if (reply.status !in listOf(200, 201)) violations += "$id: accepted job not found: ${reply.status} ${reply.body}"
+            if (status == "done" && !isFinishRequested) violations += "$id: done before its last task ended"
+            if (status == "cancelled" && !isCancelRequested) violations += "$id: cancelled without a request"
+            if (endStatus != null && status != endStatus) violations += "$id: status changed from final $endStatus to $status"
             if (status == "done" || status == "cancelled") endStatus = status
         }
     }
 
     @Property(tries = 60, seed = "5")
-    fun `however transactions end, users hear one story`(
+    fun `replies about a job are consistent whatever the outcome of the transactions`(
         @ForAll seed: Long,
     ) = runTest {
         val random = Random(seed)
--- a/src/test/kotlin/lichenstage/jobs/SubmissionRefusalTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/SubmissionRefusalTest.kt
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
-/** Submissions that are refused, with the status and the field. */
+/** Submissions that can never be accepted are refused at once, with the status and the field. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class SubmissionRefusalTest : JobsActorFixture() {
     @Example
-    fun `names of jobs that were never accepted, too many and malformed ones are refused, others not`() =
+    fun `unknown, malformed and too many dependencies are refused and valid ones are accepted`() =
         runTest {
             val store = UnreliableStore(Random(1), backgroundScope)
             val actor = actor(store, backgroundScope)
@@ -51,11 +51,11 @@
             assertEquals(
                 listOf("j-10", "j-11"),
                 JobRecordCodec.decodeDependencies(store.entries.getValue("j/j-20").value),
-            ) { "named twice" }
+            ) { "a repeated dependency must be stored once" }
         }
 
     @Example
-    fun `what can't run or lacks a field is refused at once with the field, and what nobody submitted is unknown`() =
+    fun `a job that cannot run or lacks a field is refused with the field and a job never submitted is unknown`() =
         runTest {
             val store = UnreliableStore(Random(1), backgroundScope)
             val actor = actor(store, backgroundScope)
@@ -88,7 +88,7 @@
             assertTrue(
                 requestUntilDecided(UserVerb.SHOW, "j-1").status == 404 && requestUntilDecided(UserVerb.CANCEL, "j-1").status == 404,
             ) {
-                "not unknown"
+                "a job that was never accepted must be unknown"
             }
         }
 
--- a/src/test/kotlin/lichenstage/jobs/UnreliableStore.kt
+++ b/src/test/kotlin/lichenstage/jobs/UnreliableStore.kt
@@ -11,7 +11,7 @@
 import lichenstage.state.TransactionResult
 import java.util.Random
 
-/** A state service that is slow, refuses, gives no answer, and carries some transactions out late or without saying so. */
+/** A state service that is slow, refuses requests, sends no reply, and applies some transactions late or without confirming them. */
 internal class UnreliableStore(
     private val random: Random,
     private val scope: CoroutineScope,
@@ -57,7 +57,10 @@
         }
     }
 
-    /** Records the job as done, as the leader does once all of its dependencies are recorded as done. False where it can't be. */
+    /**
+     * Records the job as done, as the leader does once all its dependencies are recorded as done. Returns false if the job is not open, a
+     * dependency is not done or the record has changed.
+     */
     fun finish(id: String): Boolean {
         val open = entries["j/$id"] ?: return false
         if (JobRecordCodec.decodeDependencies(open.value).any { entries["x/$it"]?.value?.getString("status") != "done" }) return false
