--- a/src/main/kotlin/lichenstage/jobs/DependencyGraph.kt
+++ b/src/main/kotlin/lichenstage/jobs/DependencyGraph.kt
@@ -5,7 +5,7 @@
     /** All dependencies of the job are done. */
     READY,
 
-    /** Some dependencies of the job are not done yet, but all of them still can be. */
+    /** Some dependencies of the job are not done yet. As far as is known, all of them can still be done. */
     WAITING,
 
     /** A direct or transitive dependency is cancelled. */
@@ -132,7 +132,7 @@
     /** Returns up to [limit] finished jobs whose outcome has to be read. */
     fun findUnresolved(limit: Int): List<String> = unresolvedJobs.take(limit)
 
-    /** Returns up to [limit] open jobs that have to be recorded as cancelled, dependencies before their dependents. */
+    /** Returns up to [limit] open jobs to record as cancelled. Each follows at least one of its cancelled or orphaned dependencies. */
     fun findOrphans(limit: Int): List<String> = orphanedJobs.take(limit)
 
     /** Returns whether a direct or transitive dependency of the open job is cancelled. */
--- a/src/main/kotlin/lichenstage/jobs/JobReplica.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplica.kt
@@ -182,10 +182,7 @@
     /** Returns the time as of which every end that a user had seen is known here; [Long.MIN_VALUE] if there is none. */
     private fun knownEndsAsOfUs(): Long {
         val peersAsOfUs =
-            peerLabels?.takeIf { revision >= 0 && it.isNotEmpty() }?.minOf {
-                peerProgress[it]?.completeAsOfUs
-                    ?: Long.MIN_VALUE
-            }
+            peerLabels?.takeIf { revision >= 0 && it.isNotEmpty() }?.minOf { peerProgress[it]?.completeAsOfUs ?: Long.MIN_VALUE }
         return maxOf(lastReadAtUs, peersAsOfUs ?: Long.MIN_VALUE)
     }
 
@@ -214,7 +211,10 @@
         knownEndsAsOfUs().takeIf { job in openRevisions && job !in endedJobs && it > Long.MIN_VALUE }
 
     companion object {
-        /** Allows for the delay until a worker's lease, once no longer renewed, has expired, and until a newly learned end is acted on. */
+        /**
+         * The margin for two delays: from the last reply to a worker until its lease has expired, in excess of the lease, and from learning
+         * of an end until the process has acted on it.
+         */
         private const val LEASE_END_MARGIN_US = 3 * SECOND
         private const val MIN_STALENESS_US = 5 * SECOND
         private const val LAG_THRESHOLD_US = 4 * SECOND
--- a/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
+++ b/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
@@ -38,7 +38,7 @@
             } else {
                 SubmissionFields.ALLOWED_TYPES
             }
-        return OversizedField(field, "$field: must let the record fit $maxValueBytes bytes, was $recordBytes")
+        return OversizedField(field, "$field: the record must take at most $maxValueBytes bytes, was $recordBytes")
     }
 
     private fun encodedSize(spec: JobSpec) =
--- a/src/main/kotlin/lichenstage/placement/BlockedJobs.kt
+++ b/src/main/kotlin/lichenstage/placement/BlockedJobs.kt
@@ -33,10 +33,10 @@
     fun takeJobsToCancel(): List<Job> {
         if (isCancellationInFlight) return emptyList()
         val jobs =
-            dependencyGraph.findOrphans(maxCancellationsPerTransaction).mapNotNull { core.jobs[it] }.filter {
-                it.phase ==
-                    JobPhase.OPEN
-            }
+            dependencyGraph
+                .findOrphans(maxCancellationsPerTransaction)
+                .mapNotNull { core.jobs[it] }
+                .filter { it.phase == JobPhase.OPEN }
         isCancellationInFlight = jobs.isNotEmpty()
         return jobs
     }
