--- a/src/main/kotlin/lichenstage/drain/DisruptionBudget.kt
+++ b/src/main/kotlin/lichenstage/drain/DisruptionBudget.kt
@@ -2,49 +2,49 @@
 
 import kotlin.math.floor
 
-/** Hours of the day (UTC) from [startHour] up to, not including, [endHour]; over midnight where [startHour] is the later. */
+/** Hours of the day (UTC) from [startHour] until [endHour], exclusive. The range spans midnight if [startHour] is after [endHour]. */
 data class HourRange(
     val startHour: Int,
     val endHour: Int,
 ) {
-    /** The hour is one of them. */
+    /** Returns whether [hour] lies in the range. */
     operator fun contains(hour: Int) = if (startHour <= endHour) hour in startHour until endHour else hour >= startHour || hour < endHour
 }
 
-/** How much of a team's work drains may hold up at once. What is left out does not limit. */
+/** The limits on how much of a team's work drains may interrupt at once. A limit that is null or empty does not apply. */
 data class DisruptionBudget(
-    /** Jobs with interrupted tasks. */
+    /** Maximum number of jobs that have interrupted tasks. */
     val maxJobs: Int? = null,
-    /** Interrupted tasks, as a share of those that run or are interrupted. */
+    /** Maximum number of interrupted tasks, as a fraction of the team's running and interrupted tasks. */
     val maxTaskShare: Double? = null,
-    /** Outside of these nothing is interrupted. */
+    /** Hours in which drains may interrupt tasks; null allows all hours. */
     val allowedHours: HourRange? = null,
-    /** Classes of jobs whose tasks are never interrupted. */
+    /** Job classes whose tasks drains never interrupt. */
     val uninterruptibleClasses: Set<String> = emptySet(),
 )
 
-/** What the operators allow drains to do. */
+/** The operators' limits for drains. */
 data class DrainPolicy(
     val defaultBudget: DisruptionBudget = DisruptionBudget(maxJobs = 1),
     val budgetByTeam: Map<String, DisruptionBudget> = emptyMap(),
-    /** After so many replacements of one machine that came to nothing its drain pauses. */
+    /** Number of failed replacements of one machine after which its drain pauses. */
     val maxReplacementFailures: Int = 4,
 ) {
-    /** The budget of a team. */
+    /** Returns the budget of [team], or the default budget if the team has none of its own. */
     fun budgetOf(team: String) = budgetByTeam[team] ?: defaultBudget
 }
 
-/** What counts against a team's budget. */
+/** The interrupted jobs and tasks that count against a team's budget. */
 private class BudgetUsage {
     val jobs = HashSet<String>()
     var taskCount = 0
 }
 
 /**
- * Tracks how many tasks of each team are interrupted, whatever the cause, and decides whether one more may be.
+ * Decides whether drains may interrupt one more task, given all tasks that are interrupted already for any cause.
  *
- * [runningTasksByTeam] is the number of running tasks of each team, without the tasks that are about to be stopped. A share refers to
- * running and interrupted tasks together and is rounded down, so a small team may have no task that may be interrupted.
+ * [runningTasksByTeam] is the number of running tasks of each team, excluding tasks that are about to be stopped. A share applies to the
+ * running and interrupted tasks together and is rounded down, so drains may be unable to interrupt any task of a small team.
  */
 class BudgetTracker(
     private val policy: DrainPolicy,
@@ -54,7 +54,7 @@
 ) {
     private val usageByTeam = HashMap<String, BudgetUsage>()
 
-    /** Interrupting a task moves it from the one to the other, so this stays. */
+    /** Running plus interrupted tasks. Interrupting a task does not change the sum. */
     private val totalTasksByTeam: Map<String, Int>
 
     init {
@@ -72,7 +72,7 @@
         usage.taskCount++
     }
 
-    /** Counts the task as interrupted where its team's budget allows it; false where it does not. */
+    /** Counts [task] as interrupted and returns true if its team's budget allows that; returns false otherwise. */
     fun tryInterrupt(task: PlacedTask): Boolean {
         val budget = policy.budgetOf(task.team)
         val isForbidden = task.jobClass in budget.uninterruptibleClasses || budget.allowedHours?.contains(hour) == false
@@ -99,6 +99,7 @@
     }
 
     private companion object {
+        /** Keeps floating point errors from rounding an exact share down. */
         const val ROUNDING_TOLERANCE = 1e-9
     }
 }
--- a/src/main/kotlin/lichenstage/drain/DrainActionHandler.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainActionHandler.kt
@@ -5,24 +5,24 @@
 import lichenstage.state.ScanResult
 import lichenstage.state.SingleWriterKeys
 
-/** Carries out the actions of drains for the leader. */
+/** Executes the actions of drains on behalf of the leader. */
 interface DrainActionHandler {
-    /** Stops these tasks gracefully: with time to save a checkpoint where they can. */
+    /** Stops [tasks] gracefully. Tasks that can save a checkpoint get time to do so. */
     fun evict(tasks: List<PlacedTask>)
 
-    /** Provisions a machine like the one that [key] names; [DrainDriver.onReplacementProvisioned] is called with its name. */
+    /** Provisions a machine like [DrainKey.machine] of [key] and passes its name to [DrainDriver.onReplacementProvisioned]. */
     fun provisionReplacement(key: DrainKey)
 
-    /** Terminates a machine on which no task is left. */
+    /** Terminates [machine], which is an empty drained machine or a failed replacement. */
     fun terminate(machine: String)
 }
 
-/** How the driver reads and writes the records of drains: [scan] reads all keys with a prefix. */
+/** Access to the records of drains for [DrainDriver]. [scan] reads all keys with a prefix. */
 class DrainRecordAccess(
     val codec: DrainRecordCodec,
     val store: KeyValueStore,
     val singleWriterKeys: SingleWriterKeys,
-    /** The revision of the leadership's key: nothing is written but under it. */
+    /** Preconditions of every write: the key of the leadership still has the revision of this leader. */
     val leaderPreconditions: List<Precondition>,
     val maxTxnOps: Int,
     val scan: suspend (String) -> ScanResult,
--- a/src/main/kotlin/lichenstage/drain/DrainCommand.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCommand.kt
@@ -16,7 +16,7 @@
 import lichenstage.config.Settings
 import lichenstage.state.KeyValueStoreClient
 
-/** `lichenstage drain start|status|pause|resume|cancel`. */
+/** The command line interface for drains: `lichenstage drain start|status|pause|resume|cancel`. */
 class DrainCommand(
     private val readSettings: (String) -> Settings,
     private val print: (String) -> Unit,
@@ -25,24 +25,24 @@
     private val commandLine =
         CommandLineParser(
             "lichenstage drain start|status|pause|resume|cancel [NAME]",
-            "Empties machines in steps, within the disruption budgets of the teams.",
+            "Drains machines step by step within the disruption budgets of the teams.",
             maxOperands = 2,
-        ).value("config", "FILE", "The platform's settings file (JSON) of any controller.")
-            .value("machine", "NAMES", "Machines by name, separated by commas.")
-            .value("type", "TYPE", "Machines of this type.")
-            .value("zone", "ZONE", "Machines of this zone.")
-            .flag("spot", "Cheap machines.")
-            .flag("ordinary", "Ordinary machines.")
-            .value("hired-up-to", "NAME", "Machines that were hired no later than this one.")
-            .flag("all", "All machines, where nothing else selects.")
-            .flag("replace", "Each is followed by a fresh one.")
-            .value("at-most", "COUNT", "Machines at once (1).")
-            .value("deadline-s", "SECONDS", "Seconds from now; it is only reported whether it can be kept.")
-            .flag("dry-run", "Show what would be done, write nothing.")
+        ).value("config", "FILE", "Settings file (JSON) of any controller.")
+            .value("machine", "NAMES", "Select machines by name, separated by commas.")
+            .value("type", "TYPE", "Select machines of this type.")
+            .value("zone", "ZONE", "Select machines in this zone.")
+            .flag("spot", "Select spot machines.")
+            .flag("ordinary", "Select on-demand machines.")
+            .value("hired-up-to", "NAME", "Select machines provisioned no later than this one.")
+            .flag("all", "Select all machines. Required if no other option selects machines.")
+            .flag("replace", "Replace each machine with a new one before draining it.")
+            .value("at-most", "COUNT", "Maximum number of machines drained at once (default 1).")
+            .value("deadline-s", "SECONDS", "Deadline in seconds from now. Used only to report whether the drain is late.")
+            .flag("dry-run", "Show the steps without writing anything.")
             .flag("json", "Print JSON.")
             .flag("help", "Show this help.", short = "h")
 
-    /** What is asked for, checked as far as that goes without the state service. */
+    /** The arguments after the checks that need no state service. */
     private class Arguments(
         val settings: Settings,
         val subcommand: String,
@@ -50,7 +50,7 @@
         val parsed: ParsedArguments,
     )
 
-    /** The exit status: 2 where something can't be done as it was asked, 1 where the state service does not answer. */
+    /** Runs the command and returns the exit status: 0 on success, 1 if the state service is unavailable, 2 if the request is invalid. */
     fun run(args: List<String>): Int =
         try {
             val parsed = commandLine.parse(args)
@@ -69,9 +69,9 @@
         val subcommand = parsed.operands.firstOrNull().orEmpty()
         val name = parsed.operands.getOrNull(1)
         if (subcommand !in SUBCOMMANDS) throw InvalidArgumentsException("expected ${SUBCOMMANDS.joinToString()}, was \"$subcommand\"")
-        if (name == null && subcommand != STATUS) throw InvalidArgumentsException("the drain's name is needed")
-        if (subcommand == START && !hasSelection(parsed)) throw InvalidArgumentsException("machines are to be selected, or --all")
-        val config = parsed.text("config") ?: throw InvalidArgumentsException("--config FILE is needed")
+        if (name == null && subcommand != STATUS) throw InvalidArgumentsException("NAME: must be given for $subcommand")
+        if (subcommand == START && !hasSelection(parsed)) throw InvalidArgumentsException("machine selection: must be given, or use --all")
+        val config = parsed.text("config") ?: throw InvalidArgumentsException("--config: must be given")
         return Arguments(loadSettings(config), subcommand, name, parsed)
     }
 
@@ -147,7 +147,7 @@
 
     private fun maxConcurrent(parsed: ParsedArguments): Int {
         val machines = parsed.wholeNumber("at-most") ?: 1
-        if (machines > Int.MAX_VALUE) throw InvalidArgumentsException("--at-most: found $machines, too large")
+        if (machines > Int.MAX_VALUE) throw InvalidArgumentsException("--at-most: must be at most 2147483647, was $machines")
         return machines.toInt()
     }
 
@@ -174,7 +174,7 @@
             }
 
             DrainCommandResult.Unavailable -> {
-                printError("lichenstage drain: the state service does not answer, or the record has changed meanwhile; ask again")
+                printError("lichenstage drain: state service unavailable or records changed concurrently; retry the command")
                 return EXIT_UNAVAILABLE
             }
         }
@@ -189,7 +189,7 @@
         const val EXIT_INVALID_REQUEST = 2
         const val EXIT_UNAVAILABLE = 1
 
-        /** The part of the state service's changes that the command may use: leases and users come first. */
+        /** Fraction of the write rate that the command may use. Lease renewals and users' requests have priority. */
         const val STATE_WRITE_SHARE = 0.1
     }
 }
--- a/src/main/kotlin/lichenstage/drain/DrainCore.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCore.kt
@@ -3,58 +3,59 @@
 import kotlinx.collections.immutable.PersistentMap
 
 /**
- * The drains of one term of leadership. Plain code: it is shown the drains that were asked for and the cluster, and names what is to be
- * recorded; what rests on a record is done only once that is written (the state before counts until then).
+ * Decides on all drains during one term of leadership, without I/O.
  *
- * Guards against a leader that forgets an interruption: each is recorded before its task is stopped, so that whoever leads next counts it.
+ * [step] returns the next state to be recorded. The actions that follow from that state are returned by [onStateRecorded] after the state
+ * is written; until then the previous state applies. Because each interruption is recorded before its task is stopped, the next leader
+ * counts it against the budgets too.
  */
 class DrainCore(
     private val policy: DrainPolicy,
     private val view: DrainView,
     initialState: DrainState,
-    /** How many interruptions can be recorded. Half of them are for what fails by itself. */
+    /** Maximum number of interruptions that can be recorded. Half of them are reserved for failures that no drain causes. */
     private val maxInterruptions: Int,
 ) {
     private class PendingStep(
         val proposal: DrainProposal,
         val previousState: DrainState,
-        /** The new replacements that it takes account of. */
+        /** The unrecorded replacements that the proposal includes. */
         val includedReplacements: Map<DrainKey, String>,
     )
 
-    /** The state as it is recorded. */
+    /** The last recorded state. */
     var state = initialState
         private set
 
-    /** Drains as operators last requested them. */
+    /** Drains as last read from their records. */
     var drains: List<Drain> = emptyList()
         private set
     private var pendingStep: PendingStep? = null
 
-    /** Replacements that were requested and are not provisioned yet. */
+    /** Machines whose replacement is requested but not provisioned yet. */
     private val pendingProvisions = HashSet<DrainKey>()
 
-    /** Drains whose pause or finish was requested, until their records show it. */
+    /** Drains that this leader is pausing or finishing, until their records show the new status. */
     private val pendingStatusChanges = HashSet<String>()
 
     /**
-     * What has happened besides, to be recorded with the next steps as there is room. Bounded by the tasks that run: each is in it once,
-     * and only until it runs again. (It held 2,000 at the most, and a zone of some hundred machines lost more: what was left out was
-     * forgotten, and drains interrupted beside it.)
+     * Interruptions by failures, to be recorded in the next steps as far as the record has room. Each task is listed at most once and only
+     * until it runs again, so the number of tasks bounds the size. A fixed limit of 2,000 was too small: a zone of a few hundred machines
+     * lost more tasks, the interruptions over the limit were forgotten, and drains exceeded the budgets.
      */
     private val unrecordedFailures = LinkedHashMap<TaskId, Interruption>()
     private val unrecordedReplacements = HashMap<DrainKey, String>()
 
-    /** Some drain is running. */
+    /** Whether any drain is running. */
     val isActive get() = drains.any { it.status == DrainStatus.RUNNING }
 
-    /** Machines that get no more tasks. */
+    /** Machines that receive no new tasks. */
     val cordoned: Set<String> get() = machineNames { it.stage.isCordoned }
 
-    /** Replacements that have not started a task yet: they get one at a time. */
+    /** Replacements that have not started a task yet. They receive one task at a time. */
     val onProbation: Set<String> get() = replacementNames { it.stage == Stage.PREPARING }
 
-    /** Replacements of machines that are still there: the fleet has one machine too many for each. */
+    /** Replacements whose old machines still exist. The fleet has one surplus machine for each. */
     val surplusReplacements: Set<String> get() = replacementNames { !it.stage.isOver }
 
     private fun runningDrainNames() = drains.filter { it.status == DrainStatus.RUNNING }.mapTo(HashSet()) { it.name }
@@ -69,7 +70,7 @@
     private fun replacementNames(predicate: (DrainedMachine) -> Boolean) =
         activeMachines(predicate).mapNotNullTo(HashSet()) { it.replacement }
 
-    /** The drains as their records stand, with the machines of those that are new. */
+    /** Takes over [requestedDrains] as read from their records, and the [machines] of drains that are new. */
     fun updateDrains(
         requestedDrains: List<Drain>,
         machines: List<DrainedMachine>,
@@ -80,12 +81,12 @@
         if (newMachines.isNotEmpty()) state = state.copy(machines = state.machines.putAll(newMachines.associateBy { it.key }))
     }
 
-    /** A task that ran does not any more, and not for a drain. Counted only while there is a drain that it may hold up. */
+    /** Handles the interruption of a task by a failure. The interruption is counted only while a drain is running. */
     fun onTaskLost(interruption: Interruption) {
         if (isActive && interruption.task !in state.interruptions) unrecordedFailures[interruption.task] = interruption
     }
 
-    /** A replacement was provisioned. */
+    /** Handles the provisioning of [machine] as the replacement for the machine of [key]. */
     fun onReplacementProvisioned(
         key: DrainKey,
         machine: String,
@@ -94,7 +95,10 @@
         unrecordedReplacements[key] = machine
     }
 
-    /** The next state, to be recorded before anything else is done; null while one is being recorded, or nothing is to be done. */
+    /**
+     * Returns the next state, which must be recorded before any action. Returns null while another state is being recorded, while no drain
+     * is running, and while the leader does not know the tasks of every machine.
+     */
     fun step(
         nowUs: Long,
         hour: Int,
@@ -108,8 +112,8 @@
     }
 
     /**
-     * With what has happened since: tasks that run as another attempt, or are over, are no longer interrupted, and others are. A
-     * replacement's time begins when it was hired, however long that was refused.
+     * Returns [baseState] with the changes observed since: new replacements, ended interruptions and new failures. The wait for a
+     * replacement starts when its machine is provisioned, however long the cloud rejected the request before.
      */
     private fun withObservedChanges(
         baseState: DrainState,
@@ -120,7 +124,7 @@
             val machine = machines[key] ?: continue
             machines = machines.put(key, machine.copy(replacement = name, sinceUs = nowUs))
         }
-        // Room is made first: what waits to be recorded must not be passed over for a step.
+        // Ended interruptions are removed first, so that waiting failures find room in this step rather than the next.
         var interruptions = baseState.interruptions
         for (row in baseState.interruptions.values) if (row.isOver(view.execution(row.task))) interruptions = interruptions.remove(row.task)
         unrecordedFailures.values.removeAll { it.isOver(view.execution(it.task)) }
@@ -131,12 +135,12 @@
         return DrainState(machines, interruptions)
     }
 
-    /** The state of the last step is recorded, or could not be; returns what may be done now. */
+    /** Handles the result of recording the state of the last step. Returns the actions to execute now. */
     fun onStateRecorded(isRecorded: Boolean): List<DrainAction> {
         val completedStep = pendingStep ?: return emptyList()
         pendingStep = null
         if (!isRecorded) return emptyList()
-        // What was asked for meanwhile has come to the state before.
+        // Machines of drains that were requested during the write were added to the previous state.
         val newMachines = state.machines.filterKeys { it !in completedStep.previousState.machines }
         state =
             completedStep.proposal.state.copy(
@@ -149,6 +153,7 @@
         return completedStep.proposal.actions.filter(::registerRequest)
     }
 
+    /** Returns whether [action] must be executed now. Requests that are already pending are not repeated. */
     private fun registerRequest(action: DrainAction) =
         when (action) {
             is DrainAction.ProvisionReplacement -> action.key !in unrecordedReplacements && pendingProvisions.add(action.key)
@@ -157,7 +162,7 @@
             else -> true
         }
 
-    /** The status of a drain could not be written: the change is requested again. */
+    /** Handles a failed write of the status of [drain]. A later step requests the change again. */
     fun onStatusChangeFailed(drain: String) {
         pendingStatusChanges -= drain
     }
--- a/src/main/kotlin/lichenstage/drain/DrainDriver.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainDriver.kt
@@ -16,7 +16,7 @@
 import java.time.Instant
 import java.time.ZoneOffset
 
-/** Advances drains during one term of leadership: reads what operators requested, records each step, and has it carried out. */
+/** Advances drains during one term of leadership: reads the requests of operators, records each step and starts its actions. */
 class DrainDriver(
     private val policy: DrainPolicy,
     private val view: DrainView,
@@ -35,31 +35,31 @@
     private var lastReadUs = Long.MIN_VALUE / 2
     private var lastStepUs = Long.MIN_VALUE / 2
 
-    /** Keys of records that can't be read: each is logged once. */
+    /** Keys of unreadable records that were logged. Each key is logged once. */
     private val loggedUnreadableKeys = HashSet<String>()
 
-    /** The stamps of the drains' records as last read, for changes of them. */
+    /** Revisions of the drains' records as last read, by key. They are preconditions of status changes. */
     private val drainRevisions = HashMap<String, Long>()
 
-    /** Machines that get no more tasks. */
+    /** Machines that receive no new tasks. */
     val cordoned: Set<String> get() = core?.cordoned.orEmpty()
 
-    /** Machines that get one task at a time. */
+    /** Replacements that have not started a task yet. They receive one task at a time. */
     val onProbation: Set<String> get() = core?.onProbation.orEmpty()
 
     /** Machines that the fleet does not count as capacity. */
     val excludedFromCapacity: Set<String> get() = core?.let { it.cordoned + it.surplusReplacements }.orEmpty()
 
-    /** A machine was provisioned for a request of [DrainActionHandler.provisionReplacement]. */
+    /** Handles the provisioning of [machine] after a call of [DrainActionHandler.provisionReplacement]. */
     fun onReplacementProvisioned(
         key: DrainKey,
         machine: String,
     ) = core?.onReplacementProvisioned(key, machine) ?: Unit
 
-    /** A task that ran has stopped, whatever the cause. */
+    /** Handles the stop of a task that ran, whatever the cause. */
     fun onTaskStopped(interruption: Interruption) = core?.onTaskLost(interruption) ?: Unit
 
-    /** To be called regularly; [nowUs] is a time of the steady clock in microseconds. */
+    /** Reads the records and advances the drains if either is due. Must be called regularly. [nowUs] is a time of the steady clock. */
     fun step(nowUs: Long) {
         if (!isReading && nowUs - lastReadUs >= READ_INTERVAL_US) readRecords(nowUs)
         val drainCore = core ?: return
@@ -109,14 +109,14 @@
         }
     }
 
-    /** Changes the record of a drain as operators do, on the condition that it is as it was read. */
+    /** Writes a new status to the record of a drain, unless the record has changed since it was read. */
     private fun changeStatus(
         name: String,
         status: DrainStatus,
         reason: String?,
     ) {
         val drain = core?.drains?.firstOrNull { it.name == name } ?: return
-        log.info("Drain status changed drain={} status={} reason={}", name, status.name.lowercase(), reason ?: "none")
+        log.info("Drain status change requested drain={} status={} reason={}", name, status.name.lowercase(), reason ?: "none")
         val key = DrainRecordCodec.DRAIN_PREFIX + name
         val preconditions = recordAccess.leaderPreconditions + Precondition(key, drainRevisions[key] ?: Precondition.ABSENT)
         val change = Change.Put(key, recordAccess.codec.encode(drain.copy(status = status, reason = reason)))
@@ -126,7 +126,7 @@
         }
     }
 
-    /** Takes the result of something that this driver has started. */
+    /** Handles the result of an asynchronous read or write of this driver. */
     fun handle(message: DrainMessage) {
         when (message) {
             is DrainMessage.RecordsRead -> {
@@ -136,7 +136,7 @@
 
             is DrainMessage.StateRecorded -> {
                 isWriting = false
-                // Where that is not known, all is written again.
+                // After a failed write the recorded values are unknown, so the next step writes all of them.
                 recordedValues = if (message.isSuccess) recordedValues + message.writtenValues else emptyMap()
                 executeActions(message.isSuccess)
             }
@@ -152,16 +152,10 @@
         val pagesByDrain = pages.groupBy { it.key.removePrefix(DrainRecordCodec.MACHINE_PREFIX).substringBeforeLast('/') }
         val machinesByDrain = pagesByDrain.mapNotNull { (drain, drainPages) -> decodeMachinePages(drainPages)?.let { drain to it } }.toMap()
         if (core == null) initializeCore(entries, machinesByDrain)
-        val drains =
-            entries
-                .filter {
-                    it.key.startsWith(
-                        DrainRecordCodec.DRAIN_PREFIX,
-                    )
-                }.mapNotNull { decodeDrain(it, machinesByDrain) }
+        val drains = entries.filter { it.key.startsWith(DrainRecordCodec.DRAIN_PREFIX) }.mapNotNull { decodeDrain(it, machinesByDrain) }
         val drainCore = core ?: return
         val newDrains = drains.filter { drain -> drainCore.drains.none { it.name == drain.name } }
-        // Pages of a drain that is new here were written by the command: from now on they are this leader's.
+        // The drain command wrote the pages of a new drain. From now on only this leader writes them.
         for (drain in newDrains) {
             val drainPages = pagesByDrain[drain.name].orEmpty()
             recordAccess.singleWriterKeys.load(drainPages)
@@ -175,7 +169,7 @@
         machines: Map<String, List<DrainedMachine>>,
     ) {
         val pages = entries.filter { it.key.startsWith(DrainRecordCodec.INTERRUPTION_PREFIX) }
-        // Without these pages the interruptions in progress are unknown, so no more are started.
+        // If one of these pages is unreadable, the current interruptions are unknown, so no drain may start another.
         val interruptions = pages.map { page -> decodeOrNull(page) { recordAccess.codec.decodeInterruptions(it) } ?: return }
         recordAccess.singleWriterKeys.load(pages)
         recordedValues = pages.associate { it.key to it.value }
@@ -184,7 +178,7 @@
                 empty.copy(interruptions = empty.interruptions.putAll(interruptions.flatten().associateBy { it.task }))
             }
         core = DrainCore(policy, view, state, recordAccess.codec.maxInterruptions)
-        if (machines.isNotEmpty()) log.info("Drains found in records drains={}", machines.keys)
+        if (machines.isNotEmpty()) log.info("Drains loaded drains={}", machines.keys)
     }
 
     private fun decodeMachinePages(pages: List<Entry>): List<DrainedMachine>? =
@@ -206,11 +200,8 @@
         try {
             decode(entry)
         } catch (e: UnreadableRecordException) {
-            if (loggedUnreadableKeys.add(
-                    entry.key,
-                )
-            ) {
-                log.error("Drain record unreadable, the drain makes no progress key={} error={}", entry.key, e.message)
+            if (loggedUnreadableKeys.add(entry.key)) {
+                log.error("Drain record unreadable, affected drains make no progress key={} error={}", entry.key, e.message)
             }
             null
         }
--- a/src/main/kotlin/lichenstage/drain/DrainOperations.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainOperations.kt
@@ -14,8 +14,8 @@
 import lichenstage.state.UnreadableRecordException
 
 /**
- * The commands of operators. They only read and write records, on the precondition that these are as they were read, so it makes no
- * difference which controllers are up.
+ * The operators' commands for drains. They only read records and write them on the precondition that these have not changed since, so they
+ * do not depend on which controllers are running.
  */
 class DrainOperations(
     private val store: KeyValueStore,
@@ -24,11 +24,11 @@
     private val settings: Settings,
     private val timeOfDayUs: () -> Long,
 ) {
-    /** Records a drain, or shows what it would do. Idempotent: a repeat of the same request succeeds. */
+    /** Records a new drain, or returns its machines for a dry run. Idempotent: a repetition of the same request succeeds. */
     suspend fun start(request: DrainRequest): DrainCommandResult =
         toCommandResult {
-            if (!NAME.matches(request.name)) throw RejectedCommand("${request.name}: a name of letters, digits and dashes is needed")
-            if (request.maxConcurrent < 1) throw RejectedCommand("--at-most ${request.maxConcurrent}: at least 1 is needed")
+            if (!NAME.matches(request.name)) throw RejectedCommand("NAME: must be 1-60 letters, digits or dashes, was \"${request.name}\"")
+            if (request.maxConcurrent < 1) throw RejectedCommand("--at-most: must be at least 1, was ${request.maxConcurrent}")
             when (val existing = store.get(DrainRecordCodec.DRAIN_PREFIX + request.name)) {
                 is ReadResult.Found -> repeatStart(request, existing.entry)
                 ReadResult.NotFound -> startNew(request)
@@ -50,17 +50,17 @@
     ): DrainCommandResult {
         val existing = codec.decodeDrain(entry)
         if (existing.replace != request.replace || existing.maxConcurrent != request.maxConcurrent) {
-            throw RejectedCommand("${request.name}: there is a drain of this name with other options")
+            throw RejectedCommand("drain \"${request.name}\" already exists with different options")
         }
         return readStatus(request.name)
     }
 
-    /** The command can't be executed as it was given. */
+    /** The command is invalid or conflicts with the recorded drains. */
     private class RejectedCommand(
         reason: String,
     ) : Exception(reason)
 
-    /** The state service does not answer, or has changed meanwhile. */
+    /** The state service is unavailable, or a record has changed since it was read. */
     private class StateServiceUnavailable : Exception()
 
     private suspend fun toCommandResult(operation: suspend () -> DrainCommandResult): DrainCommandResult =
@@ -95,16 +95,16 @@
         val selectedZones = machines.filter { it in selection }.map { it.zone }.distinct()
         val emptiedZone = selectedZones.firstOrNull { zone -> zone in boundZones && machines.none { it.zone == zone && it !in selection } }
         return when {
-            unknownMachine != null -> "--machine $unknownMachine: no such machine is recorded"
-            selection.zone != null && selection.zone !in settings.zones -> "--zone ${selection.zone}: no zone of this deployment"
-            typeName != null && machines.none { it.typeName == typeName } -> "--type $typeName: no machine of this type is recorded"
-            selectedZones.isEmpty() -> "no recorded machine is selected"
+            unknownMachine != null -> "--machine: must be a registered machine, was \"$unknownMachine\""
+            selection.zone != null && selection.zone !in settings.zones -> "--zone: must be a configured zone, was \"${selection.zone}\""
+            typeName != null && machines.none { it.typeName == typeName } -> "--type: must have a registered machine, was \"$typeName\""
+            selectedZones.isEmpty() -> "no registered machine matches the selection"
             emptiedZone == null || request.replace -> null
-            else -> "--zone $emptiedZone: jobs are bound to it, and no machine would be left: --replace is needed"
+            else -> "--replace: must be given, jobs are bound to zone \"$emptiedZone\", which would be empty"
         }
     }
 
-    /** The machines first: the drain is there once its own record is. */
+    /** Records the machines first and the drain last: the drain exists only once its own record is written. */
     private suspend fun recordDrain(
         request: DrainRequest,
         machines: List<RegisteredMachine>,
@@ -133,7 +133,7 @@
         return readStatus(request.name)
     }
 
-    /** All drains, or the one of a [name]. */
+    /** Returns the status of the drain called [name], or of all drains if [name] is null. */
     suspend fun status(name: String?): DrainCommandResult = toCommandResult { readStatus(name) }
 
     private suspend fun readStatus(name: String?): DrainCommandResult {
@@ -143,13 +143,13 @@
                 it.key.startsWith(DrainRecordCodec.DRAIN_PREFIX) &&
                     (name == null || it.key == DrainRecordCodec.DRAIN_PREFIX + name)
             }
-        if (entries.isEmpty() && name != null) throw RejectedCommand("$name: there is no such drain")
+        if (entries.isEmpty() && name != null) throw RejectedCommand("drain \"$name\" does not exist")
         val pages = allEntries.filter { it.key.startsWith(DrainRecordCodec.MACHINE_PREFIX) }
         val state = codec.decodeState(pages, allEntries.filter { it.key.startsWith(DrainRecordCodec.INTERRUPTION_PREFIX) })
         return DrainCommandResult.Status(entries.map { DrainReport.create(codec.decodeDrain(it), state, timeOfDayUs()) })
     }
 
-    /** Pauses, resumes or cancels a drain. */
+    /** Pauses, resumes or cancels the drain called [name] by setting its status. */
     suspend fun changeStatus(
         name: String,
         status: DrainStatus,
@@ -157,7 +157,7 @@
         toCommandResult {
             when (val result = store.get(DrainRecordCodec.DRAIN_PREFIX + name)) {
                 is ReadResult.Found -> writeStatus(result.entry, status)
-                ReadResult.NotFound -> throw RejectedCommand("$name: there is no such drain")
+                ReadResult.NotFound -> throw RejectedCommand("drain \"$name\" does not exist")
                 ReadResult.Unavailable -> throw StateServiceUnavailable()
             }
         }
@@ -168,7 +168,7 @@
     ): DrainCommandResult {
         val drain = codec.decodeDrain(entry)
         val isOver = drain.status == DrainStatus.FINISHED || drain.status == DrainStatus.CANCELLED
-        if (isOver && drain.status != status) throw RejectedCommand("${drain.name}: it is ${drain.status.name.lowercase()}")
+        if (isOver && drain.status != status) throw RejectedCommand("drain \"${drain.name}\" is already ${drain.status.name.lowercase()}")
         if (drain.status != status) {
             val reason = if (status == DrainStatus.RUNNING) null else "by an operator"
             val put = Change.Put(entry.key, codec.encode(drain.copy(status = status, reason = reason)))
--- a/src/main/kotlin/lichenstage/drain/DrainPlanner.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainPlanner.kt
@@ -2,32 +2,32 @@
 
 import lichenstage.common.SECOND
 
-/** What a plan proposes: a state to be recorded, and what may be done once it is. */
+/** The result of one planning step: the state to record, and the actions to execute after it is recorded. */
 data class DrainProposal(
     val state: DrainState,
     val actions: List<DrainAction>,
 )
 
 /**
- * Decides what drains do next, on a copy of their state.
+ * Plans the next step of all drains on a copy of their state.
  *
- * A machine goes from stage to stage; the next one to begin with is the idle one, then the one whose tasks end soonest, then the one on
- * which least progress would be lost. Tasks are interrupted only where the budget of their team allows it beside all that is
- * interrupted already; tasks near their end are waited for. No deadline changes that.
+ * Each machine moves from stage to stage. Idle machines are drained first, then machines whose tasks end soonest, then machines that lose
+ * the least progress. A task is interrupted only if its team's budget allows that in addition to all current interruptions. Tasks that are
+ * about to end are left to finish. A deadline changes none of this.
  */
 class DrainPlanner(
     private val policy: DrainPolicy,
     private val view: DrainView,
     private val hour: Int,
     private val nowUs: Long,
-    /** As many interruptions as drains may add to, so that their records have room for what fails besides. */
+    /** Number of recorded interruptions at which drains stop adding more, so that the records have room for failures. */
     private val maxInterruptions: Int,
     private var state: DrainState,
 ) {
     private val actions = ArrayList<DrainAction>()
     private val tasksToEvict = ArrayList<PlacedTask>()
 
-    /** The next steps of these drains, the one that was asked for first before the others. */
+    /** Returns the next step of the running drains among [drains]. Drains are processed in the order of their requests. */
     fun planStep(drains: List<Drain>): DrainProposal {
         val running = drains.filter { it.status == DrainStatus.RUNNING }.sortedBy { it.requestedUs }
         running.forEach(::advanceMachines)
@@ -85,7 +85,7 @@
                 }
             }
 
-            // Where the return was not answered, it is asked for again.
+            // The outcome of an earlier request may be unknown, so each step requests the termination again until the machine is gone.
             Stage.EMPTIED -> {
                 actions += DrainAction.Terminate(machine.name)
             }
@@ -96,10 +96,16 @@
         }
     }
 
-    /** The cordon has reached every controller: a stopped task is not placed there again, and an empty machine stays empty. */
+    /**
+     * Returns whether the cordon has reached every controller. From then on, a stopped task is not placed on the machine again, and an empty
+     * machine stays empty.
+     */
     private fun isCordonEffective(machine: DrainedMachine) = nowUs - machine.sinceUs >= CORDON_PROPAGATION_US
 
-    /** A replacement that does not come up, is faulty or is lost is terminated, and another one is requested after a growing delay. */
+    /**
+     * Cordons the machine once its replacement is proven ([isProven]). A replacement that does not start, is faulty or is lost is
+     * terminated, and another one is requested after a growing delay.
+     */
     private fun checkReplacement(
         drain: Drain,
         machine: DrainedMachine,
@@ -138,7 +144,7 @@
             (condition != MachineCondition.HEALTHY && waitedUs > MAX_BOOT_US)
     }
 
-    /** It has completed a start; where there has been nothing to start for long, it is taken for good. */
+    /** Returns whether the replacement works: it runs a task, or it is healthy and no task was available to start for [IDLE_TRIAL_US]. */
     private fun isProven(
         replacement: String,
         waitedUs: Long,
@@ -148,7 +154,7 @@
 
     private fun backoffUs(failures: Int) = if (failures == 0) 0 else (INITIAL_BACKOFF_US shl minOf(failures - 1, MAX_BACKOFF_DOUBLINGS))
 
-    /** What another drain is emptying is left to it. */
+    /** Returns the machines that any of [drains] is processing. No other drain starts with them. */
     private fun machinesInProgress(drains: List<Drain>): Set<String> {
         val names = drains.mapTo(HashSet()) { it.name }
         return state.machines.values
@@ -156,7 +162,7 @@
             .mapTo(HashSet()) { it.name }
     }
 
-    /** Takes up as many more machines as may be on their way out at once. */
+    /** Starts draining waiting machines, up to [Drain.maxConcurrent] machines at once. */
     private fun startDraining(
         drain: Drain,
         machinesInProgress: Set<String>,
@@ -189,7 +195,7 @@
             .thenBy { it.name }
     }
 
-    /** Stops what the budgets of all teams allow on cordoned machines, the machine that was cordoned first before the others. */
+    /** Selects the tasks on cordoned machines that the budgets allow to interrupt. Machines are processed in the order of their cordons. */
     private fun interruptTasks(drains: List<Drain>) {
         val names = drains.mapTo(HashSet()) { it.name }
         val cordoned =
@@ -201,7 +207,7 @@
         cordoned.forEach { interruptTasksOn(it, budgetTracker) }
     }
 
-    /** Those left out of which the stop is announced, and may be on its way. */
+    /** Returns the number of running tasks of each team, without tasks that have a recorded interruption and may be stopping already. */
     private fun countRunningTasksByTeam(): Map<String, Int> {
         val taskCounts = HashMap(view.runningByTeam())
         for (interruption in state.interruptions.values) {
@@ -214,10 +220,10 @@
         machine: DrainedMachine,
         budgetTracker: BudgetTracker,
     ) {
-        // What a leader before has announced may not have been stopped: it is counted, and stopped again.
+        // A previous leader may have recorded these interruptions without stopping the tasks, so the tasks are stopped again.
         val tasks = view.tasksOn(machine.name).filter { it.isRunning }
         tasksToEvict += tasks.filter { state.interruptions[it.task]?.attempt == it.attempt }
-        // Least progress lost first: tasks that have saved.
+        // Tasks that lose the least progress come first, such as tasks that have saved a checkpoint.
         for (task in tasks.filter { it.task !in state.interruptions && it.remainingUs > NEAR_END_US }.sortedBy { it.lostProgressUs }) {
             if (state.interruptions.size >= maxInterruptions || !budgetTracker.tryInterrupt(task)) continue
             val interruption = Interruption(task.task, task.attempt, task.team, InterruptionCause.DRAIN, nowUs)
@@ -228,13 +234,13 @@
     }
 
     companion object {
-        /** A task that is expected to end within this time is waited for. */
+        /** A task that is expected to end within this time is left to finish. */
         const val NEAR_END_US = 20 * SECOND
 
         private const val CORDON_PROPAGATION_US = 2 * SECOND
         private const val MAX_BOOT_US = 300 * SECOND
 
-        /** A replacement that nothing was started on for so long is taken for good. */
+        /** A healthy replacement on which no task was started for this time counts as working. */
         private const val IDLE_TRIAL_US = 90 * SECOND
         private const val INITIAL_BACKOFF_US = 30 * SECOND
         private const val MAX_BACKOFF_DOUBLINGS = 4
--- a/src/main/kotlin/lichenstage/drain/DrainRecordCodec.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainRecordCodec.kt
@@ -8,20 +8,20 @@
 import lichenstage.state.UnreadableRecordException
 
 /**
- * The records of drains in the state service. Versions that do not know the prefix leave it alone.
+ * Encodes and decodes the records of drains in the state service. Versions of the service without drains ignore the prefix.
  *
- * `drain/d/NAME` is the drain as operators ask for it, `drain/m/NAME/PAGE` holds its machines, `drain/i/PAGE` the interruptions of all
- * drains. Several machines and interruptions share a record, each within [valueBytes].
+ * `drain/d/NAME` holds the drain as requested by an operator, `drain/m/NAME/PAGE` holds a page of its machines, and `drain/i/PAGE` holds a
+ * page of the interruptions, which all drains share. A page has several rows and takes at most [valueBytes].
  */
 class DrainRecordCodec(
     valueBytes: Int,
 ) {
     private val rowsPerPage = (valueBytes / MAX_ROW_BYTES).coerceAtLeast(1)
 
-    /** How many interruptions the records hold, with room for tasks that fall on the pages unevenly. */
+    /** Maximum number of recorded interruptions: half of what all pages hold, because tasks are spread unevenly over the pages. */
     val maxInterruptions = rowsPerPage * INTERRUPTION_PAGES / 2
 
-    /** The record of a drain. */
+    /** Returns the record of [drain]. */
     fun encode(drain: Drain): JsonObject =
         JsonObject()
             .put(FORMAT_FIELD, CURRENT_FORMAT)
@@ -34,7 +34,7 @@
                 if (drain.deadlineUs != null) put("deadline", drain.deadlineUs)
             }
 
-    /** The drain of a record. */
+    /** Returns the drain recorded in [entry]. Throws [UnreadableRecordException]. */
     fun decodeDrain(entry: Entry): Drain =
         decode(entry) {
             Drain(
@@ -48,7 +48,7 @@
             )
         }
 
-    /** The pages of a drain's machines, by their keys; a machine keeps its page. */
+    /** Returns the pages of the machines of [drain] by key. The set of machines is fixed, so each machine stays on its page. */
     fun encodeMachines(
         drain: String,
         machines: Collection<DrainedMachine>,
@@ -67,7 +67,7 @@
             .add(machine.failedReplacements)
             .apply { machine.replacement?.let { add(it) } }
 
-    /** The machines on a page. */
+    /** Returns the machines on the page in [entry]. Throws [UnreadableRecordException]. */
     fun decodeMachines(entry: Entry): List<DrainedMachine> =
         decode(entry) { value ->
             val drain = entry.key.removePrefix(MACHINE_PREFIX).substringBeforeLast('/')
@@ -84,7 +84,7 @@
             }
         }
 
-    /** All pages of interruptions, the empty ones too; a task keeps its page, so that few change at once. */
+    /** Returns all pages of interruptions by key, including empty ones. A task stays on its page, so that a step changes few pages. */
     fun encodeInterruptions(interruptions: Collection<Interruption>): Map<String, JsonObject> {
         val byPage = interruptions.groupBy { Math.floorMod(it.task.hashCode(), INTERRUPTION_PAGES) }
         return (0 until INTERRUPTION_PAGES).associate { page ->
@@ -100,7 +100,7 @@
             .add(interruption.cause.name)
             .add(interruption.sinceUs)
 
-    /** The interruptions on a page. */
+    /** Returns the interruptions on the page in [entry]. Throws [UnreadableRecordException]. */
     fun decodeInterruptions(entry: Entry): List<Interruption> =
         decode(entry) { value ->
             rowsOf(value).map {
@@ -114,7 +114,7 @@
             }
         }
 
-    /** The state that records hold; throws [UnreadableRecordException]. */
+    /** Returns the state in the given pages of machines and interruptions. Throws [UnreadableRecordException]. */
     fun decodeState(
         machines: List<Entry>,
         interruptions: List<Entry>,
@@ -123,7 +123,7 @@
         interruptions.flatMap(::decodeInterruptions).associateBy { it.task }.toPersistentMap(),
     )
 
-    /** All records of a state, by their keys. */
+    /** Returns all pages of machines and interruptions of [state] by key. */
     fun encodeState(state: DrainState): Map<String, JsonObject> {
         val machines =
             state.machines.values
@@ -136,14 +136,14 @@
 
     private fun rowsOf(value: JsonObject) = value.getJsonArray(ROWS_FIELD).map { it as JsonArray }
 
-    @Suppress("TooGenericExceptionCaught") // Missing fields, wrong types and unknown names all mean the same.
+    @Suppress("TooGenericExceptionCaught") // Missing fields, wrong types and unknown enum names all make a record unreadable.
     private fun <T> decode(
         entry: Entry,
         decodeValue: (JsonObject) -> T,
     ): T =
         try {
             val form = entry.value.getInteger(FORMAT_FIELD)
-            require(form == CURRENT_FORMAT) { "form $form is not known" }
+            require(form == CURRENT_FORMAT) { "form: must be $CURRENT_FORMAT, was $form" }
             decodeValue(entry.value)
         } catch (e: RuntimeException) {
             throw UnreadableRecordException(entry.key, e)
@@ -157,14 +157,14 @@
         private const val FORMAT_FIELD = "form"
         private const val ROWS_FIELD = "rows"
 
-        // Positions in the array that records a machine.
+        // Indexes in the row of a machine.
         private const val MACHINE_NAME = 0
         private const val MACHINE_STAGE = 1
         private const val MACHINE_STAGE_SINCE = 2
         private const val MACHINE_FAILED_REPLACEMENTS = 3
         private const val MACHINE_REPLACEMENT = 4
 
-        // Positions in the array that records an interruption.
+        // Indexes in the row of an interruption.
         private const val INTERRUPTION_TASK = 0
         private const val INTERRUPTION_ATTEMPT = 1
         private const val INTERRUPTION_TEAM = 2
@@ -172,13 +172,13 @@
         private const val INTERRUPTION_SINCE = 4
         private const val CURRENT_FORMAT = 1
 
-        /** What a machine or an interruption takes of a value at the most, with names of usual length. */
+        /** Maximum encoded size of a row if names have usual lengths. */
         private const val MAX_ROW_BYTES = 110
         private const val INTERRUPTION_PAGES = 8
 
         /**
-         * The changes that turn what is recorded into what is to be; none for an empty page that is not there. A page of a smaller limit
-         * that is no longer used is deleted: what it says of its machines is old.
+         * Returns the changes that turn [recorded] into [desired]. An empty page that is not recorded is not written. A page that is no
+         * longer used, for example after the size limit was raised, is deleted because its rows are outdated.
          */
         fun changes(
             recorded: Map<String, JsonObject>,
--- a/src/main/kotlin/lichenstage/drain/DrainReport.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainReport.kt
@@ -5,17 +5,17 @@
 import lichenstage.common.SECOND
 import java.time.Instant
 
-/** How a drain stands, for people and programs. */
+/** The status report of a drain, as text or JSON. */
 data class DrainReport(
     val drain: Drain,
     val stages: Map<Stage, Int>,
     val inProgress: List<DrainedMachine>,
-    /** Jobs and tasks of each team that are interrupted now, by this or any other cause. */
+    /** Current interruptions of each team for any cause, including those not caused by this drain. */
     val interrupted: Map<String, List<Interruption>>,
-    /** Its deadline has passed, or will have at the pace so far. */
+    /** Whether the deadline has passed or will be missed at the average pace so far. */
     val isLate: Boolean,
 ) {
-    /** For programs. */
+    /** Returns the report as JSON for programs. */
     fun toJson(): JsonObject =
         JsonObject()
             .put("name", drain.name)
@@ -42,17 +42,17 @@
             .put("tasks", interruptions.size)
             .put("by_drains", interruptions.count { it.cause == InterruptionCause.DRAIN })
 
-    /** For people. */
+    /** Returns the report as text for operators. */
     fun toText(): String {
         val lines = ArrayList<String>()
         val reason = drain.reason?.let { " ($it)" }.orEmpty()
         lines +=
             "${drain.name}: ${drain.status.name.lowercase()}$reason, at most ${drain.maxConcurrent} at once" +
-            if (drain.replace) ", replaced" else ""
-        drain.deadlineUs?.let { lines += "  deadline ${formatTime(it)}${if (isLate) ": it can't be kept" else ""}" }
+            if (drain.replace) ", with replacement" else ""
+        drain.deadlineUs?.let { lines += "  deadline ${formatTime(it)}${if (isLate) " (cannot be met)" else ""}" }
         lines += "  " + stages.entries.joinToString { "${it.value} ${it.key.name.lowercase()}" }
         for (machine in inProgress) {
-            val replacement = machine.replacement?.let { ", followed by $it" }.orEmpty()
+            val replacement = machine.replacement?.let { ", replacement $it" }.orEmpty()
             val failures = if (machine.failedReplacements > 0) ", ${machine.failedReplacements} replacements failed" else ""
             lines += "  ${machine.name} ${machine.stage.name.lowercase()} since ${formatTime(machine.sinceUs)}$replacement$failures"
         }
@@ -64,7 +64,7 @@
     }
 
     companion object {
-        /** The drain as its records stand at the time of day [nowUs]. */
+        /** Returns the report of [drain] from its recorded [state] at the wall clock time [nowUs]. */
         fun create(
             drain: Drain,
             state: DrainState,
@@ -100,7 +100,7 @@
 
         private fun formatTime(us: Long): String = Instant.ofEpochSecond(us / SECOND).toString()
 
-        /** The steps of a drain that is only planned: the leader takes idle machines first. */
+        /** Returns the steps of a dry run as text. The actual order differs, because the leader drains idle machines first. */
         fun formatDryRun(dryRun: DrainCommandResult.DryRun): String {
             val steps = dryRun.machines.chunked(dryRun.request.maxConcurrent)
             val lines =
@@ -112,7 +112,7 @@
                 }
             return (
                 listOf(
-                    "${dryRun.request.name} would drain ${dryRun.machines.size} machines; idle ones go first",
+                    "${dryRun.request.name} would drain ${dryRun.machines.size} machines; idle machines go first",
                 ) + lines
             ).joinToString("\n")
         }
--- a/src/main/kotlin/lichenstage/drain/DrainRequest.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainRequest.kt
@@ -2,23 +2,23 @@
 
 import lichenstage.model.RegisteredMachine
 
-/** Which of the recorded machines are meant; a field that is null does not choose. */
+/** The selection of machines for a drain. A field that is null, or empty [names], matches every machine. */
 data class DrainSelection(
     val names: Set<String> = emptySet(),
     val typeName: String? = null,
     val zone: String? = null,
     val spot: Boolean? = null,
-    /** Machines named up to this one: names are given in the order in which machines are provisioned. */
+    /** Highest selected machine name. Names ascend in the order in which machines are provisioned. */
     val provisionedUpTo: String? = null,
 ) {
-    /** The machine is meant. */
+    /** Returns whether [machine] is selected. */
     operator fun contains(machine: RegisteredMachine) =
         (names.isEmpty() || machine.name in names) && (typeName == null || machine.typeName == typeName) &&
             (zone == null || machine.zone == zone) && (spot == null || machine.spot == spot) &&
             (provisionedUpTo == null || machine.name <= provisionedUpTo)
 }
 
-/** A drain as it is asked for on the command line. */
+/** A request on the command line to start a drain. */
 data class DrainRequest(
     val name: String,
     val selection: DrainSelection,
@@ -28,24 +28,24 @@
     val isDryRun: Boolean,
 )
 
-/** The result of a command. */
+/** The result of a drain command. */
 sealed interface DrainCommandResult {
-    /** The status of drains. */
+    /** The status of the requested drains after a successful command. */
     data class Status(
         val reports: List<DrainReport>,
     ) : DrainCommandResult
 
-    /** What a drain would do. */
+    /** The [machines] that a drain would process, sorted by name. Nothing was written. */
     data class DryRun(
         val request: DrainRequest,
         val machines: List<RegisteredMachine>,
     ) : DrainCommandResult
 
-    /** It can't be done; nothing was written. */
+    /** The command is invalid or conflicts with the recorded drains. Nothing was written. */
     data class Rejected(
         val reason: String,
     ) : DrainCommandResult
 
-    /** The state service does not answer; the command can be repeated as it was. */
+    /** The state service is unavailable or a record changed concurrently. The same command can be repeated. */
     data object Unavailable : DrainCommandResult
 }
--- a/src/main/kotlin/lichenstage/drain/DrainTracing.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainTracing.kt
@@ -4,15 +4,15 @@
 import io.opentelemetry.api.trace.Tracer
 
 /**
- * Spans for what drains do: one for each drain from its first act until it is paused or finished, and one for each act within it. Where no
- * tracer is given nothing is kept; the spans of drains that are open are bounded.
+ * Tracing spans for drains: one span per drain, from its first traced action until the drain pauses or finishes, and one span per action.
+ * Without a tracer, nothing is recorded. The number of open drain spans is limited to [MAX_OPEN_SPANS].
  */
 class DrainTracing(
     private val tracer: Tracer? = null,
 ) {
     private val openSpans = LinkedHashMap<String, Span>()
 
-    /** An act is about to be carried out. */
+    /** Records a span for [action]. Called just before the action is executed. */
     fun recordAction(action: DrainAction) {
         val tracer = tracer ?: return
         when (action) {
--- a/src/main/kotlin/lichenstage/drain/DrainTypes.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainTypes.kt
@@ -3,87 +3,87 @@
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.persistentMapOf
 
-/** Whether a drain goes on. */
+/** The status of a drain. */
 enum class DrainStatus {
     RUNNING,
 
-    /** By an operator, or by itself: no machine is cordoned, provisioned or terminated and no task evicted for it until it is resumed. */
+    /** Paused by an operator or by the drain itself. Until resumed, it cordons, provisions and terminates no machine and evicts no task. */
     PAUSED,
     CANCELLED,
     FINISHED,
 }
 
-/** A drain as it was requested. Its machines ([DrainState]) are fixed then: those that come up later are not drained. */
+/** A drain as requested by an operator. Its machines ([DrainState]) are fixed at the request: machines that start later are not drained. */
 data class Drain(
     val name: String,
-    /** Each machine is replaced by a new one like it, which must have started a task before the old one is emptied. */
+    /** Whether each machine is replaced by a new one like it. The replacement must start a task before the old machine is drained. */
     val replace: Boolean,
-    /** The most machines that are being drained at once. */
+    /** Maximum number of machines that are drained at once. */
     val maxConcurrent: Int,
     val status: DrainStatus,
-    /** Why it is paused or cancelled. */
+    /** Reason for the pause or cancellation; null for other statuses. */
     val reason: String?,
-    /** Times of day. */
+    /** Wall clock time of the request. */
     val requestedUs: Long,
     val deadlineUs: Long?,
 )
 
-/** How far a machine of a drain is. */
+/** The progress of one machine in a drain. */
 enum class Stage {
     WAITING,
 
-    /** Its replacement was requested, and has not started a task yet; the machine itself takes tasks as before. */
+    /** Its replacement is requested but has not started a task yet. The machine itself still receives tasks. */
     PREPARING,
 
-    /** It takes no more tasks. */
+    /** It receives no new tasks. */
     CORDONED,
 
-    /** Tasks on it have been evicted. */
+    /** At least one of its tasks has been evicted. */
     EMPTYING,
 
-    /** No task is left on it: it is being terminated. */
+    /** It runs no tasks and is being terminated. */
     EMPTIED,
 
-    /** It is terminated. */
+    /** It is terminated and has no replacement. */
     GONE,
 
-    /** It is terminated, and its replacement is in use. */
+    /** It is terminated and its replacement is in use. */
     REPLACED,
 
-    /** It was lost before it was emptied. */
+    /** It was lost before it was empty. */
     FAILED,
     ;
 
     val isOver get() = this >= GONE
 
-    /** Something is being done with it. */
+    /** Whether the drain has begun with the machine and is not done with it. */
     val isInProgress get() = this != WAITING && !isOver
 
-    /** It takes no tasks. */
+    /** Whether the machine receives no new tasks. */
     val isCordoned get() = this == CORDONED || this == EMPTYING || this == EMPTIED
 }
 
-/** A machine of a drain. */
+/** The state of one machine in one drain. */
 data class DrainedMachine(
     val name: String,
     val drain: String,
     val stage: Stage,
-    /** Time of day at which the stage began. */
+    /** Wall clock time at which the stage began. In [Stage.PREPARING], the start of the wait for the current replacement. */
     val sinceUs: Long,
     val replacement: String? = null,
-    /** How many of its replacements have failed. */
+    /** Number of its replacements that failed. */
     val failedReplacements: Int = 0,
 ) {
     val key get() = DrainKey(drain, name)
 }
 
-/** A machine in a drain: drains may overlap. */
+/** The key of a machine in a drain. The same machine may belong to several drains. */
 data class DrainKey(
     val drain: String,
     val machine: String,
 )
 
-/** A task of a job. */
+/** The identity of a task: its job and its index in the job. */
 data class TaskId(
     val job: String,
     val index: Int,
@@ -91,30 +91,30 @@
     override fun toString() = "$job/$index"
 
     companion object {
-        /** Reads `JOB/INDEX`; null where it is neither. */
+        /** Parses `JOB/INDEX`; returns null if [text] does not end with an index. */
         fun parse(text: String): TaskId? = text.substringAfterLast('/').toIntOrNull()?.let { TaskId(text.substringBeforeLast('/'), it) }
     }
 }
 
-/** Why a task does not run. */
+/** The reason why a task is interrupted. */
 enum class InterruptionCause {
-    /** A drain stopped it. */
+    /** A drain stopped the task. */
     DRAIN,
 
-    /** Its machine was lost, or it failed. */
+    /** The task failed or its machine was lost. */
     FAILURE,
 }
 
-/** A task that ran as [attempt] and does not run until another attempt of it does, or its job is over. */
+/** The interruption of a task that ran as [attempt]. It ends when another attempt runs or when the task or its job is done. */
 data class Interruption(
     val task: TaskId,
     val attempt: Long,
     val team: String,
     val cause: InterruptionCause,
-    /** Time of day. */
+    /** Wall clock time at which the interruption began. */
     val sinceUs: Long,
 ) {
-    /** The task runs as another attempt, or is over. */
+    /** Returns whether the interruption has ended, given the current [execution] of the task. */
     fun isOver(execution: TaskExecution) =
         when (execution) {
             TaskExecution.Finished -> true
@@ -123,50 +123,50 @@
         }
 }
 
-/** What drains keep from leader to leader. The maps are persistent: a plan is made on a copy, which costs what it changes. */
+/** The recorded state of all drains, which a new leader takes over. The maps are persistent, so a modified copy costs only its changes. */
 data class DrainState(
     val machines: PersistentMap<DrainKey, DrainedMachine> = persistentMapOf(),
     val interruptions: PersistentMap<TaskId, Interruption> = persistentMapOf(),
 )
 
-/** A task that may be running, as drains see it. */
+/** A task that is placed on a machine and may be running. */
 data class PlacedTask(
     val task: TaskId,
     val attempt: Long,
     val team: String,
     val jobClass: String,
-    /** It runs, and is not saving. */
+    /** Whether the task is running and not saving a checkpoint. */
     val isRunning: Boolean,
-    /** How long it is expected to go on. */
+    /** Expected remaining duration. */
     val remainingUs: Long,
-    /** Progress that is lost where it is stopped now. */
+    /** Progress that is lost if the task is stopped now. */
     val lostProgressUs: Long,
 )
 
-/** The condition of a machine as the leader knows it. */
+/** The condition of a machine in the leader's view. */
 enum class MachineCondition {
-    /** It has shown its partition's fencing token, sends heartbeats, and is recorded. */
+    /** The machine has confirmed its partition's fencing token, sends heartbeats and is registered. */
     HEALTHY,
 
-    /** It has not sent a heartbeat yet, or its heartbeats are missing. */
+    /** The machine is not known to be healthy: it has sent no heartbeat yet, or its heartbeats are overdue. */
     UNCONFIRMED,
 
-    /** Its lease has run out. */
+    /** The lease of the machine has expired. */
     LOST,
 
-    /** No record names it, and it has sent no heartbeat: it is terminated, or was provisioned and has not come up. */
+    /** The machine is not registered and has sent no heartbeat: it is terminated, or it was provisioned and has not started. */
     ABSENT,
 
-    /** It is proven gone. */
+    /** The machine is known to be terminated. */
     GONE,
 }
 
-/** Whether a task runs, as far as an interruption of it is concerned. */
+/** The execution state of a task, as far as it matters to an interruption. */
 sealed interface TaskExecution {
-    /** It is done, or its job is. */
+    /** The task or its job has ended. */
     data object Finished : TaskExecution
 
-    /** It runs as this attempt. */
+    /** The task runs as [attempt]. */
     data class Running(
         val attempt: Long,
     ) : TaskExecution
@@ -174,51 +174,51 @@
     data object NotRunning : TaskExecution
 }
 
-/** The cluster as its leader knows it. */
+/** The leader's view of the cluster, as far as drains need it. */
 interface DrainView {
-    /** The leader knows of every machine what runs on it. */
+    /** Whether the leader knows the tasks of every machine. */
     val isComplete: Boolean
 
-    /** The condition of a machine. */
+    /** Returns the condition of [machine]. */
     fun condition(machine: String): MachineCondition
 
-    /** What may be running on a machine. */
+    /** Returns the tasks that may be running on [machine]. */
     fun tasksOn(machine: String): List<PlacedTask>
 
-    /** Whether a task runs. */
+    /** Returns the execution state of [task]. */
     fun execution(task: TaskId): TaskExecution
 
-    /** How many tasks of each team run. */
+    /** Returns the number of running tasks of each team. */
     fun runningByTeam(): Map<String, Int>
 
-    /** Tasks have failed on the machine. */
+    /** Returns whether tasks have failed on [machine]. */
     fun isFaulty(machine: String): Boolean
 }
 
-/** An action of a drain. It is carried out only once the state that it follows from is recorded. */
+/** An action of a drain. It is executed only after the state that it follows from is recorded. */
 sealed interface DrainAction {
-    /** Evicts these tasks gracefully: with time to save a checkpoint where they can. */
+    /** Stops [tasks] gracefully. Tasks that can save a checkpoint get time to do so. */
     data class EvictTasks(
         val tasks: List<PlacedTask>,
     ) : DrainAction
 
-    /** Provisions a machine to replace this one. */
+    /** Provisions a replacement for the machine of [key]. */
     data class ProvisionReplacement(
         val key: DrainKey,
     ) : DrainAction
 
-    /** Terminates a machine. */
+    /** Terminates [machine]. */
     data class Terminate(
         val machine: String,
     ) : DrainAction
 
-    /** Pauses the drain, for it can't go on without an operator. */
+    /** Pauses [drain] because it cannot continue without an operator. */
     data class Pause(
         val drain: String,
         val reason: String,
     ) : DrainAction
 
-    /** Ends the drain: it is over for all of its machines. */
+    /** Marks [drain] as finished because all of its machines have reached a final stage. */
     data class Finish(
         val drain: String,
     ) : DrainAction
--- a/src/test/kotlin/lichenstage/drain/DrainBudgetTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainBudgetTest.kt
@@ -10,39 +10,39 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
-/** Disruption budgets of teams. */
+/** Guards against drains that interrupt more tasks than the disruption budgets of the teams allow. */
 class DrainBudgetTest : DrainCoreFixture() {
     @Example
-    fun `a budget that is changed while a drain goes on holds from then on, for what is interrupted already too`() {
+    fun `a budget that changes during a drain applies at once and counts earlier interruptions`() {
         listOf("m1", "m2", "m3", "m4").forEachIndexed { i, name -> cluster.addMachine(name, task(i)) }
-        val before = core(DrainPolicy(DisruptionBudget(maxJobs = 2)))
-        before.updateDrains(listOf(drain(maxConcurrent = 4)), machines("m1", "m2", "m3", "m4"))
-        before.runStep()
-        val first = before.runStep().evictedTasks()
+        val core = core(DrainPolicy(DisruptionBudget(maxJobs = 2)))
+        core.updateDrains(listOf(drain(maxConcurrent = 4)), machines("m1", "m2", "m3", "m4"))
+        core.runStep()
+        val first = core.runStep().evictedTasks()
         assertEquals(2, first.size) { "$first" }
         first.forEach(cluster::stopTask)
-        val tighter = core(DrainPolicy(DisruptionBudget(maxJobs = 1)), before.state)
+        val tighter = core(DrainPolicy(DisruptionBudget(maxJobs = 1)), core.state)
         tighter.updateDrains(listOf(drain(maxConcurrent = 4)), emptyList())
-        repeat(3) { assertTrue(tighter.runStep().evictedTasks().isEmpty()) { "beside two" } }
+        repeat(3) { assertTrue(tighter.runStep().evictedTasks().isEmpty()) { "interrupted although two jobs already are" } }
         val looser = core(DrainPolicy(DisruptionBudget(maxJobs = 3)), tighter.state)
         looser.updateDrains(listOf(drain(maxConcurrent = 4)), emptyList())
-        assertEquals(1, looser.runStep().evictedTasks().size) { "not one more" }
+        assertEquals(1, looser.runStep().evictedTasks().size) { "the larger budget allows exactly one more" }
     }
 
     @Example
-    fun `tasks near their end, of classes that are never interrupted, and out of hours are waited for`() {
+    fun `tasks near their end, of uninterruptible classes or outside the allowed hours are not interrupted`() {
         cluster.addMachine("m1", task(1, remainingS = 10), task(2, jobClass = "invoices"))
         val budget = DisruptionBudget(maxJobs = 5, allowedHours = HourRange(22, 6), uninterruptibleClasses = setOf("invoices"))
         val core = core(DrainPolicy(budget))
         core.updateDrains(listOf(drain()), machines("m1"))
-        repeat(3) { assertTrue(core.runStep(hour = 23).evictedTasks().isEmpty()) { "interrupted" } }
+        repeat(3) { assertTrue(core.runStep(hour = 23).evictedTasks().isEmpty()) { "interrupted an exempt task" } }
         cluster.tasks.getValue("m1") += task(3)
-        assertTrue(core.runStep(hour = 12).evictedTasks().isEmpty()) { "out of hours" }
-        assertEquals(listOf(TaskId("j-3", 0)), core.runStep(hour = 23).evictedTasks()) { "not within hours" }
+        assertTrue(core.runStep(hour = 12).evictedTasks().isEmpty()) { "interrupted outside the allowed hours" }
+        assertEquals(listOf(TaskId("j-3", 0)), core.runStep(hour = 23).evictedTasks()) { "not interrupted within the allowed hours" }
     }
 
     @Example
-    fun `a share is of what runs and is interrupted, rounded down`() {
+    fun `a task share applies to running and interrupted tasks and is rounded down`() {
         val tasks = (0 until 10).map { task(1, it) }
         cluster.addMachine("m1", *tasks.toTypedArray())
         val core = core(DrainPolicy(DisruptionBudget(maxTaskShare = 0.25)))
@@ -51,7 +51,7 @@
         val first = core.runStep().evictedTasks()
         assertEquals(2, first.size) { "$first" }
         first.forEach(cluster::stopTask)
-        assertTrue(core.runStep().evictedTasks().isEmpty()) { "a third of ten" }
+        assertTrue(core.runStep().evictedTasks().isEmpty()) { "a third task of ten was interrupted" }
         val taskOfSmallTeam = FakeCluster.task(9)
         assertFalse(
             BudgetTracker(
@@ -60,12 +60,12 @@
                 0,
                 emptyList(),
             ).tryInterrupt(taskOfSmallTeam),
-        ) { "one of three" }
+        ) { "one task of three was interrupted" }
     }
 
-    /** Whatever runs where, never more is interrupted than all budgets allow together. */
+    /** Random tasks on random machines: the interruptions never exceed the budget of any team. */
     @Property(tries = 200, seed = "22")
-    fun `no plan goes over a budget`(
+    fun `no step exceeds a budget`(
         @ForAll seed: Long,
     ) {
         val random = Random(seed)
@@ -85,7 +85,7 @@
                         20 + random.nextInt(200).toLong(),
                     )
                 }
-            // A job has one team.
+            // The team is part of the job id, because a job belongs to one team.
             cluster.addMachine("m$m", *tasks.map { it.copy(task = TaskId("${it.task.job}-${it.team}", it.task.index)) }.toTypedArray())
         }
         val core = core(policy)
@@ -104,10 +104,10 @@
                     .flatten()
                     .count { it.team == "blue" } + cluster.waitingTasks.count { it.job.endsWith("blue") }
             assertTrue(blue <= policy.budgetOf("blue").maxTaskShare!! * all + 1e-9) { "seed $seed: $blue of $all" }
-            cluster.waitingTasks.toList().filter { random.nextInt(4) == 0 }.forEach { back ->
+            cluster.waitingTasks.toList().filter { random.nextInt(4) == 0 }.forEach { restartedTask ->
                 cluster.restartTask(
                     "m${random.nextInt(6)}",
-                    PlacedTask(back, 1, back.job.substringAfterLast('-'), "batch", true, 90 * SECOND, 0),
+                    PlacedTask(restartedTask, 1, restartedTask.job.substringAfterLast('-'), "batch", true, 90 * SECOND, 0),
                     2 + it.toLong(),
                 )
             }
--- a/src/test/kotlin/lichenstage/drain/DrainCoreFixture.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainCoreFixture.kt
@@ -3,7 +3,7 @@
 import lichenstage.common.SECOND
 import lichenstage.drain.FakeCluster.Companion.task
 
-/** A [DrainCore] over a [FakeCluster], and drains for it. */
+/** A base class for tests of [DrainCore] with a [FakeCluster]. */
 abstract class DrainCoreFixture {
     internal val cluster = FakeCluster()
     internal var nowUs = 1_000 * SECOND
@@ -26,7 +26,7 @@
         drain: String = "d",
     ) = names.map { DrainedMachine(it, drain, Stage.WAITING, nowUs) }
 
-    /** One step with its record written, [afterS] seconds later: after as long as a cordon needs. Returns the actions of the step. */
+    /** Runs and records one step [afterS] seconds later (by default once a cordon has taken effect) and returns its actions. */
     internal fun DrainCore.runStep(
         afterS: Long = 3,
         hour: Int = 12,
--- a/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** The driver of drains against a model of the state service. */
+/** Tests of [DrainDriver] with an in-memory state service. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class DrainDriverTest {
     private class FakeStore : InMemoryKeyValueStore() {
@@ -66,8 +66,8 @@
     }
 
     private fun driver(): DrainDriver {
-        val guard = listOf(Precondition("c/leader", store.entries.getValue("c/leader").modRevision))
-        val access = DrainRecordAccess(codec, store, SingleWriterKeys(store), guard, 4) { store.scan(it) }
+        val leaderPreconditions = listOf(Precondition("c/leader", store.entries.getValue("c/leader").modRevision))
+        val access = DrainRecordAccess(codec, store, SingleWriterKeys(store), leaderPreconditions, 4) { store.scan(it) }
         lateinit var driver: DrainDriver
         driver = DrainDriver(DrainPolicy(), cluster, access, actionHandler, DrainTracing(), scope, { nowUs }) { driver.handle(it) }
         return driver
@@ -104,13 +104,13 @@
             .associate { it.name to it.stage }
 
     @Example
-    fun `a drain is taken up, recorded step by step, and its record says when it is finished`() {
+    fun `a requested drain is recorded step by step and marked as finished at its end`() {
         cluster.addMachine("m1")
         requestDrain("d", "m1")
         val driver = driver()
         driver.run(2)
         assertTrue(stages("d") == mapOf("m1" to Stage.CORDONED) && driver.cordoned == setOf("m1")) { "${stages("d")}" }
-        assertTrue(actionHandler.terminated.isEmpty()) { "given back before all know that it is cordoned" }
+        assertTrue(actionHandler.terminated.isEmpty()) { "terminated before the cordon took effect" }
         driver.run(3)
         assertTrue(
             stages("d") == mapOf("m1" to Stage.EMPTIED) && "m1" in actionHandler.terminated,
@@ -120,11 +120,11 @@
         assertTrue(stages("d").getValue("m1") == Stage.GONE && status("d") == "FINISHED") { "${stages("d")} ${status("d")}" }
         val revision = store.revision
         driver.run(10)
-        assertEquals(revision, store.revision) { "writes although nothing changes" }
+        assertEquals(revision, store.revision) { "records were written although nothing changed" }
     }
 
     @Example
-    fun `nothing is done where it can't be recorded, and a leader that was followed by another writes nothing`() {
+    fun `nothing happens while writes fail, and a superseded leader writes nothing`() {
         cluster.addMachine("m1", FakeCluster.task(1, remainingS = 5))
         requestDrain("d", "m1")
         val driver = driver()
@@ -141,7 +141,7 @@
     }
 
     @Example
-    fun `a record that can't be read stops its drain and no other`() {
+    fun `an unreadable record stops its own drain only`() {
         listOf("m1", "m2").forEach { cluster.addMachine(it, FakeCluster.task(1, remainingS = 5)) }
         requestDrain("broken", "m1")
         requestDrain("whole", "m2")
@@ -153,7 +153,7 @@
     }
 
     @Example
-    fun `without a readable account of interruptions nothing is drained`() {
+    fun `an unreadable interruption record stops all drains`() {
         cluster.addMachine("m1")
         requestDrain("d", "m1")
         store.apply(emptyList(), listOf(Change.Put(DrainRecordCodec.INTERRUPTION_PREFIX + "0", JsonObject().put("form", 9))))
@@ -162,7 +162,7 @@
     }
 
     @Example
-    fun `a drain that an operator pauses lifts its cordon, and a new leader goes on where the one before it was`() {
+    fun `a new leader continues a drain, and a pause by an operator lifts the cordon`() {
         cluster.addMachine("m1", FakeCluster.task(1, remainingS = 5))
         requestDrain("d", "m1")
         val first = driver()
@@ -170,7 +170,7 @@
         assertEquals(setOf("m1"), first.cordoned) { "not cordoned" }
         val second = driver()
         second.run(4)
-        assertEquals(setOf("m1"), second.cordoned) { "a new leader has forgotten it" }
+        assertEquals(setOf("m1"), second.cordoned) { "the new leader does not continue the drain" }
         val entry = store.entries.getValue(DrainRecordCodec.DRAIN_PREFIX + "d")
         val paused = codec.decodeDrain(entry).copy(status = DrainStatus.PAUSED)
         store.apply(emptyList(), listOf(Change.Put(entry.key, codec.encode(paused))))
--- a/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
@@ -22,12 +22,12 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** What operators ask for on the command line. */
+/** Tests of the operators' commands with an in-memory state service. */
 class DrainOperationsTest {
     private class FakeStore : InMemoryKeyValueStore() {
         var isUnavailable = false
 
-        /** After so many transactions nothing is answered. */
+        /** Number of transactions that succeed; later ones are rejected. */
         var transactionsLeft = Int.MAX_VALUE
 
         override suspend fun get(
@@ -93,28 +93,28 @@
     private fun start(request: DrainRequest) = runBlocking { operations.start(request) }
 
     @Example
-    fun `what can't be done is refused by name, and nothing is written`() {
+    fun `an invalid request is rejected with a message that names the option, and nothing is written`() {
         val before = store.revision
-        val bound =
+        val boundJob =
             JobSpec("j-1", "c", "t", Priority.HIGH, 1, Resources(1.0, 0.0, 1.0), null, "y", false, false, true, "i", 1.0, 1, 0, 0, null, 0)
-        store.apply(emptyList(), listOf(Change.Put("j/j-1", JobRecordCodec.encode(bound))))
+        store.apply(emptyList(), listOf(Change.Put("j/j-1", JobRecordCodec.encode(boundJob))))
         val errors =
             mapOf(
-                request(DrainSelection(setOf("vm-001", "vm-999"))) to "--machine vm-999: no such machine is recorded",
-                request(DrainSelection(zone = "moon")) to "--zone moon: no zone of this deployment",
-                request(DrainSelection(typeName = "x")) to "--type x: no machine of this type is recorded",
-                request(DrainSelection(setOf("vm-001"), typeName = "g")) to "no recorded machine is selected",
-                request(maxConcurrent = 0) to "--at-most 0: at least 1 is needed",
-                request(name = "a/b") to "a/b: a name of letters, digits and dashes is needed",
-                request(DrainSelection(zone = "y")) to "--zone y: jobs are bound to it, and no machine would be left: --replace is needed",
+                request(DrainSelection(setOf("vm-001", "vm-999"))) to "--machine: must be a registered machine, was \"vm-999\"",
+                request(DrainSelection(zone = "moon")) to "--zone: must be a configured zone, was \"moon\"",
+                request(DrainSelection(typeName = "x")) to "--type: must have a registered machine, was \"x\"",
+                request(DrainSelection(setOf("vm-001"), typeName = "g")) to "no registered machine matches the selection",
+                request(maxConcurrent = 0) to "--at-most: must be at least 1, was 0",
+                request(name = "a/b") to "NAME: must be 1-60 letters, digits or dashes, was \"a/b\"",
+                request(DrainSelection(zone = "y")) to "--replace: must be given, jobs are bound to zone \"y\", which would be empty",
             )
         for ((request, text) in errors) assertEquals(DrainCommandResult.Rejected(text), start(request)) { "${start(request)}, not $text" }
         assertEquals(before + 1, store.revision) { "something was written" }
-        assertTrue(start(request(DrainSelection(zone = "y"), replace = true)) is DrainCommandResult.Status) { "refused with --replace" }
+        assertTrue(start(request(DrainSelection(zone = "y"), replace = true)) is DrainCommandResult.Status) { "rejected with --replace" }
     }
 
     @Example
-    fun `machines are selected by name, type, zone, kind and the order of hiring`() {
+    fun `machines are selected by name, type, zone, spot flag and provisioning order`() {
         fun select(selection: DrainSelection) =
             (start(request(selection, dryRun = true)) as DrainCommandResult.DryRun).machines.map { it.name }
         val before = store.revision
@@ -123,10 +123,10 @@
         assertTrue(
             select(DrainSelection(spot = true)).size == 100 && select(DrainSelection(spot = false)).size == 200,
         ) {
-            "by kind"
+            "by spot flag"
         }
-        assertEquals("vm-010", select(DrainSelection(provisionedUpTo = "vm-010")).last()) { "by order" }
-        assertEquals(before, store.revision) { "a dry run writes" }
+        assertEquals("vm-010", select(DrainSelection(provisionedUpTo = "vm-010")).last()) { "by provisioning order" }
+        assertEquals(before, store.revision) { "a dry run wrote records" }
         val text =
             DrainReport.formatDryRun(
                 start(request(DrainSelection(provisionedUpTo = "vm-003"), dryRun = true)) as DrainCommandResult.DryRun,
@@ -135,22 +135,22 @@
     }
 
     @Example
-    fun `a drain that was asked for half is asked for again under its name, and is there once`() {
+    fun `a start that failed halfway can be repeated, and a repeated start changes nothing`() {
         store.transactionsLeft = 1
-        assertEquals(DrainCommandResult.Unavailable, start(request())) { "told as done" }
-        assertTrue(store.entries.keys.none { it.startsWith(DrainRecordCodec.DRAIN_PREFIX) }) { "there without its machines" }
+        assertEquals(DrainCommandResult.Unavailable, start(request())) { "reported as started" }
+        assertTrue(store.entries.keys.none { it.startsWith(DrainRecordCodec.DRAIN_PREFIX) }) { "recorded without its machines" }
         store.transactionsLeft = Int.MAX_VALUE
         val result = start(request()) as DrainCommandResult.Status
         assertEquals(mapOf(Stage.WAITING to 150), result.reports.single().stages) { "${result.reports.single().stages}" }
         val revision = store.revision
-        assertTrue(start(request()) is DrainCommandResult.Status && store.revision == revision) { "a repeat writes" }
-        assertTrue(start(request(maxConcurrent = 7)) is DrainCommandResult.Rejected) { "another drain under the same name" }
+        assertTrue(start(request()) is DrainCommandResult.Status && store.revision == revision) { "a repeated start wrote records" }
+        assertTrue(start(request(maxConcurrent = 7)) is DrainCommandResult.Rejected) { "accepted another drain with the same name" }
         store.isUnavailable = true
-        assertEquals(DrainCommandResult.Unavailable, start(request())) { "decided without the state service" }
+        assertEquals(DrainCommandResult.Unavailable, start(request())) { "replied without the state service" }
     }
 
     @Example
-    fun `a drain is paused, resumed and cancelled, and one that is over stays so`() {
+    fun `a drain can be paused, resumed and cancelled, and a cancelled drain stays cancelled`() {
         start(request())
 
         fun change(to: DrainStatus) = runBlocking { operations.changeStatus("spring", to) }
@@ -164,27 +164,30 @@
         assertEquals(DrainStatus.PAUSED, status(change(DrainStatus.PAUSED))) { "not paused" }
         assertEquals(DrainStatus.RUNNING, status(change(DrainStatus.RUNNING))) { "not resumed" }
         assertEquals(DrainStatus.CANCELLED, status(change(DrainStatus.CANCELLED))) { "not cancelled" }
-        assertEquals(DrainCommandResult.Rejected("spring: it is cancelled"), change(DrainStatus.RUNNING)) { "resumed after its end" }
         assertEquals(
-            DrainCommandResult.Rejected("autumn: there is no such drain"),
+            DrainCommandResult.Rejected("drain \"spring\" is already cancelled"),
+            change(DrainStatus.RUNNING),
+        ) { "resumed after its end" }
+        assertEquals(
+            DrainCommandResult.Rejected("drain \"autumn\" does not exist"),
             runBlocking {
                 operations.changeStatus("autumn", DrainStatus.PAUSED)
             },
-        ) { "unknown" }
+        ) { "changed an unknown drain" }
         val json = (runBlocking { operations.status(null) } as DrainCommandResult.Status).reports.single().toJson()
         assertTrue(json.getString("status") == "cancelled" && json.getJsonObject("stages").getInteger("waiting") == 150) { json.encode() }
     }
 
     @Example
-    fun `a deadline that can't be kept is said`() {
+    fun `a report says whether the deadline can be met`() {
         val drain = Drain("d", false, 1, DrainStatus.RUNNING, null, 0, 100 * SECOND)
         val rows = (1..10).map { DrainedMachine("m$it", "d", if (it <= 2) Stage.GONE else Stage.WAITING, 0) }
         val state = DrainState().let { it.copy(machines = it.machines.putAll(rows.associateBy { row -> row.key })) }
-        assertFalse(DrainReport.create(drain, state, 10 * SECOND).isLate) { "5 s a machine leave time" }
-        assertTrue(DrainReport.create(drain, state, 40 * SECOND).isLate) { "20 s a machine do not" }
-        assertTrue(DrainReport.create(drain, state, 40 * SECOND).toText().contains("it can't be kept")) {
+        assertFalse(DrainReport.create(drain, state, 10 * SECOND).isLate) { "late at 5 s per machine" }
+        assertTrue(DrainReport.create(drain, state, 40 * SECOND).isLate) { "not late at 20 s per machine" }
+        assertTrue(DrainReport.create(drain, state, 40 * SECOND).toText().contains("deadline 1970-01-01T00:01:40Z (cannot be met)")) {
             DrainReport.create(drain, state, 40 * SECOND).toText()
         }
-        assertTrue(JsonObject(DrainReport.create(drain, state, 40 * SECOND).toJson().encode()).getBoolean("late")) { "not in JSON" }
+        assertTrue(JsonObject(DrainReport.create(drain, state, 40 * SECOND).toJson().encode()).getBoolean("late")) { "not late in JSON" }
     }
 }
--- a/src/test/kotlin/lichenstage/drain/DrainOrderTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainOrderTest.kt
@@ -6,10 +6,10 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Which machine of a drain is emptied when, and how drains end. */
+/** Tests of the order in which machines are drained and of the end of drains. */
 class DrainOrderTest : DrainCoreFixture() {
     @Example
-    fun `the idle machine goes first, then the one whose tasks end soonest, then the one that loses least`() {
+    fun `idle machines are drained first, then those whose tasks end soonest, then those that lose the least progress`() {
         cluster.addMachine("m1", task(1, remainingS = 300, lostS = 10))
         cluster.addMachine("m2", task(2, remainingS = 300, lostS = 5))
         cluster.addMachine("m3", task(3, remainingS = 30))
@@ -25,11 +25,11 @@
             }
         }
         assertEquals(listOf("m4", "m3", "m2", "m1"), order) { "$order" }
-        assertTrue(core.runStep().none { it is DrainAction.EvictTasks }) { "interrupted" }
+        assertTrue(core.runStep().none { it is DrainAction.EvictTasks }) { "interrupted without a budget" }
     }
 
     @Example
-    fun `of two drains over a machine the first empties it, and the second finds it gone`() {
+    fun `a machine in two drains is drained by the earlier one and counts as gone for the later one`() {
         cluster.addMachine("m1")
         cluster.addMachine("m2", task(1))
         val core = core()
@@ -41,16 +41,16 @@
         assertTrue(
             core.stageOf("m1", "early") == Stage.CORDONED && core.stageOf("m1", "late") == Stage.WAITING,
         ) { "${core.state.machines}" }
-        assertEquals(Stage.CORDONED, core.stageOf("m2", "late")) { "the second drain waits for nothing" }
+        assertEquals(Stage.CORDONED, core.stageOf("m2", "late")) { "the later drain does not process its other machine" }
         core.runStep()
         cluster.conditions["m1"] = MachineCondition.GONE
         core.runStep()
         assertTrue(core.stageOf("m1", "early") == Stage.GONE && core.stageOf("m1", "late") == Stage.GONE) { "${core.state.machines}" }
-        assertTrue(core.runStep().none { it is DrainAction.Finish }) { "asked to finish twice" }
+        assertTrue(core.runStep().none { it is DrainAction.Finish }) { "finished twice" }
     }
 
     @Example
-    fun `a machine that is lost before it is empty is told as failed, and a drain that is over is finished once`() {
+    fun `a machine that is lost before it is empty is marked as failed, and its drain finishes once`() {
         cluster.addMachine("m1", task(1, remainingS = 10))
         val core = core()
         core.updateDrains(listOf(drain()), machines("m1"))
@@ -61,11 +61,11 @@
     }
 
     @Example
-    fun `nothing is done while machines of an earlier leader are not accounted for`() {
+    fun `nothing happens while the leader does not know the tasks of every machine`() {
         cluster.addMachine("m1")
         cluster.isComplete = false
         val core = core()
         core.updateDrains(listOf(drain()), machines("m1"))
-        assertNull(core.step(nowUs, 0)) { "a step of a leader that knows too little" }
+        assertNull(core.step(nowUs, 0)) { "planned a step with an incomplete view" }
     }
 }
--- a/src/test/kotlin/lichenstage/drain/DrainRecordCodecTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainRecordCodecTest.kt
@@ -12,6 +12,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
+/** Guards against drain state that changes when a new leader reads it, and against records above the size limit. */
 class DrainRecordCodecTest {
     private fun state(random: Random): DrainState {
         val machines =
@@ -37,7 +38,7 @@
     }
 
     @Property(tries = 60, seed = "23")
-    fun `what is recorded is what a new leader reads, and each value keeps to the limit`(
+    fun `a decoded state equals the encoded one, and each page of machines is within the size limit`(
         @ForAll seed: Long,
     ) {
         val random = Random(seed)
@@ -61,31 +62,34 @@
     }
 
     @Example
-    fun `only pages that differ are written, and none that is empty and not there`() {
+    fun `only changed pages are written, and empty pages are not created`() {
         val codec = DrainRecordCodec(8_192)
         val state = state(Random(5))
         val pages = codec.encodeState(state)
-        assertTrue(DrainRecordCodec.changes(pages, pages).isEmpty()) { "written again" }
-        val one = state.machines.values.first()
-        val moved = codec.encodeState(state.copy(machines = state.machines.put(one.key, one.copy(stage = Stage.WAITING, sinceUs = 7))))
+        assertTrue(DrainRecordCodec.changes(pages, pages).isEmpty()) { "unchanged pages are written" }
+        val machine = state.machines.values.first()
+        val changedPages =
+            codec.encodeState(
+                state.copy(machines = state.machines.put(machine.key, machine.copy(stage = Stage.WAITING, sinceUs = 7))),
+            )
         assertEquals(
             1,
-            DrainRecordCodec.changes(pages, moved).size,
-        ) { "${DrainRecordCodec.changes(pages, moved).size} pages for one machine" }
+            DrainRecordCodec.changes(pages, changedPages).size,
+        ) { "${DrainRecordCodec.changes(pages, changedPages).size} pages for one machine" }
         assertTrue(DrainRecordCodec.changes(emptyMap(), codec.encodeState(DrainState())).isEmpty()) { "empty pages are written" }
         val cleared = DrainRecordCodec.changes(pages, codec.encodeState(state.copy(interruptions = DrainState().interruptions)))
         assertTrue(cleared.all { (it as Change.Put).value.getJsonArray("rows").isEmpty }) { "$cleared" }
     }
 
     @Example
-    fun `a record that can't be read or is of a later form is told with its key`() {
+    fun `an invalid record or one of a later format fails with its key in the message`() {
         val codec = DrainRecordCodec(8_192)
         val drain = Drain("d", true, 3, DrainStatus.PAUSED, "why", 5, 9)
         val entry = Entry(DrainRecordCodec.DRAIN_PREFIX + "d", codec.encode(drain), 1)
         assertEquals(drain, codec.decodeDrain(entry)) { "${codec.decodeDrain(entry)}" }
-        for (wrong in listOf(JsonObject(), codec.encode(drain).put("form", 2), codec.encode(drain).put("status", "DANCING"))) {
-            val complaint = runCatching { codec.decodeDrain(Entry(entry.key, wrong, 1)) }.exceptionOrNull()
-            assertTrue(complaint is UnreadableRecordException && complaint.message!!.startsWith(entry.key)) { "$wrong: $complaint" }
+        for (invalidValue in listOf(JsonObject(), codec.encode(drain).put("form", 2), codec.encode(drain).put("status", "DANCING"))) {
+            val error = runCatching { codec.decodeDrain(Entry(entry.key, invalidValue, 1)) }.exceptionOrNull()
+            assertTrue(error is UnreadableRecordException && error.message!!.startsWith(entry.key)) { "$invalidValue: $error" }
         }
         val page =
             runCatching {
--- a/src/test/kotlin/lichenstage/drain/DrainReplacementTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainReplacementTest.kt
@@ -5,34 +5,34 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Machines that are replaced before they are emptied. */
+/** Tests of drains that replace each machine before they drain it. */
 class DrainReplacementTest : DrainCoreFixture() {
     @Example
-    fun `a machine is emptied only once another has taken its place and completed a start`() {
+    fun `a machine is drained only after its replacement runs a task`() {
         cluster.addMachine("m1", task(1))
         val core = core()
         core.updateDrains(listOf(drain(replace = true)), machines("m1"))
-        assertEquals(listOf(DrainAction.ProvisionReplacement(DrainKey("d", "m1"))), core.runStep()) { "no machine asked for" }
-        repeat(5) { assertTrue(core.runStep().isEmpty() && core.cordoned.isEmpty()) { "asked twice, or cordoned" } }
+        assertEquals(listOf(DrainAction.ProvisionReplacement(DrainKey("d", "m1"))), core.runStep()) { "no replacement requested" }
+        repeat(5) { assertTrue(core.runStep().isEmpty() && core.cordoned.isEmpty()) { "requested twice, or cordoned early" } }
         core.onReplacementProvisioned(DrainKey("d", "m1"), "n1")
         core.runStep()
         assertTrue(core.onProbation == setOf("n1") && core.surplusReplacements == setOf("n1")) { "${core.onProbation}" }
         cluster.addMachine("n1")
         core.runStep()
-        assertTrue(core.cordoned.isEmpty()) { "cordoned before the other has started anything" }
+        assertTrue(core.cordoned.isEmpty()) { "cordoned before the replacement runs a task" }
         cluster.tasks.getValue("n1") += task(2)
         core.runStep()
         assertTrue(core.cordoned == setOf("m1") && core.onProbation.isEmpty()) { "${core.cordoned}" }
-        assertEquals(listOf(TaskId("j-1", 0)), core.runStep().evictedTasks()) { "not emptied" }
+        assertEquals(listOf(TaskId("j-1", 0)), core.runStep().evictedTasks()) { "the task was not interrupted" }
         cluster.stopTask(TaskId("j-1", 0))
-        assertTrue(DrainAction.Terminate("m1") in core.runStep()) { "not given back" }
+        assertTrue(DrainAction.Terminate("m1") in core.runStep()) { "not terminated" }
         cluster.conditions["m1"] = MachineCondition.GONE
         core.runStep()
         assertEquals(Stage.REPLACED, core.stageOf("m1")) { "${core.stageOf("m1")}" }
     }
 
     @Example
-    fun `replacements that fail are given back and asked for with a growing pause, and then the drain pauses by itself`() {
+    fun `failed replacements are terminated and requested again with growing delays until the drain pauses itself`() {
         cluster.addMachine("m1", task(1))
         val core = core(DrainPolicy(maxReplacementFailures = 3))
         core.updateDrains(listOf(drain(replace = true)), machines("m1"))
@@ -52,19 +52,19 @@
             pause?.let { core.updateDrains(listOf(drain(replace = true, status = DrainStatus.PAUSED)), emptyList()) }
         }
         assertTrue(requestTimesUs.size == 3 && requestTimesUs[2] - requestTimesUs[1] > requestTimesUs[1] - requestTimesUs[0]) {
-            "asked at $requestTimesUs"
+            "requested at $requestTimesUs"
         }
         assertEquals(true, pause?.reason?.contains("n3")) { "$pause" }
-        assertTrue(core.cordoned.isEmpty() && core.onProbation.isEmpty()) { "goes on although it is paused" }
+        assertTrue(core.cordoned.isEmpty() && core.onProbation.isEmpty()) { "continues although it is paused" }
     }
 
     @Example
-    fun `one that never comes up counts as failed, and a refused hire is waited for`() {
+    fun `a replacement that never starts counts as failed, and the drain waits for a delayed provision`() {
         cluster.addMachine("m1", task(1))
         val core = core()
         core.updateDrains(listOf(drain(replace = true)), machines("m1"))
         core.runStep()
-        repeat(150) { assertTrue(core.runStep().isEmpty()) { "did something without a machine" } }
+        repeat(150) { assertTrue(core.runStep().isEmpty()) { "acted before the replacement was provisioned" } }
         core.onReplacementProvisioned(DrainKey("d", "m1"), "n1")
         core.runStep()
         val actions = (1..150).flatMap { core.runStep() }
--- a/src/test/kotlin/lichenstage/drain/DrainTracingTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainTracingTest.kt
@@ -7,6 +7,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
+/** Tests of the tracing spans for drains and their actions. */
 class DrainTracingTest {
     private val exporter = InMemorySpanExporter.create()
     private val tracer =
@@ -17,7 +18,7 @@
             .get("drains")
 
     @Example
-    fun `a drain is one span with its acts, ended when it is finished`() {
+    fun `a drain has one span, which ends when the drain finishes, and each action has its own span`() {
         val tracing = DrainTracing(tracer)
         tracing.recordAction(DrainAction.ProvisionReplacement(DrainKey("d", "m1")))
         tracing.recordAction(DrainAction.EvictTasks(listOf(FakeCluster.task(1))))
@@ -32,13 +33,13 @@
     }
 
     @Example
-    fun `spans of drains that never end are bounded, and without a tracer there are none`() {
+    fun `the number of open drain spans is limited, and without a tracer nothing is recorded`() {
         val tracing = DrainTracing(tracer)
         repeat(100) { tracing.recordAction(DrainAction.ProvisionReplacement(DrainKey("d$it", "m"))) }
-        assertTrue(exporter.finishedSpanItems.count { it.name == "drain" } >= 68) { "all kept open" }
+        assertTrue(exporter.finishedSpanItems.count { it.name == "drain" } >= 68) { "too many spans are open" }
         DrainTracing().recordAction(DrainAction.Finish("x"))
         assertTrue(
             exporter.finishedSpanItems.none { it.name == "drain" && it.attributes.toString().contains("drain=\"x\"") },
-        ) { "traced" }
+        ) { "recorded without a tracer" }
     }
 }
--- a/src/test/kotlin/lichenstage/drain/FakeCluster.kt
+++ b/src/test/kotlin/lichenstage/drain/FakeCluster.kt
@@ -2,7 +2,7 @@
 
 import lichenstage.common.SECOND
 
-/** A cluster as drains see it, set by hand. */
+/** A [DrainView] whose machines and tasks are set by the test. */
 internal class FakeCluster : DrainView {
     override var isComplete = true
     val conditions = HashMap<String, MachineCondition>()
@@ -18,13 +18,13 @@
         tasks[name] = running.toMutableList()
     }
 
-    /** The task is stopped, and waits. */
+    /** Stops [task], which then waits to be started again. */
     fun stopTask(task: TaskId) {
         tasks.values.forEach { rows -> rows.removeIf { it.task == task } }
         waitingTasks += task
     }
 
-    /** The task runs again as [attempt]. */
+    /** Starts [task] on [machine] again as [attempt]. */
     fun restartTask(
         machine: String,
         task: PlacedTask,
