--- a/src/main/kotlin/lichenstage/drain/DrainPlanner.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainPlanner.kt
@@ -97,8 +97,8 @@
     }
 
     /**
-     * Returns whether the cordon has reached every controller. From then on, a stopped task is not placed on the machine again, and an empty
-     * machine stays empty.
+     * Returns whether the cordon has reached every controller. From then on, a stopped task is not placed on the machine again, and an
+     * empty machine stays empty.
      */
     private fun isCordonEffective(machine: DrainedMachine) = nowUs - machine.sinceUs >= CORDON_PROPAGATION_US
 
--- a/src/test/kotlin/lichenstage/drain/DrainBudgetTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainBudgetTest.kt
@@ -15,13 +15,13 @@
     @Example
     fun `a budget that changes during a drain applies at once and counts earlier interruptions`() {
         listOf("m1", "m2", "m3", "m4").forEachIndexed { i, name -> cluster.addMachine(name, task(i)) }
-        val core = core(DrainPolicy(DisruptionBudget(maxJobs = 2)))
-        core.updateDrains(listOf(drain(maxConcurrent = 4)), machines("m1", "m2", "m3", "m4"))
-        core.runStep()
-        val first = core.runStep().evictedTasks()
+        val initialCore = core(DrainPolicy(DisruptionBudget(maxJobs = 2)))
+        initialCore.updateDrains(listOf(drain(maxConcurrent = 4)), machines("m1", "m2", "m3", "m4"))
+        initialCore.runStep()
+        val first = initialCore.runStep().evictedTasks()
         assertEquals(2, first.size) { "$first" }
         first.forEach(cluster::stopTask)
-        val tighter = core(DrainPolicy(DisruptionBudget(maxJobs = 1)), core.state)
+        val tighter = core(DrainPolicy(DisruptionBudget(maxJobs = 1)), initialCore.state)
         tighter.updateDrains(listOf(drain(maxConcurrent = 4)), emptyList())
         repeat(3) { assertTrue(tighter.runStep().evictedTasks().isEmpty()) { "interrupted although two jobs already are" } }
         val looser = core(DrainPolicy(DisruptionBudget(maxJobs = 3)), tighter.state)
