--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -49,19 +49,19 @@
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.app")
     private val clock = Clock.steady
-    private val controllers = settings.peers.size + 1
+    private val controllerCount = settings.peers.size + 1
     private val metrics = Metrics()
     private val connectionBudget =
         ConnectionBudget(
             settings.maxSockets,
-            KeyValueStoreClient.MAX_CONNECTIONS + CloudClient.MAX_CONNECTIONS + settings.peers.size * PEER_SOCKETS + SPARE_SOCKETS,
+            KeyValueStoreClient.MAX_CONNECTIONS + CloudClient.MAX_CONNECTIONS + settings.peers.size * SOCKETS_PER_PEER + SPARE_SOCKETS,
         )
     private val state =
-        KeyValueStoreClient(vertx, settings.state, clock, controllers, settings.stateRps, settings.stateWriteRps, ::writeShare)
-    private val cloud = CloudClient(vertx, settings.cloud)
+        KeyValueStoreClient(vertx, settings.stateAddress, clock, controllerCount, settings.stateRps, settings.stateWriteRps, ::writeShare)
+    private val cloud = CloudClient(vertx, settings.cloudAddress)
     private val catalog = MachineCatalog(cloud, state, scope)
     private val authority: Authority =
-        Authority(settings, state, clock, scope, { to, frame -> links.send(to, frame) }, { links.isHealthy(it) }, ::ownershipChanged)
+        Authority(settings, state, clock, scope, { to, frame -> links.send(to, frame) }, { links.isHealthy(it) }, ::onOwnershipChanged)
     private val links: PeerLinks =
         PeerLinks(
             vertx,
@@ -74,19 +74,19 @@
             { from, frame -> router.onFrame(from, frame) },
         )
     private val forwarder = RequestForwarder({ links.healthyPeer() }) { to, frame -> links.send(to, frame) }
-    private val others = settings.peers.map { it.label }
+    private val peerLabels = settings.peers.map { it.label }
     private val replica =
         JobReplica(
             timeOfDayUs(),
-            others.toSet().takeIf { settings.count == controllers },
-            JobReplica.maxStalenessUs(settings.cancelUs, settings.workerLeaseUs),
+            peerLabels.toSet().takeIf { settings.controllerCount == controllerCount },
+            JobReplica.maxStalenessUs(settings.cancellationDeadlineUs, settings.workerLeaseUs),
         )
     private val dependencyGraph = DependencyGraph()
     private val replicaSync =
         JobReplicaSync(
             replica,
             dependencyGraph,
-            PeerChannel(others) { to, frame -> links.send(to, frame) },
+            PeerChannel(peerLabels) { to, frame -> links.send(to, frame) },
             state,
             clock,
             scope,
@@ -96,7 +96,7 @@
                 override fun onDependencyResolved() = leader?.tell(LeaderMessage.DependenciesResolved) ?: Unit
             },
         )
-    private val recordLimits = RecordLimits(settings.txnOps, settings.valueBytes)
+    private val recordLimits = RecordLimits(settings.maxTransactionOperations, settings.maxValueBytes)
     private val jobs =
         JobsActor(
             state,
@@ -115,16 +115,16 @@
             scope,
             WorkerClient(vertx, clock, metrics.counter("orders"), connectionBudget::maxOrderConnections),
             authority,
-            ::toLeader,
+            ::sendToLeader,
         )
     private val router = FrameRouter(authority, partition, jobs, replicaSync, forwarder, links::send) { leader }
-    private val api = HttpApi(vertx, settings.listen, jobs, partition, metrics, clock, connectionBudget, ::isHealthy)
+    private val api = HttpApi(vertx, settings.listenAddress, jobs, partition, metrics, clock, connectionBudget, ::isHealthy)
     private var leader: LeaderActor? = null
 
     /** Starts serving, and takes part in the cluster from now on. */
     fun start() {
-        if (settings.count != controllers) {
-            log.error("Number of controllers differs from the seeds count={} controllers={}", settings.count, controllers)
+        if (settings.controllerCount != controllerCount) {
+            log.error("Number of controllers differs from the seeds count={} controllers={}", settings.controllerCount, controllerCount)
         }
         registerGauges()
         links.start()
@@ -149,9 +149,9 @@
     /** Releases partitions whose home controller has been healthy for a while. */
     private suspend fun returnPartitions() {
         while (true) {
-            delay(RETURN_CHECK_MS)
+            delay(PARTITION_RETURN_CHECK_MS)
             for (partition in settings.assignment.partitions) {
-                val home = settings.assignment.home(partition)
+                val home = settings.assignment.homeController(partition)
                 if (home != null && home != settings.label && links.isStable(home)) authority.releasePartition(partition)
             }
         }
@@ -176,8 +176,8 @@
 
     /** This controller's share of the allowed changes: the leader also records completions and machines, the others serve users only. */
     private fun writeShare(): Double {
-        val other = OTHERS_SHARE / controllers
-        return if (leader != null) 1 - other * (controllers - 1) else other
+        val followerShare = EQUALLY_DIVIDED_SHARE / controllerCount
+        return if (leader != null) 1 - followerShare * (controllerCount - 1) else followerShare
     }
 
     /**
@@ -188,42 +188,42 @@
         authority.isReady() && catalog.isLoaded && (authority.isStateServiceAvailable() || links.healthyPeer() == null)
 
     /** Leadership lasts as long as its key: a pause of authority does not end it, a new term does. */
-    private fun ownershipChanged(ownership: OwnershipView) {
-        val current = leader
-        val holder = ownership.leader
-        if (current != null && holder?.term != current.term) {
-            current.stop()
+    private fun onOwnershipChanged(ownership: OwnershipView) {
+        val activeLeader = leader
+        val recordedLeader = ownership.leader
+        if (activeLeader != null && recordedLeader?.term != activeLeader.term) {
+            activeLeader.stop()
             leader = null
         }
-        val mine = authority.heldLeadership() ?: return
-        if (leader?.term == mine.term) return
+        val leadership = authority.heldLeadership() ?: return
+        if (leader?.term == leadership.term) return
         leader =
             LeaderActor(
                 settings,
-                LeaderOptions(operator.fleet(FleetPolicy()), operator.placement, operator.drains),
+                LeaderOptions(operator.adjustFleetPolicy(FleetPolicy()), operator.placement, operator.drains),
                 LeaderServices(authority, state, cloud, catalog, clock, replicaSync, dependencyGraph, links::send),
-                LeaderTerm(mine.term, mine.modRevision),
+                LeaderTerm(leadership.term, leadership.modRevision),
                 scope,
             )
     }
 
-    private fun toLeader(frame: PartitionFrame) {
-        val holder = authority.ownershipView().leader ?: return
-        links.send(holder.label, frame)
+    private fun sendToLeader(frame: PartitionFrame) {
+        val recordedLeader = authority.ownershipView().leader ?: return
+        links.send(recordedLeader.label, frame)
     }
 
     private companion object {
-        const val RETURN_CHECK_MS = 3_000L
+        const val PARTITION_RETURN_CHECK_MS = 3_000L
         const val READY_CHECK_MS = 50L
         const val METRICS_LOG_MS = 10_000L
 
         /** A connection in each direction, and for each one that is being replaced. */
-        const val PEER_SOCKETS = 4
+        const val SOCKETS_PER_PEER = 4
 
         /** Listening sockets, and some that are closing. */
         const val SPARE_SOCKETS = 24
 
         /** The part of the state service's allowed changes that is divided equally; the leader has the rest. */
-        const val OTHERS_SHARE = 0.5
+        const val EQUALLY_DIVIDED_SHARE = 0.5
     }
 }
--- a/src/main/kotlin/lichenstage/app/EventBatching.kt
+++ b/src/main/kotlin/lichenstage/app/EventBatching.kt
@@ -26,33 +26,33 @@
     private val pauseUs: Long,
     private val pause: (Long) -> Unit,
 ) {
-    private var wokeUs = Long.MIN_VALUE / 2
+    private var lastWakeUpUs = Long.MIN_VALUE / 2
 
     /** Called before each wait, with [select] to look without waiting; returns how many are ready, or that it is to wait. */
-    fun next(
+    fun calculateStrategy(
         select: () -> Int,
         hasTasks: Boolean,
     ): Int {
         if (hasTasks) return select()
         val now = clock.now()
-        val busy = now - wokeUs < pauseUs * BUSY_PAUSES
-        wokeUs = now
-        if (busy) pause(pauseUs)
+        val isBusy = now - lastWakeUpUs < pauseUs * BUSY_THRESHOLD_PAUSES
+        lastWakeUpUs = now
+        if (isBusy) pause(pauseUs)
         return SelectStrategy.SELECT
     }
 
     private companion object {
         /** The loop is busy where it was woken again within so many pauses. */
-        const val BUSY_PAUSES = 2
+        const val BUSY_THRESHOLD_PAUSES = 2
     }
 }
 
 /** Vert.x on its plain transport, whose event loop gathers. */
-fun batchingVertx(options: VertxOptions): Vertx {
+fun createBatchingVertx(options: VertxOptions): Vertx {
     val strategies =
         SelectStrategyFactory {
-            val batching = EventBatching(Clock.steady, BATCH_US) { LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(it)) }
-            SelectStrategy { select, hasTasks -> batching.next(select::get, hasTasks) }
+            val batching = EventBatching(Clock.steady, BATCH_PAUSE_US) { LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(it)) }
+            SelectStrategy { select, hasTasks -> batching.calculateStrategy(select::get, hasTasks) }
         }
     val transport =
         object : NioTransport() {
@@ -65,7 +65,7 @@
             object : Transport {
                 override fun implementation() = transport
 
-                override fun name() = "gathering"
+                override fun name() = "batching"
 
                 override fun available() = true
 
@@ -74,4 +74,4 @@
         ).build()
 }
 
-private const val BATCH_US = 20 * MILLI
+private const val BATCH_PAUSE_US = 20 * MILLI
--- a/src/main/kotlin/lichenstage/app/HclBlock.kt
+++ b/src/main/kotlin/lichenstage/app/HclBlock.kt
@@ -4,7 +4,7 @@
 import lichenstage.drain.HourRange
 
 /**
- * One block of an HCL file at [path]. Each accessor reads one key; [finish] then rejects every key that no accessor has read. All
+ * One block of an HCL file at [path]. Each accessor reads one key; [rejectUnreadKeys] then rejects every key that no accessor has read. All
  * errors are [InvalidSettingsException]s that name the path of the key and its value.
  */
 internal class HclBlock(
@@ -20,18 +20,18 @@
     fun has(key: String) = key in values
 
     /** A list of strings; empty if the key is missing. */
-    fun strings(key: String): List<String> {
+    fun stringList(key: String): List<String> {
         val value = read(key) ?: return emptyList()
         val list = value as? List<*> ?: fail(key, "a list of texts is needed")
         return list.map { it as? String ?: fail(key, "a list of texts is needed") }
     }
 
     /** Hours of the day as "FROM-TO"; null if the key is missing. */
-    fun hours(key: String): HourRange? {
+    fun hourRange(key: String): HourRange? {
         val value = read(key) ?: return null
-        val parts = (value as? String)?.split('-')?.map { it.toIntOrNull() ?: -1 }.orEmpty()
-        if (parts.size != 2 || parts.any { it !in 0..HOURS_A_DAY }) fail(key, "hours of the day as \"FROM-TO\" are needed")
-        return HourRange(parts[0], parts[1])
+        val bounds = (value as? String)?.split('-')?.map { it.toIntOrNull() ?: -1 }.orEmpty()
+        if (bounds.size != 2 || bounds.any { it !in 0..HOURS_PER_DAY }) fail(key, "hours of the day as \"FROM-TO\" are needed")
+        return HourRange(bounds[0], bounds[1])
     }
 
     private fun read(key: String): Any? {
@@ -41,8 +41,8 @@
 
     private fun fail(
         key: String,
-        what: String,
-    ): Nothing = throw InvalidSettingsException("$path$key: $what, found ${values[key]}")
+        expected: String,
+    ): Nothing = throw InvalidSettingsException("$path$key: $expected, found ${values[key]}")
 
     /** A nested block; an empty one if the key is missing. */
     fun section(key: String): HclBlock {
@@ -66,12 +66,12 @@
     }
 
     /** Rejects the block if it has a key that was not read. */
-    fun finish() {
-        val unknown = values.keys.firstOrNull { it !in readKeys } ?: return
-        fail(unknown, "unknown key")
+    fun rejectUnreadKeys() {
+        val unreadKey = values.keys.firstOrNull { it !in readKeys } ?: return
+        fail(unreadKey, "unknown key")
     }
 
     private companion object {
-        const val HOURS_A_DAY = 24
+        const val HOURS_PER_DAY = 24
     }
 }
--- a/src/main/kotlin/lichenstage/app/HttpApi.kt
+++ b/src/main/kotlin/lichenstage/app/HttpApi.kt
@@ -28,7 +28,7 @@
 /** The HTTP server for users, workers and health checks: decodes requests, passes them to the actors and writes their replies. */
 class HttpApi(
     private val vertx: Vertx,
-    private val listen: Address,
+    private val listenAddress: Address,
     private val jobs: JobsActor,
     private val partition: PartitionActor,
     private val metrics: Metrics,
@@ -37,26 +37,26 @@
     private val isHealthy: () -> Boolean,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.app")
-    private val emptyReplies = LruMap<Long, Buffer>(MAX_CACHED_REPLIES)
+    private val encodedEmptyReplies = LruMap<Long, Buffer>(MAX_CACHED_REPLIES)
 
     /** Starts to listen; ends the process if the address can't be bound. */
     fun start() {
         vertx
-            .createHttpServer(options())
+            .createHttpServer(serverOptions())
             .connectionHandler {
-                connectionBudget.opened()
-                it.closeHandler { connectionBudget.closed() }
+                connectionBudget.onConnectionOpened()
+                it.closeHandler { connectionBudget.onConnectionClosed() }
             }.requestHandler(::route)
-            .listen(listen.port, listen.host)
-            .onSuccess { log.info("HTTP server listening address={}", listen) }
-            .onFailure { exitOnFailure("$listen can't be used", it) }
+            .listen(listenAddress.port, listenAddress.host)
+            .onSuccess { log.info("HTTP server listening address={}", listenAddress) }
+            .onFailure { exitOnFailure("$listenAddress can't be used", it) }
     }
 
     /** Plain HTTP/1.1 only: detecting web sockets and HTTP/2 takes processor time with every request. */
-    private fun options() =
+    private fun serverOptions() =
         HttpServerOptions()
             .setTcpNoDelay(true)
-            .setIdleTimeout(IDLE_S)
+            .setIdleTimeout(IDLE_TIMEOUT_S)
             .setHandle100ContinueAutomatically(true)
             .setHttp2ClearTextEnabled(false)
             .setPerFrameWebSocketCompressionSupported(false)
@@ -66,49 +66,49 @@
 
     private fun route(request: HttpServerRequest) {
         val path = request.path()
-        measure(request, callerOf(path))
+        recordLatency(request, callerOf(path))
         when {
-            path == HEARTBEATS -> request.requireMethod(HttpMethod.POST) { request.readBody { heartbeat(request, it) } }
-            path == SUBMISSIONS -> request.requireMethod(HttpMethod.POST) { request.readBody { submit(request, it) } }
-            path == HEALTH -> request.requireMethod(HttpMethod.GET) { health(request) }
-            path == METRICS -> request.requireMethod(HttpMethod.GET) { request.response().end(metrics.render()) }
-            path != null && path.startsWith(JOBS) -> job(request, path.removePrefix(JOBS))
+            path == HEARTBEAT_PATH -> request.requireMethod(HttpMethod.POST) { request.readBody { handleHeartbeat(request, it) } }
+            path == JOBS_PATH -> request.requireMethod(HttpMethod.POST) { request.readBody { handleSubmission(request, it) } }
+            path == HEALTH_PATH -> request.requireMethod(HttpMethod.GET) { handleHealthCheck(request) }
+            path == METRICS_PATH -> request.requireMethod(HttpMethod.GET) { request.response().end(metrics.render()) }
+            path != null && path.startsWith(JOB_PATH_PREFIX) -> handleJobRequest(request, path.removePrefix(JOB_PATH_PREFIX))
             else -> request.respondError(HttpStatus.NOT_FOUND, "unknown path")
         }
     }
 
     private fun callerOf(path: String?) =
         when (path) {
-            HEARTBEATS -> Caller.WORKER
-            HEALTH -> Caller.HEALTH
+            HEARTBEAT_PATH -> Caller.WORKER
+            HEALTH_PATH -> Caller.HEALTH
             else -> Caller.USER
         }
 
-    private fun job(
+    private fun handleJobRequest(
         request: HttpServerRequest,
         path: String,
     ) {
-        val id = path.removeSuffix(CANCEL)
+        val id = path.removeSuffix(CANCEL_SUFFIX)
         if (id.isEmpty() || '/' in id) return request.respondError(HttpStatus.NOT_FOUND, "unknown path")
-        if (path.endsWith(CANCEL)) {
-            request.requireMethod(HttpMethod.POST) { request.readBody { userRequest(request, UserVerb.CANCEL, id) } }
+        if (path.endsWith(CANCEL_SUFFIX)) {
+            request.requireMethod(HttpMethod.POST) { request.readBody { handleUserRequest(request, UserVerb.CANCEL, id) } }
         } else {
-            request.requireMethod(HttpMethod.GET) { userRequest(request, UserVerb.SHOW, id) }
+            request.requireMethod(HttpMethod.GET) { handleUserRequest(request, UserVerb.SHOW, id) }
         }
     }
 
-    private fun submit(
+    private fun handleSubmission(
         request: HttpServerRequest,
         body: Buffer,
-    ) = userRequest(request, UserVerb.SUBMIT, body.toString())
+    ) = handleUserRequest(request, UserVerb.SUBMIT, body.toString())
 
-    private fun userRequest(
+    private fun handleUserRequest(
         request: HttpServerRequest,
         verb: UserVerb,
         text: String,
-    ) = jobs.tell(JobsMessage.UserRequest(verb, text) { reply(request, it) })
+    ) = jobs.tell(JobsMessage.UserRequest(verb, text) { respondToUser(request, it) })
 
-    private fun reply(
+    private fun respondToUser(
         request: HttpServerRequest,
         reply: Reply,
     ) {
@@ -117,7 +117,7 @@
     }
 
     /** Records how long the request takes until its response has been written. */
-    private fun measure(
+    private fun recordLatency(
         request: HttpServerRequest,
         caller: Caller,
     ) {
@@ -125,7 +125,7 @@
         request.response().endHandler { metrics.recordRequest(caller, request.response().statusCode, clock.now() - receivedUs) }
     }
 
-    private fun heartbeat(
+    private fun handleHeartbeat(
         request: HttpServerRequest,
         body: Buffer,
     ) {
@@ -136,30 +136,30 @@
                 log.info("Heartbeat rejected remote={} field={} expected={}", request.remoteAddress(), e.field, e.expected)
                 return request.respondError(HttpStatus.BAD_REQUEST, "not a report")
             }
-        partition.tell(PartitionMessage.HeartbeatReceived(heartbeat) { reply -> heartbeatReply(request, reply) })
+        partition.tell(PartitionMessage.HeartbeatReceived(heartbeat) { reply -> respondToHeartbeat(request, reply) })
     }
 
-    private fun heartbeatReply(
+    private fun respondToHeartbeat(
         request: HttpServerRequest,
         reply: HeartbeatReply,
     ) {
         if (connectionBudget.isExhausted()) request.response().putHeader("Connection", "close")
         when (reply) {
-            is HeartbeatReply.Accepted -> request.respond(HttpStatus.OK, encoded(reply))
+            is HeartbeatReply.Accepted -> request.respond(HttpStatus.OK, encodeReply(reply))
             is HeartbeatReply.Redirect -> request.respond(HttpStatus.MISDIRECTED_REQUEST, WorkerCodec.encodeRedirect(reply.label))
             HeartbeatReply.Unavailable -> request.respondError(HttpStatus.SERVICE_UNAVAILABLE, "not entitled")
         }
     }
 
     /** Most replies carry no commands: those are encoded once for each fencing token. */
-    private fun encoded(reply: HeartbeatReply.Accepted): Buffer =
+    private fun encodeReply(reply: HeartbeatReply.Accepted): Buffer =
         if (reply.commands.isEmpty()) {
-            emptyReplies.getOrPut(reply.fencingToken) { WorkerCodec.encodeCommands(reply.fencingToken, emptyList()) }
+            encodedEmptyReplies.getOrPut(reply.fencingToken) { WorkerCodec.encodeCommands(reply.fencingToken, emptyList()) }
         } else {
             WorkerCodec.encodeCommands(reply.fencingToken, reply.commands)
         }
 
-    private fun health(request: HttpServerRequest) {
+    private fun handleHealthCheck(request: HttpServerRequest) {
         if (isHealthy()) {
             request.respond(HttpStatus.OK, JsonObject().put("status", "ok"))
         } else {
@@ -168,17 +168,17 @@
     }
 
     private companion object {
-        const val HEARTBEATS = "/agent/beat"
-        const val HEALTH = "/healthz"
-        const val METRICS = "/metrics"
-        const val SUBMISSIONS = "/api/jobs"
-        const val JOBS = "$SUBMISSIONS/"
-        const val CANCEL = "/cancel"
+        const val HEARTBEAT_PATH = "/agent/beat"
+        const val HEALTH_PATH = "/healthz"
+        const val METRICS_PATH = "/metrics"
+        const val JOBS_PATH = "/api/jobs"
+        const val JOB_PATH_PREFIX = "$JOBS_PATH/"
+        const val CANCEL_SUFFIX = "/cancel"
 
         /** More than the partitions that one controller owns, each of which has a token of its own. */
         const val MAX_CACHED_REPLIES = 64
 
         /** Longer than users wait between polls; connections that a failure left open must not use up the sockets. */
-        const val IDLE_S = 60
+        const val IDLE_TIMEOUT_S = 60
     }
 }
--- a/src/main/kotlin/lichenstage/app/HttpExchange.kt
+++ b/src/main/kotlin/lichenstage/app/HttpServerRequestExtensions.kt
@@ -11,42 +11,42 @@
 
 /** Runs [handle] if the request has the given method, and answers 405 otherwise. */
 internal fun HttpServerRequest.requireMethod(
-    required: HttpMethod,
+    requiredMethod: HttpMethod,
     handle: () -> Unit,
 ) {
-    if (method() == required) {
+    if (method() == requiredMethod) {
         handle()
     } else {
-        response().putHeader("Allow", required.name())
+        response().putHeader("Allow", requiredMethod.name())
         respondError(HttpStatus.METHOD_NOT_ALLOWED, "wrong method")
     }
 }
 
 /** Collects the body and passes it to [handle]; a body over [MAX_BODY_BYTES] is answered with 413 and its connection closed. */
 internal fun HttpServerRequest.readBody(handle: (Buffer) -> Unit) {
-    val collected = Buffer.buffer()
-    var rejected = false
-    val announcedBytes = getHeader("Content-Length")?.toLongOrNull() ?: 0
+    val body = Buffer.buffer()
+    var isRejected = false
+    val contentLength = getHeader("Content-Length")?.toLongOrNull() ?: 0
 
     fun reject() {
-        rejected = true
+        isRejected = true
         response().putHeader("Connection", "close")
         respondError(HttpStatus.PAYLOAD_TOO_LARGE, "the body is over 64 KiB")
     }
-    if (announcedBytes > MAX_BODY_BYTES) return reject()
-    exceptionHandler { rejected = true }
+    if (contentLength > MAX_BODY_BYTES) return reject()
+    exceptionHandler { isRejected = true }
     handler {
-        if (!rejected && collected.length() + it.length() > MAX_BODY_BYTES) reject()
-        if (!rejected) collected.appendBuffer(it)
+        if (!isRejected && body.length() + it.length() > MAX_BODY_BYTES) reject()
+        if (!isRejected) body.appendBuffer(it)
     }
-    endHandler { if (!rejected) handle(collected) }
+    endHandler { if (!isRejected) handle(body) }
 }
 
-/** Answers with an error object whose message is [why]. */
+/** Answers with an error object whose message is [message]. */
 internal fun HttpServerRequest.respondError(
     status: Int,
-    why: String,
-) = respond(status, JsonObject().put("error", why))
+    message: String,
+) = respond(status, JsonObject().put("error", message))
 
 /** Answers with a JSON object. */
 internal fun HttpServerRequest.respond(
--- a/src/main/kotlin/lichenstage/app/Logging.kt
+++ b/src/main/kotlin/lichenstage/app/Logging.kt
@@ -5,19 +5,19 @@
  * logger is created: slf4j-simple reads these properties once.
  */
 internal fun configureLogging(level: String?) {
-    val known = level?.lowercase()?.takeIf { it in LEVELS } ?: "info"
-    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", known)
-    System.setProperty("${LOGGER_LEVEL}io.netty", "error")
-    System.setProperty("${LOGGER_LEVEL}io.vertx", "error")
-    System.setProperty("${LOGGER_LEVEL}io.micrometer", "error")
+    val effectiveLevel = level?.lowercase()?.takeIf { it in LOG_LEVELS } ?: "info"
+    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", effectiveLevel)
+    System.setProperty("${LOGGER_LEVEL_PREFIX}io.netty", "error")
+    System.setProperty("${LOGGER_LEVEL_PREFIX}io.vertx", "error")
+    System.setProperty("${LOGGER_LEVEL_PREFIX}io.micrometer", "error")
     // The callers log failed connections and requests; a network partition would add hundreds of lines of the library's own.
-    System.setProperty("${LOGGER_LEVEL}io.vertx.core.net.impl.ConnectionBase", "off")
-    System.setProperty("${LOGGER_LEVEL}io.vertx.core.http.impl.HttpClientRequestImpl", "off")
+    System.setProperty("${LOGGER_LEVEL_PREFIX}io.vertx.core.net.impl.ConnectionBase", "off")
+    System.setProperty("${LOGGER_LEVEL_PREFIX}io.vertx.core.http.impl.HttpClientRequestImpl", "off")
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false")
     // The platform adds the time to each line; a process that is started by hand may set the property.
-    if (System.getProperty(SHOW_TIME) == null) System.setProperty(SHOW_TIME, "false")
+    if (System.getProperty(SHOW_TIME_PROPERTY) == null) System.setProperty(SHOW_TIME_PROPERTY, "false")
 }
 
-private val LEVELS = setOf("error", "warn", "info", "debug")
-private const val LOGGER_LEVEL = "org.slf4j.simpleLogger.log."
-private const val SHOW_TIME = "org.slf4j.simpleLogger.showDateTime"
+private val LOG_LEVELS = setOf("error", "warn", "info", "debug")
+private const val LOGGER_LEVEL_PREFIX = "org.slf4j.simpleLogger.log."
+private const val SHOW_TIME_PROPERTY = "org.slf4j.simpleLogger.showDateTime"
--- a/src/main/kotlin/lichenstage/app/Main.kt
+++ b/src/main/kotlin/lichenstage/app/Main.kt
@@ -14,7 +14,7 @@
 fun main(args: Array<String>) {
     // First of all: reading the settings creates the first logger, and the level is read only then.
     configureLogging(System.getenv("LOG_LEVEL"))
-    exitUnlessServing(if (args.firstOrNull() == DRAIN) runDrainCommand(args.drop(1)) else runController(args))
+    exitUnlessServing(if (args.firstOrNull() == DRAIN_COMMAND) runDrainCommand(args.drop(1)) else runController(args))
 }
 
 private fun runDrainCommand(args: List<String>) = DrainCommand({ readFile(it, Settings::parse) }, ::println, System.err::println).run(args)
@@ -23,62 +23,62 @@
 private const val SERVING = -1
 
 /** Name of the command that manages drains. */
-private const val DRAIN = "drain"
+private const val DRAIN_COMMAND = "drain"
 
 /** Option with which the build starts the service once to record its class-data archive. */
-private const val WARM_UP = "warm-up"
+private const val WARM_UP_OPTION = "warm-up"
 
 /** Exit status for invalid arguments or settings. */
-private const val EXIT_USAGE = 2
+private const val EXIT_USAGE_ERROR = 2
 
 private fun exitUnlessServing(status: Int) {
     if (status != SERVING) exitProcess(status)
 }
 
-private fun commandLine() =
+private fun createCommandLineParser() =
     CommandLineParser(
         "lichenstage --config FILE",
         "A cluster scheduler: one controller of a deployment. For drains: lichenstage drain --help",
     ).value("config", "FILE", "The platform's settings file (JSON).")
         .value("operator", "FILE", "The operators' own settings (HCL).")
         .flag("check", "Check the settings and stop.")
-        .flag(WARM_UP, "Start on loopback with made-up settings and stop; the build makes the class archive of it.")
+        .flag(WARM_UP_OPTION, "Start on loopback with made-up settings and stop; the build makes the class archive of it.")
         .flag("help", "Show this help.", short = "h")
         .flag("version", "Show the version.", short = "V")
 
 private fun runController(args: Array<String>): Int {
-    val commandLine = commandLine()
+    val parser = createCommandLineParser()
     return try {
-        execute(commandLine.parse(args.toList()), commandLine)
+        runWithArguments(parser.parse(args.toList()), parser)
     } catch (e: InvalidArgumentsException) {
-        reportUsageError(e.message, commandLine)
+        reportUsageError(e.message, parser)
     }
 }
 
-private fun execute(
+private fun runWithArguments(
     arguments: ParsedArguments,
-    commandLine: CommandLineParser,
+    parser: CommandLineParser,
 ): Int {
     if (arguments.has("help")) {
-        println(commandLine.help())
+        println(parser.help())
         return 0
     }
     if (arguments.has("version")) {
         println("lichenstage ${Settings::class.java.`package`.implementationVersion ?: "in development"}")
         return 0
     }
-    if (arguments.has(WARM_UP)) return warmUp()
+    if (arguments.has(WARM_UP_OPTION)) return warmUp()
     val path = arguments.text("config") ?: throw InvalidArgumentsException("--config FILE is needed")
     return startController(path, arguments.text("operator"), checkOnly = arguments.has("check"))
 }
 
 private fun reportUsageError(
-    why: String?,
-    commandLine: CommandLineParser? = null,
+    message: String?,
+    parser: CommandLineParser? = null,
 ): Int {
-    System.err.println("lichenstage: $why")
-    commandLine?.let { System.err.println(it.help()) }
-    return EXIT_USAGE
+    System.err.println("lichenstage: $message")
+    parser?.let { System.err.println(it.help()) }
+    return EXIT_USAGE_ERROR
 }
 
 private fun startController(
@@ -91,7 +91,8 @@
     try {
         settings = readFile(settingsPath, Settings::parse)
         operator =
-            operatorPath?.let { readFile(it) { text -> OperatorSettings.parse(text).apply { check(settings) } } } ?: OperatorSettings()
+            operatorPath?.let { readFile(it) { text -> OperatorSettings.parse(text).apply { validateAgainst(settings) } } }
+                ?: OperatorSettings()
     } catch (e: InvalidSettingsException) {
         return reportUsageError(e.message)
     }
--- a/src/main/kotlin/lichenstage/app/OperatorSettings.kt
+++ b/src/main/kotlin/lichenstage/app/OperatorSettings.kt
@@ -14,19 +14,19 @@
 /** The operators' own settings, from an HCL file beside the platform's settings. Without that file everything has its default. */
 data class OperatorSettings(
     val placement: PlacementSettings = PlacementSettings(),
-    val fleet: (FleetPolicy) -> FleetPolicy = { it },
+    val adjustFleetPolicy: (FleetPolicy) -> FleetPolicy = { it },
     /** Null if drains are not enabled. */
     val drains: DrainPolicy? = null,
 ) {
     /** Checks these settings against the deployment; throws [InvalidSettingsException] for a team that it does not have. */
-    fun check(settings: Settings) {
-        val unknown = drains?.budgetByTeam?.keys?.firstOrNull { it !in settings.teams } ?: return
-        throw InvalidSettingsException("drains.teams.$unknown: unknown team")
+    fun validateAgainst(settings: Settings) {
+        val unknownTeam = drains?.budgetByTeam?.keys?.firstOrNull { it !in settings.teams } ?: return
+        throw InvalidSettingsException("drains.teams.$unknownTeam: unknown team")
     }
 
     companion object {
         private const val MAX_TIMER_MS = 60_000L
-        private const val SECONDS_A_DAY = 86_400L
+        private const val SECONDS_PER_DAY = 86_400L
         private const val PERCENT = 100.0
 
         /** Parses HCL; throws [InvalidSettingsException] with the path of an unknown key or of a value out of range. */
@@ -38,15 +38,15 @@
                 } catch (e: HCLParserException) {
                     throw InvalidSettingsException("not HCL: ${e.message}", e)
                 }
-            val top = HclBlock(root, "")
-            val placement = top.section("placement")
-            val fleet = top.section("fleet")
-            val drains = if (top.has("drains")) drains(top.section("drains")) else null
-            top.finish()
-            return OperatorSettings(placement(placement), fleet(fleet), drains)
+            val rootBlock = HclBlock(root, "")
+            val placement = rootBlock.section("placement")
+            val fleet = rootBlock.section("fleet")
+            val drains = if (rootBlock.has("drains")) parseDrains(rootBlock.section("drains")) else null
+            rootBlock.rejectUnreadKeys()
+            return OperatorSettings(parsePlacement(placement), parseFleet(fleet), drains)
         }
 
-        private fun placement(block: HclBlock): PlacementSettings {
+        private fun parsePlacement(block: HclBlock): PlacementSettings {
             val defaults = PlacementSettings()
             val settings =
                 PlacementSettings(
@@ -55,16 +55,16 @@
                     maxJobsPerRound = block.wholeNumber("batch_jobs", 1, 1000)?.toInt() ?: defaults.maxJobsPerRound,
                     maxTasksPerRequest = block.wholeNumber("batch_tasks", 1, 10_000)?.toInt() ?: defaults.maxTasksPerRequest,
                 )
-            block.finish()
+            block.rejectUnreadKeys()
             return settings
         }
 
         /** The changes that the block makes to a default policy. */
-        private fun fleet(block: HclBlock): (FleetPolicy) -> FleetPolicy {
-            val backlogUs = block.wholeNumber("backlog_s", 1, SECONDS_A_DAY)?.times(SECOND)
-            val scaleInDelayUs = block.wholeNumber("settle_s", 0, SECONDS_A_DAY)?.times(SECOND)
+        private fun parseFleet(block: HclBlock): (FleetPolicy) -> FleetPolicy {
+            val backlogUs = block.wholeNumber("backlog_s", 1, SECONDS_PER_DAY)?.times(SECOND)
+            val scaleInDelayUs = block.wholeNumber("settle_s", 0, SECONDS_PER_DAY)?.times(SECOND)
             val targetUtilization = block.wholeNumber("fill_percent", 10, 100)?.div(PERCENT)
-            block.finish()
+            block.rejectUnreadKeys()
             return { policy ->
                 policy.copy(
                     backlogUs = backlogUs ?: policy.backlogUs,
@@ -74,30 +74,30 @@
             }
         }
 
-        private fun drains(block: HclBlock): DrainPolicy {
-            val failures = block.wholeNumber("replacement_failures", 1, 100)?.toInt()
-            val default = if (block.has("default")) budget(block.section("default")) else null
+        private fun parseDrains(block: HclBlock): DrainPolicy {
+            val maxReplacementFailures = block.wholeNumber("replacement_failures", 1, 100)?.toInt()
+            val defaultBudget = if (block.has("default")) parseBudget(block.section("default")) else null
             val teams = block.section("teams")
-            val byTeam = teams.keys.associateWith { budget(teams.section(it)) }
-            teams.finish()
-            block.finish()
-            val policy = DrainPolicy(budgetByTeam = byTeam)
+            val budgetByTeam = teams.keys.associateWith { parseBudget(teams.section(it)) }
+            teams.rejectUnreadKeys()
+            block.rejectUnreadKeys()
+            val policy = DrainPolicy(budgetByTeam = budgetByTeam)
             return policy.copy(
-                defaultBudget = default ?: policy.defaultBudget,
+                defaultBudget = defaultBudget ?: policy.defaultBudget,
                 maxReplacementFailures =
-                    failures ?: policy.maxReplacementFailures,
+                    maxReplacementFailures ?: policy.maxReplacementFailures,
             )
         }
 
-        private fun budget(block: HclBlock): DisruptionBudget {
+        private fun parseBudget(block: HclBlock): DisruptionBudget {
             val budget =
                 DisruptionBudget(
                     maxJobs = block.wholeNumber("jobs", 0, 1_000_000)?.toInt(),
                     maxTaskShare = block.wholeNumber("share_percent", 0, 100)?.div(PERCENT),
-                    allowedHours = block.hours("hours"),
-                    uninterruptibleClasses = block.strings("never").toSet(),
+                    allowedHours = block.hourRange("hours"),
+                    uninterruptibleClasses = block.stringList("never").toSet(),
                 )
-            block.finish()
+            block.rejectUnreadKeys()
             return budget
         }
     }
--- a/src/main/kotlin/lichenstage/app/ServiceRuntime.kt
+++ b/src/main/kotlin/lichenstage/app/ServiceRuntime.kt
@@ -15,7 +15,7 @@
     operator: OperatorSettings = OperatorSettings(),
 ) {
     configureLibraries()
-    val vertx = batchingVertx(vertxOptions())
+    val vertx = createBatchingVertx(vertxOptions())
     val context = vertx.getOrCreateContext()
     context.runOnContext {
         val exitOnException = CoroutineExceptionHandler { _, e -> exitOnFailure("a coroutine failed", e) }
--- a/src/main/kotlin/lichenstage/app/WarmUp.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUp.kt
@@ -36,50 +36,50 @@
  * partitions are written down while the build is made, so that every later start maps them instead of reading them.
  */
 internal fun warmUp(): Int {
-    loadOwnClasses()
+    loadApplicationClasses()
     val servePort = freePort()
     val servicesPort = freePort()
     WarmUpServices(servicesPort).start()
     serve(Settings.parse(warmUpSettings(servePort, clusterPort = freePort(), servicesPort)))
-    decide()
-    for (request in listOf("GET /healthz", "GET /api/jobs/j-1", "POST /api/jobs")) ask(servePort, request)
+    exerciseDecisions()
+    for (request in listOf("GET /healthz", "GET /api/jobs/j-1", "POST /api/jobs")) sendRequest(servePort, request)
     // The process takes keys only after a while; the worker is answered as soon as it owns the worker's partition.
-    for (sequence in 1..REPORTS) {
-        ask(servePort, "POST /agent/beat", warmUpReport(servicesPort, sequence, tasks = ""))
+    for (sequence in 1..HEARTBEATS) {
+        sendRequest(servePort, "POST /agent/beat", warmUpHeartbeat(servicesPort, sequence, tasks = ""))
         Thread.sleep(PAUSE_MS)
     }
-    ask(servePort, "POST /api/jobs", WARM_UP_JOB)
-    ask(servePort, "GET /api/jobs/j-000001")
+    sendRequest(servePort, "POST /api/jobs", WARM_UP_JOB)
+    sendRequest(servePort, "GET /api/jobs/j-000001")
     Thread.sleep(PAUSE_MS * PAUSES_FOR_JOB)
     return 0
 }
 
 /** The classes that only a leader, or an answer of another service, would bring in: they are in the archive as well. */
-private fun loadOwnClasses() {
+private fun loadApplicationClasses() {
     val jar =
         File(
             Settings::class.java.protectionDomain.codeSource.location
                 .toURI(),
         )
     if (!jar.isFile) return
-    val names =
+    val classNames =
         ZipFile(jar).use { zip ->
             zip
                 .entries()
                 .asSequence()
                 .map { it.name }
-                .filter { it.endsWith(CLASS_FILE) }
+                .filter { it.endsWith(CLASS_FILE_EXTENSION) }
                 .toList()
         }
-    names.forEach { Class.forName(it.removeSuffix(CLASS_FILE).replace('/', '.'), false, Settings::class.java.classLoader) }
+    classNames.forEach { Class.forName(it.removeSuffix(CLASS_FILE_EXTENSION).replace('/', '.'), false, Settings::class.java.classLoader) }
 }
 
-private const val CLASS_FILE = ".class"
+private const val CLASS_FILE_EXTENSION = ".class"
 
 private fun freePort(): Int = ServerSocket(0).use { it.localPort }
 
 /** The report of a worker that answers at [port]. */
-internal fun warmUpReport(
+internal fun warmUpHeartbeat(
     port: Int,
     sequence: Int,
     tasks: String,
@@ -105,10 +105,10 @@
       "cloud":{"rps":4,"list_lag_s":4}}}
     """
 
-/** A leader whose frames are encoded, decoded and added to [sent]. */
+/** A leader whose frames are encoded, decoded and added to [sentFrames]. */
 private fun warmUpLeader(
     resources: Resources,
-    sent: MutableList<PlacementFrame>,
+    sentFrames: MutableList<PlacementFrame>,
 ) = LeaderCore(
     LeaderTerm(1, 1),
     LeaderSettings(
@@ -121,14 +121,14 @@
     ),
     LeaderLookups({ resources }),
 ) {
-    if (it is LeaderEffect.SendFrame) sent += FrameCodec.decode(FrameCodec.encode(it.frame)) as PlacementFrame
+    if (it is LeaderEffect.SendFrame) sentFrames += FrameCodec.decode(FrameCodec.encode(it.frame)) as PlacementFrame
 }
 
 /** Has the decisions of a leader and a partition run once, with their frames, so that their classes are in the archive too. */
-private fun decide() {
+private fun exerciseDecisions() {
     val resources = Resources(1.0, 0.0, 1.0)
-    val sent = ArrayList<PlacementFrame>()
-    val leader = warmUpLeader(resources, sent)
+    val sentFrames = ArrayList<PlacementFrame>()
+    val leader = warmUpLeader(resources, sentFrames)
     val spec =
         JobSpec("j-1", "c", "t", Priority.HIGH, 1, resources, null, null, false, false, true, "i", 1.0, SECOND, 0, 0, null, 0)
     leader.addJob(Job(JobRecordCodec.decode(JobRecordCodec.encode(spec)), 1, 0))
@@ -136,12 +136,12 @@
     val partition = PartitionCore(PartitionParameters("z/0", "z", 2, 20 * SECOND, SECOND, 0)) { MachineLimits("b", resources) }
     for (now in 1L..6L) {
         val tasks = if (now < 5) "" else """{"part":"j-1/0","try":4294967297,"status":"ended","cause":"done"}"""
-        val heartbeat = warmUpReport(port = 1, now.toInt(), tasks)
+        val heartbeat = warmUpHeartbeat(port = 1, now.toInt(), tasks)
         (partition.onHeartbeat(WorkerCodec.decodeHeartbeat(Buffer.buffer(heartbeat)), now * SECOND) as HeartbeatOutcome.Accepted)
             .let { WorkerCodec.encodeCommands(it.fencingToken, it.commands) }
         leader.tick(now * SECOND)
-        sent.forEach { partition.onLeaderFrame(it, now * SECOND) }
-        sent.clear()
+        sentFrames.forEach { partition.onLeaderFrame(it, now * SECOND) }
+        sentFrames.clear()
         partition.nextDirectOrders(now * SECOND)
         partition.tick(now * SECOND)
         partition.nextFrame(now * SECOND)?.let {
@@ -154,16 +154,16 @@
 }
 
 /** Asks once the server is up. On a busy machine that can take long; the archive is no reason to fail a build. */
-private fun ask(
+private fun sendRequest(
     port: Int,
     request: String,
     body: String = "{}",
 ) {
-    repeat(TRIES) {
+    repeat(MAX_TRIES) {
         try {
             Socket("127.0.0.1", port).use {
-                val head = "$request HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: ${body.length}\r\n\r\n"
-                it.getOutputStream().write((head + body).toByteArray())
+                val requestHead = "$request HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: ${body.length}\r\n\r\n"
+                it.getOutputStream().write((requestHead + body).toByteArray())
                 it.getInputStream().readAllBytes()
             }
             return
@@ -173,7 +173,7 @@
     }
 }
 
-private const val TRIES = 100
+private const val MAX_TRIES = 100
 private const val PAUSE_MS = 100L
-private const val REPORTS = 40
+private const val HEARTBEATS = 40
 private const val PAUSES_FOR_JOB = 15
--- a/src/main/kotlin/lichenstage/app/WarmUpServices.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUpServices.kt
@@ -21,28 +21,28 @@
     fun start() {
         vertx
             .createHttpServer()
-            .requestHandler { request -> request.body().onSuccess { answer(request) } }
+            .requestHandler { request -> request.body().onSuccess { handleRequest(request) } }
             .listen(port, "127.0.0.1")
     }
 
-    private fun answer(request: HttpServerRequest) {
+    private fun handleRequest(request: HttpServerRequest) {
         val path = request.path()
         when {
-            path == "/kv" -> write(request, JsonObject().put("rows", JsonArray()).put("truncated", false).put(REVISION, revision))
-            path.startsWith("/kv/") -> write(request, JsonObject().put(REVISION, revision), NOT_FOUND)
-            path == "/txn" -> write(request, JsonObject().put(REVISION, ++revision))
-            path == "/changes" -> vertx.setTimer(WATCH_MS) { write(request, noChanges()) }
-            path.startsWith("/leases") -> write(request, JsonObject().put("tenancy", 1))
-            path == "/flavors" -> write(request, JsonObject().put("builds", JsonArray().add(MACHINE_TYPE)))
-            path == "/hosts" && request.method() == HttpMethod.GET -> write(request, NO_MACHINES)
-            path == "/orders" -> write(request, JsonObject(warmUpReport(port, sequence = 100, tasks = "")))
-            else -> write(request, JsonObject().put("error", "no capacity"), UNAVAILABLE)
+            path == "/kv" -> respond(request, JsonObject().put("rows", JsonArray()).put("truncated", false).put(REVISION_FIELD, revision))
+            path.startsWith("/kv/") -> respond(request, JsonObject().put(REVISION_FIELD, revision), NOT_FOUND)
+            path == "/txn" -> respond(request, JsonObject().put(REVISION_FIELD, ++revision))
+            path == "/changes" -> vertx.setTimer(WATCH_DELAY_MS) { respond(request, emptyChanges()) }
+            path.startsWith("/leases") -> respond(request, JsonObject().put("tenancy", 1))
+            path == "/flavors" -> respond(request, JsonObject().put("builds", JsonArray().add(MACHINE_TYPE)))
+            path == "/hosts" && request.method() == HttpMethod.GET -> respond(request, NO_MACHINES)
+            path == "/orders" -> respond(request, JsonObject(warmUpHeartbeat(port, sequence = 100, tasks = "")))
+            else -> respond(request, JsonObject().put("error", "no capacity"), UNAVAILABLE)
         }
     }
 
-    private fun noChanges() = JsonObject().put(REVISION, revision).put("events", JsonArray())
+    private fun emptyChanges() = JsonObject().put(REVISION_FIELD, revision).put("events", JsonArray())
 
-    private fun write(
+    private fun respond(
         request: HttpServerRequest,
         body: JsonObject,
         status: Int = OK,
@@ -51,11 +51,11 @@
     }
 
     private companion object {
-        const val REVISION = "ledger_rev"
+        const val REVISION_FIELD = "ledger_rev"
         const val OK = 200
         const val NOT_FOUND = 404
         const val UNAVAILABLE = 503
-        const val WATCH_MS = 200L
+        const val WATCH_DELAY_MS = 200L
         val NO_MACHINES: JsonObject = JsonObject().put("holdfasts", JsonArray()).put("truncated", false)
         val MACHINE_TYPE =
             JsonObject(
--- a/src/main/kotlin/lichenstage/authority/AcquisitionMoratorium.kt
+++ b/src/main/kotlin/lichenstage/authority/AcquisitionMoratorium.kt
@@ -30,7 +30,7 @@
      * The moratoriums of the other controllers. If the settings list fewer controllers than exist, this has no peers and never extends
      * the lease, since the unlisted controllers cannot be asked.
      */
-    private val peerMoratoriums = PeerMoratoriums(if (settings.count == peers.size + 1) peers else emptySet())
+    private val peerMoratoriums = PeerMoratoriums(if (settings.controllerCount == peers.size + 1) peers else emptySet())
 
     /** Requests moratoriums from all other controllers while the state service is unavailable. Runs until cancelled. */
     suspend fun run() {
--- a/src/main/kotlin/lichenstage/authority/OwnershipAcquisition.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipAcquisition.kt
@@ -65,7 +65,7 @@
         while (true) {
             val dueUs = clock.now() + CHECK_INTERVAL_MS * MILLI
             delay(CHECK_INTERVAL_MS)
-            lag.timerFired(dueUs, clock.now())
+            lag.onTimerFired(dueUs, clock.now())
             acquireUnownedKeys()
         }
     }
@@ -85,7 +85,7 @@
     }
 
     private fun delayUs(key: String): Long {
-        val home = settings.assignment.home(OwnershipRecords.partitionOf(key))
+        val home = settings.assignment.homeController(OwnershipRecords.partitionOf(key))
         val isHomeHealthy = home != null && home != settings.label && isPeerHealthy(home)
         val isLeadership = key == OwnershipRecords.LEADER_KEY
         return acquisitionDelay.delayUs(isLeadership, heldOwnerships.recordedKeyCount, home, table.hasEverBeenOwned(key), isHomeHealthy) +
--- a/src/main/kotlin/lichenstage/cloud/MachineCatalogCodec.kt
+++ b/src/main/kotlin/lichenstage/cloud/MachineCatalogCodec.kt
@@ -35,7 +35,7 @@
             .put(CORES, machineType.capacity.cores)
             .put(GPUS, machineType.capacity.gpus)
             .put(MEMORY_GB, machineType.capacity.memGb)
-            .put(PRICE, machineType.price)
+            .put(PRICE, machineType.onDemandPrice)
             .put(SPOT_PRICE, machineType.spotPrice)
             .put(BOOT_US, machineType.bootUs)
             .apply { if (machineType.cacheGb.isFinite()) put(CACHE_GB, machineType.cacheGb) }
@@ -50,7 +50,7 @@
         MachineType(
             name = row.getString(NAME),
             capacity = Resources(row.getDouble(CORES), row.getDouble(GPUS), row.getDouble(MEMORY_GB)),
-            price = row.getDouble(PRICE),
+            onDemandPrice = row.getDouble(PRICE),
             spotPrice = row.getDouble(SPOT_PRICE),
             bootUs = row.getLong(BOOT_US),
             cacheGb = row.getDouble(CACHE_GB) ?: Double.POSITIVE_INFINITY,
--- a/src/main/kotlin/lichenstage/common/ConnectionBudget.kt
+++ b/src/main/kotlin/lichenstage/common/ConnectionBudget.kt
@@ -13,7 +13,7 @@
  */
 class ConnectionBudget(
     private val maxSockets: Int,
-    private val reserved: Int,
+    private val reservedSockets: Int,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.app")
     private var exhaustionLogged = false
@@ -22,27 +22,28 @@
     var servedConnections = 0
         private set
 
-    private val shared get() = maxSockets - reserved
+    private val sharedSockets get() = maxSockets - reservedSockets
 
-    /** The part of [shared] that is kept free for users: a user who can't connect can't be asked to retry later either. */
-    private val forUsers = (shared / USERS_DIVISOR).coerceAtLeast(1)
+    /** The part of [sharedSockets] that is kept free for users: a user who can't connect can't be asked to retry later either. */
+    private val userSockets = (sharedSockets / USER_SHARE_DIVISOR).coerceAtLeast(1)
 
     /** A connection was accepted. */
-    fun opened() {
+    fun onConnectionOpened() {
         servedConnections++
     }
 
     /** An accepted connection has ended. */
-    fun closed() {
+    fun onConnectionClosed() {
         servedConnections--
     }
 
     /** How many connections to workers may be open for orders now. */
-    fun maxOrderConnections(): Int = (shared - forUsers - servedConnections).coerceIn(minOrderConnections(), MAX_ORDER_CONNECTIONS)
+    fun maxOrderConnections(): Int =
+        (sharedSockets - userSockets - servedConnections).coerceIn(minOrderConnections(), MAX_ORDER_CONNECTIONS)
 
     /** Whether connections of workers have to be closed with the response. Logs the first time that this is the case. */
     fun isExhausted(): Boolean {
-        val exhausted = servedConnections > shared - forUsers - minOrderConnections()
+        val exhausted = servedConnections > sharedSockets - userSockets - minOrderConnections()
         if (exhausted && !exhaustionLogged) {
             exhaustionLogged = true
             log.error(
@@ -54,14 +55,14 @@
         return exhausted
     }
 
-    private fun minOrderConnections() = (shared / ORDERS_DIVISOR).coerceIn(1, MAX_ORDER_CONNECTIONS)
+    private fun minOrderConnections() = (sharedSockets / ORDER_SHARE_DIVISOR).coerceIn(1, MAX_ORDER_CONNECTIONS)
 
     private companion object {
         /** Users get one part in so many of the shared sockets. */
-        const val USERS_DIVISOR = 8
+        const val USER_SHARE_DIVISOR = 8
 
         /** Orders get at least one part in so many of the shared sockets. */
-        const val ORDERS_DIVISOR = 16
+        const val ORDER_SHARE_DIVISOR = 16
 
         /** Keeping a connection open for each of thousands of machines would take more memory than reopening some is worth. */
         const val MAX_ORDER_CONNECTIONS = 700
--- a/src/main/kotlin/lichenstage/common/EventLoopLag.kt
+++ b/src/main/kotlin/lichenstage/common/EventLoopLag.kt
@@ -10,7 +10,7 @@
         private set
 
     /** Records that a timer that was due at [dueUs] ran at [now]. To be called several times a second. */
-    fun timerFired(
+    fun onTimerFired(
         dueUs: Long,
         now: Long,
     ) {
--- a/src/main/kotlin/lichenstage/common/JsonHttpClient.kt
+++ b/src/main/kotlin/lichenstage/common/JsonHttpClient.kt
@@ -53,7 +53,7 @@
 ) {
     private val client =
         vertx.createHttpClient(
-            HttpClientOptions().setKeepAliveTimeout(KEEP_S).setConnectTimeout(CONNECT_MS).setPipelining(false),
+            HttpClientOptions().setKeepAliveTimeout(KEEP_ALIVE_S).setConnectTimeout(CONNECT_TIMEOUT_MS).setPipelining(false),
             PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(queue),
         )
 
@@ -80,7 +80,7 @@
 
     companion object {
         private val log = LoggerFactory.getLogger("lichenstage.app")
-        private const val KEEP_S = 60
-        private const val CONNECT_MS = 1500
+        private const val KEEP_ALIVE_S = 60
+        private const val CONNECT_TIMEOUT_MS = 1500
     }
 }
--- a/src/main/kotlin/lichenstage/common/Mailbox.kt
+++ b/src/main/kotlin/lichenstage/common/Mailbox.kt
@@ -21,12 +21,12 @@
     capacity: Int = CAPACITY,
     private val shed: (M) -> Boolean = { false },
 ) {
-    private val inbox = Channel<M>(capacity)
+    private val channel = Channel<M>(capacity)
     private var overflowLogged = false
 
     init {
         scope.launch {
-            for (message in inbox) {
+            for (message in channel) {
                 @Suppress("TooGenericExceptionCaught") // Any failure ends the process, with its cause logged.
                 try {
                     handle(message)
@@ -39,7 +39,7 @@
 
     /** Enqueues a message, or sheds it if the mailbox is full. Never suspends. */
     fun tell(message: M) {
-        if (inbox.trySend(message).isSuccess) return
+        if (channel.trySend(message).isSuccess) return
         if (!shed(message)) exitOnFailure("$name: the mailbox is full", null)
         if (overflowLogged) return
         overflowLogged = true
--- a/src/main/kotlin/lichenstage/common/RateLimitedLog.kt
+++ b/src/main/kotlin/lichenstage/common/RateLimitedLog.kt
@@ -9,27 +9,27 @@
     private val periodUs: Long = PERIOD_US,
     private val write: (String) -> Unit,
 ) {
-    private var sinceUs = Long.MIN_VALUE / 2
-    private var lines = 0
-    private var dropped = 0
+    private var periodStartedAtUs = Long.MIN_VALUE / 2
+    private var writtenLines = 0
+    private var droppedLines = 0
 
     /** Writes the line, or counts it as dropped. */
     fun info(line: () -> String) {
         val now = clock.now()
-        if (now - sinceUs > periodUs) begin(now)
-        if (lines >= maxLines) {
-            dropped++
+        if (now - periodStartedAtUs > periodUs) startPeriod(now)
+        if (writtenLines >= maxLines) {
+            droppedLines++
         } else {
-            lines++
+            writtenLines++
             write(line())
         }
     }
 
-    private fun begin(now: Long) {
-        if (dropped > 0) write("$dropped lines were left out")
-        sinceUs = now
-        lines = 0
-        dropped = 0
+    private fun startPeriod(now: Long) {
+        if (droppedLines > 0) write("$droppedLines lines were left out")
+        periodStartedAtUs = now
+        writtenLines = 0
+        droppedLines = 0
     }
 
     companion object {
--- a/src/main/kotlin/lichenstage/config/Settings.kt
+++ b/src/main/kotlin/lichenstage/config/Settings.kt
@@ -36,24 +36,24 @@
 data class Settings(
     val label: String,
     val zone: String,
-    val listen: Address,
+    val listenAddress: Address,
     val clusterListen: Address,
     val peers: List<Peer>,
-    val cloud: Address,
-    val state: Address,
+    val cloudAddress: Address,
+    val stateAddress: Address,
     val zones: List<String>,
     val teams: Map<String, Team>,
     val workerLeaseUs: Long,
     /** No task of a job may be left this long after its cancellation was confirmed. */
-    val cancelUs: Long,
+    val cancellationDeadlineUs: Long,
     val heartbeatIntervalUs: Long,
     val stateRps: Double,
     val stateWriteRps: Double,
-    val txnOps: Int,
-    val valueBytes: Int,
+    val maxTransactionOperations: Int,
+    val maxValueBytes: Int,
     val cloudRps: Double,
-    val listLagUs: Long,
-    val count: Int,
+    val machineListLagUs: Long,
+    val controllerCount: Int,
     val objectives: List<Objective>,
     val maxSockets: Int,
     /** The share of one core that the process may use. */
@@ -67,60 +67,60 @@
         fun parse(text: String): Settings {
             val root =
                 SettingsReader(runCatching { JsonObject(text) }.getOrElse { throw InvalidSettingsException("not a JSON object") }, "")
-            val settings = root.obj("settings")
-            val workers = settings.obj("workers")
-            val state = settings.obj("state")
+            val settings = root.requiredObject("settings")
+            val workers = settings.requiredObject("workers")
+            val state = settings.requiredObject("state")
             // Announced limits of the state service take effect without notice, so the smaller of both applies from the start.
-            val next = state.optionalObj("next")
+            val announcedLimits = state.optionalObject("next")
 
             fun limit(
                 field: String,
                 min: Double,
                 default: Double? = null,
-            ) = state.number(field, min, default).let { minOf(it, next?.number(field, min, it) ?: it) }
-            val cloud = settings.obj("cloud")
-            val endpoints = root.obj("endpoints")
-            val machine = settings.optionalObj("machine_limits")
+            ) = state.number(field, min, default).let { minOf(it, announcedLimits?.number(field, min, it) ?: it) }
+            val cloud = settings.requiredObject("cloud")
+            val endpoints = root.requiredObject("endpoints")
+            val machineLimits = settings.optionalObject("machine_limits")
             return Settings(
-                label = root.text("label"),
-                zone = root.text("area"),
-                listen = root.address("serve_on"),
+                label = root.string("label"),
+                zone = root.string("area"),
+                listenAddress = root.address("serve_on"),
                 clusterListen = root.address("cluster_listen"),
-                peers = root.list("seeds").map { Peer(it.text("label"), it.text("area"), it.address("addr")) },
-                cloud = endpoints.address("cloud"),
-                state = endpoints.address("state"),
-                zones = settings.texts("zones"),
-                teams = settings.list("teams").map(::team).associateBy { it.name },
-                workerLeaseUs = workers.micros("lease_s"),
-                cancelUs = workers.micros("cancel_s"),
-                heartbeatIntervalUs = workers.micros("report_s"),
+                peers = root.objectList("seeds").map { Peer(it.string("label"), it.string("area"), it.address("addr")) },
+                cloudAddress = endpoints.address("cloud"),
+                stateAddress = endpoints.address("state"),
+                zones = settings.stringList("zones"),
+                teams = settings.objectList("teams").map(::parseTeam).associateBy { it.name },
+                workerLeaseUs = workers.durationUs("lease_s"),
+                cancellationDeadlineUs = workers.durationUs("cancel_s"),
+                heartbeatIntervalUs = workers.durationUs("report_s"),
                 stateRps = limit("rps", 1.0),
                 stateWriteRps = limit("write_rps", 1.0),
-                txnOps = limit("txn_ops", 2.0).toInt(),
-                valueBytes = (limit("value_kb", 0.25, 8.0) * 1024).toInt(),
+                maxTransactionOperations = limit("txn_ops", 2.0).toInt(),
+                maxValueBytes = (limit("value_kb", 0.25, 8.0) * 1024).toInt(),
                 cloudRps = cloud.number("rps", 0.01),
-                listLagUs = cloud.micros("list_lag_s"),
-                count = settings.number("count", 1.0).toInt(),
-                objectives = settings.list("objectives").mapNotNull(::objective),
-                maxSockets = machine?.number("max_sockets", 16.0, 1024.0)?.toInt() ?: 1024,
-                coreShare = machine?.number("core_share", 0.001, 1.0)?.coerceAtMost(1.0) ?: 1.0,
+                machineListLagUs = cloud.durationUs("list_lag_s"),
+                controllerCount = settings.number("count", 1.0).toInt(),
+                objectives = settings.objectList("objectives").mapNotNull(::parseObjective),
+                maxSockets = machineLimits?.number("max_sockets", 16.0, 1024.0)?.toInt() ?: 1024,
+                coreShare = machineLimits?.number("core_share", 0.001, 1.0)?.coerceAtMost(1.0) ?: 1.0,
             )
         }
 
         /** Null for an unknown kind, which is ignored like an unknown field. */
-        private fun objective(row: SettingsReader): Objective? {
-            val kind = ObjectiveKind.entries.firstOrNull { it.name.lowercase() == row.text("kind") } ?: return null
-            return Objective(kind, row.optionalText("class"), row.optionalMicros("within_s"))
+        private fun parseObjective(row: SettingsReader): Objective? {
+            val kind = ObjectiveKind.entries.firstOrNull { it.name.lowercase() == row.string("kind") } ?: return null
+            return Objective(kind, row.optionalString("class"), row.optionalDurationUs("within_s"))
         }
 
-        private fun team(row: SettingsReader): Team {
-            fun cap(field: String) = row.number(field, 0.0, 0.0).let { if (it == 0.0) Double.POSITIVE_INFINITY else it }
+        private fun parseTeam(row: SettingsReader): Team {
+            fun optionalLimit(field: String) = row.number(field, 0.0, 0.0).let { if (it == 0.0) Double.POSITIVE_INFINITY else it }
             return Team(
-                row.text("name"),
+                row.string("name"),
                 row.number("cpus", 0.0, 0.0),
-                cap("cpus_max"),
+                optionalLimit("cpus_max"),
                 row.number("gpus", 0.0, 0.0),
-                cap("gpus_max"),
+                optionalLimit("gpus_max"),
             )
         }
     }
@@ -137,21 +137,22 @@
     private val json: JsonObject,
     private val path: String,
 ) {
-    private fun at(field: String) = if (path.isEmpty()) field else "$path.$field"
+    private fun pathOf(field: String) = if (path.isEmpty()) field else "$path.$field"
 
     private fun fail(
         field: String,
-        what: String,
-    ): Nothing = throw InvalidSettingsException("${at(field)}: $what, found ${json.getValue(field)}")
+        expected: String,
+    ): Nothing = throw InvalidSettingsException("${pathOf(field)}: $expected, found ${json.getValue(field)}")
 
     /** The object in a required field. */
-    fun obj(field: String) = SettingsReader(json.getValue(field) as? JsonObject ?: fail(field, "an object is needed"), at(field))
+    fun requiredObject(field: String) =
+        SettingsReader(json.getValue(field) as? JsonObject ?: fail(field, "an object is needed"), pathOf(field))
 
     /** The object in an optional field. */
-    fun optionalObj(field: String) = if (json.getValue(field) == null) null else obj(field)
+    fun optionalObject(field: String) = if (json.getValue(field) == null) null else requiredObject(field)
 
     /** A required string that is not empty. */
-    fun text(field: String) = (json.getValue(field) as? String)?.takeIf { it.isNotEmpty() } ?: fail(field, "a text is needed")
+    fun string(field: String) = (json.getValue(field) as? String)?.takeIf { it.isNotEmpty() } ?: fail(field, "a text is needed")
 
     /** A number of at least [min], or [default] where the field is missing. */
     fun number(
@@ -165,27 +166,27 @@
     }
 
     /** A required duration, given in seconds, in microseconds. */
-    fun micros(field: String) = (number(field, 0.001) * 1_000_000).toLong()
+    fun durationUs(field: String) = (number(field, 0.001) * 1_000_000).toLong()
 
     /** An optional string. */
-    fun optionalText(field: String) = if (json.getValue(field) == null) null else text(field)
+    fun optionalString(field: String) = if (json.getValue(field) == null) null else string(field)
 
     /** An optional duration, given in seconds, in microseconds. */
-    fun optionalMicros(field: String) = if (json.getValue(field) == null) null else micros(field)
+    fun optionalDurationUs(field: String) = if (json.getValue(field) == null) null else durationUs(field)
 
     /** A required address of the form HOST:PORT. */
-    fun address(field: String): Address = parseAddress(text(field)) ?: fail(field, "an address HOST:PORT is needed")
+    fun address(field: String): Address = parseAddress(string(field)) ?: fail(field, "an address HOST:PORT is needed")
 
     /** A required list of objects. */
-    fun list(field: String): List<SettingsReader> {
+    fun objectList(field: String): List<SettingsReader> {
         val array = json.getValue(field) as? JsonArray ?: fail(field, "a list is needed")
         return array.mapIndexed { i, row ->
-            SettingsReader(row as? JsonObject ?: fail(field, "a list of objects is needed"), "${at(field)}[$i]")
+            SettingsReader(row as? JsonObject ?: fail(field, "a list of objects is needed"), "${pathOf(field)}[$i]")
         }
     }
 
     /** A required list of strings. */
-    fun texts(field: String): List<String> {
+    fun stringList(field: String): List<String> {
         val array = json.getValue(field) as? JsonArray ?: fail(field, "a list is needed")
         return array.map { it as? String ?: fail(field, "a list of texts is needed") }
     }
--- a/src/main/kotlin/lichenstage/drain/DrainCommand.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCommand.kt
@@ -99,13 +99,13 @@
                     val state =
                         KeyValueStoreClient(
                             vertx,
-                            settings.state,
+                            settings.stateAddress,
                             Clock.steady,
-                            settings.count,
+                            settings.controllerCount,
                             settings.stateRps,
                             settings.stateWriteRps,
                         ) { STATE_WRITE_SHARE }
-                    val operations = DrainOperations(state, state::scan, DrainRecordCodec(settings.valueBytes), settings, ::timeOfDayUs)
+                    val operations = DrainOperations(state, state::scan, DrainRecordCodec(settings.maxValueBytes), settings, ::timeOfDayUs)
                     when (arguments.subcommand) {
                         START -> operations.start(buildRequest(name!!, arguments.parsed))
                         STATUS -> operations.status(name)
--- a/src/main/kotlin/lichenstage/drain/DrainOperations.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainOperations.kt
@@ -115,7 +115,7 @@
         val revisions = scanEntries("${DrainRecordCodec.MACHINE_PREFIX}${request.name}/").associate { it.key to it.modRevision }
         val changes = pages.map { Change.Put(it.key, it.value) } + (revisions.keys - pages.keys).map { Change.Delete(it) }
         val drainKey = DrainRecordCodec.DRAIN_PREFIX + request.name
-        for (batch in changes.chunked(settings.txnOps)) {
+        for (batch in changes.chunked(settings.maxTransactionOperations)) {
             val preconditions = batch.map { Precondition(it.key, revisions[it.key] ?: Precondition.ABSENT) } + Precondition.absent(drainKey)
             commit(preconditions, batch)
         }
--- a/src/main/kotlin/lichenstage/drain/DrainRequest.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainRequest.kt
@@ -14,7 +14,7 @@
     /** The machine is meant. */
     operator fun contains(machine: RegisteredMachine) =
         (names.isEmpty() || machine.name in names) && (typeName == null || machine.typeName == typeName) &&
-            (zone == null || machine.zone == zone) && (spot == null || machine.spot == spot) &&
+            (zone == null || machine.zone == zone) && (spot == null || machine.isSpot == spot) &&
             (provisionedUpTo == null || machine.name <= provisionedUpTo)
 }
 
--- a/src/main/kotlin/lichenstage/fleet/ScaleOut.kt
+++ b/src/main/kotlin/lichenstage/fleet/ScaleOut.kt
@@ -87,7 +87,7 @@
         machines: List<FleetMachine>,
         nowUs: Long,
     ): ProvisionRequest? {
-        if (machineType.spotPrice >= machineType.price || nowUs - lastSpotSwapAtUs < SPOT_SWAP_INTERVAL_US) return null
+        if (machineType.spotPrice >= machineType.onDemandPrice || nowUs - lastSpotSwapAtUs < SPOT_SWAP_INTERVAL_US) return null
         if (machines.none { !it.isSpot && !it.isDraining } || !capacity.allowsSpot(machineType.name)) return null
         val zone = machineType.zones.firstOrNull { backoff.allows(CapacityPool(machineType.name, it, true), nowUs) } ?: return null
         lastSpotSwapAtUs = nowUs
--- a/src/main/kotlin/lichenstage/jobs/JobRecordCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobRecordCodec.kt
@@ -53,15 +53,15 @@
             .put("kind", spec.jobClass)
             .put("team", spec.team)
             .put(PRIORITY, spec.priority.name)
-            .put("tasks", spec.tasks)
+            .put("tasks", spec.taskCount)
             .put("cores", spec.resources.cores)
             .put("cards", spec.resources.gpus)
             .put("mem", spec.resources.memGb)
             .put("builds", spec.allowedTypes?.let { JsonArray(it) })
             .put("zone", spec.zone)
-            .put("same", spec.sameZone)
-            .put("spread", spec.spread)
-            .put("spot", spec.spot)
+            .put("same", spec.requiresSameZone)
+            .put("spread", spec.requiresSpread)
+            .put("spot", spec.allowsSpot)
             .put("image", spec.image)
             .put("imageGb", spec.imageGb)
             .put("estimate", spec.estimatedRunTimeUs)
@@ -84,13 +84,13 @@
             jobClass = json.requiredString("kind"),
             team = json.requiredString("team"),
             priority = decodePriority(json),
-            tasks = json.requiredInt("tasks"),
+            taskCount = json.requiredInt("tasks"),
             resources = Resources(json.requiredDouble("cores"), json.requiredDouble("cards"), json.requiredDouble("mem")),
             allowedTypes = json.optionalStrings("builds"),
             zone = json.optionalString("zone"),
-            sameZone = json.requiredBoolean("same"),
-            spread = json.requiredBoolean("spread"),
-            spot = json.requiredBoolean("spot"),
+            requiresSameZone = json.requiredBoolean("same"),
+            requiresSpread = json.requiredBoolean("spread"),
+            allowsSpot = json.requiredBoolean("spot"),
             image = json.requiredString("image"),
             imageGb = json.requiredDouble("imageGb"),
             estimatedRunTimeUs = json.requiredLong("estimate"),
--- a/src/main/kotlin/lichenstage/model/JobSpec.kt
+++ b/src/main/kotlin/lichenstage/model/JobSpec.kt
@@ -10,13 +10,13 @@
  * @property jobClass the class of similar jobs that run-time estimates and service-level objectives refer to
  * @property team the team that owns the job
  * @property priority which jobs it is placed before
- * @property tasks the number of tasks
- * @property shape the resources of one task
+ * @property taskCount the number of tasks
+ * @property resources the resources of one task
  * @property allowedTypes the machine types that its tasks may run on; null where any will do
  * @property zone the zone that it is bound to; null where any will do
- * @property sameZone all of its tasks must run in one zone
- * @property spread at most half of its tasks, rounded up, may run in one zone
- * @property spot its tasks may run on spot instances
+ * @property requiresSameZone all of its tasks must run in one zone
+ * @property requiresSpread at most half of its tasks, rounded up, may run in one zone
+ * @property allowsSpot its tasks may run on spot instances
  * @property image the image that a machine must fetch before it starts a task
  * @property imageGb the size of the image in GB
  * @property estimatedRunTimeUs the user's estimate of how long a task runs, in microseconds
@@ -31,13 +31,13 @@
     val jobClass: String,
     val team: String,
     val priority: Priority,
-    val tasks: Int,
+    val taskCount: Int,
     val resources: Resources,
     val allowedTypes: List<String>?,
     val zone: String?,
-    val sameZone: Boolean,
-    val spread: Boolean,
-    val spot: Boolean,
+    val requiresSameZone: Boolean,
+    val requiresSpread: Boolean,
+    val allowsSpot: Boolean,
     val image: String,
     val imageGb: Double,
     val estimatedRunTimeUs: Long,
--- a/src/main/kotlin/lichenstage/model/MachineFit.kt
+++ b/src/main/kotlin/lichenstage/model/MachineFit.kt
@@ -6,7 +6,7 @@
     fun tasksPerMachine(
         machineType: MachineType,
         resources: Resources,
-    ): Int = machineType.capacity.fits(resources)
+    ): Int = machineType.capacity.countFitting(resources)
 
     /** The types that the job allows, that exist in its zone and that hold at least one of its tasks. */
     fun compatibleTypes(
@@ -23,11 +23,11 @@
     fun cheapestType(
         spec: JobSpec,
         machineTypes: Map<String, MachineType>,
-    ): MachineType? = compatibleTypes(spec, machineTypes).minByOrNull { it.price / tasksPerMachine(it, spec.resources) }
+    ): MachineType? = compatibleTypes(spec, machineTypes).minByOrNull { it.onDemandPrice / tasksPerMachine(it, spec.resources) }
 
     /** The longest time, in microseconds, that a machine of a compatible type takes to fetch the job's image; 0 where none is known. */
     fun maxFetchUs(
         spec: JobSpec,
         machineTypes: Map<String, MachineType>,
-    ): Long = compatibleTypes(spec, machineTypes).maxOfOrNull { it.fetchUs(spec.imageGb) } ?: 0
+    ): Long = compatibleTypes(spec, machineTypes).maxOfOrNull { it.imageFetchUs(spec.imageGb) } ?: 0
 }
--- a/src/main/kotlin/lichenstage/model/MachineType.kt
+++ b/src/main/kotlin/lichenstage/model/MachineType.kt
@@ -6,7 +6,7 @@
 data class MachineType(
     val name: String,
     val capacity: Resources,
-    val price: Double,
+    val onDemandPrice: Double,
     val spotPrice: Double,
     val bootUs: Long,
     val cacheGb: Double,
@@ -14,5 +14,5 @@
     val zones: List<String>,
 ) {
     /** How long a machine fetches an image while it fetches no other. */
-    fun fetchUs(gb: Double) = (gb / fetchGbPerS * SECOND).toLong()
+    fun imageFetchUs(gb: Double) = (gb / fetchGbPerS * SECOND).toLong()
 }
--- a/src/main/kotlin/lichenstage/model/PartitionAssignment.kt
+++ b/src/main/kotlin/lichenstage/model/PartitionAssignment.kt
@@ -10,42 +10,42 @@
     zones: Collection<String>,
     controllers: Map<String, String>,
 ) {
-    private val homes = LinkedHashMap<String, String?>()
-    private val zoneOf = HashMap<String, String>()
-    private val byZone = LinkedHashMap<String, List<String>>()
+    private val homeByPartition = LinkedHashMap<String, String?>()
+    private val zoneByPartition = HashMap<String, String>()
+    private val partitionsByZone = LinkedHashMap<String, List<String>>()
 
     init {
         for (zone in zones.sorted()) {
-            val here = controllers.filterValues { it == zone }.keys.sorted()
-            byZone[zone] =
-                List(maxOf(here.size, 1)) { index ->
+            val zoneControllers = controllers.filterValues { it == zone }.keys.sorted()
+            partitionsByZone[zone] =
+                List(maxOf(zoneControllers.size, 1)) { index ->
                     "$zone/$index".also {
-                        homes[it] = here.getOrNull(index)
-                        zoneOf[it] = zone
+                        homeByPartition[it] = zoneControllers.getOrNull(index)
+                        zoneByPartition[it] = zone
                     }
                 }
         }
     }
 
-    val partitions: List<String> = homes.keys.toList()
+    val partitions: List<String> = homeByPartition.keys.toList()
 
     /** The controller that normally owns the partition; null where its zone has none. */
-    fun home(partition: String): String? = homes[partition]
+    fun homeController(partition: String): String? = homeByPartition[partition]
 
     /** The zone of a partition; null for one that the deployment does not have. */
-    fun zone(partition: String): String? = zoneOf[partition]
+    fun zoneOf(partition: String): String? = zoneByPartition[partition]
 
     /** Null for a zone that the deployment does not have. */
     fun partitionOf(
         machine: String,
         zone: String,
     ): String? {
-        val partitions = byZone[zone] ?: return null
-        return if (partitions.size == 1) partitions[0] else partitions[Math.floorMod(spread(machine), partitions.size)]
+        val partitions = partitionsByZone[zone] ?: return null
+        return if (partitions.size == 1) partitions[0] else partitions[Math.floorMod(mixedHash(machine), partitions.size)]
     }
 
     /** Mixes the hash of a name: names that differ only in their last digit must not fall into one partition. */
-    private fun spread(name: String): Int {
+    private fun mixedHash(name: String): Int {
         var hash = name.hashCode()
         hash = (hash xor (hash ushr FIRST_SHIFT)) * FIRST_FACTOR
         hash = (hash xor (hash ushr SECOND_SHIFT)) * SECOND_FACTOR
--- a/src/main/kotlin/lichenstage/model/RegisteredMachine.kt
+++ b/src/main/kotlin/lichenstage/model/RegisteredMachine.kt
@@ -10,14 +10,14 @@
  * @property name the machine's name; names are given in the order in which machines are provisioned
  * @property typeName the name of its [MachineType]
  * @property zone the zone in which it runs
- * @property spot it is a spot instance
+ * @property isSpot it is a spot instance
  * @property address where its worker takes orders, as `host:port`
  */
 data class RegisteredMachine(
     val name: String,
     val typeName: String,
     val zone: String,
-    val spot: Boolean,
+    val isSpot: Boolean,
     val address: String,
 )
 
@@ -37,7 +37,7 @@
                         .add(it.name)
                         .add(it.typeName)
                         .add(it.zone)
-                        .add(it.spot)
+                        .add(it.isSpot)
                         .add(it.address)
                 },
             ),
@@ -46,20 +46,20 @@
     /** The machines on a page. Throws [JsonDecodingException] at the first one that can't be read. */
     fun decode(value: JsonObject): List<RegisteredMachine> {
         val rows = value.getValue(MACHINES) as? JsonArray ?: throw JsonDecodingException(MACHINES, "a list")
-        return rows.mapIndexed { index, row -> machine(row as? JsonArray, "$MACHINES[$index]") }
+        return rows.mapIndexed { index, row -> decodeMachine(row as? JsonArray, "$MACHINES[$index]") }
     }
 
-    private fun machine(
+    private fun decodeMachine(
         row: JsonArray?,
         field: String,
     ): RegisteredMachine {
-        if (row == null || row.size() < FIELDS || row.any { it == null }) throw JsonDecodingException(field, MACHINE_FORM)
-        val spot = row.getValue(SPOT) as? Boolean ?: throw JsonDecodingException(field, MACHINE_FORM)
-        return RegisteredMachine(row.getString(0), row.getString(1), row.getString(2), spot, row.getString(ADDRESS))
+        if (row == null || row.size() < FIELD_COUNT || row.any { it == null }) throw JsonDecodingException(field, EXPECTED_ROW)
+        val isSpot = row.getValue(SPOT_INDEX) as? Boolean ?: throw JsonDecodingException(field, EXPECTED_ROW)
+        return RegisteredMachine(row.getString(0), row.getString(1), row.getString(2), isSpot, row.getString(ADDRESS_INDEX))
     }
 
-    private const val MACHINE_FORM = "a list of name, type, zone, whether it is a spot instance, and address"
-    private const val FIELDS = 5
-    private const val SPOT = 3
-    private const val ADDRESS = 4
+    private const val EXPECTED_ROW = "a list of name, type, zone, whether it is a spot instance, and address"
+    private const val FIELD_COUNT = 5
+    private const val SPOT_INDEX = 3
+    private const val ADDRESS_INDEX = 4
 }
--- a/src/main/kotlin/lichenstage/model/Resources.kt
+++ b/src/main/kotlin/lichenstage/model/Resources.kt
@@ -15,7 +15,8 @@
     val memGb: Double,
 ) {
     /** How many times [request] fits into this amount; [Int.MAX_VALUE] if it requests nothing that is limited. */
-    fun fits(request: Resources): Int = minOf(quotient(cores, request.cores), quotient(gpus, request.gpus), quotient(memGb, request.memGb))
+    fun countFitting(request: Resources): Int =
+        minOf(countFittingIn(cores, request.cores), countFittingIn(gpus, request.gpus), countFittingIn(memGb, request.memGb))
 
     /** This amount without [other]; negative components are kept. */
     operator fun minus(other: Resources) = Resources(cores - other.cores, gpus - other.gpus, memGb - other.memGb)
@@ -23,7 +24,7 @@
     /** This amount [count] times. */
     operator fun times(count: Int) = Resources(cores * count, gpus * count, memGb * count)
 
-    private fun quotient(
+    private fun countFittingIn(
         free: Double,
         requested: Double,
     ): Int = if (requested <= 0.0 || free == Double.POSITIVE_INFINITY) Int.MAX_VALUE else ((free + ROUNDING_TOLERANCE) / requested).toInt()
--- a/src/main/kotlin/lichenstage/partition/Machine.kt
+++ b/src/main/kotlin/lichenstage/partition/Machine.kt
@@ -168,7 +168,7 @@
     ): Int {
         // A null result is not cached: the missing requirements may arrive without a message of this machine.
         val used = usedResources ?: computeUsedResources(requirementsOf).also { usedResources = it } ?: return 0
-        return (capacity - used - heldCapacity.total).fits(resources)
+        return (capacity - used - heldCapacity.total).countFitting(resources)
     }
 
     private fun computeUsedResources(requirementsOf: (String) -> JobRequirements?): Resources? {
--- a/src/main/kotlin/lichenstage/partition/OwnedPartitions.kt
+++ b/src/main/kotlin/lichenstage/partition/OwnedPartitions.kt
@@ -77,7 +77,7 @@
         term: Long,
         nowUs: Long,
     ): PartitionCore {
-        val zone = assignment.zone(id)!!
+        val zone = assignment.zoneOf(id)!!
         val parameters = PartitionParameters(id, zone, term, settings.workerLeaseUs, settings.heartbeatIntervalUs, nowUs)
         return PartitionCore(parameters, replica, { orderEventRecorder.record(id, term, it) }, limitsOf)
     }
--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -53,7 +53,7 @@
         nowUs: Long,
     ) {
         val index = task.index
-        if (index !in 0 until job.spec.tasks) return
+        if (index !in 0 until job.spec.taskCount) return
         job.listedOnMachines += machine.name
         val currentAttempt = job.liveAttempts.get(index)
         val matchingAttempt = currentAttempt?.takeIf { it.number == task.attempt && it.machine == machine.name }
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -102,7 +102,7 @@
 
     private fun changedChunks(job: Job): List<Int> {
         val unrecordedTasks = (job.doneTasks.clone() as BitSet).apply { andNot(job.recordedTasks) }
-        return (0 until CompletedTaskRanges.chunkCount(job.spec.tasks)).filter {
+        return (0 until CompletedTaskRanges.chunkCount(job.spec.taskCount)).filter {
             val next = unrecordedTasks.nextSetBit(it * CompletedTaskRanges.TASKS_PER_CHUNK)
             next >= 0 && next < (it + 1) * CompletedTaskRanges.TASKS_PER_CHUNK
         }
--- a/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
+++ b/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
@@ -62,12 +62,12 @@
     ): Demand {
         val spec = job.spec
         val tasksPerMachine = MachineFit.tasksPerMachine(machineType, spec.resources).toDouble()
-        val machineUsPerTask = (runUs + machineType.fetchUs(spec.imageGb)) / tasksPerMachine
+        val machineUsPerTask = (runUs + machineType.imageFetchUs(spec.imageGb)) / tasksPerMachine
         val waitingTasks = if (job.isPlaceable) job.pendingTasks.size else job.remainingTasks
         val waitingUs = minOf(waitingTasks.toDouble(), concurrentTasks) * machineUsPerTask
         return Demand(
             typeName = machineType.name,
-            allowsSpot = spec.spot,
+            allowsSpot = spec.allowsSpot,
             maxMachines = concurrentTasks / tasksPerMachine,
             workUs = job.remainingTasks * machineUsPerTask,
             dueAtUs = null,
@@ -89,8 +89,8 @@
     ): JobArrival? {
         val spec = job.spec
         val machineType = MachineFit.cheapestType(spec, machineTypes) ?: return null
-        val machines = spec.tasks.toDouble() / MachineFit.tasksPerMachine(machineType, spec.resources)
-        return JobArrival(machineType.name, job.readyAtUs, machines, runUs + machineType.fetchUs(spec.imageGb), isUrgent(machineType))
+        val machines = spec.taskCount.toDouble() / MachineFit.tasksPerMachine(machineType, spec.resources)
+        return JobArrival(machineType.name, job.readyAtUs, machines, runUs + machineType.imageFetchUs(spec.imageGb), isUrgent(machineType))
     }
 
     /** Machines usually boot within the boot time of their type multiplied by this factor. */
--- a/src/main/kotlin/lichenstage/placement/DrainDriverFactory.kt
+++ b/src/main/kotlin/lichenstage/placement/DrainDriverFactory.kt
@@ -51,11 +51,11 @@
             leaderKeyRevision: Long,
             settings: Settings,
         ) = DrainRecordAccess(
-            DrainRecordCodec(settings.valueBytes),
+            DrainRecordCodec(settings.maxValueBytes),
             store,
             singleWriterKeys,
             listOf(Precondition(OwnershipRecords.LEADER_KEY, leaderKeyRevision)),
-            settings.txnOps,
+            settings.maxTransactionOperations,
             store::scan,
         )
     }
--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -40,7 +40,7 @@
     fun addRecorded(
         machine: RegisteredMachine,
         nowUs: Long,
-    ) = fleet.addMachine(machine.name, machine.typeName, machine.zone, machine.spot, nowUs)
+    ) = fleet.addMachine(machine.name, machine.typeName, machine.zone, machine.isSpot, nowUs)
 
     /** A job can run from now on, which is when the forecast counts it. */
     fun onJobReady(job: Job) {
@@ -58,7 +58,7 @@
 
     private fun observe(nowUs: Long) {
         for ((id, partition) in core.partitions) {
-            val zone = settings.assignment.zone(id) ?: continue
+            val zone = settings.assignment.zoneOf(id) ?: continue
             partition.machines.values.forEach { fleet.addMachine(it.name, it.typeName, zone, it.isSpot, nowUs) }
         }
         fleet.terminate(core.machinesToFence())
--- a/src/main/kotlin/lichenstage/placement/Job.kt
+++ b/src/main/kotlin/lichenstage/placement/Job.kt
@@ -91,10 +91,10 @@
     private var doneCount = 0
 
     /** Whether every task is done, recorded or not. */
-    val allTasksDone get() = doneCount >= spec.tasks
+    val allTasksDone get() = doneCount >= spec.taskCount
 
     /** The number of tasks that are not done. */
-    val remainingTasks get() = spec.tasks - doneCount
+    val remainingTasks get() = spec.taskCount - doneCount
 
     /** Marks a task as done. Returns false if it was done before. */
     fun markTaskDone(index: Int): Boolean {
@@ -116,7 +116,7 @@
     fun enqueueTasks() {
         isPlaceable = true
         pendingTasks.clear()
-        for (i in spec.tasks - 1 downTo 0) if (!doneTasks.get(i) && !liveAttempts.containsKey(i)) pendingTasks.add(i)
+        for (i in spec.taskCount - 1 downTo 0) if (!doneTasks.get(i) && !liveAttempts.containsKey(i)) pendingTasks.add(i)
     }
 
     /** Queues the task again, unless it is done. */
--- a/src/main/kotlin/lichenstage/placement/JobQueue.kt
+++ b/src/main/kotlin/lichenstage/placement/JobQueue.kt
@@ -37,7 +37,7 @@
 
     /** Adds an accepted job to the mean of its class and marks the order as stale. */
     fun onJobAdded(job: Job) {
-        meanTasksByClass.getOrPut(job.spec.jobClass) { Mean() }.add(job.spec.tasks)
+        meanTasksByClass.getOrPut(job.spec.jobClass) { Mean() }.add(job.spec.taskCount)
         isStale = true
     }
 
--- a/src/main/kotlin/lichenstage/placement/JobTable.kt
+++ b/src/main/kotlin/lichenstage/placement/JobTable.kt
@@ -41,6 +41,6 @@
     /** Returns the numbers of done and of running tasks of each open job, for display. */
     fun taskCounts(): Map<String, List<Int>> =
         byId.values.filter { it.phase != JobPhase.CLOSED }.associate { job ->
-            job.spec.id to listOf(job.spec.tasks - job.remainingTasks, job.liveAttempts.values.count { it.phase != TaskPhase.PENDING })
+            job.spec.id to listOf(job.spec.taskCount - job.remainingTasks, job.liveAttempts.values.count { it.phase != TaskPhase.PENDING })
         }
 }
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -38,7 +38,7 @@
             services.store,
             singleWriterKeys,
             leadership.leaderKeyRevision,
-            settings.txnOps,
+            settings.maxTransactionOperations,
             scope,
             services.replicaSync::onJobFinished,
             mailbox::tell,
@@ -46,7 +46,7 @@
     private val registry = MachineRegistryDriver(settings, core, writer)
     private val fleet = createFleetDriver(options)
     private val drains: DrainDriver? = createDrainDriver(options)
-    private val jobRecordHandler = LeaderJobRecordHandler(services, core, fleet, writer, maxOf(1, settings.txnOps / 2))
+    private val jobRecordHandler = LeaderJobRecordHandler(services, core, fleet, writer, maxOf(1, settings.maxTransactionOperations / 2))
     private var lastCountsSentAtUs = Long.MIN_VALUE / 2
 
     init {
@@ -75,8 +75,8 @@
                 settings.workerLeaseUs,
                 options.placementSettings,
                 objectives,
-                settings.txnOps,
-                settings.valueBytes,
+                settings.maxTransactionOperations,
+                settings.maxValueBytes,
             ),
             LeaderLookups(
                 { catalog.machineTypes[it]?.capacity },
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -286,7 +286,7 @@
             "Job completed job={} class={} tasks={} allPlacedAfterMs={} runningAfterMs={} completedAfterMs={}",
             job.spec.id,
             job.spec.jobClass,
-            job.spec.tasks,
+            job.spec.taskCount,
             (job.lastPlacedAtUs - job.readyAtUs).coerceAtLeast(0) / MILLI,
             (job.lastRunningAtUs - job.readyAtUs).coerceAtLeast(0) / MILLI,
             (nowUs - job.readyAtUs) / MILLI,
--- a/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
@@ -24,7 +24,7 @@
     }
 
     /** Returns the zone of a machine, or null if the machine has no record. */
-    fun zoneOf(machine: String): String? = directory.partitionOf(machine)?.let(assignment::zone)
+    fun zoneOf(machine: String): String? = directory.partitionOf(machine)?.let(assignment::zoneOf)
 
     /**
      * Returns the machines that should get a record. Only machines that have shown their partition's fencing token in this term are
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -58,7 +58,7 @@
         scope.launch {
             val id = job.spec.id
             val preconditions = listOf(leadershipPrecondition, Precondition(JobRecordCodec.OPEN_PREFIX + id, job.createRevision))
-            val finishedJob = FinishedJob(JobOutcome(EndStatus.DONE, timeOfDayUs()), job.spec.tasks)
+            val finishedJob = FinishedJob(JobOutcome(EndStatus.DONE, timeOfDayUs()), job.spec.taskCount)
             val outcome =
                 store.commit(
                     preconditions,
@@ -108,7 +108,7 @@
     /** Deletes the done ranges of a job that has ended. Where some are still being written, that is done after it. */
     fun deleteCompletionChunks(job: Job) {
         if (job.isRangesWriteInFlight || job.recordedTasks.isEmpty) return
-        deleteKeys((0 until CompletedTaskRanges.chunkCount(job.spec.tasks)).map { CompletedTaskRanges.chunkKey(job.spec.id, it) })
+        deleteKeys((0 until CompletedTaskRanges.chunkCount(job.spec.taskCount)).map { CompletedTaskRanges.chunkKey(job.spec.id, it) })
     }
 
     /** Deletes done ranges that are of no more use. */
--- a/src/main/kotlin/lichenstage/placement/MachineRegistryDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineRegistryDriver.kt
@@ -18,7 +18,7 @@
     private val writer: LeaderRecordWriter,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.placement")
-    private val registry = MachineRegistry(settings.valueBytes)
+    private val registry = MachineRegistry(settings.maxValueBytes)
     private var isWriteInFlight = false
     private var lastStepAtUs = Long.MIN_VALUE / 2
 
@@ -51,9 +51,11 @@
         val cordonedMachines = cordoned()
         for ((id, machine) in core.machines.unregisteredMachines()) {
             if (machine.name in cordonedMachines || machine.name in registry) continue
-            registry.add(RegisteredMachine(machine.name, machine.typeName, settings.assignment.zone(id)!!, machine.isSpot, machine.address))
+            registry.add(
+                RegisteredMachine(machine.name, machine.typeName, settings.assignment.zoneOf(id)!!, machine.isSpot, machine.address),
+            )
         }
-        val chunks = registry.takeDueChunks(settings.txnOps)
+        val chunks = registry.takeDueChunks(settings.maxTransactionOperations)
         if (chunks.isEmpty()) return
         isWriteInFlight = true
         writer.writeRegistryChunks(chunks)
--- a/src/main/kotlin/lichenstage/placement/PartitionTable.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionTable.kt
@@ -26,7 +26,7 @@
         frame: PartitionFrame,
         nowUs: Long,
     ): PartitionState? {
-        if (frame.leaderTerm != term || assignment.zone(frame.partition) == null) return null
+        if (frame.leaderTerm != term || assignment.zoneOf(frame.partition) == null) return null
         val partition = stateFor(frame) ?: return null
         // The owner sends the changes since the version that the leader has acknowledged, so a frame that skips a change is outdated.
         if (frame.since > partition.version || frame.version < partition.version) return null
--- a/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
@@ -90,7 +90,16 @@
         val spec = job.spec
         val zone = zones.requestedZone(job)
         val request =
-            PlacementRequest(++requestCounter, spec.id, spec.requirements, planned.tasks, spec.allowedTypes, zone, spec.spot, imageOnly)
+            PlacementRequest(
+                ++requestCounter,
+                spec.id,
+                spec.requirements,
+                planned.tasks,
+                spec.allowedTypes,
+                zone,
+                spec.allowsSpot,
+                imageOnly,
+            )
         return JobRequest(request, job)
     }
 
--- a/src/main/kotlin/lichenstage/placement/RunTimeEstimates.kt
+++ b/src/main/kotlin/lichenstage/placement/RunTimeEstimates.kt
@@ -28,7 +28,7 @@
         val logRatio = logRatioByClass.getOrPut(spec.jobClass) { LogRatio() }
         val ratio = ln(actualRunTimeUs.toDouble() / spec.estimatedRunTimeUs).coerceIn(-MAX_LOG_RATIO, MAX_LOG_RATIO)
         // All tasks of a job share one estimate, so a task of a large job counts less than a task of a small job.
-        val weight = 1.0 / spec.tasks
+        val weight = 1.0 / spec.taskCount
         logRatio.sum = logRatio.sum * (1 - weight / DECAY_JOBS) + ratio * weight
         logRatio.weight = logRatio.weight * (1 - weight / DECAY_JOBS) + weight
     }
--- a/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
+++ b/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
@@ -64,7 +64,7 @@
         val limit = teams[team] ?: return 0
         val cores = limit.coresMax - unaccountedUse.cores - (usedCoresByTeam[team] ?: 0.0) - planned.cores
         val gpus = limit.gpusMax - unaccountedUse.gpus - (usedGpusByTeam[team] ?: 0.0) - planned.gpus
-        return Resources(cores, gpus, Double.POSITIVE_INFINITY).fits(resources)
+        return Resources(cores, gpus, Double.POSITIVE_INFINITY).countFitting(resources)
     }
 
     companion object {
--- a/src/main/kotlin/lichenstage/placement/ZoneConstraints.kt
+++ b/src/main/kotlin/lichenstage/placement/ZoneConstraints.kt
@@ -8,14 +8,14 @@
     private val assignment: PartitionAssignment,
 ) {
     /** Returns the zone of a partition, or the name of the partition if the assignment does not contain it. */
-    fun zoneOf(partition: String) = assignment.zone(partition) ?: partition
+    fun zoneOf(partition: String) = assignment.zoneOf(partition) ?: partition
 
     /** Returns the only zone to request capacity in, or null for all zones. A single-zone job stays in the zone of its live attempts. */
     fun requestedZone(job: Job): String? {
-        if (job.spec.zone != null || !job.spec.sameZone) return job.spec.zone
+        if (job.spec.zone != null || !job.spec.requiresSameZone) return job.spec.zone
         return job.liveAttempts.values
             .firstOrNull()
-            ?.let { assignment.zone(it.partition) }
+            ?.let { assignment.zoneOf(it.partition) }
     }
 
     /**
@@ -27,15 +27,15 @@
         offers: Map<String, List<HeldSlots>>,
     ): (String) -> Int {
         val spec = job.spec
-        if (!spec.sameZone && !spec.spread) return { Int.MAX_VALUE }
+        if (!spec.requiresSameZone && !spec.requiresSpread) return { Int.MAX_VALUE }
         val tasksByZone =
             job.liveAttempts.values
                 .groupingBy { zoneOf(it.partition) }
                 .eachCount()
-        val maxTasks = if (spec.spread) (spec.tasks + 1) / 2 else Int.MAX_VALUE
-        val sharedZone = if (spec.sameZone) tasksByZone.keys.firstOrNull() ?: OfferSelection.bestZone(offers, ::zoneOf) else null
+        val maxTasks = if (spec.requiresSpread) (spec.taskCount + 1) / 2 else Int.MAX_VALUE
+        val sharedZone = if (spec.requiresSameZone) tasksByZone.keys.firstOrNull() ?: OfferSelection.bestZone(offers, ::zoneOf) else null
         return { zone ->
-            val isAllowed = !spec.sameZone || (zone == sharedZone && tasksByZone.keys.all { it == zone })
+            val isAllowed = !spec.requiresSameZone || (zone == sharedZone && tasksByZone.keys.all { it == zone })
             if (isAllowed) maxTasks - (tasksByZone[zone] ?: 0) else 0
         }
     }
--- a/src/test/kotlin/lichenstage/app/EventBatchingTest.kt
+++ b/src/test/kotlin/lichenstage/app/EventBatchingTest.kt
@@ -6,24 +6,24 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 class EventBatchingTest {
-    private var now = 0L
-    private var paused = 0L
+    private var nowUs = 0L
+    private var pausedUs = 0L
     private val batching =
-        EventBatching({ now }, 20 * MILLI) {
-            paused += it
-            now += it
+        EventBatching({ nowUs }, 20 * MILLI) {
+            pausedUs += it
+            nowUs += it
         }
 
-    private fun next(hasTasks: Boolean = false) = batching.next({ 3 }, hasTasks)
+    private fun calculateStrategy(hasTasks: Boolean = false) = batching.calculateStrategy({ 3 }, hasTasks)
 
     @Example
     fun `the loop pauses only while it is woken often, and never with work of its own`() {
-        assertTrue(next() == SelectStrategy.SELECT && paused == 0L) { "paused at the first wait" }
-        now += 100 * MILLI
-        assertTrue(next() == SelectStrategy.SELECT && paused == 0L) { "paused for what came alone" }
-        now += 5 * MILLI
-        assertTrue(next() == SelectStrategy.SELECT && paused == 20 * MILLI) { "did not pause while much comes" }
-        now += MILLI
-        assertTrue(next(hasTasks = true) == 3 && paused == 20 * MILLI) { "paused with tasks waiting" }
+        assertTrue(calculateStrategy() == SelectStrategy.SELECT && pausedUs == 0L) { "paused at the first wait" }
+        nowUs += 100 * MILLI
+        assertTrue(calculateStrategy() == SelectStrategy.SELECT && pausedUs == 0L) { "paused for what came alone" }
+        nowUs += 5 * MILLI
+        assertTrue(calculateStrategy() == SelectStrategy.SELECT && pausedUs == 20 * MILLI) { "did not pause while much comes" }
+        nowUs += MILLI
+        assertTrue(calculateStrategy(hasTasks = true) == 3 && pausedUs == 20 * MILLI) { "paused with tasks waiting" }
     }
 }
--- a/src/test/kotlin/lichenstage/cloud/MachineCatalogTest.kt
+++ b/src/test/kotlin/lichenstage/cloud/MachineCatalogTest.kt
@@ -91,7 +91,7 @@
         val moved = bounded.copy(spotPrice = 0.7)
         assertEquals(mapOf("g8" to moved), catalog(CloudReply.Success(listOf(moved))).machineTypes)
         assertEquals(1, store.writes, "only the spot price has changed")
-        catalog(CloudReply.Success(listOf(bounded.copy(price = 3.0))))
+        catalog(CloudReply.Success(listOf(bounded.copy(onDemandPrice = 3.0))))
         assertEquals(2, store.writes, "the price has changed")
     }
 
--- a/src/test/kotlin/lichenstage/cluster/PingPunctualityTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PingPunctualityTest.kt
@@ -38,11 +38,11 @@
     @Example
     fun `the measured event loop lag rises at once and decays slowly`() {
         val lag = EventLoopLag()
-        lag.timerFired(dueUs = 0, now = 3 * SECOND)
+        lag.onTimerFired(dueUs = 0, now = 3 * SECOND)
         assertEquals(3 * SECOND, lag.currentUs, "${lag.currentUs}")
-        repeat(10) { lag.timerFired(it * SECOND, it * SECOND) }
+        repeat(10) { lag.onTimerFired(it * SECOND, it * SECOND) }
         assertTrue(lag.currentUs in SECOND / 2..3 * SECOND / 2, "${lag.currentUs}")
-        repeat(100) { lag.timerFired(it * SECOND, it * SECOND) }
+        repeat(100) { lag.onTimerFired(it * SECOND, it * SECOND) }
         assertTrue(lag.currentUs < 10 * MILLI, "${lag.currentUs}")
     }
 }
--- a/src/test/kotlin/lichenstage/config/SettingsTest.kt
+++ b/src/test/kotlin/lichenstage/config/SettingsTest.kt
@@ -33,7 +33,7 @@
     @Example
     fun `the platform's file is read`() {
         val settings = Settings.parse(text)
-        assertTrue(settings.workerLeaseUs == 17_500_000L && settings.cancelUs == 47_000_000L) { "$settings" }
+        assertTrue(settings.workerLeaseUs == 17_500_000L && settings.cancellationDeadlineUs == 47_000_000L) { "$settings" }
         assertEquals(Double.POSITIVE_INFINITY, settings.teams.getValue("red").coresMax) { "a limit of 0 means none" }
         assertEquals(Address("10.0.0.2", 8081), settings.peers.single().address) { "$settings" }
     }
@@ -68,7 +68,8 @@
         val today = with(null)
         val small = with(JsonObject().put("value_kb", 2.0).put("txn_ops", 4).put("write_rps", 70.0))
         assertTrue(
-            small.valueBytes == 2048 && small.txnOps == 4 && small.stateWriteRps == 70.0 && small.stateRps == today.stateRps,
+            small.maxValueBytes == 2048 && small.maxTransactionOperations == 4 && small.stateWriteRps == 70.0 &&
+                small.stateRps == today.stateRps,
         ) { "$small" }
         assertEquals(today, with(JsonObject().put("txn_ops", 99))) { "a larger limit to come does not hold yet" }
         for (wrong in listOf<Any>("x", 0, -1)) {
@@ -81,7 +82,7 @@
     fun `operators' settings are HCL and checked`() {
         val operator = OperatorSettings.parse("placement {\n  alpha_ms = 500\n}\nfleet {\n  settle_s = 7\n}\n")
         assertTrue(operator.placement.alphaUs == 500 * MILLI && operator.placement.betaUs == 300 * MILLI) { "$operator" }
-        val policy = operator.fleet(lichenstage.fleet.FleetPolicy())
+        val policy = operator.adjustFleetPolicy(lichenstage.fleet.FleetPolicy())
         assertEquals(7 * SECOND, policy.scaleInDelayUs) { "$policy" }
         val unknown = complaint { OperatorSettings.parse("placement {\n  alpha = \"x\"\n}") }
         assertEquals("placement.alpha: unknown key, found x", unknown) { "$unknown" }
@@ -144,6 +145,6 @@
             ) { "${complaint { OperatorSettings.parse(file) }}" }
         }
         val stranger = OperatorSettings.parse("drains {\n  teams {\n    blue {\n      jobs = 1\n    }\n  }\n}")
-        assertEquals("drains.teams.blue: unknown team", complaint { stranger.check(Settings.parse(text)) }) { "unknown team" }
+        assertEquals("drains.teams.blue: unknown team", complaint { stranger.validateAgainst(Settings.parse(text)) }) { "unknown team" }
     }
 }
--- a/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
@@ -55,7 +55,7 @@
 
     private val store = FakeStore()
     private val settings = Settings.parse(warmUpSettings(8080, 8081, 8082))
-    private val operations = DrainOperations(store, store::scan, DrainRecordCodec(settings.valueBytes), settings) { 1_000 * SECOND }
+    private val operations = DrainOperations(store, store::scan, DrainRecordCodec(settings.maxValueBytes), settings) { 1_000 * SECOND }
 
     init {
         val machines =
--- a/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
@@ -38,9 +38,9 @@
     @Example
     fun `a submission as the protocol shows it is read, unknown fields and all`() {
         val spec = SubmissionCodec.decode(submission(), 7)
-        assertTrue(spec.id == "j-000412" && spec.tasks == 16 && spec.resources == Resources(8.0, 1.0, 64.0)) { "$spec" }
+        assertTrue(spec.id == "j-000412" && spec.taskCount == 16 && spec.resources == Resources(8.0, 1.0, 64.0)) { "$spec" }
         assertTrue(spec.deadlineUs == 900_000_000L && spec.estimatedRunTimeUs == 240_000_000L && spec.submittedUs == 7L) { "$spec" }
-        assertTrue(spec.allowedTypes == listOf("g8") && spec.zone == null && spec.sameZone && spec.spot) { "$spec" }
+        assertTrue(spec.allowedTypes == listOf("g8") && spec.zone == null && spec.requiresSameZone && spec.allowsSpot) { "$spec" }
     }
 
     /** What does not fit is left for a later record; what fits is never less than before, nor more than is done. */
--- a/src/test/kotlin/lichenstage/model/PartitionAssignmentTest.kt
+++ b/src/test/kotlin/lichenstage/model/PartitionAssignmentTest.kt
@@ -11,25 +11,29 @@
 class PartitionAssignmentTest {
     @Property(tries = 100, seed = "4")
     fun `any number of controllers, in zones of their own or not, see the same parts`(
-        @ForAll @IntRange(min = 1, max = 9) count: Int,
+        @ForAll @IntRange(min = 1, max = 9) controllerCount: Int,
         @ForAll @IntRange(min = 1, max = 4) zoneCount: Int,
         @ForAll @IntRange(min = 0, max = 2) shift: Int,
     ) {
         val zones = List(zoneCount) { "z$it" }
-        val controllers = (0 until count).associate { "n$it" to "z${(it + shift) % (zoneCount + 1)}" }
-        val one = PartitionAssignment(zones, controllers)
-        val other = PartitionAssignment(zones.reversed(), controllers.entries.reversed().associate { it.key to it.value })
-        assertEquals(other.partitions, one.partitions) { "${one.partitions} and ${other.partitions}" }
+        val controllers = (0 until controllerCount).associate { "n$it" to "z${(it + shift) % (zoneCount + 1)}" }
+        val assignment = PartitionAssignment(zones, controllers)
+        val reordered = PartitionAssignment(zones.reversed(), controllers.entries.reversed().associate { it.key to it.value })
+        assertEquals(reordered.partitions, assignment.partitions) { "${assignment.partitions} and ${reordered.partitions}" }
         for (zone in zones) {
-            val homes = one.partitions.filter { one.zone(it) == zone }.map(one::home)
-            val here = controllers.filterValues { it == zone }.keys
-            assertTrue(if (here.isEmpty()) homes == listOf(null) else homes.toSet() == here) { "$zone: $homes, not $here" }
+            val homes = assignment.partitions.filter { assignment.zoneOf(it) == zone }.map(assignment::homeController)
+            val zoneControllers = controllers.filterValues { it == zone }.keys
+            assertTrue(if (zoneControllers.isEmpty()) homes == listOf(null) else homes.toSet() == zoneControllers) {
+                "$zone: $homes, not $zoneControllers"
+            }
             for (n in 0 until 50) {
-                val partition = one.partitionOf("vm-$n", zone)
-                assertTrue(partition == other.partitionOf("vm-$n", zone) && one.zone(partition!!) == zone) { "vm-$n: $partition" }
+                val partition = assignment.partitionOf("vm-$n", zone)
+                assertTrue(
+                    partition == reordered.partitionOf("vm-$n", zone) && assignment.zoneOf(partition!!) == zone,
+                ) { "vm-$n: $partition" }
             }
         }
-        assertNull(one.partitionOf("vm-1", "nowhere")) { "a part in no zone" }
+        assertNull(assignment.partitionOf("vm-1", "nowhere")) { "a part in no zone" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -111,9 +111,9 @@
             partitionFrame("y", framesTo("y").last().seq, offers = requestFrame.requests.map { Offer(it.requestNumber, emptyList()) }),
             SECOND,
         )
-        leader.onPartitionFrame(partitionFrame("z", requestFrame.seq, offers = offersFor(requestFrame, "m1", job.spec.tasks)), SECOND)
+        leader.onPartitionFrame(partitionFrame("z", requestFrame.seq, offers = offersFor(requestFrame, "m1", job.spec.taskCount)), SECOND)
         leader.tick(SECOND)
-        assertEquals((0 until job.spec.tasks).toSet(), sentStarts().map { it.index }.toSet()) { "${sentStarts()}" }
+        assertEquals((0 until job.spec.taskCount).toSet(), sentStarts().map { it.index }.toSet()) { "${sentStarts()}" }
         return leader
     }
 }
--- a/src/test/kotlin/lichenstage/placement/OfferSelectionTest.kt
+++ b/src/test/kotlin/lichenstage/placement/OfferSelectionTest.kt
@@ -23,7 +23,7 @@
     private fun job(
         sameZone: Boolean = false,
         spread: Boolean = false,
-    ) = Job(oneCoreSpec(1, "c", Priority.HIGH, 9).copy(sameZone = sameZone, spread = spread), 1, 0)
+    ) = Job(oneCoreSpec(1, "c", Priority.HIGH, 9).copy(requiresSameZone = sameZone, requiresSpread = spread), 1, 0)
 
     private fun Job.addAttempt(
         index: Int,
--- a/src/test/kotlin/lichenstage/world/SimulatedController.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedController.kt
@@ -101,7 +101,7 @@
         term: Long,
     ): PartitionCore {
         val lease = if (mutation == Mutation.SHORT_LEASE) WORKER_LEASE_US / 5 else WORKER_LEASE_US
-        val zone = context.assignment.zone(partition)!!
+        val zone = context.assignment.zoneOf(partition)!!
         val parameters = PartitionParameters(partition, zone, term, lease, 3 * SECOND, now, context.profile.maxMachinesPerFrame)
         return PartitionCore(parameters, jobSync.jobCompletions(usesFencing), context.orderEvents::add) {
             MachineLimits("type", Resources(MACHINE_CORES, 0.0, MACHINE_MEMORY_GB))
