--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -42,7 +42,7 @@
     fun addRecorded(
         machine: RegisteredMachine,
         nowUs: Long,
-    ) = fleet.addMachine(machine.name, machine.typeName, machine.zone, machine.spot, nowUs)
+    ) = fleet.addMachine(machine.name, machine.typeName, machine.zone, machine.isSpot, nowUs)
 
     /** Counts a job in the demand forecast. The leader calls this when the job becomes ready to run. */
     fun onJobReady(job: Job) {
@@ -60,7 +60,7 @@
 
     private fun observe(nowUs: Long) {
         for ((id, partition) in core.partitions) {
-            val zone = settings.assignment.zone(id) ?: continue
+            val zone = settings.assignment.zoneOf(id) ?: continue
             partition.machines.values.forEach { fleet.addMachine(it.name, it.typeName, zone, it.isSpot, nowUs) }
         }
         fleet.terminate(core.machinesToFence())
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -58,7 +58,7 @@
         scope.launch {
             val id = job.spec.id
             val preconditions = listOf(leadershipPrecondition, Precondition(JobRecordCodec.OPEN_PREFIX + id, job.createRevision))
-            val finishedJob = FinishedJob(JobOutcome(EndStatus.DONE, timeOfDayUs()), job.spec.tasks)
+            val finishedJob = FinishedJob(JobOutcome(EndStatus.DONE, timeOfDayUs()), job.spec.taskCount)
             val outcome =
                 store.commit(
                     preconditions,
@@ -114,7 +114,7 @@
      */
     fun deleteCompletionChunks(job: Job) {
         if (job.isRangesWriteInFlight || job.recordedTasks.isEmpty) return
-        deleteKeys((0 until CompletedTaskRanges.chunkCount(job.spec.tasks)).map { CompletedTaskRanges.chunkKey(job.spec.id, it) })
+        deleteKeys((0 until CompletedTaskRanges.chunkCount(job.spec.taskCount)).map { CompletedTaskRanges.chunkKey(job.spec.id, it) })
     }
 
     /** Deletes completion chunks that are no longer needed. */
