--- a/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
@@ -70,7 +70,7 @@
             val heartbeat = worker.heartbeat()
             val reply = partition.onHeartbeat(heartbeat, nowUs) as? HeartbeatOutcome.Accepted ?: return
             sentFencingTokens += reply.fencingToken
-            worker.receiveAnswer(reply.fencingToken, reply.commands, heartbeat.agentEpoch, nowUs, nowUs)
+            worker.onHeartbeatReply(reply.fencingToken, reply.commands, heartbeat.agentEpoch, nowUs, nowUs)
         }
 
         /** The start of j-1/0 goes out as a direct order, which is held on its way. */
@@ -84,7 +84,7 @@
 
         fun cancelJob() {
             jobCompletions.endJob(job.id)
-            checker.cancellationConfirmed(job, nowUs)
+            checker.onCancellationConfirmed(job, nowUs)
         }
 
         /** Nobody waits for the answers any more. */
@@ -168,7 +168,7 @@
         scenario.runUntil(10 * SECOND)
         scenario.timeOutOrders()
         scenario.runUntil(14 * SECOND)
-        assertEquals(1, scenario.checker.running("j-1")) { "not started" }
+        assertEquals(1, scenario.checker.runningTaskCount("j-1")) { "not started" }
         assertEquals(setOf(TOKEN), scenario.sentFencingTokens) { "${scenario.sentFencingTokens}" }
     }
 
--- a/src/test/kotlin/lichenstage/world/ClusterAssertions.kt
+++ b/src/test/kotlin/lichenstage/world/ClusterAssertions.kt
@@ -2,13 +2,13 @@
 
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Fails unless the cluster of [seed], which has been run, violated no rule, started more than [startsOver] tasks and finished all jobs. */
+/** Fails unless the cluster of [seed], which has been run, violated no rule, started more than [moreStartsThan] tasks and finished all jobs. */
 internal fun SimulatedCluster.assertRulesHeld(
     seed: Long,
-    startsOver: Int = 20,
+    moreStartsThan: Int = 20,
 ) {
     assertTrue(checker.violations.isEmpty()) { "seed $seed: ${checker.violations.take(3)}" }
-    assertTrue(checker.starts > startsOver) { "seed $seed: only ${checker.starts} starts" }
+    assertTrue(checker.starts > moreStartsThan) { "seed $seed: only ${checker.starts} starts" }
     assertTrue(openJobs.isEmpty()) { "seed $seed: never finished: $openJobs\n${describe()}" }
 }
 
--- a/src/test/kotlin/lichenstage/world/ClusterProfile.kt
+++ b/src/test/kotlin/lichenstage/world/ClusterProfile.kt
@@ -13,13 +13,13 @@
  * @property maxConcurrentOrders direct orders for which a partition has connections at any moment
  * @property delayedMessageShare the share of messages that are seconds late, behind newer ones
  * @property heldOrderShare the share of direct orders that get no answer and are executed late, once
- * @property longestHoldUs the longest delay of these, in microseconds
+ * @property maxHoldUs the longest delay of these, in microseconds
  * @property tokensReserved tokens that a partition's owner reserves at a time
  * @property controllersWithoutFencing controllers of a version that does not give machines newer tokens
- * @property longOutages the state service is now and then out for longer than a cancellation may take
+ * @property hasLongOutages the state service is now and then out for longer than a cancellation may take
  * @property hasMachineChurn machines are terminated without notice, drained and terminated; new ones come up
  * @property onlyOperatorsDrain nobody but operators drains machines
- * @property fetches tasks fetch an image before they run
+ * @property fetchesImages tasks fetch an image before they run
  * @property drainPolicy what drains may interrupt; null where they are not switched on
  * @property controllersWithoutDrains controllers of a version that does not know drains
  */
@@ -32,13 +32,13 @@
     val maxConcurrentOrders: Int = Int.MAX_VALUE,
     val delayedMessageShare: Double = 0.0,
     val heldOrderShare: Double = 0.0,
-    val longestHoldUs: Long = 16 * SECOND,
+    val maxHoldUs: Long = 16 * SECOND,
     val tokensReserved: Int = 64,
     val controllersWithoutFencing: Set<Int> = emptySet(),
-    val longOutages: Boolean = false,
+    val hasLongOutages: Boolean = false,
     val hasMachineChurn: Boolean = false,
     val onlyOperatorsDrain: Boolean = false,
-    val fetches: Boolean = false,
+    val fetchesImages: Boolean = false,
     val drainPolicy: DrainPolicy? = null,
     val controllersWithoutDrains: Set<Int> = emptySet(),
 ) {
@@ -54,14 +54,14 @@
                 delayedMessageShare = 0.03,
                 heldOrderShare = 0.08,
                 hasMachineChurn = true,
-                fetches = true,
+                fetchesImages = true,
             )
 
         /**
          * Direct orders are executed up to ten minutes late, while fencing token and agent epoch match. What users saw: a start was executed
          * 73 s after it was sent, of a job that was cancelled meanwhile.
          */
-        val LATE_ORDERS = ADVERSE.copy(heldOrderShare = 0.4, longestHoldUs = 600 * SECOND, longOutages = true)
+        val LATE_ORDERS = ADVERSE.copy(heldOrderShare = 0.4, maxHoldUs = 600 * SECOND, hasLongOutages = true)
 
         /** 1,500 machines under the same conditions, with frames of full size. */
         val LARGE =
--- a/src/test/kotlin/lichenstage/world/DrainFaultsTest.kt
+++ b/src/test/kotlin/lichenstage/world/DrainFaultsTest.kt
@@ -17,7 +17,7 @@
 class DrainFaultsTest {
     private val policy = DrainPolicy(DisruptionBudget(jobs = 1))
 
-    private fun play(
+    private fun simulate(
         seed: Long,
         mutation: Mutation = Mutation.NONE,
         policy: DrainPolicy = this.policy,
@@ -29,91 +29,91 @@
                 machinesPerZone = 4,
                 teamCores = 40.0,
                 hasMachineChurn = true,
-                fetches = true,
+                fetchesImages = true,
                 drainPolicy = policy,
                 controllersWithoutDrains = controllersWithoutDrains,
             )
         return SimulatedCluster(seed, mutation, profile).apply {
-            checker.jobsInterruptible = policy.default.jobs
-            repeat(16) { n -> script(SECOND + n * SECOND) { submitLong(n, 150 * SECOND) } }
+            checker.maxInterruptibleJobs = policy.default.jobs
+            repeat(16) { n -> script(SECOND + n * SECOND) { submitLongRunning(n, 150 * SECOND) } }
             script()
             run(FAULTS_US, CALM_US)
         }
     }
 
-    private fun keepsBudgets(
+    private fun assertBudgetsKept(
         seeds: LongRange = 1L..SEEDS,
         policy: DrainPolicy = this.policy,
         controllersWithoutDrains: Set<Int> = emptySet(),
         script: SimulatedCluster.() -> Unit,
-        check: SimulatedCluster.(Long) -> Unit = { seed -> isOver(seed) },
+        check: SimulatedCluster.(Long) -> Unit = { seed -> assertDrainFinished(seed) },
     ) {
         var interruptions = 0
         for (seed in seeds) {
-            val world = play(seed, policy = policy, controllersWithoutDrains = controllersWithoutDrains, script = script)
-            assertTrue(world.checker.violations.isEmpty()) { "seed $seed: ${world.checker.violations.take(3)}" }
-            world.check(seed)
-            interruptions += world.checker.interruptions
+            val cluster = simulate(seed, policy = policy, controllersWithoutDrains = controllersWithoutDrains, script = script)
+            assertTrue(cluster.checker.violations.isEmpty()) { "seed $seed: ${cluster.checker.violations.take(3)}" }
+            cluster.check(seed)
+            interruptions += cluster.checker.interruptions
         }
         assertTrue(interruptions > 0 || policy.default.jobs == 0) { "nothing was interrupted for any seed" }
     }
 
-    private fun SimulatedCluster.isOver(seed: Long) {
-        assertEquals(DrainStatus.FINISHED, drain("all").status) { "seed $seed: ${drain("all").status} ${stages("all")}" }
+    private fun SimulatedCluster.assertDrainFinished(seed: Long) {
+        assertEquals(DrainStatus.FINISHED, getDrain("all").status) { "seed $seed: ${getDrain("all").status} ${stageCounts("all")}" }
         assertTrue(openJobs.isEmpty()) { "seed $seed: never finished: $openJobs" }
     }
 
     @Example
     fun `a drain of every machine keeps the budgets under faults of any kind`() =
-        keepsBudgets(script = {
+        assertBudgetsKept(script = {
             script(30 * SECOND) { drainAll("all", atMost = 3, replace = false) }
             repeat(10) { n -> script((34 + 6L * n) * SECOND) { injectRandomFault() } }
         })
 
     @Example
     fun `each machine is followed by a fresh one, of which some never come up`() =
-        keepsBudgets(script = {
+        assertBudgetsKept(script = {
             script(30 * SECOND) { drainAll("all", atMost = 4, replace = true) }
             repeat(5) { n -> script((40 + 12L * n) * SECOND) { injectRandomFault() } }
         })
 
     @Example
     fun `leaders change ten times in two minutes while a drain goes on`() =
-        keepsBudgets(script = {
+        assertBudgetsKept(script = {
             script(30 * SECOND) { drainAll("all", atMost = 4, replace = false) }
             repeat(10) { n -> script((36 + 12L * n) * SECOND) { crash(maxOf(leader, 0), (300 + 700L * (n % 3)) * MILLI) } }
         })
 
     @Example
     fun `the leader is cut from the state service, and that is out for longer than a cancellation has, in the middle of a step`() =
-        keepsBudgets(script = {
+        assertBudgetsKept(script = {
             script(30 * SECOND) { drainAll("all", atMost = 4, replace = false) }
-            repeat(4) { n -> script((40 + 15L * n) * SECOND) { cutFromState(maxOf(leader, 0), 9 * SECOND, held = n % 2 == 0) } }
-            script(110 * SECOND) { outage(45 * SECOND) }
+            repeat(4) { n -> script((40 + 15L * n) * SECOND) { cutFromState(maxOf(leader, 0), 9 * SECOND, holdsMessages = n % 2 == 0) } }
+            script(110 * SECOND) { beginOutage(45 * SECOND) }
         })
 
     @Example
     fun `machines hang, are deaf, or are taken while they are emptied`() =
-        keepsBudgets(script = {
+        assertBudgetsKept(script = {
             script(30 * SECOND) { drainAll("all", atMost = 4, replace = false) }
             repeat(8) { n ->
                 script((38 + 7L * n) * SECOND) {
                     hang(n % 12, 12 * SECOND)
                     blockInbound((n + 3) % 12, 14 * SECOND)
-                    if (n % 3 == 0) repeat(3) { takeMachine((n + 5 + it) % 12) }
+                    if (n % 3 == 0) repeat(3) { terminateMachine((n + 5 + it) % 12) }
                 }
             }
         })
 
     @Example
     fun `a zone is cut off from the others, one way of its machines and then all of it, while they are emptied`() =
-        keepsBudgets(script = {
+        assertBudgetsKept(script = {
             script(30 * SECOND) { drainAll("all", atMost = 4, replace = true) }
-            script(45 * SECOND) { cutZones("a", "b", 22 * SECOND, held = true) }
+            script(45 * SECOND) { cutZones("a", "b", 22 * SECOND, holdsMessages = true) }
             script(75 * SECOND) { (0..2).forEach { blockOutbound(it, 20 * SECOND) } }
             script(100 * SECOND) {
-                cutZones("a", "b", 25 * SECOND, held = false)
-                cutZones("b", "c", 25 * SECOND, held = false)
+                cutZones("a", "b", 25 * SECOND, holdsMessages = false)
+                cutZones("b", "c", 25 * SECOND, holdsMessages = false)
                 refuse(2, 25 * SECOND)
             }
         })
@@ -121,7 +121,7 @@
     /** While it leads nothing is interrupted, and what the others have announced is not forgotten. */
     @Example
     fun `a controller of a version without drains leads now and then`() =
-        keepsBudgets(controllersWithoutDrains = setOf(1), script = {
+        assertBudgetsKept(controllersWithoutDrains = setOf(1), script = {
             script(30 * SECOND) { drainAll("all", atMost = 4, replace = false) }
             repeat(10) { n -> script((36 + 11L * n) * SECOND) { crash(maxOf(leader, 0), (300 + 900L * (n % 3)) * MILLI) } }
             // What an older version leads on is drained once it has been followed.
@@ -130,47 +130,51 @@
 
     @Example
     fun `a budget of zero interrupts nothing, and the drain ends with the tasks`() =
-        keepsBudgets(
+        assertBudgetsKept(
             1L..4L,
             DrainPolicy(DisruptionBudget(jobs = 0)),
             script = { script(30 * SECOND) { drainAll("all", atMost = 12, replace = false) } },
         ) { seed ->
             assertEquals(0, checker.interruptions) { "seed $seed: ${checker.interruptions} interrupted" }
-            assertEquals(DrainStatus.FINISHED, drain("all").status) { "seed $seed: ${stages("all")}" }
+            assertEquals(DrainStatus.FINISHED, getDrain("all").status) { "seed $seed: ${stageCounts("all")}" }
         }
 
     @Example
     fun `two drains over the same machines empty each once`() =
-        keepsBudgets(1L..6L, script = {
+        assertBudgetsKept(1L..6L, script = {
             script(30 * SECOND) { drainAll("all", atMost = 2, replace = false) }
             script(31 * SECOND) { drainAll("second", atMost = 2, replace = false) }
             script(60 * SECOND) { crash(maxOf(leader, 0), SECOND) }
         }) { seed ->
-            isOver(seed)
-            assertEquals(DrainStatus.FINISHED, drain("second").status) { "seed $seed: ${stages("second")}" }
+            assertDrainFinished(seed)
+            assertEquals(DrainStatus.FINISHED, getDrain("second").status) { "seed $seed: ${stageCounts("second")}" }
         }
 
     @Example
     fun `a drain that is paused goes no further, and one that is cancelled leaves its machines to work`() =
-        keepsBudgets(1L..4L, script = {
+        assertBudgetsKept(1L..4L, script = {
             script(30 * SECOND) { drainAll("all", atMost = 2, replace = false) }
             script(50 * SECOND) { setDrain("all", DrainStatus.PAUSED) }
-            script(52 * SECOND) { pausedAt = checker.interruptions }
-            script(80 * SECOND) { assertTrue(checker.interruptions <= pausedAt + 2) { "goes on: ${checker.interruptions} of $pausedAt" } }
+            script(52 * SECOND) { interruptionsAtPause = checker.interruptions }
+            script(80 * SECOND) {
+                assertTrue(
+                    checker.interruptions <= interruptionsAtPause + 2,
+                ) { "goes on: ${checker.interruptions} of $interruptionsAtPause" }
+            }
             script(81 * SECOND) { setDrain("all", DrainStatus.CANCELLED) }
         }) { seed ->
-            assertTrue((stages("all")[Stage.WAITING] ?: 0) > 0) { "seed $seed: ${stages("all")}" }
+            assertTrue((stageCounts("all")[Stage.WAITING] ?: 0) > 0) { "seed $seed: ${stageCounts("all")}" }
             assertTrue(openJobs.isEmpty()) { "seed $seed: never finished: $openJobs" }
         }
 
-    private var pausedAt = 0
+    private var interruptionsAtPause = 0
 
     /** With the account of interruptions broken on purpose, the checker finds a team over its budget. */
     @Example
     fun `each guard is needed`() {
-        for (guard in listOf(Mutation.INTERRUPTIONS_FORGOTTEN, Mutation.INTERRUPTIONS_DROPPED)) {
-            assertViolated("over_budget", guard, 1L..MAX_SEEDS) { seed ->
-                play(seed, guard) {
+        for (mutation in listOf(Mutation.INTERRUPTIONS_NOT_RECOVERED, Mutation.INTERRUPTIONS_ENDED_AT_STOP)) {
+            assertViolated("over_budget", mutation, 1L..MAX_SEEDS) { seed ->
+                simulate(seed, mutation) {
                     script(30 * SECOND) { drainAll("all", atMost = 6, replace = false) }
                     repeat(12) { n -> script((36 + 7L * n) * SECOND) { crash(maxOf(leader, 0), 300 * MILLI) } }
                 }
--- a/src/test/kotlin/lichenstage/world/DrainMeasure.kt
+++ b/src/test/kotlin/lichenstage/world/DrainMeasure.kt
@@ -15,8 +15,8 @@
     val seed = args.firstOrNull()?.toLong() ?: 1
     val executor = Executors.newFixedThreadPool(3)
     val lines =
-        SIZES.flatMap { machines -> WAYS.map { way -> machines to way } }.map { (machines, way) ->
-            executor.submit<String> { measure(seed, machines, way(machines)) }
+        SIZES.flatMap { machines -> VARIANTS.map { variant -> machines to variant } }.map { (machines, variant) ->
+            executor.submit<String> { measure(seed, machines, variant(machines)) }
         }
     println("| machines | way | drained after s | stops | most jobs of a team held up | run time lost, h | records written |")
     println("| --- | --- | --- | --- | --- | --- | --- |")
@@ -25,31 +25,31 @@
     executor.awaitTermination(1, TimeUnit.MINUTES)
 }
 
-private class Way(
+private class DrainVariant(
     val name: String,
     val budget: DisruptionBudget,
     val maxConcurrent: Int,
 )
 
 private val SIZES = listOf(100, 400, 1_600)
-private val WAYS: List<(Int) -> Way> =
+private val VARIANTS: List<(Int) -> DrainVariant> =
     listOf(
-        { n -> Way("1 job a team", DisruptionBudget(jobs = 1), n / 10) },
-        { n -> Way("4 jobs a team", DisruptionBudget(jobs = 4), n / 10) },
-        { n -> Way("16 jobs a team", DisruptionBudget(jobs = 16), n / 10) },
-        { n -> Way("2% of tasks", DisruptionBudget(share = 0.02), n / 10) },
-        { n -> Way("steps of ${n / 20}, no budget", DisruptionBudget(), n / 20) },
-        { n -> Way("all at once, no budget", DisruptionBudget(), n) },
+        { n -> DrainVariant("1 job a team", DisruptionBudget(jobs = 1), n / 10) },
+        { n -> DrainVariant("4 jobs a team", DisruptionBudget(jobs = 4), n / 10) },
+        { n -> DrainVariant("16 jobs a team", DisruptionBudget(jobs = 16), n / 10) },
+        { n -> DrainVariant("2% of tasks", DisruptionBudget(share = 0.02), n / 10) },
+        { n -> DrainVariant("steps of ${n / 20}, no budget", DisruptionBudget(), n / 20) },
+        { n -> DrainVariant("all at once, no budget", DisruptionBudget(), n) },
     )
 
 private const val RUN_US = 600 * SECOND
 private const val BEGIN_US = 200 * SECOND
-private const val LONGEST_US = 3_600 * SECOND
+private const val MAX_DRAIN_US = 3_600 * SECOND
 
 private fun measure(
     seed: Long,
     machines: Int,
-    way: Way,
+    variant: DrainVariant,
 ): String {
     val profile =
         ClusterProfile(
@@ -57,24 +57,24 @@
             teamCores = machines * 8.0,
             hasMachineChurn = true,
             onlyOperatorsDrain = true,
-            fetches = true,
-            drainPolicy = DrainPolicy(way.budget),
+            fetchesImages = true,
+            drainPolicy = DrainPolicy(variant.budget),
         )
-    val world = SimulatedCluster(seed, profile = profile)
+    val cluster = SimulatedCluster(seed, profile = profile)
     var finishedUs = 0L
     // Two tasks of two cores each: two thirds of what there is, and as much again later.
     val jobs = machines * 4 / 3
-    repeat(jobs) { n -> world.script(SECOND + n * 60 * SECOND / jobs) { submitLong(n, RUN_US) } }
-    repeat(jobs) { n -> world.script(BEGIN_US + n * RUN_US / jobs) { submitLong(jobs + n, RUN_US) } }
-    world.script(BEGIN_US) { drainAll("all", way.maxConcurrent, replace = false, share = 2) }
-    for (atUs in BEGIN_US until LONGEST_US step SECOND) {
-        world.script(atUs) { if (finishedUs == 0L && drain("all").status == DrainStatus.FINISHED) finishedUs = now }
+    repeat(jobs) { n -> cluster.script(SECOND + n * 60 * SECOND / jobs) { submitLongRunning(n, RUN_US) } }
+    repeat(jobs) { n -> cluster.script(BEGIN_US + n * RUN_US / jobs) { submitLongRunning(jobs + n, RUN_US) } }
+    cluster.script(BEGIN_US) { drainAll("all", variant.maxConcurrent, replace = false, share = 2) }
+    for (atUs in BEGIN_US until MAX_DRAIN_US step SECOND) {
+        cluster.script(atUs) { if (finishedUs == 0L && getDrain("all").status == DrainStatus.FINISHED) finishedUs = nowUs }
     }
-    world.run(BEGIN_US, LONGEST_US - BEGIN_US)
-    val checker = world.checker
-    val took = if (finishedUs > 0) "${(finishedUs - BEGIN_US) / SECOND}" else "not in ${(LONGEST_US - BEGIN_US) / SECOND}"
+    cluster.run(BEGIN_US, MAX_DRAIN_US - BEGIN_US)
+    val checker = cluster.checker
+    val drainedAfter = if (finishedUs > 0) "${(finishedUs - BEGIN_US) / SECOND}" else "not in ${(MAX_DRAIN_US - BEGIN_US) / SECOND}"
     val hours = "%.1f".format(checker.lostProgressUs / SECOND / 3600.0)
     val violations = checker.violations.filter { !it.startsWith("waiting") }.take(1)
-    val cells = listOf(machines, way.name, took, checker.interruptions, checker.maxJobsInterrupted, hours, world.drainWrites)
+    val cells = listOf(machines, variant.name, drainedAfter, checker.interruptions, checker.maxJobsInterrupted, hours, cluster.drainWrites)
     return cells.joinToString(" | ", "| ", " |") + if (violations.isEmpty()) "" else " broken: $violations"
 }
--- a/src/test/kotlin/lichenstage/world/LateOrdersSimulationTest.kt
+++ b/src/test/kotlin/lichenstage/world/LateOrdersSimulationTest.kt
@@ -12,21 +12,21 @@
     fun `orders that are executed minutes late violate no rule`() {
         var fences = 0
         for (seed in SEEDS) {
-            val world = SimulatedCluster(seed, profile = ClusterProfile.LATE_ORDERS).apply { run(FAULTS_US, CALM_US) }
-            world.assertRulesHeld(seed)
-            fences += world.orderEvents.startFences
+            val cluster = SimulatedCluster(seed, profile = ClusterProfile.LATE_ORDERS).apply { run(FAULTS_US, CALM_US) }
+            cluster.assertRulesHeld(seed)
+            fences += cluster.orderEvents.startFences
         }
         assertTrue(fences > 0) { "no machine needed a newer token" }
     }
 
     /** Jobs are cancelled a second after they came, so that some starts are held when nobody wants them any more. */
-    private fun cancelledSoon(
+    private fun simulateEarlyCancellations(
         seed: Long,
         mutation: Mutation = Mutation.NONE,
-    ) = SimulatedCluster(seed, mutation, HELD).apply {
-        script(0) { load(14, 60 * SECOND) }
+    ) = SimulatedCluster(seed, mutation, HELD_ORDERS).apply {
+        script(0) { submitRandomJobs(14, 60 * SECOND) }
         for (n in 0 until 40) {
-            script(10 * SECOND + n * SECOND) { submitLong(100 + n, 100 * SECOND) }
+            script(10 * SECOND + n * SECOND) { submitLongRunning(100 + n, 100 * SECOND) }
             script(11 * SECOND + n * SECOND) { cancel("j-${100 + n}", n % 3) }
         }
         run(CANCELLED_US, CANCELLED_CALM_US)
@@ -36,36 +36,40 @@
     fun `starts that are held when their job is cancelled end with few newer tokens and no lost lease`() {
         var unanswered = 0
         for (seed in CANCELLED_SEEDS) {
-            val world = cancelledSoon(seed)
-            world.assertRulesHeld(seed)
-            val events = world.orderEvents
-            unanswered += events.unanswered
-            assertEquals(0, world.checker.tasksLost) { "seed $seed: ${world.checker.tasksLost} tasks lost, $events" }
-            assertTrue(events.startFences + events.clearFences <= events.unanswered + MAX_CLEAR_FENCES) { "seed $seed: $events" }
+            val cluster = simulateEarlyCancellations(seed)
+            cluster.assertRulesHeld(seed)
+            val events = cluster.orderEvents
+            unanswered += events.unansweredOrders
+            assertEquals(0, cluster.checker.tasksLost) { "seed $seed: ${cluster.checker.tasksLost} tasks lost, $events" }
+            assertTrue(events.startFences + events.clearFences <= events.unansweredOrders + MAX_CLEAR_FENCES) { "seed $seed: $events" }
         }
         assertTrue(unanswered > 100) { "only $unanswered orders were held" }
     }
 
     @Example
     fun `without newer tokens a start of a cancelled job is executed late`() =
-        assertViolated("ran_cancelled", Mutation.UNFENCED, CANCELLED_SEEDS) { seed -> cancelledSoon(seed, Mutation.UNFENCED) }
+        assertViolated(
+            "ran_cancelled",
+            Mutation.FENCING_DISABLED,
+            CANCELLED_SEEDS,
+        ) { seed -> simulateEarlyCancellations(seed, Mutation.FENCING_DISABLED) }
 
     /**
      * Partitions have just changed owners, so that no newer token is at hand yet; jobs are cancelled whose starts are held, and nothing can
      * be written for longer than that may take.
      */
-    private fun outageBeforeTokens(
+    private fun simulateOutageBeforeTokens(
         seed: Long,
         mutation: Mutation = Mutation.NONE,
-    ) = SimulatedCluster(seed, mutation, HELD).apply {
-        script(0) { load(14, 60 * SECOND) }
+    ) = SimulatedCluster(seed, mutation, HELD_ORDERS).apply {
+        script(0) { submitRandomJobs(14, 60 * SECOND) }
         script(20 * SECOND) { repeat(3) { crash(it, 200 * MILLI) } }
         // Again and again, so that some fall between a start that is held and the next heartbeat.
         for (n in 0 until 10) {
-            script(23 * SECOND + n * SECOND / 4) { submitLong(100 + n, 100 * SECOND) }
+            script(23 * SECOND + n * SECOND / 4) { submitLongRunning(100 + n, 100 * SECOND) }
             script(24 * SECOND + n * SECOND / 4) { cancel("j-${100 + n}", n % 3) }
         }
-        script(27 * SECOND) { outage(80 * SECOND) }
+        script(27 * SECOND) { beginOutage(80 * SECOND) }
         run(OUTAGE_FAULTS_US, OUTAGE_CALM_US)
     }
 
@@ -73,17 +77,17 @@
     fun `where no newer token can be had, heartbeats go unanswered and leases expire in time`() {
         var withheld = 0
         for (seed in OUTAGE_SEEDS) {
-            val world = outageBeforeTokens(seed)
-            world.assertRulesHeld(seed)
-            withheld += world.orderEvents.withheld
+            val cluster = simulateOutageBeforeTokens(seed)
+            cluster.assertRulesHeld(seed)
+            withheld += cluster.orderEvents.withheldReplies
         }
         assertTrue(withheld > 0) { "no answer was withheld" }
     }
 
     @Example
     fun `where these heartbeats are answered a start of a cancelled job is executed late`() =
-        assertViolated("ran_cancelled", Mutation.ANSWERED_UNFENCED, OUTAGE_SEEDS) { seed ->
-            outageBeforeTokens(seed, Mutation.ANSWERED_UNFENCED)
+        assertViolated("ran_cancelled", Mutation.REPLIED_WITHOUT_FENCING, OUTAGE_SEEDS) { seed ->
+            simulateOutageBeforeTokens(seed, Mutation.REPLIED_WITHOUT_FENCING)
         }
 
     private companion object {
@@ -92,7 +96,7 @@
         const val CALM_US = 780_000_000L
 
         /** Most orders are held, for up to two minutes. */
-        val HELD = ClusterProfile(heldOrderShare = 0.7, longestHoldUs = 120 * SECOND)
+        val HELD_ORDERS = ClusterProfile(heldOrderShare = 0.7, maxHoldUs = 120 * SECOND)
         val CANCELLED_SEEDS = 1L..12L
         const val CANCELLED_US = 80_000_000L
         const val CANCELLED_CALM_US = 300_000_000L
--- a/src/test/kotlin/lichenstage/world/Mutation.kt
+++ b/src/test/kotlin/lichenstage/world/Mutation.kt
@@ -4,66 +4,66 @@
 enum class Mutation {
     NONE,
     SHORT_LEASE,
-    EAGER_OWNER,
-    IGNORED_LIMIT,
-    DONE_TOO_EARLY,
+    NO_LEASE_WAIT_AFTER_FAILOVER,
+    TEAM_LIMIT_IGNORED,
+    JOB_COMPLETED_TOO_EARLY,
 
     /** Nobody but the controller that confirms a cancellation learns of it. */
-    CANCEL_UNHEARD,
-    COPIES_BELIEVED,
-    CLEARED_AT_ONCE,
+    CANCELLATION_NOT_PROPAGATED,
+    STALE_HEARTBEATS_ACCEPTED,
+    CLEARS_EXECUTED_IMMEDIATELY,
 
     /** Nothing fences off an order without an answer. */
-    UNFENCED,
+    FENCING_DISABLED,
 
     /** Heartbeats are answered although no token was at hand that would fence off an order without an answer. */
-    ANSWERED_UNFENCED,
+    REPLIED_WITHOUT_FENCING,
 
     /** A new leader does not know which tasks the one before it has interrupted. */
-    INTERRUPTIONS_FORGOTTEN,
+    INTERRUPTIONS_NOT_RECOVERED,
 
     /** The account of interruptions has each only until its task was stopped. */
-    INTERRUPTIONS_DROPPED,
+    INTERRUPTIONS_ENDED_AT_STOP,
 
     /** A partial frame counts as a whole one. */
-    PIECES_TAKEN_FOR_WHOLE,
+    PARTIAL_FRAMES_TREATED_AS_FINAL,
 
     /** Answers renew leases whatever the answering controller may not have learned, and only the leader's watch reports ends. */
-    ANSWERED_UNINFORMED,
+    LEASES_RENEWED_WITH_STALE_REPLICA,
 
     /** Another controller's reply counts, but not the ended jobs in it. */
-    HANDOVER_DROPPED,
+    SYNC_REPLY_JOBS_IGNORED,
 
     /** A controller keeps its authority after its lease. */
-    AUTHORITY_KEPT,
+    AUTHORITY_KEPT_AFTER_LEASE,
 
     /** A new leader does not know which machines its predecessor used. */
-    REGISTRY_LOST,
+    REGISTRY_NOT_RECOVERED,
 
     /** A new leader does not know what is done. */
-    RANGES_LOST,
+    DONE_TASKS_NOT_RECOVERED,
 
     /** Jobs that are bound to one zone, or spread, are placed anywhere. */
-    ZONES_IGNORED,
+    ZONE_CONSTRAINTS_IGNORED,
 
     /** The leader does not add every job. */
-    JOB_FORGOTTEN,
+    JOB_NOT_ADDED,
 
     /** A controller replies for what the process before it has confirmed. */
-    SPOKEN_FOR_PREDECESSOR,
+    REPLIED_FOR_EARLIER_PROCESS,
 
     /** A job is placed although its dependencies are not done. */
-    NEEDS_IGNORED,
+    DEPENDENCIES_IGNORED,
 
     /** A job that has ended counts as done, however it ended. */
-    ENDS_TAKEN_FOR_DONE,
+    CANCELLED_TREATED_AS_DONE,
 
     /** Nobody finds out that a dependency of a job was cancelled. */
-    CANCELLED_NEEDS_UNSEEN,
+    CANCELLED_DEPENDENCIES_IGNORED,
 
     /** A waiting job is called open although it is not known how one of its dependencies has ended. */
-    UNRESOLVED_CALLED_OPEN,
+    UNRESOLVED_REPORTED_OPEN,
 
     /** A waiting job is called open by a controller that has not read the state service for long. */
-    STALE_CALLED_OPEN,
+    STALE_REPORTED_OPEN,
 }
--- a/src/test/kotlin/lichenstage/world/PipelineFaultsTest.kt
+++ b/src/test/kotlin/lichenstage/world/PipelineFaultsTest.kt
@@ -20,32 +20,32 @@
         listOf(
             Scenario("drawn faults") {
                 repeat(24) { n -> script(SECOND + n * 3 * SECOND) { injectRandomFault() } }
-                cancellations(8)
+                scheduleCancellations(8)
             },
             Scenario("the leader is refused alone while first stages are cancelled") {
                 script(20 * SECOND) { refuse(maxOf(leader, 0), 30 * SECOND) }
-                cancellations(21)
+                scheduleCancellations(21)
             },
             Scenario("an outage longer than a cancellation may take, right after cancellations") {
                 script(24 * SECOND) { cancelPipelines(4) }
-                script(24 * SECOND + 30 * MILLI) { outage(50 * SECOND) }
+                script(24 * SECOND + 30 * MILLI) { beginOutage(50 * SECOND) }
             },
             Scenario("the same, and no other controller hears of the cancellations before the outage is over") {
                 script(24 * SECOND) {
-                    for ((one, other) in listOf(0 to 1, 0 to 2, 1 to 2)) disconnect(one, other, 60 * SECOND)
+                    for ((idA, idB) in listOf(0 to 1, 0 to 2, 1 to 2)) disconnect(idA, idB, 60 * SECOND)
                     cancelPipelines(4)
                 }
-                script(24 * SECOND + 30 * MILLI) { outage(50 * SECOND) }
+                script(24 * SECOND + 30 * MILLI) { beginOutage(50 * SECOND) }
             },
             Scenario("transactions are held up and carried out late, while leaders change") {
                 for (atS in 15L..60L step 15) {
                     script(atS * SECOND) {
-                        val late = maxOf(leader, 0)
-                        cutFromState(late, 6 * SECOND, held = true)
-                        crash((late + 1) % 3, 300 * MILLI)
+                        val leaderId = maxOf(leader, 0)
+                        cutFromState(leaderId, 6 * SECOND, holdsMessages = true)
+                        crash((leaderId + 1) % 3, 300 * MILLI)
                     }
                 }
-                cancellations(16)
+                scheduleCancellations(16)
             },
             Scenario("a cancellation at the moment at which a first stage is recorded as done") {
                 for (atS in 4L..60L step 4) script(atS * SECOND) { cancelPipelines(1) }
@@ -53,24 +53,24 @@
             Scenario("processes are restarted one after the other and together, some back at once") {
                 for ((n, atS) in (10L..64L step 6).withIndex()) script(atS * SECOND) { crash(n % 3, (300 + n % 3 * 2000) * MILLI) }
                 script(40 * SECOND) { repeat(3) { crash(it, SECOND + it * SECOND) } }
-                cancellations(9)
+                scheduleCancellations(9)
             },
         )
 
-    private fun SimulatedCluster.cancellations(fromS: Long) {
+    private fun SimulatedCluster.scheduleCancellations(fromS: Long) {
         for (atS in fromS..65L step 7) script(atS * SECOND) { cancelPipelines(1) }
     }
 
-    private fun play(
+    private fun simulate(
         scenario: Scenario,
         seed: Long,
         mutation: Mutation = Mutation.NONE,
     ) = SimulatedCluster(seed, mutation).apply {
         repeat(16) { n -> script(SECOND + n * 4 * SECOND) { submitPipeline(1000 + 4 * n) } }
-        script(0) { load(8, FAULTS_US) }
+        script(0) { submitRandomJobs(8, FAULTS_US) }
         scenario.script(this)
         // After all faults and cancellations, and of jobs of its own: whatever happened before, this one gets done.
-        script(FAULTS_US + SECOND) { submitPipeline(LAST_PIPELINE, alone = true) }
+        script(FAULTS_US + SECOND) { submitPipeline(LAST_PIPELINE, isIndependent = true) }
         run(FAULTS_US, CALM_US)
     }
 
@@ -78,30 +78,30 @@
     fun `rules of pipelines hold under concurrent faults, and all that was not cancelled gets done`() {
         for (scenario in scenarios) {
             for (seed in 1L..SEEDS) {
-                val world = play(scenario, seed)
-                assertTrue(world.checker.violations.isEmpty()) { "${scenario.name}, seed $seed: ${world.checker.violations.take(3)}" }
+                val cluster = simulate(scenario, seed)
+                assertTrue(cluster.checker.violations.isEmpty()) { "${scenario.name}, seed $seed: ${cluster.checker.violations.take(3)}" }
                 assertTrue(
-                    world.openJobs.isEmpty(),
-                ) { "${scenario.name}, seed $seed: never over: ${world.openJobs}\n${world.describe()}" }
-                val last = (LAST_PIPELINE until LAST_PIPELINE + PIPELINE).map { "j-$it" }
-                assertTrue(world.done.containsAll(last)) { "${scenario.name}, seed $seed: done ${world.done}" }
+                    cluster.openJobs.isEmpty(),
+                ) { "${scenario.name}, seed $seed: never over: ${cluster.openJobs}\n${cluster.describe()}" }
+                val lastPipelineJobs = (LAST_PIPELINE until LAST_PIPELINE + PIPELINE).map { "j-$it" }
+                assertTrue(cluster.doneJobs.containsAll(lastPipelineJobs)) { "${scenario.name}, seed $seed: done ${cluster.doneJobs}" }
             }
         }
     }
 
     @Example
     fun `each guard is needed`() {
-        val needed =
+        val violatedRules =
             mapOf(
-                Mutation.NEEDS_IGNORED to "too_early",
-                Mutation.ENDS_TAKEN_FOR_DONE to "too_early",
-                Mutation.CANCELLED_NEEDS_UNSEEN to "forgotten",
-                Mutation.UNRESOLVED_CALLED_OPEN to "orphaned",
-                Mutation.STALE_CALLED_OPEN to "orphaned",
+                Mutation.DEPENDENCIES_IGNORED to "too_early",
+                Mutation.CANCELLED_TREATED_AS_DONE to "too_early",
+                Mutation.CANCELLED_DEPENDENCIES_IGNORED to "forgotten",
+                Mutation.UNRESOLVED_REPORTED_OPEN to "orphaned",
+                Mutation.STALE_REPORTED_OPEN to "orphaned",
             )
-        for ((mutation, rule) in needed) {
+        for ((mutation, rule) in violatedRules) {
             val isViolated =
-                scenarios.any { scenario -> (1L..MAX_SEEDS).any { seed -> play(scenario, seed, mutation).hasViolated(rule) } }
+                scenarios.any { scenario -> (1L..MAX_SEEDS).any { seed -> simulate(scenario, seed, mutation).hasViolated(rule) } }
             assertTrue(isViolated) { "$mutation: nothing violated $rule" }
         }
     }
--- a/src/test/kotlin/lichenstage/world/RandomFaults.kt
+++ b/src/test/kotlin/lichenstage/world/RandomFaults.kt
@@ -8,99 +8,109 @@
     private val cluster: SimulatedCluster,
     private val random: Random,
     hasMachineChurn: Boolean,
-    longOutages: Boolean = false,
+    hasLongOutages: Boolean = false,
 ) {
-    private class Draw(
-        val forUs: Long,
-        val held: Boolean,
+    private class FaultParameters(
+        val durationUs: Long,
+        val holdsMessages: Boolean,
         val controller: Int,
         val worker: Int,
     )
 
-    private val usual: List<(Draw) -> Unit> =
+    private val commonFaults: List<(FaultParameters) -> Unit> =
         listOf(
             { cluster.crash(it.controller) },
-            { cluster.cutOff(it.worker, it.forUs, it.held) },
-            { cluster.hang(it.worker, it.forUs) },
-            { cluster.cutFromState(it.controller, it.forUs, it.held) },
-            { cluster.cutControllers(it.controller, another(it.controller), it.forUs, it.held) },
-            { cluster.cutFromWorkers(it.controller, it.forUs, it.held) },
+            { cluster.cutOff(it.worker, it.durationUs, it.holdsMessages) },
+            { cluster.hang(it.worker, it.durationUs) },
+            { cluster.cutFromState(it.controller, it.durationUs, it.holdsMessages) },
+            { cluster.cutControllers(it.controller, randomOther(it.controller), it.durationUs, it.holdsMessages) },
+            { cluster.cutFromWorkers(it.controller, it.durationUs, it.holdsMessages) },
             // Its heartbeats arrive, but nothing reaches it.
-            { cluster.blockInbound(it.worker, it.forUs + HALF_A_LEASE_US) },
+            { cluster.blockInbound(it.worker, it.durationUs + HALF_A_LEASE_US) },
             // It keeps its workers, and loses all else.
             ::isolate,
             // Connections between controllers are refused.
-            { draw -> pairs().forEach { (one, other) -> cluster.cutControllers(one, other, draw.forUs, held = false) } },
+            { parameters ->
+                controllerPairs().forEach { (idA, idB) ->
+                    cluster.cutControllers(idA, idB, parameters.durationUs, holdsMessages = false)
+                }
+            },
             // Two zones apart.
-            { cluster.cutZones("a", "b", it.forUs, it.held) },
+            { cluster.cutZones("a", "b", it.durationUs, it.holdsMessages) },
             { (0 until CONTROLLERS).forEach(cluster::crash) },
-            { cluster.slowState(it.forUs) },
-            { cluster.outage(it.forUs) },
+            { cluster.slowDownState(it.durationUs) },
+            { cluster.beginOutage(it.durationUs) },
             // An outage for all but one.
-            { draw -> others(draw.controller).forEach { cluster.cutFromState(it, draw.forUs, draw.held) } },
+            { parameters ->
+                otherControllers(
+                    parameters.controller,
+                ).forEach { cluster.cutFromState(it, parameters.durationUs, parameters.holdsMessages) }
+            },
             // Its heartbeats reach nobody, orders to it are executed.
-            { cluster.blockOutbound(it.worker, it.forUs + HALF_A_LEASE_US) },
+            { cluster.blockOutbound(it.worker, it.durationUs + HALF_A_LEASE_US) },
             ::cancelWhileMachinesHang,
             ::refuseLeaderThenAll,
         )
 
-    private val adverse: List<(Draw) -> Unit> =
+    private val machineChurnFaults: List<(FaultParameters) -> Unit> =
         listOf(
-            { cluster.freeze(it.controller, it.forUs) },
-            { cluster.takeMachine(it.worker) },
+            { cluster.freeze(it.controller, it.durationUs) },
+            { cluster.terminateMachine(it.worker) },
         )
 
     /** Users cancel what runs, and then nothing can be written for longer than the tasks may take to be gone. */
-    private val lasting: List<(Draw) -> Unit> =
+    private val longOutageFaults: List<(FaultParameters) -> Unit> =
         listOf(
             {
                 cancelRunning(2)
-                cluster.outage(it.forUs + LONG_OUTAGE_US)
+                cluster.beginOutage(it.durationUs + LONG_OUTAGE_US)
             },
         )
 
-    private val kinds =
-        usual + (if (hasMachineChurn) adverse else emptyList()) + if (longOutages) lasting else emptyList()
+    private val faultKinds =
+        commonFaults + (if (hasMachineChurn) machineChurnFaults else emptyList()) + if (hasLongOutages) longOutageFaults else emptyList()
 
     /** One fault, now. */
-    fun next() {
-        val draw =
-            Draw(
+    fun inject() {
+        val parameters =
+            FaultParameters(
                 2 * SECOND + random.nextInt(20_000_000),
                 random.nextBoolean(),
                 random.nextInt(CONTROLLERS),
                 random.nextInt(maxOf(cluster.machineCount, 1)),
             )
-        kinds[random.nextInt(kinds.size)](draw)
+        faultKinds[random.nextInt(faultKinds.size)](parameters)
     }
 
-    private fun others(controller: Int) = (0 until CONTROLLERS).filter { it != controller }
+    private fun otherControllers(controller: Int) = (0 until CONTROLLERS).filter { it != controller }
 
-    private fun another(controller: Int) = others(controller).let { it[random.nextInt(it.size)] }
+    private fun randomOther(controller: Int) = otherControllers(controller).let { it[random.nextInt(it.size)] }
 
-    private fun pairs() = (0 until CONTROLLERS).flatMap { one -> (one + 1 until CONTROLLERS).map { one to it } }
+    private fun controllerPairs() = (0 until CONTROLLERS).flatMap { idA -> (idA + 1 until CONTROLLERS).map { idA to it } }
 
-    private fun isolate(draw: Draw) {
-        others(draw.controller).forEach { cluster.cutControllers(draw.controller, it, draw.forUs, draw.held) }
-        cluster.cutFromState(draw.controller, draw.forUs, draw.held)
+    private fun isolate(parameters: FaultParameters) {
+        otherControllers(parameters.controller).forEach {
+            cluster.cutControllers(parameters.controller, it, parameters.durationUs, parameters.holdsMessages)
+        }
+        cluster.cutFromState(parameters.controller, parameters.durationUs, parameters.holdsMessages)
     }
 
     /** Users cancel what runs, and some of the machines hang. */
-    private fun cancelWhileMachinesHang(draw: Draw) {
+    private fun cancelWhileMachinesHang(parameters: FaultParameters) {
         cancelRunning(3)
-        repeat(3) { cluster.hang(random.nextInt(maxOf(cluster.machineCount, 1)), draw.forUs) }
+        repeat(3) { cluster.hang(random.nextInt(maxOf(cluster.machineCount, 1)), parameters.durationUs) }
     }
 
     /** The state service refuses the leader alone, and then everybody, while users cancel what runs. */
-    private fun refuseLeaderThenAll(draw: Draw) {
+    private fun refuseLeaderThenAll(parameters: FaultParameters) {
         cluster.refuse(maxOf(cluster.leader, 0), 14 * SECOND)
         cluster.after(SECOND) { cancelRunning(2) }
-        cluster.after(SECOND + SECOND / 2) { cluster.outage(draw.forUs * 2) }
+        cluster.after(SECOND + SECOND / 2) { cluster.beginOutage(parameters.durationUs * 2) }
     }
 
     private fun cancelRunning(count: Int) =
         cluster.openJobs
-            .filter { cluster.running(it) > 0 }
+            .filter { cluster.runningTaskCount(it) > 0 }
             .take(count)
             .forEach { cluster.cancel(it, random.nextInt(CONTROLLERS)) }
 
--- a/src/test/kotlin/lichenstage/world/RuleChecker.kt
+++ b/src/test/kotlin/lichenstage/world/RuleChecker.kt
@@ -5,16 +5,16 @@
     private val limits: Map<String, Double>,
     private val cancelUs: Long,
 ) {
-    private class Running(
+    private class TaskOnMachine(
         val machine: String,
         val job: SimulatedJob,
     )
 
     /** How many jobs of a team may be interrupted at once; null where no drains are simulated. */
-    var jobsInterruptible: Int? = null
+    var maxInterruptibleJobs: Int? = null
 
     /** Tasks of each team that were stopped by command and have not run again, as the workers see it. */
-    private val stopped = HashMap<String, HashMap<Pair<String, Int>, Long>>()
+    private val stoppedAtUs = HashMap<String, HashMap<Pair<String, Int>, Long>>()
 
     /** The stops of tasks that were wanted, and the largest number of a team's jobs that were interrupted at once. */
     var interruptions = 0
@@ -27,32 +27,32 @@
         private set
 
     /** A running task was stopped by command after [ranUs]; a stop does not count where its job was cancelled. */
-    fun stopped(
+    fun onTaskStopped(
         job: SimulatedJob,
         index: Int,
         ranUs: Long,
-        now: Long,
+        nowUs: Long,
     ) {
-        if (job.id in cancelled || final[job.id] != null || completed[job.id]?.contains(index) == true) return
+        if (job.id in cancelledAtUs || finalStatus[job.id] != null || completedTasks[job.id]?.contains(index) == true) return
         interruptions++
         lostProgressUs += ranUs
-        val team = stopped.getOrPut(job.team) { HashMap() }
-        team[job.id to index] = now
+        val team = stoppedAtUs.getOrPut(job.team) { HashMap() }
+        team[job.id to index] = nowUs
         val jobs =
             team.keys
                 .map { it.first }
-                .filter { it !in cancelled && final[it] == null }
+                .filter { it !in cancelledAtUs && finalStatus[it] == null }
                 .distinct()
         maxJobsInterrupted = maxOf(maxJobsInterrupted, jobs.size)
-        val most = jobsInterruptible ?: return
-        if (jobs.size > most) violations += "over_budget: ${job.team} has $jobs interrupted at $now"
+        val limit = maxInterruptibleJobs ?: return
+        if (jobs.size > limit) violations += "over_budget: ${job.team} has $jobs interrupted at $nowUs"
     }
 
     /** The tasks on machines, by job and index. */
-    private val on = HashMap<String, HashMap<Int, MutableList<Running>>>()
-    private val completed = HashMap<String, HashSet<Int>>()
-    private val cancelled = HashMap<String, Long>()
-    private val used = HashMap<String, Double>()
+    private val tasksOnMachines = HashMap<String, HashMap<Int, MutableList<TaskOnMachine>>>()
+    private val completedTasks = HashMap<String, HashSet<Int>>()
+    private val cancelledAtUs = HashMap<String, Long>()
+    private val usedCores = HashMap<String, Double>()
     val violations = ArrayList<String>()
     var starts = 0
         private set
@@ -64,77 +64,77 @@
     /** Tasks that were killed because their machine's lease ran out. */
     var tasksLost = 0
 
-    fun started(
+    fun onTaskStarted(
         machine: String,
         job: SimulatedJob,
         index: Int,
-        now: Long,
+        nowUs: Long,
     ) {
         starts++
-        stopped[job.team]?.remove(job.id to index)
+        stoppedAtUs[job.team]?.remove(job.id to index)
         val key = "${job.id}/$index"
-        placed(machine, job, now)
-        val there = on.getOrPut(job.id) { HashMap() }.getOrPut(index) { ArrayList() }
-        if (there.any { it.machine != machine }) violations += "ran_twice: $key on $machine and ${there[0].machine} at $now"
-        val missing = job.dependencies.filter { !complete(it) }
-        if (missing.isNotEmpty()) violations += "too_early: $key started at $now, before $missing were done"
-        there += Running(machine, job)
-        if (completed[job.id]?.contains(index) == true) reruns++
-        val total = used.merge(job.team, job.cores, Double::plus)!!
-        if (total > limits.getValue(job.team) + 1e-6) violations += "quota: ${job.team} uses $total at $now"
-        cancelled[job.id]?.let { startsAfterCancellation++ }
-        cancelled[job.id]?.let { if (now - it > cancelUs) violations += "ran_cancelled: $key started at $now" }
+        checkZone(machine, job, nowUs)
+        val attempts = tasksOnMachines.getOrPut(job.id) { HashMap() }.getOrPut(index) { ArrayList() }
+        if (attempts.any { it.machine != machine }) violations += "ran_twice: $key on $machine and ${attempts[0].machine} at $nowUs"
+        val missing = job.dependencies.filter { !isComplete(it) }
+        if (missing.isNotEmpty()) violations += "too_early: $key started at $nowUs, before $missing were done"
+        attempts += TaskOnMachine(machine, job)
+        if (completedTasks[job.id]?.contains(index) == true) reruns++
+        val total = usedCores.merge(job.team, job.cores, Double::plus)!!
+        if (total > limits.getValue(job.team) + 1e-6) violations += "quota: ${job.team} uses $total at $nowUs"
+        cancelledAtUs[job.id]?.let { startsAfterCancellation++ }
+        cancelledAtUs[job.id]?.let { if (nowUs - it > cancelUs) violations += "ran_cancelled: $key started at $nowUs" }
     }
 
     /** Given the job's other tasks at this moment, the zone is allowed. A worker's zone is the first letter of its name. */
-    private fun placed(
+    private fun checkZone(
         machine: String,
         job: SimulatedJob,
-        now: Long,
+        nowUs: Long,
     ) {
         if (!job.sameZone && !job.spread) return
         val zones = onMachines(job.id).map { zoneOf(it.machine) }
-        val here = zones.count { it == zoneOf(machine) }
-        if (job.sameZone && here < zones.size) violations += "wrong_place: ${job.id} in $zones starts on $machine at $now"
-        if (job.spread && here >= (job.tasks + 1) / 2) violations += "wrong_place: ${job.id} in $zones starts on $machine at $now"
+        val inSameZone = zones.count { it == zoneOf(machine) }
+        if (job.sameZone && inSameZone < zones.size) violations += "wrong_place: ${job.id} in $zones starts on $machine at $nowUs"
+        if (job.spread && inSameZone >= (job.tasks + 1) / 2) violations += "wrong_place: ${job.id} in $zones starts on $machine at $nowUs"
     }
 
-    private val known = HashMap<String, SimulatedJob>()
-    private val final = HashMap<String, PollAnswer>()
+    private val jobsById = HashMap<String, SimulatedJob>()
+    private val finalStatus = HashMap<String, PolledStatus>()
 
-    private fun complete(id: String) = known[id]?.let { (completed[id]?.size ?: 0) >= it.tasks } ?: false
+    private fun isComplete(id: String) = jobsById[id]?.let { (completedTasks[id]?.size ?: 0) >= it.tasks } ?: false
 
-    fun doneTasks(id: String) = completed[id]?.size ?: 0
+    fun doneTaskCount(id: String) = completedTasks[id]?.size ?: 0
 
     /** The job is accepted, or about to be. */
-    fun accepted(job: SimulatedJob) {
-        known[job.id] = job
+    fun onJobAccepted(job: SimulatedJob) {
+        jobsById[job.id] = job
     }
 
     /** When the faults are over: from here on every poll is to be answered before long. */
-    var calmFromUs = Long.MAX_VALUE
-    private val answeredUs = HashMap<String, Long>()
+    var faultsEndUs = Long.MAX_VALUE
+    private val lastReplyUs = HashMap<String, Long>()
 
-    /** A user has polled the job; [answer] is null where it was told to retry, or got no answer. */
-    fun polled(
+    /** A user has polled the job; [status] is null where it was told to retry, or got no answer. */
+    fun onJobPolled(
         job: SimulatedJob,
-        answer: PollAnswer?,
-        now: Long,
+        status: PolledStatus?,
+        nowUs: Long,
     ) {
-        if (answer == null) {
-            val sinceUs = maxOf(answeredUs[job.id] ?: 0, calmFromUs)
-            if (now - sinceUs > MAX_UNANSWERED_US) violations += "forgotten: no answer about ${job.id} since $sinceUs at $now"
+        if (status == null) {
+            val sinceUs = maxOf(lastReplyUs[job.id] ?: 0, faultsEndUs)
+            if (nowUs - sinceUs > MAX_UNANSWERED_US) violations += "forgotten: no answer about ${job.id} since $sinceUs at $nowUs"
             return
         }
-        answeredUs[job.id] = now
-        final[job.id]?.let { if (it != answer) violations += "went_back: ${job.id} was $it and is $answer at $now" }
-        val cancelledUs = cancelledBefore(job)
-        if (answer == PollAnswer.OPEN) {
-            if (cancelledUs != null && now - cancelledUs > cancelUs) violations += "orphaned: ${job.id} is open at $now"
+        lastReplyUs[job.id] = nowUs
+        finalStatus[job.id]?.let { if (it != status) violations += "went_back: ${job.id} was $it and is $status at $nowUs" }
+        val cancelledUs = dependencyCancelledAtUs(job)
+        if (status == PolledStatus.OPEN) {
+            if (cancelledUs != null && nowUs - cancelledUs > cancelUs) violations += "orphaned: ${job.id} is open at $nowUs"
             return
         }
-        final[job.id] = answer
-        if (answer == PollAnswer.CANCELLED && job.id !in cancelled &&
+        finalStatus[job.id] = status
+        if (status == PolledStatus.CANCELLED && job.id !in cancelledAtUs &&
             cancelledUs == null
         ) {
             violations += "went_back: nobody cancelled ${job.id}"
@@ -142,48 +142,48 @@
     }
 
     /** When the cancellation of a dependency of this job, direct or indirect, was first confirmed to a user. */
-    private fun cancelledBefore(job: SimulatedJob): Long? {
-        val due = ArrayDeque(job.dependencies)
-        val seen = HashSet<String>()
-        var first: Long? = null
-        while (due.isNotEmpty()) {
-            val id = due.removeLast()
-            if (!seen.add(id)) continue
-            cancelled[id]?.let { first = minOf(first ?: it, it) }
-            due += known[id]?.dependencies.orEmpty()
+    private fun dependencyCancelledAtUs(job: SimulatedJob): Long? {
+        val pending = ArrayDeque(job.dependencies)
+        val visited = HashSet<String>()
+        var earliestUs: Long? = null
+        while (pending.isNotEmpty()) {
+            val id = pending.removeLast()
+            if (!visited.add(id)) continue
+            cancelledAtUs[id]?.let { earliestUs = minOf(earliestUs ?: it, it) }
+            pending += jobsById[id]?.dependencies.orEmpty()
         }
-        return first
+        return earliestUs
     }
 
     private fun zoneOf(machine: String) = machine.removePrefix("vm-").take(1)
 
-    fun ended(
+    fun onTaskEnded(
         machine: String,
         job: SimulatedJob,
         index: Int,
         done: Boolean,
     ) {
-        val there = on[job.id]?.get(index) ?: return
-        val over = there.count { it.machine == machine }
-        there.removeIf { it.machine == machine }
-        used.merge(job.team, -job.cores * over, Double::plus)
-        if (done) completed.getOrPut(job.id) { HashSet() } += index
+        val attempts = tasksOnMachines[job.id]?.get(index) ?: return
+        val removed = attempts.count { it.machine == machine }
+        attempts.removeIf { it.machine == machine }
+        usedCores.merge(job.team, -job.cores * removed, Double::plus)
+        if (done) completedTasks.getOrPut(job.id) { HashSet() } += index
     }
 
-    fun cancellationConfirmed(
+    fun onCancellationConfirmed(
         job: SimulatedJob,
-        now: Long,
+        nowUs: Long,
     ) {
-        cancelled[job.id] = now
+        cancelledAtUs[job.id] = nowUs
     }
 
-    fun completionConfirmed(
+    fun onCompletionConfirmed(
         job: SimulatedJob,
-        now: Long,
+        nowUs: Long,
     ) {
-        val count = completed[job.id]?.size ?: 0
-        if (count < job.tasks) violations += "not_done: ${job.id} called done with $count of ${job.tasks} at $now"
-        if (job.id in cancelled) violations += "went_back: ${job.id} was cancelled"
+        val count = completedTasks[job.id]?.size ?: 0
+        if (count < job.tasks) violations += "not_done: ${job.id} called done with $count of ${job.tasks} at $nowUs"
+        if (job.id in cancelledAtUs) violations += "went_back: ${job.id} was cancelled"
     }
 
     private val waitingSinceUs = HashMap<String, Long>()
@@ -192,31 +192,31 @@
      * To be called regularly with the [open] jobs once all faults are over: none waits for long while its team is under its limit. In a
      * simulated cluster the machines always have capacity for what the limits allow.
      */
-    fun waiting(
+    fun checkWaiting(
         open: Collection<SimulatedJob>,
-        now: Long,
+        nowUs: Long,
     ) {
         for (job in open) {
-            if (running(job.id) > 0 || (used[job.team] ?: 0.0) + job.cores > limits.getValue(job.team)) {
+            if (runningTaskCount(job.id) > 0 || (usedCores[job.team] ?: 0.0) + job.cores > limits.getValue(job.team)) {
                 waitingSinceUs.remove(job.id)
-            } else if (now - waitingSinceUs.getOrPut(job.id) { now } > MAX_WAIT_US) {
-                violations += "waiting: ${job.id} at $now"
-                waitingSinceUs[job.id] = now
+            } else if (nowUs - waitingSinceUs.getOrPut(job.id) { nowUs } > MAX_WAIT_US) {
+                violations += "waiting: ${job.id} at $nowUs"
+                waitingSinceUs[job.id] = nowUs
             }
         }
     }
 
     /** Tasks of the job on machines now. */
-    fun running(job: String) = onMachines(job).size
+    fun runningTaskCount(job: String) = onMachines(job).size
 
-    private fun onMachines(job: String): List<Running> = on[job]?.values.orEmpty().flatten()
+    private fun onMachines(job: String): List<TaskOnMachine> = tasksOnMachines[job]?.values.orEmpty().flatten()
 
     /** To be called regularly: nothing of a cancelled job may be left once its time is over. */
-    fun sweep(now: Long) {
-        for ((job, at) in cancelled) {
-            if (now - at <= cancelUs) continue
-            for ((index, there) in on[job].orEmpty()) {
-                if (there.isNotEmpty()) violations += "ran_cancelled: $job/$index still on ${there[0].machine} at $now"
+    fun checkCancelledTasks(nowUs: Long) {
+        for ((job, at) in cancelledAtUs) {
+            if (nowUs - at <= cancelUs) continue
+            for ((index, attempts) in tasksOnMachines[job].orEmpty()) {
+                if (attempts.isNotEmpty()) violations += "ran_cancelled: $job/$index still on ${attempts[0].machine} at $nowUs"
             }
         }
     }
@@ -228,7 +228,7 @@
 }
 
 /** The status of a job as its user polls it; pending and running are one. */
-enum class PollAnswer { OPEN, DONE, CANCELLED }
+enum class PolledStatus { OPEN, DONE, CANCELLED }
 
 data class SimulatedJob(
     val id: String,
@@ -236,11 +236,11 @@
     val tasks: Int,
     val cores: Double,
     val runUs: Long,
-    val stamp: Long,
+    val submittedRevision: Long,
     val sameZone: Boolean = false,
     val spread: Boolean = false,
     /** Its tasks run for very different times. */
-    val uneven: Boolean = false,
+    val hasUnevenRunTimes: Boolean = false,
     /** Jobs that have to be done before any task of this one starts. */
     val dependencies: List<String> = emptyList(),
 )
--- a/src/test/kotlin/lichenstage/world/SeedSweep.kt
+++ b/src/test/kotlin/lichenstage/world/SeedSweep.kt
@@ -20,7 +20,7 @@
  * Prints each seed that violates a rule or leaves jobs open, and in the end the number of seeds.
  */
 fun main(args: Array<String>) {
-    val play =
+    val simulate =
         when (args[0]) {
             "small" -> { seed -> simulated(seed, ClusterProfile()) }
             "unkind" -> { seed -> simulated(seed, ClusterProfile.ADVERSE) }
@@ -37,11 +37,11 @@
     val failed = AtomicLong()
     for (seed in first until first + count) {
         executor.execute {
-            val world = play(seed)
-            if (System.getProperty(TRACE) != null) println("seed $seed: events ${world.eventDigest}")
-            if (world.checker.violations.isNotEmpty() || world.openJobs.isNotEmpty()) {
+            val cluster = simulate(seed)
+            if (System.getProperty(TRACE) != null) println("seed $seed: events ${cluster.eventDigest}")
+            if (cluster.checker.violations.isNotEmpty() || cluster.openJobs.isNotEmpty()) {
                 failed.incrementAndGet()
-                println("seed $seed: ${world.checker.violations.take(2)} unfinished ${world.openJobs}")
+                println("seed $seed: ${cluster.checker.violations.take(2)} unfinished ${cluster.openJobs}")
             }
         }
     }
@@ -54,7 +54,7 @@
 private fun lateOrders(seed: Long): SimulatedCluster {
     val mixed =
         ClusterProfile.LATE_ORDERS.copy(
-            longestHoldUs = ClusterProfile.ADVERSE.longestHoldUs,
+            maxHoldUs = ClusterProfile.ADVERSE.maxHoldUs,
             controllersWithoutFencing = setOf((seed % 3).toInt()),
         )
     return when (seed % 4) {
@@ -75,8 +75,8 @@
     val policy = DrainPolicy(DisruptionBudget(jobs = 1 + (seed % 3).toInt()))
     val profile = ClusterProfile.ADVERSE.copy(teamCores = 60.0, drainPolicy = policy, controllersWithoutDrains = setOf((seed % 6).toInt()))
     return SimulatedCluster(seed, profile = profile).apply {
-        checker.jobsInterruptible = policy.default.jobs
-        repeat(18) { n -> script(SECOND + n * SECOND) { submitLong(n, 120 * SECOND) } }
+        checker.maxInterruptibleJobs = policy.default.jobs
+        repeat(18) { n -> script(SECOND + n * SECOND) { submitLongRunning(n, 120 * SECOND) } }
         script(30 * SECOND) { drainAll("all", atMost = 1 + (seed % 5).toInt(), replace = seed % 2 == 0L) }
         repeat(12) { n -> script((32 + 7L * n) * SECOND) { injectRandomFault() } }
         run(FAULTS_US, DRAINED_CALM_US)
--- a/src/test/kotlin/lichenstage/world/SimulatedAuthority.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedAuthority.kt
@@ -16,10 +16,10 @@
 ) {
     private val id = controller.id
     private val host = hostOf(id)
-    private val now get() = context.now
+    private val nowUs get() = context.nowUs
 
     /** The process that the state service knows. */
-    private var leasedIncarnation = 0
+    private var leaseIncarnation = 0
 
     /** Until when the process has authority, by its renewals and by the moratoriums of the others. */
     private var validUntilUs = 0L
@@ -30,49 +30,53 @@
     var owners = HashMap<String, Ownership>()
         private set
 
-    val isValid get() = now < validUntilUs
+    val isValid get() = nowUs < validUntilUs
 
     private fun noMoratoriums() = PeerMoratoriums((0 until CONTROLLERS).filter { it != id }.map(::hostOf).toSet())
 
     /** The process has ended. */
-    fun end() = owners.clear()
+    fun onProcessEnded() = owners.clear()
 
     /** A new process has begun. */
-    fun begin() {
+    fun onProcessStarted() {
         validUntilUs = Long.MIN_VALUE / 2
         peerMoratoriums = noMoratoriums()
-        localMoratorium = LocalMoratorium(now)
+        localMoratorium = LocalMoratorium(nowUs)
     }
 
     /** Renews the lease, acquires keys that have no owner, and reads all owners. */
     fun renew() {
-        if (leasedIncarnation != controller.incarnation) {
+        if (leaseIncarnation != controller.incarnation) {
             // A new process has a lease of its own, and ends that of the one before it.
-            leasedIncarnation = controller.incarnation
+            leaseIncarnation = controller.incarnation
             state.endLease(id)
         }
         state.renew(id)
-        validUntilUs = maxOf(validUntilUs, now + LEASE_US - LEASE_MARGIN_US)
+        validUntilUs = maxOf(validUntilUs, nowUs + LEASE_US - LEASE_MARGIN_US)
         for (key in context.assignment.partitions + SimulatedLeadership.KEY) {
-            if (key !in state.owners && localMoratorium.hasExpired(now) && context.random.nextInt(ACQUIRE_ONE_IN) == 0) state.take(key, id)
+            if (key !in state.owners && localMoratorium.hasExpired(nowUs) &&
+                context.random.nextInt(ACQUIRE_ONE_IN) == 0
+            ) {
+                state.assignOwner(key, id)
+            }
         }
         owners = HashMap(state.owners)
     }
 
     /** Without the state service, the others are asked to acquire no key for a moment. */
     fun requestMoratoriums() {
-        val requestedUs = now
-        val incarnation = controller.incarnation
-        for (other in controller.others()) {
+        val requestedUs = nowUs
+        val senderIncarnation = controller.incarnation
+        for (other in controller.otherControllers()) {
             context.send(host, other.host) {
-                if (!other.alive || other.reachesState) return@send
-                other.authority.localMoratorium.grant(now)
-                context.send(other.host, host) { if (controller.incarnation == incarnation) moratoriumGranted(other, requestedUs) }
+                if (!other.isAlive || other.canReachState) return@send
+                other.authority.localMoratorium.grant(nowUs)
+                context.send(other.host, host) { if (controller.incarnation == senderIncarnation) onMoratoriumGranted(other, requestedUs) }
             }
         }
     }
 
-    private fun moratoriumGranted(
+    private fun onMoratoriumGranted(
         other: SimulatedController,
         requestedUs: Long,
     ) {
--- a/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
@@ -27,7 +27,7 @@
     private val controllers: List<SimulatedController> =
         List(CONTROLLERS) { SimulatedController(it, context, state, machines) { controllers } }
     private val users = SimulatedUsers(context, state, controllers)
-    private val faults = RandomFaults(this, random, hasMachineChurn = profile.hasMachineChurn, profile.longOutages)
+    private val faults = RandomFaults(this, random, hasMachineChurn = profile.hasMachineChurn, profile.hasLongOutages)
     private val script = ArrayList<ScriptedEvent>()
 
     private class ScriptedEvent(
@@ -36,17 +36,17 @@
     )
 
     init {
-        context.zones.forEach { zone -> repeat(profile.machinesPerZone) { machines.boot(zone) } }
+        context.zones.forEach { zone -> repeat(profile.machinesPerZone) { machines.addMachine(zone) } }
     }
 
-    val now get() = context.now
+    val nowUs get() = context.nowUs
 
     /** A hash of all that has happened; see [SimulatedNetwork.eventDigest]. */
     val eventDigest get() = network.eventDigest
     val checker get() = context.checker
     val orderEvents get() = context.orderEvents
-    val done: Set<String> get() = state.done
-    val openJobs get() = state.open.keys.toList()
+    val doneJobs: Set<String> get() = state.doneJobs
+    val openJobs get() = state.openJobs.keys.toList()
 
     /** The controller that owns the leadership; -1 where none does. */
     val leader get() = state.owners[SimulatedLeadership.KEY]?.controller ?: -1
@@ -59,17 +59,23 @@
         calmUs: Long,
     ) {
         network.delayedMessageShare = profile.delayedMessageShare
-        controllers.forEach { controller -> context.every(200 * MILLI) { if (!controller.frozen) controller.step() } }
+        controllers.forEach { controller -> context.every(200 * MILLI) { if (!controller.isFrozen) controller.step() } }
         machines.all.toList().forEach(machines::powerOn)
         if (!profile.hasMachineChurn) machines.registry.add(machines.all.map { it.name })
         if (script.isEmpty()) {
-            users.load(profile.jobs, faultsUs)
+            users.submitRandomJobs(profile.jobs, faultsUs)
             repeat(profile.faults) { after(random.nextInt(faultsUs.toInt()).toLong(), ::injectRandomFault) }
         }
         script.forEach { after(it.atUs) { it.event(this) } }
-        context.every(SECOND) { checker.sweep(now) }
-        context.every(SECOND) { if (now > faultsUs + LONGEST_FAULT_US) checker.waiting(state.open.values.filter(state::isReady), now) }
-        checker.calmFromUs = faultsUs + LONGEST_FAULT_US
+        context.every(SECOND) { checker.checkCancelledTasks(nowUs) }
+        context.every(SECOND) {
+            if (nowUs >
+                faultsUs + MAX_FAULT_US
+            ) {
+                checker.checkWaiting(state.openJobs.values.filter(state::isReady), nowUs)
+            }
+        }
+        checker.faultsEndUs = faultsUs + MAX_FAULT_US
         context.every(40 * MILLI) { users.poll() }
         network.runUntil(faultsUs + calmUs)
     }
@@ -83,7 +89,7 @@
                 leader?.jobs?.values?.joinToString {
                     "${it.spec.id} ${it.phase} pending ${it.pendingTasks} alive ${it.liveAttempts.keys} done ${it.doneTasks}"
                 } +
-                leader?.partitions?.map { (id, known) -> "\n  $id term ${known.term} v${known.version} ${known.machines.values}" }
+                leader?.partitions?.map { (id, view) -> "\n  $id term ${view.term} v${view.version} ${view.machines.values}" }
         } + "\nowners ${state.owners}"
 
     /** Has [event] happen at [atUs]; a cluster with a script has no other faults, jobs or cancellations. */
@@ -97,44 +103,44 @@
     fun after(
         delayUs: Long,
         event: () -> Unit,
-    ) = context.at(delayUs, event)
+    ) = context.after(delayUs, event)
 
     // Users.
 
     /** Submits [jobs] jobs within a time, some of which are cancelled. */
-    fun load(
+    fun submitRandomJobs(
         jobs: Int,
         withinUs: Long,
-        first: Int = 0,
-    ) = users.load(jobs, withinUs, first)
+        firstNumber: Int = 0,
+    ) = users.submitRandomJobs(jobs, withinUs, firstNumber)
 
     /** A job whose tasks run for long. */
-    fun submitLong(
+    fun submitLongRunning(
         n: Int,
         runUs: Long,
-    ) = users.submitLong(n, runUs)
+    ) = users.submitLongRunning(n, runUs)
 
     /** A job of few tasks that is bound to one zone, or spread over several. */
-    fun submitBound(
+    fun submitZoneConstrained(
         n: Int,
         tasks: Int,
         sameZone: Boolean,
-    ) = users.submitBound(n, tasks, sameZone)
+    ) = users.submitZoneConstrained(n, tasks, sameZone)
 
     /** A job whose tasks run for very different times. */
-    fun submitUneven(n: Int) = users.submitUneven(n)
+    fun submitUnevenRunTimes(n: Int) = users.submitUnevenRunTimes(n)
 
-    /** Four jobs that need each other, numbered from [n], and perhaps an earlier one unless they are to be [alone]. */
+    /** Four jobs that need each other, numbered from [n], and perhaps an earlier one unless they are to be [isIndependent]. */
     fun submitPipeline(
         n: Int,
-        alone: Boolean = false,
-    ) = users.submitPipeline(n, alone)
+        isIndependent: Boolean = false,
+    ) = users.submitPipeline(n, isIndependent)
 
-    /** A user asks the controller [by], or the next that can confirm it. */
+    /** A user asks the controller [controllerId], or the next that can confirm it. */
     fun cancel(
         id: String,
-        by: Int,
-    ) = users.cancel(id, by)
+        controllerId: Int,
+    ) = users.cancel(id, controllerId)
 
     fun cancelPipelines(count: Int) = users.cancelPipelines(count)
 
@@ -147,11 +153,11 @@
     ) {
         val names =
             machines.all
-                .filter { !it.gone }
+                .filter { !it.isTerminated }
                 .map { it.name }
                 .filterIndexed { i, _ -> i % share == 0 }
-        state.drainedMachines += names.map { DrainedMachine(it, name, Stage.WAITING, now) }
-        state.drains[name] = Drain(name, replace, atMost, DrainStatus.RUNNING, null, now, null)
+        state.drainedMachines += names.map { DrainedMachine(it, name, Stage.WAITING, nowUs) }
+        state.drains[name] = Drain(name, replace, atMost, DrainStatus.RUNNING, null, nowUs, null)
     }
 
     fun setDrain(
@@ -164,22 +170,22 @@
     /** How often leaders have recorded a step of drains. */
     val drainWrites get() = state.drainWrites
 
-    fun drain(name: String): Drain = state.drains.getValue(name)
+    fun getDrain(name: String): Drain = state.drains.getValue(name)
 
     /** Machines of the drain by stage, as recorded. */
-    fun stages(name: String): Map<Stage, Int> =
+    fun stageCounts(name: String): Map<Stage, Int> =
         state.drainState.machines.values
             .filter { it.drain == name }
             .groupingBy { it.stage }
             .eachCount()
 
     /** How many tasks of the job are on machines. */
-    fun running(job: String) = checker.running(job)
+    fun runningTaskCount(job: String) = checker.runningTaskCount(job)
 
     // Faults.
 
     /** A fault of any kind, as the seed has it. */
-    fun injectRandomFault() = faults.next()
+    fun injectRandomFault() = faults.inject()
 
     fun crash(
         id: Int,
@@ -195,51 +201,51 @@
     /** A controller does nothing for a time, and then goes on. */
     fun freeze(
         id: Int,
-        forUs: Long,
-    ) = network.freeze(hostOf(id), forUs)
+        durationUs: Long,
+    ) = network.freeze(hostOf(id), durationUs)
 
     fun cutFromState(
         id: Int,
-        forUs: Long,
-        held: Boolean,
-    ) = network.cut(hostOf(id), SimulatedNetwork.STATE, forUs, held)
+        durationUs: Long,
+        holdsMessages: Boolean,
+    ) = network.cut(hostOf(id), SimulatedNetwork.STATE, durationUs, holdsMessages)
 
     /** The state service refuses a controller alone. */
     fun refuse(
         id: Int,
-        forUs: Long,
-    ) = cutFromState(id, forUs, held = false)
+        durationUs: Long,
+    ) = cutFromState(id, durationUs, holdsMessages = false)
 
     /** The state service answers nobody; after that all leases have their full time again. */
-    fun outage(forUs: Long) = state.outage(forUs)
+    fun beginOutage(durationUs: Long) = state.beginOutage(durationUs)
 
-    fun slowState(forUs: Long) = network.slowState(forUs)
+    fun slowDownState(durationUs: Long) = network.slowDownState(durationUs)
 
     fun cutControllers(
-        one: Int,
-        other: Int,
-        forUs: Long,
-        held: Boolean,
-    ) = network.cut(hostOf(one), hostOf(other), forUs, held)
+        idA: Int,
+        idB: Int,
+        durationUs: Long,
+        holdsMessages: Boolean,
+    ) = network.cut(hostOf(idA), hostOf(idB), durationUs, holdsMessages)
 
     fun disconnect(
-        one: Int,
-        other: Int,
-        forUs: Long,
-    ) = cutControllers(one, other, forUs, held = false)
+        idA: Int,
+        idB: Int,
+        durationUs: Long,
+    ) = cutControllers(idA, idB, durationUs, holdsMessages = false)
 
     fun cutFromWorkers(
         id: Int,
-        forUs: Long,
-        held: Boolean,
-    ) = machines.all.forEach { network.cut(it.name, hostOf(id), forUs, held) }
+        durationUs: Long,
+        holdsMessages: Boolean,
+    ) = machines.all.forEach { network.cut(it.name, hostOf(id), durationUs, holdsMessages) }
 
     fun cutZones(
-        one: String,
-        other: String,
-        forUs: Long,
-        held: Boolean,
-    ) = hostsIn(one).forEach { host -> hostsIn(other).forEach { network.cut(host, it, forUs, held) } }
+        zoneA: String,
+        zoneB: String,
+        durationUs: Long,
+        holdsMessages: Boolean,
+    ) = hostsIn(zoneA).forEach { host -> hostsIn(zoneB).forEach { network.cut(host, it, durationUs, holdsMessages) } }
 
     private fun hostsIn(zone: String) =
         context.controllers.filterValues { it == zone }.keys + machines.all.filter { it.zone == zone }.map { it.name }
@@ -247,40 +253,40 @@
     /** Nothing passes between a machine and any controller; reports are held, or lost. */
     fun cutOff(
         worker: Int,
-        forUs: Long,
-        held: Boolean,
-    ) = controllers.forEach { network.cut(machines[worker].name, hostOf(it.id), forUs, held) }
+        durationUs: Long,
+        holdsMessages: Boolean,
+    ) = controllers.forEach { network.cut(machines[worker].name, hostOf(it.id), durationUs, holdsMessages) }
 
     /** Only controller [id] is in reach of a machine. */
     fun restrictTo(
         worker: Int,
         id: Int,
-        forUs: Long,
-    ) = controllers.filter { it.id != id }.forEach { network.cut(machines[worker].name, hostOf(it.id), forUs, held = false) }
+        durationUs: Long,
+    ) = controllers.filter { it.id != id }.forEach { network.cut(machines[worker].name, hostOf(it.id), durationUs, holdsMessages = false) }
 
     fun blockInbound(
         worker: Int,
-        forUs: Long,
-    ) = network.blockInbound(machines[worker].name, forUs)
+        durationUs: Long,
+    ) = network.blockInbound(machines[worker].name, durationUs)
 
     fun blockOutbound(
         worker: Int,
-        forUs: Long,
-    ) = machines.blockOutbound(machines[worker], forUs)
+        durationUs: Long,
+    ) = machines.blockOutbound(machines[worker], durationUs)
 
     fun hang(
         worker: Int,
-        forUs: Long,
+        durationUs: Long,
     ) {
-        machines[worker].hungUntilUs = now + forUs
+        machines[worker].hungUntilUs = nowUs + durationUs
     }
 
     /** The cloud takes a machine without notice. */
-    fun takeMachine(number: Int) {
+    fun terminateMachine(number: Int) {
         if (profile.hasMachineChurn) machines.terminate(listOf(machines[number].name))
     }
 
     private companion object {
-        const val LONGEST_FAULT_US = 60 * SECOND
+        const val MAX_FAULT_US = 60 * SECOND
     }
 }
--- a/src/test/kotlin/lichenstage/world/SimulatedClusterTest.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedClusterTest.kt
@@ -11,7 +11,7 @@
     /** All that the protocol allows of messages, frames, connections and machines; [ClusterProfile.LARGE] is run by `SeedSweep`. */
     @Example
     fun `under all that the protocol allows no rule is violated and all jobs get done`() =
-        rulesHold(UNKIND_SEEDS, ClusterProfile.ADVERSE, UNKIND_CALM_US)
+        rulesHold(ADVERSE_SEEDS, ClusterProfile.ADVERSE, ADVERSE_CALM_US)
 
     private fun rulesHold(
         seeds: Long,
@@ -19,9 +19,9 @@
         calmUs: Long,
     ) {
         for (seed in 1L..seeds) {
-            val world = SimulatedCluster(seed, profile = profile)
-            world.run(FAULTS_US, calmUs)
-            world.assertRulesHeld(seed)
+            val cluster = SimulatedCluster(seed, profile = profile)
+            cluster.run(FAULTS_US, calmUs)
+            cluster.assertRulesHeld(seed)
         }
         println("seeds 1..$seeds violated no rule")
     }
@@ -29,11 +29,11 @@
     /** One seed of the size at which users saw a rule broken. */
     @Example
     fun `with 1,500 machines no rule is violated and all jobs get done`() {
-        val world = SimulatedCluster(1, profile = ClusterProfile.LARGE)
-        world.run(FAULTS_US, CALM_US)
-        assertTrue(world.checker.violations.isEmpty()) { "${world.checker.violations.take(3)}" }
-        assertTrue(world.checker.starts > 3_000) { "only ${world.checker.starts} starts" }
-        assertTrue(world.openJobs.isEmpty()) { "never finished: ${world.openJobs}" }
+        val cluster = SimulatedCluster(1, profile = ClusterProfile.LARGE)
+        cluster.run(FAULTS_US, CALM_US)
+        assertTrue(cluster.checker.violations.isEmpty()) { "${cluster.checker.violations.take(3)}" }
+        assertTrue(cluster.checker.starts > 3_000) { "only ${cluster.checker.starts} starts" }
+        assertTrue(cluster.openJobs.isEmpty()) { "never finished: ${cluster.openJobs}" }
     }
 
     @Example
@@ -41,13 +41,13 @@
         val expected =
             mapOf(
                 Mutation.SHORT_LEASE to "ran_twice",
-                Mutation.EAGER_OWNER to "ran_twice",
-                Mutation.IGNORED_LIMIT to "quota",
-                Mutation.DONE_TOO_EARLY to "not_done",
-                Mutation.CANCEL_UNHEARD to "ran_cancelled",
-                Mutation.JOB_FORGOTTEN to "waiting",
-                Mutation.COPIES_BELIEVED to "ran_twice",
-                Mutation.CLEARED_AT_ONCE to "ran_twice",
+                Mutation.NO_LEASE_WAIT_AFTER_FAILOVER to "ran_twice",
+                Mutation.TEAM_LIMIT_IGNORED to "quota",
+                Mutation.JOB_COMPLETED_TOO_EARLY to "not_done",
+                Mutation.CANCELLATION_NOT_PROPAGATED to "ran_cancelled",
+                Mutation.JOB_NOT_ADDED to "waiting",
+                Mutation.STALE_HEARTBEATS_ACCEPTED to "ran_twice",
+                Mutation.CLEARS_EXECUTED_IMMEDIATELY to "ran_twice",
             )
         for ((mutation, rule) in expected) {
             assertViolated(rule, mutation, 1L..MAX_SEEDS) { seed -> SimulatedCluster(seed, mutation).apply { run(FAULTS_US, CALM_US) } }
@@ -57,8 +57,8 @@
     private companion object {
         const val SEEDS = 150L
         const val MAX_SEEDS = 60L
-        const val UNKIND_SEEDS = 60L
-        const val UNKIND_CALM_US = 420_000_000L
+        const val ADVERSE_SEEDS = 60L
+        const val ADVERSE_CALM_US = 420_000_000L
         const val FAULTS_US = 120_000_000L
         const val CALM_US = 240_000_000L
     }
--- a/src/test/kotlin/lichenstage/world/SimulatedController.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedController.kt
@@ -21,12 +21,12 @@
     private val context: SimulationContext,
     private val state: SimulatedStateService,
     private val machines: SimulatedMachines,
-    private val all: () -> List<SimulatedController>,
+    private val allControllers: () -> List<SimulatedController>,
 ) {
     private val mutation = context.mutation
-    private val now get() = context.now
+    private val nowUs get() = context.nowUs
     val host = hostOf(id)
-    var alive = true
+    var isAlive = true
         private set
 
     /** Rises from process to process. */
@@ -34,65 +34,65 @@
         private set
     val partitions = HashMap<String, PartitionCore>()
     val authority = SimulatedAuthority(this, context, state)
-    val leadership = SimulatedLeadership(this, context, state, machines, all)
+    val leadership = SimulatedLeadership(this, context, state, machines, allControllers)
     private val jobSync = SimulatedJobSync(this, context, state)
     private val orders = SimulatedOrders(this, context, machines)
 
     /** Controllers learn of ends otherwise than by the leader's own watch. */
-    val sharesJobEnds = mutation != Mutation.ANSWERED_UNINFORMED && mutation != Mutation.CANCEL_UNHEARD
+    val sharesJobEnds = mutation != Mutation.LEASES_RENEWED_WITH_STALE_REPLICA && mutation != Mutation.CANCELLATION_NOT_PROPAGATED
 
     /** It gives newer fencing tokens to machines that may execute orders late. */
-    private val usesFencing = mutation != Mutation.UNFENCED && id !in context.profile.controllersWithoutFencing
+    private val usesFencing = mutation != Mutation.FENCING_DISABLED && id !in context.profile.controllersWithoutFencing
     val replica get() = jobSync.replica
     val dependencyGraph get() = jobSync.dependencyGraph
-    val frozen get() = context.network.isFrozen(host)
-    val reachesState get() = alive && !state.isOut && !context.network.isCut(host, SimulatedNetwork.STATE)
-    val hasAuthority get() = alive && (authority.isValid || mutation == Mutation.AUTHORITY_KEPT)
+    val isFrozen get() = context.network.isFrozen(host)
+    val canReachState get() = isAlive && !state.isUnavailable && !context.network.isCut(host, SimulatedNetwork.STATE)
+    val hasAuthority get() = isAlive && (authority.isValid || mutation == Mutation.AUTHORITY_KEPT_AFTER_LEASE)
 
     /** It may renew the leases of workers. */
-    private val mayRenewLeases get() = hasAuthority && (mutation == Mutation.ANSWERED_UNINFORMED || replica.isCurrent(now))
+    private val mayRenewLeases get() = hasAuthority && (mutation == Mutation.LEASES_RENEWED_WITH_STALE_REPLICA || replica.isCurrent(nowUs))
 
-    fun others() = all().filter { it != this }
+    fun otherControllers() = allControllers().filter { it != this }
 
     /** The process ends, and another takes its place. */
     fun crash(backAfterUs: Long) {
-        alive = false
+        isAlive = false
         incarnation++
         partitions.clear()
-        authority.end()
-        leadership.end()
-        context.at(backAfterUs) {
-            alive = true
-            authority.begin()
-            jobSync.begin()
+        authority.onProcessEnded()
+        leadership.stopLeading()
+        context.after(backAfterUs) {
+            isAlive = true
+            authority.onProcessStarted()
+            jobSync.onProcessStarted()
         }
     }
 
-    /** A turn: its lease, the keys, its partitions and its leadership. */
+    /** A turn: its leaseUs, the keys, its partitions and its leadership. */
     fun step() {
-        state.endLeases()
-        if (!alive) return
-        if (reachesState) {
+        state.expireLeases()
+        if (!isAlive) return
+        if (canReachState) {
             authority.renew()
             jobSync.read()
         }
-        if (reachesState) partitions.values.forEach(::reserveTokens)
-        jobSync.requestEnds()
-        if (!reachesState && hasAuthority) authority.requestMoratoriums()
+        if (canReachState) partitions.values.forEach(::reserveTokens)
+        jobSync.requestJobEnds()
+        if (!canReachState && hasAuthority) authority.requestMoratoriums()
         if (!hasAuthority) return
-        context.assignment.partitions.forEach(::follow)
+        context.assignment.partitions.forEach(::updateOwnership)
         leadership.step()
-        partitions.values.forEach { it.tick(now) }
-        sendDue()
+        partitions.values.forEach { it.tick(nowUs) }
+        sendPendingMessages()
     }
 
     /** Holds the partition where this process owns it. */
-    private fun follow(partition: String) {
-        val mine = authority.owners[partition]?.takeIf { it.controller == id }
-        if (mine == null) {
+    private fun updateOwnership(partition: String) {
+        val ownership = authority.owners[partition]?.takeIf { it.controller == id }
+        if (ownership == null) {
             partitions.remove(partition)
-        } else if (partitions[partition]?.term != mine.term) {
-            partitions[partition] = partitionCore(partition, mine.term)
+        } else if (partitions[partition]?.term != ownership.term) {
+            partitions[partition] = partitionCore(partition, ownership.term)
         }
     }
 
@@ -100,9 +100,9 @@
         partition: String,
         term: Long,
     ): PartitionCore {
-        val lease = if (mutation == Mutation.SHORT_LEASE) WORKER_LEASE_US / 5 else WORKER_LEASE_US
+        val leaseUs = if (mutation == Mutation.SHORT_LEASE) WORKER_LEASE_US / 5 else WORKER_LEASE_US
         val zone = context.assignment.zone(partition)!!
-        val parameters = PartitionParameters(partition, zone, term, lease, 3 * SECOND, now, context.profile.maxMachinesPerFrame)
+        val parameters = PartitionParameters(partition, zone, term, leaseUs, 3 * SECOND, nowUs, context.profile.maxMachinesPerFrame)
         return PartitionCore(parameters, jobSync.jobCompletions(usesFencing), context.orderEvents::add) {
             MachineLimits("type", Resources(MACHINE_CORES, 0.0, MACHINE_MEMORY_GB))
         }
@@ -110,63 +110,76 @@
 
     /** Each reservation is a write, which may come to nothing. */
     private fun reserveTokens(partition: PartitionCore) {
-        if (!usesFencing || !partition.shouldReserveTokens(now)) return
-        val sender = incarnation
+        if (!usesFencing || !partition.shouldReserveTokens(nowUs)) return
+        val senderIncarnation = incarnation
         context.send(host, SimulatedNetwork.STATE, repeats = false) {
-            if (state.isOut || state.owners[partition.id]?.term != partition.term) return@send
+            if (state.isUnavailable || state.owners[partition.id]?.term != partition.term) return@send
             val fencingTokens = state.reserveTokens(context.profile.tokensReserved)
             context.send(SimulatedNetwork.STATE, host, repeats = false) {
-                if (incarnation == sender) partition.addReservedTokens(fencingTokens)
+                if (incarnation == senderIncarnation) partition.addReservedTokens(fencingTokens)
             }
         }
     }
 
     /** Another controller says that these jobs have ended. */
-    fun jobsEnded(jobs: List<String>) {
-        if (alive) jobSync.jobsEnded(jobs)
+    fun onJobsEnded(jobs: List<String>) {
+        if (isAlive) jobSync.onJobsEnded(jobs)
     }
 
     /** A worker's heartbeat has come; null where this process must not answer it. */
-    fun answer(heartbeat: Heartbeat): HeartbeatOutcome.Accepted? {
+    fun onHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome.Accepted? {
         val id = context.assignment.partitionOf(heartbeat.machine, heartbeat.zone)!!
-        val partition = partitions[id]?.takeIf { alive && mayRenewLeases } ?: return null
-        val outcome = partition.onHeartbeat(heartbeat, now) as? HeartbeatOutcome.Accepted
-        sendDue()
+        val partition = partitions[id]?.takeIf { isAlive && mayRenewLeases } ?: return null
+        val outcome = partition.onHeartbeat(heartbeat, nowUs) as? HeartbeatOutcome.Accepted
+        sendPendingMessages()
         return outcome
     }
 
     /** The leader's frame for a partition has come. */
-    fun deliver(frame: PlacementFrame) {
-        if (!alive) return
-        partitions[frame.partition]?.onLeaderFrame(frame, now)
-        if (mutation == Mutation.CLEARED_AT_ONCE) clearAtOnce(frame)
-        sendDue()
+    fun onLeaderFrame(frame: PlacementFrame) {
+        if (!isAlive) return
+        partitions[frame.partition]?.onLeaderFrame(frame, nowUs)
+        if (mutation == Mutation.CLEARS_EXECUTED_IMMEDIATELY) executeClearsImmediately(frame)
+        sendPendingMessages()
     }
 
     /** A service that has tasks forgotten as soon as its leader says so. */
-    private fun clearAtOnce(frame: PlacementFrame) {
+    private fun executeClearsImmediately(frame: PlacementFrame) {
         val fencingToken = partitions[frame.partition]?.term ?: return
         for (clear in frame.clears) {
-            val worker = machines.named(clear.machine)
-            worker.execute(fencingToken, worker.agentEpoch, listOf(Command.Clear(clear.task, clear.attempt)), now)
+            val worker = machines.getWorker(clear.machine)
+            worker.execute(fencingToken, worker.agentEpoch, listOf(Command.Clear(clear.task, clear.attempt)), nowUs)
         }
     }
 
     /** Sends the orders, probes and frames of its partitions that are due. */
-    fun sendDue() {
+    fun sendPendingMessages() {
         if (!mayRenewLeases) return
         for (partition in partitions.values) {
             if (authority.owners[partition.id]?.term != partition.term) continue
-            partition.nextDirectOrders(now, context.profile.maxConcurrentOrders).forEach { orders.send(partition, it) }
-            partition.nextProbes(now).forEach { orders.probe(partition, it) }
-            partition.nextFrame(now)?.let(::sendToLeader)
+            partition.nextDirectOrders(nowUs, context.profile.maxConcurrentOrders).forEach { orders.sendOrder(partition, it) }
+            partition.nextProbes(nowUs).forEach { orders.sendProbe(partition, it) }
+            partition.nextFrame(nowUs)?.let(::sendToLeader)
         }
     }
 
     private fun sendToLeader(frame: PartitionFrame) {
-        val to = all()[state.owners[SimulatedLeadership.KEY]?.controller ?: return]
-        val receiver = to.incarnation
-        val sent = if (mutation == Mutation.PIECES_TAKEN_FOR_WHOLE) frame.copy(isFinal = true, seq = frame.receivedSeq) else frame
-        context.send(host, to.host) { if (to.alive && to.incarnation == receiver) to.leadership.frame(sent) }
+        val leader = allControllers()[state.owners[SimulatedLeadership.KEY]?.controller ?: return]
+        val receiverIncarnation = leader.incarnation
+        val sentFrame =
+            if (mutation ==
+                Mutation.PARTIAL_FRAMES_TREATED_AS_FINAL
+            ) {
+                frame.copy(isFinal = true, seq = frame.receivedSeq)
+            } else {
+                frame
+            }
+        context.send(host, leader.host) {
+            if (leader.isAlive &&
+                leader.incarnation == receiverIncarnation
+            ) {
+                leader.leadership.onPartitionFrame(sentFrame)
+            }
+        }
     }
 }
--- a/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
@@ -21,28 +21,28 @@
     private val state: SimulatedStateService,
     private val machines: SimulatedMachines,
     private val fleet: SimulatedFleet,
-    private val site: FleetEnvironment,
+    private val environment: FleetEnvironment,
 ) {
     private val mutation = context.mutation
-    private val view = LeaderDrainView(leader) { context.now }
-    private val forgotten = state.drainState.copy(interruptions = DrainState().interruptions)
-    private val recorded = if (mutation == Mutation.INTERRUPTIONS_FORGOTTEN) forgotten else state.drainState
+    private val view = LeaderDrainView(leader) { context.nowUs }
+    private val stateWithoutInterruptions = state.drainState.copy(interruptions = DrainState().interruptions)
+    private val initialState = if (mutation == Mutation.INTERRUPTIONS_NOT_RECOVERED) stateWithoutInterruptions else state.drainState
     private val core =
         DrainCore(
             policy,
             if (mutation ==
-                Mutation.INTERRUPTIONS_DROPPED
+                Mutation.INTERRUPTIONS_ENDED_AT_STOP
             ) {
-                Dropping(view)
+                ViewEndingInterruptionsAtStop(view)
             } else {
                 view
             },
-            recorded,
+            initialState,
             MAX_INTERRUPTIONS,
         )
 
     /** A broken account: what does not run is no longer interrupted. */
-    private class Dropping(
+    private class ViewEndingInterruptionsAtStop(
         private val view: DrainView,
     ) : DrainView by view {
         override fun execution(task: TaskId) =
@@ -57,22 +57,22 @@
             }
     }
 
-    private var steppedUs = 0L
+    private var lastStepUs = 0L
 
     /** An attempt ran and ended although its task is not done. */
-    fun attemptInterrupted(attempt: Attempt) = core.taskLost(LeaderDrainView.failure(attempt, context.now))
+    fun onAttemptInterrupted(attempt: Attempt) = core.taskLost(LeaderDrainView.failure(attempt, context.nowUs))
 
     fun step() {
-        if (context.now - steppedUs < SECOND) return
-        steppedUs = context.now
+        if (context.nowUs - lastStepUs < SECOND) return
+        lastStepUs = context.nowUs
         core.updateDrains(state.drains.values.toList(), state.drainedMachines)
         fleet.cordoned = core.cordoned
         leader.machines.setDrained(core.cordoned)
         leader.machines.setOnProbation(core.onProbation)
-        val next = core.step(context.now, hour = 0) ?: return
-        if (next == core.state) return core.stateRecorded(ok = true).forEach(::execute)
+        val nextState = core.step(context.nowUs, hour = 0) ?: return
+        if (nextState == core.state) return core.stateRecorded(ok = true).forEach(::execute)
         state.drainWrites++
-        site.write({ state.drainState = next }) { ok -> core.stateRecorded(ok).forEach(::execute) }
+        environment.write({ state.drainState = nextState }) { ok -> core.stateRecorded(ok).forEach(::execute) }
     }
 
     private fun execute(action: DrainAction) {
@@ -82,10 +82,10 @@
             }
 
             is DrainAction.ProvisionReplacement -> {
-                val worker = machines.named(action.key.machine)
+                val worker = machines.getWorker(action.key.machine)
                 val name = machines.provision(worker.zone)
-                machines.replaced += worker.name
-                context.at(SECOND / 2) { core.replacementProvisioned(action.key, name) }
+                machines.replacedMachines += worker.name
+                context.after(SECOND / 2) { core.replacementProvisioned(action.key, name) }
             }
 
             is DrainAction.Terminate -> {
@@ -93,16 +93,16 @@
             }
 
             is DrainAction.Pause -> {
-                end(action.drain, DrainStatus.PAUSED)
+                setStatus(action.drain, DrainStatus.PAUSED)
             }
 
             is DrainAction.Finish -> {
-                end(action.drain, DrainStatus.FINISHED)
+                setStatus(action.drain, DrainStatus.FINISHED)
             }
         }
     }
 
-    private fun end(
+    private fun setStatus(
         name: String,
         status: DrainStatus,
     ) {
--- a/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
@@ -8,7 +8,7 @@
 
 /** What a leader's fleet uses of the simulated cluster. */
 internal interface FleetEnvironment {
-    fun at(
+    fun after(
         delayUs: Long,
         run: () -> Unit,
     )
@@ -16,7 +16,7 @@
     /** A transaction with the leadership as its precondition; its answer may be late, or not come. */
     fun write(
         apply: () -> Unit,
-        answered: (Boolean) -> Unit,
+        onReply: (Boolean) -> Unit,
     )
 
     /** The cloud terminates these machines, with all that is on them. */
@@ -25,7 +25,7 @@
     fun recoveredMachine(name: String): RecoveredMachine
 
     /** True while the term of the leader goes on. */
-    fun leads(leader: LeaderCore): Boolean
+    fun isLeading(leader: LeaderCore): Boolean
 }
 
 /** The durable list of machines. Like the real one, it never adds a machine again that was removed. */
@@ -49,7 +49,7 @@
 internal class SimulatedFleet(
     private val leader: LeaderCore,
     private val registry: SimulatedRegistry,
-    private val site: FleetEnvironment,
+    private val environment: FleetEnvironment,
     private val random: Random,
     private val onlyOperatorsDrain: Boolean,
 ) {
@@ -64,8 +64,8 @@
     var cordoned: Set<String> = emptySet()
 
     fun step() {
-        register()
-        drain()
+        registerMachines()
+        drainMachines()
         terminateDue()
     }
 
@@ -73,7 +73,7 @@
         emptied += machine
     }
 
-    private fun register() {
+    private fun registerMachines() {
         val due =
             leader.machines
                 .unregisteredMachines()
@@ -81,13 +81,13 @@
                 .filter { it !in draining }
         if (isRegistering || due.isEmpty()) return
         isRegistering = true
-        site.write({ registry.add(due) }) { ok ->
+        environment.write({ registry.add(due) }) { ok ->
             isRegistering = false
-            if (ok) leader.onMachinesRegistered(due.associateWith { site.recoveredMachine(it).partition })
+            if (ok) leader.onMachinesRegistered(due.associateWith { environment.recoveredMachine(it).partition })
         }
     }
 
-    private fun drain() {
+    private fun drainMachines() {
         if (!onlyOperatorsDrain && random.nextInt(DRAIN_ONE_IN) == 0) {
             registry.all().takeIf { it.isNotEmpty() }?.let { draining += it[random.nextInt(it.size)] }
         }
@@ -113,26 +113,26 @@
             ).distinct()
         if (due.isEmpty()) return
         isTerminating = true
-        var answered = false
-        site.at(MILLI * (50 + random.nextInt(600))) {
-            site.terminate(due)
+        var hasReplied = false
+        environment.after(MILLI * (50 + random.nextInt(600))) {
+            environment.terminate(due)
             if (random.nextInt(5) > 0) {
-                site.at(MILLI * (20 + random.nextInt(300))) {
-                    answered = true
-                    terminated(due)
+                environment.after(MILLI * (20 + random.nextInt(300))) {
+                    hasReplied = true
+                    onMachinesTerminated(due)
                 }
             }
         }
-        site.at(4 * SECOND) { if (!answered) isTerminating = false }
+        environment.after(4 * SECOND) { if (!hasReplied) isTerminating = false }
     }
 
-    private fun terminated(names: List<String>) {
+    private fun onMachinesTerminated(names: List<String>) {
         isTerminating = false
-        if (!site.leads(leader)) return
+        if (!environment.isLeading(leader)) return
         names.forEach(leader::onMachineTerminated)
         draining -= names.toSet()
         emptied -= names.toSet()
-        site.write({ registry.remove(names) }) { }
+        environment.write({ registry.remove(names) }) { }
     }
 
     private companion object {
--- a/src/test/kotlin/lichenstage/world/SimulatedJobSync.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedJobSync.kt
@@ -19,7 +19,7 @@
 ) {
     private val mutation = context.mutation
     private val host = hostOf(controller.id)
-    private val now get() = context.now
+    private val nowUs get() = context.nowUs
     var replica = newReplica()
         private set
     var dependencyGraph = DependencyGraph()
@@ -33,7 +33,7 @@
         )
 
     /** A new process has begun: it knows of no job. */
-    fun begin() {
+    fun onProcessStarted() {
         replica = newReplica()
         dependencyGraph = DependencyGraph()
     }
@@ -41,49 +41,49 @@
     /** Reads what a watch of the open jobs brings, and the records of jobs that others need. */
     fun read() {
         // A turn later than the word that they have ended.
-        resolve()
+        resolveDependencies()
         readOpenJobs()
     }
 
     private fun readOpenJobs() {
-        val stamps = state.open.mapValues { it.value.stamp }
-        state.open.values.forEach { dependencyGraph.jobOpened(it.id, it.dependencies) }
-        val ended =
+        val openRevisions = state.openJobs.mapValues { it.value.submittedRevision }
+        state.openJobs.values.forEach { dependencyGraph.jobOpened(it.id, it.dependencies) }
+        val endedJobs =
             if (replica.revision < 0) {
-                replica.replaceAll(stamps, state.lastRevision, now)
+                replica.replaceAll(openRevisions, state.lastRevision, nowUs)
             } else {
-                val news = state.ends.filter { it.revision > replica.revision }.associate { it.job to it.revision }
-                replica.applyChanges(stamps, news, state.lastRevision, now)
+                val endRevisions = state.jobEnds.filter { it.revision > replica.revision }.associate { it.job to it.revision }
+                replica.applyChanges(openRevisions, endRevisions, state.lastRevision, nowUs)
             }
-        ended.forEach(dependencyGraph::jobClosed)
+        endedJobs.forEach(dependencyGraph::jobClosed)
     }
 
     /** Reads the records of jobs that others need and that have ended. */
-    private fun resolve() {
+    private fun resolveDependencies() {
         for (job in dependencyGraph.unresolved(MAX_RESOLVED)) {
-            val outcome = state.outcome(job) ?: continue
-            if (mutation == Mutation.CANCELLED_NEEDS_UNSEEN && !outcome.isDone) continue
-            val isDone = outcome.isDone || mutation == Mutation.ENDS_TAKEN_FOR_DONE
+            val outcome = state.outcomeOf(job) ?: continue
+            if (mutation == Mutation.CANCELLED_DEPENDENCIES_IGNORED && !outcome.isDone) continue
+            val isDone = outcome.isDone || mutation == Mutation.CANCELLED_TREATED_AS_DONE
             dependencyGraph.outcomeRecorded(job, JobOutcome(if (isDone) EndStatus.DONE else EndStatus.CANCELLED, null))
         }
     }
 
     /** Another controller says that these jobs have ended. */
-    fun jobsEnded(jobs: List<String>) {
+    fun onJobsEnded(jobs: List<String>) {
         replica.markEnded(jobs)
         jobs.forEach(dependencyGraph::jobClosed)
-        jobs.forEach(controller.leadership::jobClosed)
+        jobs.forEach(controller.leadership::onJobClosed)
     }
 
     /** While the state service shows nothing, the others are asked which jobs have ended. */
-    fun requestEnds() {
-        if (!replica.isLagging(now) || !controller.sharesJobEnds) return
-        for (other in controller.others()) {
-            val incarnation = controller.incarnation
-            val request = replica.syncRequest(other.host, now) ?: continue
+    fun requestJobEnds() {
+        if (!replica.isLagging(nowUs) || !controller.sharesJobEnds) return
+        for (other in controller.otherControllers()) {
+            val senderIncarnation = controller.incarnation
+            val request = replica.syncRequest(other.host, nowUs) ?: continue
             context.send(host, other.host) {
-                if (!other.alive) return@send
-                val whole =
+                if (!other.isAlive) return@send
+                val emptyReply =
                     CompletionSyncReply(
                         request.incarnation,
                         request.requestedAtUs,
@@ -93,39 +93,39 @@
                         emptyList(),
                         true,
                     )
-                val reply = other.replica.syncReply(request) ?: whole.takeIf { mutation == Mutation.SPOKEN_FOR_PREDECESSOR }
+                val reply = other.replica.syncReply(request) ?: emptyReply.takeIf { mutation == Mutation.REPLIED_FOR_EARLIER_PROCESS }
                 if (reply == null) return@send
                 context.send(other.host, host) {
-                    if (controller.incarnation == incarnation && controller.alive) receiveEnds(other, reply)
+                    if (controller.incarnation == senderIncarnation && controller.isAlive) onSyncReply(other, reply)
                 }
             }
         }
     }
 
-    private fun receiveEnds(
+    private fun onSyncReply(
         other: SimulatedController,
         reply: CompletionSyncReply,
     ) {
-        val believed = if (mutation == Mutation.HANDOVER_DROPPED) reply.copy(jobs = emptyList()) else reply
-        for (job in replica.applySyncReply(other.host, believed)) {
+        val appliedReply = if (mutation == Mutation.SYNC_REPLY_JOBS_IGNORED) reply.copy(jobs = emptyList()) else reply
+        for (job in replica.applySyncReply(other.host, appliedReply)) {
             dependencyGraph.jobClosed(job)
-            controller.leadership.jobClosed(job)
+            controller.leadership.onJobClosed(job)
         }
     }
 
     /** What partitions that begin now go by; a process that comes after has a replica of its own. */
     fun jobCompletions(usesFencing: Boolean): JobCompletions {
-        val known = replica
+        val currentReplica = replica
         return object : JobCompletions {
             override fun hasEnded(
                 job: String,
                 sinceUs: Long,
-            ) = controller.sharesJobEnds && known.hasEnded(job, sinceUs)
+            ) = controller.sharesJobEnds && currentReplica.hasEnded(job, sinceUs)
 
-            override fun confirmedOpenUs(job: String) = known.confirmedOpenUs(job)
+            override fun confirmedOpenUs(job: String) = currentReplica.confirmedOpenUs(job)
 
             override val maxStalenessUs =
-                if (!usesFencing || mutation == Mutation.ANSWERED_UNFENCED) Long.MAX_VALUE else known.maxStalenessUs
+                if (!usesFencing || mutation == Mutation.REPLIED_WITHOUT_FENCING) Long.MAX_VALUE else currentReplica.maxStalenessUs
         }
     }
 
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -29,7 +29,7 @@
 ) {
     private val mutation = context.mutation
     private val host = hostOf(controller.id)
-    private val now get() = context.now
+    private val nowUs get() = context.nowUs
     private val seenJobs = HashSet<String>()
     private var fleet: SimulatedFleet? = null
     private var isCancellingOrphans = false
@@ -39,37 +39,37 @@
     var leader: LeaderCore? = null
         private set
 
-    fun end() {
+    fun stopLeading() {
         leader = null
     }
 
-    fun jobClosed(job: String) = leader?.onJobClosed(job) ?: Unit
+    fun onJobClosed(job: String) = leader?.onJobClosed(job) ?: Unit
 
-    fun frame(frame: PartitionFrame) {
-        leader?.onPartitionFrame(frame, now)
-        if (controller.hasAuthority) leader?.tick(now)
+    fun onPartitionFrame(frame: PartitionFrame) {
+        leader?.onPartitionFrame(frame, nowUs)
+        if (controller.hasAuthority) leader?.tick(nowUs)
     }
 
     fun step() {
-        val mine = controller.authority.owners[KEY]?.takeIf { it.controller == controller.id }
-        if (mine == null) return end()
-        val current = leader?.takeIf { it.term == mine.term } ?: if (controller.reachesState) startTerm(mine.term) else return
-        if (controller.reachesState) follow(current)
+        val ownership = controller.authority.owners[KEY]?.takeIf { it.controller == controller.id }
+        if (ownership == null) return stopLeading()
+        val current = leader?.takeIf { it.term == ownership.term } ?: if (controller.canReachState) startTerm(ownership.term) else return
+        if (controller.canReachState) updateJobs(current)
         markReady(current)
         cancelOrphans(current)
-        current.tick(now)
-        if (controller.reachesState && context.profile.hasMachineChurn) fleet?.step()
-        if (controller.reachesState) drains?.step()
+        current.tick(nowUs)
+        if (controller.canReachState && context.profile.hasMachineChurn) fleet?.step()
+        if (controller.canReachState) drains?.step()
     }
 
     /** What the leader's watch of the open jobs brings. */
-    private fun follow(leader: LeaderCore) {
-        state.open.values
+    private fun updateJobs(leader: LeaderCore) {
+        state.openJobs.values
             .filter { it.id !in seenJobs }
             .forEach { addJob(leader, it) }
-        if (mutation == Mutation.CANCEL_UNHEARD) return
+        if (mutation == Mutation.CANCELLATION_NOT_PROPAGATED) return
         leader.jobs.keys
-            .filter { it !in state.open }
+            .filter { it !in state.openJobs }
             .forEach(leader::onJobClosed)
     }
 
@@ -77,68 +77,79 @@
         leader.jobs.values
             .filter {
                 !it.isReady &&
-                    (mutation == Mutation.NEEDS_IGNORED || controller.dependencyGraph.readySinceUs(it.spec.dependencies) != null)
-            }.forEach { leader.onJobReady(it, now) }
+                    (mutation == Mutation.DEPENDENCIES_IGNORED || controller.dependencyGraph.readySinceUs(it.spec.dependencies) != null)
+            }.forEach { leader.onJobReady(it, nowUs) }
 
     /** Jobs of which one that they need is cancelled are recorded as such. */
     private fun cancelOrphans(leader: LeaderCore) {
-        val due = controller.dependencyGraph.orphans(6).filter { it in leader.jobs }
-        if (due.isEmpty() || isCancellingOrphans) return
+        val orphans = controller.dependencyGraph.orphans(6).filter { it in leader.jobs }
+        if (orphans.isEmpty() || isCancellingOrphans) return
         isCancellingOrphans = true
-        write(leader.term, { due.filter { it in state.open }.forEach { state.end(it, isDone = false) } }) { current, ok ->
+        write(leader.term, { orphans.filter { it in state.openJobs }.forEach { state.recordEnd(it, isDone = false) } }) { current, ok ->
             isCancellingOrphans = false
-            if (ok) due.forEach(current::onJobClosed)
+            if (ok) orphans.forEach(current::onJobClosed)
         }
     }
 
     private fun startTerm(term: Long): LeaderCore {
-        val started = leaderCore(term)
+        val newLeader = leaderCore(term)
         isCancellingOrphans = false
-        if (mutation != Mutation.REGISTRY_LOST) started.addRecoveredMachines(machines.registry.all().map(machines::recovered))
-        leader = started
-        fleet = SimulatedFleet(started, machines.registry, site(term), context.random, context.profile.onlyOperatorsDrain)
+        if (mutation !=
+            Mutation.REGISTRY_NOT_RECOVERED
+        ) {
+            newLeader.addRecoveredMachines(machines.registry.all().map(machines::recoveredMachine))
+        }
+        leader = newLeader
+        fleet = SimulatedFleet(newLeader, machines.registry, fleetEnvironment(term), context.random, context.profile.onlyOperatorsDrain)
         val policy = context.profile.drainPolicy.takeIf { controller.id !in context.profile.controllersWithoutDrains }
-        drains = policy?.let { SimulatedDrains(started, it, context, state, machines, fleet!!, site(term)) }
+        drains = policy?.let { SimulatedDrains(newLeader, it, context, state, machines, fleet!!, fleetEnvironment(term)) }
         seenJobs.clear()
-        state.open.values.forEach { addJob(started, it) }
-        return started
+        state.openJobs.values.forEach { addJob(newLeader, it) }
+        return newLeader
     }
 
     private fun leaderCore(term: Long): LeaderCore {
-        val limits = if (mutation == Mutation.IGNORED_LIMIT) context.teams.mapValues { it.value.copy(coresMax = 1e9) } else context.teams
-        val lease = if (mutation == Mutation.EAGER_OWNER) -3 * SECOND else WORKER_LEASE_US
+        val limits =
+            if (mutation ==
+                Mutation.TEAM_LIMIT_IGNORED
+            ) {
+                context.teams.mapValues { it.value.copy(coresMax = 1e9) }
+            } else {
+                context.teams
+            }
+        val leaseUs = if (mutation == Mutation.NO_LEASE_WAIT_AFTER_FAILOVER) -3 * SECOND else WORKER_LEASE_US
         return LeaderCore(
             LeaderTerm(term, term),
             LeaderSettings(
                 context.assignment,
                 limits,
-                lease,
+                leaseUs,
                 PlacementSettings(),
                 ServiceObjectives(emptyList()),
                 transactionOperations = 12,
             ),
             LeaderLookups({ Resources(MACHINE_CORES, 0.0, MACHINE_MEMORY_GB) }, dependentsOf = controller.dependencyGraph::dependentsOf),
-            { drains?.attemptInterrupted(it) },
+            { drains?.onAttemptInterrupted(it) },
         ) { execute(term, it) }
     }
 
-    private fun site(term: Long) =
+    private fun fleetEnvironment(term: Long) =
         object : FleetEnvironment {
-            override fun at(
+            override fun after(
                 delayUs: Long,
                 run: () -> Unit,
-            ) = context.at(delayUs, run)
+            ) = context.after(delayUs, run)
 
             override fun write(
                 apply: () -> Unit,
-                answered: (Boolean) -> Unit,
-            ) = this@SimulatedLeadership.write(term, apply) { _, ok -> answered(ok) }
+                onReply: (Boolean) -> Unit,
+            ) = this@SimulatedLeadership.write(term, apply) { _, ok -> onReply(ok) }
 
             override fun terminate(names: Collection<String>) = machines.terminate(names)
 
-            override fun recoveredMachine(name: String) = machines.recovered(name)
+            override fun recoveredMachine(name: String) = machines.recoveredMachine(name)
 
-            override fun leads(leader: LeaderCore) = controller.alive && this@SimulatedLeadership.leader === leader
+            override fun isLeading(leader: LeaderCore) = controller.isAlive && this@SimulatedLeadership.leader === leader
         }
 
     private fun addJob(
@@ -146,10 +157,10 @@
         job: SimulatedJob,
     ) {
         seenJobs += job.id
-        if (mutation == Mutation.JOB_FORGOTTEN && job.id == "j-3") return
-        val added = Job(spec(job), job.stamp, now)
-        if (mutation != Mutation.RANGES_LOST) added.restoreDoneTasks(state.durable.getValue(job.id))
-        leader.addJob(added)
+        if (mutation == Mutation.JOB_NOT_ADDED && job.id == "j-3") return
+        val newJob = Job(spec(job), job.submittedRevision, nowUs)
+        if (mutation != Mutation.DONE_TASKS_NOT_RECOVERED) newJob.restoreDoneTasks(state.recordedDoneTasks.getValue(job.id))
+        leader.addJob(newJob)
     }
 
     private fun spec(job: SimulatedJob) =
@@ -162,8 +173,8 @@
             resources = Resources(job.cores, 0.0, 1.0),
             allowedTypes = null,
             zone = null,
-            sameZone = job.sameZone && mutation != Mutation.ZONES_IGNORED,
-            spread = job.spread && mutation != Mutation.ZONES_IGNORED,
+            sameZone = job.sameZone && mutation != Mutation.ZONE_CONSTRAINTS_IGNORED,
+            spread = job.spread && mutation != Mutation.ZONE_CONSTRAINTS_IGNORED,
             spot = false,
             image = "image",
             imageGb = 1.0,
@@ -181,18 +192,18 @@
     ) {
         when (effect) {
             is LeaderEffect.SendFrame -> {
-                val to = controllers()[state.owners[effect.partition]?.controller ?: return]
-                val receiver = to.incarnation
-                context.send(host, hostOf(to.id)) { if (to.incarnation == receiver) to.deliver(effect.frame) }
+                val owner = controllers()[state.owners[effect.partition]?.controller ?: return]
+                val receiverIncarnation = owner.incarnation
+                context.send(host, hostOf(owner.id)) { if (owner.incarnation == receiverIncarnation) owner.onLeaderFrame(effect.frame) }
             }
 
             is LeaderEffect.WriteDoneRanges -> {
-                write(term, { effect.deltas.forEach(::recorded) }) { leader, ok -> leader.onRangesWritten(effect.deltas, ok, now) }
+                write(term, { effect.deltas.forEach(::recordDoneTasks) }) { leader, ok -> leader.onRangesWritten(effect.deltas, ok, nowUs) }
             }
 
             is LeaderEffect.RecordCompletion -> {
-                write(term, { state.finish(effect.job.spec.id) }) { leader, ok ->
-                    if (ok) leader.onCompletionRecorded(effect.job, now) else leader.onCompletionFailed(effect.job)
+                write(term, { state.recordDone(effect.job.spec.id) }) { leader, ok ->
+                    if (ok) leader.onCompletionRecorded(effect.job, nowUs) else leader.onCompletionFailed(effect.job)
                 }
             }
         }
@@ -202,17 +213,17 @@
     private fun write(
         term: Long,
         apply: () -> Unit,
-        answer: (LeaderCore, Boolean) -> Unit,
+        onReply: (LeaderCore, Boolean) -> Unit,
     ) {
-        val sender = controller.incarnation
-        var answered = false
+        val senderIncarnation = controller.incarnation
+        var hasReplied = false
 
         fun complete(ok: Boolean) {
-            if (answered || controller.incarnation != sender) return
-            answered = true
-            leader?.takeIf { it.term == term }?.let { answer(it, ok) }
+            if (hasReplied || controller.incarnation != senderIncarnation) return
+            hasReplied = true
+            leader?.takeIf { it.term == term }?.let { onReply(it, ok) }
         }
-        context.at(3 * SECOND) { complete(false) }
+        context.after(3 * SECOND) { complete(false) }
         context.send(host, SimulatedNetwork.STATE, repeats = false) {
             val ok = state.owners[KEY]?.term == term
             if (ok) apply()
@@ -220,11 +231,12 @@
         }
     }
 
-    private fun recorded(delta: CompletionDelta) {
+    private fun recordDoneTasks(delta: CompletionDelta) {
         val id = delta.job.spec.id
-        state.durable.getValue(id).or(delta.recordedTasks)
-        val tooEarly = mutation == Mutation.DONE_TOO_EARLY && delta.recordedTasks.cardinality() * 3 > state.jobs.getValue(id).tasks
-        if (tooEarly) state.finish(id)
+        state.recordedDoneTasks.getValue(id).or(delta.recordedTasks)
+        val isTooEarly =
+            mutation == Mutation.JOB_COMPLETED_TOO_EARLY && delta.recordedTasks.cardinality() * 3 > state.jobs.getValue(id).tasks
+        if (isTooEarly) state.recordDone(id)
     }
 
     companion object {
--- a/src/test/kotlin/lichenstage/world/SimulatedMachines.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedMachines.kt
@@ -4,8 +4,8 @@
 import lichenstage.common.SECOND
 import lichenstage.placement.RecoveredMachine
 import lichenstage.world.SimulationContext.Companion.CONTROLLERS
-import lichenstage.world.SimulationContext.Companion.LATEST_US
 import lichenstage.world.SimulationContext.Companion.MACHINE_CORES
+import lichenstage.world.SimulationContext.Companion.MAX_DELIVERY_DELAY_US
 import lichenstage.world.SimulationContext.Companion.WORKER_LEASE_US
 import lichenstage.world.SimulationContext.Companion.hostOf
 import java.util.Random
@@ -21,7 +21,7 @@
     private val byName = HashMap<String, SimulatedWorker>()
 
     /** The controller that a worker sends its heartbeats to. */
-    private val target = HashMap<String, Int>()
+    private val targetController = HashMap<String, Int>()
 
     /** Until when heartbeats of a machine reach nobody. */
     private val outboundBlockedUntilUs = HashMap<String, Long>()
@@ -29,32 +29,32 @@
     val all: List<SimulatedWorker> get() = workers
 
     /** How many there are. */
-    val count get() = workers.count { !it.gone }
+    val count get() = workers.count { !it.isTerminated }
 
     /** One of those that are there, in an order that does not change. */
     operator fun get(number: Int): SimulatedWorker =
-        workers.filter { !it.gone }.let { if (it.isEmpty()) workers.last() else it[number % it.size] }
+        workers.filter { !it.isTerminated }.let { if (it.isEmpty()) workers.last() else it[number % it.size] }
 
-    fun named(name: String): SimulatedWorker = byName.getValue(name)
+    fun getWorker(name: String): SimulatedWorker = byName.getValue(name)
 
     fun partitionOf(worker: SimulatedWorker) = context.assignment.partitionOf(worker.name, worker.zone)!!
 
-    fun recovered(name: String) = RecoveredMachine(name, partitionOf(named(name)), "type", "10.0.0.1:9000")
+    fun recoveredMachine(name: String) = RecoveredMachine(name, partitionOf(getWorker(name)), "type", "10.0.0.1:9000")
 
-    fun boot(zone: String): SimulatedWorker {
+    fun addMachine(zone: String): SimulatedWorker {
         val name = "vm-$zone${workers.size}"
-        val seeded = Random(random.nextLong())
+        val workerRandom = Random(random.nextLong())
         val worker =
             SimulatedWorker(
                 name,
                 zone,
                 MACHINE_CORES,
                 WORKER_LEASE_US,
-                seeded,
+                workerRandom,
                 { id -> state.jobs[id] },
                 context.checker,
-                context.profile.fetches,
-                context.now,
+                context.profile.fetchesImages,
+                context.nowUs,
             )
         workers += worker
         byName[name] = worker
@@ -62,68 +62,77 @@
     }
 
     fun powerOn(worker: SimulatedWorker) {
-        target[worker.name] = random.nextInt(CONTROLLERS)
-        context.every(300 * MILLI) { if (!worker.gone && worker.step(context.now)) heartbeat(worker) }
+        targetController[worker.name] = random.nextInt(CONTROLLERS)
+        context.every(300 * MILLI) { if (!worker.isTerminated && worker.step(context.nowUs)) heartbeat(worker) }
         context.every(2 * SECOND) { heartbeat(worker) }
     }
 
     /** Provisions a machine; now and then one never comes up. */
     fun provision(zone: String): String {
-        val worker = boot(zone)
-        if (random.nextInt(8) > 0) context.at(random.nextInt(LONGEST_BOOT_US).toLong()) { powerOn(worker) }
+        val worker = addMachine(zone)
+        if (random.nextInt(8) > 0) context.after(random.nextInt(MAX_BOOT_US).toLong()) { powerOn(worker) }
         return worker.name
     }
 
     /** Machines that have been replaced already. */
-    val replaced = HashSet<String>()
+    val replacedMachines = HashSet<String>()
 
     /** The cloud terminates machines; others come up in their zones. */
     fun terminate(names: Collection<String>) {
-        for (worker in names.mapNotNull { byName[it] }.filter { !it.gone }) {
+        for (worker in names.mapNotNull { byName[it] }.filter { !it.isTerminated }) {
             worker.terminate()
-            if (worker.name !in replaced) context.at(random.nextInt(LONGEST_BOOT_US).toLong()) { powerOn(boot(worker.zone)) }
+            if (worker.name !in replacedMachines) context.after(random.nextInt(MAX_BOOT_US).toLong()) { powerOn(addMachine(worker.zone)) }
         }
     }
 
     fun blockOutbound(
         worker: SimulatedWorker,
-        forUs: Long,
+        durationUs: Long,
     ) {
-        outboundBlockedUntilUs[worker.name] = context.now + forUs
+        outboundBlockedUntilUs[worker.name] = context.nowUs + durationUs
     }
 
     private fun heartbeat(worker: SimulatedWorker) {
-        if (worker.gone || worker.isHung(context.now)) return
-        if (context.now < (outboundBlockedUntilUs[worker.name] ?: 0)) return
-        val controller = controllers()[target.getValue(worker.name)]
+        if (worker.isTerminated || worker.isHung(context.nowUs)) return
+        if (context.nowUs < (outboundBlockedUntilUs[worker.name] ?: 0)) return
+        val controller = controllers()[targetController.getValue(worker.name)]
         val heartbeat = worker.heartbeat()
-        val sentUs = context.now
-        var answered = false
+        val sentUs = context.nowUs
+        var hasReplied = false
         if (random.nextInt(25) == 0) {
-            val copy = if (context.mutation == Mutation.COPIES_BELIEVED) heartbeat.copy(sequence = Long.MAX_VALUE / 2) else heartbeat
-            context.at(random.nextInt(LATEST_US).toLong()) { controllers()[random.nextInt(CONTROLLERS)].answer(copy) }
+            val delayedCopy =
+                if (context.mutation ==
+                    Mutation.STALE_HEARTBEATS_ACCEPTED
+                ) {
+                    heartbeat.copy(sequence = Long.MAX_VALUE / 2)
+                } else {
+                    heartbeat
+                }
+            context.after(
+                random.nextInt(MAX_DELIVERY_DELAY_US).toLong(),
+            ) { controllers()[random.nextInt(CONTROLLERS)].onHeartbeat(delayedCopy) }
         }
         context.send(worker.name, hostOf(controller.id)) {
-            val answer = controller.answer(heartbeat)
+            val reply = controller.onHeartbeat(heartbeat)
             context.send(hostOf(controller.id), worker.name) {
-                answered = true
-                if (worker.gone) return@send
-                if (answer != null && !worker.isHung(context.now)) {
-                    worker.receiveAnswer(answer.fencingToken, answer.commands, heartbeat.agentEpoch, sentUs, context.now)
-                } else if (answer == null) {
+                hasReplied = true
+                if (worker.isTerminated) return@send
+                if (reply != null && !worker.isHung(context.nowUs)) {
+                    worker.onHeartbeatReply(reply.fencingToken, reply.commands, heartbeat.agentEpoch, sentUs, context.nowUs)
+                } else if (reply == null) {
                     redirect(worker)
                 }
             }
         }
-        context.at(4 * SECOND) { if (!answered) redirect(worker) }
+        context.after(4 * SECOND) { if (!hasReplied) redirect(worker) }
     }
 
     private fun redirect(worker: SimulatedWorker) {
         val owner = state.owners[partitionOf(worker)]?.controller
-        target[worker.name] = owner?.takeIf { random.nextInt(4) > 0 } ?: random.nextInt(CONTROLLERS)
+        targetController[worker.name] = owner?.takeIf { random.nextInt(4) > 0 } ?: random.nextInt(CONTROLLERS)
     }
 
     private companion object {
-        const val LONGEST_BOOT_US = 10_000_000
+        const val MAX_BOOT_US = 10_000_000
     }
 }
--- a/src/test/kotlin/lichenstage/world/SimulatedNetwork.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedNetwork.kt
@@ -17,7 +17,7 @@
     /** Two hosts that can't talk until a time; messages are held, or lost. */
     private class Cut(
         val untilUs: Long,
-        val held: Boolean,
+        val holdsMessages: Boolean,
     )
 
     private val queue = PriorityQueue<Event>(compareBy<Event> { it.atUs }.thenBy { it.order })
@@ -30,18 +30,18 @@
     /** The share of messages that come seconds late, behind newer ones. */
     var delayedMessageShare = 0.0
 
-    var now = 0L
+    var nowUs = 0L
         private set
 
     /** A hash of the times and numbers of all events so far: equal for two versions of the code whose decisions were the same. */
     var eventDigest = 0L
         private set
 
-    fun at(
+    fun after(
         delayUs: Long,
         run: () -> Unit,
     ) {
-        queue.add(Event(now + delayUs, events++, run))
+        queue.add(Event(nowUs + delayUs, events++, run))
     }
 
     /** Runs [run] repeatedly, at drawn times that are [periodUs] apart on average. */
@@ -49,16 +49,16 @@
         periodUs: Long,
         run: () -> Unit,
     ): Unit =
-        at(random.nextInt(periodUs.toInt()).toLong()) {
+        after(random.nextInt(periodUs.toInt()).toLong()) {
             run()
-            at(periodUs / 2 + random.nextInt(periodUs.toInt()).toLong()) { every(periodUs, run) }
+            after(periodUs / 2 + random.nextInt(periodUs.toInt()).toLong()) { every(periodUs, run) }
         }
 
     /** Lets time pass until [endUs]. */
     fun runUntil(endUs: Long) {
         while (queue.isNotEmpty() && queue.peek().atUs <= endUs) {
             val event = queue.poll()
-            now = event.atUs
+            nowUs = event.atUs
             eventDigest = (eventDigest * DIGEST_FACTOR + event.atUs) * DIGEST_FACTOR + event.order
             event.run()
         }
@@ -71,16 +71,23 @@
         repeats: Boolean = true,
         deliver: () -> Unit,
     ) {
-        val cut = cuts[pair(from, to)]?.takeIf { it.untilUs > now }
-        val delay = (MILLI + random.nextInt(8000)) * if (to == STATE && now < slowStateUntilUs) 20 else 1
+        val cut = cuts[hostPairKey(from, to)]?.takeIf { it.untilUs > nowUs }
+        val delayUs = (MILLI + random.nextInt(8000)) * if (to == STATE && nowUs < slowStateUntilUs) 20 else 1
         // Nothing reaches a host whose inbound messages are blocked; what is lost on the way is not sent again.
-        if ((inboundBlockedUntilUs[to] ?: 0) > now) return
-        val slow = if (delayedMessageShare > 0 && random.nextDouble() < delayedMessageShare) random.nextInt(SLOWEST_US) else 0
+        if ((inboundBlockedUntilUs[to] ?: 0) > nowUs) return
+        val extraDelayUs =
+            if (delayedMessageShare > 0 &&
+                random.nextDouble() < delayedMessageShare
+            ) {
+                random.nextInt(MAX_EXTRA_DELAY_US)
+            } else {
+                0
+            }
         if (cut == null) {
-            at(delay + slow) { arrive(to, deliver) }
-            if (repeats && random.nextInt(50) == 0) at(delay + random.nextInt(20_000_000)) { arrive(to, deliver) }
-        } else if (cut.held) {
-            at(cut.untilUs - now + delay) { arrive(to, deliver) }
+            after(delayUs + extraDelayUs) { arrive(to, deliver) }
+            if (repeats && random.nextInt(50) == 0) after(delayUs + random.nextInt(20_000_000)) { arrive(to, deliver) }
+        } else if (cut.holdsMessages) {
+            after(cut.untilUs - nowUs + delayUs) { arrive(to, deliver) }
         }
     }
 
@@ -89,56 +96,56 @@
         host: String,
         deliver: () -> Unit,
     ) {
-        val frozenUs = (frozenUntilUs[host] ?: 0) - now
-        if (frozenUs > 0) at(frozenUs + MILLI) { arrive(host, deliver) } else deliver()
+        val frozenUs = (frozenUntilUs[host] ?: 0) - nowUs
+        if (frozenUs > 0) after(frozenUs + MILLI) { arrive(host, deliver) } else deliver()
     }
 
     /** The host does nothing for a time, and then goes on as if none had passed. */
     fun freeze(
         host: String,
-        forUs: Long,
+        durationUs: Long,
     ) {
-        frozenUntilUs[host] = now + forUs
+        frozenUntilUs[host] = nowUs + durationUs
     }
 
-    fun isFrozen(host: String) = (frozenUntilUs[host] ?: 0) > now
+    fun isFrozen(host: String) = (frozenUntilUs[host] ?: 0) > nowUs
 
     fun cut(
-        one: String,
-        other: String,
-        forUs: Long,
-        held: Boolean,
+        hostA: String,
+        hostB: String,
+        durationUs: Long,
+        holdsMessages: Boolean,
     ) {
-        cuts[pair(one, other)] = Cut(now + forUs, held)
+        cuts[hostPairKey(hostA, hostB)] = Cut(nowUs + durationUs, holdsMessages)
     }
 
     fun isCut(
-        one: String,
-        other: String,
-    ) = (cuts[pair(one, other)]?.untilUs ?: 0) > now
+        hostA: String,
+        hostB: String,
+    ) = (cuts[hostPairKey(hostA, hostB)]?.untilUs ?: 0) > nowUs
 
     /** Nothing reaches the host. */
     fun blockInbound(
         host: String,
-        forUs: Long,
+        durationUs: Long,
     ) {
-        inboundBlockedUntilUs[host] = now + forUs
+        inboundBlockedUntilUs[host] = nowUs + durationUs
     }
 
     /** The state service answers late. */
-    fun slowState(forUs: Long) {
-        slowStateUntilUs = now + forUs
+    fun slowDownState(durationUs: Long) {
+        slowStateUntilUs = nowUs + durationUs
     }
 
-    private fun pair(
-        one: String,
-        other: String,
-    ) = if (one < other) "$one $other" else "$other $one"
+    private fun hostPairKey(
+        hostA: String,
+        hostB: String,
+    ) = if (hostA < hostB) "$hostA $hostB" else "$hostB $hostA"
 
     companion object {
         /** The state service's name as a host. */
         const val STATE = "state"
-        private const val SLOWEST_US = 3_500_000
+        private const val MAX_EXTRA_DELAY_US = 3_500_000
         private const val DIGEST_FACTOR = 1_000_003L
     }
 }
--- a/src/test/kotlin/lichenstage/world/SimulatedStateService.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedStateService.kt
@@ -26,16 +26,16 @@
     private val context: SimulationContext,
 ) {
     private var revision = 0L
-    private val expiresUs = LongArray(CONTROLLERS)
+    private val leaseExpiresAtUs = LongArray(CONTROLLERS)
     val owners = HashMap<String, Ownership>()
     val jobs = LinkedHashMap<String, SimulatedJob>()
-    val open = LinkedHashMap<String, SimulatedJob>()
-    val durable = HashMap<String, BitSet>()
-    val done = HashSet<String>()
+    val openJobs = LinkedHashMap<String, SimulatedJob>()
+    val recordedDoneTasks = HashMap<String, BitSet>()
+    val doneJobs = HashSet<String>()
 
     /** Of jobs that are over, whether they are done. */
     val outcomes = HashMap<String, Boolean>()
-    val ends = ArrayList<JobEnd>()
+    val jobEnds = ArrayList<JobEnd>()
     private var outageUntilUs = 0L
 
     /** Drains as operators have asked for them, and what leaders have recorded of them. */
@@ -47,18 +47,18 @@
     var drainWrites = 0
 
     val lastRevision get() = revision
-    val isOut get() = context.now < outageUntilUs
+    val isUnavailable get() = context.nowUs < outageUntilUs
 
     fun nextRevision() = ++revision
 
     /** It answers nobody; after that all leases have their full time again. */
-    fun outage(forUs: Long) {
-        outageUntilUs = maxOf(outageUntilUs, context.now + forUs)
-        for (i in expiresUs.indices) if (expiresUs[i] > context.now) expiresUs[i] = outageUntilUs + LEASE_US
+    fun beginOutage(durationUs: Long) {
+        outageUntilUs = maxOf(outageUntilUs, context.nowUs + durationUs)
+        for (i in leaseExpiresAtUs.indices) if (leaseExpiresAtUs[i] > context.nowUs) leaseExpiresAtUs[i] = outageUntilUs + LEASE_US
     }
 
-    fun endLeases() {
-        for (i in expiresUs.indices) if (expiresUs[i] <= context.now) endLease(i)
+    fun expireLeases() {
+        for (i in leaseExpiresAtUs.indices) if (leaseExpiresAtUs[i] <= context.nowUs) endLease(i)
     }
 
     /** Ends what hangs on a controller's lease. */
@@ -67,10 +67,10 @@
     }
 
     fun renew(controller: Int) {
-        expiresUs[controller] = context.now + LEASE_US
+        leaseExpiresAtUs[controller] = context.nowUs + LEASE_US
     }
 
-    fun take(
+    fun assignOwner(
         key: String,
         controller: Int,
     ) {
@@ -85,32 +85,32 @@
     }
 
     fun accept(job: SimulatedJob) {
-        context.checker.accepted(job)
+        context.checker.onJobAccepted(job)
         jobs[job.id] = job
-        open[job.id] = job
-        durable[job.id] = BitSet()
+        openJobs[job.id] = job
+        recordedDoneTasks[job.id] = BitSet()
     }
 
     /** The job's record says that it is over. */
-    fun end(
+    fun recordEnd(
         id: String,
         isDone: Boolean,
     ) {
-        open.remove(id)
+        openJobs.remove(id)
         outcomes[id] = isDone
-        ends += JobEnd(id, nextRevision())
+        jobEnds += JobEnd(id, nextRevision())
     }
 
-    fun finish(id: String) {
-        if (id !in open) return
-        end(id, isDone = true)
-        done += id
-        context.checker.completionConfirmed(jobs.getValue(id), context.now)
-        context.checker.polled(jobs.getValue(id), PollAnswer.DONE, context.now)
+    fun recordDone(id: String) {
+        if (id !in openJobs) return
+        recordEnd(id, isDone = true)
+        doneJobs += id
+        context.checker.onCompletionConfirmed(jobs.getValue(id), context.nowUs)
+        context.checker.onJobPolled(jobs.getValue(id), PolledStatus.DONE, context.nowUs)
     }
 
     fun isReady(job: SimulatedJob) = job.dependencies.all { outcomes[it] == true }
 
     /** How a job ended, as its record says; null while it is open. */
-    fun outcome(id: String): JobOutcome? = outcomes[id]?.let { JobOutcome(if (it) EndStatus.DONE else EndStatus.CANCELLED, null) }
+    fun outcomeOf(id: String): JobOutcome? = outcomes[id]?.let { JobOutcome(if (it) EndStatus.DONE else EndStatus.CANCELLED, null) }
 }
--- a/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
@@ -16,11 +16,11 @@
     private val checker = context.checker
 
     /** Submits [jobs] jobs within a time, some of which are cancelled. */
-    fun load(
+    fun submitRandomJobs(
         jobs: Int,
         withinUs: Long,
-        first: Int = 0,
-    ) = repeat(jobs) { n -> context.at(random.nextInt(withinUs.toInt()).toLong()) { submit(first + n) } }
+        firstNumber: Int = 0,
+    ) = repeat(jobs) { n -> context.after(random.nextInt(withinUs.toInt()).toLong()) { submit(firstNumber + n) } }
 
     private fun submit(n: Int) {
         val job =
@@ -33,75 +33,76 @@
                 state.nextRevision(),
             )
         state.accept(job)
-        if (random.nextInt(5) == 0) context.at(random.nextInt(20_000_000).toLong()) { cancel(job.id, random.nextInt(CONTROLLERS)) }
+        if (random.nextInt(5) == 0) context.after(random.nextInt(20_000_000).toLong()) { cancel(job.id, random.nextInt(CONTROLLERS)) }
     }
 
     /** A job whose tasks run for long. */
-    fun submitLong(
+    fun submitLongRunning(
         n: Int,
         runUs: Long,
     ) = state.accept(SimulatedJob("j-$n", teamOf(n), 2, 2.0, runUs, state.nextRevision()))
 
     /** A job of few tasks that is bound to one zone, or spread over several. */
-    fun submitBound(
+    fun submitZoneConstrained(
         n: Int,
         tasks: Int,
         sameZone: Boolean,
     ) = state.accept(SimulatedJob("j-$n", teamOf(n), tasks, 1.0, 12 * SECOND, state.nextRevision(), sameZone, !sameZone))
 
     /** A job whose tasks run for very different times. */
-    fun submitUneven(n: Int) = state.accept(SimulatedJob("j-$n", "red", 3, 1.0, 6 * SECOND, state.nextRevision(), uneven = true))
+    fun submitUnevenRunTimes(n: Int) =
+        state.accept(SimulatedJob("j-$n", "red", 3, 1.0, 6 * SECOND, state.nextRevision(), hasUnevenRunTimes = true))
 
     private fun teamOf(n: Int) = if (n % 2 == 0) "red" else "blue"
 
     /**
      * Four jobs, submitted one after the other as users do: a chain, a fan or a diamond of one to three tasks each, numbered from [n].
-     * Some need a job besides that was there before, unless it is to be [alone].
+     * Some need a job besides that was there before, unless it is to be [isIndependent].
      */
     fun submitPipeline(
         n: Int,
-        alone: Boolean = false,
+        isIndependent: Boolean = false,
     ) {
         val earlier =
-            if (!alone && random.nextInt(3) == 0) {
-                state.open.keys
+            if (!isIndependent && random.nextInt(3) == 0) {
+                state.openJobs.keys
                     .filter { random.nextInt(4) == 0 }
                     .take(1)
             } else {
                 emptyList()
             }
-        val resources = listOf(CHAIN, FAN, DIAMOND)[n / PIPELINE % 3]
-        var afterUs = 0L
-        for ((stage, dependencies) in resources.withIndex()) {
-            val named = dependencies.map { "j-${n + it}" } + if (stage == 0) earlier else emptyList()
-            val job = SimulatedJob("j-${n + stage}", teamOf(n), 1 + random.nextInt(3), 1.0, 5 * SECOND, 0, dependencies = named)
-            context.at(afterUs) { submitNeeding(job) }
+        val dependenciesByStage = listOf(CHAIN, FAN, DIAMOND)[n / PIPELINE % 3]
+        var submitDelayUs = 0L
+        for ((stage, dependencies) in dependenciesByStage.withIndex()) {
+            val dependencyIds = dependencies.map { "j-${n + it}" } + if (stage == 0) earlier else emptyList()
+            val job = SimulatedJob("j-${n + stage}", teamOf(n), 1 + random.nextInt(3), 1.0, 5 * SECOND, 0, dependencies = dependencyIds)
+            context.after(submitDelayUs) { submitWithDependencies(job) }
             // Now and then the last comes only when the others are over.
-            afterUs += if (random.nextInt(6) == 0) 30 * SECOND else SECOND / 2 + random.nextInt(1_500_000)
+            submitDelayUs += if (random.nextInt(6) == 0) 30 * SECOND else SECOND / 2 + random.nextInt(1_500_000)
         }
     }
 
     /** Read first and written after, on the condition that what was read still holds. */
-    private fun submitNeeding(job: SimulatedJob) {
-        if (state.isOut || job.dependencies.any { it !in state.jobs }) return context.at(SECOND) { submitNeeding(job) }
+    private fun submitWithDependencies(job: SimulatedJob) {
+        if (state.isUnavailable || job.dependencies.any { it !in state.jobs }) return context.after(SECOND) { submitWithDependencies(job) }
         val read = job.dependencies.associateWith { state.outcomes[it] }
-        context.at(MILLI + random.nextInt(80_000)) { writeNeeding(job, read) }
+        context.after(MILLI + random.nextInt(80_000)) { writeIfUnchanged(job, read) }
     }
 
-    private fun writeNeeding(
+    private fun writeIfUnchanged(
         job: SimulatedJob,
         read: Map<String, Boolean?>,
     ) {
-        val changed = read.any { (id, outcome) -> outcome == null && id !in state.open }
-        if (state.isOut || changed) {
-            submitNeeding(job)
+        val hasChanged = read.any { (id, outcome) -> outcome == null && id !in state.openJobs }
+        if (state.isUnavailable || hasChanged) {
+            submitWithDependencies(job)
         } else if (read.values.any { it == false }) {
             state.jobs[job.id] = job
-            checker.accepted(job)
-            state.end(job.id, isDone = false)
-            checker.polled(job, PollAnswer.CANCELLED, context.now)
+            checker.onJobAccepted(job)
+            state.recordEnd(job.id, isDone = false)
+            checker.onJobPolled(job, PolledStatus.CANCELLED, context.nowUs)
         } else {
-            state.accept(job.copy(stamp = state.nextRevision()))
+            state.accept(job.copy(submittedRevision = state.nextRevision()))
         }
     }
 
@@ -110,64 +111,67 @@
         if (state.jobs.isEmpty()) return
         val controller = controllers[random.nextInt(CONTROLLERS)]
         // Mostly about what waits: of the others little can be said wrongly.
-        val waiting = state.open.values.filter { it.dependencies.isNotEmpty() }
-        val asked = if (waiting.isNotEmpty() && random.nextInt(3) > 0) waiting else state.jobs.values
-        val job = asked.elementAt(random.nextInt(asked.size))
-        checker.polled(job, if (controller.reachesState) answerOf(controller, job) else null, context.now)
+        val waitingJobs = state.openJobs.values.filter { it.dependencies.isNotEmpty() }
+        val candidates = if (waitingJobs.isNotEmpty() && random.nextInt(3) > 0) waitingJobs else state.jobs.values
+        val job = candidates.elementAt(random.nextInt(candidates.size))
+        checker.onJobPolled(job, if (controller.canReachState) statusOf(controller, job) else null, context.nowUs)
     }
 
     /** The answer of the user API about the job; null where it asks the user to retry. */
-    private fun answerOf(
+    private fun statusOf(
         controller: SimulatedController,
         job: SimulatedJob,
-    ): PollAnswer? {
-        state.outcomes[job.id]?.let { done -> return if (done) PollAnswer.DONE else PollAnswer.CANCELLED }
+    ): PolledStatus? {
+        state.outcomes[job.id]?.let { done -> return if (done) PolledStatus.DONE else PolledStatus.CANCELLED }
         return when (controller.dependencyGraph.readiness(job.id, job.dependencies)) {
             Readiness.READY -> {
-                PollAnswer.OPEN
+                PolledStatus.OPEN
             }
 
             Readiness.CANCELLED -> {
-                state.end(job.id, isDone = false)
-                PollAnswer.CANCELLED
+                state.recordEnd(job.id, isDone = false)
+                PolledStatus.CANCELLED
             }
 
             Readiness.UNKNOWN -> {
-                PollAnswer.OPEN.takeIf { context.mutation == Mutation.UNRESOLVED_CALLED_OPEN }
+                PolledStatus.OPEN.takeIf { context.mutation == Mutation.UNRESOLVED_REPORTED_OPEN }
             }
 
             Readiness.WAITING -> {
-                val current = controller.replica.isReadWithin(10 * SECOND, context.now)
-                PollAnswer.OPEN.takeIf { current || context.mutation == Mutation.STALE_CALLED_OPEN }
+                val current = controller.replica.isReadWithin(10 * SECOND, context.nowUs)
+                PolledStatus.OPEN.takeIf { current || context.mutation == Mutation.STALE_REPORTED_OPEN }
             }
         }
     }
 
-    /** A user asks the controller [by], or the next that has the state service's answer, and repeats it until then. */
+    /** A user asks the controller [controllerId], or the next that has the state service's answer, and repeats it until then. */
     fun cancel(
         id: String,
-        by: Int,
+        controllerId: Int,
     ) {
-        val controller = List(CONTROLLERS) { controllers[(by + it) % CONTROLLERS] }.firstOrNull { it.reachesState && !it.frozen }
-        if (controller == null) return context.at(SECOND) { cancel(id, by) }
-        val job = state.open[id] ?: return
-        state.end(id, isDone = false)
+        val controller =
+            List(
+                CONTROLLERS,
+            ) { controllers[(controllerId + it) % CONTROLLERS] }.firstOrNull { it.canReachState && !it.isFrozen }
+        if (controller == null) return context.after(SECOND) { cancel(id, controllerId) }
+        val job = state.openJobs[id] ?: return
+        state.recordEnd(id, isDone = false)
         controller.replica.recordEnd(id, state.lastRevision)
         controller.dependencyGraph.jobClosed(id)
-        checker.cancellationConfirmed(job, context.now)
-        checker.polled(job, PollAnswer.CANCELLED, context.now)
+        checker.onCancellationConfirmed(job, context.nowUs)
+        checker.onJobPolled(job, PolledStatus.CANCELLED, context.nowUs)
         for (other in controllers) {
             if (other != controller && controller.sharesJobEnds) {
-                context.send(hostOf(controller.id), hostOf(other.id)) { other.jobsEnded(listOf(id)) }
+                context.send(hostOf(controller.id), hostOf(other.id)) { other.onJobsEnded(listOf(id)) }
             }
         }
     }
 
     /** Users cancel up to [count] jobs of pipelines that others wait for, preferring those that are about to end. */
     fun cancelPipelines(count: Int) =
-        state.open.values
-            .filter { job -> state.open.values.any { job.id in it.dependencies } }
-            .sortedBy { -checker.doneTasks(it.id) }
+        state.openJobs.values
+            .filter { job -> state.openJobs.values.any { job.id in it.dependencies } }
+            .sortedBy { -checker.doneTaskCount(it.id) }
             .take(count)
             .forEach { cancel(it.id, random.nextInt(CONTROLLERS)) }
 
--- a/src/test/kotlin/lichenstage/world/SimulatedWorker.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedWorker.kt
@@ -18,7 +18,7 @@
     private val random: Random,
     private val jobOf: (String) -> SimulatedJob?,
     private val checker: RuleChecker,
-    private val fetches: Boolean = false,
+    private val fetchesImages: Boolean = false,
     startedUs: Long = 0,
 ) {
     private class Task(
@@ -33,7 +33,7 @@
     )
 
     /** The cloud has terminated it, with everything on it. */
-    var gone = false
+    var isTerminated = false
         private set
 
     var agentEpoch = 1L
@@ -43,10 +43,10 @@
         private set
     private var leaseFromUs = startedUs
     private val tasks = LinkedHashMap<Pair<String, Long>, Task>()
-    private val results = HashSet<String>()
+    private val keptResults = HashSet<String>()
     var hungUntilUs = 0L
 
-    fun isHung(now: Long) = now < hungUntilUs
+    fun isHung(nowUs: Long) = nowUs < hungUntilUs
 
     fun heartbeat(): Heartbeat {
         sequence++
@@ -65,48 +65,48 @@
     }
 
     /** Receives the answer to a heartbeat, with 200; [sentUs] is when the heartbeat was sent. */
-    fun receiveAnswer(
-        answerToken: Long,
+    fun onHeartbeatReply(
+        replyToken: Long,
         commands: List<Command>,
-        forEpoch: Long,
+        expectedAgentEpoch: Long,
         sentUs: Long,
-        now: Long,
+        nowUs: Long,
     ) {
-        if (forEpoch != agentEpoch || answerToken < fencingToken || now - sentUs > 4 * SECOND) return
-        fencingToken = answerToken
+        if (expectedAgentEpoch != agentEpoch || replyToken < fencingToken || nowUs - sentUs > 4 * SECOND) return
+        fencingToken = replyToken
         leaseFromUs = maxOf(leaseFromUs, sentUs)
-        commands.forEach { execute(it, now) }
+        commands.forEach { execute(it, nowUs) }
     }
 
     fun execute(
         orderToken: Long,
-        forEpoch: Long,
+        expectedAgentEpoch: Long,
         commands: List<Command>,
-        now: Long,
+        nowUs: Long,
     ): OrderOutcome.Replied {
-        val valid = orderToken >= fencingToken && forEpoch == agentEpoch
-        if (valid) {
+        val isValid = orderToken >= fencingToken && expectedAgentEpoch == agentEpoch
+        if (isValid) {
             fencingToken = orderToken
-            commands.forEach { execute(it, now) }
+            commands.forEach { execute(it, nowUs) }
         }
-        return OrderOutcome.Replied(valid, heartbeat())
+        return OrderOutcome.Replied(isValid, heartbeat())
     }
 
     private fun execute(
         command: Command,
-        now: Long,
+        nowUs: Long,
     ) {
         val key = command.task to command.attempt
         when (command) {
-            is Command.Start -> start(command, now)
-            is Command.Stop -> tasks[key]?.let { if (it.phase != TaskPhase.ENDED) stop(it, now) }
+            is Command.Start -> start(command, nowUs)
+            is Command.Stop -> tasks[key]?.let { if (it.phase != TaskPhase.ENDED) stop(it, nowUs) }
             is Command.Clear -> if (tasks[key]?.phase == TaskPhase.ENDED) tasks.remove(key)
         }
     }
 
     private fun start(
         command: Command.Start,
-        now: Long,
+        nowUs: Long,
     ) {
         val key = command.task to command.attempt
         if (key in tasks) return
@@ -123,25 +123,25 @@
             tasks[key] = Task(job, index, command.attempt, TaskPhase.ENDED, refusal, 0)
             return
         }
-        if (command.task in results) {
+        if (command.task in keptResults) {
             // The result is kept: it exits with `done` as soon as it has its image, without running.
             tasks[key] = Task(job, index, command.attempt, TaskPhase.ENDED, TaskEndCause.DONE, 0)
             return
         }
-        val factor = if (job.uneven) 1 + 6 * index else 1
-        val run = job.runUs * factor / 2 + (random.nextDouble() * job.runUs).toLong()
-        if (fetches) {
-            val fetchUs = random.nextInt(LONGEST_FETCH_US).toLong()
-            tasks[key] = Task(job, index, command.attempt, TaskPhase.FETCHING, null, now + fetchUs + run, now + fetchUs)
+        val runTimeFactor = if (job.hasUnevenRunTimes) 1 + 6 * index else 1
+        val runTimeUs = job.runUs * runTimeFactor / 2 + (random.nextDouble() * job.runUs).toLong()
+        if (fetchesImages) {
+            val fetchUs = random.nextInt(MAX_FETCH_US).toLong()
+            tasks[key] = Task(job, index, command.attempt, TaskPhase.FETCHING, null, nowUs + fetchUs + runTimeUs, nowUs + fetchUs)
         } else {
-            tasks[key] = Task(job, index, command.attempt, TaskPhase.RUNNING, null, now + run, now)
-            checker.started(name, job, index, now)
+            tasks[key] = Task(job, index, command.attempt, TaskPhase.RUNNING, null, nowUs + runTimeUs, nowUs)
+            checker.onTaskStarted(name, job, index, nowUs)
         }
     }
 
     /** The cloud terminates the machine, and with it everything on it. */
     fun terminate() {
-        gone = true
+        isTerminated = true
         dropTasks()
     }
 
@@ -149,56 +149,56 @@
         for (task in tasks.values) {
             if (task.phase == TaskPhase.ENDED) continue
             checker.tasksLost++
-            checker.ended(name, task.job, task.index, false)
+            checker.onTaskEnded(name, task.job, task.index, false)
         }
         tasks.clear()
     }
 
     private fun stop(
         task: Task,
-        now: Long,
+        nowUs: Long,
     ) {
-        val ran = task.phase == TaskPhase.RUNNING
-        end(task, TaskEndCause.HALTED)
-        if (ran) checker.stopped(task.job, task.index, now - task.runsFromUs, now)
+        val wasRunning = task.phase == TaskPhase.RUNNING
+        endTask(task, TaskEndCause.HALTED)
+        if (wasRunning) checker.onTaskStopped(task.job, task.index, nowUs - task.runsFromUs, nowUs)
     }
 
-    private fun end(
+    private fun endTask(
         task: Task,
         cause: String,
     ) {
         task.phase = TaskPhase.ENDED
         task.cause = cause
-        if (cause == TaskEndCause.DONE) results += "${task.job.id}/${task.index}"
-        checker.ended(name, task.job, task.index, cause == TaskEndCause.DONE)
+        if (cause == TaskEndCause.DONE) keptResults += "${task.job.id}/${task.index}"
+        checker.onTaskEnded(name, task.job, task.index, cause == TaskEndCause.DONE)
     }
 
-    /** Runs the machine on to [now]; true where something changed, so that a heartbeat is sent soon. */
-    fun step(now: Long): Boolean {
-        var changed = false
-        if (now - leaseFromUs > leaseUs) {
+    /** Runs the machine on to [nowUs]; true where something changed, so that a heartbeat is sent soon. */
+    fun step(nowUs: Long): Boolean {
+        var hasChanged = false
+        if (nowUs - leaseFromUs > leaseUs) {
             dropTasks()
             agentEpoch++
             sequence = 0
-            leaseFromUs = now
-            changed = true
+            leaseFromUs = nowUs
+            hasChanged = true
         }
-        if (isHung(now)) return false
+        if (isHung(nowUs)) return false
         for (task in tasks.values) {
-            if (task.phase == TaskPhase.FETCHING && now >= task.runsFromUs) {
+            if (task.phase == TaskPhase.FETCHING && nowUs >= task.runsFromUs) {
                 task.phase = TaskPhase.RUNNING
-                task.endsUs = maxOf(task.endsUs, now)
-                checker.started(name, task.job, task.index, now)
-                changed = true
+                task.endsUs = maxOf(task.endsUs, nowUs)
+                checker.onTaskStarted(name, task.job, task.index, nowUs)
+                hasChanged = true
             }
-            if (task.phase != TaskPhase.RUNNING || now < task.endsUs) continue
-            end(task, if (random.nextInt(15) == 0) TaskEndCause.ERROR else TaskEndCause.DONE)
-            changed = true
+            if (task.phase != TaskPhase.RUNNING || nowUs < task.endsUs) continue
+            endTask(task, if (random.nextInt(15) == 0) TaskEndCause.ERROR else TaskEndCause.DONE)
+            hasChanged = true
         }
-        return changed
+        return hasChanged
     }
 
     private companion object {
-        const val LONGEST_FETCH_US = 3_000_000
+        const val MAX_FETCH_US = 3_000_000
     }
 }
--- a/src/test/kotlin/lichenstage/world/SimulationContext.kt
+++ b/src/test/kotlin/lichenstage/world/SimulationContext.kt
@@ -13,7 +13,7 @@
 ) {
     val random = Random(seed)
     val network = SimulatedNetwork(random)
-    val now get() = network.now
+    val nowUs get() = network.nowUs
     val zones = listOf("a", "b", "c")
 
     /** Zone a has two controllers and so two partitions, zone c none of its own. */
@@ -25,10 +25,10 @@
     val orderEvents = OrderEventCounts()
     val checker = RuleChecker(teams.mapValues { it.value.coresMax }, CANCEL_US)
 
-    fun at(
+    fun after(
         delayUs: Long,
         run: () -> Unit,
-    ) = network.at(delayUs, run)
+    ) = network.after(delayUs, run)
 
     fun every(
         periodUs: Long,
@@ -51,7 +51,7 @@
         const val CANCEL_US = 40 * SECOND
 
         /** How late copies of reports and repeats of orders may come. */
-        const val LATEST_US = 45_000_000
+        const val MAX_DELIVERY_DELAY_US = 45_000_000
         const val MACHINE_CORES = 8.0
         const val MACHINE_MEMORY_GB = 64.0
 
