--- a/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
@@ -71,7 +71,7 @@
             val heartbeat = worker.heartbeat()
             val reply = partition.onHeartbeat(heartbeat, nowUs) as? HeartbeatOutcome.Accepted ?: return
             sentFencingTokens += reply.fencingToken
-            worker.receiveAnswer(reply.fencingToken, reply.commands, heartbeat.agentEpoch, nowUs, nowUs)
+            worker.onHeartbeatReply(reply.fencingToken, reply.commands, heartbeat.agentEpoch, nowUs, nowUs)
         }
 
         /** Sends the start of j-1/0 as a direct order that does not reach the worker yet. */
@@ -85,7 +85,7 @@
 
         fun cancelJob() {
             jobCompletions.endJob(job.id)
-            checker.cancellationConfirmed(job, nowUs)
+            checker.onCancellationConfirmed(job, nowUs)
         }
 
         /** Completes all orders without a reply as indeterminate. */
@@ -169,7 +169,7 @@
         scenario.runUntil(10 * SECOND)
         scenario.timeOutOrders()
         scenario.runUntil(14 * SECOND)
-        assertEquals(1, scenario.checker.running("j-1")) { "the task was not started" }
+        assertEquals(1, scenario.checker.runningTaskCount("j-1")) { "the task was not started" }
         assertEquals(setOf(TOKEN), scenario.sentFencingTokens) { "${scenario.sentFencingTokens}" }
     }
 
