--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -91,9 +91,9 @@
             clock,
             scope,
             object : JobEndListener {
-                override fun jobsEnded(jobs: List<String>) = leader?.tell(LeaderMessage.JobsEnded(jobs)) ?: Unit
+                override fun onJobsEnded(jobs: List<String>) = leader?.tell(LeaderMessage.JobsFinished(jobs)) ?: Unit
 
-                override fun dependencyResolved() = leader?.tell(LeaderMessage.DependenciesResolved) ?: Unit
+                override fun onDependencyResolved() = leader?.tell(LeaderMessage.DependenciesResolved) ?: Unit
             },
         )
     private val recordLimits = RecordLimits(settings.txnOps, settings.valueBytes)
@@ -106,7 +106,7 @@
             recordLimits.maxPreconditions,
             clock,
             scope,
-            replicaSync::jobCancelled,
+            replicaSync::onJobCancelled,
         )
     private val partition =
         PartitionActor(
@@ -138,7 +138,7 @@
 
     private fun registerGauges() {
         metrics.gauge("leading") { if (leader != null) 1 else 0 }
-        metrics.gauge("open_jobs") { leader?.openJobs ?: 0 }
+        metrics.gauge("open_jobs") { leader?.openJobCount ?: 0 }
         metrics.gauge("machines") { partition.machineCount }
         metrics.gauge("starts_unanswered") { partition.indeterminateStartCount }
         metrics.gauge("oldest_unanswered_start_s") { partition.oldestIndeterminateStartAtUs?.let { (clock.now() - it) / SECOND } ?: 0 }
--- a/src/main/kotlin/lichenstage/drain/DrainOperations.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainOperations.kt
@@ -38,7 +38,7 @@
 
     private suspend fun startNew(request: DrainRequest): DrainCommandResult {
         val machines = scanEntries(MachineRecordCodec.PREFIX).flatMap { MachineRecordCodec.decode(it.value) }
-        val boundZones = scanEntries(JobRecordCodec.OPEN).mapNotNullTo(HashSet()) { JobRecordCodec.decode(it.value).zone }
+        val boundZones = scanEntries(JobRecordCodec.OPEN_PREFIX).mapNotNullTo(HashSet()) { JobRecordCodec.decode(it.value).zone }
         rejectionReason(request, machines, boundZones)?.let { throw RejectedCommand(it) }
         val selected = machines.filter { it in request.selection }.sortedBy { it.name }
         return if (request.isDryRun) DrainCommandResult.DryRun(request, selected) else recordDrain(request, selected)
--- a/src/main/kotlin/lichenstage/fleet/ScaleIn.kt
+++ b/src/main/kotlin/lichenstage/fleet/ScaleIn.kt
@@ -3,60 +3,63 @@
 import lichenstage.common.SECOND
 
 /**
- * Drains machines in surplus and terminates them when they are empty: the machine with most room gets the next task, so that none
- * would become empty by itself.
+ * Drains surplus machines and terminates them once they are empty. Without draining, no machine would become empty by itself, because the
+ * machine with the most free capacity gets the next task.
  */
 internal class ScaleIn(
     private val policy: FleetPolicy,
     private val forecast: DemandForecast,
-    private val capacity: CapacityEstimate,
+    private val capacity: CapacityEstimator,
 ) {
-    private val surplusSinceUs = HashMap<String, Long>()
+    private val surplusSinceUsByType = HashMap<String, Long>()
 
-    /** Chooses among [machines], those that serve the demand, on-demand machines first. */
+    /** Drains the surplus among [machines], which are the machines that serve the demand. On-demand machines are drained first. */
     fun drainSurplus(
         machines: Collection<FleetMachine>,
-        now: Long,
+        nowUs: Long,
     ) {
         for ((typeName, group) in machines.groupBy { it.typeName }) {
-            val surplus = group.size - capacity.retained(typeName, now)
+            val surplus = group.size - capacity.retainedMachines(typeName, nowUs)
             if (surplus <= 0) {
-                surplusSinceUs.remove(typeName)
-                group.forEach { it.draining = false }
-            } else if (now - surplusSinceUs.getOrPut(typeName) { now } >= delayUs(typeName, now)) {
-                drain(group, surplus, now)
+                surplusSinceUsByType.remove(typeName)
+                group.forEach { it.isDraining = false }
+            } else if (nowUs - surplusSinceUsByType.getOrPut(typeName) { nowUs } >= delayUs(typeName, nowUs)) {
+                drain(group, surplus, nowUs)
             }
         }
     }
 
     private fun delayUs(
         typeName: String,
-        now: Long,
-    ) = if (forecast.hasCeased(typeName, now)) policy.scaleInDelayUs / CEASED_DELAY_DIVISOR else policy.scaleInDelayUs
+        nowUs: Long,
+    ) = if (forecast.hasCeased(typeName, nowUs)) policy.scaleInDelayUs / CEASED_DELAY_DIVISOR else policy.scaleInDelayUs
 
     private fun drain(
         group: List<FleetMachine>,
         surplus: Int,
-        now: Long,
+        nowUs: Long,
     ) {
         val candidates =
             group
-                .filter { it.hasBeenUp && now - it.provisionedUs > MIN_LIFETIME_US - DRAIN_LEAD_US }
-                .sortedWith(compareBy<FleetMachine> { it.spot }.thenBy { !it.draining }.thenBy { it.tasks })
-        candidates.forEachIndexed { i, machine -> machine.draining = i < surplus }
+                .filter { it.hasBeenUp && nowUs - it.provisionedAtUs > MIN_LIFETIME_US - DRAIN_LEAD_US }
+                .sortedWith(compareBy<FleetMachine> { it.isSpot }.thenBy { !it.isDraining }.thenBy { it.taskCount })
+        candidates.forEachIndexed { i, machine -> machine.isDraining = i < surplus }
         candidates
-            .filter { it.draining && it.tasks == 0 && now - it.provisionedUs > MIN_LIFETIME_US }
-            .forEach { it.terminating = true }
+            .filter { it.isDraining && it.taskCount == 0 && nowUs - it.provisionedAtUs > MIN_LIFETIME_US }
+            .forEach { it.isTerminating = true }
     }
 
     private companion object {
-        /** A machine is paid for 60 s at the least: just short of that, for the time that the call takes. */
+        /**
+         * The minimum age at which a machine is terminated. A machine is billed for at least 60 s; this limit is slightly lower, because
+         * the call to terminate takes time.
+         */
         const val MIN_LIFETIME_US = 55 * SECOND
 
-        /** Draining may begin so long before the machine may be terminated. */
+        /** Draining may start this long before the machine may be terminated. */
         const val DRAIN_LEAD_US = 10 * SECOND
 
-        /** Where no job of a type is expected to come any more, the delay is divided by this. */
+        /** The divisor of the scale-in delay for a type for which no more jobs are expected. */
         const val CEASED_DELAY_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
@@ -15,24 +15,27 @@
 import lichenstage.state.ScanResult
 import lichenstage.state.WatchResult
 
-/** The other controllers of the deployment. */
+/** The channel to the other controllers of the deployment. */
 class PeerChannel(
-    /** Their labels. */
+    /** The labels of the other controllers. */
     val labels: List<String>,
-    /** Sends a frame to the one of a label; it may be lost. */
+    /** Sends a frame to the controller with the given label. The frame may be lost. */
     val send: (String, Frame) -> Unit,
 )
 
-/** Is notified of the ends of jobs. */
+/** Receives notifications about the ends of jobs. */
 interface JobEndListener {
-    /** These jobs have ended. */
-    fun jobsEnded(jobs: List<String>)
+    /** Handles the end of these jobs. */
+    fun onJobsEnded(jobs: List<String>)
 
-    /** It became known how a job that others depend on has ended. */
-    fun dependencyResolved()
+    /** Handles a newly known outcome of a job that others depend on. */
+    fun onDependencyResolved()
 }
 
-/** Keeps the [JobReplica] of this process up to date: by a watch, and by the other controllers while the state service is unavailable. */
+/**
+ * Keeps the [JobReplica] of this process up to date. It watches the state service, and it asks the other controllers for ends while the
+ * service is unavailable.
+ */
 class JobReplicaSync(
     private val replica: JobReplica,
     private val dependencyGraph: DependencyGraph,
@@ -45,12 +48,12 @@
     private val log = RateLimitedLog.of("lichenstage.jobs", clock)
     private var isStale = false
 
-    /** Starts to follow the open jobs. */
+    /** Starts following the open jobs. */
     fun start() {
         scope.launch {
             while (true) {
                 delay(RESOLVE_INTERVAL_MS)
-                dependencyGraph.unresolved(MAX_RESOLVED_AT_ONCE).forEach { resolve(it) }
+                dependencyGraph.findUnresolved(MAX_RESOLVED_AT_ONCE).forEach { resolveOutcome(it) }
             }
         }
         scope.launch {
@@ -59,39 +62,46 @@
         scope.launch {
             while (true) {
                 delay(PEER_SYNC_INTERVAL_MS)
-                val now = clock.now()
-                logStaleness(replica.revision >= 0 && !replica.isReadWithin(STALE_THRESHOLD_US, now))
-                if (replica.isLagging(now)) requestMissingEnds(now)
+                val nowUs = clock.now()
+                logStaleness(replica.revision >= 0 && !replica.hasReadWithin(STALE_THRESHOLD_US, nowUs))
+                if (replica.isLagging(nowUs)) requestMissingEnds(nowUs)
             }
         }
     }
 
-    private fun logStaleness(staleNow: Boolean) {
-        if (staleNow == isStale) return
-        isStale = staleNow
-        log.info { "Open jobs ${if (staleNow) "not read any more" else "read again"} revision=${replica.revision}" }
+    private fun logStaleness(isStaleNow: Boolean) {
+        if (isStaleNow == isStale) return
+        isStale = isStaleNow
+        log.info { "Reads of open jobs ${if (isStaleNow) "stopped" else "resumed"} revision=${replica.revision}" }
     }
 
-    private fun requestMissingEnds(now: Long) {
-        for (peer in peers.labels) replica.syncRequest(peer, now)?.let { peers.send(peer, it) }
+    private fun requestMissingEnds(nowUs: Long) {
+        for (peer in peers.labels) replica.createSyncRequest(peer, nowUs)?.let { peers.send(peer, it) }
     }
 
     private suspend fun followOpenJobs() {
-        val scannedUs = clock.now()
-        val scan = state.scan(JobRecordCodec.OPEN)
+        val scanSentAtUs = clock.now()
+        val scan = state.scan(JobRecordCodec.OPEN_PREFIX)
         if (scan !is ScanResult.Complete) {
             delay(RETRY_INTERVAL_MS)
             return
         }
-        applyEnds(replica.replaceAll(scan.entries.associate { id(it.key) to it.modRevision }, scan.revision, scannedUs))
-        scan.entries.forEach { dependencyGraph.jobOpened(id(it.key), JobRecordCodec.dependencies(it.value)) }
+        applyEnds(replica.replaceAll(scan.entries.associate { jobId(it.key) to it.modRevision }, scan.revision, scanSentAtUs))
+        scan.entries.forEach { dependencyGraph.onJobOpened(jobId(it.key), JobRecordCodec.decodeDependencies(it.value)) }
         while (true) {
-            val sentUs = clock.now()
-            when (val result = state.watch(JobRecordCodec.OPEN, replica.revision, WATCH_TIMEOUT_MS)) {
+            val sentAtUs = clock.now()
+            when (val result = state.watch(JobRecordCodec.OPEN_PREFIX, replica.revision, WATCH_TIMEOUT_MS)) {
                 is WatchResult.Events -> {
-                    val put = result.puts.associate { id(it.key) to it.modRevision }
-                    result.puts.forEach { dependencyGraph.jobOpened(id(it.key), JobRecordCodec.dependencies(it.value)) }
-                    applyEnds(replica.applyChanges(put, result.deletes.associate { id(it.key) to it.modRevision }, result.revision, sentUs))
+                    val revisionsByJob = result.puts.associate { jobId(it.key) to it.modRevision }
+                    result.puts.forEach { dependencyGraph.onJobOpened(jobId(it.key), JobRecordCodec.decodeDependencies(it.value)) }
+                    applyEnds(
+                        replica.applyChanges(
+                            revisionsByJob,
+                            result.deletes.associate { jobId(it.key) to it.modRevision },
+                            result.revision,
+                            sentAtUs,
+                        ),
+                    )
                 }
 
                 WatchResult.Compacted -> {
@@ -105,28 +115,28 @@
         }
     }
 
-    private fun id(key: String) = key.removePrefix(JobRecordCodec.OPEN)
+    private fun jobId(key: String) = key.removePrefix(JobRecordCodec.OPEN_PREFIX)
 
-    /** Reads how a job that others depend on has ended; they wait until that can be read. */
-    private suspend fun resolve(job: String) {
-        val read = state.get(JobRecordCodec.FINISHED + job)
-        if (read is ReadResult.Found) jobFinished(job, JobRecordCodec.decodeFinished(read.entry.value).outcome)
+    /** Reads the outcome of a finished job that others depend on. Its dependents wait until the read succeeds. */
+    private suspend fun resolveOutcome(job: String) {
+        val read = state.get(JobRecordCodec.FINISHED_PREFIX + job)
+        if (read is ReadResult.Found) onJobFinished(job, JobRecordCodec.decodeFinished(read.entry.value).outcome)
     }
 
-    /** It became known how the job has ended. */
-    fun jobFinished(
+    /** Handles the outcome of a finished job, for the jobs that depend on it. */
+    fun onJobFinished(
         job: String,
         outcome: JobOutcome,
     ) {
-        dependencyGraph.outcomeRecorded(job, outcome)
-        listener.dependencyResolved()
+        dependencyGraph.onOutcomeRecorded(job, outcome)
+        listener.onDependencyResolved()
     }
 
     /**
-     * This process has recorded the cancellation of the job at [revision] and is about to confirm it to its user. The leader and the
-     * owners of partitions are notified at once, so that the tasks stop early; nothing depends on that.
+     * Handles a cancellation that this process has recorded at [revision] and is about to confirm to the user. The leader and the owners
+     * of partitions are notified at once so that the tasks stop early. Correctness does not depend on these notifications.
      */
-    fun jobCancelled(
+    fun onJobCancelled(
         job: String,
         revision: Long,
     ) {
@@ -136,26 +146,26 @@
         peers.labels.forEach { peers.send(it, JobsEnded(listOf(job))) }
     }
 
-    /** Another controller requests the ends that it may lack. */
+    /** Handles another controller's request for ends that it may lack. */
     fun onSyncRequest(
         from: String,
         request: CompletionSyncRequest,
     ) {
-        replica.syncReply(request)?.let { peers.send(from, it) }
+        replica.createSyncReply(request)?.let { peers.send(from, it) }
     }
 
-    /** Another controller has sent ends that this one may lack. */
+    /** Handles another controller's reply with ends that may be missing here. */
     fun onSyncReply(
         from: String,
-        answer: CompletionSyncReply,
-    ) = applyEnds(replica.applySyncReply(from, answer))
+        reply: CompletionSyncReply,
+    ) = applyEnds(replica.applySyncReply(from, reply))
 
-    /** Another controller has confirmed the end of jobs to its user. */
+    /** Handles another controller's notification that it is confirming the end of jobs to a user. */
     fun onJobsEnded(frame: JobsEnded) = applyEnds(replica.markEnded(frame.jobs))
 
     private fun applyEnds(jobs: List<String>) {
-        jobs.forEach(dependencyGraph::jobClosed)
-        if (jobs.isNotEmpty()) listener.jobsEnded(jobs)
+        jobs.forEach(dependencyGraph::onJobClosed)
+        if (jobs.isNotEmpty()) listener.onJobsEnded(jobs)
     }
 
     private companion object {
@@ -163,11 +173,11 @@
         const val RETRY_INTERVAL_MS = 300L
         const val RESOLVE_INTERVAL_MS = 100L
 
-        /** Longer than the watch takes while nothing changes: what was read counts from when it was asked for. */
+        /** Longer than a watch request takes while nothing changes: the age of a read counts from the time of its request. */
         const val STALE_THRESHOLD_US = 8 * SECOND
         const val MAX_RESOLVED_AT_ONCE = 8
 
-        /** Short: what was read counts from when it was asked for, and must not seem stale while nothing happens. */
+        /** Short, because the age of a read counts from the time of its request: the replica must not seem stale while nothing changes. */
         const val WATCH_TIMEOUT_MS = 2500L
     }
 }
--- a/src/main/kotlin/lichenstage/placement/LeaderDrains.kt
+++ b/src/main/kotlin/lichenstage/placement/DrainDriverFactory.kt
@@ -17,24 +17,24 @@
 import lichenstage.state.Precondition
 import lichenstage.state.SingleWriterKeys
 
-/** Makes the driver of drains for one term of leadership. */
-internal class LeaderDrains(
+/** Creates the driver of drains for one term of leadership. */
+internal class DrainDriverFactory(
     private val core: LeaderCore,
     private val fleet: FleetDriver,
-    private val now: () -> Long,
+    private val clockNowUs: () -> Long,
 ) {
-    /** The driver of drains, which tells its own messages through [tell]. */
-    fun driver(
+    /** Creates the driver, which receives its own messages back through [tell]. */
+    fun createDriver(
         policy: DrainPolicy,
-        store: DrainRecordAccess,
+        recordAccess: DrainRecordAccess,
         scope: CoroutineScope,
         tell: (DrainMessage) -> Unit,
     ): DrainDriver {
-        val view = LeaderDrainView(core, now)
-        return DrainDriver(policy, view, store, actions(view), DrainTracing(), scope, ::timeOfDayUs, tell)
+        val view = LeaderDrainView(core, clockNowUs)
+        return DrainDriver(policy, view, recordAccess, createActionHandler(view), DrainTracing(), scope, ::timeOfDayUs, tell)
     }
 
-    private fun actions(view: LeaderDrainView) =
+    private fun createActionHandler(view: LeaderDrainView) =
         object : DrainActionHandler {
             override fun evict(tasks: List<PlacedTask>) = core.requestStops(view.attemptsOf(tasks))
 
@@ -44,16 +44,19 @@
         }
 
     companion object {
-        /** Where drains are recorded: nothing is written unless the leadership's key still has [leaderKeyRevision]. */
-        fun store(
+        /**
+         * Creates the access to the records of drains. Writes succeed only while the revision of the leadership's key is
+         * [leaderKeyRevision].
+         */
+        fun createRecordAccess(
             store: KeyValueStoreClient,
-            ownKeys: SingleWriterKeys,
+            singleWriterKeys: SingleWriterKeys,
             leaderKeyRevision: Long,
             settings: Settings,
         ) = DrainRecordAccess(
             DrainRecordCodec(settings.valueBytes),
             store,
-            ownKeys,
+            singleWriterKeys,
             listOf(Precondition(OwnershipRecords.LEADER_KEY, leaderKeyRevision)),
             settings.txnOps,
             store::scan,
--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -12,123 +12,125 @@
 import lichenstage.model.RegisteredMachine
 import org.slf4j.LoggerFactory
 
-/** Joins the fleet's decisions with the leader: shows them what it knows, has their calls made, and takes the answers. */
+/**
+ * Connects the fleet's scaling decisions with the leader: passes on observations, makes the calls to the cloud, and handles the replies.
+ */
 internal class FleetDriver(
     private val settings: Settings,
     private val core: LeaderCore,
     private val observer: FleetObserver,
     private val caller: CloudCaller,
     policy: FleetPolicy,
-    now: Long,
-    /** Null where no drains are switched on. */
+    nowUs: Long,
+    /** Returns the driver of drains; null if drains are not enabled. */
     private val drains: () -> DrainDriver?,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.placement")
-    private val forecast = DemandForecast(now)
+    private val forecast = DemandForecast(nowUs)
     private val fleet = FleetCore(core.term, policy, forecast)
 
-    /** The machine of a drain that each requested replacement is for, by the request's id. */
-    private val replacementKeys = HashMap<String, DrainKey>()
-    private var decidedUs = Long.MIN_VALUE / 2
-    private var observedUs = Long.MIN_VALUE / 2
-    private var describedUs = Long.MIN_VALUE / 2
+    /** The drained machine that each requested replacement is for, by the id of the replacement request. */
+    private val drainKeyByReplacementId = HashMap<String, DrainKey>()
+    private var lastDecisionAtUs = Long.MIN_VALUE / 2
+    private var lastObservationAtUs = Long.MIN_VALUE / 2
+    private var lastDescriptionAtUs = Long.MIN_VALUE / 2
 
-    /** Machines that get no more tasks. */
-    val cordoned get() = fleet.cordoned()
+    /** The names of the machines that scale-in has cordoned or marked for termination. */
+    val cordonedMachines get() = fleet.cordonedMachines()
 
-    /** A machine that an earlier leader has recorded. */
+    /** Adds a machine that an earlier leader has recorded. */
     fun addRecorded(
         machine: RegisteredMachine,
-        now: Long,
-    ) = fleet.addMachine(machine.name, machine.typeName, machine.zone, machine.spot, now)
+        nowUs: Long,
+    ) = fleet.addMachine(machine.name, machine.typeName, machine.zone, machine.spot, nowUs)
 
-    /** A job can run from now on, which is when the forecast counts it. */
-    fun jobReady(job: Job) {
-        observer.arrival(job)?.let(forecast::recordArrival)
+    /** Counts a job in the demand forecast. The leader calls this when the job becomes ready to run. */
+    fun onJobReady(job: Job) {
+        observer.estimateArrival(job)?.let(forecast::recordArrival)
     }
 
-    /** Time has passed. */
-    fun step(now: Long) {
-        if (now - observedUs >= OBSERVE_INTERVAL_US) {
-            observedUs = now
-            observe(now)
+    /** Observes the fleet and makes the next call to the cloud, each when its interval has passed. */
+    fun step(nowUs: Long) {
+        if (nowUs - lastObservationAtUs >= OBSERVE_INTERVAL_US) {
+            lastObservationAtUs = nowUs
+            observe(nowUs)
         }
-        callCloud(now)
+        callCloud(nowUs)
     }
 
-    private fun observe(now: Long) {
+    private fun observe(nowUs: Long) {
         for ((id, partition) in core.partitions) {
             val zone = settings.assignment.zone(id) ?: continue
-            partition.machines.values.forEach { fleet.addMachine(it.name, it.typeName, zone, it.isSpot, now) }
+            partition.machines.values.forEach { fleet.addMachine(it.name, it.typeName, zone, it.isSpot, nowUs) }
         }
         fleet.terminate(core.machinesToFence())
         val excludedMachines = drains()?.excludedFromCapacity.orEmpty()
-        fleet.observe(observer.observe(excludedMachines, now), now)
-        cordon()
-        if (log.isDebugEnabled && now - describedUs >= DESCRIBE_INTERVAL_US) {
-            describedUs = now
-            log.debug("Fleet observed {}", fleet.describe(now))
+        fleet.observe(observer.observe(excludedMachines, nowUs), nowUs)
+        updateCordons()
+        if (log.isDebugEnabled && nowUs - lastDescriptionAtUs >= DESCRIBE_INTERVAL_US) {
+            lastDescriptionAtUs = nowUs
+            log.debug("Fleet observed {}", fleet.describe(nowUs))
         }
     }
 
-    private fun cordon() {
+    private fun updateCordons() {
         val drains = drains()
-        if (drains == null) return core.machines.setCordoned(fleet.cordoned())
-        core.machines.setCordoned(fleet.cordoned() + drains.cordoned)
+        if (drains == null) return core.machines.setCordoned(fleet.cordonedMachines())
+        core.machines.setCordoned(fleet.cordonedMachines() + drains.cordoned)
         core.machines.setDrained(drains.cordoned)
         core.machines.setOnProbation(drains.onProbation)
     }
 
-    /** Requests a machine of the type, zone and kind of the one that [key] names. */
+    /** Requests a replacement for the drained machine [key], with the same type, zone and kind (spot or on-demand). */
     fun requestReplacement(key: DrainKey) {
         val machine = core.machines.stateOf(key.machine) ?: return
         val zone = core.machines.zoneOf(key.machine) ?: return
         val id = "${key.drain} ${key.machine}"
-        replacementKeys[id] = key
+        drainKeyByReplacementId[id] = key
         fleet.requestReplacement(ReplacementRequest(id, machine.typeName, zone, machine.isSpot))
     }
 
-    /** Has a machine terminated. */
+    /** Marks a machine for termination. */
     fun terminate(machine: String) = fleet.terminate(listOf(machine))
 
-    private fun callCloud(now: Long) {
-        if (!caller.isReady(now)) return
+    private fun callCloud(nowUs: Long) {
+        if (!caller.canCall(nowUs)) return
         if (!core.isFailoverComplete && observer.machineTypes.isEmpty()) return
-        // The decision looks at every machine, so it is not made anew after every message.
-        if (now - decidedUs < DECIDE_INTERVAL_US) return
-        decidedUs = now
-        fleet.nextCall(now)?.let { caller.call(it, now) }
+        // Each decision examines every machine, so it is made at intervals and not after every message.
+        if (nowUs - lastDecisionAtUs < DECIDE_INTERVAL_US) return
+        lastDecisionAtUs = nowUs
+        fleet.nextCall(nowUs)?.let { caller.call(it, nowUs) }
     }
 
-    /** The answer to a provision request has come. */
-    fun provisionAnswered(
-        message: LeaderMessage.ProvisionAnswered,
-        now: Long,
+    /** Handles the reply to a provision request. */
+    fun onProvisionReply(
+        message: LeaderMessage.ProvisionReplyReceived,
+        nowUs: Long,
     ) {
-        caller.answered()
+        caller.onReplyReceived()
         val request = message.request
-        val machines = fleet.provisionAnswered(request, message.result, now)
+        val machines = fleet.onProvisionReply(request, message.result, nowUs)
         if (machines.isEmpty()) return
-        replacementKeys.remove(fleet.replacementIdOf(request))?.let { drains()?.onReplacementProvisioned(it, machines.first()) }
+        drainKeyByReplacementId.remove(fleet.replacementIdOf(request))?.let { drains()?.onReplacementProvisioned(it, machines.first()) }
         log.info("Machines provisioned count={} type={} zone={} machines={}", machines.size, request.typeName, request.zone, machines)
     }
 
-    /** The answer to a call that terminates machines has come; true where they are proven gone. */
-    fun terminateAnswered(message: LeaderMessage.TerminateAnswered): Boolean {
-        caller.answered()
+    /** Handles the reply to a terminate call. Returns whether the machines are proven gone. */
+    fun onTerminateReply(message: LeaderMessage.TerminateReplyReceived): Boolean {
+        caller.onReplyReceived()
         if (message.result != TerminateResult.TERMINATED) return false
         log.info("Machines terminated machines={}", message.machines)
-        fleet.machinesTerminated(message.machines)
+        fleet.onMachinesTerminated(message.machines)
         return true
     }
 
-    /** The cloud's list of machines has come, or could not be read. */
-    fun listAnswered(
-        message: LeaderMessage.ListAnswered,
-        now: Long,
+    /** Handles the cloud's list of machines, or the failure to read it. */
+    fun onMachineListReceived(
+        message: LeaderMessage.MachineListReceived,
+        nowUs: Long,
     ) {
-        caller.answered()
-        if (message.reply is CloudReply.Success) fleet.machinesListed(message.reply.value, now)
+        caller.onReplyReceived()
+        if (message.reply is CloudReply.Success) fleet.onMachinesListed(message.reply.value, nowUs)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/FleetObserver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetObserver.kt
@@ -8,34 +8,34 @@
 import lichenstage.model.JobSpec
 import lichenstage.model.MachineType
 
-/** Shows the fleet what the leader knows of jobs and machines. */
+/** Builds the observations that the fleet's scaling decisions are based on, from the leader's jobs and machines. */
 internal class FleetObserver(
     private val settings: Settings,
     private val core: LeaderCore,
     private val catalog: MachineCatalog,
     private val objectives: ServiceObjectives,
 ) {
-    /** The machine types by name; empty while they are not known. */
+    /** The machine types by name; empty until they are known. */
     val machineTypes: Map<String, MachineType> get() = catalog.machineTypes
 
-    /** What is observed at [now]; [excludedMachines] do not serve the demand. */
+    /** Returns the observation at [nowUs]. The machines in [excludedMachines] do not serve the demand. */
     fun observe(
         excludedMachines: Set<String>,
-        now: Long,
+        nowUs: Long,
     ) = FleetObservation(
         machineTypes,
-        DemandEstimator.estimateDemand(core.jobs.values, machineTypes, DemandInputs(now)),
+        DemandEstimator.estimateDemand(core.jobs.values, machineTypes, DemandInputs(nowUs)),
         excludedMachines,
-        statusOfMachines(),
+        machineStatusLookup(),
     )
 
-    /** What the whole job will use; null where it fits no machine type. */
-    fun arrival(job: Job): JobArrival? =
+    /** Returns the machine use of all tasks of a job, for the demand forecast; null if the job fits no machine type. */
+    fun estimateArrival(job: Job): JobArrival? =
         DemandEstimator.estimateArrival(job, machineTypes, core.runTimes.expectedRunTimeUs(job.spec)) {
             objectives.hasStartObjectiveWithin(job.spec.jobClass, it.bootUs)
         }
 
-    private fun statusOfMachines(): (String) -> MachineStatus? {
+    private fun machineStatusLookup(): (String) -> MachineStatus? {
         val states =
             core.partitions.values
                 .flatMap { it.machines.values }
@@ -43,37 +43,37 @@
         return { name ->
             states[name]?.let {
                 MachineStatus(
-                    up = !it.isLost,
-                    silent = it.isSilent,
-                    lost = it.isLost,
-                    tasks = core.machines.attemptsOn(name).size,
-                    faulty = core.machines.failedJobsOn(name).size >= FAULTY_JOBS,
+                    isUp = !it.isLost,
+                    isSilent = it.isSilent,
+                    isLost = it.isLost,
+                    taskCount = core.machines.attemptsOn(name).size,
+                    isFaulty = core.machines.failedJobsOn(name).size >= MIN_FAILED_JOBS_OF_FAULTY_MACHINE,
                 )
             }
         }
     }
 
     private inner class DemandInputs(
-        private val now: Long,
+        private val nowUs: Long,
     ) : DemandEstimator.Inputs {
-        private val readiness = core.expectedReadiness(now)
+        private val readiness = core.expectedReadiness(nowUs)
 
         override fun maxCores(team: String) = settings.teams[team]?.coresMax ?: 0.0
 
         override fun runUs(spec: JobSpec) = core.runTimes.expectedRunTimeUs(spec)
 
-        /** Of a job that waits for dependencies only the deadline is known. */
+        /** Returns when the job should be done. For a job that waits for dependencies, only the deadline is known. */
         override fun dueAtUs(job: Job): Long? {
             if (!job.isReady) return objectives.deadlineAtUs(job)
             val runUs = runUs(job.spec)
-            return objectives.findAttainableObjectives(job, runUs, now).firstOrNull()?.let { it.startByUs + runUs }
+            return objectives.findAttainableObjectives(job, runUs, nowUs).firstOrNull()?.let { it.startByUs + runUs }
         }
 
-        override fun readyInUs(job: Job) = readiness.readyAtUs(job) - now
+        override fun readyInUs(job: Job) = readiness.readyAtUs(job) - nowUs
     }
 
     private companion object {
-        /** A machine on which tasks of so many jobs failed is faulty. */
-        const val FAULTY_JOBS = 2
+        /** A machine is faulty once tasks of this many jobs have failed on it. */
+        const val MIN_FAILED_JOBS_OF_FAULTY_MACHINE = 2
     }
 }
--- a/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
@@ -12,17 +12,18 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 
+/** Guards against frames that change on their way between controllers, and against crashes on bytes that are not frames. */
 class FrameCodecTest {
     @Property(tries = 200, seed = "815")
-    fun `every frame gives itself back`(
+    fun `every frame equals its decoded encoding`(
         @ForAll("frames") frame: Frame,
     ) {
-        val read = FrameCodec.decode(FrameCodec.encode(frame))
-        assertEquals(frame, read) { "$frame became $read" }
+        val decoded = FrameCodec.decode(FrameCodec.encode(frame))
+        assertEquals(frame, decoded) { "$frame was decoded as $decoded" }
     }
 
     @Example
-    fun `bytes that are no frame are refused by a decoding error`() {
+    fun `decoding bytes that are no frame throws a decoding exception`() {
         for (bytes in listOf(ByteArray(0), byteArrayOf(1, 2, 3), "not a frame".toByteArray())) {
             assertThrows(FrameDecodingException::class.java) { FrameCodec.decode(bytes) }
         }
@@ -60,7 +61,7 @@
             }
         val partition =
             Combinators.combine(words, numbers, numbers, Arbitraries.of(TaskPhase.entries)).`as` { w, a, b, phase ->
-                val view =
+                val machine =
                     MachineState(
                         w,
                         w,
@@ -79,7 +80,7 @@
                         },
                         listOf(TaskState(w, b, phase, null)),
                     )
-                PartitionFrame(w, a, b, a, b, a, b, a, b > 0, listOf(view), listOf(Offer(a, listOf(HeldSlots(w, 2, 3, a > 0)))))
+                PartitionFrame(w, a, b, a, b, a, b, a, b > 0, listOf(machine), listOf(Offer(a, listOf(HeldSlots(w, 2, 3, a > 0)))))
             }
         val others =
             Arbitraries.of(
--- a/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
@@ -9,104 +9,112 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
+/** A replica may call itself current only while it knows every end that users were told of longer ago than its maximum staleness. */
 class JobReplicaTest {
     private fun replica(
         incarnation: Long,
-        vararg others: String,
-    ) = JobReplica(incarnation, others.toSet(), BOUND)
+        vararg peers: String,
+    ) = JobReplica(incarnation, peers.toSet(), MAX_STALENESS_US)
 
     /**
-     * One that can't read asks two that can; answers are lost, late and repeated, and a process of them is followed by another. Whenever
-     * it holds itself for current, it knows every end that a user had been told of longer than the bound ago.
+     * Guards against a current replica that lacks an end. A controller that cannot read the state service sends requests to two controllers
+     * that can. Their replies are lost, late or repeated, and their processes are replaced by new ones. Whenever the replica is current, it
+     * must know every end that a user was told of more than [MAX_STALENESS_US] ago.
      */
     @Property(tries = 400, seed = "91")
-    fun `who is current knows what users were told`(
+    fun `a current replica knows the ends that users were told of`(
         @ForAll seed: Long,
     ) {
         val random = Random(seed)
         val asker = replica(1, "a", "b").apply { replaceAll(emptyMap(), 100, 0) }
-        val others = HashMap(mapOf("a" to replica(2, "b", "asker"), "b" to replica(3, "a", "asker")))
-        others.values.forEach { it.replaceAll(emptyMap(), 100, 0) }
-        val told = ArrayList<Pair<String, Long>>()
-        val late = ArrayList<Pair<String, CompletionSyncReply>>()
+        val peers = HashMap(mapOf("a" to replica(2, "b", "asker"), "b" to replica(3, "a", "asker")))
+        peers.values.forEach { it.replaceAll(emptyMap(), 100, 0) }
+        val toldEnds = ArrayList<Pair<String, Long>>()
+        val lateReplies = ArrayList<Pair<String, CompletionSyncReply>>()
         var revision = 100L
-        var now = 0L
+        var nowUs = 0L
         repeat(400) { step ->
-            now += random.nextInt(400_000)
+            nowUs += random.nextInt(400_000)
             val name = if (random.nextBoolean()) "a" else "b"
             when (random.nextInt(8)) {
                 0, 1 -> {
                     repeat(if (random.nextInt(12) == 0) 900 else 1) { n ->
                         val job = "j-$step-$n"
-                        others.getValue(name).recordEnd(job, ++revision)
-                        told += job to now
+                        peers.getValue(name).recordEnd(job, ++revision)
+                        toldEnds += job to nowUs
                     }
                 }
 
                 2 -> {
                     if (random.nextInt(20) == 0) {
-                        others[name] = replica(10L + step, "x")
-                        if (random.nextBoolean()) others.getValue(name).replaceAll(emptyMap(), revision, now)
+                        peers[name] = replica(10L + step, "x")
+                        if (random.nextBoolean()) peers.getValue(name).replaceAll(emptyMap(), revision, nowUs)
                     }
                 }
 
                 3 -> {
-                    if (late.isNotEmpty()) late[random.nextInt(late.size)].let { (from, reply) -> asker.applySyncReply(from, reply) }
+                    if (lateReplies.isNotEmpty()) {
+                        lateReplies[random.nextInt(lateReplies.size)].let { (from, reply) ->
+                            asker.applySyncReply(from, reply)
+                        }
+                    }
                 }
 
                 else -> {
-                    val syncRequest = asker.syncRequest(name, now) ?: return@repeat
-                    val reply = others.getValue(name).syncReply(syncRequest) ?: return@repeat
-                    if (random.nextInt(3) == 0) late += name to reply else asker.applySyncReply(name, reply)
+                    val syncRequest = asker.createSyncRequest(name, nowUs) ?: return@repeat
+                    val reply = peers.getValue(name).createSyncReply(syncRequest) ?: return@repeat
+                    if (random.nextInt(3) == 0) lateReplies += name to reply else asker.applySyncReply(name, reply)
                 }
             }
-            if (!asker.isCurrent(now)) return@repeat
-            val lacking = told.filter { (job, at) -> at < now - BOUND && !asker.hasEnded(job, 0) }
-            assertTrue(lacking.isEmpty()) { "seed $seed step $step: not known: ${lacking.take(3)}" }
+            if (!asker.isCurrent(nowUs)) return@repeat
+            val unknownEnds = toldEnds.filter { (job, at) -> at < nowUs - MAX_STALENESS_US && !asker.hasEnded(job, 0) }
+            assertTrue(unknownEnds.isEmpty()) { "seed $seed step $step: unknown ends: ${unknownEnds.take(3)}" }
         }
     }
 
     @Example
-    fun `word of all others keeps it current, word of some does not`() {
+    fun `replies of all other controllers keep a replica current and replies of some do not`() {
         val asker = replica(1, "a", "b").apply { replaceAll(emptyMap(), 100, 0) }
         val (a, b) = List(2) { replica(2L + it, "asker").apply { replaceAll(emptyMap(), 90, 0) } }
         for (second in 1L..60) {
-            val now = second * SECOND
-            asker.applySyncReply("a", a.syncReply(asker.syncRequest("a", now)!!)!!)
-            if (second <= 30) asker.applySyncReply("b", b.syncReply(asker.syncRequest("b", now)!!)!!)
-            assertTrue(asker.isCurrent(now) == now <= 30 * SECOND + BOUND) { "after $second s" }
+            val nowUs = second * SECOND
+            asker.applySyncReply("a", a.createSyncReply(asker.createSyncRequest("a", nowUs)!!)!!)
+            if (second <= 30) asker.applySyncReply("b", b.createSyncReply(asker.createSyncRequest("b", nowUs)!!)!!)
+            assertTrue(asker.isCurrent(nowUs) == nowUs <= 30 * SECOND + MAX_STALENESS_US) { "after $second s" }
         }
     }
 
     @Example
-    fun `a task is not taken for over because its job is newer than what was read`() {
+    fun `a job that is newer than the last read does not count as ended`() {
         val replica = replica(1).apply { replaceAll(mapOf("j-1" to 5L), 10, 100) }
         assertTrue(!replica.hasEnded("j-1", 50) && !replica.hasEnded("j-2", 200) && replica.hasEnded("j-2", 50)) {
-            "only what a later read does not find is over"
+            "only a job that a later read does not find has ended"
         }
         replica.applyChanges(mapOf("j-2" to 11L), mapOf("j-1" to 12L), 12, 300)
-        assertTrue(replica.hasEnded("j-1", 400) && !replica.hasEnded("j-2", 200)) { "the watch says otherwise" }
+        assertTrue(replica.hasEnded("j-1", 400) && !replica.hasEnded("j-2", 200)) { "the changes of the watch are not applied" }
     }
 
     @Example
-    fun `a single controller is as stale as its last read`() {
+    fun `the replica of a single controller is as old as its last read`() {
         val alone = replica(1)
-        assertFalse(alone.isCurrent(0)) { "current before anything was read" }
+        assertFalse(alone.isCurrent(0)) { "current before the first read" }
         alone.replaceAll(emptyMap(), 1, SECOND)
-        assertTrue(alone.isCurrent(SECOND + BOUND) && !alone.isCurrent(2 * SECOND + BOUND)) { "not as of its read" }
+        assertTrue(alone.isCurrent(SECOND + MAX_STALENESS_US) && !alone.isCurrent(2 * SECOND + MAX_STALENESS_US)) {
+            "age does not count from the last read"
+        }
     }
 
     @Example
-    fun `the bound leaves a lease and some room within the time of a cancellation`() {
+    fun `the maximum staleness leaves time for a lease and a margin within the cancellation limit`() {
         for ((cancelS, leaseS) in listOf(46L to 26L, 47L to 17L, 60L to 15L)) {
-            val bound = JobReplica.maxStalenessUs(cancelS * SECOND, leaseS * SECOND)
+            val maxStalenessUs = JobReplica.maxStalenessUs(cancelS * SECOND, leaseS * SECOND)
             assertTrue(
-                bound > 10 * SECOND && bound + leaseS * SECOND * 1.0005 + 2 * SECOND < cancelS * SECOND,
-            ) { "$cancelS, $leaseS: $bound" }
+                maxStalenessUs > 10 * SECOND && maxStalenessUs + leaseS * SECOND * 1.0005 + 2 * SECOND < cancelS * SECOND,
+            ) { "cancelS=$cancelS leaseS=$leaseS: $maxStalenessUs" }
         }
     }
 
     private companion object {
-        const val BOUND = 17 * SECOND
+        const val MAX_STALENESS_US = 17 * SECOND
     }
 }
