--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -40,7 +40,7 @@
 import lichenstage.state.KeyValueStoreClient
 import org.slf4j.LoggerFactory
 
-/** One controller process: creates its actors and clients and connects them. */
+/** One controller process. It creates the actors and clients of the process and connects them. */
 class Controller(
     vertx: Vertx,
     private val settings: Settings,
@@ -121,10 +121,10 @@
     private val api = HttpApi(vertx, settings.listenAddress, jobs, partition, metrics, clock, connectionBudget, ::isHealthy)
     private var leader: LeaderActor? = null
 
-    /** Starts serving, and takes part in the cluster from now on. */
+    /** Joins the cluster, and starts the HTTP server as soon as requests can be answered. */
     fun start() {
         if (settings.controllerCount != controllerCount) {
-            log.error("Number of controllers differs from the seeds count={} controllers={}", settings.controllerCount, controllerCount)
+            log.error("Configured controller count does not match the seeds configuredCount={} controllerCount={}", settings.controllerCount, controllerCount)
         }
         registerGauges()
         links.start()
@@ -146,7 +146,7 @@
         metrics.gauge("heap_bytes") { Runtime.getRuntime().let { it.totalMemory() - it.freeMemory() } }
     }
 
-    /** Releases partitions whose home controller has been healthy for a while. */
+    /** Releases every owned partition whose home controller, another one, has been healthy for a while. Repeats this at an interval. */
     private suspend fun returnPartitions() {
         while (true) {
             delay(PARTITION_RETURN_CHECK_MS)
@@ -158,9 +158,10 @@
     }
 
     /**
-     * Starts the HTTP server once requests can be answered. Guards against a start that is delayed by its own clients: hundreds of workers
-     * that connect at once, only to be refused, took the processor time that the process lease needed. (Seen on Baile's lean "rough" day:
-     * 12 s from the start of listening to the lease.) Clients that find no server try another controller.
+     * Starts the HTTP server once requests can be answered. Clients that find no server try another controller.
+     *
+     * If the server started earlier, hundreds of workers would connect at once and be refused. They would take the processor time that the
+     * process needs to acquire its lease: on Baile's lean "rough" day, the lease was acquired 12 s after the server had started to listen.
      */
     private suspend fun serveOnceReady() {
         while (!authority.isReady() || !replica.isCurrent(clock.now())) delay(READY_CHECK_MS)
@@ -170,24 +171,30 @@
     private suspend fun logMetrics() {
         while (true) {
             delay(METRICS_LOG_MS)
-            log.debug("{}", metrics.render().replace('\n', ';'))
+            log.debug("Metrics values={}", metrics.render().replace('\n', ';'))
         }
     }
 
-    /** This controller's share of the allowed changes: the leader also records completions and machines, the others serve users only. */
+    /**
+     * Returns this controller's share of the writes per second that the state service allows. The leader's share is larger: it also
+     * records completions and machines, while the other controllers write only for users.
+     */
     private fun writeShare(): Double {
         val followerShare = EQUALLY_DIVIDED_SHARE / controllerCount
         return if (leader != null) 1 - followerShare * (controllerCount - 1) else followerShare
     }
 
     /**
-     * During an outage of the state service all controllers stay healthy, so that users find one as soon as it is over. A controller that
-     * alone gets no answer is unhealthy, which sends its users to the others.
+     * Returns the result of the health check. During an outage of the state service all controllers stay healthy, so that users reach one
+     * as soon as the outage ends. If only this controller can't reach the state service, it is unhealthy, so that its users go to others.
      */
     private fun isHealthy() =
         authority.isReady() && catalog.isLoaded && (authority.isStateServiceAvailable() || links.healthyPeer() == null)
 
-    /** Leadership lasts as long as its key: a pause of authority does not end it, a new term does. */
+    /**
+     * Stops the leader actor when the term of the recorded leader changes, and starts one when this controller holds a new term. A pause of
+     * this controller's authority does not end its leadership, because the leader's key still exists.
+     */
     private fun onOwnershipChanged(ownership: OwnershipView) {
         val activeLeader = leader
         val recordedLeader = ownership.leader
@@ -217,13 +224,13 @@
         const val READY_CHECK_MS = 50L
         const val METRICS_LOG_MS = 10_000L
 
-        /** A connection in each direction, and for each one that is being replaced. */
+        /** One connection in each direction, twice: the old connection may still be open while its replacement is opened. */
         const val SOCKETS_PER_PEER = 4
 
-        /** Listening sockets, and some that are closing. */
+        /** Sockets that listen, and sockets that are being closed. */
         const val SPARE_SOCKETS = 24
 
-        /** The part of the state service's allowed changes that is divided equally; the leader has the rest. */
+        /** The share of the state service's write rate that is divided equally between all controllers. The leader gets the rest as well. */
         const val EQUALLY_DIVIDED_SHARE = 0.5
     }
 }
--- a/src/main/kotlin/lichenstage/app/EventBatching.kt
+++ b/src/main/kotlin/lichenstage/app/EventBatching.kt
@@ -15,11 +15,12 @@
 import java.util.concurrent.locks.LockSupport
 
 /**
- * Takes what comes within a few milliseconds together.
+ * The select strategy of an event loop that handles network events in batches.
  *
- * Guards against a day that costs more processor time than there is: with hundreds of workers something comes every few
- * milliseconds, and to wake up for each of them costs as much as to handle it. While much comes, the event loop pauses for
- * [pauseUs] before it looks again, which is nothing beside what is promised to users; what comes alone is handled at once.
+ * With hundreds of workers, a network event arrives every few milliseconds, and a wake-up of the event loop costs as much processor time
+ * as the event itself. A process that wakes up for each event needs more processor time than it has. While events arrive often, the event
+ * loop therefore pauses for [pauseUs] before it selects again; the pause is negligible beside the response times that users are promised.
+ * An event that arrives alone is handled at once.
  */
 class EventBatching(
     private val clock: Clock,
@@ -28,7 +29,10 @@
 ) {
     private var lastWakeUpUs = Long.MIN_VALUE / 2
 
-    /** Called before each wait, with [select] to look without waiting; returns how many are ready, or that it is to wait. */
+    /**
+     * Returns the number of ready channels, from a [select] that does not block, if the event loop has tasks of its own. Otherwise returns
+     * [SelectStrategy.SELECT], which lets the event loop block until an event arrives. Netty calls this before each select.
+     */
     fun calculateStrategy(
         select: () -> Int,
         hasTasks: Boolean,
@@ -42,12 +46,12 @@
     }
 
     private companion object {
-        /** The loop is busy where it was woken again within so many pauses. */
+        /** The event loop is busy if it has woken up again within this number of pauses. */
         const val BUSY_THRESHOLD_PAUSES = 2
     }
 }
 
-/** Vert.x on its plain transport, whose event loop gathers. */
+/** Returns a Vert.x instance on the NIO transport whose event loops use [EventBatching]. */
 fun createBatchingVertx(options: VertxOptions): Vertx {
     val strategies =
         SelectStrategyFactory {
--- a/src/main/kotlin/lichenstage/app/FrameRouter.kt
+++ b/src/main/kotlin/lichenstage/app/FrameRouter.kt
@@ -24,7 +24,7 @@
 import lichenstage.placement.LeaderActor
 import lichenstage.placement.LeaderMessage
 
-/** Passes each frame of another controller to the actor that it is for. */
+/** Passes each frame from another controller to the actor that handles it. */
 internal class FrameRouter(
     private val authority: Authority,
     private val partition: PartitionActor,
@@ -32,16 +32,16 @@
     private val replicaSync: JobReplicaSync,
     private val forwarder: RequestForwarder,
     private val send: (String, Frame) -> Unit,
-    /** The actor of this process's leadership; null while it does not lead. */
+    /** Returns the leader actor of this process, or null while this controller is not the leader. */
     private val leader: () -> LeaderActor?,
 ) {
-    /** Handles a frame that the controller [from] has sent. */
+    /** Handles a frame from the controller [from]. */
     fun onFrame(
         from: String,
         frame: Frame,
     ) {
         when (frame) {
-            // Handled by the links themselves.
+            // The peer links handle these frames themselves.
             is Hello, is Ping, is RelayedFrame -> Unit
 
             is PlacementFrame -> partition.tell(PartitionMessage.LeaderFrameReceived(frame))
--- a/src/main/kotlin/lichenstage/app/HttpApi.kt
+++ b/src/main/kotlin/lichenstage/app/HttpApi.kt
@@ -25,7 +25,7 @@
 import lichenstage.partition.WorkerCodec
 import org.slf4j.LoggerFactory
 
-/** The HTTP server for users, workers and health checks: decodes requests, passes them to the actors and writes their replies. */
+/** The HTTP server for users, workers and health checks. It decodes requests, passes them to the actors and writes their replies. */
 class HttpApi(
     private val vertx: Vertx,
     private val listenAddress: Address,
@@ -39,7 +39,7 @@
     private val log = LoggerFactory.getLogger("lichenstage.app")
     private val encodedEmptyReplies = LruMap<Long, Buffer>(MAX_CACHED_REPLIES)
 
-    /** Starts to listen; ends the process if the address can't be bound. */
+    /** Starts the server. Ends the process if the server can't listen on its address. */
     fun start() {
         vertx
             .createHttpServer(serverOptions())
@@ -49,10 +49,10 @@
             }.requestHandler(::route)
             .listen(listenAddress.port, listenAddress.host)
             .onSuccess { log.info("HTTP server listening address={}", listenAddress) }
-            .onFailure { exitOnFailure("$listenAddress can't be used", it) }
+            .onFailure { exitOnFailure("HTTP server failed to listen address=$listenAddress", it) }
     }
 
-    /** Plain HTTP/1.1 only: detecting web sockets and HTTP/2 takes processor time with every request. */
+    /** Returns options for HTTP/1.1 only, because the detection of web sockets and HTTP/2 takes processor time with every request. */
     private fun serverOptions() =
         HttpServerOptions()
             .setTcpNoDelay(true)
@@ -61,7 +61,7 @@
             .setHttp2ClearTextEnabled(false)
             .setPerFrameWebSocketCompressionSupported(false)
             .setPerMessageWebSocketCompressionSupported(false)
-            // Everything runs on one event loop, so responses need no queue between threads.
+            // All code runs on one event loop, so responses need no queue between threads.
             .setStrictThreadMode(true)
 
     private fun route(request: HttpServerRequest) {
@@ -116,7 +116,7 @@
         request.respond(reply.status, reply.body)
     }
 
-    /** Records how long the request takes until its response has been written. */
+    /** Records the time from the receipt of the request until its response has been written. */
     private fun recordLatency(
         request: HttpServerRequest,
         caller: Caller,
@@ -134,7 +134,7 @@
                 WorkerCodec.decodeHeartbeat(body)
             } catch (e: InvalidHeartbeatException) {
                 log.info("Heartbeat rejected remote={} field={} expected={}", request.remoteAddress(), e.field, e.expected)
-                return request.respondError(HttpStatus.BAD_REQUEST, "not a report")
+                return request.respondError(HttpStatus.BAD_REQUEST, "invalid heartbeat: ${e.message}")
             }
         partition.tell(PartitionMessage.HeartbeatReceived(heartbeat) { reply -> respondToHeartbeat(request, reply) })
     }
@@ -147,11 +147,11 @@
         when (reply) {
             is HeartbeatReply.Accepted -> request.respond(HttpStatus.OK, encodeReply(reply))
             is HeartbeatReply.Redirect -> request.respond(HttpStatus.MISDIRECTED_REQUEST, WorkerCodec.encodeRedirect(reply.label))
-            HeartbeatReply.Unavailable -> request.respondError(HttpStatus.SERVICE_UNAVAILABLE, "not entitled")
+            HeartbeatReply.Unavailable -> request.respondError(HttpStatus.SERVICE_UNAVAILABLE, "heartbeat not accepted now, retry later")
         }
     }
 
-    /** Most replies carry no commands: those are encoded once for each fencing token. */
+    /** Encodes a reply. Most replies have no commands; such a reply is encoded once per fencing token and then cached. */
     private fun encodeReply(reply: HeartbeatReply.Accepted): Buffer =
         if (reply.commands.isEmpty()) {
             encodedEmptyReplies.getOrPut(reply.fencingToken) { WorkerCodec.encodeCommands(reply.fencingToken, emptyList()) }
@@ -163,7 +163,7 @@
         if (isHealthy()) {
             request.respond(HttpStatus.OK, JsonObject().put("status", "ok"))
         } else {
-            request.respondError(HttpStatus.SERVICE_UNAVAILABLE, "not ready")
+            request.respondError(HttpStatus.SERVICE_UNAVAILABLE, "this controller is not ready")
         }
     }
 
@@ -175,10 +175,13 @@
         const val JOB_PATH_PREFIX = "$JOBS_PATH/"
         const val CANCEL_SUFFIX = "/cancel"
 
-        /** More than the partitions that one controller owns, each of which has a token of its own. */
+        /** The number of cached replies. Each owned partition has its own fencing token, and a controller owns fewer partitions than this. */
         const val MAX_CACHED_REPLIES = 64
 
-        /** Longer than users wait between polls; connections that a failure left open must not use up the sockets. */
+        /**
+         * The time after which an idle connection is closed: longer than users wait between polls. Connections that a failure has left open
+         * must not use up the sockets.
+         */
         const val IDLE_TIMEOUT_S = 60
     }
 }
--- a/src/main/kotlin/lichenstage/app/HttpServerRequestExtensions.kt
+++ b/src/main/kotlin/lichenstage/app/HttpServerRequestExtensions.kt
@@ -9,7 +9,7 @@
 /** The largest request body, in bytes. */
 private const val MAX_BODY_BYTES = 64 * 1024
 
-/** Runs [handle] if the request has the given method, and answers 405 otherwise. */
+/** Runs [handle] if the request has the required method. Otherwise responds with 405. */
 internal fun HttpServerRequest.requireMethod(
     requiredMethod: HttpMethod,
     handle: () -> Unit,
@@ -18,11 +18,11 @@
         handle()
     } else {
         response().putHeader("Allow", requiredMethod.name())
-        respondError(HttpStatus.METHOD_NOT_ALLOWED, "wrong method")
+        respondError(HttpStatus.METHOD_NOT_ALLOWED, "method: must be $requiredMethod, was ${method()}")
     }
 }
 
-/** Collects the body and passes it to [handle]; a body over [MAX_BODY_BYTES] is answered with 413 and its connection closed. */
+/** Reads the body and passes it to [handle]. If the body is larger than [MAX_BODY_BYTES], responds with 413 and closes the connection. */
 internal fun HttpServerRequest.readBody(handle: (Buffer) -> Unit) {
     val body = Buffer.buffer()
     var isRejected = false
@@ -31,7 +31,7 @@
     fun reject() {
         isRejected = true
         response().putHeader("Connection", "close")
-        respondError(HttpStatus.PAYLOAD_TOO_LARGE, "the body is over 64 KiB")
+        respondError(HttpStatus.PAYLOAD_TOO_LARGE, "body: must be at most $MAX_BODY_BYTES bytes")
     }
     if (contentLength > MAX_BODY_BYTES) return reject()
     exceptionHandler { isRejected = true }
@@ -42,19 +42,19 @@
     endHandler { if (!isRejected) handle(body) }
 }
 
-/** Answers with an error object whose message is [message]. */
+/** Responds with a JSON object that has [message] as its error. */
 internal fun HttpServerRequest.respondError(
     status: Int,
     message: String,
 ) = respond(status, JsonObject().put("error", message))
 
-/** Answers with a JSON object. */
+/** Responds with a JSON object. */
 internal fun HttpServerRequest.respond(
     status: Int,
     json: JsonObject,
 ) = respond(status, json.toBuffer())
 
-/** Answers with encoded JSON. Does nothing if the response was sent or its connection has been closed. */
+/** Responds with encoded JSON. Does nothing if the response has already been sent or the connection is closed. */
 internal fun HttpServerRequest.respond(
     status: Int,
     body: Buffer,
--- a/src/main/kotlin/lichenstage/app/Logging.kt
+++ b/src/main/kotlin/lichenstage/app/Logging.kt
@@ -1,8 +1,8 @@
 package lichenstage.app
 
 /**
- * Configures slf4j-simple for [level] (`error`, `warn`, `info` or `debug`; `info` if it is null or unknown). Must run before the first
- * logger is created: slf4j-simple reads these properties once.
+ * Sets the log level of slf4j-simple to [level]: `error`, `warn`, `info` or `debug`; `info` if [level] is null or unknown. Must run before
+ * the first logger is created, because slf4j-simple reads its properties only once.
  */
 internal fun configureLogging(level: String?) {
     val effectiveLevel = level?.lowercase()?.takeIf { it in LOG_LEVELS } ?: "info"
@@ -10,11 +10,11 @@
     System.setProperty("${LOGGER_LEVEL_PREFIX}io.netty", "error")
     System.setProperty("${LOGGER_LEVEL_PREFIX}io.vertx", "error")
     System.setProperty("${LOGGER_LEVEL_PREFIX}io.micrometer", "error")
-    // The callers log failed connections and requests; a network partition would add hundreds of lines of the library's own.
+    // The callers log failed connections and requests. During a network partition Vert.x would log hundreds of lines of its own about them.
     System.setProperty("${LOGGER_LEVEL_PREFIX}io.vertx.core.net.impl.ConnectionBase", "off")
     System.setProperty("${LOGGER_LEVEL_PREFIX}io.vertx.core.http.impl.HttpClientRequestImpl", "off")
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false")
-    // The platform adds the time to each line; a process that is started by hand may set the property.
+    // The platform adds the time to each line. A user who starts the process by hand may set this property.
     if (System.getProperty(SHOW_TIME_PROPERTY) == null) System.setProperty(SHOW_TIME_PROPERTY, "false")
 }
 
--- a/src/main/kotlin/lichenstage/app/Main.kt
+++ b/src/main/kotlin/lichenstage/app/Main.kt
@@ -10,25 +10,25 @@
 import java.io.IOException
 import kotlin.system.exitProcess
 
-/** Entry point: `drain ...` runs the drain command, anything else starts a controller or answers `--help` and the like. */
+/** The entry point. `drain ...` runs the drain command. All other arguments start a controller, or are options such as `--help`. */
 fun main(args: Array<String>) {
-    // First of all: reading the settings creates the first logger, and the level is read only then.
+    // Must come first: parsing the settings creates the first logger, which reads the log level.
     configureLogging(System.getenv("LOG_LEVEL"))
     exitUnlessServing(if (args.firstOrNull() == DRAIN_COMMAND) runDrainCommand(args.drop(1)) else runController(args))
 }
 
 private fun runDrainCommand(args: List<String>) = DrainCommand({ readFile(it, Settings::parse) }, ::println, System.err::println).run(args)
 
-/** The process keeps running on the threads of the service; every other value is an exit status. */
+/** Means that the process keeps running on the threads of the service. Every other value is an exit status. */
 private const val SERVING = -1
 
-/** Name of the command that manages drains. */
+/** The name of the command that manages drains. */
 private const val DRAIN_COMMAND = "drain"
 
-/** Option with which the build starts the service once to record its class-data archive. */
+/** The option with which the build starts the service once to record its class-data archive. */
 private const val WARM_UP_OPTION = "warm-up"
 
-/** Exit status for invalid arguments or settings. */
+/** The exit status for invalid arguments or settings. */
 private const val EXIT_USAGE_ERROR = 2
 
 private fun exitUnlessServing(status: Int) {
@@ -38,11 +38,11 @@
 private fun createCommandLineParser() =
     CommandLineParser(
         "lichenstage --config FILE",
-        "A cluster scheduler: one controller of a deployment. For drains: lichenstage drain --help",
-    ).value("config", "FILE", "The platform's settings file (JSON).")
-        .value("operator", "FILE", "The operators' own settings (HCL).")
-        .flag("check", "Check the settings and stop.")
-        .flag(WARM_UP_OPTION, "Start on loopback with made-up settings and stop; the build makes the class archive of it.")
+        "Runs one controller of a cluster scheduler. For drains see: lichenstage drain --help",
+    ).value("config", "FILE", "The settings file of the platform (JSON).")
+        .value("operator", "FILE", "The settings file of the operators (HCL).")
+        .flag("check", "Check the settings and exit.")
+        .flag(WARM_UP_OPTION, "Start on loopback with generated settings and exit. The build records the class-data archive from this.")
         .flag("help", "Show this help.", short = "h")
         .flag("version", "Show the version.", short = "V")
 
@@ -68,7 +68,7 @@
         return 0
     }
     if (arguments.has(WARM_UP_OPTION)) return warmUp()
-    val path = arguments.text("config") ?: throw InvalidArgumentsException("--config FILE is needed")
+    val path = arguments.text("config") ?: throw InvalidArgumentsException("--config: must be the path of a settings file, was missing")
     return startController(path, arguments.text("operator"), checkOnly = arguments.has("check"))
 }
 
@@ -101,7 +101,7 @@
     return SERVING
 }
 
-/** Reads and parses a file; every [InvalidSettingsException] names it. */
+/** Reads and parses a file. Throws [InvalidSettingsException], whose message starts with the file's path, if either fails. */
 private fun <T> readFile(
     path: String,
     parse: (String) -> T,
@@ -109,7 +109,7 @@
     try {
         parse(File(path).readText())
     } catch (e: IOException) {
-        throw InvalidSettingsException("$path: can't be read: ${e.message}", e)
+        throw InvalidSettingsException("$path: can't read the file: ${e.message}", e)
     } catch (e: InvalidSettingsException) {
         throw InvalidSettingsException("$path: ${e.message}", e)
     }
--- a/src/main/kotlin/lichenstage/app/OperatorSettings.kt
+++ b/src/main/kotlin/lichenstage/app/OperatorSettings.kt
@@ -11,17 +11,18 @@
 import lichenstage.fleet.FleetPolicy
 import lichenstage.placement.PlacementSettings
 
-/** The operators' own settings, from an HCL file beside the platform's settings. Without that file everything has its default. */
+/** The operators' settings, from an HCL file beside the platform's settings file. Without that file every setting has its default. */
 data class OperatorSettings(
     val placement: PlacementSettings = PlacementSettings(),
+    /** Returns the given policy with the changes from the file. */
     val adjustFleetPolicy: (FleetPolicy) -> FleetPolicy = { it },
-    /** Null if drains are not enabled. */
+    /** The policy for drains; null if the file does not enable drains. */
     val drains: DrainPolicy? = null,
 ) {
-    /** Checks these settings against the deployment; throws [InvalidSettingsException] for a team that it does not have. */
+    /** Throws [InvalidSettingsException] if a budget is for a team that [settings] does not have. */
     fun validateAgainst(settings: Settings) {
         val unknownTeam = drains?.budgetByTeam?.keys?.firstOrNull { it !in settings.teams } ?: return
-        throw InvalidSettingsException("drains.teams.$unknownTeam: unknown team")
+        throw InvalidSettingsException("drains.teams.$unknownTeam: must be a team in the platform's settings, was $unknownTeam")
     }
 
     companion object {
@@ -29,14 +30,14 @@
         private const val SECONDS_PER_DAY = 86_400L
         private const val PERCENT = 100.0
 
-        /** Parses HCL; throws [InvalidSettingsException] with the path of an unknown key or of a value out of range. */
+        /** Parses HCL. Throws [InvalidSettingsException] with the path of the first unknown key or invalid value. */
         fun parse(text: String): OperatorSettings {
             val root =
                 try {
                     @Suppress("UNCHECKED_CAST")
                     HCLParser().parse(text) as Map<String, Any?>
                 } catch (e: HCLParserException) {
-                    throw InvalidSettingsException("not HCL: ${e.message}", e)
+                    throw InvalidSettingsException("must be valid HCL: ${e.message}", e)
                 }
             val rootBlock = HclBlock(root, "")
             val placement = rootBlock.section("placement")
@@ -59,7 +60,7 @@
             return settings
         }
 
-        /** The changes that the block makes to a default policy. */
+        /** Returns a function that applies the settings of the block to a policy. */
         private fun parseFleet(block: HclBlock): (FleetPolicy) -> FleetPolicy {
             val backlogUs = block.wholeNumber("backlog_s", 1, SECONDS_PER_DAY)?.times(SECOND)
             val scaleInDelayUs = block.wholeNumber("settle_s", 0, SECONDS_PER_DAY)?.times(SECOND)
--- a/src/main/kotlin/lichenstage/app/ServiceRuntime.kt
+++ b/src/main/kotlin/lichenstage/app/ServiceRuntime.kt
@@ -9,7 +9,7 @@
 import lichenstage.common.exitOnFailure
 import lichenstage.config.Settings
 
-/** Starts a controller on a single event loop and returns; its threads keep the process alive. */
+/** Starts a controller on a single event loop and returns. The event loop's thread keeps the process alive. */
 fun serve(
     settings: Settings,
     operator: OperatorSettings = OperatorSettings(),
@@ -18,14 +18,14 @@
     val vertx = createBatchingVertx(vertxOptions())
     val context = vertx.getOrCreateContext()
     context.runOnContext {
-        val exitOnException = CoroutineExceptionHandler { _, e -> exitOnFailure("a coroutine failed", e) }
+        val exitOnException = CoroutineExceptionHandler { _, e -> exitOnFailure("Coroutine failed", e) }
         Controller(vertx, settings, operator, CoroutineScope(context.dispatcher() + SupervisorJob() + exitOnException)).start()
     }
 }
 
-/** Settings that Vert.x and Netty read from system properties while their classes are loaded. */
+/** Sets the system properties that Vert.x and Netty read while their classes are loaded. */
 private fun configureLibraries() {
-    // Addresses are numeric and no file is served, so neither resolver threads nor a file cache are needed.
+    // All addresses are numeric and no files are served, so neither a DNS resolver nor a file cache is needed.
     System.setProperty("vertx.disableDnsResolver", "true")
     System.setProperty("vertx.disableFileCaching", "true")
     System.setProperty("vertx.disableFileCPResolving", "true")
@@ -34,7 +34,7 @@
     System.setProperty("io.netty.processId", "1")
     System.setProperty("io.netty.allocator.type", "unpooled")
     System.setProperty("io.netty.noPreferDirect", "true")
-    // Netty's allocator events would start the JVM's flight recorder, which takes a sixth of the processor time of a start.
+    // Netty's allocator events would start JDK Flight Recorder, which takes a sixth of the processor time of a start.
     System.setProperty("io.netty.jfr.enabled", "false")
 }
 
@@ -46,5 +46,5 @@
         .setBlockedThreadCheckInterval(BLOCKED_THREAD_CHECK_MS)
         .setFileSystemOptions(FileSystemOptions().setFileCachingEnabled(false).setClassPathResolvingEnabled(false))
 
-/** Everything runs on the event loop and nothing blocks it: the check for blocked threads would only cost processor time. */
+/** One hour, so that the check for blocked threads takes no processor time. It is of no use here, as no code blocks the event loop. */
 private const val BLOCKED_THREAD_CHECK_MS = 3_600_000L
--- a/src/main/kotlin/lichenstage/app/WarmUp.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUp.kt
@@ -32,8 +32,9 @@
 import java.util.zip.ZipFile
 
 /**
- * A start on loopback for the class-data archive: the classes that a controller loads at its start, as a leader and as an owner of
- * partitions are written down while the build is made, so that every later start maps them instead of reading them.
+ * Starts a controller on loopback during the build, so that the JVM can record a class-data archive. The archive contains the classes that
+ * a controller loads at its start, as the leader and as the owner of partitions. Later starts map the archive instead of reading the
+ * classes. Returns the exit status.
  */
 internal fun warmUp(): Int {
     loadApplicationClasses()
@@ -43,7 +44,7 @@
     serve(Settings.parse(warmUpSettings(servePort, clusterPort = freePort(), servicesPort)))
     exerciseDecisions()
     for (request in listOf("GET /healthz", "GET /api/jobs/j-1", "POST /api/jobs")) sendRequest(servePort, request)
-    // The process takes keys only after a while; the worker is answered as soon as it owns the worker's partition.
+    // The controller acquires partitions only after a delay. Heartbeats are accepted as soon as it owns the worker's partition.
     for (sequence in 1..HEARTBEATS) {
         sendRequest(servePort, "POST /agent/beat", warmUpHeartbeat(servicesPort, sequence, tasks = ""))
         Thread.sleep(PAUSE_MS)
@@ -54,7 +55,7 @@
     return 0
 }
 
-/** The classes that only a leader, or an answer of another service, would bring in: they are in the archive as well. */
+/** Loads all classes of the application, so that the archive also contains those that only a leader or a reply of another service needs. */
 private fun loadApplicationClasses() {
     val jar =
         File(
@@ -78,7 +79,7 @@
 
 private fun freePort(): Int = ServerSocket(0).use { it.localPort }
 
-/** The report of a worker that answers at [port]. */
+/** Returns the heartbeat of a worker that takes direct orders at [port]. */
 internal fun warmUpHeartbeat(
     port: Int,
     sequence: Int,
@@ -90,7 +91,7 @@
         "bundle":"i","image_gb":1.0,"builds":null,"yard":null,"same_place":false,"spread":false,"loaners":true,"guess_s":10.0,
         "snapshot_every_s":0.0,"snapshot_s":0.0,"due_s":60.0}"""
 
-/** Settings of a controller whose every neighbour is a port of its own machine. */
+/** Returns settings of a controller whose peers and services are all on loopback. */
 internal fun warmUpSettings(
     servePort: Int,
     clusterPort: Int,
@@ -105,7 +106,7 @@
       "cloud":{"rps":4,"list_lag_s":4}}}
     """
 
-/** A leader whose frames are encoded, decoded and added to [sentFrames]. */
+/** Returns a leader whose frames are encoded, decoded again and added to [sentFrames]. */
 private fun warmUpLeader(
     resources: Resources,
     sentFrames: MutableList<PlacementFrame>,
@@ -124,7 +125,7 @@
     if (it is LeaderEffect.SendFrame) sentFrames += FrameCodec.decode(FrameCodec.encode(it.frame)) as PlacementFrame
 }
 
-/** Has the decisions of a leader and a partition run once, with their frames, so that their classes are in the archive too. */
+/** Runs the decisions of a leader and of a partition, with their frames, so that the archive contains their classes. */
 private fun exerciseDecisions() {
     val resources = Resources(1.0, 0.0, 1.0)
     val sentFrames = ArrayList<PlacementFrame>()
@@ -153,7 +154,10 @@
     }
 }
 
-/** Asks once the server is up. On a busy machine that can take long; the archive is no reason to fail a build. */
+/**
+ * Sends a request and reads its response. Retries while the server does not accept connections, which can take long on a busy machine.
+ * Gives up without an error, because a missing archive should not fail the build.
+ */
 private fun sendRequest(
     port: Int,
     request: String,
--- a/src/main/kotlin/lichenstage/app/WarmUpServices.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUpServices.kt
@@ -7,9 +7,9 @@
 import io.vertx.core.json.JsonObject
 
 /**
- * What the rehearsed start behind the class archive talks to: an empty state service that agrees to everything, a cloud without
- * machines and one worker, all on one port. Without them the start would end before it holds a lease, and what a leader and an owner of
- * a partition use would not be in the archive.
+ * Stand-ins for the services that a controller needs during the warm-up start ([warmUp]): a state service that is empty and accepts every
+ * transaction, a cloud without machines, and one worker, all on one port. Without them the controller would not acquire a lease, and the
+ * archive would lack the classes that a leader and an owner of a partition use.
  */
 internal class WarmUpServices(
     private val port: Int,
@@ -17,7 +17,7 @@
     private val vertx = Vertx.vertx()
     private var revision = 1L
 
-    /** Begins to answer. */
+    /** Starts the HTTP server. */
     fun start() {
         vertx
             .createHttpServer()
--- a/src/main/kotlin/lichenstage/config/Settings.kt
+++ b/src/main/kotlin/lichenstage/config/Settings.kt
@@ -6,14 +6,14 @@
 import lichenstage.common.parseAddress
 import lichenstage.model.PartitionAssignment
 
-/** Another controller. */
+/** Another controller of the deployment. [address] is where it accepts connections from controllers. */
 data class Peer(
     val label: String,
     val zone: String,
     val address: Address,
 )
 
-/** A team's guarantee and quota. A quota of 0 in the file means that there is none; it is infinity here. */
+/** A team with its guarantee ([cores], [gpus]) and its quota ([coresMax], [gpusMax]). A quota of 0 in the file means no quota: infinity. */
 data class Team(
     val name: String,
     val cores: Double,
@@ -22,10 +22,10 @@
     val gpusMax: Double,
 )
 
-/** What a service-level objective measures: the completion of a job or the start of its tasks. */
+/** The kinds of service-level objectives. The settings file names them in lower case. */
 enum class ObjectiveKind { DEADLINE, WAIT, FINISHED, GUARANTEE }
 
-/** A service-level objective for a class of jobs, or for all of them if [jobClass] is null. */
+/** A service-level objective for the jobs of [jobClass], or for all jobs if [jobClass] is null. */
 data class Objective(
     val kind: ObjectiveKind,
     val jobClass: String?,
@@ -44,33 +44,37 @@
     val zones: List<String>,
     val teams: Map<String, Team>,
     val workerLeaseUs: Long,
-    /** No task of a job may be left this long after its cancellation was confirmed. */
+    /** The time after the confirmation of a cancellation by which no task of the job may be left. */
     val cancellationDeadlineUs: Long,
     val heartbeatIntervalUs: Long,
+    /** The requests per second that the state service allows, for all controllers together. */
     val stateRps: Double,
+    /** The writes per second that the state service allows, for all controllers together. */
     val stateWriteRps: Double,
+    /** The number of operations that the state service allows in one transaction. */
     val maxTransactionOperations: Int,
     val maxValueBytes: Int,
     val cloudRps: Double,
     val machineListLagUs: Long,
+    /** The number of controllers in the deployment. */
     val controllerCount: Int,
     val objectives: List<Objective>,
     val maxSockets: Int,
-    /** The share of one core that the process may use. */
+    /** The share of one processor core that the process may use. */
     val coreShare: Double,
 ) {
-    /** How machines are assigned to partitions, and partitions to their home controllers. */
+    /** The assignment of machines to partitions, and of partitions to their home controllers. */
     val assignment by lazy { PartitionAssignment(zones, peers.associate { it.label to it.zone } + (label to zone)) }
 
     companion object {
-        /** Parses the platform's file. Unknown fields are ignored; an invalid one throws [InvalidSettingsException] with its path. */
+        /** Parses the settings file. Ignores unknown fields. Throws [InvalidSettingsException] for the first invalid field, with its path. */
         fun parse(text: String): Settings {
             val root =
-                SettingsReader(runCatching { JsonObject(text) }.getOrElse { throw InvalidSettingsException("not a JSON object") }, "")
+                SettingsReader(runCatching { JsonObject(text) }.getOrElse { throw InvalidSettingsException("must be a JSON object") }, "")
             val settings = root.requiredObject("settings")
             val workers = settings.requiredObject("workers")
             val state = settings.requiredObject("state")
-            // Announced limits of the state service take effect without notice, so the smaller of both applies from the start.
+            // The announced limits of the state service can take effect at any time, so the smaller of both limits applies from the start.
             val announcedLimits = state.optionalObject("next")
 
             fun limit(
@@ -107,7 +111,7 @@
             )
         }
 
-        /** Null for an unknown kind, which is ignored like an unknown field. */
+        /** Returns an objective; null if its kind is unknown. Unknown kinds are ignored like unknown fields. */
         private fun parseObjective(row: SettingsReader): Objective? {
             val kind = ObjectiveKind.entries.firstOrNull { it.name.lowercase() == row.string("kind") } ?: return null
             return Objective(kind, row.optionalString("class"), row.optionalDurationUs("within_s"))
@@ -126,13 +130,13 @@
     }
 }
 
-/** A settings file that is not valid; the message names the path of the field and its value. */
+/** Signals an invalid settings file. The message names the path of the field, what is expected and the value found. */
 class InvalidSettingsException(
     message: String,
     cause: Throwable? = null,
 ) : Exception(message, cause)
 
-/** One object of a settings file at [path]. Every accessor throws [InvalidSettingsException] with the path of an invalid field. */
+/** One object of a settings file, at [path]. Every accessor throws [InvalidSettingsException] if its field is missing or invalid. */
 class SettingsReader(
     private val json: JsonObject,
     private val path: String,
@@ -142,52 +146,52 @@
     private fun fail(
         field: String,
         expected: String,
-    ): Nothing = throw InvalidSettingsException("${pathOf(field)}: $expected, found ${json.getValue(field)}")
+    ): Nothing = throw InvalidSettingsException("${pathOf(field)}: $expected, was ${json.getValue(field)}")
 
-    /** The object in a required field. */
+    /** Returns the object in a required field. */
     fun requiredObject(field: String) =
-        SettingsReader(json.getValue(field) as? JsonObject ?: fail(field, "an object is needed"), pathOf(field))
+        SettingsReader(json.getValue(field) as? JsonObject ?: fail(field, "must be an object"), pathOf(field))
 
-    /** The object in an optional field. */
+    /** Returns the object in an optional field; null if the field is missing. */
     fun optionalObject(field: String) = if (json.getValue(field) == null) null else requiredObject(field)
 
-    /** A required string that is not empty. */
-    fun string(field: String) = (json.getValue(field) as? String)?.takeIf { it.isNotEmpty() } ?: fail(field, "a text is needed")
+    /** Returns the string in a required field, which must not be empty. */
+    fun string(field: String) = (json.getValue(field) as? String)?.takeIf { it.isNotEmpty() } ?: fail(field, "must be a non-empty string")
 
-    /** A number of at least [min], or [default] where the field is missing. */
+    /** Returns a number of at least [min]; [default] if the field is missing. A null [default] makes the field required. */
     fun number(
         field: String,
         min: Double,
         default: Double? = null,
     ): Double {
-        val value = json.getValue(field) ?: default ?: fail(field, "a number is needed")
+        val value = json.getValue(field) ?: default ?: fail(field, "must be a number")
         val number = (value as? Number)?.toDouble()
-        return number?.takeIf { it.isFinite() && it >= min } ?: fail(field, "a number of at least $min is needed")
+        return number?.takeIf { it.isFinite() && it >= min } ?: fail(field, "must be a number of at least $min")
     }
 
-    /** A required duration, given in seconds, in microseconds. */
+    /** Returns the duration in a required field, converted from seconds to microseconds. */
     fun durationUs(field: String) = (number(field, 0.001) * 1_000_000).toLong()
 
-    /** An optional string. */
+    /** Returns the string in an optional field; null if the field is missing. */
     fun optionalString(field: String) = if (json.getValue(field) == null) null else string(field)
 
-    /** An optional duration, given in seconds, in microseconds. */
+    /** Returns the duration in an optional field, converted from seconds to microseconds; null if the field is missing. */
     fun optionalDurationUs(field: String) = if (json.getValue(field) == null) null else durationUs(field)
 
-    /** A required address of the form HOST:PORT. */
-    fun address(field: String): Address = parseAddress(string(field)) ?: fail(field, "an address HOST:PORT is needed")
+    /** Returns the address in a required field of the form HOST:PORT. */
+    fun address(field: String): Address = parseAddress(string(field)) ?: fail(field, "must be an address HOST:PORT")
 
-    /** A required list of objects. */
+    /** Returns the list of objects in a required field. */
     fun objectList(field: String): List<SettingsReader> {
-        val array = json.getValue(field) as? JsonArray ?: fail(field, "a list is needed")
+        val array = json.getValue(field) as? JsonArray ?: fail(field, "must be a list of objects")
         return array.mapIndexed { i, row ->
-            SettingsReader(row as? JsonObject ?: fail(field, "a list of objects is needed"), "${pathOf(field)}[$i]")
+            SettingsReader(row as? JsonObject ?: fail(field, "must be a list of objects"), "${pathOf(field)}[$i]")
         }
     }
 
-    /** A required list of strings. */
+    /** Returns the list of strings in a required field. */
     fun stringList(field: String): List<String> {
-        val array = json.getValue(field) as? JsonArray ?: fail(field, "a list is needed")
-        return array.map { it as? String ?: fail(field, "a list of texts is needed") }
+        val array = json.getValue(field) as? JsonArray ?: fail(field, "must be a list of strings")
+        return array.map { it as? String ?: fail(field, "must be a list of strings") }
     }
 }
--- a/src/main/kotlin/lichenstage/model/JobSpec.kt
+++ b/src/main/kotlin/lichenstage/model/JobSpec.kt
@@ -1,30 +1,30 @@
 package lichenstage.model
 
-/** The priority of a job; later entries are placed first. */
+/** The priority of a job. Jobs with a later entry are placed before jobs with an earlier one. */
 enum class Priority { LOW, STANDARD, HIGH, PRODUCTION }
 
 /**
- * A job as its user described it. It never changes after it was accepted.
+ * A job as its user submitted it. It never changes after it has been accepted.
  *
- * @property id the job's id, chosen by its user
- * @property jobClass the class of similar jobs that run-time estimates and service-level objectives refer to
+ * @property id the id of the job, chosen by its user
+ * @property jobClass the name of a class of similar jobs; run-time estimates and service-level objectives refer to this class
  * @property team the team that owns the job
- * @property priority which jobs it is placed before
+ * @property priority the priority, which decides the order in which jobs are placed
  * @property taskCount the number of tasks
  * @property resources the resources of one task
- * @property allowedTypes the machine types that its tasks may run on; null where any will do
- * @property zone the zone that it is bound to; null where any will do
- * @property requiresSameZone all of its tasks must run in one zone
- * @property requiresSpread at most half of its tasks, rounded up, may run in one zone
- * @property allowsSpot its tasks may run on spot instances
- * @property image the image that a machine must fetch before it starts a task
+ * @property allowedTypes the names of the machine types that the tasks may run on; null if every type is allowed
+ * @property zone the zone in which all tasks must run; null if every zone is allowed
+ * @property requiresSameZone whether all tasks must run in the same zone, whichever it is
+ * @property requiresSpread whether at most half of the tasks, rounded up, may run in the same zone
+ * @property allowsSpot whether the tasks may run on spot machines
+ * @property image the name of the image that a machine must fetch before it starts a task
  * @property imageGb the size of the image in GB
- * @property estimatedRunTimeUs the user's estimate of how long a task runs, in microseconds
- * @property checkpointIntervalUs the progress after which a running task saves a checkpoint, in microseconds; 0 where it never saves
- * @property checkpointSaveUs how long a task takes to save a checkpoint when it is stopped, in microseconds
- * @property deadlineUs when it should be complete, in microseconds after its submission; null where there is no deadline
- * @property submittedUs time of day of the submission, in microseconds
- * @property dependencies the ids of the jobs that must be done before any task of this one starts
+ * @property estimatedRunTimeUs the user's estimate of the run time of a task, in microseconds
+ * @property checkpointIntervalUs the run time between two checkpoints of a task, in microseconds; 0 if the task saves none
+ * @property checkpointSaveUs the time that a task needs to save a checkpoint when it is stopped, in microseconds
+ * @property deadlineUs the time within which the job should be complete, in microseconds after its submission; null if it has no deadline
+ * @property submittedUs the time of the submission, in microseconds since the epoch
+ * @property dependencies the ids of the jobs that must be done before any task of this job starts
  */
 data class JobSpec(
     val id: String,
@@ -47,6 +47,6 @@
     val submittedUs: Long,
     val dependencies: List<String> = emptyList(),
 ) {
-    /** What a partition has to know of the job to place its tasks. */
+    /** The part of this specification that a partition needs to place tasks of the job. */
     val requirements get() = JobRequirements(resources, image, imageGb)
 }
--- a/src/main/kotlin/lichenstage/model/MachineFit.kt
+++ b/src/main/kotlin/lichenstage/model/MachineFit.kt
@@ -1,14 +1,14 @@
 package lichenstage.model
 
-/** Which machine types can run a job's tasks, and how many of them at once. */
+/** Functions that find the machine types on which the tasks of a job fit. */
 object MachineFit {
-    /** How many tasks of [resources] an empty machine of the type runs at once. */
+    /** Returns the number of tasks with the given [resources] that fit on an empty machine of the type at the same time. */
     fun tasksPerMachine(
         machineType: MachineType,
         resources: Resources,
     ): Int = machineType.capacity.countFitting(resources)
 
-    /** The types that the job allows, that exist in its zone and that hold at least one of its tasks. */
+    /** Returns the types that the job allows, that exist in its zone and that have room for at least one of its tasks. */
     fun compatibleTypes(
         spec: JobSpec,
         machineTypes: Map<String, MachineType>,
@@ -19,13 +19,13 @@
                 tasksPerMachine(it, spec.resources) > 0
         }
 
-    /** The compatible type with the lowest on-demand price per task; null where no type is compatible. */
+    /** Returns the compatible type with the lowest on-demand price per task; null if no type is compatible. */
     fun cheapestType(
         spec: JobSpec,
         machineTypes: Map<String, MachineType>,
     ): MachineType? = compatibleTypes(spec, machineTypes).minByOrNull { it.onDemandPrice / tasksPerMachine(it, spec.resources) }
 
-    /** The longest time, in microseconds, that a machine of a compatible type takes to fetch the job's image; 0 where none is known. */
+    /** Returns the longest time that a machine of a compatible type needs to fetch the job's image, in microseconds; 0 if there is no such type. */
     fun maxFetchUs(
         spec: JobSpec,
         machineTypes: Map<String, MachineType>,
--- a/src/main/kotlin/lichenstage/model/MachineLimits.kt
+++ b/src/main/kotlin/lichenstage/model/MachineLimits.kt
@@ -1,6 +1,6 @@
 package lichenstage.model
 
-/** What a machine of a type offers. */
+/** The resources and the image cache of a machine of one type. A cache of infinite size means that its size is unknown. */
 data class MachineLimits(
     val typeName: String,
     val capacity: Resources,
--- a/src/main/kotlin/lichenstage/model/MachineType.kt
+++ b/src/main/kotlin/lichenstage/model/MachineType.kt
@@ -2,7 +2,7 @@
 
 import lichenstage.common.SECOND
 
-/** A machine type with its prices. */
+/** A machine type that the cloud offers. Prices are per machine; [zones] are the zones in which the type exists. */
 data class MachineType(
     val name: String,
     val capacity: Resources,
@@ -13,6 +13,6 @@
     val fetchGbPerS: Double,
     val zones: List<String>,
 ) {
-    /** How long a machine fetches an image while it fetches no other. */
+    /** Returns the time that a machine needs to fetch an image of [gb] GB, in microseconds, if it fetches no other image meanwhile. */
     fun imageFetchUs(gb: Double) = (gb / fetchGbPerS * SECOND).toLong()
 }
--- a/src/main/kotlin/lichenstage/model/PartitionAssignment.kt
+++ b/src/main/kotlin/lichenstage/model/PartitionAssignment.kt
@@ -1,10 +1,12 @@
 package lichenstage.model
 
 /**
- * How the machines are partitioned: a zone has one partition for each controller in it, and one where it has none.
+ * The assignment of machines to partitions, and of partitions to their home controllers. A zone has one partition for each controller in
+ * it, or one partition if it has no controller.
  *
- * The part of a machine follows from its zone and its name alone, so that every controller sees the same without a table.
- * [controllers] are the labels of all controllers with their zones, as every controller's settings name them.
+ * The partition of a machine depends only on the zone and the name of the machine, so all controllers agree on it without a shared table.
+ *
+ * @param controllers the zone of each controller by its label, as in the settings of every controller
  */
 class PartitionAssignment(
     zones: Collection<String>,
@@ -27,15 +29,16 @@
         }
     }
 
+    /** The ids of all partitions, in the order of their zones. */
     val partitions: List<String> = homeByPartition.keys.toList()
 
-    /** The controller that normally owns the partition; null where its zone has none. */
+    /** Returns the label of the controller that normally owns the partition; null if its zone has no controller. */
     fun homeController(partition: String): String? = homeByPartition[partition]
 
-    /** The zone of a partition; null for one that the deployment does not have. */
+    /** Returns the zone of a partition; null if the deployment has no such partition. */
     fun zoneOf(partition: String): String? = zoneByPartition[partition]
 
-    /** Null for a zone that the deployment does not have. */
+    /** Returns the id of the partition of a machine; null if the deployment has no such zone. */
     fun partitionOf(
         machine: String,
         zone: String,
@@ -44,7 +47,7 @@
         return if (partitions.size == 1) partitions[0] else partitions[Math.floorMod(mixedHash(machine), partitions.size)]
     }
 
-    /** Mixes the hash of a name: names that differ only in their last digit must not fall into one partition. */
+    /** Returns a well-mixed hash of a name, so that names that differ only in their last digits are spread over the partitions of a zone. */
     private fun mixedHash(name: String): Int {
         var hash = name.hashCode()
         hash = (hash xor (hash ushr FIRST_SHIFT)) * FIRST_FACTOR
@@ -52,7 +55,7 @@
         return hash xor (hash ushr FIRST_SHIFT)
     }
 
-    /** The finalizer of MurmurHash3. All versions must agree on it: it decides to which partition a machine belongs. */
+    /** Constants of the MurmurHash3 finalizer. They must never change, because all versions must assign a machine to the same partition. */
     private companion object {
         const val FIRST_SHIFT = 16
         const val SECOND_SHIFT = 13
--- a/src/main/kotlin/lichenstage/model/RegisteredMachine.kt
+++ b/src/main/kotlin/lichenstage/model/RegisteredMachine.kt
@@ -5,13 +5,13 @@
 import lichenstage.common.JsonDecodingException
 
 /**
- * A machine as the state service records it.
+ * A machine that is recorded in the state service.
  *
- * @property name the machine's name; names are given in the order in which machines are provisioned
+ * @property name the name of the machine; names increase in the order in which machines are provisioned
  * @property typeName the name of its [MachineType]
- * @property zone the zone in which it runs
- * @property isSpot it is a spot instance
- * @property address where its worker takes orders, as `host:port`
+ * @property zone the zone of the machine
+ * @property isSpot whether the machine is a spot machine
+ * @property address the address at which its worker takes direct orders, as `host:port`
  */
 data class RegisteredMachine(
     val name: String,
@@ -21,13 +21,13 @@
     val address: String,
 )
 
-/** The records of machines in the state service: keys `m/PAGE`, each with several machines. */
+/** The codec for the machine records in the state service. Each key `m/CHUNK` holds one registry chunk, a list of several machines. */
 object MachineRecordCodec {
-    /** Prefix of the keys. */
+    /** The prefix of the keys. */
     const val PREFIX = "m/"
     private const val MACHINES = "machines"
 
-    /** The value of a page. */
+    /** Returns the record of a registry chunk. */
     fun encode(machines: List<RegisteredMachine>): JsonObject =
         JsonObject().put(
             MACHINES,
@@ -43,7 +43,7 @@
             ),
         )
 
-    /** The machines on a page. Throws [JsonDecodingException] at the first one that can't be read. */
+    /** Returns the machines of a registry chunk. Throws [JsonDecodingException] for the first machine that is malformed. */
     fun decode(value: JsonObject): List<RegisteredMachine> {
         val rows = value.getValue(MACHINES) as? JsonArray ?: throw JsonDecodingException(MACHINES, "a list")
         return rows.mapIndexed { index, row -> decodeMachine(row as? JsonArray, "$MACHINES[$index]") }
@@ -58,7 +58,7 @@
         return RegisteredMachine(row.getString(0), row.getString(1), row.getString(2), isSpot, row.getString(ADDRESS_INDEX))
     }
 
-    private const val EXPECTED_ROW = "a list of name, type, zone, whether it is a spot instance, and address"
+    private const val EXPECTED_ROW = "a list of name, type, zone, whether it is a spot machine, and address"
     private const val FIELD_COUNT = 5
     private const val SPOT_INDEX = 3
     private const val ADDRESS_INDEX = 4
--- a/src/main/kotlin/lichenstage/model/Resources.kt
+++ b/src/main/kotlin/lichenstage/model/Resources.kt
@@ -6,7 +6,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** An amount of machine resources: the request of one task, the capacity of a machine, or what is left of it. */
+/** An amount of machine resources, such as the resources that a task requests, or the capacity or the free capacity of a machine. */
 @Serializable
 @CborArray
 data class Resources(
@@ -14,14 +14,14 @@
     val gpus: Double,
     val memGb: Double,
 ) {
-    /** How many times [request] fits into this amount; [Int.MAX_VALUE] if it requests nothing that is limited. */
+    /** Returns how many times [request] fits into this amount; [Int.MAX_VALUE] if it requests no limited resource. */
     fun countFitting(request: Resources): Int =
         minOf(countFittingIn(cores, request.cores), countFittingIn(gpus, request.gpus), countFittingIn(memGb, request.memGb))
 
-    /** This amount without [other]; negative components are kept. */
+    /** Returns this amount reduced by [other]. Components can become negative. */
     operator fun minus(other: Resources) = Resources(cores - other.cores, gpus - other.gpus, memGb - other.memGb)
 
-    /** This amount [count] times. */
+    /** Returns this amount multiplied by [count]. */
     operator fun times(count: Int) = Resources(cores * count, gpus * count, memGb * count)
 
     private fun countFittingIn(
@@ -30,12 +30,12 @@
     ): Int = if (requested <= 0.0 || free == Double.POSITIVE_INFINITY) Int.MAX_VALUE else ((free + ROUNDING_TOLERANCE) / requested).toInt()
 
     private companion object {
-        /** Sums of many small amounts are off by a rounding error; it must not cost a task its place. */
+        /** Covers the rounding error of sums of many small amounts. Without it, a task that fits exactly could be rejected. */
         const val ROUNDING_TOLERANCE = 1e-6
     }
 }
 
-/** What a partition needs to know about a job in order to place its tasks: the resources of one task, and its image. */
+/** The requirements of a job that a partition needs to place its tasks: the resources of one task and the image. */
 @Serializable
 @CborArray
 data class JobRequirements(
