--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -124,7 +124,11 @@
     /** Joins the cluster, and starts the HTTP server as soon as requests can be answered. */
     fun start() {
         if (settings.controllerCount != controllerCount) {
-            log.error("Configured controller count does not match the seeds configuredCount={} controllerCount={}", settings.controllerCount, controllerCount)
+            log.error(
+                "Configured controller count does not match the seeds configuredCount={} controllerCount={}",
+                settings.controllerCount,
+                controllerCount,
+            )
         }
         registerGauges()
         links.start()
@@ -230,7 +234,9 @@
         /** Sockets that listen, and sockets that are being closed. */
         const val SPARE_SOCKETS = 24
 
-        /** The share of the state service's write rate that is divided equally between all controllers. The leader gets the rest as well. */
+        /**
+         * The share of the state service's write rate that is divided equally between all controllers. The leader gets the rest as well.
+         */
         const val EQUALLY_DIVIDED_SHARE = 0.5
     }
 }
--- a/src/main/kotlin/lichenstage/app/HttpApi.kt
+++ b/src/main/kotlin/lichenstage/app/HttpApi.kt
@@ -175,7 +175,9 @@
         const val JOB_PATH_PREFIX = "$JOBS_PATH/"
         const val CANCEL_SUFFIX = "/cancel"
 
-        /** The number of cached replies. Each owned partition has its own fencing token, and a controller owns fewer partitions than this. */
+        /**
+         * The number of cached replies. Each owned partition has its own fencing token, and a controller owns fewer partitions than this.
+         */
         const val MAX_CACHED_REPLIES = 64
 
         /**
--- a/src/main/kotlin/lichenstage/common/Address.kt
+++ b/src/main/kotlin/lichenstage/common/Address.kt
@@ -1,6 +1,6 @@
 package lichenstage.common
 
-/** A numeric IP address and a port: the machines have no name resolution. */
+/** A numeric IP address and a port. Host names are not used, because the machines have no name resolution. */
 data class Address(
     val host: String,
     val port: Int,
@@ -10,7 +10,7 @@
 
 private const val MAX_PORT = 65_535
 
-/** Parses HOST:PORT; null if [text] has another form. */
+/** Parses HOST:PORT. Returns null if [text] does not have this form. */
 fun parseAddress(text: String): Address? {
     val host = text.substringBeforeLast(':', "")
     val port = text.substringAfterLast(':').toIntOrNull()
--- a/src/main/kotlin/lichenstage/common/Clock.kt
+++ b/src/main/kotlin/lichenstage/common/Clock.kt
@@ -2,30 +2,30 @@
 
 import java.util.concurrent.TimeUnit
 
-/** A monotonic clock in whole microseconds. Its origin is arbitrary: only differences are meaningful, and only within one process. */
+/** A monotonic clock in whole microseconds. Its origin is arbitrary, so only differences between times of one process are meaningful. */
 fun interface Clock {
-    /** The current time in microseconds. */
+    /** Returns the current time in microseconds. */
     fun now(): Long
 
     companion object {
-        /** The clock of the JVM. */
+        /** The monotonic clock of the JVM. */
         val steady = Clock { System.nanoTime() / 1000 }
     }
 }
 
-/** Microseconds in a millisecond. */
+/** One millisecond in microseconds. */
 const val MILLI = 1_000L
 
-/** Microseconds in a second. */
+/** One second in microseconds. */
 const val SECOND = 1_000_000L
 
 private const val DRIFT_DIVISOR = 500
 
 /**
- * An upper bound for how long [micros] of one machine last on the clock of another. Steady clocks drift by up to 0.05% each; 0.2%
- * allows for two of them and a margin.
+ * Returns an upper bound for a duration of [micros] on one machine's clock, as measured by the clock of another machine. The monotonic
+ * clock of a machine drifts by up to 0.05%. The bound adds 0.2%, which covers two clocks and a margin.
  */
 fun withDrift(micros: Long) = micros + micros / DRIFT_DIVISOR
 
-/** The wall-clock time in microseconds since the epoch. For records: monotonic times mean nothing in another process. */
+/** Returns the wall-clock time in microseconds since the epoch. For stored records, since monotonic times are valid in one process only. */
 fun timeOfDayUs(): Long = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis())
--- a/src/main/kotlin/lichenstage/common/CommandLineParser.kt
+++ b/src/main/kotlin/lichenstage/common/CommandLineParser.kt
@@ -8,13 +8,13 @@
 import org.apache.commons.cli.help.HelpFormatter
 import org.apache.commons.cli.help.TextHelpAppendable
 
-/** Arguments that are not valid; the message says why. */
+/** Signals invalid arguments. The message names the argument and what is expected. */
 class InvalidArgumentsException(
-    why: String?,
+    message: String?,
     cause: Exception? = null,
-) : Exception(why, cause)
+) : Exception(message, cause)
 
-/** Defines the options of one command, parses arguments and renders the help text. */
+/** The command-line parser of one command. It holds the defined options, parses arguments and renders the help text. */
 class CommandLineParser(
     private val syntax: String,
     private val description: String,
@@ -22,21 +22,24 @@
 ) {
     private val options = Options()
 
-    /** Adds an option without a value. */
+    /** Adds an option that takes no value. */
     fun flag(
         name: String,
         description: String,
         short: String? = null,
     ) = apply { options.addOption(Option(short, name, false, description)) }
 
-    /** Adds an option with a value that the help calls [valueName]. */
+    /** Adds an option that takes a value. The help text shows the value as [valueName]. */
     fun value(
         name: String,
         valueName: String,
         description: String,
     ) = apply { options.addOption(Option(null, name, true, description).apply { argName = valueName }) }
 
-    /** Parses [args]; throws [InvalidArgumentsException] if one is unknown, repeated, superfluous or lacks its value. */
+    /**
+     * Parses [args]. Throws [InvalidArgumentsException] for an option that is unknown, repeated or lacks its value, or for an extra
+     * operand.
+     */
     fun parse(args: List<String>): ParsedArguments {
         val line =
             try {
@@ -54,15 +57,15 @@
             .filterValues { it > 1 }
             .keys
             .firstOrNull()
-            ?.let { throw InvalidArgumentsException("--$it should be given only once") }
+            ?.let { throw InvalidArgumentsException("--$it: must be given at most once, was repeated") }
         line.argList
             .drop(maxOperands)
             .firstOrNull()
-            ?.let { throw InvalidArgumentsException("unexpected argument: $it") }
+            ?.let { throw InvalidArgumentsException("arguments: must have at most $maxOperands operands, found extra operand $it") }
         return ParsedArguments(line)
     }
 
-    /** The usage line, the description and all options. */
+    /** Returns the help text: the usage line, the description and all options. */
     fun help(): String {
         val text = StringBuilder()
         HelpFormatter
@@ -75,22 +78,22 @@
     }
 }
 
-/** Parsed arguments of a command. */
+/** The parsed arguments of a command. */
 class ParsedArguments(
     private val line: CommandLine,
 ) {
-    /** The arguments that are not options, in order. */
+    /** The operands: the arguments that are not options, in order. */
     val operands: List<String> get() = line.argList
 
-    /** Whether the option was given. */
+    /** Returns whether the option was given. */
     fun has(name: String): Boolean = line.hasOption(name)
 
-    /** The option's value; null if it was not given. */
+    /** Returns the value of the option; null if the option was not given. */
     fun text(name: String): String? = line.getOptionValue(name)
 
-    /** The option's value as a whole number; null if it was not given. Throws [InvalidArgumentsException] if it is no number. */
+    /** Returns the value of the option; null if the option was not given. Throws [InvalidArgumentsException] if it is no whole number. */
     fun wholeNumber(name: String): Long? {
         val text = text(name) ?: return null
-        return text.toLongOrNull() ?: throw InvalidArgumentsException("--$name: a whole number is needed, found $text")
+        return text.toLongOrNull() ?: throw InvalidArgumentsException("--$name: must be a whole number, was $text")
     }
 }
--- a/src/main/kotlin/lichenstage/common/ConnectionBudget.kt
+++ b/src/main/kotlin/lichenstage/common/ConnectionBudget.kt
@@ -3,13 +3,14 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Divides the sockets that the machine allows, [maxSockets], between the uses of the process.
+ * The budget that divides [maxSockets], the sockets that the machine allows, between the uses of the process.
  *
- * Guards against failing because all clients arrive at once: a controller that is left alone serves a connection of every worker and could
- * open another to each for orders, which is more than the machine has; users, peers and the state service would no longer get through.
- * [reserved] sockets (state service, cloud, peers) are always kept free; the more connections are served, the fewer may be opened for
- * orders; and near the limit, heartbeats are answered on connections that are closed with the response. (Seen in the load check: 3,186
- * sockets with 1,600 workers on one controller.)
+ * If only one controller is left, every worker connects to it, and it could open another connection to each worker for direct orders. These
+ * are more sockets than the machine allows, and users, peers and the state service could no longer connect. (In the load check, one
+ * controller with 1,600 workers used 3,186 sockets.)
+ *
+ * Therefore [reservedSockets] are always kept free for the state service, the cloud and the peers. The more connections are served, the
+ * fewer may be opened for direct orders. Near the limit, connections of workers are closed with the reply to a heartbeat.
  */
 class ConnectionBudget(
     private val maxSockets: Int,
@@ -18,36 +19,36 @@
     private val log = LoggerFactory.getLogger("lichenstage.app")
     private var exhaustionLogged = false
 
-    /** Open connections of users, workers and health checks. */
+    /** The number of open connections of users, workers and health checks. */
     var servedConnections = 0
         private set
 
     private val sharedSockets get() = maxSockets - reservedSockets
 
-    /** The part of [sharedSockets] that is kept free for users: a user who can't connect can't be asked to retry later either. */
+    /** The part of [sharedSockets] that is kept free for users. A user who can't connect can't even be told to retry later. */
     private val userSockets = (sharedSockets / USER_SHARE_DIVISOR).coerceAtLeast(1)
 
-    /** A connection was accepted. */
+    /** Counts an accepted connection. */
     fun onConnectionOpened() {
         servedConnections++
     }
 
-    /** An accepted connection has ended. */
+    /** Removes a closed connection from the count. */
     fun onConnectionClosed() {
         servedConnections--
     }
 
-    /** How many connections to workers may be open for orders now. */
+    /** Returns how many connections to workers may be open for direct orders now. */
     fun maxOrderConnections(): Int =
         (sharedSockets - userSockets - servedConnections).coerceIn(minOrderConnections(), MAX_ORDER_CONNECTIONS)
 
-    /** Whether connections of workers have to be closed with the response. Logs the first time that this is the case. */
+    /** Returns whether connections of workers must be closed with the reply to a heartbeat. Logs an error the first time this is true. */
     fun isExhausted(): Boolean {
         val exhausted = servedConnections > sharedSockets - userSockets - minOrderConnections()
         if (exhausted && !exhaustionLogged) {
             exhaustionLogged = true
             log.error(
-                "Connections exhausted, heartbeats are answered with Connection: close served={} max_sockets={}",
+                "Connection limit reached, closing worker connections after heartbeats servedConnections={} maxSockets={}",
                 servedConnections,
                 maxSockets,
             )
@@ -58,13 +59,13 @@
     private fun minOrderConnections() = (sharedSockets / ORDER_SHARE_DIVISOR).coerceIn(1, MAX_ORDER_CONNECTIONS)
 
     private companion object {
-        /** Users get one part in so many of the shared sockets. */
+        /** One shared socket in this many is kept free for users. */
         const val USER_SHARE_DIVISOR = 8
 
-        /** Orders get at least one part in so many of the shared sockets. */
+        /** At least one shared socket in this many is available for direct orders. */
         const val ORDER_SHARE_DIVISOR = 16
 
-        /** Keeping a connection open for each of thousands of machines would take more memory than reopening some is worth. */
+        /** The limit for thousands of machines: open connections to all would take more memory than reopening some of them is worth. */
         const val MAX_ORDER_CONNECTIONS = 700
     }
 }
--- a/src/main/kotlin/lichenstage/common/EventLoopLag.kt
+++ b/src/main/kotlin/lichenstage/common/EventLoopLag.kt
@@ -1,15 +1,17 @@
 package lichenstage.common
 
 /**
- * How late the event loop has recently run its timers, and so how late this process answers: the maximum of recent delays, which decays
- * exponentially.
+ * The recent lag of the event loop: the maximum delay of its timers, which decays exponentially. Replies of this process are late by about
+ * the same time.
  */
 class EventLoopLag {
-    /** The current lag in microseconds; 0 if timers run on time. */
+    /** The current lag in microseconds; 0 if all timers run on time. */
     var currentUs = 0L
         private set
 
-    /** Records that a timer that was due at [dueUs] ran at [now]. To be called several times a second. */
+    /**
+     * Records that a timer with the due time [dueUs] ran at [now]. Must be called several times a second, because each call decays the lag.
+     */
     fun onTimerFired(
         dueUs: Long,
         now: Long,
@@ -18,7 +20,7 @@
     }
 
     private companion object {
-        /** Each call reduces the previous maximum by one part in so many. */
+        /** Each call reduces the previous maximum by one tenth. */
         const val DECAY_DIVISOR = 10
     }
 }
--- a/src/main/kotlin/lichenstage/common/HttpStatus.kt
+++ b/src/main/kotlin/lichenstage/common/HttpStatus.kt
@@ -1,6 +1,6 @@
 package lichenstage.common
 
-/** The HTTP status codes that this program sends or reacts to. */
+/** The HTTP status codes that this program sends or handles. */
 object HttpStatus {
     const val OK = 200
     const val CREATED = 201
--- a/src/main/kotlin/lichenstage/common/JsonFields.kt
+++ b/src/main/kotlin/lichenstage/common/JsonFields.kt
@@ -5,27 +5,27 @@
 private const val OBJECTS = "a list of objects"
 private const val STRINGS = "a list of strings"
 
-/** A JSON document does not have the form that its reader expects: [field] is missing or is not [expected]. */
+/** Signals an invalid JSON document: [field] is missing or is not [expected]. */
 class JsonDecodingException(
     val field: String,
     val expected: String,
     cause: Throwable? = null,
 ) : Exception("field '$field' must be $expected", cause)
 
-/** The whole number in a field. Throws [JsonDecodingException] where there is none. */
+/** Returns the whole number in a field. Throws [JsonDecodingException] if the field is missing or invalid. */
 fun JsonObject.requiredLong(field: String): Long = required(field, "a number") { getLong(field) }
 
-/** The text in a field. Throws [JsonDecodingException] where there is none. */
+/** Returns the string in a field. Throws [JsonDecodingException] if the field is missing or invalid. */
 fun JsonObject.requiredString(field: String): String = required(field, "a string") { getString(field) }
 
-/** The object in a field. Throws [JsonDecodingException] where there is none. */
+/** Returns the object in a field. Throws [JsonDecodingException] if the field is missing or invalid. */
 fun JsonObject.requiredObject(field: String): JsonObject = required(field, "an object") { getJsonObject(field) }
 
-/** The objects of the list in a field. Throws [JsonDecodingException] where it is not a list of objects. */
+/** Returns the list of objects in a field. Throws [JsonDecodingException] if the field is missing or invalid. */
 fun JsonObject.requiredObjects(field: String): List<JsonObject> =
     required(field, OBJECTS) { getJsonArray(field)?.map { it as? JsonObject ?: throw JsonDecodingException(field, OBJECTS) } }
 
-/** The texts of the list in a field. Throws [JsonDecodingException] where it is not a list of texts. */
+/** Returns the list of strings in a field. Throws [JsonDecodingException] if the field is missing or invalid. */
 fun JsonObject.requiredStrings(field: String): List<String> =
     required(field, STRINGS) { getJsonArray(field)?.map { it as? String ?: throw JsonDecodingException(field, STRINGS) } }
 
@@ -43,32 +43,32 @@
     return value ?: throw JsonDecodingException(field, expected)
 }
 
-/** The number in a field. Throws [JsonDecodingException] where there is none. */
+/** Returns the number in a field. Throws [JsonDecodingException] if the field is missing or invalid. */
 fun JsonObject.requiredDouble(field: String): Double = required(field, "a number") { getDouble(field) }
 
-/** The number in a field that may be missing. Throws [JsonDecodingException] where it is something else. */
+/** Returns the number in a field; null if the field is missing. Throws [JsonDecodingException] if it is invalid. */
 fun JsonObject.optionalDouble(field: String): Double? = if (getValue(field) == null) null else requiredDouble(field)
 
-/** The truth value in a field that may be missing. Throws [JsonDecodingException] where it is something else. */
+/** Returns the boolean in a field; null if the field is missing. Throws [JsonDecodingException] if it is invalid. */
 fun JsonObject.optionalBoolean(field: String): Boolean? =
     if (getValue(field) == null) null else required(field, "true or false") { getBoolean(field) }
 
-/** The whole number of 32 bits in a field. Throws [JsonDecodingException] where there is none. */
+/** Returns the 32-bit whole number in a field. Throws [JsonDecodingException] if the field is missing or invalid. */
 fun JsonObject.requiredInt(field: String): Int = required(field, "a number") { getInteger(field) }
 
-/** The truth value in a field. Throws [JsonDecodingException] where there is none. */
+/** Returns the boolean in a field. Throws [JsonDecodingException] if the field is missing or invalid. */
 fun JsonObject.requiredBoolean(field: String): Boolean = required(field, "true or false") { getBoolean(field) }
 
-/** The text in a field that may be missing. Throws [JsonDecodingException] where it is something else. */
+/** Returns the string in a field; null if the field is missing. Throws [JsonDecodingException] if it is invalid. */
 fun JsonObject.optionalString(field: String): String? = if (getValue(field) == null) null else requiredString(field)
 
-/** The whole number in a field that may be missing. Throws [JsonDecodingException] where it is something else. */
+/** Returns the whole number in a field; null if the field is missing. Throws [JsonDecodingException] if it is invalid. */
 fun JsonObject.optionalLong(field: String): Long? = if (getValue(field) == null) null else requiredLong(field)
 
-/** The texts of a list that may be missing. Throws [JsonDecodingException] where it is something else. */
+/** Returns the list of strings in a field; null if the field is missing. Throws [JsonDecodingException] if it is invalid. */
 fun JsonObject.optionalStrings(field: String): List<String>? = if (getValue(field) == null) null else requiredStrings(field)
 
-/** The result of [decode]; null, after [onInvalid], where the document does not have the form that [decode] expects. */
+/** Returns the result of [decode]. If [decode] throws [JsonDecodingException], passes the exception to [onInvalid] and returns null. */
 inline fun <T : Any> decodeOrNull(
     onInvalid: (JsonDecodingException) -> Unit,
     decode: () -> T,
--- a/src/main/kotlin/lichenstage/common/JsonHttpClient.kt
+++ b/src/main/kotlin/lichenstage/common/JsonHttpClient.kt
@@ -12,18 +12,18 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import org.slf4j.LoggerFactory
 
-/** A response with a JSON body; an empty body counts as an empty object. */
+/** A response with a JSON body. An empty body is read as an empty object. */
 data class JsonResponse(
     val status: Int,
     val body: JsonObject,
 )
 
 /**
- * Sends one request and reads its response with [handle]; null after [timeoutMs].
+ * Opens a request that [handle] sends, and returns the result of [handle]; null if this takes longer than [timeoutMs].
  *
- * Guards against a pool that never recovers from a network partition: a request that was given up while it waited for a connection is
- * handed one later, and would keep it forever. (Seen on Baile's grown "troubles" day: after a partition of 40 s a controller renewed its
- * lease and did nothing else until it was restarted.)
+ * A request that times out while it waits for a connection still gets a connection from the pool later. It is reset then, because it would
+ * otherwise keep that connection forever, and the pool would never recover from a network partition. (On Baile's grown "troubles" day, a
+ * controller renewed its lease after a partition of 40 s, but did nothing else until it was restarted.)
  */
 suspend fun <T : Any> HttpClient.exchange(
     method: HttpMethod,
@@ -44,7 +44,7 @@
         }
     }
 
-/** An HTTP client with a bounded connection pool for one service that speaks JSON. */
+/** An HTTP client for one service that exchanges JSON. Its connection pool and the queue for connections are bounded. */
 class JsonHttpClient(
     vertx: Vertx,
     private val address: Address,
@@ -57,14 +57,17 @@
             PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(queue),
         )
 
-    /** Sends a request; null if no response arrived within [timeoutMs] or it was not JSON, so that its outcome is indeterminate. */
+    /**
+     * Sends a request and returns its response. Returns null, which means that the outcome of the request is indeterminate, if no response
+     * arrives within [timeoutMs] or the response is not JSON.
+     */
     suspend fun call(
         method: HttpMethod,
         path: String,
         body: JsonObject?,
         timeoutMs: Long,
     ): JsonResponse? =
-        @Suppress("TooGenericExceptionCaught") // Whatever failed on the way, the outcome is indeterminate.
+        @Suppress("TooGenericExceptionCaught") // The outcome is indeterminate after any failure.
         try {
             client.exchange(method, address, path, timeoutMs) { request ->
                 val response = (if (body == null) request.send() else request.send(body.toBuffer())).coAwait()
--- a/src/main/kotlin/lichenstage/common/LruMap.kt
+++ b/src/main/kotlin/lichenstage/common/LruMap.kt
@@ -1,6 +1,6 @@
 package lichenstage.common
 
-/** A map of at most [maxSize] entries that evicts the least recently used one. */
+/** A map of at most [maxSize] entries. When it is full, a new entry evicts the least recently used one. */
 class LruMap<K, V>(
     private val maxSize: Int,
 ) : LinkedHashMap<K, V>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
--- a/src/main/kotlin/lichenstage/common/Mailbox.kt
+++ b/src/main/kotlin/lichenstage/common/Mailbox.kt
@@ -7,19 +7,21 @@
 import kotlin.system.exitProcess
 
 /**
- * The bounded mailbox of an actor: messages are handled one at a time, in the order of arrival.
+ * The bounded mailbox of an actor. The actor handles messages one at a time, in the order of arrival.
  *
- * An actor that throws ends the process, which the platform restarts: a half-dead process would be worse, and all durable state is in the
- * state service or on the workers. If the mailbox is full, [shed] decides whether the message may be dropped, and answers its sender if
- * there is one to answer: thousands of heartbeats that a network partition held back are no reason to restart. A message that may not be
- * dropped is bounded elsewhere, so a mailbox that overflows with it ends the process.
+ * If the actor throws, the process exits and the platform restarts it. A process with a dead actor would be worse, and all durable state is
+ * in the state service or on the workers.
+ *
+ * If the mailbox is full, [tryDrop] decides whether a message may be dropped, and replies to its sender if the sender expects a reply.
+ * Thousands of heartbeats that a network partition has delayed are therefore no reason for a restart. The number of messages that must not
+ * be dropped is bounded elsewhere, so the process exits if the mailbox has no room for such a message.
  */
 class Mailbox<M : Any>(
     private val name: String,
     scope: CoroutineScope,
     handle: (M) -> Unit,
     capacity: Int = CAPACITY,
-    private val shed: (M) -> Boolean = { false },
+    private val tryDrop: (M) -> Boolean = { false },
 ) {
     private val channel = Channel<M>(capacity)
     private var overflowLogged = false
@@ -27,23 +29,23 @@
     init {
         scope.launch {
             for (message in channel) {
-                @Suppress("TooGenericExceptionCaught") // Any failure ends the process, with its cause logged.
+                @Suppress("TooGenericExceptionCaught") // Any failure is logged and ends the process.
                 try {
                     handle(message)
                 } catch (e: Throwable) {
-                    exitOnFailure("$name failed on ${message::class.simpleName}", e)
+                    exitOnFailure("Message handling failed mailbox=$name message=${message::class.simpleName}", e)
                 }
             }
         }
     }
 
-    /** Enqueues a message, or sheds it if the mailbox is full. Never suspends. */
+    /** Enqueues a message. If the mailbox is full, drops the message or exits. Never suspends. */
     fun tell(message: M) {
         if (channel.trySend(message).isSuccess) return
-        if (!shed(message)) exitOnFailure("$name: the mailbox is full", null)
+        if (!tryDrop(message)) exitOnFailure("Mailbox overflowed mailbox=$name", null)
         if (overflowLogged) return
         overflowLogged = true
-        LoggerFactory.getLogger("lichenstage.app").error("Mailbox full, messages that will be repeated are dropped mailbox={}", name)
+        LoggerFactory.getLogger("lichenstage.app").error("Mailbox full, dropping messages that their senders repeat mailbox={}", name)
     }
 
     private companion object {
@@ -54,11 +56,11 @@
 /** `EX_SOFTWARE` of sysexits.h. */
 private const val EXIT_SOFTWARE_ERROR = 70
 
-/** Logs [why] with its cause and exits with the status for an internal error. */
+/** Logs [event] with its cause and exits with the status for an internal error. */
 fun exitOnFailure(
-    why: String,
+    event: String,
     cause: Throwable?,
 ): Nothing {
-    LoggerFactory.getLogger("lichenstage.app").error(why, cause)
+    LoggerFactory.getLogger("lichenstage.app").error(event, cause)
     exitProcess(EXIT_SOFTWARE_ERROR)
 }
--- a/src/main/kotlin/lichenstage/common/Metrics.kt
+++ b/src/main/kotlin/lichenstage/common/Metrics.kt
@@ -11,12 +11,12 @@
 /** The kind of client that sent a request. */
 enum class Caller { WORKER, HEALTH, USER }
 
-/** The metrics of the process, rendered as plain text, one metric a line, at `GET /metrics`. */
+/** The metrics of the process. `GET /metrics` returns them as plain text, one metric per line. */
 class Metrics {
     private val registry = SimpleMeterRegistry()
     private val requests = EnumMap<Caller, Int2ObjectOpenHashMap<Timer>>(Caller::class.java)
 
-    /** Registers a value that is read whenever the metrics are rendered. */
+    /** Registers a gauge. [value] is called each time the metrics are rendered. */
     fun gauge(
         name: String,
         value: () -> Number,
@@ -24,10 +24,10 @@
         Gauge.builder("lichenstage.$name", value).register(registry)
     }
 
-    /** The counter with a name; it is registered by the first call. */
+    /** Returns the counter with the given name. The first call registers it. */
     fun counter(name: String): Counter = registry.counter("lichenstage.$name")
 
-    /** Records that a request of [caller] was answered with [status] after [micros] microseconds. */
+    /** Records the response to a request of [caller]: its [status], and the time from the receipt of the request, in microseconds. */
     fun recordRequest(
         caller: Caller,
         status: Int,
@@ -43,7 +43,7 @@
         status: Int,
     ) = registry.timer("lichenstage.served", "kind", caller.name.lowercase(), "status", status.toString())
 
-    /** All metrics, sorted by name, one a line. */
+    /** Returns all metrics as text, sorted by name, one per line. */
     fun render(): String =
         registry.meters.sortedBy { it.id.name }.joinToString("\n", postfix = "\n") { meter ->
             val tags = meter.id.tags.joinToString("") { " ${it.key}=${it.value}" }
--- a/src/main/kotlin/lichenstage/common/RateLimitedLog.kt
+++ b/src/main/kotlin/lichenstage/common/RateLimitedLog.kt
@@ -2,7 +2,7 @@
 
 import org.slf4j.LoggerFactory
 
-/** Writes at most [maxLines] lines in each period of [periodUs]; the next period begins with the number of lines that were dropped. */
+/** A log that writes at most [maxLines] lines in each period of [periodUs]. The next period starts with the number of dropped lines. */
 class RateLimitedLog(
     private val clock: Clock,
     private val maxLines: Int = MAX_LINES,
@@ -13,7 +13,7 @@
     private var writtenLines = 0
     private var droppedLines = 0
 
-    /** Writes the line, or counts it as dropped. */
+    /** Writes the line, or counts it as dropped if the limit of the period is reached. */
     fun info(line: () -> String) {
         val now = clock.now()
         if (now - periodStartedAtUs > periodUs) startPeriod(now)
@@ -26,7 +26,7 @@
     }
 
     private fun startPeriod(now: Long) {
-        if (droppedLines > 0) write("$droppedLines lines were left out")
+        if (droppedLines > 0) write("Log lines dropped count=$droppedLines")
         periodStartedAtUs = now
         writtenLines = 0
         droppedLines = 0
@@ -36,13 +36,13 @@
         private const val MAX_LINES = 60
         private const val PERIOD_US = 10 * SECOND
 
-        /** A log whose lines go to the logger [name] at INFO. */
+        /** Returns a log that writes to the logger [name] at INFO. */
         fun of(
             name: String,
             clock: Clock,
         ): RateLimitedLog {
             val log = LoggerFactory.getLogger(name)
-            // No line is formatted if the level is off.
+            // If INFO is off, the limit of 0 lines avoids the cost of formatting lines.
             return RateLimitedLog(clock, maxLines = if (log.isInfoEnabled) MAX_LINES else 0) { log.info(it) }
         }
     }
--- a/src/main/kotlin/lichenstage/config/Settings.kt
+++ b/src/main/kotlin/lichenstage/config/Settings.kt
@@ -22,7 +22,7 @@
     val gpusMax: Double,
 )
 
-/** The kinds of service-level objectives. The settings file names them in lower case. */
+/** What a service-level objective limits: the time to the completion of a job or to the start of its tasks. Lower case in the file. */
 enum class ObjectiveKind { DEADLINE, WAIT, FINISHED, GUARANTEE }
 
 /** A service-level objective for the jobs of [jobClass], or for all jobs if [jobClass] is null. */
@@ -67,7 +67,9 @@
     val assignment by lazy { PartitionAssignment(zones, peers.associate { it.label to it.zone } + (label to zone)) }
 
     companion object {
-        /** Parses the settings file. Ignores unknown fields. Throws [InvalidSettingsException] for the first invalid field, with its path. */
+        /**
+         * Parses the settings file. Ignores unknown fields. Throws [InvalidSettingsException] for the first invalid field, with its path.
+         */
         fun parse(text: String): Settings {
             val root =
                 SettingsReader(runCatching { JsonObject(text) }.getOrElse { throw InvalidSettingsException("must be a JSON object") }, "")
--- a/src/main/kotlin/lichenstage/jobs/JobsActor.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsActor.kt
@@ -43,7 +43,7 @@
     private val lookup = JobLookup(state, cache, openJobs.replica, openJobs.dependencyGraph, openRecordCheck, clock, onCancelled)
     private val submission = JobSubmission(state, cache, lookup, openJobs.dependencyGraph, admission)
     private var openRequests = 0
-    private val mailbox = Mailbox("jobs", scope, ::handle, shed = ::shed)
+    private val mailbox = Mailbox("jobs", scope, ::handle, tryDrop = ::shed)
 
     /** Takes a message; a request is answered through its callback. */
     fun tell(message: JobsMessage) = mailbox.tell(message)
--- a/src/main/kotlin/lichenstage/model/MachineFit.kt
+++ b/src/main/kotlin/lichenstage/model/MachineFit.kt
@@ -25,7 +25,10 @@
         machineTypes: Map<String, MachineType>,
     ): MachineType? = compatibleTypes(spec, machineTypes).minByOrNull { it.onDemandPrice / tasksPerMachine(it, spec.resources) }
 
-    /** Returns the longest time that a machine of a compatible type needs to fetch the job's image, in microseconds; 0 if there is no such type. */
+    /**
+     * Returns the longest time that a machine of a compatible type needs to fetch the job's image, in microseconds; 0 if there is no such
+     * type.
+     */
     fun maxFetchUs(
         spec: JobSpec,
         machineTypes: Map<String, MachineType>,
--- a/src/main/kotlin/lichenstage/model/PartitionAssignment.kt
+++ b/src/main/kotlin/lichenstage/model/PartitionAssignment.kt
@@ -47,7 +47,9 @@
         return if (partitions.size == 1) partitions[0] else partitions[Math.floorMod(mixedHash(machine), partitions.size)]
     }
 
-    /** Returns a well-mixed hash of a name, so that names that differ only in their last digits are spread over the partitions of a zone. */
+    /**
+     * Returns a well-mixed hash of a name, so that names that differ only in their last digits are spread over the partitions of a zone.
+     */
     private fun mixedHash(name: String): Int {
         var hash = name.hashCode()
         hash = (hash xor (hash ushr FIRST_SHIFT)) * FIRST_FACTOR
--- a/src/main/kotlin/lichenstage/partition/PartitionActor.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionActor.kt
@@ -25,7 +25,7 @@
     authority: Authority,
     private val sendToLeader: (PartitionFrame) -> Unit,
 ) {
-    private val mailbox = Mailbox("partition", scope, ::handle, shed = ::tryDrop)
+    private val mailbox = Mailbox("partition", scope, ::handle, tryDrop = ::tryDrop)
     private val dispatcher = WorkerDispatcher(scope, workers, authority, mailbox::tell)
 
     init {
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -31,7 +31,7 @@
     private val objectives = ServiceObjectives(settings.objectives)
     private val core = createLeaderCore(options)
     private val mailbox =
-        Mailbox("leader", scope, ::handle, shed = { it is LeaderMessage.PartitionFrameReceived || it is LeaderMessage.Tick })
+        Mailbox("leader", scope, ::handle, tryDrop = { it is LeaderMessage.PartitionFrameReceived || it is LeaderMessage.Tick })
     private val singleWriterKeys = SingleWriterKeys(services.store)
     private val writer =
         LeaderRecordWriter(
--- a/src/test/kotlin/lichenstage/app/EventBatchingTest.kt
+++ b/src/test/kotlin/lichenstage/app/EventBatchingTest.kt
@@ -5,6 +5,7 @@
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertTrue
 
+/** Guards against an event loop that wakes up for each of many events, and against a pause that delays single events or tasks. */
 class EventBatchingTest {
     private var nowUs = 0L
     private var pausedUs = 0L
@@ -17,13 +18,13 @@
     private fun calculateStrategy(hasTasks: Boolean = false) = batching.calculateStrategy({ 3 }, hasTasks)
 
     @Example
-    fun `the loop pauses only while it is woken often, and never with work of its own`() {
-        assertTrue(calculateStrategy() == SelectStrategy.SELECT && pausedUs == 0L) { "paused at the first wait" }
+    fun `the event loop pauses only while events arrive often and never while it has tasks`() {
+        assertTrue(calculateStrategy() == SelectStrategy.SELECT && pausedUs == 0L) { "paused at the first select" }
         nowUs += 100 * MILLI
-        assertTrue(calculateStrategy() == SelectStrategy.SELECT && pausedUs == 0L) { "paused for what came alone" }
+        assertTrue(calculateStrategy() == SelectStrategy.SELECT && pausedUs == 0L) { "paused for a single event" }
         nowUs += 5 * MILLI
-        assertTrue(calculateStrategy() == SelectStrategy.SELECT && pausedUs == 20 * MILLI) { "did not pause while much comes" }
+        assertTrue(calculateStrategy() == SelectStrategy.SELECT && pausedUs == 20 * MILLI) { "did not pause while events arrive often" }
         nowUs += MILLI
-        assertTrue(calculateStrategy(hasTasks = true) == 3 && pausedUs == 20 * MILLI) { "paused with tasks waiting" }
+        assertTrue(calculateStrategy(hasTasks = true) == 3 && pausedUs == 20 * MILLI) { "paused while tasks were waiting" }
     }
 }
--- a/src/test/kotlin/lichenstage/common/CommandLineParserTest.kt
+++ b/src/test/kotlin/lichenstage/common/CommandLineParserTest.kt
@@ -15,7 +15,7 @@
     private fun parse(vararg args: String) = parser.parse(args.toList())
 
     @Example
-    fun `options and operands are read in any order`() {
+    fun `options and operands are parsed in any order`() {
         val arguments = parse("--check", "here", "--config", "a.json", "--count=7")
         assertTrue(arguments.has("check") && !arguments.has("help"), "only --check was given")
         assertEquals("a.json", arguments.text("config"), "${arguments.text("config")}")
@@ -25,7 +25,7 @@
     }
 
     @Example
-    fun `what can't be used is refused`() {
+    fun `invalid arguments are rejected`() {
         val wrong =
             listOf(
                 listOf("--unknown"),
@@ -35,11 +35,11 @@
                 listOf("here", "there"),
             )
         for (args in wrong) assertTrue(isRefused { parser.parse(args) }, "$args")
-        assertTrue(isRefused { parse("--count", "many").wholeNumber("count") }, "a count that is no number")
+        assertTrue(isRefused { parse("--count", "many").wholeNumber("count") }, "a count that is not a number")
     }
 
     @Example
-    fun `the help names every option`() {
+    fun `the help text contains every option`() {
         val help = parser.help()
         for (option in listOf("tool [NAME]", "--config", "FILE", "--count", "--check", "-h", "Only looks.")) {
             assertTrue(option in help, help)
--- a/src/test/kotlin/lichenstage/common/ConnectionBudgetTest.kt
+++ b/src/test/kotlin/lichenstage/common/ConnectionBudgetTest.kt
@@ -6,9 +6,12 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 class ConnectionBudgetTest {
-    /** A fleet that connects as fast as it can: workers' connections above the budget are closed with their answers. */
+    /**
+     * Guards against running out of sockets when many workers connect at once: the state service, the cloud, the peers and users could no
+     * longer connect. Worker connections over the budget are closed with the reply.
+     */
     @Property(tries = 200, seed = "20261202")
-    fun `however many come, the fixed part and some for users stay free`(
+    fun `the reserved sockets and some for users stay free, however many workers connect`(
         @ForAll @IntRange(min = 300, max = 40_000) maxSockets: Int,
         @ForAll @IntRange(min = 1, max = 6000) workers: Int,
     ) {
@@ -20,7 +23,7 @@
             assertTrue(usedSockets <= maxSockets - (maxSockets - RESERVED_SOCKETS) / 16) {
                 "$usedSockets of $maxSockets with ${budget.servedConnections} served"
             }
-            assertTrue(budget.maxOrderConnections() > 0) { "no orders at all" }
+            assertTrue(budget.maxOrderConnections() > 0) { "no connection is left for direct orders" }
         }
         val expectedConnections = (maxSockets - RESERVED_SOCKETS) * 3 / 4
         assertTrue(
--- a/src/test/kotlin/lichenstage/common/JsonHttpClientTest.kt
+++ b/src/test/kotlin/lichenstage/common/JsonHttpClientTest.kt
@@ -16,12 +16,15 @@
 import org.junit.jupiter.api.Assertions.assertNull
 
 class JsonHttpClientTest {
-    /** The one connection is busy; a request that waits for it is given up, then the connection is free again. */
+    /**
+     * Guards against a connection that is never returned to the pool. The only connection is in use while three requests wait for it and
+     * time out. Then the connection becomes free, and the next request needs it.
+     */
     @Example
-    fun `a request that was given up while it waited for a connection does not keep it`() =
+    fun `a request that timed out while it waited for a connection does not keep the connection`() =
         runBlocking {
             val vertx = Vertx.vertx()
-            // As in the service: all on one event loop.
+            // As in the service, all code runs on one event loop.
             withContext(vertx.orCreateContext.dispatcher()) { giveUp(vertx) }
             vertx.close().coAwait()
         }
@@ -37,10 +40,13 @@
             val http = JsonHttpClient(vertx, Address("127.0.0.1", port), connections = 1, queue = 10)
             val first = async { http.call(HttpMethod.GET, "/held", null, LONG_MS) }
             val request = held.await()
-            repeat(3) { assertNull(http.call(HttpMethod.GET, "/given-up", null, 20)) { "answered without a connection" } }
+            repeat(3) { assertNull(http.call(HttpMethod.GET, "/given-up", null, 20)) { "got a response without a connection" } }
             request.response().end("{}")
-            assertEquals(JsonResponse(200, JsonObject()), first.await()) { "the first was not answered" }
-            assertEquals(JsonResponse(200, JsonObject()), http.call(HttpMethod.GET, "/next", null, LONG_MS)) { "the connection is lost" }
+            assertEquals(JsonResponse(200, JsonObject()), first.await()) { "the first request got no response" }
+            assertEquals(
+                JsonResponse(200, JsonObject()),
+                http.call(HttpMethod.GET, "/next", null, LONG_MS),
+            ) { "the next request got no connection" }
         }
 
     private companion object {
--- a/src/test/kotlin/lichenstage/common/MailboxTest.kt
+++ b/src/test/kotlin/lichenstage/common/MailboxTest.kt
@@ -8,14 +8,17 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 class MailboxTest {
-    /** Guards against a process that ends because a cut delivered at once what it had held back. */
+    /**
+     * Guards against a process that exits when a network partition ends: messages that the partition has delayed arrive all at once and
+     * fill the mailbox.
+     */
     @Example
-    fun `what a full inbox can do without is turned away, in order and without growing`() {
+    fun `a full mailbox drops the messages that may be dropped and keeps the order of the others`() {
         val scope = CoroutineScope(Dispatchers.Unconfined + Job())
         val handled = ArrayList<Int>()
         val dropped = ArrayList<Int>()
         lateinit var mailbox: Mailbox<Int>
-        // While the first message is handled, more come than there is room for.
+        // While the first message is handled, more messages arrive than the mailbox has room for.
         mailbox =
             Mailbox("test", scope, { message ->
                 handled += message
@@ -23,6 +26,6 @@
             }, capacity = 4) { dropped.add(it) }
         mailbox.tell(0)
         scope.cancel()
-        assertTrue(handled == listOf(0, 1, 2, 3, 4) && dropped == (5..10).toList()) { "handled $handled, turned away $dropped" }
+        assertTrue(handled == listOf(0, 1, 2, 3, 4) && dropped == (5..10).toList()) { "handled $handled, dropped $dropped" }
     }
 }
--- a/src/test/kotlin/lichenstage/common/RateLimitedLogTest.kt
+++ b/src/test/kotlin/lichenstage/common/RateLimitedLogTest.kt
@@ -5,7 +5,7 @@
 
 class RateLimitedLogTest {
     @Example
-    fun `at most so many lines are written in a time, and how many were left out is told`() {
+    fun `lines over the limit of a period are dropped and the next period starts with their number`() {
         var now = 0L
         val written = ArrayList<String>()
         val log = RateLimitedLog({ now }, maxLines = 3, periodUs = SECOND) { written += it }
@@ -13,6 +13,6 @@
         assertEquals(listOf("line 0", "line 1", "line 2"), written) { "$written" }
         now = SECOND + 1
         log.info { "later" }
-        assertEquals(listOf("2 lines were left out", "later"), written.drop(3)) { "$written" }
+        assertEquals(listOf("Log lines dropped count=2", "later"), written.drop(3)) { "$written" }
     }
 }
--- a/src/test/kotlin/lichenstage/config/SettingsTest.kt
+++ b/src/test/kotlin/lichenstage/config/SettingsTest.kt
@@ -22,7 +22,7 @@
           "workers":{"report_s":3.0,"lease_s":17.5,"cancel_s":47.0},"state":{"rps":200,"write_rps":80,"txn_ops":12},"cloud":{"rps":4,"list_lag_s":5}}}
         """
 
-    private fun complaint(parse: () -> Unit): String? =
+    private fun errorMessage(parse: () -> Unit): String? =
         try {
             parse()
             null
@@ -31,38 +31,41 @@
         }
 
     @Example
-    fun `the platform's file is read`() {
+    fun `the platform's settings file is parsed`() {
         val settings = Settings.parse(text)
         assertTrue(settings.workerLeaseUs == 17_500_000L && settings.cancellationDeadlineUs == 47_000_000L) { "$settings" }
-        assertEquals(Double.POSITIVE_INFINITY, settings.teams.getValue("red").coresMax) { "a limit of 0 means none" }
+        assertEquals(Double.POSITIVE_INFINITY, settings.teams.getValue("red").coresMax) { "a quota of 0 means no quota" }
         assertEquals(Address("10.0.0.2", 8081), settings.peers.single().address) { "$settings" }
     }
 
-    /** The start that makes the class archive has settings of its own: a field that they lack ends it, and each later start is slow. */
+    /**
+     * Guards against a missing field in the settings of the warm-up start: the class-data archive is not recorded, and later starts are
+     * slow.
+     */
     @Example
-    fun `the settings of the warm-up start can be used`() {
-        val complaint = complaint { Settings.parse(warmUpSettings(servePort = 8080, clusterPort = 8081, servicesPort = 8082)) }
-        assertNull(complaint) { "$complaint" }
+    fun `the settings of the warm-up start are valid`() {
+        val errorMessage = errorMessage { Settings.parse(warmUpSettings(servePort = 8080, clusterPort = 8081, servicesPort = 8082)) }
+        assertNull(errorMessage) { "$errorMessage" }
     }
 
     @Example
-    fun `what is wrong is named with its path and value`() {
-        fun changed(change: (JsonObject) -> Unit) = complaint { Settings.parse(JsonObject(text).apply(change).encode()) }
+    fun `the message for an invalid field contains its path and value`() {
+        fun changed(change: (JsonObject) -> Unit) = errorMessage { Settings.parse(JsonObject(text).apply(change).encode()) }
         assertEquals(
-            "settings.workers.lease_s: a number of at least 0.001 is needed, found soon",
+            "settings.workers.lease_s: must be a number of at least 0.001, was soon",
             changed { it.getJsonObject("settings").getJsonObject("workers").put("lease_s", "soon") },
         ) { "lease_s" }
-        assertEquals("serve_on: an address HOST:PORT is needed, found here", changed { it.put("serve_on", "here") }) { "serve_on" }
-        assertEquals("label: a text is needed, found null", changed { it.remove("label") }) { "label" }
+        assertEquals("serve_on: must be an address HOST:PORT, was here", changed { it.put("serve_on", "here") }) { "serve_on" }
+        assertEquals("label: must be a non-empty string, was null", changed { it.remove("label") }) { "label" }
         assertEquals(
-            "seeds[0].addr: a text is needed, found 5",
+            "seeds[0].addr: must be a non-empty string, was 5",
             changed { it.getJsonArray("seeds").getJsonObject(0).put("addr", 5) },
         ) { "seeds" }
-        assertEquals("not a JSON object", complaint { Settings.parse("[1]") }) { "an array" }
+        assertEquals("must be a JSON object", errorMessage { Settings.parse("[1]") }) { "an array" }
     }
 
     @Example
-    fun `limits that are to come hold from the start where they are smaller`() {
+    fun `an announced limit applies from the start if it is smaller than the present one`() {
         fun with(next: JsonObject?) =
             Settings.parse(JsonObject(text).also { it.getJsonObject("settings").getJsonObject("state").put("next", next) }.encode())
         val today = with(null)
@@ -71,32 +74,40 @@
             small.maxValueBytes == 2048 && small.maxTransactionOperations == 4 && small.stateWriteRps == 70.0 &&
                 small.stateRps == today.stateRps,
         ) { "$small" }
-        assertEquals(today, with(JsonObject().put("txn_ops", 99))) { "a larger limit to come does not hold yet" }
-        for (wrong in listOf<Any>("x", 0, -1)) {
-            val complaint = complaint { with(JsonObject().put("txn_ops", wrong)) }
-            assertEquals("settings.state.next.txn_ops: a number of at least 2.0 is needed, found $wrong", complaint) { "$complaint" }
+        assertEquals(today, with(JsonObject().put("txn_ops", 99))) { "a larger announced limit does not apply yet" }
+        for (invalid in listOf<Any>("x", 0, -1)) {
+            val errorMessage = errorMessage { with(JsonObject().put("txn_ops", invalid)) }
+            assertEquals("settings.state.next.txn_ops: must be a number of at least 2.0, was $invalid", errorMessage) { "$errorMessage" }
         }
     }
 
     @Example
-    fun `operators' settings are HCL and checked`() {
+    fun `operators' settings are parsed from HCL and validated`() {
         val operator = OperatorSettings.parse("placement {\n  alpha_ms = 500\n}\nfleet {\n  settle_s = 7\n}\n")
         assertTrue(operator.placement.alphaUs == 500 * MILLI && operator.placement.betaUs == 300 * MILLI) { "$operator" }
         val policy = operator.adjustFleetPolicy(lichenstage.fleet.FleetPolicy())
         assertEquals(7 * SECOND, policy.scaleInDelayUs) { "$policy" }
-        val unknown = complaint { OperatorSettings.parse("placement {\n  alpha = \"x\"\n}") }
-        assertEquals("placement.alpha: unknown key, found x", unknown) { "$unknown" }
+        val unknown = errorMessage { OperatorSettings.parse("placement {\n  alpha = \"x\"\n}") }
+        assertEquals("placement.alpha: unknown key, was x", unknown) { "$unknown" }
         assertTrue(
-            complaint { OperatorSettings.parse("fleet {\n  backlog_s = 0\n}") }!!.startsWith("fleet.backlog_s: a whole number from 1"),
+            errorMessage {
+                OperatorSettings.parse(
+                    "fleet {\n  backlog_s = 0\n}",
+                )
+            }!!.startsWith("fleet.backlog_s: must be a whole number from 1"),
         ) { "range" }
         assertTrue(
-            complaint { OperatorSettings.parse("fleet {\n  settle_s = \"soon\"\n}") }!!.startsWith("fleet.settle_s: a whole number"),
+            errorMessage {
+                OperatorSettings.parse(
+                    "fleet {\n  settle_s = \"soon\"\n}",
+                )
+            }!!.startsWith("fleet.settle_s: must be a whole number"),
         ) { "settle" }
     }
 
     @Example
-    fun `drains are off without their block, and budgets are checked`() {
-        assertNull(OperatorSettings.parse("fleet {\n}\n").drains) { "on by themselves" }
+    fun `drains are disabled without their block and their budgets are validated`() {
+        assertNull(OperatorSettings.parse("fleet {\n}\n").drains) { "drains are enabled without their block" }
         val policy =
             OperatorSettings
                 .parse(
@@ -128,23 +139,28 @@
                 ?.defaultBudget
                 ?.maxJobs,
         ) { "the default" }
-        val wrong =
+        val messageByFile =
             mapOf(
                 "drains {\n  default {\n    share_percent = 101\n  }\n}" to
-                    "drains.default.share_percent: a whole number from 0 to 100 is needed, found 101.0",
+                    "drains.default.share_percent: must be a whole number from 0 to 100, was 101.0",
                 "drains {\n  default {\n    hours = \"late\"\n  }\n}" to
-                    "drains.default.hours: hours of the day as \"FROM-TO\" are needed, found late",
-                "drains {\n  speed = 1\n}" to "drains.speed: unknown key, found 1.0",
+                    "drains.default.hours: must be hours of the day as \"FROM-TO\", was late",
+                "drains {\n  speed = 1\n}" to "drains.speed: unknown key, was 1.0",
             )
-        for ((file, what) in wrong) {
+        for ((file, message) in messageByFile) {
             assertEquals(
-                what,
-                complaint {
+                message,
+                errorMessage {
                     OperatorSettings.parse(file)
                 },
-            ) { "${complaint { OperatorSettings.parse(file) }}" }
+            ) { "${errorMessage { OperatorSettings.parse(file) }}" }
         }
-        val stranger = OperatorSettings.parse("drains {\n  teams {\n    blue {\n      jobs = 1\n    }\n  }\n}")
-        assertEquals("drains.teams.blue: unknown team", complaint { stranger.validateAgainst(Settings.parse(text)) }) { "unknown team" }
+        val unknownTeamSettings = OperatorSettings.parse("drains {\n  teams {\n    blue {\n      jobs = 1\n    }\n  }\n}")
+        assertEquals(
+            "drains.teams.blue: must be a team in the platform's settings, was blue",
+            errorMessage {
+                unknownTeamSettings.validateAgainst(Settings.parse(text))
+            },
+        ) { "unknown team" }
     }
 }
--- a/src/test/kotlin/lichenstage/model/MachineFitTest.kt
+++ b/src/test/kotlin/lichenstage/model/MachineFitTest.kt
@@ -44,7 +44,7 @@
     )
 
     @Example
-    fun `types are compatible when the job allows them, its zone has them and they hold a task`() {
+    fun `a type is compatible if the job allows it, its zone has it and a task fits on it`() {
         assertEquals(listOf(small, large), MachineFit.compatibleTypes(spec(4.0), machineTypes))
         assertEquals(listOf(large), MachineFit.compatibleTypes(spec(5.0), machineTypes), "too small")
         assertEquals(listOf(small), MachineFit.compatibleTypes(spec(1.0, allowedTypes = listOf("small")), machineTypes), "not allowed")
@@ -52,14 +52,14 @@
     }
 
     @Example
-    fun `the cheapest type is chosen by its price per task, not per machine`() {
-        assertEquals(large, MachineFit.cheapestType(spec(2.0), machineTypes), "2 tasks for 1.0 against 8 for 2.0")
+    fun `the cheapest type has the lowest price per task, not per machine`() {
+        assertEquals(large, MachineFit.cheapestType(spec(2.0), machineTypes), "2 tasks for 1.0 compared with 8 tasks for 2.0")
         assertEquals(small, MachineFit.cheapestType(spec(2.0, allowedTypes = listOf("small")), machineTypes))
-        assertNull(MachineFit.cheapestType(spec(17.0), machineTypes), "fits nowhere")
+        assertNull(MachineFit.cheapestType(spec(17.0), machineTypes), "the task fits on no type")
     }
 
     @Example
-    fun `the fetch time is that of the slowest compatible type and 0 when there is none`() {
+    fun `the fetch time is that of the slowest compatible type, or 0 if no type is compatible`() {
         assertEquals(4 * SECOND, MachineFit.maxFetchUs(spec(1.0), machineTypes))
         assertEquals(2 * SECOND, MachineFit.maxFetchUs(spec(1.0, allowedTypes = listOf("small")), machineTypes))
         assertEquals(0L, MachineFit.maxFetchUs(spec(17.0), machineTypes))
--- a/src/test/kotlin/lichenstage/model/PartitionAssignmentTest.kt
+++ b/src/test/kotlin/lichenstage/model/PartitionAssignmentTest.kt
@@ -8,9 +8,10 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 
+/** Guards against controllers that disagree on the partition of a machine, and against partitions with far more machines than others. */
 class PartitionAssignmentTest {
     @Property(tries = 100, seed = "4")
-    fun `any number of controllers, in zones of their own or not, see the same parts`(
+    fun `all controllers compute the same partitions in any order of zones and controllers`(
         @ForAll @IntRange(min = 1, max = 9) controllerCount: Int,
         @ForAll @IntRange(min = 1, max = 4) zoneCount: Int,
         @ForAll @IntRange(min = 0, max = 2) shift: Int,
@@ -33,11 +34,11 @@
                 ) { "vm-$n: $partition" }
             }
         }
-        assertNull(assignment.partitionOf("vm-1", "nowhere")) { "a part in no zone" }
+        assertNull(assignment.partitionOf("vm-1", "nowhere")) { "a machine of an unknown zone has a partition" }
     }
 
     @Example
-    fun `the machines of a zone spread evenly, also where names differ in every third number only`() {
+    fun `the machines of a zone are spread evenly for any stride between their numbers`() {
         val assignment = PartitionAssignment(listOf("z"), mapOf("a" to "z", "b" to "z", "c" to "z"))
         for (stride in 1..6) {
             val sizes = (0 until 300).groupingBy { assignment.partitionOf("vm-%06d".format(it * stride), "z") }.eachCount()
