--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -97,7 +97,7 @@
             },
         )
     private val recordLimits = RecordLimits(settings.maxTransactionOperations, settings.maxValueBytes)
-    private val jobs =
+    private val jobsActor =
         JobsActor(
             state,
             PeerFallback(forwarder, authority::isStateServiceAvailable),
@@ -108,7 +108,7 @@
             scope,
             replicaSync::onJobCancelled,
         )
-    private val partition =
+    private val partitionActor =
         PartitionActor(
             OwnedPartitions(settings, authority, replica, OrderEventRecorder(metrics, clock), clock, catalog::limitsOf),
             clock,
@@ -117,8 +117,8 @@
             authority,
             ::sendToLeader,
         )
-    private val router = FrameRouter(authority, partition, jobs, replicaSync, forwarder, links::send) { leader }
-    private val api = HttpApi(vertx, settings.listenAddress, jobs, partition, metrics, clock, connectionBudget, ::isHealthy)
+    private val router = FrameRouter(authority, partitionActor, jobsActor, replicaSync, forwarder, links::send) { leader }
+    private val api = HttpApi(vertx, settings.listenAddress, jobsActor, partitionActor, metrics, clock, connectionBudget, ::isHealthy)
     private var leader: LeaderActor? = null
 
     /** Joins the cluster, and starts the HTTP server as soon as requests can be answered. */
@@ -143,14 +143,14 @@
     private fun registerGauges() {
         metrics.gauge("leading") { if (leader != null) 1 else 0 }
         metrics.gauge("open_jobs") { leader?.openJobCount ?: 0 }
-        metrics.gauge("machines") { partition.machineCount }
-        metrics.gauge("starts_unanswered") { partition.indeterminateStartCount }
-        metrics.gauge("oldest_unanswered_start_s") { partition.oldestIndeterminateStartAtUs?.let { (clock.now() - it) / SECOND } ?: 0 }
+        metrics.gauge("machines") { partitionActor.machineCount }
+        metrics.gauge("starts_unanswered") { partitionActor.indeterminateStartCount }
+        metrics.gauge("oldest_unanswered_start_s") { partitionActor.oldestIndeterminateStartAtUs?.let { (clock.now() - it) / SECOND } ?: 0 }
         metrics.gauge("served_connections") { connectionBudget.servedConnections }
         metrics.gauge("heap_bytes") { Runtime.getRuntime().let { it.totalMemory() - it.freeMemory() } }
     }
 
-    /** Releases every owned partition whose home controller, another one, has been healthy for a while. Repeats this at an interval. */
+    /** Releases partitions whose home controller is a peer that has been healthy for a while. Repeats this until the scope is cancelled. */
     private suspend fun returnPartitions() {
         while (true) {
             delay(PARTITION_RETURN_CHECK_MS)
--- a/src/main/kotlin/lichenstage/app/EventBatching.kt
+++ b/src/main/kotlin/lichenstage/app/EventBatching.kt
@@ -38,9 +38,9 @@
         hasTasks: Boolean,
     ): Int {
         if (hasTasks) return select()
-        val now = clock.now()
-        val isBusy = now - lastWakeUpUs < pauseUs * BUSY_THRESHOLD_PAUSES
-        lastWakeUpUs = now
+        val nowUs = clock.now()
+        val isBusy = nowUs - lastWakeUpUs < pauseUs * BUSY_THRESHOLD_PAUSES
+        lastWakeUpUs = nowUs
         if (isBusy) pause(pauseUs)
         return SelectStrategy.SELECT
     }
--- a/src/main/kotlin/lichenstage/app/FrameRouter.kt
+++ b/src/main/kotlin/lichenstage/app/FrameRouter.kt
@@ -27,8 +27,8 @@
 /** Passes each frame from another controller to the actor that handles it. */
 internal class FrameRouter(
     private val authority: Authority,
-    private val partition: PartitionActor,
-    private val jobs: JobsActor,
+    private val partitionActor: PartitionActor,
+    private val jobsActor: JobsActor,
     private val replicaSync: JobReplicaSync,
     private val forwarder: RequestForwarder,
     private val send: (String, Frame) -> Unit,
@@ -44,7 +44,7 @@
             // The peer links handle these frames themselves.
             is Hello, is Ping, is RelayedFrame -> Unit
 
-            is PlacementFrame -> partition.tell(PartitionMessage.LeaderFrameReceived(frame))
+            is PlacementFrame -> partitionActor.tell(PartitionMessage.LeaderFrameReceived(frame))
 
             is PartitionFrame -> leader()?.tell(LeaderMessage.PartitionFrameReceived(frame))
 
@@ -62,14 +62,14 @@
 
             is JobsEnded -> replicaSync.onJobsEnded(frame)
 
-            is TaskCounts -> jobs.tell(JobsMessage.TaskCountsReceived(frame))
+            is TaskCounts -> jobsActor.tell(JobsMessage.TaskCountsReceived(frame))
         }
     }
 
     private fun onForwardedRequest(
         from: String,
         frame: ForwardedRequest,
-    ) = jobs.tell(
+    ) = jobsActor.tell(
         JobsMessage.UserRequest(frame.verb, frame.text, isForwarded = true) {
             send(from, ForwardedReply(frame.number, it.status, it.body.encode(), it.retryAfterS))
         },
--- a/src/main/kotlin/lichenstage/app/HttpApi.kt
+++ b/src/main/kotlin/lichenstage/app/HttpApi.kt
@@ -29,8 +29,8 @@
 class HttpApi(
     private val vertx: Vertx,
     private val listenAddress: Address,
-    private val jobs: JobsActor,
-    private val partition: PartitionActor,
+    private val jobsActor: JobsActor,
+    private val partitionActor: PartitionActor,
     private val metrics: Metrics,
     private val clock: Clock,
     private val connectionBudget: ConnectionBudget,
@@ -106,7 +106,7 @@
         request: HttpServerRequest,
         verb: UserVerb,
         text: String,
-    ) = jobs.tell(JobsMessage.UserRequest(verb, text) { respondToUser(request, it) })
+    ) = jobsActor.tell(JobsMessage.UserRequest(verb, text) { respondToUser(request, it) })
 
     private fun respondToUser(
         request: HttpServerRequest,
@@ -136,7 +136,7 @@
                 log.info("Heartbeat rejected remote={} field={} expected={}", request.remoteAddress(), e.field, e.expected)
                 return request.respondError(HttpStatus.BAD_REQUEST, "invalid heartbeat: ${e.message}")
             }
-        partition.tell(PartitionMessage.HeartbeatReceived(heartbeat) { reply -> respondToHeartbeat(request, reply) })
+        partitionActor.tell(PartitionMessage.HeartbeatReceived(heartbeat) { reply -> respondToHeartbeat(request, reply) })
     }
 
     private fun respondToHeartbeat(
--- a/src/main/kotlin/lichenstage/app/WarmUp.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUp.kt
@@ -135,20 +135,20 @@
     leader.addJob(Job(JobRecordCodec.decode(JobRecordCodec.encode(spec)), 1, 0))
     leader.onMachinesRegistered(mapOf("m" to "z/0"))
     val partition = PartitionCore(PartitionParameters("z/0", "z", 2, 20 * SECOND, SECOND, 0)) { MachineLimits("b", resources) }
-    for (now in 1L..6L) {
-        val tasks = if (now < 5) "" else """{"part":"j-1/0","try":4294967297,"status":"ended","cause":"done"}"""
-        val heartbeat = warmUpHeartbeat(port = 1, now.toInt(), tasks)
-        (partition.onHeartbeat(WorkerCodec.decodeHeartbeat(Buffer.buffer(heartbeat)), now * SECOND) as HeartbeatOutcome.Accepted)
+    for (nowS in 1L..6L) {
+        val tasks = if (nowS < 5) "" else """{"part":"j-1/0","try":4294967297,"status":"ended","cause":"done"}"""
+        val heartbeat = warmUpHeartbeat(port = 1, nowS.toInt(), tasks)
+        (partition.onHeartbeat(WorkerCodec.decodeHeartbeat(Buffer.buffer(heartbeat)), nowS * SECOND) as HeartbeatOutcome.Accepted)
             .let { WorkerCodec.encodeCommands(it.fencingToken, it.commands) }
-        leader.tick(now * SECOND)
-        sentFrames.forEach { partition.onLeaderFrame(it, now * SECOND) }
+        leader.tick(nowS * SECOND)
+        sentFrames.forEach { partition.onLeaderFrame(it, nowS * SECOND) }
         sentFrames.clear()
-        partition.nextDirectOrders(now * SECOND)
-        partition.tick(now * SECOND)
-        partition.nextFrame(now * SECOND)?.let {
+        partition.nextDirectOrders(nowS * SECOND)
+        partition.tick(nowS * SECOND)
+        partition.nextFrame(nowS * SECOND)?.let {
             leader.onPartitionFrame(
                 FrameCodec.decode(FrameCodec.encode(it)) as PartitionFrame,
-                now * SECOND,
+                nowS * SECOND,
             )
         }
     }
--- a/src/main/kotlin/lichenstage/common/Clock.kt
+++ b/src/main/kotlin/lichenstage/common/Clock.kt
@@ -22,10 +22,10 @@
 private const val DRIFT_DIVISOR = 500
 
 /**
- * Returns an upper bound for a duration of [micros] on one machine's clock, as measured by the clock of another machine. The monotonic
+ * Returns an upper bound for a duration of [durationUs] on one machine's clock, as measured by the clock of another machine. The monotonic
  * clock of a machine drifts by up to 0.05%. The bound adds 0.2%, which covers two clocks and a margin.
  */
-fun withDrift(micros: Long) = micros + micros / DRIFT_DIVISOR
+fun withDrift(durationUs: Long) = durationUs + durationUs / DRIFT_DIVISOR
 
 /** Returns the wall-clock time in microseconds since the epoch. For stored records, since monotonic times are valid in one process only. */
 fun timeOfDayUs(): Long = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis())
--- a/src/main/kotlin/lichenstage/common/EventLoopLag.kt
+++ b/src/main/kotlin/lichenstage/common/EventLoopLag.kt
@@ -10,13 +10,13 @@
         private set
 
     /**
-     * Records that a timer with the due time [dueUs] ran at [now]. Must be called several times a second, because each call decays the lag.
+     * Records that a timer with the due time [dueUs] ran at [nowUs]. Must be called several times a second, because each call decays the lag.
      */
     fun onTimerFired(
         dueUs: Long,
-        now: Long,
+        nowUs: Long,
     ) {
-        currentUs = maxOf(now - dueUs, currentUs - currentUs / DECAY_DIVISOR)
+        currentUs = maxOf(nowUs - dueUs, currentUs - currentUs / DECAY_DIVISOR)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/common/Metrics.kt
+++ b/src/main/kotlin/lichenstage/common/Metrics.kt
@@ -31,11 +31,11 @@
     fun recordRequest(
         caller: Caller,
         status: Int,
-        micros: Long,
+        durationUs: Long,
     ) {
         val byStatus = requests.getOrPut(caller) { Int2ObjectOpenHashMap() }
         val timer = byStatus.get(status) ?: timer(caller, status).also { byStatus.put(status, it) }
-        timer.record(micros, TimeUnit.MICROSECONDS)
+        timer.record(durationUs, TimeUnit.MICROSECONDS)
     }
 
     private fun timer(
--- a/src/main/kotlin/lichenstage/common/RateLimitedLog.kt
+++ b/src/main/kotlin/lichenstage/common/RateLimitedLog.kt
@@ -15,8 +15,8 @@
 
     /** Writes the line, or counts it as dropped if the limit of the period is reached. */
     fun info(line: () -> String) {
-        val now = clock.now()
-        if (now - periodStartedAtUs > periodUs) startPeriod(now)
+        val nowUs = clock.now()
+        if (nowUs - periodStartedAtUs > periodUs) startPeriod(nowUs)
         if (writtenLines >= maxLines) {
             droppedLines++
         } else {
@@ -25,9 +25,9 @@
         }
     }
 
-    private fun startPeriod(now: Long) {
+    private fun startPeriod(nowUs: Long) {
         if (droppedLines > 0) write("Log lines dropped count=$droppedLines")
-        periodStartedAtUs = now
+        periodStartedAtUs = nowUs
         writtenLines = 0
         droppedLines = 0
     }
