--- a/src/main/kotlin/lichenstage/common/ConnectionBudget.kt
+++ b/src/main/kotlin/lichenstage/common/ConnectionBudget.kt
@@ -17,7 +17,7 @@
     private val reservedSockets: Int,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.app")
-    private var exhaustionLogged = false
+    private var isExhaustionLogged = false
 
     /** The number of open connections of users, workers and health checks. */
     var servedConnections = 0
@@ -45,8 +45,8 @@
     /** Returns whether connections of workers must be closed with the reply to a heartbeat. Logs an error the first time this is true. */
     fun isExhausted(): Boolean {
         val exhausted = servedConnections > sharedSockets - userSockets - minOrderConnections()
-        if (exhausted && !exhaustionLogged) {
-            exhaustionLogged = true
+        if (exhausted && !isExhaustionLogged) {
+            isExhaustionLogged = true
             log.error(
                 "Connection limit reached, closing worker connections after heartbeats servedConnections={} maxSockets={}",
                 servedConnections,
--- a/src/main/kotlin/lichenstage/common/EventLoopLag.kt
+++ b/src/main/kotlin/lichenstage/common/EventLoopLag.kt
@@ -10,7 +10,8 @@
         private set
 
     /**
-     * Records that a timer with the due time [dueUs] ran at [nowUs]. Must be called several times a second, because each call decays the lag.
+     * Records that a timer with the due time [dueUs] ran at [nowUs]. Must be called several times a second, because each call decays the
+     * lag.
      */
     fun onTimerFired(
         dueUs: Long,
--- a/src/main/kotlin/lichenstage/common/Mailbox.kt
+++ b/src/main/kotlin/lichenstage/common/Mailbox.kt
@@ -24,7 +24,7 @@
     private val tryDrop: (M) -> Boolean = { false },
 ) {
     private val channel = Channel<M>(capacity)
-    private var overflowLogged = false
+    private var isOverflowLogged = false
 
     init {
         scope.launch {
@@ -43,8 +43,8 @@
     fun tell(message: M) {
         if (channel.trySend(message).isSuccess) return
         if (!tryDrop(message)) exitOnFailure("Mailbox overflowed mailbox=$name", null)
-        if (overflowLogged) return
-        overflowLogged = true
+        if (isOverflowLogged) return
+        isOverflowLogged = true
         LoggerFactory.getLogger("lichenstage.app").error("Mailbox full, dropping messages that their senders repeat mailbox={}", name)
     }
 
--- a/src/test/kotlin/lichenstage/common/CommandLineParserTest.kt
+++ b/src/test/kotlin/lichenstage/common/CommandLineParserTest.kt
@@ -17,11 +17,11 @@
     @Example
     fun `options and operands are parsed in any order`() {
         val arguments = parse("--check", "here", "--config", "a.json", "--count=7")
-        assertTrue(arguments.has("check") && !arguments.has("help"), "only --check was given")
+        assertTrue(arguments.has("check") && !arguments.has("help"), "--check was given and --help was not")
         assertEquals("a.json", arguments.text("config"), "${arguments.text("config")}")
         assertEquals(7L, arguments.wholeNumber("count"), "${arguments.wholeNumber("count")}")
         assertEquals(listOf("here"), arguments.operands, "${arguments.operands}")
-        assertTrue(parse("-h").has("help"), "the short name")
+        assertTrue(parse("-h").has("help"), "the short name of --help")
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/config/SettingsTest.kt
+++ b/src/test/kotlin/lichenstage/config/SettingsTest.kt
@@ -71,10 +71,14 @@
         val withoutAnnouncement = parseWithAnnounced(null)
         val withSmallerLimits = parseWithAnnounced(JsonObject().put("value_kb", 2.0).put("txn_ops", 4).put("write_rps", 70.0))
         assertTrue(
-            withSmallerLimits.maxValueBytes == 2048 && withSmallerLimits.maxTransactionOperations == 4 && withSmallerLimits.stateWriteRps == 70.0 &&
+            withSmallerLimits.maxValueBytes == 2048 && withSmallerLimits.maxTransactionOperations == 4 &&
+                withSmallerLimits.stateWriteRps == 70.0 &&
                 withSmallerLimits.stateRps == withoutAnnouncement.stateRps,
         ) { "$withSmallerLimits" }
-        assertEquals(withoutAnnouncement, parseWithAnnounced(JsonObject().put("txn_ops", 99))) { "a larger announced limit does not apply yet" }
+        assertEquals(
+            withoutAnnouncement,
+            parseWithAnnounced(JsonObject().put("txn_ops", 99)),
+        ) { "a larger announced limit does not apply yet" }
         for (invalid in listOf<Any>("x", 0, -1)) {
             val errorMessage = errorMessage { parseWithAnnounced(JsonObject().put("txn_ops", invalid)) }
             assertEquals("settings.state.next.txn_ops: must be a number of at least 2.0, was $invalid", errorMessage) { "$errorMessage" }
@@ -129,8 +133,14 @@
                 ).drains!!
         assertTrue(policy.defaultBudget.maxJobs == 3 && policy.maxReplacementFailures == 2) { "$policy" }
         val redBudget = policy.budgetOf("red")
-        assertTrue(redBudget.maxTaskShare == 0.2 && redBudget.maxJobs == null && redBudget.uninterruptibleClasses == setOf("invoice-draft")) { "$redBudget" }
-        assertTrue(23 in redBudget.allowedHours!! && 5 in redBudget.allowedHours!! && 6 !in redBudget.allowedHours!!) { "${redBudget.allowedHours}" }
+        assertTrue(
+            redBudget.maxTaskShare == 0.2 && redBudget.maxJobs == null && redBudget.uninterruptibleClasses == setOf("invoice-draft"),
+        ) {
+            "$redBudget"
+        }
+        assertTrue(23 in redBudget.allowedHours!! && 5 in redBudget.allowedHours!! && 6 !in redBudget.allowedHours!!) {
+            "${redBudget.allowedHours}"
+        }
         assertEquals(
             1,
             OperatorSettings
--- a/src/test/kotlin/lichenstage/model/PartitionAssignmentTest.kt
+++ b/src/test/kotlin/lichenstage/model/PartitionAssignmentTest.kt
@@ -37,6 +37,7 @@
         assertNull(assignment.partitionOf("vm-1", "nowhere")) { "a machine of an unknown zone has a partition" }
     }
 
+    /** With a poor hash, the machines of a zone land in one partition if their numbers differ by the number of partitions. */
     @Example
     fun `the machines of a zone are spread evenly for any stride between their numbers`() {
         val assignment = PartitionAssignment(listOf("z"), mapOf("a" to "z", "b" to "z", "c" to "z"))
