--- a/src/main/kotlin/lichenstage/model/MachineLimits.kt
+++ b/src/main/kotlin/lichenstage/model/MachineLimits.kt
@@ -1,6 +1,6 @@
 package lichenstage.model
 
-/** The resources and the image cache of a machine of one type. A cache of infinite size means that its size is unknown. */
+/** The resources and the image cache of a machine of one type. An infinite [cacheGb] means that the cache has no limit. */
 data class MachineLimits(
     val typeName: String,
     val capacity: Resources,
