--- a/src/main/kotlin/lichenstage/app/FrameRouter.kt
+++ b/src/main/kotlin/lichenstage/app/FrameRouter.kt
@@ -24,27 +24,27 @@
 import lichenstage.placement.LeaderActor
 import lichenstage.placement.LeaderMessage
 
-/** Passes each frame of another controller to the actor that it is for. */
+/** Passes each frame from another controller to the actor that handles it. */
 internal class FrameRouter(
     private val authority: Authority,
-    private val partition: PartitionActor,
-    private val jobs: JobsActor,
+    private val partitionActor: PartitionActor,
+    private val jobsActor: JobsActor,
     private val replicaSync: JobReplicaSync,
     private val forwarder: RequestForwarder,
     private val send: (String, Frame) -> Unit,
-    /** The actor of this process's leadership; null while it does not lead. */
+    /** Returns the leader actor of this process, or null while this controller is not the leader. */
     private val leader: () -> LeaderActor?,
 ) {
-    /** Handles a frame that the controller [from] has sent. */
+    /** Handles a frame from the controller [from]. */
     fun onFrame(
         from: String,
         frame: Frame,
     ) {
         when (frame) {
-            // Handled by the links themselves.
+            // The peer links handle these frames themselves.
             is Hello, is Ping, is RelayedFrame -> Unit
 
-            is PlacementFrame -> partition.tell(PartitionMessage.LeaderFrameReceived(frame))
+            is PlacementFrame -> partitionActor.tell(PartitionMessage.LeaderFrameReceived(frame))
 
             is PartitionFrame -> leader()?.tell(LeaderMessage.PartitionFrameReceived(frame))
 
@@ -62,14 +62,14 @@
 
             is JobsEnded -> replicaSync.onJobsEnded(frame)
 
-            is TaskCounts -> jobs.tell(JobsMessage.TaskCountsReceived(frame))
+            is TaskCounts -> jobsActor.tell(JobsMessage.TaskCountsReceived(frame))
         }
     }
 
     private fun onForwardedRequest(
         from: String,
         frame: ForwardedRequest,
-    ) = jobs.tell(
+    ) = jobsActor.tell(
         JobsMessage.UserRequest(frame.verb, frame.text, isForwarded = true) {
             send(from, ForwardedReply(frame.number, it.status, it.body.encode(), it.retryAfterS))
         },
--- a/src/main/kotlin/lichenstage/model/MachineLimits.kt
+++ b/src/main/kotlin/lichenstage/model/MachineLimits.kt
@@ -1,6 +1,6 @@
 package lichenstage.model
 
-/** What a machine of a type offers. */
+/** The resources and the image cache of a machine of one type. An infinite [cacheGb] means that the cache has no limit. */
 data class MachineLimits(
     val typeName: String,
     val capacity: Resources,
--- a/src/test/kotlin/lichenstage/common/CommandLineParserTest.kt
+++ b/src/test/kotlin/lichenstage/common/CommandLineParserTest.kt
@@ -15,18 +15,18 @@
     private fun parse(vararg args: String) = parser.parse(args.toList())
 
     @Example
-    fun `options and operands are read in any order`() {
+    fun `options and operands are parsed in any order`() {
         val arguments = parse("--check", "here", "--config", "a.json", "--count=7")
-        assertTrue(arguments.has("check") && !arguments.has("help"), "only --check was given")
+        assertTrue(arguments.has("check") && !arguments.has("help"), "--check was given and --help was not")
         assertEquals("a.json", arguments.text("config"), "${arguments.text("config")}")
         assertEquals(7L, arguments.wholeNumber("count"), "${arguments.wholeNumber("count")}")
         assertEquals(listOf("here"), arguments.operands, "${arguments.operands}")
-        assertTrue(parse("-h").has("help"), "the short name")
+        assertTrue(parse("-h").has("help"), "the short name of --help")
     }
 
     @Example
-    fun `what can't be used is refused`() {
-        val wrong =
+    fun `invalid arguments are rejected`() {
+        val invalidArguments =
             listOf(
                 listOf("--unknown"),
                 listOf("--conf", "a.json"),
@@ -34,19 +34,19 @@
                 listOf("--config", "a", "--config", "b"),
                 listOf("here", "there"),
             )
-        for (args in wrong) assertTrue(isRefused { parser.parse(args) }, "$args")
-        assertTrue(isRefused { parse("--count", "many").wholeNumber("count") }, "a count that is no number")
+        for (args in invalidArguments) assertTrue(isRejected { parser.parse(args) }, "$args")
+        assertTrue(isRejected { parse("--count", "many").wholeNumber("count") }, "a count that is not a number")
     }
 
     @Example
-    fun `the help names every option`() {
+    fun `the help text contains every option`() {
         val help = parser.help()
         for (option in listOf("tool [NAME]", "--config", "FILE", "--count", "--check", "-h", "Only looks.")) {
             assertTrue(option in help, help)
         }
     }
 
-    private fun isRefused(parse: () -> Any?): Boolean =
+    private fun isRejected(parse: () -> Any?): Boolean =
         try {
             parse()
             false
