--- a/src/test/kotlin/lichenstage/architecture/ArchitectureTest.kt
+++ b/src/test/kotlin/lichenstage/architecture/ArchitectureTest.kt
@@ -8,10 +8,13 @@
 import com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices
 import net.jqwik.api.Example
 
-/** Keeps the layers that docs/architecture.md draws: dependencies run downwards only, and decisions know no framework. */
+/**
+ * Guards the layers described in docs/architecture.md: a package depends only on packages of the same or lower layers, and classes that
+ * make decisions depend on no framework. An import of a class from a higher layer, or of Vert.x in a `Core` class, fails these tests.
+ */
 class ArchitectureTest {
     @Example
-    fun packagesHaveNoCycles() =
+    fun packagesHaveNoCyclicDependencies() =
         slices()
             .matching("lichenstage.(*)..")
             .should()
@@ -19,7 +22,7 @@
             .check(classes)
 
     @Example
-    fun layersDependOnLowerLayersOnly() {
+    fun eachLayerDependsOnLowerLayersOnly() {
         var rule = layeredArchitecture().consideringOnlyDependenciesInLayers()
         for ((layer, packages) in LAYERS) rule = rule.layer(layer).definedBy(*packages.map { "lichenstage.$it.." }.toTypedArray())
         val layers = LAYERS.keys.toList()
@@ -32,7 +35,7 @@
     }
 
     @Example
-    fun decisionsUseNeitherVertxNorCoroutines() =
+    fun coreClassesDependOnNeitherVertxNorCoroutines() =
         noClasses()
             .that()
             .haveSimpleNameEndingWith("Core")
@@ -45,7 +48,7 @@
         val classes: JavaClasses =
             ClassFileImporter().withImportOption(ImportOption.DoNotIncludeTests()).importPackages("lichenstage")
 
-        /** From the lowest to the highest. */
+        /** The packages of each layer, from the lowest layer to the highest. */
         val LAYERS =
             linkedMapOf(
                 "foundation" to listOf("common", "model", "config"),
--- a/src/test/kotlin/lichenstage/architecture/WireNamesTest.kt
+++ b/src/test/kotlin/lichenstage/architecture/WireNamesTest.kt
@@ -4,22 +4,26 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import java.io.File
 
-/** Names of the wire protocols are mapped once, in the codec of each outside system, and appear in no other file. */
+/**
+ * Guards the rule that names of the wire protocols appear only in the codec of each external system. A name used elsewhere would spread the
+ * vocabulary of a protocol through the code, and a change of the protocol would then need changes in many files.
+ */
 class WireNamesTest {
     private val sources = File("src/main/kotlin/lichenstage").walk().filter { it.extension == "kt" }.toList()
 
     @Example
-    fun `no file but the codecs has a name of the wire in a string`() {
+    fun `no string outside the codecs contains a wire name`() {
         val misplacedNames = sources.filter { it.name !in CODECS }.flatMap(::findWireNames)
         assertEquals(emptyList<String>(), misplacedNames)
     }
 
     @Example
-    fun `each codec exists and has such names`() {
+    fun `each listed codec exists and contains wire names`() {
         val codecsWithoutNames = CODECS.filter { codec -> sources.firstOrNull { it.name == codec }?.let(::findWireNames).isNullOrEmpty() }
         assertEquals(emptyList<String>(), codecsWithoutNames)
     }
 
+    /** Returns the wire names in the string literals of a source file, each with the name of the file. */
     private fun findWireNames(source: File): List<String> =
         STRING_LITERAL
             .findAll(source.readText())
@@ -32,7 +36,7 @@
         val STRING_LITERAL = Regex("\"\"\"[\\s\\S]*?\"\"\"|\"(?:\\\\.|[^\"\\\\])*\"")
         val WORD = Regex("[a-z_]+")
 
-        /** The codec of each outside system; the settings file; and the made-up messages of the start that records the class archive. */
+        /** The files that may contain wire names: codecs, the parser of the settings file, and the sample messages of the warm-up run. */
         val CODECS =
             setOf(
                 "WorkerCodec.kt",
@@ -44,7 +48,10 @@
                 "WarmUpServices.kt",
             )
 
-        /** Names that mean nothing else in this program; those that are ordinary words or terms of it too can't be told apart. */
+        /**
+         * The wire names that have no other meaning in this program. Wire names that are also ordinary words or terms of this program are
+         * left out because other uses of these words could not be told apart from them.
+         */
         val WIRE_NAMES =
             setOf(
                 "holdfast",
--- a/src/test/kotlin/lichenstage/ci/KnownRedTest.kt
+++ b/src/test/kotlin/lichenstage/ci/KnownRedTest.kt
@@ -4,7 +4,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Exactly the listed tests must fail. */
+/**
+ * Guards the rule that exactly the tests listed in KNOWN-RED.txt may fail. If a problem were missed, CI would pass over a failed test that
+ * is not listed, or the list would keep tests that pass or no longer exist.
+ */
 class KnownRedTest {
     private val red = TestId("a.RedTest", "fails for a reason")
     private val green = TestId("a.GreenTest", "passes")
@@ -17,27 +20,34 @@
     ) = KnownRed.parse(text).findProblems(TestResults(setOf(red, green) - failed, failed), classesWithoutReport)
 
     @Example
-    fun `a listed test that fails is accepted`() = assertTrue(findProblems(list).isEmpty()) { "${findProblems(list)}" }
+    fun `a test run in which exactly the listed test fails has no problems`() =
+        assertTrue(findProblems(list).isEmpty()) {
+            "${findProblems(list)}"
+        }
 
     @Example
-    fun `an empty list and no failed test are accepted`() = assertTrue(findProblems("\n", failed = emptySet()).isEmpty()) { "refused" }
+    fun `a test run without failures has no problems if the list is empty`() =
+        assertTrue(findProblems("\n", failed = emptySet()).isEmpty()) {
+            "problems reported for an empty list and no failed test"
+        }
 
     @Example
-    fun `other failures, listed tests that pass, unknown tests, a fourth line and incomplete lines are reported, one line each`() {
+    fun `unlisted failures, listed tests that pass or did not run, a fourth line and malformed lines are each reported as one problem`() {
         val cases =
             mapOf(
                 findProblems("") to "failed: $red",
                 findProblems(list, failed = setOf(red, green)) to "failed: $green",
-                findProblems(list, failed = emptySet()) to "KNOWN-RED.txt names a test that passes: $red",
-                findProblems(list + "a.NoTest#x | c | s | 1") to "KNOWN-RED.txt names no test: a.NoTest#x",
-                findProblems(list.repeat(4)) to "KNOWN-RED.txt has more than 3 lines",
-                findProblems(list + "a.GreenTest passes") to "KNOWN-RED.txt: not of the form ${KnownRed.ENTRY_FORMAT}: a.GreenTest passes",
+                findProblems(list, failed = emptySet()) to "KNOWN-RED.txt: listed test passed: $red",
+                findProblems(list + "a.NoTest#x | c | s | 1") to "KNOWN-RED.txt: listed test not run: a.NoTest#x",
+                findProblems(list.repeat(4)) to "KNOWN-RED.txt: must have at most 3 lines",
+                findProblems(list + "a.GreenTest passes") to
+                    "KNOWN-RED.txt: line must be of the form ${KnownRed.ENTRY_FORMAT}, was: a.GreenTest passes",
                 findProblems(list + "a.GreenTest#passes | c | | 3") to
-                    "KNOWN-RED.txt: not of the form ${KnownRed.ENTRY_FORMAT}: a.GreenTest#passes | c | | 3",
+                    "KNOWN-RED.txt: line must be of the form ${KnownRed.ENTRY_FORMAT}, was: a.GreenTest#passes | c | | 3",
                 findProblems(list + "a.GreenTest#passes | c | 3") to
-                    "KNOWN-RED.txt: not of the form ${KnownRed.ENTRY_FORMAT}: a.GreenTest#passes | c | 3",
+                    "KNOWN-RED.txt: line must be of the form ${KnownRed.ENTRY_FORMAT}, was: a.GreenTest#passes | c | 3",
                 findProblems("$red | | s | 30", failed = emptySet()) to
-                    "KNOWN-RED.txt: not of the form ${KnownRed.ENTRY_FORMAT}: $red | | s | 30",
+                    "KNOWN-RED.txt: line must be of the form ${KnownRed.ENTRY_FORMAT}, was: $red | | s | 30",
                 findProblems(list, classesWithoutReport = listOf("a.LostTest")) to "did not run: a.LostTest",
             )
         for ((problems, expected) in cases) assertEquals(listOf(expected), problems)
--- a/src/test/kotlin/lichenstage/ci/TestVerdict.kt
+++ b/src/test/kotlin/lichenstage/ci/TestVerdict.kt
@@ -10,8 +10,8 @@
 private val SOURCES_FOLDER = File("src/test/kotlin")
 
 /**
- * Checks the test run whose reports are in `target/surefire-reports` against KNOWN-RED.txt: exactly the listed tests must have failed.
- * Prints the listed tests and all problems; exits with status 1 if there are any problems.
+ * Checks the surefire reports of the latest test run against KNOWN-RED.txt: exactly the listed tests must have failed. Prints the listed
+ * tests and all problems, and exits with status 1 if there are any problems. CI calls this after the tests.
  */
 fun main() {
     val file = File(KNOWN_RED_FILE)
@@ -26,7 +26,7 @@
     exitProcess(if (problems.isEmpty()) 0 else 1)
 }
 
-/** Test classes (source files named `*Test.kt`) for which surefire wrote no report. */
+/** Returns the test classes, found by source files named `*Test.kt`, for which surefire wrote no report. */
 private fun classesWithoutReport(): List<String> =
     SOURCES_FOLDER
         .walk()
@@ -35,11 +35,13 @@
         .filter { !File(REPORTS_FOLDER, "TEST-$it.xml").exists() }
         .toList()
 
+/** Returns the qualified name of the class of a source file. */
 private fun classNameOf(source: File): String {
     val path = source.relativeTo(SOURCES_FOLDER).path.removeSuffix(".kt")
     return path.replace('/', '.')
 }
 
+/** Reads the results of all tests from the surefire reports. */
 private fun readResults(): TestResults {
     val reports = REPORTS_FOLDER.listFiles { file -> file.name.startsWith("TEST-") }.orEmpty()
     val (failed, passed) = reports.flatMap(::testCases).partition(::hasFailed)
--- a/src/test/kotlin/lichenstage/standin/CancellationObserver.kt
+++ b/src/test/kotlin/lichenstage/standin/CancellationObserver.kt
@@ -5,23 +5,28 @@
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.atomic.AtomicInteger
 
-/** Finds what workers do for jobs whose cancellation was confirmed more than [cancellationLimitMs] ago. */
+/**
+ * Detects tasks of cancelled jobs that start or still run on a worker more than [cancellationLimitMs] after a controller confirmed the
+ * cancellation.
+ */
 internal class CancellationObserver(
     private val cancellationLimitMs: Long,
 ) : WorkerObserver {
     private val confirmedAtNs = ConcurrentHashMap<String, Long>()
     private val runningTasks = ConcurrentHashMap.newKeySet<String>()
 
-    /** Starts of tasks after the confirmation, within the time that a cancellation has. */
+    /** The number of task starts after the confirmed cancellation of their job, both within [cancellationLimitMs] and later. */
     val startsAfterConfirmation = AtomicInteger()
+
+    /** One message per task start after the time limit, and one per check that finds a task still running after it. */
     val violations = ConcurrentLinkedQueue<String>()
 
-    /** A user was told that the job is cancelled. */
+    /** Records that a controller has confirmed the cancellation of [job] to the user. */
     fun onCancellationConfirmed(job: String) {
         confirmedAtNs[job] = System.nanoTime()
     }
 
-    /** How long ago the cancellation of the task's job was confirmed; null where it was not. */
+    /** Returns the milliseconds since the cancellation of the task's job was confirmed, or null if it was not. */
     fun timeSinceConfirmationMs(task: String): Long? =
         confirmedAtNs[task.substringBefore('/')]?.let { TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - it) }
 
@@ -32,7 +37,7 @@
         runningTasks += "$task $machine"
         val elapsedMs = timeSinceConfirmationMs(task) ?: return
         startsAfterConfirmation.incrementAndGet()
-        if (elapsedMs > cancellationLimitMs) violations += "$task started on $machine $elapsedMs ms after its cancellation"
+        if (elapsedMs > cancellationLimitMs) violations += "$task started on $machine $elapsedMs ms after the cancellation of its job"
     }
 
     override fun onTaskEnded(
@@ -42,11 +47,11 @@
         runningTasks -= "$task $machine"
     }
 
-    /** Nothing of a cancelled job may be left once its time is over. */
+    /** Records a violation for each task of a cancelled job that still runs after the time limit. */
     fun checkRunningTasks() {
         for (taskAndMachine in runningTasks) {
             val elapsedMs = timeSinceConfirmationMs(taskAndMachine.substringBefore(' ')) ?: continue
-            if (elapsedMs > cancellationLimitMs) violations += "$taskAndMachine is on its machine $elapsedMs ms after its cancellation"
+            if (elapsedMs > cancellationLimitMs) violations += "$taskAndMachine still runs $elapsedMs ms after the cancellation of its job"
         }
     }
 }
--- a/src/test/kotlin/lichenstage/standin/CloudStandIn.kt
+++ b/src/test/kotlin/lichenstage/standin/CloudStandIn.kt
@@ -6,7 +6,7 @@
 import io.vertx.core.json.JsonObject
 import java.util.concurrent.CompletableFuture
 
-/** A cloud with one machine type that boots at once; each machine is a worker of [WorkerStandIn]. */
+/** A stand-in for the cloud API, with one machine type. Each machine boots at once and is a [WorkerStandIn]. */
 internal class CloudStandIn(
     private val vertx: Vertx,
     private val port: Int,
@@ -15,16 +15,18 @@
 ) {
     private val machines = LinkedHashMap<String, WorkerStandIn>()
 
-    /** The machines that were provisioned, by the name of the request. */
+    /** The names of the machines of each provision request, by request name. A repeated request gets the same machines. */
     private val provisionedByRequest = HashMap<String, JsonArray>()
+
+    /** The names of the machines that were terminated. */
     private val terminatedMachines = HashSet<String>()
 
-    /** Begins to listen. */
+    /** Starts the HTTP server and waits until it listens. */
     fun start() {
         vertx.serveJson(port, ::route).join()
     }
 
-    /** Stops all machines, so that none sends heartbeats any more when their event loop is closed. */
+    /** Stops all machines, so that none sends a heartbeat after its event loop is closed. */
     fun stop() {
         val stopped = CompletableFuture<Unit>()
         vertx.runOnContext {
@@ -34,9 +36,10 @@
         stopped.join()
     }
 
-    /** Boots machines beforehand, spread over the zones. */
+    /** Boots [count] machines without a provision request, spread evenly over the zones. */
     fun bootMachines(count: Int): List<WorkerStandIn> = List(count) { bootMachine(zones[it % zones.size]).second }
 
+    /** Creates and starts the worker of a new machine, and returns the name of the machine with the worker. */
     private fun bootMachine(zone: String): Pair<String, WorkerStandIn> {
         val name = "vm-%06d".format(machines.size)
         val worker = createWorker(name, zone)
@@ -77,6 +80,7 @@
             ),
         )
 
+    /** Boots the requested number of machines in a zone. A repeated request boots no further machines. */
     private fun provision(body: JsonObject): JsonObject {
         val names =
             provisionedByRequest.getOrPut(body.getString("hire")) {
@@ -93,9 +97,10 @@
         return JsonObject()
     }
 
+    /** Lists a page of the machines after a name. A machine that has stopped is not listed. */
     private fun listMachines(request: HttpServerRequest): JsonObject {
         val afterName = request.getParam("since") ?: ""
-        val limit = request.getParam("most")?.toInt() ?: DEFAULT_PAGE
+        val limit = request.getParam("most")?.toInt() ?: DEFAULT_PAGE_SIZE
         val matchingMachines =
             machines
                 .filter { it.key > afterName && it.key !in terminatedMachines && (it.value.isUp || it.value.neverBoots) }
@@ -115,6 +120,6 @@
     }
 
     private companion object {
-        const val DEFAULT_PAGE = 500
+        const val DEFAULT_PAGE_SIZE = 500
     }
 }
--- a/src/test/kotlin/lichenstage/standin/ControllerClient.kt
+++ b/src/test/kotlin/lichenstage/standin/ControllerClient.kt
@@ -7,14 +7,14 @@
 import java.net.http.HttpResponse
 import java.time.Duration
 
-/** Sends requests to the controllers of a deployment on loopback, as users and the load balancer do. */
+/** Sends requests to the controllers of a loopback deployment, as users and the load balancer do. */
 internal class ControllerClient(
     private val deployment: Deployment,
 ) {
     private val controllers = deployment.zones.indices
     private val http = HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build()
 
-    /** The answer of a controller, or null where it does not answer. */
+    /** Sends a request to a controller and returns its reply, or null if the connection fails or times out. */
     fun send(
         controller: Int,
         method: String,
@@ -33,23 +33,23 @@
             null
         }
 
-    /** Whether all say that they can take requests. */
-    fun allHealthy() = controllers.all { statusCode(it, "GET", "/healthz") == 200 }
+    /** Returns whether the health check of every controller succeeds. */
+    fun areAllHealthy() = controllers.all { statusCode(it, "GET", "/healthz") == 200 }
 
-    /** One of the controllers, tried from [firstController] on, has accepted the job or knows it. */
+    /** Submits the job to the controllers in turn, from [firstController] on, and returns whether one has accepted it or already has it. */
     fun submitToAny(
         job: String,
         firstController: Int = 0,
     ) = controllers.any { statusCode((firstController + it) % deployment.zones.size, "POST", "/api/jobs", job) in 200..201 }
 
-    /** The status of the job as a controller answers it; null where it does not. */
+    /** Returns the status of the job as the controller reports it, or null if the controller does not reply with status code 200. */
     fun jobStatus(
         controller: Int,
         id: Int,
     ): String? =
         send(controller, "GET", "/api/jobs/j-$id")?.takeIf { it.statusCode() == 200 }?.let { JsonObject(it.body()).getString("status") }
 
-    /** The status code of its answer; 0 where it does not answer. */
+    /** Sends a request to a controller and returns the status code of the reply, or 0 if there is no reply. */
     fun statusCode(
         controller: Int,
         method: String,
--- a/src/test/kotlin/lichenstage/standin/ControllerProcesses.kt
+++ b/src/test/kotlin/lichenstage/standin/ControllerProcesses.kt
@@ -5,8 +5,13 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * The controllers of a deployment as processes on loopback, each with its settings file and its log in [folder]. [command] is the program
- * with its arguments, without the settings file.
+ * The controller processes of a loopback deployment. Controllers are numbered from 0.
+ *
+ * @property folder the folder of the settings file and the log of each controller
+ * @property command returns the program and its arguments, without the path of the settings file, which is appended
+ * @property settings the fields of `settings` in the settings file, without those that [Deployment] sets
+ * @property logLevel returns the value of `LOG_LEVEL` for a controller; null leaves the variable as it is
+ * @property extraArguments the arguments that follow the path of the settings file
  */
 internal class ControllerProcesses(
     private val deployment: Deployment,
@@ -19,10 +24,12 @@
     private val processes = HashMap<Int, Process>()
     private val controllers = deployment.zones.indices
 
+    /** Whether all controllers have been launched and none has exited. */
     val areAllAlive get() = processes.size == controllers.count() && processes.values.all { it.isAlive }
 
     fun launchAll() = controllers.forEach(::launch)
 
+    /** Writes the settings file of a controller and starts its process. The log of an earlier process is kept and continued. */
     fun launch(controller: Int) {
         settingsFile(controller).writeText(deployment.settingsJson(controller, settings).encodePrettily())
         val process =
@@ -33,10 +40,10 @@
         processes[controller] = process.start()
     }
 
-    /** The process of controller [controller] that was launched last. */
+    /** Returns the most recently launched process of a controller. */
     fun process(controller: Int): Process = processes.getValue(controller)
 
-    /** Ends the process with no signal, and starts it again. */
+    /** Kills the process, which gets no chance to shut down, and starts a new one. */
     fun restart(controller: Int) {
         processes.getValue(controller).destroyForcibly().waitFor()
         launch(controller)
@@ -49,14 +56,14 @@
     fun killAll() = processes.values.forEach { it.destroyForcibly() }
 }
 
-/** An empty folder below `target` for what a check writes. */
+/** Creates an empty folder below `target` for the files of a check, and deletes what an earlier run left there. */
 internal fun createEmptyFolder(name: String): File =
     File("target", name).apply {
         deleteRecursively()
         mkdirs()
     }
 
-/** Runs a command to its end, 30 s at most, with its output in [log]; its exit status. */
+/** Runs a command, writes its output to [log] and returns its exit status. Kills the command after [COMMAND_TIMEOUT_S] seconds. */
 internal fun runCommand(
     command: List<String>,
     log: File,
@@ -68,7 +75,10 @@
 
 private const val COMMAND_TIMEOUT_S = 30L
 
-/** The program and its arguments as the deploy file names them, with further [jvmFlags]; the settings file comes after. */
+/**
+ * Returns the program and its arguments from the deploy file, with [jvmFlags] as the first arguments. The path of the settings file has to
+ * be appended.
+ */
 internal fun deployedCommand(vararg jvmFlags: String): List<String> {
     val command =
         File("deploy/service.toml")
--- a/src/test/kotlin/lichenstage/standin/Deployment.kt
+++ b/src/test/kotlin/lichenstage/standin/Deployment.kt
@@ -4,19 +4,24 @@
 import io.vertx.core.json.JsonObject
 import java.net.ServerSocket
 
-/** A deployment on loopback: one controller a zone, a state service and a cloud, each on a port of its own. */
+/** The ports and settings of a loopback deployment with one controller per zone, a state service and a cloud. */
 internal class Deployment(
     val zones: List<String>,
 ) {
     private val allocatedPorts = HashSet<Int>()
+
+    /** The ports on which the controllers serve users and workers, by the number of the controller. */
     val servePorts = zones.map { allocatePort() }
+
+    /** The ports on which the controllers listen to one another. */
     private val clusterPorts = zones.map { allocatePort() }
     val statePort = allocatePort()
     val cloudPort = allocatePort()
 
-    /** The ports to which workers send heartbeats, by label. */
+    /** The ports to which workers send heartbeats, by the label of the controller. */
     val portsByLabel = zones.indices.associate { "n$it" to servePorts[it] }
 
+    /** Returns a free port that this deployment has not allocated before. */
     fun allocatePort(): Int {
         while (true) {
             val port = ServerSocket(0).use { it.localPort }
@@ -24,7 +29,10 @@
         }
     }
 
-    /** The settings file of controller [controller]; [settings] are the fields of `settings` beside the zones. */
+    /**
+     * Returns the content of the settings file of a controller. [settings] has the fields of `settings` other than the zones, their count
+     * and the objectives.
+     */
     fun settingsJson(
         controller: Int,
         settings: JsonObject,
@@ -51,7 +59,7 @@
     }
 }
 
-/** The fields of `settings` for a few machines, with the limit in cores of each team. */
+/** Returns the fields of `settings` for a deployment with few machines. [teams] maps the name of each team to its limit in cores. */
 internal fun smallSettings(vararg teams: Pair<String, Double>): JsonObject =
     JsonObject()
         .put("teams", JsonArray(teams.map { (name, cores) -> JsonObject().put("name", name).put("cpus", 0.0).put("cpus_max", cores) }))
@@ -59,7 +67,7 @@
         .put("state", stateSettings(writeRps = 150.0, valueKb = 8.0, txnOps = 12))
         .put("cloud", JsonObject().put("rps", 8.0).put("list_lag_s", 1.0))
 
-/** The limits of the state service. */
+/** Returns the limits of the state service, in requests per second, kilobytes per value and operations per transaction. */
 internal fun stateSettings(
     writeRps: Double,
     valueKb: Double,
--- a/src/test/kotlin/lichenstage/standin/DrainCheck.kt
+++ b/src/test/kotlin/lichenstage/standin/DrainCheck.kt
@@ -9,22 +9,30 @@
 import kotlin.system.exitProcess
 
 /**
- * A check of drains on loopback, run by hand: `DrainCheckKt [SEED]`. The built jar three times against the stand-ins, tasks of two teams on
- * every machine, and a drain of all of them with replacements, some of which never come up, while controllers are killed as the seed has
- * it. An observer at the workers counts which jobs of each team are held up by stops at every moment.
+ * Checks drains on loopback, started by hand: `DrainCheckKt [SEED]`. Three controllers of the built jar run against the stand-ins, with
+ * tasks of two teams on every machine. A drain replaces all machines, and some of the replacements never boot. Meanwhile controllers are
+ * killed at times that depend on the seed. An observer of the workers counts how many jobs of each team are interrupted at the same time.
  */
 fun main(args: Array<String>) {
     exitProcess(DrainCheck(deployedCommand(), args.firstOrNull()?.toLong() ?: 1).run())
 }
 
-/** Counts the jobs of each team that are interrupted by stops, as the workers see it. */
+/** Counts, per team, the jobs with a task that was stopped and has not started again. */
 internal class InterruptionObserver : WorkerObserver {
     private val stoppedTasksByTeam = HashMap<String, HashSet<String>>()
+
+    /** The machines on which each task runs. */
     private val machinesByTask = HashMap<String, HashSet<String>>()
+
+    /** The number of running tasks that were stopped by a command. */
     var interruptionCount = 0
         private set
+
+    /** The highest number of jobs of each team that were interrupted at the same time. */
     var maxInterruptedJobs = HashMap<String, Int>()
         private set
+
+    /** The number of task starts while the task already ran on another machine. */
     var duplicateRuns = 0
         private set
 
@@ -56,11 +64,12 @@
         maxInterruptedJobs.merge(team, tasks.map { it.substringBefore('/') }.distinct().size, ::maxOf)
     }
 
+    /** Returns the number of tasks that run on at least one machine. */
     @Synchronized
     fun countRunningTasks() = machinesByTask.values.count { it.isNotEmpty() }
 
     companion object {
-        /** Even jobs are of one team, odd ones of the other. */
+        /** Returns the team of the task: red for tasks of even-numbered jobs, blue for those of odd-numbered jobs. */
         fun teamOf(task: String) = if (task.substringBefore('/').substringAfter('-').toInt() % 2 == 0) "red" else "blue"
     }
 }
@@ -91,28 +100,27 @@
     fun run(): Int {
         try {
             setUp()
-            check("wrong arguments end with status 2") {
+            check("an unknown zone and an unknown subcommand end the drain command with exit status 2") {
                 runDrainCommand("start", "x", "--zone", "moon") == EXIT_REFUSED &&
                     runDrainCommand("halt", "x") == EXIT_REFUSED
             }
-            check("a dry run writes nothing") {
+            check("a dry run succeeds and creates no drain") {
                 runDrainCommand("start", "x", "--all", "--dry-run") == 0 &&
                     runDrainCommand("status", "x") == EXIT_REFUSED
             }
             val machinesBefore = workers.filter { it.isUp }
-            check("a drain of every machine is taken, again too") {
+            check("a drain of every machine is accepted, and so is its repetition") {
                 (1..2).all {
-                    runDrainCommand("start", DRAIN_NAME, "--all", "--at-most", "3", "--replace") ==
-                        0
+                    runDrainCommand("start", DRAIN_NAME, "--all", "--at-most", "3", "--replace") == 0
                 }
             }
-            check("it is finished while controllers are killed") { finishesWhileControllersAreKilled() }
-            check("every machine that was there is gone") { machinesBefore.none { it.isUp } }
-            check("tasks were interrupted") { observer.interruptionCount > 0 }
+            check("the drain finishes although controllers are killed") { finishesWhileControllersAreKilled() }
+            check("every machine from before the drain has been terminated") { machinesBefore.none { it.isUp } }
+            check("the drain has interrupted tasks") { observer.interruptionCount > 0 }
             check(
-                "no team was over its budget: ${observer.maxInterruptedJobs}",
+                "no team exceeds its budget: ${observer.maxInterruptedJobs}",
             ) { observer.maxInterruptedJobs.values.all { it <= JOB_BUDGET } }
-            check("no task was on two machines") { observer.duplicateRuns == 0 }
+            check("no task ran on two machines at once") { observer.duplicateRuns == 0 }
         } finally {
             controllers.killAll()
             cloud.stop()
@@ -122,18 +130,19 @@
         return checklist.printSummary()
     }
 
+    /** Starts the stand-ins and controllers, and submits one job per machine. */
     private fun setUp() {
         File(folder, "operator.hcl").writeText("drains {\n  default {\n    jobs = $JOB_BUDGET\n  }\n}\n")
         StateStandIn(vertx, deployment.statePort).start()
         cloud.start()
         cloud.bootMachines(MACHINE_COUNT)
         controllers.launchAll()
-        check("all become healthy") { eventually(60) { client.allHealthy() } }
+        check("all controllers become healthy") { eventually(60) { client.areAllHealthy() } }
         repeat(MACHINE_COUNT) { submit() }
-        check("tasks run on every machine") { eventually(60) { observer.countRunningTasks() >= MACHINE_COUNT } }
+        check("as many tasks run as there are machines") { eventually(60) { observer.countRunningTasks() >= MACHINE_COUNT } }
     }
 
-    /** Of those that are provisioned later, one in four never comes up. */
+    /** Creates a worker. Of the machines that are provisioned after the start, one in four never boots. */
     private fun createWorker(
         name: String,
         zone: String,
@@ -143,7 +152,7 @@
         return WorkerStandIn(vertx, name, zone, deployment.allocatePort(), profile, observer).also { workers += it }
     }
 
-    /** Until the drain is finished: work comes, and controllers are killed. */
+    /** Submits jobs and kills controllers until the drain has finished. Returns false if it has not after [MAX_DRAIN_S] seconds. */
     private fun finishesWhileControllersAreKilled(): Boolean {
         var nextKillAtS = checklist.elapsedS + 5
         return eventually(MAX_DRAIN_S) {
@@ -157,6 +166,7 @@
         }
     }
 
+    /** Submits the next job. */
     private fun submit() {
         val id = submittedJobs++
         val job = submission(id, 2, InterruptionObserver.teamOf("j-$id/0"), estimatedRunS = TASK_DURATION_MS / 1000.0).put("cores", 8.0)
@@ -168,7 +178,7 @@
         condition: () -> Boolean,
     ) = checklist.check(description, condition)
 
-    /** The command beside the service; its output is left in a file. */
+    /** Runs the `drain` command of the program, writes its output to `drain.log` and returns its exit status. */
     private fun runDrainCommand(vararg args: String): Int {
         val line = command.dropLast(1) + "drain" + args + listOf("--config", controllers.settingsFile(0).path)
         return runCommand(line, File(folder, "drain.log"))
@@ -176,12 +186,16 @@
 
     private companion object {
         const val DRAIN_NAME = "all-out"
+
+        /** The number of jobs of a team that may be interrupted at the same time. */
         const val JOB_BUDGET = 1
         const val MACHINE_COUNT = 8
         const val TASK_DURATION_MS = 60_000L
         const val LEASE_MS = 20_000L
         const val HEARTBEAT_INTERVAL_MS = 400L
         const val MAX_DRAIN_S = 420L
+
+        /** The exit status for wrong arguments, and for the status of a drain that does not exist. */
         const val EXIT_REFUSED = 2
     }
 }
--- a/src/test/kotlin/lichenstage/standin/Eventually.kt
+++ b/src/test/kotlin/lichenstage/standin/Eventually.kt
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit
 
-/** Repeats [condition] until it is true; false where it is not within [timeoutS] seconds. */
+/** Evaluates [condition] every 100 ms until it is true. Returns false if it is not true within [timeoutS] seconds. */
 internal fun eventually(
     timeoutS: Long = 60,
     condition: () -> Boolean,
--- a/src/test/kotlin/lichenstage/standin/LateOrderCheck.kt
+++ b/src/test/kotlin/lichenstage/standin/LateOrderCheck.kt
@@ -10,17 +10,21 @@
 import kotlin.system.exitProcess
 
 /**
- * A check of held orders on loopback: `LateOrderCheckKt [SEED] [SECONDS]`. The built jar three times against the stand-ins; workers hold
- * two in five of the orders to them for longer than a cancellation may take and execute them then, where token and epoch still match.
- * Jobs are cancelled within a second of their submission, by the dozen. An observer at the workers counts starts after the confirmation.
- * With more than [KILLS_FROM_S] seconds of work controllers are killed as well.
+ * Checks on loopback that no task of a cancelled job runs after the time limit of the cancellation: `LateOrderCheckKt [SEED] [SECONDS]`.
+ * Three controllers of the built jar run against the stand-ins. Workers delay two in five of the direct orders that start tasks, for longer
+ * than a cancellation may take. They execute a delayed order if its fencing token and agent epoch are still valid. Dozens of jobs are
+ * cancelled within a second of their submission, and an observer of the workers counts the starts after the confirmed cancellation. If jobs
+ * are submitted for at least [KILLS_FROM_WORK_S] seconds, controllers are killed as well.
  */
 fun main(args: Array<String>) {
     exitProcess(LateOrderCheck(args.getOrNull(0)?.toLong() ?: 1, args.getOrNull(1)?.toLong() ?: DEFAULT_WORK_S).run())
 }
 
+/** The default time for which jobs are submitted. */
 private const val DEFAULT_WORK_S = 20L
-private const val MIN_WORK_WITH_KILLS_S = 60L
+
+/** The shortest submission time for which controllers are killed. */
+private const val KILLS_FROM_WORK_S = 60L
 
 private class LateOrderCheck(
     seed: Long,
@@ -47,10 +51,10 @@
     private val openJobs = ArrayList<Int>()
     private var cancelledJobCount = 0
 
-    /** The starts of each order that was held. */
+    /** The tasks that each delayed order starts. */
     private val delayedOrders = ConcurrentLinkedQueue<List<String>>()
 
-    /** Held orders with a start of a job that was cancelled longer ago than its tasks may be there, when they were carried out. */
+    /** The number of delayed orders that were due after the time limit of the cancellation of a job whose task they start. */
     private val overdueOrders = AtomicInteger()
 
     fun run(): Int {
@@ -59,35 +63,34 @@
             cloud.start()
             cloud.bootMachines(MACHINE_COUNT)
             controllers.launchAll()
-            checklist.check("all become healthy") {
-                eventually { client.allHealthy() }
+            checklist.check("all controllers become healthy") {
+                eventually { client.areAllHealthy() }
             }
             submitAndCancelJobs()
-            checklist.check("jobs that were not cancelled get done") { eventually(COMPLETION_TIMEOUT_S, ::areJobsDone) }
+            checklist.check("the jobs that were not cancelled get done") { eventually(COMPLETION_TIMEOUT_S, ::areJobsDone) }
             val checksEndAtS = checklist.elapsedS + TimeUnit.MILLISECONDS.toSeconds(MAX_ORDER_DELAY_MS) + 1
             while (checklist.elapsedS < checksEndAtS) checkAndPause()
-            checklist.check(
-                "held starts of cancelled jobs came when their time was over: ${overdueOrders.get()}",
-            ) { overdueOrders.get() > 0 }
-            observer.violations.take(5).forEach(::println)
-            checklist.check("none of $cancelledJobCount cancelled jobs had a task after its time") { observer.violations.isEmpty() }
-            checklist.check("all processes still run") { controllers.areAllAlive }
-            println("newer tokens: ${sumCounter("fences_unwanted_start")} for starts, ${sumCounter("fences_clears")} for clears")
-            println("orders without an answer: ${sumCounter("orders_unanswered")}, reports withheld: ${sumCounter("answers_withheld")}")
-            if (workDurationS <
-                MIN_WORK_WITH_KILLS_S
-            ) {
-                checklist.check("no worker lost its lease") { workers.sumOf { it.leaseExpiries } == 0L }
+            checklist.check("delayed orders start tasks of cancelled jobs after the time limit: ${overdueOrders.get()}") {
+                overdueOrders.get() >
+                    0
             }
+            observer.violations.take(5).forEach(::println)
+            checklist.check(
+                "no cancelled job has a task after the time limit: $cancelledJobCount cancelled",
+            ) { observer.violations.isEmpty() }
+            checklist.check("all controller processes are still running") { controllers.areAllAlive }
+            println("token raises: ${sumCounter("fences_unwanted_start")} for unwanted starts, ${sumCounter("fences_clears")} for clears")
+            println("orders without reply: ${sumCounter("orders_unanswered")}, replies withheld: ${sumCounter("answers_withheld")}")
+            if (workDurationS < KILLS_FROM_WORK_S) checklist.check("no worker loses its lease") { workers.sumOf { it.leaseExpiries } == 0L }
         } finally {
             controllers.killAll()
             cloud.stop()
             vertx.close()
         }
         println(
-            "${observer.startsAfterConfirmation} starts after the confirmation, within the time; ${workers.sumOf {
+            "${observer.startsAfterConfirmation} starts after a confirmed cancellation, ${workers.sumOf {
                 it.leaseExpiries
-            }} leases lost",
+            }} leases expired",
         )
         return checklist.printSummary()
     }
@@ -95,10 +98,8 @@
     private fun settings(): JsonObject {
         val workerSettings =
             JsonObject()
-                .put(
-                    "report_s",
-                    HEARTBEAT_INTERVAL_MS / 1000.0,
-                ).put("lease_s", LEASE_MS / 1000.0)
+                .put("report_s", HEARTBEAT_INTERVAL_MS / 1000.0)
+                .put("lease_s", LEASE_MS / 1000.0)
                 .put("cancel_s", CANCELLATION_LIMIT_MS / 1000.0)
         return smallSettings("red" to 200.0).put("workers", workerSettings)
     }
@@ -108,27 +109,26 @@
         zone: String,
     ) = WorkerStandIn(vertx, name, zone, deployment.allocatePort(), workerProfile, delayingObserver).also { workers += it }
 
-    /** Two in five are held for longer than a cancellation may take. */
+    /** Returns a delay in milliseconds that is longer than a cancellation may take for two in five direct orders, and null for the others. */
     private fun chooseOrderDelayMs(tasks: List<String>): Long? {
         if (delayRandom.nextInt(5) >= 2) return null
         delayedOrders += tasks
         return MIN_ORDER_DELAY_MS + delayRandom.nextInt((MAX_ORDER_DELAY_MS - MIN_ORDER_DELAY_MS).toInt())
     }
 
-    /** Orders that were held, of a job that was cancelled. */
+    /** Returns the number of delayed orders that start a task of a cancelled job. */
     private fun countDelayedOrdersOfCancelledJobs() =
-        delayedOrders.count { tasks ->
-            tasks.any {
-                observer.timeSinceConfirmationMs(it) !=
-                    null
-            }
-        }
+        delayedOrders.count { tasks -> tasks.any { observer.timeSinceConfirmationMs(it) != null } }
 
+    /** Counts a delayed order as overdue if a task that it starts is past the time limit of its cancellation. */
     private fun countOverdueOrder(tasks: List<String>) {
         if (tasks.any { task -> (observer.timeSinceConfirmationMs(task) ?: 0) > CANCELLATION_LIMIT_MS }) overdueOrders.incrementAndGet()
     }
 
-    /** Submits jobs, of which most are cancelled within a second; controllers may be killed. */
+    /**
+     * Submits jobs, cancels most of them within a second, and kills controllers if the submission time is long enough. Goes on for up to three
+     * times the planned time if too few orders of cancelled jobs have been delayed.
+     */
     private fun submitAndCancelJobs() {
         val startedAtS = checklist.elapsedS
         var nextKillAtS = checklist.elapsedS + KILL_INTERVAL_S
@@ -139,13 +139,13 @@
             submitBatch(id)
             id += JOBS_PER_BATCH
             checkAndPause()
-            if (workDurationS < MIN_WORK_WITH_KILLS_S || checklist.elapsedS < nextKillAtS) continue
+            if (workDurationS < KILLS_FROM_WORK_S || checklist.elapsedS < nextKillAtS) continue
             nextKillAtS += KILL_INTERVAL_S
             controllers.restart(random.nextInt(deployment.zones.size))
         }
     }
 
-    /** Submits some jobs at once, of which most are cancelled soon after. */
+    /** Submits [JOBS_PER_BATCH] jobs at once and soon after cancels all but one of them. */
     private fun submitBatch(firstId: Int) {
         val accepted = (firstId until firstId + JOBS_PER_BATCH).filter(::submit)
         val (toKeep, toCancel) = accepted.partition { it % JOBS_PER_BATCH == 0 }
@@ -160,6 +160,7 @@
             firstController = random.nextInt(deployment.zones.size),
         )
 
+    /** Cancels the job and tells the observer once a controller has confirmed the cancellation. */
     private fun cancel(id: Int) {
         val isConfirmed =
             eventually(COMPLETION_TIMEOUT_S) {
@@ -170,11 +171,13 @@
         observer.onCancellationConfirmed("j-$id")
     }
 
+    /** Lets the observer check the running tasks, and pauses until the next check is due. */
     private fun checkAndPause() {
         observer.checkRunningTasks()
         Thread.sleep(CHECK_INTERVAL_MS)
     }
 
+    /** Returns whether all jobs that were not cancelled are done. */
     private fun areJobsDone(): Boolean {
         openJobs.removeAll(::isJobDone)
         return openJobs.isEmpty()
@@ -182,7 +185,7 @@
 
     private fun isJobDone(id: Int): Boolean = deployment.zones.indices.any { client.jobStatus(it, id) == "done" }
 
-    /** The sum of a counter over the controllers, of the processes that run now. */
+    /** Returns the sum of a counter over the running controllers. Counts of killed processes are lost. */
     private fun sumCounter(name: String): Int =
         deployment.zones.indices.sumOf { controller ->
             val line =
@@ -195,15 +198,15 @@
         }
 
     private companion object {
-        /** Writes the milliseconds since its start before each line of a controller's log. */
+        /** Makes a controller start each line of its log with the milliseconds since its start. */
         const val LOG_TIME_FLAG = "-Dorg.slf4j.simpleLogger.showDateTime=true"
         const val MACHINE_COUNT = 12
 
-        /** So many orders with starts of cancelled jobs have to be held: a check that can't fail is none. */
+        /** The minimum number of delayed orders of cancelled jobs. Without such orders the check could not fail. */
         const val MIN_DELAYED_ORDERS = 3
         const val TASKS_PER_JOB = 2
 
-        /** Jobs that come together; one of them is not cancelled. */
+        /** The number of jobs that are submitted at once. One of them is not cancelled. */
         const val JOBS_PER_BATCH = 4
         const val HEARTBEAT_INTERVAL_MS = 2_000L
         const val LEASE_MS = 10_000L
--- a/src/test/kotlin/lichenstage/standin/Load.kt
+++ b/src/test/kotlin/lichenstage/standin/Load.kt
@@ -17,26 +17,26 @@
 import kotlin.system.exitProcess
 
 /**
- * A load check on loopback, run by hand: the built jar, with the flags of the deploy file, as the one controller that is left of
- * three (or more of them), and as many workers as are asked for. After a while all of them reconnect at once, and then the process is
- * killed and started again. What the process takes is read from the system every second.
+ * Checks a controller of the built jar under load on loopback, started by hand. The controller runs with the flags of the deploy file. By
+ * default it is the only one of three controllers that runs. The check has three phases: all workers arrive, all workers reconnect at once, and the
+ * controller is killed and restarted. Its memory, threads and sockets are read from /proc every second.
  */
 fun main(args: Array<String>) {
     val commandLine =
-        CommandLineParser("load", "A load check of the built jar on loopback.")
-            .value("workers", "COUNT", "How many workers (default 1600).")
-            .value("controllers", "COUNT", "How many of the three controllers run (default 1).")
-            .value("phase", "SECONDS", "Seconds of each of the three phases (default 40).")
-            .value("tasks", "COUNT", "Tasks submitted a second (default 140).")
+        CommandLineParser("load", "Checks the built jar under load on loopback.")
+            .value("workers", "COUNT", "Number of workers (default 1600).")
+            .value("controllers", "COUNT", "Number of controllers that run, of three (default 1).")
+            .value("phase", "SECONDS", "Duration of each of the three phases (default 40).")
+            .value("tasks", "COUNT", "Tasks submitted per second (default 140).")
             .value("sockets", "COUNT", "max_sockets in the settings (default 2481).")
-            .value("jvm", "FLAGS", "Further flags for the process's JVM, separated by blanks, as for a recording.")
+            .value("jvm", "FLAGS", "Further JVM flags for the controllers, separated by blanks, such as those of a flight recording.")
             .flag("help", "Show this help.", short = "h")
     val arguments = commandLine.parse(args.toList())
     if (arguments.has("help")) return println(commandLine.help())
     exitProcess(Load(LoadOptions(arguments)).run())
 }
 
-/** The size and length of the check, from the command line. */
+/** The options of the check from the command line. */
 private class LoadOptions(
     arguments: ParsedArguments,
 ) {
@@ -58,12 +58,12 @@
     private val userClient: HttpClient = vertx.createHttpClient(PoolOptions().setHttp1MaxSize(40))
     private val folder = File("target/load").apply { mkdirs() }
     private val refusedSubmissions = AtomicInteger()
-    private val polls = AtomicInteger()
+    private val pollCount = AtomicInteger()
     private val failedPolls = AtomicInteger()
     private var submittedJobs = 0
     private val controllers = ControllerProcesses(deployment, folder, { deployedCommand(*options.jvmFlags.toTypedArray()) }, settings())
 
-    /** The one that is measured, and killed. */
+    /** The process of controller 0, which is measured, killed and restarted. */
     private val measuredProcess get() = controllers.process(0)
 
     fun run(): Int {
@@ -76,8 +76,7 @@
                             deployment.portsByLabel,
                             LEASE_MS,
                             TASK_DURATION_MS,
-                            heartbeatIntervalMs =
-                                3_000L + random.nextInt(2_000),
+                            heartbeatIntervalMs = 3_000L + random.nextInt(2_000),
                         )
                     WorkerStandIn(vertx, name, zone, deployment.allocatePort(), profile, object : WorkerObserver {})
                 }
@@ -88,8 +87,8 @@
             workers.forEach { it.reconnect() }
             runPhase("all workers reconnect", workers)
             controllers.restart(0)
-            runPhase("the process was killed and is back", workers)
-            println("expired leases: ${workers.sumOf { it.leaseExpiries }}; polls: ${polls.get()}, failed: ${failedPolls.get()}")
+            runPhase("controller 0 is killed and restarted", workers)
+            println("expired leases: ${workers.sumOf { it.leaseExpiries }}; polls: ${pollCount.get()}, failed: ${failedPolls.get()}")
             println("submissions: $submittedJobs, refused: ${refusedSubmissions.get()}")
             return if (measuredProcess.isAlive) 0 else 1
         } finally {
@@ -98,13 +97,16 @@
         }
     }
 
-    /** One line a phase: when all workers had been answered, and the most that the first process took. */
+    /**
+     * Runs one phase and prints a line with two results: the time after which each worker had a reply to a heartbeat, or -1 if one had none,
+     * and the peak usage of the measured process.
+     */
     private fun runPhase(
         name: String,
         workers: List<WorkerStandIn>,
     ) {
-        val startedAtMs = System.currentTimeMillis()
-        var allAnsweredAfterMs = -1L
+        val startMs = System.currentTimeMillis()
+        var allAnsweredMs = -1L
         var peakUsage = ProcessUsage(0, 0, 0)
         val cpuTimeBeforeMs = cpuTimeMs()
         for (second in 1..options.phaseDurationS) {
@@ -118,18 +120,13 @@
                     maxOf(peakUsage.threads, usage.threads),
                     maxOf(peakUsage.sockets, usage.sockets),
                 )
-            if (allAnsweredAfterMs < 0 &&
-                workers.all { it.lastAnsweredAtMs > startedAtMs }
-            ) {
-                allAnsweredAfterMs = System.currentTimeMillis() - startedAtMs
-            }
+            if (allAnsweredMs < 0 && workers.all { it.lastAnsweredAtMs > startMs }) allAnsweredMs = System.currentTimeMillis() - startMs
         }
         val cpuTimeS = (cpuTimeMs() - cpuTimeBeforeMs) / 1000.0
-        println(
-            "$name: all answered after $allAnsweredAfterMs ms; $peakUsage; $cpuTimeS s of processor time in ${options.phaseDurationS} s",
-        )
+        println("$name: all answered after $allAnsweredMs ms; $peakUsage; $cpuTimeS s of processor time in ${options.phaseDurationS} s")
     }
 
+    /** Submits two jobs, which together have the tasks of one second. */
     private fun submit() {
         val tasks = options.tasksPerSecond / 2
         repeat(2) {
@@ -142,8 +139,9 @@
         }
     }
 
+    /** Requests the status of a random submitted job. Status code 404 is no failure because the submission may have been refused. */
     private fun poll() {
-        polls.incrementAndGet()
+        pollCount.incrementAndGet()
         userClient
             .request(HttpMethod.GET, servePorts[0], LOOPBACK, "/api/jobs/j-${1 + random.nextInt(submittedJobs)}")
             .compose { it.send() }
@@ -151,14 +149,16 @@
             .onComplete { if (!it.succeeded() || it.result() !in setOf(200, 404)) failedPolls.incrementAndGet() }
     }
 
+    /** The resident memory, threads and open sockets of a process. */
     private data class ProcessUsage(
         val memoryMb: Long,
         val threads: Long,
         val sockets: Int,
     ) {
-        override fun toString() = "$memoryMb MB, $threads threads, $sockets sockets at the most"
+        override fun toString() = "$memoryMb MB, $threads threads, $sockets sockets at most"
     }
 
+    /** Reads the current usage of the process from /proc. */
     private fun readUsage(pid: Long): ProcessUsage {
         val status = File("/proc/$pid/status").readLines()
 
@@ -174,6 +174,7 @@
         return ProcessUsage(readNumber("VmRSS") / 1024, readNumber("Threads"), sockets)
     }
 
+    /** Returns the processor time of the measured process since its start, in milliseconds. */
     private fun cpuTimeMs(): Long =
         measuredProcess
             .info()
--- a/src/test/kotlin/lichenstage/standin/Loopback.kt
+++ b/src/test/kotlin/lichenstage/standin/Loopback.kt
@@ -8,7 +8,7 @@
 
 internal const val LOOPBACK = "127.0.0.1"
 
-/** Serves requests on loopback. [handle] gets each request with its JSON body, which is an empty object where there is none. */
+/** Starts an HTTP server on loopback. Calls [handle] with each request and its JSON body, which is an empty object if it has none. */
 internal fun Vertx.serveJson(
     port: Int,
     handle: (HttpServerRequest, JsonObject) -> Unit,
@@ -18,5 +18,5 @@
             request.bodyHandler { buffer -> handle(request, if (buffer.length() > 0) JsonObject(buffer) else JsonObject()) }
         }.listen(port, LOOPBACK)
 
-/** Waits for the result; not to be called on an event loop. */
+/** Blocks until the result is there and returns it. Must not be called on an event loop. */
 internal fun <T> Future<T>.join(): T = toCompletionStage().toCompletableFuture().join()
--- a/src/test/kotlin/lichenstage/standin/Smoke.kt
+++ b/src/test/kotlin/lichenstage/standin/Smoke.kt
@@ -9,16 +9,19 @@
 import kotlin.system.exitProcess
 
 /**
- * Starts the built jar as the deploy file says, three times on loopback, against the stand-ins: submits, polls, cancels,
- * kills the process that leads, and looks that no task was on two machines. Ends with the count of what passed.
+ * Checks the built jar on loopback: three controllers, started with the command of the deploy file, run against the stand-ins. The check
+ * submits, polls and cancels jobs, kills each controller in turn, and verifies that no task ran on two machines at once. It ends with the
+ * number of checks that passed and failed.
  */
 fun main() {
     exitProcess(Smoke(deployedCommand()).run())
 }
 
-/** Finds tasks that run on two machines at once. */
+/** Detects tasks that run on two machines at once. */
 private class DuplicateRunObserver : WorkerObserver {
     private val machinesByTask = ConcurrentHashMap<String, MutableSet<String>>()
+
+    /** The tasks that ran on two machines at once. */
     val tasksRunTwice: MutableSet<String> = ConcurrentHashMap.newKeySet()
 
     override fun onTaskStarted(
@@ -58,43 +61,42 @@
 
     fun run(): Int {
         try {
-            check("wrong arguments end with status 2") { exitStatusOf("--nonsense") == 2 }
-            check("a missing settings file ends with status 2") { exitStatusOf("--config", "target/none.json") == 2 }
-            check("--version ends with status 0") { exitStatusOf("--version") == 0 }
+            check("an unknown option ends the program with exit status 2") { exitStatusOf("--nonsense") == 2 }
+            check("a missing settings file ends the program with exit status 2") { exitStatusOf("--config", "target/none.json") == 2 }
+            check("--version ends the program with exit status 0") { exitStatusOf("--version") == 0 }
             StateStandIn(vertx, deployment.statePort).start()
             cloud.start()
             controllers.launchAll()
-            check("all become healthy") { eventually { client.allHealthy() } }
-            check("malformed is 400") { statusCode(0, "POST", "/api/jobs", "{}") == 400 }
-            check("unknown team is 422") { statusCode(0, "POST", "/api/jobs", jobJson(7, 1, "nobody")) == 422 }
-            check("an unknown job is 404") { statusCode(1, "GET", "/api/jobs/j-999") == 404 }
-            check("an unknown path is 404 and a wrong method 405") {
+            check("all controllers become healthy") { eventually { client.areAllHealthy() } }
+            check("an incomplete submission gets status 400") { statusCode(0, "POST", "/api/jobs", "{}") == 400 }
+            check("a submission of an unknown team gets status 422") { statusCode(0, "POST", "/api/jobs", jobJson(7, 1, "nobody")) == 422 }
+            check("a request for an unknown job gets status 404") { statusCode(1, "GET", "/api/jobs/j-999") == 404 }
+            check("an unknown path gets status 404 and a wrong method gets status 405") {
                 statusCode(1, "GET", "/nowhere") == 404 &&
                     statusCode(1, "GET", "/api/jobs") == 405
             }
-            check("a job is accepted and its repeat known") {
+            check("a submission is accepted and its repetition gets status 200") {
                 eventually { statusCode(0, "POST", "/api/jobs", jobJson(1, 6)) in 200..201 } &&
                     statusCode(1, "POST", "/api/jobs", jobJson(1, 6)) == 200
             }
-            check("it gets done") { eventually { jobStatus(2, 1) == "done" } }
-            check("a cancelled job stays cancelled") {
+            check("the accepted job gets done") { eventually { jobStatus(2, 1) == "done" } }
+            check("a cancelled job is reported as cancelled by another controller") {
                 statusCode(0, "POST", "/api/jobs", jobJson(2, 40)) == 201 && statusCode(1, "POST", "/api/jobs/j-2/cancel") == 200 &&
                     jobStatus(2, 2) == "cancelled"
             }
-            check("a pipeline is done stage by stage") {
+            check("a pipeline of three jobs, each depending on the one before, gets done") {
                 submitPipeline(20, 2) &&
                     eventually { jobStatus(1, 22) == "done" && jobStatus(2, 20) == "done" && jobStatus(0, 21) == "done" }
             }
-            check("a pipeline is cancelled with its first job") {
+            check("cancelling the first job of a pipeline cancels the others, and a job that is added to it later") {
                 submitPipeline(30, 60) && jobStatus(1, 32) == "pending" && statusCode(2, "POST", "/api/jobs/j-30/cancel") == 200 &&
                     eventually { jobStatus(0, 31) == "cancelled" && jobStatus(1, 32) == "cancelled" } &&
                     statusCode(1, "POST", "/api/jobs", dependentJobJson(33, 2, 32)) in 200..201 && jobStatus(2, 33) == "cancelled"
             }
-            check("a job that names one that was never accepted is 422") {
-                statusCode(0, "POST", "/api/jobs", dependentJobJson(40, 2, 999)) ==
-                    422
+            check("a submission that depends on an unknown job gets status 422") {
+                statusCode(0, "POST", "/api/jobs", dependentJobJson(40, 2, 999)) == 422
             }
-            check("work goes on when each process is killed in turn") {
+            check("jobs get done while each controller is killed and restarted in turn") {
                 zones.indices.all { controller ->
                     val id = 10 + controller
                     val accepted = eventually { statusCode((controller + 1) % 3, "POST", "/api/jobs", jobJson(id, 12)) in 200..201 }
@@ -102,10 +104,10 @@
                     accepted && eventually { jobStatus((controller + 1) % 3, id) == "done" }
                 }
             }
-            check("no task was on two machines") { observer.tasksRunTwice.isEmpty() }
-            check("a start takes its classes from the archive") { areClassesFromArchive() }
-            check("LOG_LEVEL is obeyed") { areLogLevelsObeyed() }
-            check("all processes still run") { controllers.areAllAlive }
+            check("no task ran on two machines at once") { observer.tasksRunTwice.isEmpty() }
+            check("controllers load their classes from the class archive") { areClassesFromArchive() }
+            check("controllers log at the level set by LOG_LEVEL") { areLogLevelsObeyed() }
+            check("all controller processes are still running") { controllers.areAllAlive }
         } finally {
             controllers.killAll()
             cloud.stop()
@@ -114,7 +116,7 @@
         return checklist.printSummary()
     }
 
-    /** Three jobs, each of which waits for the one before, submitted through one process after the other. */
+    /** Submits three jobs, each to another controller and dependent on the job before. Returns whether all are accepted. */
     private fun submitPipeline(
         firstId: Int,
         tasks: Int,
@@ -122,6 +124,7 @@
         statusCode(0, "POST", "/api/jobs", jobJson(firstId, tasks)) in 200..201 &&
             (1..2).all { n -> statusCode(n, "POST", "/api/jobs", dependentJobJson(firstId + n, tasks, firstId + n - 1)) in 200..201 }
 
+    /** Returns the submission of a job that depends on the job [dependency]. */
     private fun dependentJobJson(
         id: Int,
         tasks: Int,
@@ -133,9 +136,10 @@
         condition: () -> Boolean,
     ) = checklist.check(description, condition)
 
+    /** Runs the program with [args] and returns its exit status. */
     private fun exitStatusOf(vararg args: String): Int = runCommand(command.dropLast(1) + args, File(folder, "exit.log"))
 
-    /** With a log of where each class came from. */
+    /** Returns the command of a controller, with a JVM flag that logs the source of each loaded class. */
     private fun commandWithClassLog(controller: Int) = deployedCommand("-Xlog:class+load:file=${classLogFile(controller).path}")
 
     private fun logFile(controller: Int) = controllers.logFile(controller)
@@ -143,8 +147,9 @@
     private fun classLogFile(controller: Int) = File(folder, "classes$controller.log")
 
     /**
-     * Guards against an archive that lacks what serving needs, or that is not taken at all: each class that comes from elsewhere is read
-     * and verified at every start. (Seen: 238 of them, and twice the processor time for a start, unnoticed for weeks.)
+     * Returns whether controllers load their classes from the class archive. This guards against an archive that is not used, or that lacks
+     * classes needed for serving. Each class from outside the archive is read and verified at every start. Such a fault once went unnoticed
+     * for weeks: 238 classes came from outside the archive, and a start took twice the processor time.
      */
     private fun areClassesFromArchive(): Boolean {
         val outsideArchive = zones.indices.flatMap { classLogFile(it).readLines() }.filter { "shared objects file" !in it }
@@ -153,7 +158,10 @@
         return ownClasses.isEmpty() && outsideArchive.size <= MAX_CLASSES_OUTSIDE_ARCHIVE * zones.size
     }
 
-    /** Guards against a level that is set after the first logger was made, and so never obeyed. */
+    /**
+     * Returns whether each log has lines of the levels that `LOG_LEVEL` enables and no others. This guards against a log level that is set only
+     * after the first logger was created, and therefore has no effect.
+     */
     private fun areLogLevelsObeyed() =
         logFile(0).readText().contains("DEBUG lichenstage") && logFile(1).readText().contains("INFO lichenstage") &&
             !logFile(1).readText().contains("DEBUG lichenstage") && !logFile(2).readText().contains("INFO lichenstage")
@@ -179,7 +187,7 @@
     private companion object {
         val LOG_LEVELS = listOf("debug", "info", "error")
 
-        /** Classes of libraries, and generated ones, that a process loads from elsewhere; 79 were counted. */
+        /** The limit per process for library and generated classes from outside the class archive. A normal start loads 79 of them. */
         const val MAX_CLASSES_OUTSIDE_ARCHIVE = 140
     }
 }
--- a/src/test/kotlin/lichenstage/standin/StateStandIn.kt
+++ b/src/test/kotlin/lichenstage/standin/StateStandIn.kt
@@ -7,11 +7,12 @@
 import io.vertx.core.json.JsonObject
 import java.util.TreeMap
 
-/** A key-value store for tests and the smoke check, written from the protocol: keys, preconditions, leases, watches. */
+/** A stand-in for the state service, written from its protocol: keys, transactions with preconditions, leases and watches. */
 internal class StateStandIn(
     private val vertx: Vertx,
     private val port: Int,
 ) {
+    /** The value of a key. [revision] is that of its last change, and [lease] is null if the key does not end with a lease. */
     private class Row(
         val value: JsonObject,
         val revision: Long,
@@ -23,12 +24,14 @@
         val expiresAtMs: Long,
     )
 
+    /** A change of a key. A null [value] means that the key was deleted. */
     private class Change(
         val key: String,
         val revision: Long,
         val value: JsonObject?,
     )
 
+    /** A pending request for the changes of keys with [prefix] after [sinceRevision]. */
     private class Watch(
         val prefix: String,
         val sinceRevision: Long,
@@ -43,7 +46,7 @@
     private var revision = 0L
     private var lastLease = 0L
 
-    /** Begins to listen, and to expire leases. */
+    /** Starts the HTTP server, waits until it listens, and starts to expire leases. */
     fun start() {
         vertx.serveJson(port, ::route).join()
         vertx.setPeriodic(EXPIRY_CHECK_MS) { expireLeases() }
@@ -87,15 +90,17 @@
         row: Row,
     ) = JsonObject().put("k", key).put("value", row.value).put("stamp", row.revision)
 
+    /** Replies with a page of the keys that start with a prefix. */
     private fun scan(request: HttpServerRequest) {
         val prefix = request.getParam("prefix")
         val afterKey = request.getParam("since") ?: ""
-        val limit = request.getParam("most")?.toInt() ?: DEFAULT_PAGE
+        val limit = request.getParam("most")?.toInt() ?: DEFAULT_PAGE_SIZE
         val matchingRows = rows.filterKeys { it.startsWith(prefix) && it > afterKey }.entries.toList()
         val page = JsonArray(matchingRows.take(limit).map { rowJson(it.key, it.value) })
         reply(request, 200, JsonObject().put("rows", page).put("truncated", matchingRows.size > limit).put("ledger_rev", revision))
     }
 
+    /** Executes the operations of a transaction if all preconditions hold. Revision 0 in a precondition means that the key is absent. */
     private fun transact(
         request: HttpServerRequest,
         body: JsonObject,
@@ -105,18 +110,18 @@
         if (failedKeys.isNotEmpty()) {
             return reply(request, 409, JsonObject().put("failed", JsonArray(failedKeys)).put("ledger_rev", revision))
         }
-        val ops = (body.getJsonArray("then") ?: JsonArray()).map { it as JsonObject }
-        if (ops.any { it.getLong("tenancy") != null && it.getLong("tenancy") !in leases }) {
+        val operations = (body.getJsonArray("then") ?: JsonArray()).map { it as JsonObject }
+        if (operations.any { it.getLong("tenancy") != null && it.getLong("tenancy") !in leases }) {
             return reply(request, 400, JsonObject().put("error", "no such lease"))
         }
         revision++
-        for (op in ops) {
-            val put = op.getString("put")
-            if (put != null) {
-                rows[put] = Row(op.getJsonObject("value"), revision, op.getLong("tenancy"))
-                changes += Change(put, revision, op.getJsonObject("value"))
+        for (operation in operations) {
+            val key = operation.getString("put")
+            if (key != null) {
+                rows[key] = Row(operation.getJsonObject("value"), revision, operation.getLong("tenancy"))
+                changes += Change(key, revision, operation.getJsonObject("value"))
             } else {
-                delete(op.getString("delete"))
+                delete(operation.getString("delete"))
             }
         }
         reply(request, 200, JsonObject().put("ledger_rev", revision))
@@ -153,14 +158,15 @@
     }
 
     private fun expireLeases() {
-        val now = System.currentTimeMillis()
+        val nowMs = System.currentTimeMillis()
         leases
-            .filterValues { it.expiresAtMs < now }
+            .filterValues { it.expiresAtMs < nowMs }
             .keys
             .toList()
             .forEach(::removeLease)
     }
 
+    /** Removes a lease and deletes the keys that were written under it. */
     private fun removeLease(lease: Long) {
         leases.remove(lease)
         revision++
@@ -172,6 +178,7 @@
         notifyWatches()
     }
 
+    /** Replies with the changes since a revision, or waits for the first change until the time limit of the request. */
     private fun watch(request: HttpServerRequest) {
         val watch = Watch(request.getParam("prefix"), request.getParam("since").toLong(), request)
         if (!replyWithEvents(watch, false)) {
@@ -180,6 +187,7 @@
         }
     }
 
+    /** Replies without changes at the time limit of a watch. */
     private fun endWatch(watch: Watch) {
         watches.remove(watch)
         replyWithEvents(watch, true)
@@ -193,6 +201,7 @@
             }
         }
 
+    /** Replies with the changes since the revision of the watch. Returns false if there are none and an empty reply is not wanted. */
     private fun replyWithEvents(
         watch: Watch,
         evenWithoutEvents: Boolean,
@@ -209,6 +218,6 @@
 
     private companion object {
         const val EXPIRY_CHECK_MS = 50L
-        const val DEFAULT_PAGE = 1000
+        const val DEFAULT_PAGE_SIZE = 1000
     }
 }
--- a/src/test/kotlin/lichenstage/standin/Submission.kt
+++ b/src/test/kotlin/lichenstage/standin/Submission.kt
@@ -2,7 +2,7 @@
 
 import io.vertx.core.json.JsonObject
 
-/** A job as users submit it: [tasks] small tasks that may run anywhere. */
+/** Returns the body of a submission of a job with [tasks] small tasks, each of which may run on any machine. */
 internal fun submission(
     id: Int,
     tasks: Int,
--- a/src/test/kotlin/lichenstage/standin/WorkerObserver.kt
+++ b/src/test/kotlin/lichenstage/standin/WorkerObserver.kt
@@ -1,37 +1,43 @@
 package lichenstage.standin
 
-/** Observes what workers do, and may have them hold orders. Called on the event loop of the workers. */
+/** Observes what workers do, and may make them delay direct orders. Its functions are called on the event loop of the workers. */
 internal interface WorkerObserver {
-    /** A task has started on a machine. */
+    /** Called when a task has started on a machine. */
     fun onTaskStarted(
         task: String,
         machine: String,
     ) = Unit
 
-    /** A task has ended on a machine, or is gone with it. */
+    /** Called when a task has ended on a machine, or was lost with its worker or the worker's lease. */
     fun onTaskEnded(
         task: String,
         machine: String,
     ) = Unit
 
-    /** A running task was stopped by command. */
+    /** Called when a running task was stopped by a command, after [onTaskEnded]. */
     fun onTaskStopped(task: String) = Unit
 
-    /** For how long an order with the starts of [tasks] is held, unanswered, before it is executed; null where it is not held. */
+    /**
+     * Returns the milliseconds for which a worker delays a direct order that starts [tasks]. Null means no delay. A delayed order gets no
+     * reply.
+     */
     fun orderDelayMs(tasks: List<String>): Long? = null
 
-    /** A held order with the starts of [tasks] is about to be executed. */
+    /**
+     * Called at the end of the delay of a direct order that starts [tasks], before the worker checks its fencing token and agent epoch and
+     * executes it.
+     */
     fun onDelayedOrderDue(tasks: List<String>) = Unit
 }
 
 /**
- * How workers behave.
+ * The behaviour of a worker.
  *
- * @property controllerPorts the ports of the controllers by label
- * @property leaseMs how long a worker keeps its tasks after the last heartbeat that was answered
- * @property taskDurationMs how long a task runs
+ * @property controllerPorts the port of each controller, by its label
+ * @property leaseMs the time for which a worker keeps its tasks after it sent the last heartbeat that got a reply
+ * @property taskDurationMs the time for which each task runs
  * @property heartbeatIntervalMs the time between two heartbeats
- * @property neverBoots the machine never comes up
+ * @property neverBoots whether the machine stays in the state `starting` for good
  */
 internal class WorkerProfile(
     val controllerPorts: Map<String, Int>,
--- a/src/test/kotlin/lichenstage/standin/WorkerStandIn.kt
+++ b/src/test/kotlin/lichenstage/standin/WorkerStandIn.kt
@@ -10,8 +10,8 @@
 import lichenstage.cluster.TaskEndCause
 
 /**
- * A worker on loopback: sends heartbeats regularly and soon after a change, executes orders under the highest fencing token, and runs
- * tasks for a fixed time.
+ * A stand-in for a worker. It sends heartbeats regularly and soon after a change, executes commands unless they carry an outdated fencing
+ * token or another agent epoch, and ends each task after a fixed time.
  */
 internal class WorkerStandIn(
     private val vertx: Vertx,
@@ -28,26 +28,36 @@
 
     private var client: HttpClient = vertx.createHttpClient()
     private var server: HttpServer? = null
-    private val labels = profile.controllerPorts.keys.toList()
-    private var targetLabel = labels.first()
+    private val controllerLabels = profile.controllerPorts.keys.toList()
+
+    /** The label of the controller to which the worker sends its heartbeats. */
+    private var targetLabel = controllerLabels.first()
     private var fencingToken = 0L
     private var agentEpoch = 1L
     private var heartbeatNumber = 0L
+
+    /** The start of the lease: when the last heartbeat that got a reply was sent, or when the lease last expired. */
     private var answeredAtMs = System.currentTimeMillis()
     private val tasksByAttempt = LinkedHashMap<Pair<String, Long>, Task>()
     private var heartbeatTimer = 0L
     private var lastHeartbeatAtMs = 0L
     private var isHeartbeatInFlight = false
 
-    /** How often its lease has expired, and when a heartbeat was last answered. */
+    /** How often the lease of this worker has expired. */
     val leaseExpiries get() = agentEpoch - 1
+
+    /** When the last heartbeat that got a reply was sent, or when the lease last expired if that was later. */
     val lastAnsweredAtMs get() = answeredAtMs
     val address = "$LOOPBACK:$port"
+
+    /** Whether the machine stays in the state `starting` for good. */
     val neverBoots get() = profile.neverBoots
+
+    /** Whether the worker has been started and not stopped. */
     var isUp = false
         private set
 
-    /** Boots the machine, unless it never comes up. */
+    /** Boots the machine: starts the HTTP server and the heartbeats, unless the profile says that it never boots. */
     fun start() {
         isUp = !neverBoots
         if (neverBoots) return
@@ -55,6 +65,7 @@
         sendHeartbeat()
     }
 
+    /** Handles a direct order or a status request. Both get a heartbeat as the reply, unless the observer delays the order. */
     private fun handleRequest(
         request: HttpServerRequest,
         body: JsonObject,
@@ -74,20 +85,24 @@
         request.response().setStatusCode(if (isRefused) CONFLICT else OK).end(heartbeatJson().toBuffer())
     }
 
+    /** Returns whether the direct order carries the current fencing token, or a higher one, and the current agent epoch. */
     private fun isValid(order: JsonObject) = (order.getLong("warrant") ?: 0) >= fencingToken && order.getLong("tenure") == agentEpoch
 
+    /** Returns the tasks that the direct order starts. */
     private fun startedTasks(order: JsonObject): List<String> =
         (order.getJsonArray("orders") ?: JsonArray())
             .map { it as JsonObject }
             .filter { it.getString("verb") == "start" }
             .map { it.getString("part") }
 
+    /** Stops the machine, which ends all its tasks. */
     fun stop() {
         isUp = false
         clearTasks()
         server?.close()
     }
 
+    /** Drops all tasks and tells the observer that the running ones have ended. */
     private fun clearTasks() {
         tasksByAttempt.filterValues { it.status != "ended" }.keys.forEach { observer.onTaskEnded(it.first, name) }
         tasksByAttempt.clear()
@@ -115,7 +130,7 @@
             .put("parts", JsonArray(rows))
     }
 
-    /** Drops the connection to its controller and sends a heartbeat at once over a new one, as after a restart of the network. */
+    /** Closes the connection to the controller and sends a heartbeat at once over a new one, as after a network outage. */
     fun reconnect() {
         client.close()
         client = vertx.createHttpClient()
@@ -123,10 +138,10 @@
         sendHeartbeat()
     }
 
-    /** A change is reported before the next heartbeat is due, but not more often than every half second. */
+    /** Schedules a heartbeat that reports a change before the next one is due, but at most one every [MIN_EARLY_HEARTBEAT_INTERVAL_MS]. */
     private fun scheduleEarlyHeartbeat() {
-        if (profile.heartbeatIntervalMs <= MIN_CHANGE_REPORT_INTERVAL_MS) return
-        scheduleHeartbeat(maxOf(1, lastHeartbeatAtMs + MIN_CHANGE_REPORT_INTERVAL_MS - System.currentTimeMillis()))
+        if (profile.heartbeatIntervalMs <= MIN_EARLY_HEARTBEAT_INTERVAL_MS) return
+        scheduleHeartbeat(maxOf(1, lastHeartbeatAtMs + MIN_EARLY_HEARTBEAT_INTERVAL_MS - System.currentTimeMillis()))
     }
 
     private fun scheduleHeartbeat(ms: Long) {
@@ -134,6 +149,7 @@
         heartbeatTimer = vertx.setTimer(ms) { sendHeartbeat() }
     }
 
+    /** Sends a heartbeat. If the lease has expired, first clears all tasks and begins a new agent epoch. */
     private fun sendHeartbeat() {
         if (!isUp || isHeartbeatInFlight) return
         val sentAtMs = System.currentTimeMillis()
@@ -151,11 +167,11 @@
             .request(HttpMethod.POST, profile.controllerPorts.getValue(targetLabel), LOOPBACK, "/agent/beat")
             .compose { it.send(heartbeatJson().toBuffer()) }
             .compose { response -> response.body().map { response.statusCode() to it } }
-            .onComplete { answer ->
-                // An answer over a connection that was dropped meanwhile is lost.
+            .onComplete { result ->
+                // Ignores a reply over a connection that reconnect() has closed since.
                 if (sendingClient !== client) return@onComplete
                 isHeartbeatInFlight = false
-                val (status, body) = if (answer.succeeded()) answer.result() else (0 to null)
+                val (status, body) = if (result.succeeded()) result.result() else (0 to null)
                 when {
                     status == OK && JsonObject(body).getLong("warrant") >= fencingToken && sentEpoch == agentEpoch -> {
                         answeredAtMs = sentAtMs
@@ -169,13 +185,14 @@
                     }
 
                     else -> {
-                        targetLabel = labels[(labels.indexOf(targetLabel) + 1) % labels.size]
+                        targetLabel = controllerLabels[(controllerLabels.indexOf(targetLabel) + 1) % controllerLabels.size]
                         scheduleHeartbeat(minOf(profile.heartbeatIntervalMs, 1000))
                     }
                 }
             }
     }
 
+    /** Adopts the fencing token of a direct order or a heartbeat reply, and executes its commands. */
     private fun execute(body: JsonObject) {
         fencingToken = body.getLong("warrant")
         for (row in body.getJsonArray("orders") ?: JsonArray()) {
@@ -212,7 +229,7 @@
     }
 
     private companion object {
-        const val MIN_CHANGE_REPORT_INTERVAL_MS = 500L
+        const val MIN_EARLY_HEARTBEAT_INTERVAL_MS = 500L
         const val OK = 200
         const val CONFLICT = 409
         const val MISDIRECTED = 421
