--- a/src/test/kotlin/lichenstage/standin/LateOrderCheck.kt
+++ b/src/test/kotlin/lichenstage/standin/LateOrderCheck.kt
@@ -11,6 +11,7 @@
 
 /**
  * Checks on loopback that no task of a cancelled job runs after the time limit of the cancellation: `LateOrderCheckKt [SEED] [SECONDS]`.
+ *
  * Three controllers of the built jar run against the stand-ins. Workers delay two in five of the direct orders that start tasks, for longer
  * than a cancellation may take. They execute a delayed order if its fencing token and agent epoch are still valid. Dozens of jobs are
  * cancelled within a second of their submission, and an observer of the workers counts the starts after the confirmed cancellation. If jobs
@@ -70,7 +71,7 @@
             checklist.check("the jobs that were not cancelled get done") { eventually(COMPLETION_TIMEOUT_S, ::areJobsDone) }
             val checksEndAtS = checklist.elapsedS + TimeUnit.MILLISECONDS.toSeconds(MAX_ORDER_DELAY_MS) + 1
             while (checklist.elapsedS < checksEndAtS) checkAndPause()
-            checklist.check("delayed orders start tasks of cancelled jobs after the time limit: ${overdueOrders.get()}") {
+            checklist.check("some delayed orders of cancelled jobs are due after the time limit: ${overdueOrders.get()}") {
                 overdueOrders.get() >
                     0
             }
@@ -109,7 +110,7 @@
         zone: String,
     ) = WorkerStandIn(vertx, name, zone, deployment.allocatePort(), workerProfile, delayingObserver).also { workers += it }
 
-    /** Returns a delay in milliseconds that is longer than a cancellation may take for two in five direct orders, and null for the others. */
+    /** Returns a delay that is longer than a cancellation may take for two in five direct orders, and null for the others. */
     private fun chooseOrderDelayMs(tasks: List<String>): Long? {
         if (delayRandom.nextInt(5) >= 2) return null
         delayedOrders += tasks
@@ -126,8 +127,8 @@
     }
 
     /**
-     * Submits jobs, cancels most of them within a second, and kills controllers if the submission time is long enough. Goes on for up to three
-     * times the planned time if too few orders of cancelled jobs have been delayed.
+     * Submits jobs, cancels most of them within a second, and kills controllers if the planned time is long enough. Goes on for up to three
+     * times that time if too few orders of cancelled jobs have been delayed.
      */
     private fun submitAndCancelJobs() {
         val startedAtS = checklist.elapsedS
--- a/src/test/kotlin/lichenstage/standin/Load.kt
+++ b/src/test/kotlin/lichenstage/standin/Load.kt
@@ -18,8 +18,8 @@
 
 /**
  * Checks a controller of the built jar under load on loopback, started by hand. The controller runs with the flags of the deploy file. By
- * default it is the only one of three controllers that runs. The check has three phases: all workers arrive, all workers reconnect at once, and the
- * controller is killed and restarted. Its memory, threads and sockets are read from /proc every second.
+ * default the other two controllers of the deployment do not run. The check has three phases: all workers arrive, all workers reconnect at
+ * once, and the controller is killed and restarted. The memory, threads and sockets of its process are read from /proc every second.
  */
 fun main(args: Array<String>) {
     val commandLine =
@@ -98,7 +98,7 @@
     }
 
     /**
-     * Runs one phase and prints a line with two results: the time after which each worker had a reply to a heartbeat, or -1 if one had none,
+     * Runs one phase and prints a line with two results: the time after which each worker had a reply to a heartbeat (-1 if one had none),
      * and the peak usage of the measured process.
      */
     private fun runPhase(
--- a/src/test/kotlin/lichenstage/standin/Smoke.kt
+++ b/src/test/kotlin/lichenstage/standin/Smoke.kt
@@ -80,7 +80,7 @@
                     statusCode(1, "POST", "/api/jobs", jobJson(1, 6)) == 200
             }
             check("the accepted job gets done") { eventually { jobStatus(2, 1) == "done" } }
-            check("a cancelled job is reported as cancelled by another controller") {
+            check("a job cancelled through one controller is reported as cancelled by another") {
                 statusCode(0, "POST", "/api/jobs", jobJson(2, 40)) == 201 && statusCode(1, "POST", "/api/jobs/j-2/cancel") == 200 &&
                     jobStatus(2, 2) == "cancelled"
             }
@@ -159,8 +159,8 @@
     }
 
     /**
-     * Returns whether each log has lines of the levels that `LOG_LEVEL` enables and no others. This guards against a log level that is set only
-     * after the first logger was created, and therefore has no effect.
+     * Returns whether `LOG_LEVEL` determines which lines the controllers log. This guards against a log level that is set only after the
+     * first logger was created, and therefore has no effect.
      */
     private fun areLogLevelsObeyed() =
         logFile(0).readText().contains("DEBUG lichenstage") && logFile(1).readText().contains("INFO lichenstage") &&
