--- a/src/test/kotlin/lichenstage/architecture/WireNamesTest.kt
+++ b/src/test/kotlin/lichenstage/architecture/WireNamesTest.kt
@@ -5,8 +5,8 @@
 import java.io.File
 
 /**
- * Guards the rule that names of the wire protocols appear only in the codec of each external system. A name used elsewhere would spread the
- * vocabulary of a protocol through the code, and a change of the protocol would then need changes in many files.
+ * Guards the rule that names of the wire protocols are mapped once, in the codec of each external system. A test fails if another file has
+ * such a name in a string, for example because it reads a field of a message without the codec.
  */
 class WireNamesTest {
     private val sources = File("src/main/kotlin/lichenstage").walk().filter { it.extension == "kt" }.toList()
--- a/src/test/kotlin/lichenstage/ci/KnownRed.kt
+++ b/src/test/kotlin/lichenstage/ci/KnownRed.kt
@@ -8,7 +8,7 @@
     override fun toString() = "$className#$name"
 }
 
-/** The results of a test run. A test that is run several times may be in both sets. */
+/** The results of a test run. A test is in both sets if the reports contain it with both results. */
 data class TestResults(
     val passed: Set<TestId>,
     val failed: Set<TestId>,
--- a/src/test/kotlin/lichenstage/ci/TestVerdict.kt
+++ b/src/test/kotlin/lichenstage/ci/TestVerdict.kt
@@ -11,7 +11,7 @@
 
 /**
  * Checks the surefire reports of the latest test run against KNOWN-RED.txt: exactly the listed tests must have failed. Prints the listed
- * tests and all problems, and exits with status 1 if there are any problems. CI calls this after the tests.
+ * tests and all problems, and exits with status 1 if there are any problems.
  */
 fun main() {
     val file = File(KNOWN_RED_FILE)
--- a/src/test/kotlin/lichenstage/standin/Deployment.kt
+++ b/src/test/kotlin/lichenstage/standin/Deployment.kt
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Returns the content of the settings file of a controller. [settings] has the fields of `settings` other than the zones, their count
-     * and the objectives.
+     * Returns the content of the settings file of a controller. [settings] has the fields of `settings` other than `count`, `zones` and
+     * `objectives`.
      */
     fun settingsJson(
         controller: Int,
@@ -67,7 +67,7 @@
         .put("state", stateSettings(writeRps = 150.0, valueKb = 8.0, txnOps = 12))
         .put("cloud", JsonObject().put("rps", 8.0).put("list_lag_s", 1.0))
 
-/** Returns the limits of the state service, in requests per second, kilobytes per value and operations per transaction. */
+/** Returns the limits of the state service, in write requests per second, kilobytes per value and operations per transaction. */
 internal fun stateSettings(
     writeRps: Double,
     valueKb: Double,
--- a/src/test/kotlin/lichenstage/standin/Load.kt
+++ b/src/test/kotlin/lichenstage/standin/Load.kt
@@ -29,7 +29,7 @@
             .value("phase", "SECONDS", "Duration of each of the three phases (default 40).")
             .value("tasks", "COUNT", "Tasks submitted per second (default 140).")
             .value("sockets", "COUNT", "max_sockets in the settings (default 2481).")
-            .value("jvm", "FLAGS", "Further JVM flags for the controllers, separated by blanks, such as those of a flight recording.")
+            .value("jvm", "FLAGS", "Further JVM flags for the controllers, separated by blanks, for example for a recording.")
             .flag("help", "Show this help.", short = "h")
     val arguments = commandLine.parse(args.toList())
     if (arguments.has("help")) return println(commandLine.help())
@@ -123,7 +123,7 @@
             if (allAnsweredMs < 0 && workers.all { it.lastAnsweredAtMs > startMs }) allAnsweredMs = System.currentTimeMillis() - startMs
         }
         val cpuTimeS = (cpuTimeMs() - cpuTimeBeforeMs) / 1000.0
-        println("$name: all answered after $allAnsweredMs ms; $peakUsage; $cpuTimeS s of processor time in ${options.phaseDurationS} s")
+        println("$name: all had a reply after $allAnsweredMs ms; $peakUsage; $cpuTimeS s of processor time in ${options.phaseDurationS} s")
     }
 
     /** Submits two jobs, which together have the tasks of one second. */
--- a/src/test/kotlin/lichenstage/standin/Smoke.kt
+++ b/src/test/kotlin/lichenstage/standin/Smoke.kt
@@ -187,7 +187,7 @@
     private companion object {
         val LOG_LEVELS = listOf("debug", "info", "error")
 
-        /** The limit per process for library and generated classes from outside the class archive. A normal start loads 79 of them. */
+        /** The limit per process for library and generated classes from outside the class archive. A process loads 79 of them. */
         const val MAX_CLASSES_OUTSIDE_ARCHIVE = 140
     }
 }
--- a/src/test/kotlin/lichenstage/standin/WorkerStandIn.kt
+++ b/src/test/kotlin/lichenstage/standin/WorkerStandIn.kt
@@ -130,7 +130,7 @@
             .put("parts", JsonArray(rows))
     }
 
-    /** Closes the connection to the controller and sends a heartbeat at once over a new one, as after a network outage. */
+    /** Closes the connection to the controller and sends a heartbeat at once over a new one, as after a restart of the network. */
     fun reconnect() {
         client.close()
         client = vertx.createHttpClient()
@@ -144,9 +144,9 @@
         scheduleHeartbeat(maxOf(1, lastHeartbeatAtMs + MIN_EARLY_HEARTBEAT_INTERVAL_MS - System.currentTimeMillis()))
     }
 
-    private fun scheduleHeartbeat(ms: Long) {
+    private fun scheduleHeartbeat(delayMs: Long) {
         vertx.cancelTimer(heartbeatTimer)
-        heartbeatTimer = vertx.setTimer(ms) { sendHeartbeat() }
+        heartbeatTimer = vertx.setTimer(delayMs) { sendHeartbeat() }
     }
 
     /** Sends a heartbeat. If the lease has expired, first clears all tasks and begins a new agent epoch. */
