--- a/src/test/kotlin/lichenstage/world/ClusterAssertions.kt
+++ b/src/test/kotlin/lichenstage/world/ClusterAssertions.kt
@@ -2,26 +2,29 @@
 
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Fails unless the cluster of [seed], which has been run, violated no rule, started more than [moreStartsThan] tasks and finished all jobs. */
+/**
+ * Asserts that the finished simulation of [seed] violated no rule, started more than [moreStartsThan] tasks and left no job open. The
+ * minimum number of starts guards against a simulation that does nothing.
+ */
 internal fun SimulatedCluster.assertRulesHeld(
     seed: Long,
     moreStartsThan: Int = 20,
 ) {
     assertTrue(checker.violations.isEmpty()) { "seed $seed: ${checker.violations.take(3)}" }
-    assertTrue(checker.starts > moreStartsThan) { "seed $seed: only ${checker.starts} starts" }
-    assertTrue(openJobs.isEmpty()) { "seed $seed: never finished: $openJobs\n${describe()}" }
+    assertTrue(checker.starts > moreStartsThan) { "seed $seed: ${checker.starts} starts, expected more than $moreStartsThan" }
+    assertTrue(openJobs.isEmpty()) { "seed $seed: jobs still open: $openJobs\n${describe()}" }
 }
 
-/** Whether a violation of [rule] has been recorded; an empty [rule] stands for any. */
+/** Returns whether a violation of [rule] has been recorded; an empty [rule] matches every violation. */
 internal fun SimulatedCluster.hasViolated(rule: String) = checker.violations.any { it.startsWith(rule) }
 
 /**
- * Fails unless the cluster that [simulate] runs violates [rule] for some of [seeds]. A check that can't fail is none: it is to find what
- * [mutation] does wrongly.
+ * Asserts that the cluster run by [simulate] violates [rule] for at least one of [seeds]. This shows that the rule checker detects the
+ * wrong behaviour that [mutation] introduces.
  */
 internal fun assertViolated(
     rule: String,
     mutation: Mutation,
     seeds: LongRange,
     simulate: (Long) -> SimulatedCluster,
-) = assertTrue(seeds.any { simulate(it).hasViolated(rule) }) { "$mutation: nothing violated $rule" }
+) = assertTrue(seeds.any { simulate(it).hasViolated(rule) }) { "$mutation: no seed violated the rule '$rule'" }
--- a/src/test/kotlin/lichenstage/world/ClusterProfile.kt
+++ b/src/test/kotlin/lichenstage/world/ClusterProfile.kt
@@ -4,24 +4,25 @@
 import lichenstage.drain.DrainPolicy
 
 /**
- * The size of a simulated cluster, and what may go wrong in it.
+ * The size of a simulated cluster and the faults that may occur in it.
  *
- * @property machinesPerZone machines that are up at the start, in each of three zones
- * @property teamCores the limit of each of the two teams
- * @property jobs how many jobs come while faults are drawn, and [faults] how many faults
- * @property maxMachinesPerFrame machines that one frame to the leader carries
- * @property maxConcurrentOrders direct orders for which a partition has connections at any moment
- * @property delayedMessageShare the share of messages that are seconds late, behind newer ones
- * @property heldOrderShare the share of direct orders that get no answer and are executed late, once
- * @property maxHoldUs the longest delay of these, in microseconds
- * @property tokensReserved tokens that a partition's owner reserves at a time
- * @property controllersWithoutFencing controllers of a version that does not give machines newer tokens
- * @property hasLongOutages the state service is now and then out for longer than a cancellation may take
- * @property hasMachineChurn machines are terminated without notice, drained and terminated; new ones come up
- * @property onlyOperatorsDrain nobody but operators drains machines
- * @property fetchesImages tasks fetch an image before they run
- * @property drainPolicy what drains may interrupt; null where they are not switched on
- * @property controllersWithoutDrains controllers of a version that does not know drains
+ * @property machinesPerZone the number of machines in each of the three zones at the start
+ * @property teamCores the limit of each of the two teams, in cores
+ * @property jobs the number of random jobs, which are submitted while faults are injected
+ * @property faults the number of random faults
+ * @property maxMachinesPerFrame the maximum number of machines in one frame from a partition to the leader
+ * @property maxConcurrentOrders the maximum number of direct orders that a partition has in flight at a time
+ * @property delayedMessageShare the share of messages that arrive seconds late, after newer ones
+ * @property heldOrderShare the share of direct orders that get no reply and are executed late, once
+ * @property maxHoldUs the maximum delay of these orders, in microseconds
+ * @property tokensReserved the number of fencing tokens that a partition's owner reserves at a time
+ * @property controllersWithoutFencing the controllers of an older version, which does not give machines newer fencing tokens
+ * @property hasLongOutages whether some outages of the state service last longer than the time limit of a cancellation
+ * @property hasMachineChurn whether machines are drained, and terminated with or without notice, and new machines come up
+ * @property onlyOperatorsDrain whether machines are drained only on behalf of operators
+ * @property fetchesImages whether tasks fetch an image before they run
+ * @property drainPolicy the policy that limits the interruptions by drains; null if drains are disabled
+ * @property controllersWithoutDrains the controllers of an older version, which does not support drains
  */
 data class ClusterProfile(
     val machinesPerZone: Int = 3,
@@ -43,7 +44,7 @@
     val controllersWithoutDrains: Set<Int> = emptySet(),
 ) {
     companion object {
-        /** Few machines, but all that the protocol allows: partial frames, few connections, late messages, machine churn. */
+        /** A small cluster with everything that the protocol allows: partial frames, few connections, late messages and machine churn. */
         val ADVERSE =
             ClusterProfile(
                 machinesPerZone = 5,
@@ -58,12 +59,12 @@
             )
 
         /**
-         * Direct orders are executed up to ten minutes late, while fencing token and agent epoch match. What users saw: a start was executed
-         * 73 s after it was sent, of a job that was cancelled meanwhile.
+         * Direct orders are executed up to ten minutes late, as long as their fencing token and agent epoch still match. Users saw this
+         * fault: a start was executed 73 s after it was sent, although its job had been cancelled in the meantime.
          */
         val LATE_ORDERS = ADVERSE.copy(heldOrderShare = 0.4, maxHoldUs = 600 * SECOND, hasLongOutages = true)
 
-        /** 1,500 machines under the same conditions, with frames of full size. */
+        /** 1,500 machines under the conditions of [ADVERSE], but with frames of full size and more connections. */
         val LARGE =
             ADVERSE.copy(
                 machinesPerZone = 500,
@@ -74,7 +75,7 @@
                 maxConcurrentOrders = 60,
             )
 
-        /** [machines] machines under the conditions of [LARGE]. */
+        /** Returns [LARGE] scaled to the given number of machines. */
         fun ofMachines(machines: Int) =
             LARGE.copy(
                 machinesPerZone = machines / ZONES,
--- a/src/test/kotlin/lichenstage/world/ConcurrentFaultsTest.kt
+++ b/src/test/kotlin/lichenstage/world/ConcurrentFaultsTest.kt
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 /**
- * Concurrent faults, one test for each pair of the operators' list that the simulated cluster can bring about (docs/operations.md
- * has the table). Each keeps the rules with every seed, all work gets done, and each fails for some seed where the guard named with
- * it is taken out.
+ * Tests of concurrent faults. The operators keep a list of pairs of faults (see the table in docs/operations.md); there is one test for
+ * each pair that the simulated cluster can reproduce. With every seed, no rule may be violated and all jobs must finish. Most tests also
+ * name a mutation that removes the guard against the fault, and assert that the rule is then violated for at least one seed.
  */
 class ConcurrentFaultsTest {
     private fun assertScenario(
@@ -45,7 +45,7 @@
     ) = (fromS..toS step stepS).forEachIndexed { n, atS -> script(atS * SECOND) { event(n) } }
 
     @Example
-    fun `a report is held back until a new leader has acted`() =
+    fun `a heartbeat that arrives only after a new leader has acted causes no second attempt`() =
         assertScenario(Mutation.NO_LEASE_WAIT_AFTER_FAILOVER, "ran_twice") {
             every(12, 60, 16) {
                 repeat(9) { cutOff(it, 6 * SECOND, holdsMessages = true) }
@@ -54,13 +54,13 @@
         }
 
     @Example
-    fun `an old report arrives after newer ones, also from an earlier session or attempt`() =
+    fun `an old heartbeat that arrives after newer ones is ignored, also from an earlier agent epoch or attempt`() =
         assertScenario(Mutation.STALE_HEARTBEATS_ACCEPTED, "ran_twice") {
             every(10, 60, 6) { n -> repeat(3) { hang((n * 3 + it) % 9, 17 * SECOND) } }
         }
 
     @Example
-    fun `controllers hand over and back, all end, one returns within a second`() =
+    fun `no task runs twice when controllers take over from each other, all crash and one is back within a second`() =
         assertScenario(Mutation.NO_LEASE_WAIT_AFTER_FAILOVER, "ran_twice") {
             every(10, 60, 10) { n ->
                 crash(n % 3, 200 * MILLI)
@@ -70,7 +70,7 @@
         }
 
     @Example
-    fun `a leader is cut from state service and peers while workers reach it, and jobs are cancelled through the new one`() =
+    fun `no task runs twice when only workers reach the old leader and jobs are cancelled through the new one`() =
         assertScenario(Mutation.AUTHORITY_KEPT_AFTER_LEASE, "ran_twice") {
             script(2 * SECOND) { repeat(10) { submitLongRunning(100 + it, 70 * SECOND) } }
             script(20 * SECOND) {
@@ -83,7 +83,7 @@
         }
 
     @Example
-    fun `there is more work than room over slow links`() =
+    fun `no job is left waiting when there is more work than capacity and the state service is slow`() =
         assertScenario(Mutation.JOB_NOT_ADDED, "waiting") {
             script(SECOND) {
                 submitRandomJobs(30, 20 * SECOND, firstNumber = 300)
@@ -92,7 +92,7 @@
         }
 
     @Example
-    fun `a team is at its limit when the leader changes, machines can't be asked, and a cancellation falls in`() =
+    fun `a team at its limit stays within it when the leader changes, machines are unreachable and jobs are cancelled`() =
         assertScenario(Mutation.REGISTRY_NOT_RECOVERED, "") {
             script(SECOND) { repeat(20) { submitLongRunning(200 + it, 25 * SECOND) } }
             script(20 * SECOND) {
@@ -103,7 +103,7 @@
         }
 
     @Example
-    fun `leaders change ten times in two minutes, also inside an outage`() =
+    fun `no task runs twice when the leader changes ten times within two minutes, also during an outage`() =
         assertScenario(Mutation.NO_LEASE_WAIT_AFTER_FAILOVER, "ran_twice") {
             every(8, 68, 6) { n ->
                 crash(maxOf(leader, 0), if (n % 2 == 0) 300 * MILLI else 3 * SECOND)
@@ -113,7 +113,7 @@
         }
 
     @Example
-    fun `tasks of small jobs that end far apart are not run again after a change of leader`() {
+    fun `done tasks of an open job are not run again after a leader change`() {
         fun countReruns(
             seed: Long,
             mutation: Mutation,
@@ -127,12 +127,16 @@
             ) { "seed $seed: ${cluster.checker.violations} ${cluster.openJobs}" }
             return cluster.checker.reruns
         }
-        (1L..SEEDS).forEach { assertEquals(0, countReruns(it, Mutation.NONE)) { "seed $it: done tasks ran again" } }
-        assertTrue((1L..MAX_SEEDS).any { countReruns(it, Mutation.DONE_TASKS_NOT_RECOVERED) > 0 }) { "not seen without the ranges" }
+        (1L..SEEDS).forEach { assertEquals(0, countReruns(it, Mutation.NONE)) { "seed $it: done tasks were run again" } }
+        assertTrue(
+            (1L..MAX_SEEDS).any {
+                countReruns(it, Mutation.DONE_TASKS_NOT_RECOVERED) > 0
+            },
+        ) { "${Mutation.DONE_TASKS_NOT_RECOVERED}: no seed ran a done task again" }
     }
 
     @Example
-    fun `a leader ends while machines with long tasks are out of reach or do not hear the new one`() =
+    fun `no task runs twice when the leader crashes while machines are cut off or cannot be reached by the new leader`() =
         assertScenario(Mutation.NO_LEASE_WAIT_AFTER_FAILOVER, "ran_twice") {
             script(2 * SECOND) { repeat(8) { submitLongRunning(100 + it, 40 * SECOND) } }
             script(20 * SECOND) {
@@ -143,7 +147,7 @@
         }
 
     @Example
-    fun `all controllers are away for longer than a lease`() =
+    fun `all jobs finish when all controllers are down for longer than a worker lease`() =
         assertScenario(Mutation.JOB_NOT_ADDED, "waiting") {
             script(2 * SECOND) { repeat(6) { submitLongRunning(100 + it, 30 * SECOND) } }
             script(20 * SECOND) { repeat(3) { crash(it, 20 * SECOND + it * SECOND) } }
@@ -151,7 +155,7 @@
         }
 
     @Example
-    fun `a zone is cut off for longer than a lease`() =
+    fun `no task runs twice when a zone is cut off for longer than a worker lease`() =
         assertScenario(Mutation.SHORT_LEASE, "ran_twice") {
             script(2 * SECOND) { repeat(8) { submitLongRunning(100 + it, 40 * SECOND) } }
             script(20 * SECOND) {
@@ -162,7 +166,7 @@
         }
 
     @Example
-    fun `a command is held for seconds while its machine hangs, and the machine goes on`() =
+    fun `no task runs twice when a command is held for seconds because its machine hangs`() =
         assertScenario(Mutation.SHORT_LEASE, "ran_twice") {
             every(6, 66, 5) { n ->
                 hang(n % 9, 9 * SECOND)
@@ -172,7 +176,7 @@
         }
 
     @Example
-    fun `jobs bound to one zone or spread over several lose machines`() =
+    fun `jobs bound to one zone or spread over several keep their constraint when they lose machines`() =
         assertScenario(Mutation.ZONE_CONSTRAINTS_IGNORED, "wrong_place") {
             every(2, 62, 4) { n -> submitZoneConstrained(100 + n, 3 + n % 5, sameZone = n % 2 == 0) }
             every(8, 68, 12) { n ->
@@ -183,7 +187,7 @@
         }
 
     @Example
-    fun `the state service is slow, then refuses the leader and then everybody, while users cancel`() =
+    fun `cancelled jobs stop in time when the state service is slow, then refuses the leader and then all controllers`() =
         assertScenario(Mutation.LEASES_RENEWED_WITH_STALE_REPLICA, "ran_cancelled") {
             script(2 * SECOND) { repeat(8) { submitLongRunning(100 + it, 80 * SECOND) } }
             script(10 * SECOND) { slowDownState(12 * SECOND) }
@@ -193,18 +197,19 @@
         }
 
     @Example
-    fun `workers reach no controller while orders still reach them`() =
+    fun `no task runs twice when orders reach workers whose heartbeats reach no controller`() =
         assertScenario(Mutation.SHORT_LEASE, "ran_twice") {
             script(2 * SECOND) { repeat(8) { submitLongRunning(100 + it, 40 * SECOND) } }
             every(15, 55, 10) { n -> repeat(3) { blockOutbound((n * 2 + it) % 9, 20 * SECOND) } }
         }
 
     /**
-     * Found on several hundred machines, where more of them change between two acknowledgements than one frame carries: the frame that
-     * alone carried a start was lost, a partial frame after it claimed to be complete, and the task was started again.
+     * Guards against a partial frame that is taken for a final one. The fault occurred with several hundred machines, when more machines
+     * changed between two acknowledgements than fit into one frame: the only frame that carried a start was lost, a later partial frame
+     * claimed to be final, and the task was started again.
      */
     @Example
-    fun `frames that need several pieces are lost between controllers`() =
+    fun `no task runs twice when partial frames between controllers are lost`() =
         assertScenario(
             Mutation.PARTIAL_FRAMES_TREATED_AS_FINAL,
             "ran_twice",
--- a/src/test/kotlin/lichenstage/world/DrainFaultsTest.kt
+++ b/src/test/kotlin/lichenstage/world/DrainFaultsTest.kt
@@ -11,8 +11,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 /**
- * Drains of machines full of long tasks under concurrent faults. The checker counts from the workers' side which jobs of a team are
- * held up by stops at each moment, and never finds one team over its budget (`over_budget`); each guard that is taken out makes it find one.
+ * Tests of drains under concurrent faults, on machines that are full of long tasks. The rule checker observes the workers: it counts the
+ * jobs of each team that are interrupted at the same time, and no team may exceed its budget (`over_budget`). Mutations that remove a
+ * guard must make the checker find a team over its budget.
  */
 class DrainFaultsTest {
     private val policy = DrainPolicy(DisruptionBudget(maxJobs = 1))
@@ -55,37 +56,37 @@
             cluster.check(seed)
             interruptions += cluster.checker.interruptions
         }
-        assertTrue(interruptions > 0 || policy.defaultBudget.maxJobs == 0) { "nothing was interrupted for any seed" }
+        assertTrue(interruptions > 0 || policy.defaultBudget.maxJobs == 0) { "no task was interrupted with any seed" }
     }
 
     private fun SimulatedCluster.assertDrainFinished(seed: Long) {
         assertEquals(DrainStatus.FINISHED, getDrain("all").status) { "seed $seed: ${getDrain("all").status} ${stageCounts("all")}" }
-        assertTrue(openJobs.isEmpty()) { "seed $seed: never finished: $openJobs" }
+        assertTrue(openJobs.isEmpty()) { "seed $seed: jobs still open: $openJobs" }
     }
 
     @Example
-    fun `a drain of every machine keeps the budgets under faults of any kind`() =
+    fun `a drain of all machines keeps the budgets under random faults`() =
         assertBudgetsKept(script = {
             script(30 * SECOND) { drainAll("all", atMost = 3, replace = false) }
             repeat(10) { n -> script((34 + 6L * n) * SECOND) { injectRandomFault() } }
         })
 
     @Example
-    fun `each machine is followed by a fresh one, of which some never come up`() =
+    fun `a drain with replacements keeps the budgets when some replacements never come up`() =
         assertBudgetsKept(script = {
             script(30 * SECOND) { drainAll("all", atMost = 4, replace = true) }
             repeat(5) { n -> script((40 + 12L * n) * SECOND) { injectRandomFault() } }
         })
 
     @Example
-    fun `leaders change ten times in two minutes while a drain goes on`() =
+    fun `a drain keeps the budgets when the leader changes ten times within two minutes`() =
         assertBudgetsKept(script = {
             script(30 * SECOND) { drainAll("all", atMost = 4, replace = false) }
             repeat(10) { n -> script((36 + 12L * n) * SECOND) { crash(maxOf(leader, 0), (300 + 700L * (n % 3)) * MILLI) } }
         })
 
     @Example
-    fun `the leader is cut from the state service, and that is out for longer than a cancellation has, in the middle of a step`() =
+    fun `a drain keeps the budgets when the leader loses the state service and a long outage follows`() =
         assertBudgetsKept(script = {
             script(30 * SECOND) { drainAll("all", atMost = 4, replace = false) }
             repeat(4) { n -> script((40 + 15L * n) * SECOND) { cutFromState(maxOf(leader, 0), 9 * SECOND, holdsMessages = n % 2 == 0) } }
@@ -93,7 +94,7 @@
         })
 
     @Example
-    fun `machines hang, are deaf, or are taken while they are emptied`() =
+    fun `a drain keeps the budgets when machines hang, receive nothing or are terminated meanwhile`() =
         assertBudgetsKept(script = {
             script(30 * SECOND) { drainAll("all", atMost = 4, replace = false) }
             repeat(8) { n ->
@@ -106,7 +107,7 @@
         })
 
     @Example
-    fun `a zone is cut off from the others, one way of its machines and then all of it, while they are emptied`() =
+    fun `a drain keeps the budgets when a zone is cut off and heartbeats of its machines are lost`() =
         assertBudgetsKept(script = {
             script(30 * SECOND) { drainAll("all", atMost = 4, replace = true) }
             script(45 * SECOND) { cutZones("a", "b", 22 * SECOND, holdsMessages = true) }
@@ -118,29 +119,29 @@
             }
         })
 
-    /** While it leads nothing is interrupted, and what the others have announced is not forgotten. */
+    /** While the older controller leads, drains interrupt no task. A later leader must still count the interruptions recorded before. */
     @Example
-    fun `a controller of a version without drains leads now and then`() =
+    fun `a drain keeps the budgets when a controller of a version without drains leads at times`() =
         assertBudgetsKept(controllersWithoutDrains = setOf(1), script = {
             script(30 * SECOND) { drainAll("all", atMost = 4, replace = false) }
             repeat(10) { n -> script((36 + 11L * n) * SECOND) { crash(maxOf(leader, 0), (300 + 900L * (n % 3)) * MILLI) } }
-            // What an older version leads on is drained once it has been followed.
+            // Crashes the older controller whenever it leads, so that another one takes over and the drain can finish.
             repeat(10) { n -> script((160 + 40L * n) * SECOND) { if (leader == 1) crash(1, 4 * SECOND) } }
         })
 
     @Example
-    fun `a budget of zero interrupts nothing, and the drain ends with the tasks`() =
+    fun `a drain with a budget of zero interrupts no task and finishes when all tasks have ended`() =
         assertBudgetsKept(
             1L..4L,
             DrainPolicy(DisruptionBudget(maxJobs = 0)),
             script = { script(30 * SECOND) { drainAll("all", atMost = 12, replace = false) } },
         ) { seed ->
-            assertEquals(0, checker.interruptions) { "seed $seed: ${checker.interruptions} interrupted" }
+            assertEquals(0, checker.interruptions) { "seed $seed: ${checker.interruptions} tasks interrupted, expected none" }
             assertEquals(DrainStatus.FINISHED, getDrain("all").status) { "seed $seed: ${stageCounts("all")}" }
         }
 
     @Example
-    fun `two drains over the same machines empty each once`() =
+    fun `two drains of the same machines both finish`() =
         assertBudgetsKept(1L..6L, script = {
             script(30 * SECOND) { drainAll("all", atMost = 2, replace = false) }
             script(31 * SECOND) { drainAll("second", atMost = 2, replace = false) }
@@ -151,7 +152,7 @@
         }
 
     @Example
-    fun `a drain that is paused goes no further, and one that is cancelled leaves its machines to work`() =
+    fun `a paused drain makes no further progress, and a cancelled one lets its machines run tasks again`() =
         assertBudgetsKept(1L..4L, script = {
             script(30 * SECOND) { drainAll("all", atMost = 2, replace = false) }
             script(50 * SECOND) { setDrain("all", DrainStatus.PAUSED) }
@@ -159,19 +160,19 @@
             script(80 * SECOND) {
                 assertTrue(
                     checker.interruptions <= interruptionsAtPause + 2,
-                ) { "goes on: ${checker.interruptions} of $interruptionsAtPause" }
+                ) { "the paused drain went on: ${checker.interruptions} interruptions, $interruptionsAtPause at the pause" }
             }
             script(81 * SECOND) { setDrain("all", DrainStatus.CANCELLED) }
         }) { seed ->
             assertTrue((stageCounts("all")[Stage.WAITING] ?: 0) > 0) { "seed $seed: ${stageCounts("all")}" }
-            assertTrue(openJobs.isEmpty()) { "seed $seed: never finished: $openJobs" }
+            assertTrue(openJobs.isEmpty()) { "seed $seed: jobs still open: $openJobs" }
         }
 
     private var interruptionsAtPause = 0
 
-    /** With the account of interruptions broken on purpose, the checker finds a team over its budget. */
+    /** Both mutations break the leader's account of interruptions, so that it interrupts more jobs than the budget allows. */
     @Example
-    fun `each guard is needed`() {
+    fun `the checker finds a team over its budget when the account of interruptions is wrong`() {
         for (mutation in listOf(Mutation.INTERRUPTIONS_NOT_RECOVERED, Mutation.INTERRUPTIONS_ENDED_AT_STOP)) {
             assertViolated("over_budget", mutation, 1L..MAX_SEEDS) { seed ->
                 simulate(seed, mutation) {
--- a/src/test/kotlin/lichenstage/world/DrainMeasure.kt
+++ b/src/test/kotlin/lichenstage/world/DrainMeasure.kt
@@ -8,8 +8,9 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * What a drain of half of the machines costs on the simulated cluster, run by hand: `DrainMeasureKt [SEED]`. Machines are some two thirds
- * full of tasks of ten minutes; the same with budgets from tight to loose, with steps of fixed size and no budget, and all at once.
+ * Measures the cost of a drain of half of the machines on the simulated cluster and prints it as a table. Run by hand:
+ * `DrainMeasureKt [SEED]`. The machines are about two thirds full of tasks of ten minutes. The drain is measured with budgets from tight
+ * to loose, without a budget in steps of a fixed number of machines, and without a budget for all machines at once.
  */
 fun main(args: Array<String>) {
     val seed = args.firstOrNull()?.toLong() ?: 1
@@ -62,7 +63,7 @@
         )
     val cluster = SimulatedCluster(seed, profile = profile)
     var finishedUs = 0L
-    // Two tasks of two cores each: two thirds of what there is, and as much again later.
+    // Each job has two tasks of two cores, so the first jobs fill two thirds of the cores. The same number of jobs follows later.
     val jobs = machines * 4 / 3
     repeat(jobs) { n -> cluster.script(SECOND + n * 60 * SECOND / jobs) { submitLongRunning(n, RUN_US) } }
     repeat(jobs) { n -> cluster.script(BEGIN_US + n * RUN_US / jobs) { submitLongRunning(jobs + n, RUN_US) } }
--- a/src/test/kotlin/lichenstage/world/LateOrdersSimulationTest.kt
+++ b/src/test/kotlin/lichenstage/world/LateOrdersSimulationTest.kt
@@ -6,7 +6,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Direct orders that are executed up to ten minutes late, under all other faults. The long form is `SeedSweepKt late-orders`. */
+/**
+ * Tests of direct orders that are executed up to ten minutes late, together with all other faults. `SeedSweepKt late-orders` runs the
+ * same simulation with more seeds.
+ */
 class LateOrdersSimulationTest {
     @Example
     fun `orders that are executed minutes late violate no rule`() {
@@ -16,10 +19,10 @@
             cluster.assertRulesHeld(seed)
             fences += cluster.orderEvents.startFences
         }
-        assertTrue(fences > 0) { "no machine needed a newer token" }
+        assertTrue(fences > 0) { "no machine was given a newer fencing token because of an unwanted start" }
     }
 
-    /** Jobs are cancelled a second after they came, so that some starts are held when nobody wants them any more. */
+    /** Simulates jobs that are cancelled one second after their submission, so that some of their starts are still held. */
     private fun simulateEarlyCancellations(
         seed: Long,
         mutation: Mutation = Mutation.NONE,
@@ -33,21 +36,21 @@
     }
 
     @Example
-    fun `starts that are held when their job is cancelled end with few newer tokens and no lost lease`() {
+    fun `held starts of cancelled jobs cause few newer fencing tokens and no expired worker lease`() {
         var unanswered = 0
         for (seed in CANCELLED_SEEDS) {
             val cluster = simulateEarlyCancellations(seed)
             cluster.assertRulesHeld(seed)
             val events = cluster.orderEvents
             unanswered += events.unansweredOrders
-            assertEquals(0, cluster.checker.tasksLost) { "seed $seed: ${cluster.checker.tasksLost} tasks lost, $events" }
+            assertEquals(0, cluster.checker.tasksLost) { "seed $seed: ${cluster.checker.tasksLost} tasks lost, expected none; $events" }
             assertTrue(events.startFences + events.clearFences <= events.unansweredOrders + MAX_CLEAR_FENCES) { "seed $seed: $events" }
         }
-        assertTrue(unanswered > 100) { "only $unanswered orders were held" }
+        assertTrue(unanswered > 100) { "$unanswered orders without a reply, expected more than 100" }
     }
 
     @Example
-    fun `without newer tokens a start of a cancelled job is executed late`() =
+    fun `without newer fencing tokens a start of a cancelled job is executed late`() =
         assertViolated(
             "ran_cancelled",
             Mutation.FENCING_DISABLED,
@@ -55,8 +58,8 @@
         ) { seed -> simulateEarlyCancellations(seed, Mutation.FENCING_DISABLED) }
 
     /**
-     * Partitions have just changed owners, so that no newer token is at hand yet; jobs are cancelled whose starts are held, and nothing can
-     * be written for longer than that may take.
+     * Simulates owners of partitions that have just started and have no reserved fencing tokens yet. Jobs are cancelled while their starts
+     * are held, and then an outage of the state service lasts longer than the time limit of a cancellation.
      */
     private fun simulateOutageBeforeTokens(
         seed: Long,
@@ -64,7 +67,7 @@
     ) = SimulatedCluster(seed, mutation, HELD_ORDERS).apply {
         script(0) { submitRandomJobs(14, 60 * SECOND) }
         script(20 * SECOND) { repeat(3) { crash(it, 200 * MILLI) } }
-        // Again and again, so that some fall between a start that is held and the next heartbeat.
+        // Cancels many jobs, so that some cancellations fall between a held start and the machine's next heartbeat.
         for (n in 0 until 10) {
             script(23 * SECOND + n * SECOND / 4) { submitLongRunning(100 + n, 100 * SECOND) }
             script(24 * SECOND + n * SECOND / 4) { cancel("j-${100 + n}", n % 3) }
@@ -74,18 +77,18 @@
     }
 
     @Example
-    fun `where no newer token can be had, heartbeats go unanswered and leases expire in time`() {
+    fun `if no newer fencing token is available, heartbeats get no reply and worker leases expire in time`() {
         var withheld = 0
         for (seed in OUTAGE_SEEDS) {
             val cluster = simulateOutageBeforeTokens(seed)
             cluster.assertRulesHeld(seed)
             withheld += cluster.orderEvents.withheldReplies
         }
-        assertTrue(withheld > 0) { "no answer was withheld" }
+        assertTrue(withheld > 0) { "no reply to a heartbeat was withheld" }
     }
 
     @Example
-    fun `where these heartbeats are answered a start of a cancelled job is executed late`() =
+    fun `if these heartbeats get a reply, a start of a cancelled job is executed late`() =
         assertViolated("ran_cancelled", Mutation.REPLIED_WITHOUT_FENCING, OUTAGE_SEEDS) { seed ->
             simulateOutageBeforeTokens(seed, Mutation.REPLIED_WITHOUT_FENCING)
         }
@@ -101,7 +104,7 @@
         const val CANCELLED_US = 80_000_000L
         const val CANCELLED_CALM_US = 300_000_000L
 
-        /** Each of nine machines in each minute, at the most. */
+        /** Tokens raised to clear ended tasks: at most one for each of the nine machines in each minute. */
         const val MAX_CLEAR_FENCES = 9 * 7
         val OUTAGE_SEEDS = 1L..20L
         const val OUTAGE_FAULTS_US = 110_000_000L
--- a/src/test/kotlin/lichenstage/world/OrderEventCounts.kt
+++ b/src/test/kotlin/lichenstage/world/OrderEventCounts.kt
@@ -3,23 +3,25 @@
 import lichenstage.partition.FenceReason
 import lichenstage.partition.OrderEvent
 
-/** Counts the partitions' events of orders to workers. */
+/** Counts the events that partitions emit about commands to workers. */
 class OrderEventCounts {
-    /** Orders that got no answer. */
+    /** Direct orders that got no reply. */
     var unansweredOrders = 0
         private set
 
-    /** Newer fencing tokens that machines were given because of unwanted starts, and because of clears. */
+    /** Newer fencing tokens that were given to machines because of unwanted starts. */
     var startFences = 0
         private set
+
+    /** Newer fencing tokens that were given to machines so that ended tasks could be cleared. */
     var clearFences = 0
         private set
 
-    /** Heartbeats that were not answered since no newer token was at hand. */
+    /** Heartbeats that got no reply because no newer fencing token was available. */
     var withheldReplies = 0
         private set
 
-    /** Starts that were first listed when they were no longer wanted. */
+    /** Starts that were no longer wanted when a heartbeat first listed them. */
     var lateUnwantedStarts = 0
         private set
 
@@ -34,6 +36,6 @@
     }
 
     override fun toString() =
-        "$unansweredOrders orders unanswered, $startFences newer tokens for starts, $clearFences for clears, " +
-            "$withheldReplies reports withheld, $lateUnwantedStarts starts landed late"
+        "$unansweredOrders orders without a reply, $startFences newer tokens for unwanted starts, $clearFences for clears, " +
+            "$withheldReplies replies withheld, $lateUnwantedStarts unwanted starts listed"
 }
--- a/src/test/kotlin/lichenstage/world/PipelineFaultsTest.kt
+++ b/src/test/kotlin/lichenstage/world/PipelineFaultsTest.kt
@@ -6,9 +6,12 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 /**
- * Pipelines (chains, fans, diamonds) under concurrent faults: no task starts before all that its job needs is done (`too_early`), and
- * `cancel_s` after a cancellation nothing that needs the job is called open (`orphaned`). All polls are
- * answered once the faults are over (`forgotten`). Each guard that is taken out breaks its rule.
+ * Tests of pipelines (chains, fans and diamonds of jobs) under concurrent faults:
+ * - No task starts before all dependencies of its job are done (`too_early`).
+ * - From `cancel_s` after a cancellation, no job that depends on the cancelled one is reported as open (`orphaned`).
+ * - Once the faults are over, all polls get a reply (`forgotten`).
+ *
+ * Each mutation that removes a guard violates one of these rules.
  */
 class PipelineFaultsTest {
     private class Scenario(
@@ -18,26 +21,26 @@
 
     private val scenarios =
         listOf(
-            Scenario("drawn faults") {
+            Scenario("random faults") {
                 repeat(24) { n -> script(SECOND + n * 3 * SECOND) { injectRandomFault() } }
                 scheduleCancellations(8)
             },
-            Scenario("the leader is refused alone while first stages are cancelled") {
+            Scenario("the state service refuses only the leader while first stages are cancelled") {
                 script(20 * SECOND) { refuse(maxOf(leader, 0), 30 * SECOND) }
                 scheduleCancellations(21)
             },
-            Scenario("an outage longer than a cancellation may take, right after cancellations") {
+            Scenario("an outage longer than the time limit of a cancellation, right after cancellations") {
                 script(24 * SECOND) { cancelPipelines(4) }
                 script(24 * SECOND + 30 * MILLI) { beginOutage(50 * SECOND) }
             },
-            Scenario("the same, and no other controller hears of the cancellations before the outage is over") {
+            Scenario("the same outage, and no other controller learns of the cancellations before it ends") {
                 script(24 * SECOND) {
                     for ((idA, idB) in listOf(0 to 1, 0 to 2, 1 to 2)) disconnect(idA, idB, 60 * SECOND)
                     cancelPipelines(4)
                 }
                 script(24 * SECOND + 30 * MILLI) { beginOutage(50 * SECOND) }
             },
-            Scenario("transactions are held up and carried out late, while leaders change") {
+            Scenario("transactions are delayed and applied late while leaders change") {
                 for (atS in 15L..60L step 15) {
                     script(atS * SECOND) {
                         val leaderId = maxOf(leader, 0)
@@ -47,10 +50,10 @@
                 }
                 scheduleCancellations(16)
             },
-            Scenario("a cancellation at the moment at which a first stage is recorded as done") {
+            Scenario("cancellations at about the time at which a first stage is recorded as done") {
                 for (atS in 4L..60L step 4) script(atS * SECOND) { cancelPipelines(1) }
             },
-            Scenario("processes are restarted one after the other and together, some back at once") {
+            Scenario("controllers crash one after the other and all together, some are back at once") {
                 for ((n, atS) in (10L..64L step 6).withIndex()) script(atS * SECOND) { crash(n % 3, (300 + n % 3 * 2000) * MILLI) }
                 script(40 * SECOND) { repeat(3) { crash(it, SECOND + it * SECOND) } }
                 scheduleCancellations(9)
@@ -69,28 +72,30 @@
         repeat(16) { n -> script(SECOND + n * 4 * SECOND) { submitPipeline(1000 + 4 * n) } }
         script(0) { submitRandomJobs(8, FAULTS_US) }
         scenario.script(this)
-        // After all faults and cancellations, and of jobs of its own: whatever happened before, this one gets done.
+        // Submitted after all faults and cancellations, and independent of earlier jobs, so this pipeline must always get done.
         script(FAULTS_US + SECOND) { submitPipeline(LAST_PIPELINE, isIndependent = true) }
         run(FAULTS_US, CALM_US)
     }
 
     @Example
-    fun `rules of pipelines hold under concurrent faults, and all that was not cancelled gets done`() {
+    fun `under concurrent faults the rules of pipelines hold and all jobs that are not cancelled get done`() {
         for (scenario in scenarios) {
             for (seed in 1L..SEEDS) {
                 val cluster = simulate(scenario, seed)
                 assertTrue(cluster.checker.violations.isEmpty()) { "${scenario.name}, seed $seed: ${cluster.checker.violations.take(3)}" }
                 assertTrue(
                     cluster.openJobs.isEmpty(),
-                ) { "${scenario.name}, seed $seed: never over: ${cluster.openJobs}\n${cluster.describe()}" }
-                val lastPipelineJobs = (LAST_PIPELINE until LAST_PIPELINE + PIPELINE).map { "j-$it" }
-                assertTrue(cluster.doneJobs.containsAll(lastPipelineJobs)) { "${scenario.name}, seed $seed: done ${cluster.doneJobs}" }
+                ) { "${scenario.name}, seed $seed: jobs still open: ${cluster.openJobs}\n${cluster.describe()}" }
+                val lastPipelineJobs = (LAST_PIPELINE until LAST_PIPELINE + JOBS_PER_PIPELINE).map { "j-$it" }
+                assertTrue(cluster.doneJobs.containsAll(lastPipelineJobs)) {
+                    "${scenario.name}, seed $seed: expected $lastPipelineJobs among the done jobs ${cluster.doneJobs}"
+                }
             }
         }
     }
 
     @Example
-    fun `each guard is needed`() {
+    fun `without one of the guards a rule of pipelines is violated`() {
         val violatedRules =
             mapOf(
                 Mutation.DEPENDENCIES_IGNORED to "too_early",
@@ -102,7 +107,7 @@
         for ((mutation, rule) in violatedRules) {
             val isViolated =
                 scenarios.any { scenario -> (1L..MAX_SEEDS).any { seed -> simulate(scenario, seed, mutation).hasViolated(rule) } }
-            assertTrue(isViolated) { "$mutation: nothing violated $rule" }
+            assertTrue(isViolated) { "$mutation: no scenario violated the rule '$rule'" }
         }
     }
 
@@ -112,8 +117,9 @@
         const val FAULTS_US = 75 * SECOND
         const val CALM_US = 240 * SECOND
 
-        /** Jobs of a pipeline, and the number of the first one of the last pipeline. */
-        const val PIPELINE = 4
+        const val JOBS_PER_PIPELINE = 4
+
+        /** The number of the first job of the last pipeline. */
         const val LAST_PIPELINE = 2000
     }
 }
--- a/src/test/kotlin/lichenstage/world/RandomFaults.kt
+++ b/src/test/kotlin/lichenstage/world/RandomFaults.kt
@@ -3,7 +3,7 @@
 import lichenstage.common.SECOND
 import java.util.Random
 
-/** Injects faults of any kind into a simulated cluster, drawn from a seed. */
+/** Injects random faults into a simulated cluster; their kinds, targets and durations are drawn from the seed. */
 class RandomFaults(
     private val cluster: SimulatedCluster,
     private val random: Random,
@@ -25,28 +25,28 @@
             { cluster.cutFromState(it.controller, it.durationUs, it.holdsMessages) },
             { cluster.cutControllers(it.controller, randomOther(it.controller), it.durationUs, it.holdsMessages) },
             { cluster.cutFromWorkers(it.controller, it.durationUs, it.holdsMessages) },
-            // Its heartbeats arrive, but nothing reaches it.
+            // A machine's heartbeats arrive, but it receives nothing.
             { cluster.blockInbound(it.worker, it.durationUs + HALF_A_LEASE_US) },
-            // It keeps its workers, and loses all else.
+            // A controller still reaches the workers, but neither the other controllers nor the state service.
             ::isolate,
-            // Connections between controllers are refused.
+            // All messages between controllers are lost.
             { parameters ->
                 controllerPairs().forEach { (idA, idB) ->
                     cluster.cutControllers(idA, idB, parameters.durationUs, holdsMessages = false)
                 }
             },
-            // Two zones apart.
+            // Two zones are cut off from each other.
             { cluster.cutZones("a", "b", it.durationUs, it.holdsMessages) },
             { (0 until CONTROLLERS).forEach(cluster::crash) },
             { cluster.slowDownState(it.durationUs) },
             { cluster.beginOutage(it.durationUs) },
-            // An outage for all but one.
+            // The state service is unavailable to all controllers but one.
             { parameters ->
                 otherControllers(
                     parameters.controller,
                 ).forEach { cluster.cutFromState(it, parameters.durationUs, parameters.holdsMessages) }
             },
-            // Its heartbeats reach nobody, orders to it are executed.
+            // A machine's heartbeats reach no controller, but it executes orders.
             { cluster.blockOutbound(it.worker, it.durationUs + HALF_A_LEASE_US) },
             ::cancelWhileMachinesHang,
             ::refuseLeaderThenAll,
@@ -58,7 +58,7 @@
             { cluster.terminateMachine(it.worker) },
         )
 
-    /** Users cancel what runs, and then nothing can be written for longer than the tasks may take to be gone. */
+    /** Users cancel running jobs, and then the state service is unavailable for longer than the time limit of a cancellation. */
     private val longOutageFaults: List<(FaultParameters) -> Unit> =
         listOf(
             {
@@ -70,7 +70,7 @@
     private val faultKinds =
         commonFaults + (if (hasMachineChurn) machineChurnFaults else emptyList()) + if (hasLongOutages) longOutageFaults else emptyList()
 
-    /** One fault, now. */
+    /** Injects one fault now. */
     fun inject() {
         val parameters =
             FaultParameters(
@@ -95,13 +95,13 @@
         cluster.cutFromState(parameters.controller, parameters.durationUs, parameters.holdsMessages)
     }
 
-    /** Users cancel what runs, and some of the machines hang. */
+    /** Cancels running jobs and lets some of the machines hang. */
     private fun cancelWhileMachinesHang(parameters: FaultParameters) {
         cancelRunning(3)
         repeat(3) { cluster.hang(random.nextInt(maxOf(cluster.machineCount, 1)), parameters.durationUs) }
     }
 
-    /** The state service refuses the leader alone, and then everybody, while users cancel what runs. */
+    /** Lets the state service refuse only the leader and then all controllers, while running jobs are cancelled. */
     private fun refuseLeaderThenAll(parameters: FaultParameters) {
         cluster.refuse(maxOf(cluster.leader, 0), 14 * SECOND)
         cluster.after(SECOND) { cancelRunning(2) }
--- a/src/test/kotlin/lichenstage/world/RefusedLeaderTest.kt
+++ b/src/test/kotlin/lichenstage/world/RefusedLeaderTest.kt
@@ -7,43 +7,54 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 /**
- * The state service refuses the leader alone, another controller confirms a cancellation, and then nobody is answered for longer than a
- * cancellation has, while all grant moratoriums: authority lasts, but must not keep alive what its holder has not learned of.
+ * Guards against a cancelled job that keeps running because the leader has missed the cancellation. The state service refuses only the
+ * leader while another controller confirms a cancellation. Then the state service is unavailable to all for longer than the time limit
+ * of a cancellation. All controllers grant moratoriums, so the leader keeps its authority, but it must not renew worker leases for jobs
+ * whose cancellation it may have missed.
  */
 class RefusedLeaderTest {
     private class Variant(
         val name: String,
         val outageUs: Long = 58 * SECOND,
-        /** What happens besides, at the time of the cancellation and with the leader and the one that confirms it. */
+        /** Injects further faults at the time of the cancellation. The arguments are the leader and the controller that confirms it. */
         val extraFaults: SimulatedCluster.(Int, Int) -> Unit = { _, _ -> },
     )
 
     private val variants =
         listOf(
-            Variant("as the operators wrote it"),
-            Variant("an outage just under the time of a cancellation", 39 * SECOND),
-            Variant("an outage just over the time of a cancellation", 43 * SECOND),
-            Variant("the confirmer ends at once and is back within a second") { _, confirmerId -> crash(confirmerId, 400 * MILLI) },
-            Variant("so does the confirmer, and the third controller is refused before it has learned of it") { leader, confirmerId ->
+            Variant("the sequence described by the operators"),
+            Variant("an outage slightly shorter than the time limit of a cancellation", 39 * SECOND),
+            Variant("an outage slightly longer than the time limit of a cancellation", 43 * SECOND),
+            Variant("the confirming controller crashes at once and is back within a second") { _, confirmerId ->
+                crash(
+                    confirmerId,
+                    400 * MILLI,
+                )
+            },
+            Variant(
+                "the confirming controller crashes, and the third one is refused before it learns of the cancellation",
+            ) { leader, confirmerId ->
                 crash(confirmerId, 400 * MILLI)
                 refuse(3 - leader - confirmerId, 14 * SECOND)
             },
             Variant(
-                "the confirmer can't reach the leader, a third controller reaches both",
+                "the confirming controller cannot reach the leader, but the third one reaches both",
             ) { leader, confirmerId -> disconnect(leader, confirmerId, 70 * SECOND) },
-            Variant("the leader is cut from all other controllers as well") { leader, confirmerId ->
+            Variant("the leader is also cut off from all other controllers") { leader, confirmerId ->
                 disconnect(leader, confirmerId, 70 * SECOND)
                 disconnect(leader, 3 - leader - confirmerId, 70 * SECOND)
             },
             Variant(
-                "the other owner of a partition is refused too",
+                "the state service also refuses the third controller",
             ) { leader, confirmerId -> refuse(3 - leader - confirmerId, 14 * SECOND) },
-            Variant("another cancellation through the third controller") { leader, confirmerId -> cancel("j-1", 3 - leader - confirmerId) },
-            Variant("the leader ends inside the outage and is back at once") { leader, _ ->
+            Variant(
+                "the third controller confirms another cancellation",
+            ) { leader, confirmerId -> cancel("j-1", 3 - leader - confirmerId) },
+            Variant("the leader crashes just before the outage and is back when it begins") { leader, _ ->
                 script(nowUs + 20 * SECOND) {}
                 crash(leader, 300 * MILLI)
             },
-            Variant("a machine hangs and goes on") { _, _ -> repeat(9) { hang(it, 12 * SECOND) } },
+            Variant("all machines hang and go on") { _, _ -> repeat(9) { hang(it, 12 * SECOND) } },
         )
 
     private fun simulate(
@@ -54,7 +65,7 @@
         val cluster = SimulatedCluster(seed, mutation)
         repeat(6) { n -> cluster.script(2 * SECOND) { submitLongRunning(n, 400 * SECOND) } }
         cluster.script(40 * SECOND) {
-            assertEquals(2, runningTaskCount("j-0")) { "${variant.name}, seed $seed: j-0 does not run" }
+            assertEquals(2, runningTaskCount("j-0")) { "${variant.name}, seed $seed: expected both tasks of j-0 to run" }
             refuse(leader, 14 * SECOND)
         }
         cluster.script(40 * SECOND + 700 * MILLI) {
@@ -63,7 +74,7 @@
             cancel("j-0", confirmerId)
             variant.extraFaults(this, leaderId, confirmerId)
         }
-        // The frame with the cancellation is lost: nothing may rest on it.
+        // The message that tells the leader of the cancellation is lost: no rule may depend on its arrival.
         cluster.script(40 * SECOND + 690 * MILLI) { (0..2).filter { it != leader }.forEach { disconnect(leader, it, 200 * MILLI) } }
         cluster.script(41 * SECOND) { beginOutage(variant.outageUs) }
         cluster.run(120 * SECOND, 30 * SECOND)
@@ -71,7 +82,7 @@
     }
 
     @Example
-    fun `cancelled tasks are gone in time whatever meets the gap`() {
+    fun `tasks of a cancelled job stop in time whatever further fault occurs`() {
         for (variant in variants) {
             for (seed in 1L..SEEDS) {
                 val cluster = simulate(variant, seed)
@@ -81,15 +92,17 @@
     }
 
     @Example
-    fun `what was not cancelled runs on through the outage`() {
+    fun `jobs that are not cancelled run on through the outage`() {
         for (seed in 1L..SEEDS) {
             val cluster = simulate(variants.first(), seed)
-            assertEquals(0, cluster.checker.tasksLost) { "seed $seed: ${cluster.checker.tasksLost} tasks were killed by their lease" }
+            assertEquals(0, cluster.checker.tasksLost) {
+                "seed $seed: ${cluster.checker.tasksLost} tasks were killed by an expired worker lease, expected none"
+            }
         }
     }
 
     @Example
-    fun `each guard is needed`() {
+    fun `without one of the guards a task of a cancelled job runs too long`() {
         val violatingVariants =
             mapOf(
                 Mutation.LEASES_RENEWED_WITH_STALE_REPLICA to variants[0],
--- a/src/test/kotlin/lichenstage/world/RuleChecker.kt
+++ b/src/test/kotlin/lichenstage/world/RuleChecker.kt
@@ -1,6 +1,9 @@
 package lichenstage.world
 
-/** Observes a simulated cluster from outside and records every violation of a rule of the protocol. */
+/**
+ * An observer of a simulated cluster that records every violation of a rule of the protocol. It takes its facts from the workers and from
+ * the replies that users get, not from the state of the controllers.
+ */
 class RuleChecker(
     private val limits: Map<String, Double>,
     private val cancelUs: Long,
@@ -10,23 +13,28 @@
         val job: SimulatedJob,
     )
 
-    /** How many jobs of a team may be interrupted at once; null where no drains are simulated. */
+    /** The maximum number of jobs of a team that may be interrupted at the same time; null if no drains are simulated. */
     var maxInterruptibleJobs: Int? = null
 
-    /** Tasks of each team that were stopped by command and have not run again, as the workers see it. */
+    /** The time of the stop of each task that was stopped by command and has not run again, by team, job and index of the task. */
     private val stoppedAtUs = HashMap<String, HashMap<Pair<String, Int>, Long>>()
 
-    /** The stops of tasks that were wanted, and the largest number of a team's jobs that were interrupted at once. */
+    /** The number of stops of running tasks that were still wanted. */
     var interruptions = 0
         private set
+
+    /** The largest number of jobs of one team that were interrupted at the same time. */
     var maxJobsInterrupted = 0
         private set
 
-    /** How long tasks had run that were stopped. */
+    /** The total run time that was lost by these stops, in microseconds. */
     var lostProgressUs = 0L
         private set
 
-    /** A running task was stopped by command after [ranUs]; a stop does not count where its job was cancelled. */
+    /**
+     * Handles the stop by command of a task that had run for [ranUs]. The stop counts as an interruption only if the task is not done and
+     * its job has neither ended nor been cancelled.
+     */
     fun onTaskStopped(
         job: SimulatedJob,
         index: Int,
@@ -48,7 +56,7 @@
         if (jobs.size > limit) violations += "over_budget: ${job.team} has $jobs interrupted at $nowUs"
     }
 
-    /** The tasks on machines, by job and index. */
+    /** The attempts on machines that have not ended, by job and index of the task. */
     private val tasksOnMachines = HashMap<String, HashMap<Int, MutableList<TaskOnMachine>>>()
     private val completedTasks = HashMap<String, HashSet<Int>>()
     private val cancelledAtUs = HashMap<String, Long>()
@@ -57,11 +65,13 @@
     var starts = 0
         private set
 
-    /** Starts of tasks that had been done already, and starts of jobs whose cancellation had been confirmed. */
+    /** Starts of tasks that were already done. */
     var reruns = 0
+
+    /** Starts of tasks of jobs whose cancellation was already confirmed. */
     var startsAfterCancellation = 0
 
-    /** Tasks that were killed because their machine's lease ran out. */
+    /** Tasks that were lost because the lease of their worker expired or their machine was terminated. */
     var tasksLost = 0
 
     fun onTaskStarted(
@@ -86,14 +96,14 @@
         cancelledAtUs[job.id]?.let { if (nowUs - it > cancelUs) violations += "ran_cancelled: $key started at $nowUs" }
     }
 
-    /** Given the job's other tasks at this moment, the zone is allowed. A worker's zone is the first letter of its name. */
+    /** Checks that the zone is allowed, given the job's other tasks on machines at this time. The name of a machine contains its zone. */
     private fun checkZone(
         machine: String,
         job: SimulatedJob,
         nowUs: Long,
     ) {
         if (!job.sameZone && !job.spread) return
-        val zones = onMachines(job.id).map { zoneOf(it.machine) }
+        val zones = findTasksOnMachines(job.id).map { zoneOf(it.machine) }
         val inSameZone = zones.count { it == zoneOf(machine) }
         if (job.sameZone && inSameZone < zones.size) violations += "wrong_place: ${job.id} in $zones starts on $machine at $nowUs"
         if (job.spread && inSameZone >= (job.tasks + 1) / 2) violations += "wrong_place: ${job.id} in $zones starts on $machine at $nowUs"
@@ -106,16 +116,16 @@
 
     fun doneTaskCount(id: String) = completedTasks[id]?.size ?: 0
 
-    /** The job is accepted, or about to be. */
+    /** Handles the acceptance of a job; called just before the job is stored. */
     fun onJobAccepted(job: SimulatedJob) {
         jobsById[job.id] = job
     }
 
-    /** When the faults are over: from here on every poll is to be answered before long. */
+    /** The time at which all faults are over. Later polls must get a reply within [MAX_UNANSWERED_US]. */
     var faultsEndUs = Long.MAX_VALUE
     private val lastReplyUs = HashMap<String, Long>()
 
-    /** A user has polled the job; [status] is null where it was told to retry, or got no answer. */
+    /** Handles a user's poll of the job; [status] is null if the user was asked to retry or got no reply. */
     fun onJobPolled(
         job: SimulatedJob,
         status: PolledStatus?,
@@ -141,7 +151,7 @@
         }
     }
 
-    /** When the cancellation of a dependency of this job, direct or indirect, was first confirmed to a user. */
+    /** Returns when the cancellation of a direct or indirect dependency was first confirmed to a user; null if there was none. */
     private fun dependencyCancelledAtUs(job: SimulatedJob): Long? {
         val pending = ArrayDeque(job.dependencies)
         val visited = HashSet<String>()
@@ -189,8 +199,8 @@
     private val waitingSinceUs = HashMap<String, Long>()
 
     /**
-     * To be called regularly with the [open] jobs once all faults are over: none waits for long while its team is under its limit. In a
-     * simulated cluster the machines always have capacity for what the limits allow.
+     * Checks that none of the [open] jobs waits longer than [MAX_WAIT_US] while its team is under its limit. Must be called regularly once
+     * all faults are over. The simulated machines always have enough capacity for the limits of the teams.
      */
     fun checkWaiting(
         open: Collection<SimulatedJob>,
@@ -206,15 +216,15 @@
         }
     }
 
-    /** Tasks of the job on machines now. */
-    fun runningTaskCount(job: String) = onMachines(job).size
+    /** Returns how many tasks of the job are on machines now. */
+    fun runningTaskCount(job: String) = findTasksOnMachines(job).size
 
-    private fun onMachines(job: String): List<TaskOnMachine> = tasksOnMachines[job]?.values.orEmpty().flatten()
+    private fun findTasksOnMachines(job: String): List<TaskOnMachine> = tasksOnMachines[job]?.values.orEmpty().flatten()
 
-    /** To be called regularly: nothing of a cancelled job may be left once its time is over. */
+    /** Checks that no task of a cancelled job is on a machine after the time limit of the cancellation. Must be called regularly. */
     fun checkCancelledTasks(nowUs: Long) {
-        for ((job, at) in cancelledAtUs) {
-            if (nowUs - at <= cancelUs) continue
+        for ((job, cancelledUs) in cancelledAtUs) {
+            if (nowUs - cancelledUs <= cancelUs) continue
             for ((index, attempts) in tasksOnMachines[job].orEmpty()) {
                 if (attempts.isNotEmpty()) violations += "ran_cancelled: $job/$index still on ${attempts[0].machine} at $nowUs"
             }
@@ -227,9 +237,10 @@
     }
 }
 
-/** The status of a job as its user polls it; pending and running are one. */
+/** The status of a job in the reply to a poll; [OPEN] stands for both pending and running. */
 enum class PolledStatus { OPEN, DONE, CANCELLED }
 
+/** A job of a simulated cluster. */
 data class SimulatedJob(
     val id: String,
     val team: String,
@@ -239,8 +250,8 @@
     val submittedRevision: Long,
     val sameZone: Boolean = false,
     val spread: Boolean = false,
-    /** Its tasks run for very different times. */
+    /** Whether the run times of its tasks differ greatly. */
     val hasUnevenRunTimes: Boolean = false,
-    /** Jobs that have to be done before any task of this one starts. */
+    /** The ids of the jobs that must be done before any task of this job starts. */
     val dependencies: List<String> = emptyList(),
 )
--- a/src/test/kotlin/lichenstage/world/SeedSweep.kt
+++ b/src/test/kotlin/lichenstage/world/SeedSweep.kt
@@ -7,7 +7,10 @@
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.atomic.AtomicLong
 
-/** Set to have the hash of each seed's events printed: it stays the same where a change of the code changes no decision. */
+/**
+ * The system property that makes the sweep print the hash of each seed's events. A change of the code that changes no decision leaves the
+ * hashes as they are.
+ */
 private const val TRACE = "trace"
 
 private const val FAULTS_US = 120_000_000L
@@ -16,19 +19,20 @@
 private const val DRAINED_CALM_US = 1_500_000_000L
 
 /**
- * The long form of [SimulatedClusterTest] and [DrainFaultsTest], run by hand: `SeedSweepKt small|unkind|late-orders|large|4000|6000|drains FIRST COUNT [THREADS]`.
- * Prints each seed that violates a rule or leaves jobs open, and in the end the number of seeds.
+ * Runs the simulations of [SimulatedClusterTest], [LateOrdersSimulationTest] and [DrainFaultsTest] with many seeds. Run by hand:
+ * `SeedSweepKt small|unkind|late-orders|large|4000|6000|drains FIRST COUNT [THREADS]`.
+ * Prints each seed that violates a rule or leaves jobs open, and finally the number of seeds and of failed seeds.
  */
 fun main(args: Array<String>) {
     val simulate =
         when (args[0]) {
-            "small" -> { seed -> simulated(seed, ClusterProfile()) }
-            "unkind" -> { seed -> simulated(seed, ClusterProfile.ADVERSE) }
-            "late-orders" -> ::lateOrders
-            "large" -> { seed -> simulated(seed, ClusterProfile.LARGE) }
-            "4000" -> { seed -> simulated(seed, ClusterProfile.ofMachines(4_000)) }
-            "6000" -> { seed -> simulated(seed, ClusterProfile.ofMachines(6_000)) }
-            else -> ::drained
+            "small" -> { seed -> runCluster(seed, ClusterProfile()) }
+            "unkind" -> { seed -> runCluster(seed, ClusterProfile.ADVERSE) }
+            "late-orders" -> ::runLateOrders
+            "large" -> { seed -> runCluster(seed, ClusterProfile.LARGE) }
+            "4000" -> { seed -> runCluster(seed, ClusterProfile.ofMachines(4_000)) }
+            "6000" -> { seed -> runCluster(seed, ClusterProfile.ofMachines(6_000)) }
+            else -> ::runDrain
         }
     val first = args[1].toLong()
     val count = args[2].toLong()
@@ -50,28 +54,34 @@
     println("$count seeds from $first: $failed failed")
 }
 
-/** Minutes of delay; now and then with few tokens at hand, or with seconds of delay and a controller that does not know newer tokens. */
-private fun lateOrders(seed: Long): SimulatedCluster {
+/**
+ * Runs a cluster whose orders are executed minutes late. With a fourth of the seeds, partitions reserve one fencing token at a time. With
+ * another fourth, orders are delayed only by seconds and one controller does not give machines newer fencing tokens.
+ */
+private fun runLateOrders(seed: Long): SimulatedCluster {
     val mixed =
         ClusterProfile.LATE_ORDERS.copy(
             maxHoldUs = ClusterProfile.ADVERSE.maxHoldUs,
             controllersWithoutFencing = setOf((seed % 3).toInt()),
         )
     return when (seed % 4) {
-        0L -> simulated(seed, mixed, LATE_ORDERS_CALM_US)
-        1L -> simulated(seed, ClusterProfile.LATE_ORDERS.copy(tokensReserved = 1), LATE_ORDERS_CALM_US)
-        else -> simulated(seed, ClusterProfile.LATE_ORDERS, LATE_ORDERS_CALM_US)
+        0L -> runCluster(seed, mixed, LATE_ORDERS_CALM_US)
+        1L -> runCluster(seed, ClusterProfile.LATE_ORDERS.copy(tokensReserved = 1), LATE_ORDERS_CALM_US)
+        else -> runCluster(seed, ClusterProfile.LATE_ORDERS, LATE_ORDERS_CALM_US)
     }
 }
 
-private fun simulated(
+private fun runCluster(
     seed: Long,
     profile: ClusterProfile,
     calmUs: Long = CALM_US,
 ) = SimulatedCluster(seed, profile = profile).apply { run(FAULTS_US, calmUs) }
 
-/** A drain of every machine under the conditions of [ClusterProfile.ADVERSE], with one controller of a version without drains. */
-private fun drained(seed: Long): SimulatedCluster {
+/**
+ * Runs a drain of all machines under the conditions of [ClusterProfile.ADVERSE]. With half of the seeds, one controller is of a version
+ * without drains.
+ */
+private fun runDrain(seed: Long): SimulatedCluster {
     val policy = DrainPolicy(DisruptionBudget(maxJobs = 1 + (seed % 3).toInt()))
     val profile = ClusterProfile.ADVERSE.copy(teamCores = 60.0, drainPolicy = policy, controllersWithoutDrains = setOf((seed % 6).toInt()))
     return SimulatedCluster(seed, profile = profile).apply {
--- a/src/test/kotlin/lichenstage/world/SimulatedAuthority.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedAuthority.kt
@@ -8,7 +8,7 @@
 import lichenstage.world.SimulationContext.Companion.LEASE_US
 import lichenstage.world.SimulationContext.Companion.hostOf
 
-/** A controller's authority: its lease in the state service, the keys that it owns, and moratoriums while that service is away. */
+/** A controller's authority: its lease in the state service, the keys that it owns, and the moratoriums during an outage. */
 internal class SimulatedAuthority(
     private val controller: SimulatedController,
     private val context: SimulationContext,
@@ -18,15 +18,15 @@
     private val host = hostOf(id)
     private val nowUs get() = context.nowUs
 
-    /** The process that the state service knows. */
+    /** The incarnation of the controller's process that holds the lease. */
     private var leaseIncarnation = 0
 
-    /** Until when the process has authority, by its renewals and by the moratoriums of the others. */
+    /** The time until which the process has authority, due to its renewals and the moratoriums of the other controllers. */
     private var validUntilUs = 0L
     private var peerMoratoriums = noMoratoriums()
     private var localMoratorium = LocalMoratorium(-10 * SECOND)
 
-    /** The owners of the keys as they were last read. */
+    /** The owners of the keys as last read from the state service. */
     var owners = HashMap<String, Ownership>()
         private set
 
@@ -34,10 +34,10 @@
 
     private fun noMoratoriums() = PeerMoratoriums((0 until CONTROLLERS).filter { it != id }.map(::hostOf).toSet())
 
-    /** The process has ended. */
+    /** Handles the end of the process. */
     fun onProcessEnded() = owners.clear()
 
-    /** A new process has begun. */
+    /** Handles the start of a new process. */
     fun onProcessStarted() {
         validUntilUs = Long.MIN_VALUE / 2
         peerMoratoriums = noMoratoriums()
@@ -47,7 +47,7 @@
     /** Renews the lease, acquires keys that have no owner, and reads all owners. */
     fun renew() {
         if (leaseIncarnation != controller.incarnation) {
-            // A new process has a lease of its own, and ends that of the one before it.
+            // A new process takes its own lease and ends that of its predecessor.
             leaseIncarnation = controller.incarnation
             state.endLease(id)
         }
@@ -63,7 +63,7 @@
         owners = HashMap(state.owners)
     }
 
-    /** Without the state service, the others are asked to acquire no key for a moment. */
+    /** Asks the other controllers to acquire no key for a short time. Called while the state service cannot be reached. */
     fun requestMoratoriums() {
         val requestedUs = nowUs
         val senderIncarnation = controller.incarnation
--- a/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
@@ -10,9 +10,9 @@
 import lichenstage.world.SimulationContext.Companion.hostOf
 
 /**
- * Controllers' decision logic and workers on virtual time, with crashes, cuts, hangs and held and repeated messages drawn
- * from a seed. Copies of reports and repeats of orders come up to three leases late. Authority is a small model of leases in the state
- * service: what is under test is what is decided with it.
+ * A cluster of several controllers and workers that runs on virtual time. The controllers use the real decision logic. Crashes, network
+ * cuts, hangs, and held or repeated messages are drawn from the seed. Copies of heartbeats and repeats of orders arrive up to three worker
+ * leases late. Authority is only a small model of leases in the state service, since the decisions that rely on it are under test.
  */
 class SimulatedCluster(
     seed: Long,
@@ -41,19 +41,23 @@
 
     val nowUs get() = context.nowUs
 
-    /** A hash of all that has happened; see [SimulatedNetwork.eventDigest]. */
+    /** A hash of all events so far; see [SimulatedNetwork.eventDigest]. */
     val eventDigest get() = network.eventDigest
     val checker get() = context.checker
     val orderEvents get() = context.orderEvents
     val doneJobs: Set<String> get() = state.doneJobs
     val openJobs get() = state.openJobs.keys.toList()
 
-    /** The controller that owns the leadership; -1 where none does. */
+    /** The number of the controller that owns the leadership; -1 if there is none. */
     val leader get() = state.owners[SimulatedLeadership.KEY]?.controller ?: -1
 
-    /** How many machines there are. */
+    /** The number of machines that are not terminated. */
     val machineCount get() = machines.count
 
+    /**
+     * Runs the cluster for [faultsUs] with faults and then for [calmUs] without. If there is no script, the jobs and faults are drawn from
+     * the seed.
+     */
     fun run(
         faultsUs: Long,
         calmUs: Long,
@@ -80,7 +84,7 @@
         network.runUntil(faultsUs + calmUs)
     }
 
-    /** The state of all controllers, for the message of a failed test. */
+    /** Returns a description of the state of all controllers, for messages of failed tests. */
     fun describe(): String =
         controllers.joinToString("\n") { controller ->
             val leader = controller.leadership.leader
@@ -92,7 +96,7 @@
                 leader?.partitions?.map { (id, view) -> "\n  $id term ${view.term} v${view.version} ${view.machines.values}" }
         } + "\nowners ${state.owners}"
 
-    /** Has [event] happen at [atUs]; a cluster with a script has no other faults, jobs or cancellations. */
+    /** Adds [event] to the script, to happen at [atUs]. A cluster with a script has no other jobs, cancellations or injected faults. */
     fun script(
         atUs: Long,
         event: SimulatedCluster.() -> Unit,
@@ -105,46 +109,47 @@
         event: () -> Unit,
     ) = context.after(delayUs, event)
 
-    // Users.
+    // Actions of users and operators.
 
-    /** Submits [jobs] jobs within a time, some of which are cancelled. */
+    /** Submits [jobs] random jobs at random times within [withinUs]. Some of them are cancelled. */
     fun submitRandomJobs(
         jobs: Int,
         withinUs: Long,
         firstNumber: Int = 0,
     ) = users.submitRandomJobs(jobs, withinUs, firstNumber)
 
-    /** A job whose tasks run for long. */
+    /** Submits job [n], whose two tasks run for [runUs] on average. */
     fun submitLongRunning(
         n: Int,
         runUs: Long,
     ) = users.submitLongRunning(n, runUs)
 
-    /** A job of few tasks that is bound to one zone, or spread over several. */
+    /** Submits job [n], whose tasks must run in the same zone or else be spread over several. */
     fun submitZoneConstrained(
         n: Int,
         tasks: Int,
         sameZone: Boolean,
     ) = users.submitZoneConstrained(n, tasks, sameZone)
 
-    /** A job whose tasks run for very different times. */
+    /** Submits job [n], whose tasks have very different run times. */
     fun submitUnevenRunTimes(n: Int) = users.submitUnevenRunTimes(n)
 
-    /** Four jobs that need each other, numbered from [n], and perhaps an earlier one unless they are to be [isIndependent]. */
+    /** Submits a pipeline of four jobs, numbered from [n]. Some pipelines depend on an earlier job, unless [isIndependent] is set. */
     fun submitPipeline(
         n: Int,
         isIndependent: Boolean = false,
     ) = users.submitPipeline(n, isIndependent)
 
-    /** A user asks the controller [controllerId], or the next that can confirm it. */
+    /** Cancels a job through controller [controllerId], or through the next one that can confirm the cancellation. */
     fun cancel(
         id: String,
         controllerId: Int,
     ) = users.cancel(id, controllerId)
 
+    /** Cancels up to [count] jobs that other jobs depend on. */
     fun cancelPipelines(count: Int) = users.cancelPipelines(count)
 
-    /** An operator asks for a drain of all machines that there are, or of one in [share] of them. */
+    /** Requests a drain of one in [share] machines, with at most [atMost] machines at a time. */
     fun drainAll(
         name: String,
         atMost: Int,
@@ -167,24 +172,24 @@
         state.drains.computeIfPresent(name) { _, drain -> drain.copy(status = status) }
     }
 
-    /** How often leaders have recorded a step of drains. */
+    /** The number of records of drain steps that leaders have written. */
     val drainWrites get() = state.drainWrites
 
     fun getDrain(name: String): Drain = state.drains.getValue(name)
 
-    /** Machines of the drain by stage, as recorded. */
+    /** Returns how many machines of the drain are recorded in each stage. */
     fun stageCounts(name: String): Map<Stage, Int> =
         state.drainState.machines.values
             .filter { it.drain == name }
             .groupingBy { it.stage }
             .eachCount()
 
-    /** How many tasks of the job are on machines. */
+    /** Returns how many tasks of the job are on machines. */
     fun runningTaskCount(job: String) = checker.runningTaskCount(job)
 
-    // Faults.
+    // Faults. Controllers and machines are given by number.
 
-    /** A fault of any kind, as the seed has it. */
+    /** Injects a fault whose kind, target and duration are drawn from the seed. */
     fun injectRandomFault() = faults.inject()
 
     fun crash(
@@ -192,13 +197,13 @@
         backAfterUs: Long,
     ) = controllers[id].crash(backAfterUs)
 
-    /** As [crash], for a time that is drawn; now and then it is back within a fraction of a second. */
+    /** Crashes a controller for a random time. In a third of the cases it is back within half a second. */
     fun crash(id: Int) {
         val awayUs = if (random.nextInt(3) == 0) random.nextInt(300_000) else random.nextInt(6_000_000)
         crash(id, 100 * MILLI + awayUs)
     }
 
-    /** A controller does nothing for a time, and then goes on. */
+    /** Pauses a controller's process, which then goes on without a restart. */
     fun freeze(
         id: Int,
         durationUs: Long,
@@ -210,13 +215,13 @@
         holdsMessages: Boolean,
     ) = network.cut(hostOf(id), SimulatedNetwork.STATE, durationUs, holdsMessages)
 
-    /** The state service refuses a controller alone. */
+    /** Lets the state service refuse all requests of one controller. */
     fun refuse(
         id: Int,
         durationUs: Long,
     ) = cutFromState(id, durationUs, holdsMessages = false)
 
-    /** The state service answers nobody; after that all leases have their full time again. */
+    /** Makes the state service unavailable to all controllers. Afterwards all leases last for their full time again. */
     fun beginOutage(durationUs: Long) = state.beginOutage(durationUs)
 
     fun slowDownState(durationUs: Long) = network.slowDownState(durationUs)
@@ -250,25 +255,27 @@
     private fun hostsIn(zone: String) =
         context.controllers.filterValues { it == zone }.keys + machines.all.filter { it.zone == zone }.map { it.name }
 
-    /** Nothing passes between a machine and any controller; reports are held, or lost. */
+    /** Cuts a machine off from all controllers. Messages are held until the end of the cut, or lost. */
     fun cutOff(
         worker: Int,
         durationUs: Long,
         holdsMessages: Boolean,
     ) = controllers.forEach { network.cut(machines[worker].name, hostOf(it.id), durationUs, holdsMessages) }
 
-    /** Only controller [id] is in reach of a machine. */
+    /** Cuts a machine off from all controllers except [id]. */
     fun restrictTo(
         worker: Int,
         id: Int,
         durationUs: Long,
     ) = controllers.filter { it.id != id }.forEach { network.cut(machines[worker].name, hostOf(it.id), durationUs, holdsMessages = false) }
 
+    /** Lets no message reach a machine. */
     fun blockInbound(
         worker: Int,
         durationUs: Long,
     ) = network.blockInbound(machines[worker].name, durationUs)
 
+    /** Lets no heartbeat of a machine reach a controller. */
     fun blockOutbound(
         worker: Int,
         durationUs: Long,
@@ -281,7 +288,7 @@
         machines[worker].hungUntilUs = nowUs + durationUs
     }
 
-    /** The cloud takes a machine without notice. */
+    /** Lets the cloud terminate a machine without notice. */
     fun terminateMachine(number: Int) {
         if (profile.hasMachineChurn) machines.terminate(listOf(machines[number].name))
     }
--- a/src/test/kotlin/lichenstage/world/SimulatedClusterTest.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedClusterTest.kt
@@ -3,17 +3,17 @@
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** The decisions of several controllers under seeded faults violate no rule, and all jobs get done in the end. */
+/** Tests that several controllers under seeded faults violate no rule, and that all jobs finish in the end. */
 class SimulatedClusterTest {
     @Example
-    fun `under drawn faults no rule is violated and all jobs get done`() = rulesHold(SEEDS, ClusterProfile(), CALM_US)
+    fun `under random faults no rule is violated and all jobs finish`() = assertRulesHeldForSeeds(SEEDS, ClusterProfile(), CALM_US)
 
-    /** All that the protocol allows of messages, frames, connections and machines; [ClusterProfile.LARGE] is run by `SeedSweep`. */
+    /** Runs [ClusterProfile.ADVERSE]; `SeedSweepKt large` runs [ClusterProfile.LARGE] with several seeds. */
     @Example
-    fun `under all that the protocol allows no rule is violated and all jobs get done`() =
-        rulesHold(ADVERSE_SEEDS, ClusterProfile.ADVERSE, ADVERSE_CALM_US)
+    fun `with partial frames, late messages and machine churn no rule is violated and all jobs finish`() =
+        assertRulesHeldForSeeds(ADVERSE_SEEDS, ClusterProfile.ADVERSE, ADVERSE_CALM_US)
 
-    private fun rulesHold(
+    private fun assertRulesHeldForSeeds(
         seeds: Long,
         profile: ClusterProfile,
         calmUs: Long,
@@ -26,18 +26,18 @@
         println("seeds 1..$seeds violated no rule")
     }
 
-    /** One seed of the size at which users saw a rule broken. */
+    /** Runs a single seed at the cluster size at which users saw a rule violated. */
     @Example
-    fun `with 1,500 machines no rule is violated and all jobs get done`() {
+    fun `with 1,500 machines no rule is violated and all jobs finish`() {
         val cluster = SimulatedCluster(1, profile = ClusterProfile.LARGE)
         cluster.run(FAULTS_US, CALM_US)
         assertTrue(cluster.checker.violations.isEmpty()) { "${cluster.checker.violations.take(3)}" }
-        assertTrue(cluster.checker.starts > 3_000) { "only ${cluster.checker.starts} starts" }
-        assertTrue(cluster.openJobs.isEmpty()) { "never finished: ${cluster.openJobs}" }
+        assertTrue(cluster.checker.starts > 3_000) { "${cluster.checker.starts} starts, expected more than 3000" }
+        assertTrue(cluster.openJobs.isEmpty()) { "jobs still open: ${cluster.openJobs}" }
     }
 
     @Example
-    fun `each way of building the service wrongly violates its rule`() {
+    fun `each mutation of the service violates its rule`() {
         val expected =
             mapOf(
                 Mutation.SHORT_LEASE to "ran_twice",
--- a/src/test/kotlin/lichenstage/world/SimulatedController.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedController.kt
@@ -15,7 +15,7 @@
 import lichenstage.world.SimulationContext.Companion.WORKER_LEASE_US
 import lichenstage.world.SimulationContext.Companion.hostOf
 
-/** A controller and its processes, one after the other: authority, knowledge of jobs, partitions, and leadership where it leads. */
+/** A controller and its successive processes, with its authority, its replica of the open jobs, its partitions and its leadership. */
 internal class SimulatedController(
     val id: Int,
     private val context: SimulationContext,
@@ -29,7 +29,7 @@
     var isAlive = true
         private set
 
-    /** Rises from process to process. */
+    /** The number of the current process; increases with every crash. */
     var incarnation = 0
         private set
     val partitions = HashMap<String, PartitionCore>()
@@ -38,10 +38,10 @@
     private val jobSync = SimulatedJobSync(this, context, state)
     private val orders = SimulatedOrders(this, context, machines)
 
-    /** Controllers learn of ends otherwise than by the leader's own watch. */
+    /** Whether controllers tell each other which jobs have ended. */
     val sharesJobEnds = mutation != Mutation.LEASES_RENEWED_WITH_STALE_REPLICA && mutation != Mutation.CANCELLATION_NOT_PROPAGATED
 
-    /** It gives newer fencing tokens to machines that may execute orders late. */
+    /** Whether the controller gives newer fencing tokens to machines that may execute orders late. */
     private val usesFencing = mutation != Mutation.FENCING_DISABLED && id !in context.profile.controllersWithoutFencing
     val replica get() = jobSync.replica
     val dependencyGraph get() = jobSync.dependencyGraph
@@ -49,12 +49,12 @@
     val canReachState get() = isAlive && !state.isUnavailable && !context.network.isCut(host, SimulatedNetwork.STATE)
     val hasAuthority get() = isAlive && (authority.isValid || mutation == Mutation.AUTHORITY_KEPT_AFTER_LEASE)
 
-    /** It may renew the leases of workers. */
+    /** Whether the controller may renew the leases of workers. */
     private val mayRenewLeases get() = hasAuthority && (mutation == Mutation.LEASES_RENEWED_WITH_STALE_REPLICA || replica.isCurrent(nowUs))
 
     fun otherControllers() = allControllers().filter { it != this }
 
-    /** The process ends, and another takes its place. */
+    /** Ends the process; a new one starts after [backAfterUs]. */
     fun crash(backAfterUs: Long) {
         isAlive = false
         incarnation++
@@ -68,7 +68,7 @@
         }
     }
 
-    /** A turn: its leaseUs, the keys, its partitions and its leadership. */
+    /** Performs one periodic step: renews the lease, reads the keys and jobs, and advances the partitions and the leadership. */
     fun step() {
         state.expireLeases()
         if (!isAlive) return
@@ -86,17 +86,17 @@
         sendPendingMessages()
     }
 
-    /** Holds the partition where this process owns it. */
+    /** Creates or drops the state of the partition so that it exists only while this process owns the partition. */
     private fun updateOwnership(partition: String) {
         val ownership = authority.owners[partition]?.takeIf { it.controller == id }
         if (ownership == null) {
             partitions.remove(partition)
         } else if (partitions[partition]?.term != ownership.term) {
-            partitions[partition] = partitionCore(partition, ownership.term)
+            partitions[partition] = createPartitionCore(partition, ownership.term)
         }
     }
 
-    private fun partitionCore(
+    private fun createPartitionCore(
         partition: String,
         term: Long,
     ): PartitionCore {
@@ -108,7 +108,7 @@
         }
     }
 
-    /** Each reservation is a write, which may come to nothing. */
+    /** Reserves fencing tokens by a write to the state service, which may be lost or fail. */
     private fun reserveTokens(partition: PartitionCore) {
         if (!usesFencing || !partition.shouldReserveTokens(nowUs)) return
         val senderIncarnation = incarnation
@@ -121,12 +121,12 @@
         }
     }
 
-    /** Another controller says that these jobs have ended. */
+    /** Handles a message of another controller that these jobs have ended. */
     fun onJobsEnded(jobs: List<String>) {
         if (isAlive) jobSync.onJobsEnded(jobs)
     }
 
-    /** A worker's heartbeat has come; null where this process must not answer it. */
+    /** Handles a worker's heartbeat. Returns null if this process must not reply to it. */
     fun onHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome.Accepted? {
         val id = context.assignment.partitionOf(heartbeat.machine, heartbeat.zone)!!
         val partition = partitions[id]?.takeIf { isAlive && mayRenewLeases } ?: return null
@@ -135,7 +135,7 @@
         return outcome
     }
 
-    /** The leader's frame for a partition has come. */
+    /** Handles the leader's frame for a partition. */
     fun onLeaderFrame(frame: PlacementFrame) {
         if (!isAlive) return
         partitions[frame.partition]?.onLeaderFrame(frame, nowUs)
@@ -143,7 +143,7 @@
         sendPendingMessages()
     }
 
-    /** A service that has tasks forgotten as soon as its leader says so. */
+    /** Executes the clears in the leader's frame at once, without the partition; see [Mutation.CLEARS_EXECUTED_IMMEDIATELY]. */
     private fun executeClearsImmediately(frame: PlacementFrame) {
         val fencingToken = partitions[frame.partition]?.term ?: return
         for (clear in frame.clears) {
@@ -152,7 +152,7 @@
         }
     }
 
-    /** Sends the orders, probes and frames of its partitions that are due. */
+    /** Sends the orders, probes and frames of this controller's partitions that are due. */
     fun sendPendingMessages() {
         if (!mayRenewLeases) return
         for (partition in partitions.values) {
--- a/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
@@ -13,7 +13,10 @@
 import lichenstage.placement.LeaderCore
 import lichenstage.placement.LeaderDrainView
 
-/** Drains under one leader: its decisions with the records in the state service and a cloud that now and then provisions a machine that never comes up. */
+/**
+ * The drains of one leader. The real decision logic works with the records in the state service and with a cloud in which some provisioned
+ * machines never come up.
+ */
 internal class SimulatedDrains(
     private val leader: LeaderCore,
     policy: DrainPolicy,
@@ -41,7 +44,7 @@
             MAX_INTERRUPTIONS,
         )
 
-    /** A broken account: what does not run is no longer interrupted. */
+    /** A view in which a task that does not run is already finished; see [Mutation.INTERRUPTIONS_ENDED_AT_STOP]. */
     private class ViewEndingInterruptionsAtStop(
         private val view: DrainView,
     ) : DrainView by view {
@@ -59,9 +62,10 @@
 
     private var lastStepUs = 0L
 
-    /** An attempt ran and ended although its task is not done. */
+    /** Handles the end of an attempt that ran, but whose task is not done. */
     fun onAttemptInterrupted(attempt: Attempt) = core.onTaskLost(LeaderDrainView.failureInterruption(attempt, context.nowUs))
 
+    /** Advances the drains, at most once a second. */
     fun step() {
         if (context.nowUs - lastStepUs < SECOND) return
         lastStepUs = context.nowUs
--- a/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
@@ -6,29 +6,29 @@
 import lichenstage.placement.RecoveredMachine
 import java.util.Random
 
-/** What a leader's fleet uses of the simulated cluster. */
+/** The functions of the simulated cluster that a leader's fleet uses. */
 internal interface FleetEnvironment {
     fun after(
         delayUs: Long,
         run: () -> Unit,
     )
 
-    /** A transaction with the leadership as its precondition; its answer may be late, or not come. */
+    /** Runs [apply] as a transaction that requires the leadership. The reply may be late or never arrive. */
     fun write(
         apply: () -> Unit,
         onReply: (Boolean) -> Unit,
     )
 
-    /** The cloud terminates these machines, with all that is on them. */
+    /** Terminates these machines and all tasks on them. */
     fun terminate(names: Collection<String>)
 
     fun recoveredMachine(name: String): RecoveredMachine
 
-    /** True while the term of the leader goes on. */
+    /** Returns whether the term of [leader] still lasts. */
     fun isLeading(leader: LeaderCore): Boolean
 }
 
-/** The durable list of machines. Like the real one, it never adds a machine again that was removed. */
+/** The durable list of machines. Like the real registry, it never adds a machine again after its removal. */
 internal class SimulatedRegistry {
     private val names = LinkedHashSet<String>()
     private val removed = HashSet<String>()
@@ -45,7 +45,7 @@
     }
 }
 
-/** A leader's management of the machines: it registers new ones, terminates silent, lost and drained ones, and drains some. */
+/** A leader's management of the machines: registers new ones, drains some, and terminates silent, lost and drained ones. */
 internal class SimulatedFleet(
     private val leader: LeaderCore,
     private val registry: SimulatedRegistry,
@@ -57,10 +57,10 @@
     private var isTerminating = false
     private val draining = HashSet<String>()
 
-    /** Machines that drains have emptied. */
+    /** Machines that operators' drains have emptied. */
     private val emptied = HashSet<String>()
 
-    /** Cordoned by drains. */
+    /** Machines that operators' drains have cordoned. */
     var cordoned: Set<String> = emptySet()
 
     fun step() {
@@ -69,6 +69,7 @@
         terminateDue()
     }
 
+    /** Schedules the termination of a machine that a drain has emptied. */
     fun terminate(machine: String) {
         emptied += machine
     }
--- a/src/test/kotlin/lichenstage/world/SimulatedJobSync.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedJobSync.kt
@@ -11,7 +11,10 @@
 import lichenstage.world.SimulationContext.Companion.WORKER_LEASE_US
 import lichenstage.world.SimulationContext.Companion.hostOf
 
-/** What a controller knows of jobs: its replica of the open ones and its pipelines, from the state service or from other controllers. */
+/**
+ * A controller's view of the jobs: its replica of the open jobs and the dependencies between jobs. Both are updated from the state service
+ * and from other controllers.
+ */
 internal class SimulatedJobSync(
     private val controller: SimulatedController,
     private val context: SimulationContext,
@@ -32,15 +35,15 @@
             JobReplica.maxStalenessUs(CANCEL_US, WORKER_LEASE_US),
         )
 
-    /** A new process has begun: it knows of no job. */
+    /** Handles the start of a new process, which has no jobs yet. */
     fun onProcessStarted() {
         replica = newReplica()
         dependencyGraph = DependencyGraph()
     }
 
-    /** Reads what a watch of the open jobs brings, and the records of jobs that others need. */
+    /** Reads the changes of the open jobs, and the outcomes of ended dependencies. */
     fun read() {
-        // A turn later than the word that they have ended.
+        // Runs before the open jobs are read, so that an outcome is read one step after the end of the job is noticed.
         resolveDependencies()
         readOpenJobs()
     }
@@ -58,7 +61,7 @@
         endedJobs.forEach(dependencyGraph::onJobClosed)
     }
 
-    /** Reads the records of jobs that others need and that have ended. */
+    /** Reads the outcomes of ended jobs that other jobs depend on. */
     private fun resolveDependencies() {
         for (job in dependencyGraph.findUnresolved(MAX_RESOLVED)) {
             val outcome = state.outcomeOf(job) ?: continue
@@ -68,14 +71,14 @@
         }
     }
 
-    /** Another controller says that these jobs have ended. */
+    /** Handles a message of another controller that these jobs have ended. */
     fun onJobsEnded(jobs: List<String>) {
         replica.markEnded(jobs)
         jobs.forEach(dependencyGraph::onJobClosed)
         jobs.forEach(controller.leadership::onJobClosed)
     }
 
-    /** While the state service shows nothing, the others are asked which jobs have ended. */
+    /** Asks the other controllers which jobs have ended, while the replica is not up to date with the state service. */
     fun requestJobEnds() {
         if (!replica.isLagging(nowUs) || !controller.sharesJobEnds) return
         for (other in controller.otherControllers()) {
@@ -113,7 +116,7 @@
         }
     }
 
-    /** What partitions that begin now go by; a process that comes after has a replica of its own. */
+    /** Returns the job completions for a new partition, based on the replica of the current process; a later process has its own. */
     fun jobCompletions(usesFencing: Boolean): JobCompletions {
         val currentReplica = replica
         return object : JobCompletions {
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -19,7 +19,10 @@
 import lichenstage.world.SimulationContext.Companion.WORKER_LEASE_US
 import lichenstage.world.SimulationContext.Companion.hostOf
 
-/** A controller's leadership, while it holds the key: the leader's decisions with the state service, the partitions and the fleet. */
+/**
+ * A controller's leadership while it owns the leadership's key. Connects the leader's decision logic with the state service, the partitions
+ * and the fleet.
+ */
 internal class SimulatedLeadership(
     private val controller: SimulatedController,
     private val context: SimulationContext,
@@ -35,7 +38,7 @@
     private var isCancellingOrphans = false
     private var drains: SimulatedDrains? = null
 
-    /** Null while another controller leads, or none. */
+    /** The leader's decision logic; null while this controller does not lead. */
     var leader: LeaderCore? = null
         private set
 
@@ -62,7 +65,7 @@
         if (controller.canReachState) drains?.step()
     }
 
-    /** What the leader's watch of the open jobs brings. */
+    /** Adds new jobs and closes ended ones, as the leader's watch of the open jobs does. */
     private fun updateJobs(leader: LeaderCore) {
         state.openJobs.values
             .filter { it.id !in seenJobs }
@@ -80,7 +83,7 @@
                     (mutation == Mutation.DEPENDENCIES_IGNORED || controller.dependencyGraph.readySinceUs(it.spec.dependencies) != null)
             }.forEach { leader.onJobReady(it, nowUs) }
 
-    /** Jobs of which one that they need is cancelled are recorded as such. */
+    /** Records jobs as cancelled if one of their dependencies is cancelled. */
     private fun cancelOrphans(leader: LeaderCore) {
         val orphans = controller.dependencyGraph.findOrphans(6).filter { it in leader.jobs }
         if (orphans.isEmpty() || isCancellingOrphans) return
@@ -92,7 +95,7 @@
     }
 
     private fun startTerm(term: Long): LeaderCore {
-        val newLeader = leaderCore(term)
+        val newLeader = createLeaderCore(term)
         isCancellingOrphans = false
         if (mutation !=
             Mutation.REGISTRY_NOT_RECOVERED
@@ -108,7 +111,7 @@
         return newLeader
     }
 
-    private fun leaderCore(term: Long): LeaderCore {
+    private fun createLeaderCore(term: Long): LeaderCore {
         val limits =
             if (mutation ==
                 Mutation.TEAM_LIMIT_IGNORED
@@ -158,12 +161,12 @@
     ) {
         seenJobs += job.id
         if (mutation == Mutation.JOB_NOT_ADDED && job.id == "j-3") return
-        val newJob = Job(spec(job), job.submittedRevision, nowUs)
+        val newJob = Job(createSpec(job), job.submittedRevision, nowUs)
         if (mutation != Mutation.DONE_TASKS_NOT_RECOVERED) newJob.restoreDoneTasks(state.recordedDoneTasks.getValue(job.id))
         leader.addJob(newJob)
     }
 
-    private fun spec(job: SimulatedJob) =
+    private fun createSpec(job: SimulatedJob) =
         JobSpec(
             id = job.id,
             jobClass = "class",
@@ -209,7 +212,7 @@
         }
     }
 
-    /** A transaction with the leadership as its precondition; its answer may not come. */
+    /** Runs [apply] as a transaction that requires the leadership. A reply that does not arrive counts as a failure after a timeout. */
     private fun write(
         term: Long,
         apply: () -> Unit,
@@ -240,7 +243,7 @@
     }
 
     companion object {
-        /** The key of the leadership in the state service. */
+        /** The leadership's key in the state service. */
         const val KEY = "leader"
     }
 }
--- a/src/test/kotlin/lichenstage/world/SimulatedMachines.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedMachines.kt
@@ -10,7 +10,7 @@
 import lichenstage.world.SimulationContext.Companion.hostOf
 import java.util.Random
 
-/** The machines: they boot, send heartbeats to a controller as workers do, and are terminated. */
+/** The machines of the cluster: they boot, send heartbeats to a controller like real workers, and are terminated. */
 internal class SimulatedMachines(
     private val context: SimulationContext,
     private val state: SimulatedStateService,
@@ -20,18 +20,18 @@
     private val workers = ArrayList<SimulatedWorker>()
     private val byName = HashMap<String, SimulatedWorker>()
 
-    /** The controller that a worker sends its heartbeats to. */
+    /** The controller to which each worker sends its heartbeats, by the worker's name. */
     private val targetController = HashMap<String, Int>()
 
-    /** Until when heartbeats of a machine reach nobody. */
+    /** The time until which the heartbeats of a machine reach no controller, by its name. */
     private val outboundBlockedUntilUs = HashMap<String, Long>()
     val registry = SimulatedRegistry()
     val all: List<SimulatedWorker> get() = workers
 
-    /** How many there are. */
+    /** The number of machines that are not terminated. */
     val count get() = workers.count { !it.isTerminated }
 
-    /** One of those that are there, in an order that does not change. */
+    /** Returns one of the machines that are not terminated, numbered in the order in which they were added. */
     operator fun get(number: Int): SimulatedWorker =
         workers.filter { !it.isTerminated }.let { if (it.isEmpty()) workers.last() else it[number % it.size] }
 
@@ -67,17 +67,17 @@
         context.every(2 * SECOND) { heartbeat(worker) }
     }
 
-    /** Provisions a machine; now and then one never comes up. */
+    /** Provisions a machine and returns its name. One in eight machines never comes up. */
     fun provision(zone: String): String {
         val worker = addMachine(zone)
         if (random.nextInt(8) > 0) context.after(random.nextInt(MAX_BOOT_US).toLong()) { powerOn(worker) }
         return worker.name
     }
 
-    /** Machines that have been replaced already. */
+    /** Machines for which a drain has already provisioned a replacement. */
     val replacedMachines = HashSet<String>()
 
-    /** The cloud terminates machines; others come up in their zones. */
+    /** Terminates machines. For each machine that has no replacement yet, a new one comes up in the same zone. */
     fun terminate(names: Collection<String>) {
         for (worker in names.mapNotNull { byName[it] }.filter { !it.isTerminated }) {
             worker.terminate()
--- a/src/test/kotlin/lichenstage/world/SimulatedNetwork.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedNetwork.kt
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue
 import java.util.Random
 
-/** Virtual time, and messages between hosts that are delayed, held back, lost or repeated, as drawn from a seed and by the cuts. */
+/** Virtual time and the messages between hosts. Messages are delayed, held, lost or repeated, as drawn from the seed and caused by cuts. */
 class SimulatedNetwork(
     private val random: Random,
 ) {
@@ -14,7 +14,7 @@
         val run: () -> Unit,
     )
 
-    /** Two hosts that can't talk until a time; messages are held, or lost. */
+    /** A cut between two hosts; messages between them are held until it ends, or lost. */
     private class Cut(
         val untilUs: Long,
         val holdsMessages: Boolean,
@@ -27,13 +27,13 @@
     private var slowStateUntilUs = 0L
     private val frozenUntilUs = HashMap<String, Long>()
 
-    /** The share of messages that come seconds late, behind newer ones. */
+    /** The share of messages that arrive seconds late, after newer ones. */
     var delayedMessageShare = 0.0
 
     var nowUs = 0L
         private set
 
-    /** A hash of the times and numbers of all events so far: equal for two versions of the code whose decisions were the same. */
+    /** A hash of the times and sequence numbers of all events so far. Two versions of the code that decide the same have the same hash. */
     var eventDigest = 0L
         private set
 
@@ -54,7 +54,7 @@
             after(periodUs / 2 + random.nextInt(periodUs.toInt()).toLong()) { every(periodUs, run) }
         }
 
-    /** Lets time pass until [endUs]. */
+    /** Runs all events until [endUs]. */
     fun runUntil(endUs: Long) {
         while (queue.isNotEmpty() && queue.peek().atUs <= endUs) {
             val event = queue.poll()
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Sends a message from one host to another; it may be delayed, held by a cut, lost with it, or repeated. */
+    /** Sends a message from one host to another. It may be delayed or, unless [repeats] is false, repeated. A cut holds or loses it. */
     fun send(
         from: String,
         to: String,
@@ -73,7 +73,7 @@
     ) {
         val cut = cuts[hostPairKey(from, to)]?.takeIf { it.untilUs > nowUs }
         val delayUs = (MILLI + random.nextInt(8000)) * if (to == STATE && nowUs < slowStateUntilUs) 20 else 1
-        // Nothing reaches a host whose inbound messages are blocked; what is lost on the way is not sent again.
+        // A message to a host whose inbound messages are blocked is lost, and is not sent again.
         if ((inboundBlockedUntilUs[to] ?: 0) > nowUs) return
         val extraDelayUs =
             if (delayedMessageShare > 0 &&
@@ -91,7 +91,7 @@
         }
     }
 
-    /** A frozen host receives its messages once it goes on. */
+    /** Delivers a message. A frozen host receives it when the freeze ends. */
     private fun arrive(
         host: String,
         deliver: () -> Unit,
@@ -100,7 +100,7 @@
         if (frozenUs > 0) after(frozenUs + MILLI) { arrive(host, deliver) } else deliver()
     }
 
-    /** The host does nothing for a time, and then goes on as if none had passed. */
+    /** Pauses a host; it then goes on as if no time had passed. */
     fun freeze(
         host: String,
         durationUs: Long,
@@ -124,7 +124,7 @@
         hostB: String,
     ) = (cuts[hostPairKey(hostA, hostB)]?.untilUs ?: 0) > nowUs
 
-    /** Nothing reaches the host. */
+    /** Lets no message reach the host for [durationUs]. */
     fun blockInbound(
         host: String,
         durationUs: Long,
@@ -132,7 +132,7 @@
         inboundBlockedUntilUs[host] = nowUs + durationUs
     }
 
-    /** The state service answers late. */
+    /** Lets requests to the state service arrive late for [durationUs]. */
     fun slowDownState(durationUs: Long) {
         slowStateUntilUs = nowUs + durationUs
     }
@@ -143,7 +143,7 @@
     ) = if (hostA < hostB) "$hostA $hostB" else "$hostB $hostA"
 
     companion object {
-        /** The state service's name as a host. */
+        /** The host name of the state service. */
         const val STATE = "state"
         private const val MAX_EXTRA_DELAY_US = 3_500_000
         private const val DIGEST_FACTOR = 1_000_003L
--- a/src/test/kotlin/lichenstage/world/SimulatedOrders.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedOrders.kt
@@ -10,7 +10,7 @@
 import lichenstage.world.SimulationContext.Companion.MAX_DELIVERY_DELAY_US
 import lichenstage.world.SimulationContext.Companion.hostOf
 
-/** Sends a controller's direct orders and probes to workers, on the way to which they may be held, lost or repeated. */
+/** Sends a controller's direct orders and probes to workers. On the way they may be held, lost or repeated. */
 internal class SimulatedOrders(
     private val controller: SimulatedController,
     private val context: SimulationContext,
@@ -21,7 +21,7 @@
     private val host = hostOf(controller.id)
     private val nowUs get() = context.nowUs
 
-    /** Sends a probe; its result goes to [partition], where the process that sent it is still there. */
+    /** Sends a probe. Its result goes to [partition], unless the process that sent the probe has ended. */
     fun sendProbe(
         partition: PartitionCore,
         probe: StatusProbe,
@@ -45,7 +45,7 @@
         context.after(TIMEOUT_US) { complete(null) }
     }
 
-    /** Sends a direct order; its outcome goes to [partition], where the process that sent it is still there. */
+    /** Sends a direct order. Its outcome goes to [partition], unless the process that sent the order has ended. */
     fun sendOrder(
         partition: PartitionCore,
         order: DirectOrder,
@@ -59,7 +59,7 @@
             isCompleted = true
             partition.onOrderOutcome(order, outcome, nowUs)
         }
-        // Like a packet, an order that was sent is executed even if nobody waits for its outcome any more.
+        // An order that was sent is executed even if its sender no longer waits for the outcome.
         context.send(host, worker.name, repeats = false) {
             if (profile.heldOrderShare > 0 && random.nextDouble() < profile.heldOrderShare) {
                 val heldUs = MIN_HOLD_US + random.nextInt((profile.maxHoldUs - MIN_HOLD_US).toInt())
@@ -80,7 +80,7 @@
         if (worker.isHung(nowUs)) return context.after(worker.hungUntilUs - nowUs + MILLI) { execute(worker, order, complete) }
         val outcome = worker.execute(order.fencingToken, order.agentEpoch, order.commands, nowUs)
         context.send(worker.name, host) { complete(outcome) }
-        // A repeat of what was executed.
+        // Some executed orders are repeated later; the sender gets no reply to the repeat.
         if (random.nextInt(REPEAT_ONE_IN) ==
             0
         ) {
--- a/src/test/kotlin/lichenstage/world/SimulatedStateService.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedStateService.kt
@@ -9,19 +9,19 @@
 import lichenstage.world.SimulationContext.Companion.LEASE_US
 import java.util.BitSet
 
-/** Who owns a key, and under which term. */
+/** The controller that owns a key, and the term of its ownership. */
 internal data class Ownership(
     val controller: Int,
     val term: Long,
 )
 
-/** A job that is over, and the revision of its end. */
+/** A finished job and the revision of its end. */
 internal data class JobEnd(
     val job: String,
     val revision: Long,
 )
 
-/** A small model of the state service: leases, ownership, and the records of jobs. */
+/** A small model of the state service, with leases, owners of keys, and the records of jobs and drains. */
 internal class SimulatedStateService(
     private val context: SimulationContext,
 ) {
@@ -33,17 +33,19 @@
     val recordedDoneTasks = HashMap<String, BitSet>()
     val doneJobs = HashSet<String>()
 
-    /** Of jobs that are over, whether they are done. */
+    /** Whether each finished job is done (true) or cancelled (false), by its id. */
     val outcomes = HashMap<String, Boolean>()
     val jobEnds = ArrayList<JobEnd>()
     private var outageUntilUs = 0L
 
-    /** Drains as operators have asked for them, and what leaders have recorded of them. */
+    /** The drains and their machines, as operators requested them. */
     val drains = LinkedHashMap<String, Drain>()
     val drainedMachines = ArrayList<DrainedMachine>()
+
+    /** The progress of the drains, as leaders recorded it. */
     var drainState = DrainState()
 
-    /** How often that was written. */
+    /** The number of writes of [drainState]. */
     var drainWrites = 0
 
     val lastRevision get() = revision
@@ -51,7 +53,7 @@
 
     fun nextRevision() = ++revision
 
-    /** It answers nobody; after that all leases have their full time again. */
+    /** Makes the state service unavailable to all controllers. Afterwards all leases last for their full time again. */
     fun beginOutage(durationUs: Long) {
         outageUntilUs = maxOf(outageUntilUs, context.nowUs + durationUs)
         for (i in leaseExpiresAtUs.indices) if (leaseExpiresAtUs[i] > context.nowUs) leaseExpiresAtUs[i] = outageUntilUs + LEASE_US
@@ -61,7 +63,7 @@
         for (i in leaseExpiresAtUs.indices) if (leaseExpiresAtUs[i] <= context.nowUs) endLease(i)
     }
 
-    /** Ends what hangs on a controller's lease. */
+    /** Ends a controller's lease: the controller no longer owns any key. */
     fun endLease(controller: Int) {
         owners.values.removeIf { it.controller == controller }
     }
@@ -77,7 +79,7 @@
         owners[key] = Ownership(controller, nextRevision())
     }
 
-    /** Numbers above all terms that were given out, for one owner alone. */
+    /** Reserves fencing tokens for one owner. They are higher than all terms and tokens given out so far. */
     fun reserveTokens(count: Int): LongRange {
         val first = revision + 1
         revision += count
@@ -91,7 +93,7 @@
         recordedDoneTasks[job.id] = BitSet()
     }
 
-    /** The job's record says that it is over. */
+    /** Records the end of a job, as done or cancelled. */
     fun recordEnd(
         id: String,
         isDone: Boolean,
@@ -109,8 +111,9 @@
         context.checker.onJobPolled(jobs.getValue(id), PolledStatus.DONE, context.nowUs)
     }
 
+    /** Returns whether all dependencies of the job are done. */
     fun isReady(job: SimulatedJob) = job.dependencies.all { outcomes[it] == true }
 
-    /** How a job ended, as its record says; null while it is open. */
+    /** Returns the recorded outcome of a job; null while the job is open. */
     fun outcomeOf(id: String): JobOutcome? = outcomes[id]?.let { JobOutcome(if (it) EndStatus.DONE else EndStatus.CANCELLED, null) }
 }
--- a/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
@@ -6,7 +6,7 @@
 import lichenstage.world.SimulationContext.Companion.CONTROLLERS
 import lichenstage.world.SimulationContext.Companion.hostOf
 
-/** Users: they submit jobs and pipelines, ask about them at any controller, and cancel some. */
+/** The users of the cluster. They submit jobs and pipelines, poll them through any controller, and cancel some. */
 internal class SimulatedUsers(
     private val context: SimulationContext,
     private val state: SimulatedStateService,
@@ -15,7 +15,7 @@
     private val random = context.random
     private val checker = context.checker
 
-    /** Submits [jobs] jobs within a time, some of which are cancelled. */
+    /** Submits [jobs] random jobs at random times within [withinUs]. Some of them are cancelled. */
     fun submitRandomJobs(
         jobs: Int,
         withinUs: Long,
@@ -36,34 +36,34 @@
         if (random.nextInt(5) == 0) context.after(random.nextInt(20_000_000).toLong()) { cancel(job.id, random.nextInt(CONTROLLERS)) }
     }
 
-    /** A job whose tasks run for long. */
+    /** Submits job [n], whose two tasks run for [runUs] on average. */
     fun submitLongRunning(
         n: Int,
         runUs: Long,
     ) = state.accept(SimulatedJob("j-$n", teamOf(n), 2, 2.0, runUs, state.nextRevision()))
 
-    /** A job of few tasks that is bound to one zone, or spread over several. */
+    /** Submits job [n], whose tasks must run in the same zone or else be spread over several. */
     fun submitZoneConstrained(
         n: Int,
         tasks: Int,
         sameZone: Boolean,
     ) = state.accept(SimulatedJob("j-$n", teamOf(n), tasks, 1.0, 12 * SECOND, state.nextRevision(), sameZone, !sameZone))
 
-    /** A job whose tasks run for very different times. */
+    /** Submits job [n], whose tasks have very different run times. */
     fun submitUnevenRunTimes(n: Int) =
         state.accept(SimulatedJob("j-$n", "red", 3, 1.0, 6 * SECOND, state.nextRevision(), hasUnevenRunTimes = true))
 
     private fun teamOf(n: Int) = if (n % 2 == 0) "red" else "blue"
 
     /**
-     * Four jobs, submitted one after the other as users do: a chain, a fan or a diamond of one to three tasks each, numbered from [n].
-     * Some need a job besides that was there before, unless it is to be [isIndependent].
+     * Submits a pipeline of four jobs, one after the other, numbered from [n]. Their dependencies form a chain, a fan or a diamond, and each
+     * job has one to three tasks. The first job of some pipelines also depends on an earlier open job, unless [isIndependent] is set.
      */
     fun submitPipeline(
         n: Int,
         isIndependent: Boolean = false,
     ) {
-        val earlier =
+        val earlierJobs =
             if (!isIndependent && random.nextInt(3) == 0) {
                 state.openJobs.keys
                     .filter { random.nextInt(4) == 0 }
@@ -71,32 +71,32 @@
             } else {
                 emptyList()
             }
-        val dependenciesByStage = listOf(CHAIN, FAN, DIAMOND)[n / PIPELINE % 3]
+        val dependenciesByStage = listOf(CHAIN, FAN, DIAMOND)[n / JOBS_PER_PIPELINE % 3]
         var submitDelayUs = 0L
         for ((stage, dependencies) in dependenciesByStage.withIndex()) {
-            val dependencyIds = dependencies.map { "j-${n + it}" } + if (stage == 0) earlier else emptyList()
+            val dependencyIds = dependencies.map { "j-${n + it}" } + if (stage == 0) earlierJobs else emptyList()
             val job = SimulatedJob("j-${n + stage}", teamOf(n), 1 + random.nextInt(3), 1.0, 5 * SECOND, 0, dependencies = dependencyIds)
             context.after(submitDelayUs) { submitWithDependencies(job) }
-            // Now and then the last comes only when the others are over.
+            // Sometimes the next job is submitted only after the earlier ones have finished.
             submitDelayUs += if (random.nextInt(6) == 0) 30 * SECOND else SECOND / 2 + random.nextInt(1_500_000)
         }
     }
 
-    /** Read first and written after, on the condition that what was read still holds. */
+    /** Submits a job as the service does: reads its dependencies, then writes the job if they have not changed. */
     private fun submitWithDependencies(job: SimulatedJob) {
         if (state.isUnavailable || job.dependencies.any { it !in state.jobs }) return context.after(SECOND) { submitWithDependencies(job) }
-        val read = job.dependencies.associateWith { state.outcomes[it] }
-        context.after(MILLI + random.nextInt(80_000)) { writeIfUnchanged(job, read) }
+        val readOutcomes = job.dependencies.associateWith { state.outcomes[it] }
+        context.after(MILLI + random.nextInt(80_000)) { writeIfUnchanged(job, readOutcomes) }
     }
 
     private fun writeIfUnchanged(
         job: SimulatedJob,
-        read: Map<String, Boolean?>,
+        readOutcomes: Map<String, Boolean?>,
     ) {
-        val hasChanged = read.any { (id, outcome) -> outcome == null && id !in state.openJobs }
+        val hasChanged = readOutcomes.any { (id, outcome) -> outcome == null && id !in state.openJobs }
         if (state.isUnavailable || hasChanged) {
             submitWithDependencies(job)
-        } else if (read.values.any { it == false }) {
+        } else if (readOutcomes.values.any { it == false }) {
             state.jobs[job.id] = job
             checker.onJobAccepted(job)
             state.recordEnd(job.id, isDone = false)
@@ -106,18 +106,18 @@
         }
     }
 
-    /** A user asks any controller about any job. */
+    /** Polls a random job through a random controller. */
     fun poll() {
         if (state.jobs.isEmpty()) return
         val controller = controllers[random.nextInt(CONTROLLERS)]
-        // Mostly about what waits: of the others little can be said wrongly.
+        // Prefers jobs with dependencies, since wrong replies are most likely for these.
         val waitingJobs = state.openJobs.values.filter { it.dependencies.isNotEmpty() }
         val candidates = if (waitingJobs.isNotEmpty() && random.nextInt(3) > 0) waitingJobs else state.jobs.values
         val job = candidates.elementAt(random.nextInt(candidates.size))
         checker.onJobPolled(job, if (controller.canReachState) statusOf(controller, job) else null, context.nowUs)
     }
 
-    /** The answer of the user API about the job; null where it asks the user to retry. */
+    /** Returns the status of the job as the user API reports it; null if the API asks the user to retry. */
     private fun statusOf(
         controller: SimulatedController,
         job: SimulatedJob,
@@ -144,7 +144,7 @@
         }
     }
 
-    /** A user asks the controller [controllerId], or the next that has the state service's answer, and repeats it until then. */
+    /** Cancels a job through controller [controllerId], or the next one that reaches the state service. Retries while there is none. */
     fun cancel(
         id: String,
         controllerId: Int,
@@ -167,7 +167,7 @@
         }
     }
 
-    /** Users cancel up to [count] jobs of pipelines that others wait for, preferring those that are about to end. */
+    /** Cancels up to [count] jobs that other jobs depend on. Prefers those with the most done tasks, which are about to finish. */
     fun cancelPipelines(count: Int) =
         state.openJobs.values
             .filter { job -> state.openJobs.values.any { job.id in it.dependencies } }
@@ -176,8 +176,9 @@
             .forEach { cancel(it.id, random.nextInt(CONTROLLERS)) }
 
     private companion object {
-        /** Numbers that a pipeline takes, and what each of its jobs needs of those before it. */
-        const val PIPELINE = 4
+        const val JOBS_PER_PIPELINE = 4
+
+        // The shapes of pipelines: for each job, the positions of its dependencies within the pipeline.
         val CHAIN = listOf(emptyList(), listOf(0), listOf(1), listOf(2))
         val FAN = listOf(emptyList(), listOf(0), listOf(0), listOf(0))
         val DIAMOND = listOf(emptyList(), listOf(0), listOf(0), listOf(1, 2))
--- a/src/test/kotlin/lichenstage/world/SimulatedWorker.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedWorker.kt
@@ -9,7 +9,7 @@
 import lichenstage.partition.TaskReport
 import java.util.Random
 
-/** A worker as the protocol describes it: fencing tokens, agent epochs, leases, tasks. */
+/** A machine with its worker, which follows the protocol: fencing tokens, agent epochs, leases and tasks. */
 class SimulatedWorker(
     val name: String,
     val zone: String,
@@ -28,11 +28,11 @@
         var phase: TaskPhase,
         var cause: String?,
         var endsUs: Long,
-        /** When its image is there. */
+        /** The time at which the image is fetched and the task starts to run. */
         val runsFromUs: Long = 0,
     )
 
-    /** The cloud has terminated it, with everything on it. */
+    /** Whether the cloud has terminated the machine. */
     var isTerminated = false
         private set
 
@@ -64,7 +64,7 @@
         )
     }
 
-    /** Receives the answer to a heartbeat, with 200; [sentUs] is when the heartbeat was sent. */
+    /** Handles the reply with status 200 to a heartbeat that was sent at [sentUs]. */
     fun onHeartbeatReply(
         replyToken: Long,
         commands: List<Command>,
@@ -124,7 +124,7 @@
             return
         }
         if (command.task in keptResults) {
-            // The result is kept: it exits with `done` as soon as it has its image, without running.
+            // The worker has kept the result of the task, so the attempt ends with `done` without running.
             tasks[key] = Task(job, index, command.attempt, TaskPhase.ENDED, TaskEndCause.DONE, 0)
             return
         }
@@ -139,7 +139,7 @@
         }
     }
 
-    /** The cloud terminates the machine, and with it everything on it. */
+    /** Terminates the machine and all tasks on it. */
     fun terminate() {
         isTerminated = true
         dropTasks()
@@ -173,7 +173,7 @@
         checker.onTaskEnded(name, task.job, task.index, cause == TaskEndCause.DONE)
     }
 
-    /** Runs the machine on to [nowUs]; true where something changed, so that a heartbeat is sent soon. */
+    /** Advances the machine to [nowUs]. Returns whether its tasks or agent epoch changed, so that it sends a heartbeat early. */
     fun step(nowUs: Long): Boolean {
         var hasChanged = false
         if (nowUs - leaseFromUs > leaseUs) {
--- a/src/test/kotlin/lichenstage/world/SimulationContext.kt
+++ b/src/test/kotlin/lichenstage/world/SimulationContext.kt
@@ -5,7 +5,7 @@
 import lichenstage.model.PartitionAssignment
 import java.util.Random
 
-/** What all parts of a simulated cluster share: a seed's draws, time and messages, the layout, and who watches the rules. */
+/** The objects that all parts of a simulated cluster share: the random generator, time and messages, the layout, and the rule checker. */
 internal class SimulationContext(
     seed: Long,
     val mutation: Mutation,
@@ -16,12 +16,12 @@
     val nowUs get() = network.nowUs
     val zones = listOf("a", "b", "c")
 
-    /** Zone a has two controllers and so two partitions, zone c none of its own. */
+    /** The zone of each controller. Zone a has two controllers and therefore two partitions; zone c has no controller. */
     val controllers = mapOf("n0" to "a", "n1" to "a", "n2" to "b")
     val assignment = PartitionAssignment(zones, controllers)
     val teams = listOf("red", "blue").associateWith { Team(it, 0.0, profile.teamCores, 0.0, Double.POSITIVE_INFINITY) }
 
-    /** What became of orders to workers. */
+    /** Counts of the events in the handling of commands to workers. */
     val orderEvents = OrderEventCounts()
     val checker = RuleChecker(teams.mapValues { it.value.coresMax }, CANCEL_US)
 
@@ -45,17 +45,17 @@
     companion object {
         const val CONTROLLERS = 3
 
-        /** Of a controller's process in the state service. */
+        /** The duration of the lease of a controller's process in the state service. */
         const val LEASE_US = 6 * SECOND
         const val WORKER_LEASE_US = 15 * SECOND
         const val CANCEL_US = 40 * SECOND
 
-        /** How late copies of reports and repeats of orders may come. */
+        /** The maximum delay of copies of heartbeats and of repeats of orders, in microseconds. */
         const val MAX_DELIVERY_DELAY_US = 45_000_000
         const val MACHINE_CORES = 8.0
         const val MACHINE_MEMORY_GB = 64.0
 
-        /** A controller's name as a host. */
+        /** Returns the host name of a controller. */
         fun hostOf(controller: Int) = "n$controller"
     }
 }
