--- a/src/test/kotlin/lichenstage/world/ConcurrentFaultsTest.kt
+++ b/src/test/kotlin/lichenstage/world/ConcurrentFaultsTest.kt
@@ -45,7 +45,7 @@
     ) = (fromS..toS step stepS).forEachIndexed { n, atS -> script(atS * SECOND) { event(n) } }
 
     @Example
-    fun `a heartbeat that arrives only after a new leader has acted causes no second attempt`() =
+    fun `no task runs twice when a heartbeat arrives only after a new leader has acted`() =
         assertScenario(Mutation.NO_LEASE_WAIT_AFTER_FAILOVER, "ran_twice") {
             every(12, 60, 16) {
                 repeat(9) { cutOff(it, 6 * SECOND, holdsMessages = true) }
@@ -54,7 +54,7 @@
         }
 
     @Example
-    fun `an old heartbeat that arrives after newer ones is ignored, also from an earlier agent epoch or attempt`() =
+    fun `no task runs twice when an old heartbeat arrives after newer ones, also from an earlier agent epoch or attempt`() =
         assertScenario(Mutation.STALE_HEARTBEATS_ACCEPTED, "ran_twice") {
             every(10, 60, 6) { n -> repeat(3) { hang((n * 3 + it) % 9, 17 * SECOND) } }
         }
--- a/src/test/kotlin/lichenstage/world/DrainFaultsTest.kt
+++ b/src/test/kotlin/lichenstage/world/DrainFaultsTest.kt
@@ -141,7 +141,7 @@
         }
 
     @Example
-    fun `two drains of the same machines both finish`() =
+    fun `two drains of the same machines keep the budgets and both finish`() =
         assertBudgetsKept(1L..6L, script = {
             script(30 * SECOND) { drainAll("all", atMost = 2, replace = false) }
             script(31 * SECOND) { drainAll("second", atMost = 2, replace = false) }
--- a/src/test/kotlin/lichenstage/world/DrainMeasure.kt
+++ b/src/test/kotlin/lichenstage/world/DrainMeasure.kt
@@ -19,7 +19,7 @@
         SIZES.flatMap { machines -> VARIANTS.map { variant -> machines to variant } }.map { (machines, variant) ->
             executor.submit<String> { measure(seed, machines, variant(machines)) }
         }
-    println("| machines | way | drained after s | stops | most jobs of a team held up | run time lost, h | records written |")
+    println("| machines | variant | drained after, s | stops | max interrupted jobs of a team | lost run time, h | records written |")
     println("| --- | --- | --- | --- | --- | --- | --- |")
     lines.forEach { println(it.get()) }
     executor.shutdown()
@@ -35,9 +35,9 @@
 private val SIZES = listOf(100, 400, 1_600)
 private val VARIANTS: List<(Int) -> DrainVariant> =
     listOf(
-        { n -> DrainVariant("1 job a team", DisruptionBudget(maxJobs = 1), n / 10) },
-        { n -> DrainVariant("4 jobs a team", DisruptionBudget(maxJobs = 4), n / 10) },
-        { n -> DrainVariant("16 jobs a team", DisruptionBudget(maxJobs = 16), n / 10) },
+        { n -> DrainVariant("1 job per team", DisruptionBudget(maxJobs = 1), n / 10) },
+        { n -> DrainVariant("4 jobs per team", DisruptionBudget(maxJobs = 4), n / 10) },
+        { n -> DrainVariant("16 jobs per team", DisruptionBudget(maxJobs = 16), n / 10) },
         { n -> DrainVariant("2% of tasks", DisruptionBudget(maxTaskShare = 0.02), n / 10) },
         { n -> DrainVariant("steps of ${n / 20}, no budget", DisruptionBudget(), n / 20) },
         { n -> DrainVariant("all at once, no budget", DisruptionBudget(), n) },
@@ -73,9 +73,9 @@
     }
     cluster.run(BEGIN_US, MAX_DRAIN_US - BEGIN_US)
     val checker = cluster.checker
-    val drainedAfter = if (finishedUs > 0) "${(finishedUs - BEGIN_US) / SECOND}" else "not in ${(MAX_DRAIN_US - BEGIN_US) / SECOND}"
+    val drainedAfter = if (finishedUs > 0) "${(finishedUs - BEGIN_US) / SECOND}" else "not within ${(MAX_DRAIN_US - BEGIN_US) / SECOND}"
     val hours = "%.1f".format(checker.lostProgressUs / SECOND / 3600.0)
     val violations = checker.violations.filter { !it.startsWith("waiting") }.take(1)
     val cells = listOf(machines, variant.name, drainedAfter, checker.interruptions, checker.maxJobsInterrupted, hours, cluster.drainWrites)
-    return cells.joinToString(" | ", "| ", " |") + if (violations.isEmpty()) "" else " broken: $violations"
+    return cells.joinToString(" | ", "| ", " |") + if (violations.isEmpty()) "" else " violations: $violations"
 }
--- a/src/test/kotlin/lichenstage/world/Mutation.kt
+++ b/src/test/kotlin/lichenstage/world/Mutation.kt
@@ -42,8 +42,8 @@
     PARTIAL_FRAMES_TREATED_AS_FINAL,
 
     /**
-     * Replies to heartbeats renew worker leases even if the controller may have missed ended jobs. Controllers learn of ended jobs only
-     * through their own watch of the open jobs.
+     * Replies to heartbeats renew worker leases even if the controller may have missed ended jobs. Partitions learn of ended jobs only
+     * through the leader's watch of the open jobs.
      */
     LEASES_RENEWED_WITH_STALE_REPLICA,
 
--- a/src/test/kotlin/lichenstage/world/RuleChecker.kt
+++ b/src/test/kotlin/lichenstage/world/RuleChecker.kt
@@ -1,8 +1,8 @@
 package lichenstage.world
 
 /**
- * An observer of a simulated cluster that records every violation of a rule of the protocol. It takes its facts from the workers and from
- * the replies that users get, not from the state of the controllers.
+ * An observer of a simulated cluster that records every violation of a rule of the protocol. It sees the tasks on
+ * the workers, the replies to users and the records in the state service, but not the state of the controllers.
  */
 class RuleChecker(
     private val limits: Map<String, Double>,
--- a/src/test/kotlin/lichenstage/world/SimulatedController.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedController.kt
@@ -38,7 +38,7 @@
     private val jobSync = SimulatedJobSync(this, context, state)
     private val orders = SimulatedOrders(this, context, machines)
 
-    /** Whether controllers tell each other which jobs have ended. */
+    /** Whether partitions learn of ended jobs from this controller's replica and from other controllers, not only from the leader. */
     val sharesJobEnds = mutation != Mutation.LEASES_RENEWED_WITH_STALE_REPLICA && mutation != Mutation.CANCELLATION_NOT_PROPAGATED
 
     /** Whether the controller gives newer fencing tokens to machines that may execute orders late. */
--- a/src/test/kotlin/lichenstage/world/SimulatedNetwork.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedNetwork.kt
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Sends a message from one host to another. It may be delayed or, unless [repeats] is false, repeated. A cut holds or loses it. */
+    /** Sends a message from one host to another. It may be delayed, and repeated if [repeats] is set. A cut holds or loses it. */
     fun send(
         from: String,
         to: String,
--- a/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
@@ -56,7 +56,7 @@
     private fun teamOf(n: Int) = if (n % 2 == 0) "red" else "blue"
 
     /**
-     * Submits a pipeline of four jobs, one after the other, numbered from [n]. Their dependencies form a chain, a fan or a diamond, and each
+     * Submits a pipeline of four jobs, one after the other, numbered from [n]. Their dependencies form a chain, a fan or a diamond. Each
      * job has one to three tasks. The first job of some pipelines also depends on an earlier open job, unless [isIndependent] is set.
      */
     fun submitPipeline(
