--- a/src/test/kotlin/lichenstage/world/RuleChecker.kt
+++ b/src/test/kotlin/lichenstage/world/RuleChecker.kt
@@ -1,8 +1,8 @@
 package lichenstage.world
 
 /**
- * An observer of a simulated cluster that records every violation of a rule of the protocol. It sees the tasks on
- * the workers, the replies to users and the records in the state service, but not the state of the controllers.
+ * An observer of a simulated cluster that records every violation of a rule of the protocol. It sees the tasks on the workers, the replies
+ * to users and the records in the state service, but not the state of the controllers.
  */
 class RuleChecker(
     private val limits: Map<String, Double>,
@@ -116,7 +116,7 @@
 
     fun doneTaskCount(id: String) = completedTasks[id]?.size ?: 0
 
-    /** Handles the acceptance of a job; called just before the job is stored. */
+    /** Handles the acceptance of a job; called when its record is written. */
     fun onJobAccepted(job: SimulatedJob) {
         jobsById[job.id] = job
     }
