--- a/src/main/kotlin/lichenstage/placement/Attempt.kt
+++ b/src/main/kotlin/lichenstage/placement/Attempt.kt
@@ -19,8 +19,8 @@
     var partitionTerm = 0L
 
     /**
-     * The sequence number of the leader's frame that contained the start. A partition state that does not reflect this frame yet says
-     * nothing about the attempt.
+     * The sequence number of the leader's frame that contained the start. As long as a partition state does not reflect this frame, a
+     * machine's task list in this state does not show whether the attempt runs.
      */
     var startSeq = 0L
     var phase = TaskPhase.PENDING
--- a/src/main/kotlin/lichenstage/placement/AttemptRecovery.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptRecovery.kt
@@ -11,7 +11,7 @@
     private val tracker: AttemptTracker,
     private val reconciler: MachineReconciler,
 ) {
-    /** Evaluates the task list of a machine that was just recorded. Until then the list was ignored (invariant 4). */
+    /** Evaluates the task list of a machine that was just recorded. Before, no attempt on the machine was tracked (invariant 4). */
     fun recoverAttemptsOn(
         machineName: String,
         partitionId: String,
--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -9,7 +9,7 @@
 
 /** Receives the changes of attempts that an [AttemptTracker] detects. */
 internal interface AttemptListener {
-    /** Called once per task, when its first attempt ends as done. */
+    /** Called once per task, when an attempt of the task has ended as done for the first time. */
     fun onTaskDone(
         job: Job,
         nowUs: Long,
@@ -36,10 +36,10 @@
     /** Ids of the jobs with tasks that failed, by machine name. Failures of several jobs on one machine suggest a faulty machine. */
     val failedJobsByMachine = HashMap<String, HashSet<String>>()
 
-    /** The time in microseconds at which an attempt that is found to be lost counts as ended; decides up to when checkpoints count. */
+    /** The current time in microseconds. The checkpoints of an attempt that is found to be lost count up to this time. */
     private var currentTimeUs = 0L
 
-    /** Sets the time at which attempts that are lost from now on count as ended. */
+    /** Sets the current time, which is needed to determine the last checkpoint of an attempt that is found to be lost. */
     fun updateTime(nowUs: Long) {
         currentTimeUs = nowUs
     }
@@ -115,11 +115,12 @@
     /**
      * Tracks an attempt that an earlier leader started.
      *
-     * An attempt on a machine without a record is not tracked: that machine is terminated, its partition will find out (invariant 4),
-     * and the tasks may run elsewhere by now. In inc-2104 such attempts were tracked, and the attempts that really ran were stopped.
+     * An attempt on a machine without a record is not tracked (invariant 4). Such a machine may be terminated without its partition
+     * knowing this yet, and its tasks may run elsewhere by now. In inc-2104 such attempts were tracked, and the attempts that really ran
+     * were stopped. If the machine is recorded later, [AttemptRecovery] tracks its attempts then.
      *
      * If two attempts of a task are listed, the newer one is tracked. It was started only after the older one was proven to have ended.
-     * The machine that lists the older attempt was terminated, and the earlier leader had no time left to record that.
+     * In this case the machine that lists the older attempt is terminated, but the earlier leader lost its term before recording this.
      */
     private fun recoverAttempt(
         partition: PartitionRef,
@@ -194,7 +195,10 @@
         endLostAttempts(absent)
     }
 
-    /** Whether the partition has received the start, and the machine is lost or does not list the attempt (see [MachineKnowledge]). */
+    /**
+     * Whether the attempt is proven not to run: the partition has received its start, and the machine's lease has expired or its reliable
+     * task list does not contain the attempt (see [MachineKnowledge]).
+     */
     private fun isAbsent(
         attempt: Attempt,
         partition: PartitionState,
--- a/src/main/kotlin/lichenstage/placement/BlockedJobs.kt
+++ b/src/main/kotlin/lichenstage/placement/BlockedJobs.kt
@@ -15,7 +15,7 @@
     private val waitingJobs = LinkedHashSet<Job>()
     private var isCancellationInFlight = false
 
-    /** Adds a job with dependencies that are not recorded as done. */
+    /** Adds a job that has dependencies and has not been released yet. */
     fun add(job: Job) {
         waitingJobs += job
     }
@@ -23,8 +23,8 @@
     /**
      * Releases the jobs whose dependencies are all recorded as done, and removes closed jobs.
      *
-     * @param onReady called for each released job with the time of day, in microseconds, of the last of these records, or with 0 if no
-     *   record has a time
+     * @param onReady called for each released job. `recordedAtUs` is the time of day, in microseconds, at which the last of its
+     *   dependencies was recorded as done, or 0 if no record contains a time
      */
     fun releaseReady(onReady: (job: Job, recordedAtUs: Long) -> Unit) {
         waitingJobs.removeIf { job ->
--- a/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
@@ -6,13 +6,15 @@
 import lichenstage.common.SECOND
 
 /**
- * Decides which running tasks are preempted, with time to save a checkpoint, because their machine will be terminated.
+ * The decision which running tasks are preempted because their machine will be terminated. Tasks that can save a checkpoint get the time
+ * to do so.
  *
- * - After a reclaim notice for a spot machine, a task runs as long as it can still save a checkpoint afterwards, because that time is
- *   paid for anyway. A task is not stopped if it is expected to end before the reclaim, or if the time left is too short for saving.
+ * - After a reclaim notice for a spot machine, a task keeps running until the time left is just enough to save a checkpoint, because the
+ *   machine is paid for until then anyway. A task is not stopped if it is expected to end before the reclaim, or if the time left is too
+ *   short for saving.
  * - A machine that the fleet scales in is terminated once it is empty. If all tasks left on it can save a checkpoint and would run for a
  *   long time, they are stopped so that they restart on other machines.
- * - A drain by an operator requests the stop of single attempts.
+ * - A drain by an operator requests the stop of individual attempts.
  */
 class CheckpointPreemption(
     private val runTimes: RunTimeEstimates,
@@ -51,11 +53,11 @@
     }
 
     /**
-     * Returns the commands to send at [nowUs] to a machine that will be terminated. [attempts] are all attempts that may be running there.
-     * If the machine [isDrained] by an operator and has no reclaim notice, only the attempts that the drain has requested are stopped,
-     * because only their stop is within the disruption budget of their team.
+     * Returns the commands that are due at [nowUs] for a machine that will be terminated, and records them as sent. [attempts] are all
+     * attempts that may be running there. If the machine [isDrained] by an operator and has no reclaim notice, only the attempts whose stop
+     * the drain has requested are stopped, because only their stop is within the disruption budget of their team.
      */
-    fun saveCommands(
+    fun takeDueSaveCommands(
         machine: String,
         attempts: Collection<Attempt>,
         isDrained: Boolean,
@@ -141,13 +143,13 @@
     }
 
     private companion object {
-        /** Minimum time in addition to the save time: with less, saving is not expected to succeed. */
+        /** Minimum time left in addition to the save time. With less, saving is not expected to succeed. */
         const val MIN_MARGIN_US = SECOND
 
-        /** A task is stopped when at most this time is left in addition to the save time. A lost command can be repeated twice in it. */
+        /** A task is stopped when at most this time is left in addition to the save time. This allows for two repeats of a lost command. */
         const val MAX_MARGIN_US = 6 * SECOND
 
-        /** Minimum run time before a task is moved: a start that is stopped sooner does not count for its job's objectives. */
+        /** Minimum run time before a task is moved. If a task is stopped sooner, its start does not count for the job's objectives. */
         const val MIN_RUN_US = 35 * SECOND
 
         /** Time that a task loses by a restart on another machine: a round of placement requests and an image fetch. */
--- a/src/main/kotlin/lichenstage/placement/CloudCaller.kt
+++ b/src/main/kotlin/lichenstage/placement/CloudCaller.kt
@@ -73,8 +73,8 @@
         const val MILLIS_PER_SECOND = 1_000
 
         /**
-         * The part of the cloud's rate limit that is used. The rest is left for bursts of an earlier leader, which may still count towards
-         * it.
+         * The share of the cloud's rate limit that this leader uses. The rest is reserved for calls of an earlier leader, which may still
+         * count towards the limit.
          */
         const val USABLE_RATE_SHARE = 0.7
     }
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -4,20 +4,21 @@
 import java.util.BitSet
 
 /**
- * The scheduler of the records of done tasks. One transaction holds at most [maxWritesPerTransaction] changes. The done tasks of a job
- * wait for at least [recordDelayUs] before they are recorded.
+ * The scheduler of the writes that record tasks as done. One batch holds at most [maxChangesPerTransaction] changes, unless a single job
+ * needs more. The done tasks of an open job wait for at least [recordDelayUs] before they are recorded; the completion of a job does not
+ * wait.
  */
 class CompletionRecorder(
-    private val maxWritesPerTransaction: Int,
+    private val maxChangesPerTransaction: Int,
     private val recordDelayUs: Long,
-    private val valueBytes: Int,
+    private val maxValueBytes: Int,
     private val emit: (LeaderEffect) -> Unit,
 ) {
     /** Jobs with done tasks that are not recorded, each with the time at which its wait began, the oldest first. */
     private val unrecordedSinceUs = LinkedHashMap<Job, Long>()
     private var isRangesWriteInFlight = false
 
-    /** Notes that the job has done tasks that are not recorded, since [sinceUs]. A time that was noted before stays. */
+    /** Marks the job as having unrecorded done tasks since [sinceUs]. If the job is marked already, the earlier time stays. */
     fun markUnrecorded(
         job: Job,
         sinceUs: Long,
@@ -31,9 +32,9 @@
     }
 
     /**
-     * Requests the records that are due. The completion of a job is recorded at once. Ranges of done tasks are recorded in one batch
-     * after the other, the oldest first. They use the write rate that other records leave unused, so each job waits longer if there are
-     * more jobs.
+     * Starts the writes that are due. The completion of a job is recorded at once. Ranges of done tasks are recorded in one batch after
+     * the other, the longest-waiting jobs first. These batches use the write rate that other records leave unused, so each job waits
+     * longer if there are more jobs.
      */
     fun writeDueCompletions(nowUs: Long) {
         if (unrecordedSinceUs.isEmpty()) return
@@ -52,21 +53,21 @@
         emit(LeaderEffect.WriteCompletionChunks(deltas))
     }
 
-    /** Returns the changes of one transaction, from the jobs that have waited long enough. */
+    /** Returns the changes of the next batch, from the jobs that have waited long enough. */
     private fun nextBatch(nowUs: Long): List<CompletionDelta> {
         val deltas = ArrayList<CompletionDelta>()
-        var writes = 0
+        var changeCount = 0
         // This runs after every message, so it visits only the jobs that are due. The oldest come first.
         val dueJobs = unrecordedSinceUs.entries.takeWhile { nowUs - it.value >= recordDelayUs }.map { it.key }
         for (job in dueJobs.filter { !it.allTasksDone }) {
-            if (writes >= maxWritesPerTransaction) break
+            if (changeCount >= maxChangesPerTransaction) break
             val delta = createDelta(job)
             if (delta.chunks.isEmpty()) {
-                // The ranges are too large for a record. The job is tried again when another of its tasks is done.
+                // The new ranges do not fit into their chunks. The job is tried again when another of its tasks is done.
                 unrecordedSinceUs.remove(job)
             } else {
-                if (writes + delta.chunks.size > maxWritesPerTransaction && deltas.isNotEmpty()) break
-                writes += delta.chunks.size
+                if (changeCount + delta.chunks.size > maxChangesPerTransaction && deltas.isNotEmpty()) break
+                changeCount += delta.chunks.size
                 deltas += delta
             }
         }
@@ -80,15 +81,15 @@
     }
 
     /**
-     * Adds the done tasks that a record of the chunk can hold to [recordedTasks]. Returns false and adds nothing if this would add no
-     * task, or if the record would lose a recorded task. A recorded task must stay recorded, because the workers have forgotten it.
+     * Adds the done tasks that fit into the record of [chunk] to [recordedTasks]. Returns false and adds nothing if the record would not
+     * change, or if a recorded task would no longer fit. A recorded task must stay recorded, because the workers have forgotten it.
      */
     private fun addRecordableTasks(
         job: Job,
         chunk: Int,
         recordedTasks: BitSet,
     ): Boolean {
-        val recordableTasks = CompletedTaskRanges.truncateToFit(job.doneTasks, chunk, valueBytes)
+        val recordableTasks = CompletedTaskRanges.truncateToFit(job.doneTasks, chunk, maxValueBytes)
         val recorded = job.recordedTasks.get(chunk * CompletedTaskRanges.TASKS_PER_CHUNK, (chunk + 1) * CompletedTaskRanges.TASKS_PER_CHUNK)
         val droppedTasks = (recorded.clone() as BitSet).apply { andNot(recordableTasks) }
         if (!droppedTasks.isEmpty || recordableTasks == recorded) return false
@@ -108,7 +109,7 @@
         }
     }
 
-    /** Handles the result of a transaction that records ranges of done tasks. */
+    /** Handles the outcome of the write of a batch. If it failed, the jobs wait again from [nowUs]. */
     fun onRangesWritten(
         deltas: List<CompletionDelta>,
         isCommitted: Boolean,
--- a/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
+++ b/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
@@ -6,7 +6,7 @@
 import lichenstage.model.MachineFit
 import lichenstage.model.MachineType
 
-/** The translation of jobs into demand for machines. The fleet knows jobs only by this demand. */
+/** The conversion of jobs into demand for machines. The fleet sees jobs only as this demand. */
 internal object DemandEstimator {
     /** The inputs of the estimate besides the state of the jobs. All times are in microseconds on the steady clock. */
     interface Inputs {
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Returns the remaining demand of each open job. A blocked job has a demand from the moment at which a machine that is provisioned
-     * later would boot too late for it.
+     * Returns the remaining demand of each open job for which a machine type and team quota are available. A blocked job is left out until
+     * it is expected to be ready within [BOOT_TIME_MARGIN] boot times, because machines for it do not have to be provisioned earlier.
      */
     fun estimateDemand(
         jobs: Collection<Job>,
@@ -77,7 +77,7 @@
     }
 
     /**
-     * Returns the machines that the whole job uses, for the forecast of arrivals. Null if no machine type is compatible.
+     * Returns the machine use of all tasks of the job, for the forecast of arrivals. Null if no machine type is compatible.
      *
      * @param isUrgent returns whether the job must start before a machine of the type could boot
      */
--- a/src/main/kotlin/lichenstage/placement/FailoverRecovery.kt
+++ b/src/main/kotlin/lichenstage/placement/FailoverRecovery.kt
@@ -59,9 +59,9 @@
      * Returns the machines to terminate because they delay the failover: their partition has an owner, but they are not accounted for.
      * Terminating them is the fastest proof that no task runs on them.
      *
-     * If only a few machines are affected, they are terminated soon: spot machines are reclaimed at any time, so in a large deployment
-     * some have always just disappeared. A larger number is terminated later. If many machines are silent, the network is the likely
-     * cause, and none is terminated.
+     * If only a few machines are affected, they are terminated soon: spot machines are reclaimed at any time, so a large deployment
+     * usually has some that have just disappeared. A larger number is terminated later. If many machines are affected, the network is the
+     * likely cause, and none is terminated.
      *
      * @param registered the number of registered machines
      */
@@ -76,7 +76,10 @@
         return awaitedMachines.values.filter { (partitionOf(it.partition)?.ownershipAgeUs ?: 0) > afterUs }.map { it.name }
     }
 
-    /** Returns the total capacity of the machines that are not accounted for: any of it may be in use. */
+    /**
+     * Returns the total cores and GPUs of the machines that are not accounted for, because all of them may be in use. A machine of an
+     * unknown type counts as unlimited.
+     */
     fun awaitedCapacity(capacityOf: (String) -> Resources?): Resources {
         var cores = 0.0
         var gpus = 0.0
--- a/src/main/kotlin/lichenstage/placement/GraphFold.kt
+++ b/src/main/kotlin/lichenstage/placement/GraphFold.kt
@@ -1,8 +1,8 @@
 package lichenstage.placement
 
 /**
- * A computation over an acyclic graph: the value of a node follows from the values of its dependencies, and each node is computed once.
- * Chains may be thousands of nodes deep, so there is no recursion.
+ * A computation over an acyclic graph: [combine] computes the value of a node from the values of its dependencies, once per node. Chains
+ * may be thousands of nodes deep, so the computation does not use recursion.
  */
 internal class GraphFold<N : Any, V : Any>(
     private val dependencies: (N) -> List<N>,
--- a/src/main/kotlin/lichenstage/placement/Job.kt
+++ b/src/main/kotlin/lichenstage/placement/Job.kt
@@ -25,10 +25,10 @@
     var readyAtUs = submittedAtUs
         private set
 
-    /** Marks the job as ready: all dependencies are recorded as done since [atUs]. */
-    fun markReady(atUs: Long) {
+    /** Marks the job as ready. Its last dependency was recorded as done at [recordedAtUs]. */
+    fun markReady(recordedAtUs: Long) {
         isReady = true
-        readyAtUs = maxOf(atUs, submittedAtUs)
+        readyAtUs = maxOf(recordedAtUs, submittedAtUs)
     }
 
     var phase = JobPhase.OPEN
@@ -51,10 +51,10 @@
     /** The attempts that may be running, by task index. */
     val liveAttempts = Int2ObjectLinkedOpenHashMap<Attempt>()
 
-    /** Indices of the tasks that wait to be placed. Empty until the job is placeable. [nextPendingTask] skips outdated ones. */
+    /** Indices of the tasks that wait to be placed. Empty until the job is placeable. [nextPendingTask] skips outdated entries. */
     val pendingTasks = IntArrayList()
 
-    /** Whether the tasks were queued: the job is ready, and it has no unknown attempts of earlier leaders. */
+    /** Whether the tasks were queued: the job is ready, and this leader knows all attempts that earlier leaders have started. */
     var isPlaceable = false
 
     /** The time in microseconds when a task was last placed; 0 before that. */
--- a/src/main/kotlin/lichenstage/placement/JobQueue.kt
+++ b/src/main/kotlin/lichenstage/placement/JobQueue.kt
@@ -9,7 +9,7 @@
  *
  * Without ageing, jobs that can't meet any objective would stay at the end of the queue for as long as the machines are overloaded.
  * Therefore every second position goes to the longest-waiting job among those that have waited for more than [agingThresholdUs]. The
- * waiting time counts from the job's record, so a failover does not reset it.
+ * waiting time counts from the recorded time at which the job was submitted or became ready, so a failover does not reset it.
  */
 class JobQueue(
     private val serviceObjectives: ServiceObjectives,
--- a/src/main/kotlin/lichenstage/placement/JobTable.kt
+++ b/src/main/kotlin/lichenstage/placement/JobTable.kt
@@ -3,7 +3,7 @@
 import lichenstage.cluster.TaskPhase
 
 /**
- * The leader's jobs, with the rule when their tasks may be placed (invariant 5).
+ * The leader's jobs, and the rule that decides when their tasks may be placed (invariant 5).
  *
  * Tasks of a job that was accepted in this term may be placed at once, since no earlier leader can have started any of them. Tasks of
  * other jobs may be placed after the failover is complete.
@@ -38,7 +38,7 @@
         if (job.phase == JobPhase.CLOSED && job.liveAttempts.isEmpty()) byId.remove(job.spec.id)
     }
 
-    /** Returns the numbers of done and of running tasks of each open job, for display. */
+    /** Returns the numbers of done tasks and of tasks in progress of each open job, for display. Fetching counts as progress. */
     fun taskCounts(): Map<String, List<Int>> =
         byId.values.filter { it.phase != JobPhase.CLOSED }.associate { job ->
             job.spec.id to listOf(job.spec.taskCount - job.remainingTasks, job.liveAttempts.values.count { it.phase != TaskPhase.PENDING })
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -62,7 +62,7 @@
     /** The number of this term. */
     val term get() = leadership.term
 
-    /** The number of open jobs, for the metrics. */
+    /** The number of open jobs, and of closed jobs with attempts that may still be running, for the metrics. */
     val openJobCount get() = core.jobs.size
 
     private fun createLeaderCore(options: LeaderOptions): LeaderCore {
@@ -132,7 +132,7 @@
         drains?.step(nowUs)
         registry.step(fleet::cordonedMachines, nowUs)
         jobRecordHandler.cancelUnrunnableJobs()
-        if (nowUs - lastCountsSentAtUs >= COUNT_INTERVAL_US) sendTaskCounts(nowUs)
+        if (nowUs - lastCountsSentAtUs >= TASK_COUNTS_INTERVAL_US) sendTaskCounts(nowUs)
     }
 
     private fun sendTaskCounts(nowUs: Long) {
@@ -166,6 +166,6 @@
 
     private companion object {
         const val TICK_MS = 100L
-        const val COUNT_INTERVAL_US = 2_000_000L
+        const val TASK_COUNTS_INTERVAL_US = 2_000_000L
     }
 }
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -23,7 +23,7 @@
     leadership: LeaderTerm,
     private val settings: LeaderSettings,
     private val lookups: LeaderLookups,
-    /** Called when an attempt that has run ends before its task is done and the job is still open. */
+    /** Called when an attempt that was running has ended while its task is not done and its job is still open. */
     private val onAttemptInterrupted: (Attempt) -> Unit = {},
     emit: (LeaderEffect) -> Unit,
 ) {
@@ -143,7 +143,7 @@
         nowUs: Long,
     ) = checkpointPreemption.remainingUs(attempt, nowUs)
 
-    /** Returns the numbers of done and running tasks of each open job, for display to users. */
+    /** Returns the numbers of done tasks and of tasks in progress of each open job, for display to users. */
     fun taskCounts(): Map<String, List<Int>> = jobTable.taskCounts()
 
     /** Adds a job that was just accepted or was read from its record. Does nothing if the job is already present. */
@@ -156,13 +156,13 @@
         if (job.allTasksDone) recorder.markUnrecorded(job, Long.MIN_VALUE / 2)
     }
 
-    /** Handles that all dependencies of the job are recorded as done since [atUs], and queues the tasks if they may be placed. */
+    /** Handles the recording of the job's last dependency as done, at [recordedAtUs]. Queues the tasks if they may be placed. */
     fun onJobReady(
         job: Job,
-        atUs: Long,
+        recordedAtUs: Long,
     ) {
         if (job.isReady || job.phase == JobPhase.CLOSED) return
-        job.markReady(atUs)
+        job.markReady(recordedAtUs)
         jobTable.enqueueIfPlaceable(job)
         queue.markOrderStale()
         rounds.markChanged()
@@ -252,8 +252,8 @@
     }
 
     /**
-     * Does the checks that go through all machines or attempts. No frame announces that a lease has expired or that an earlier frame was
-     * lost, so the sweep has to find the consequences.
+     * Does the checks that go through all machines or attempts. No frame announces the expiry of a lease or the loss of an earlier frame,
+     * so the sweep has to detect the attempts that ended because of them.
      */
     private fun sweep(nowUs: Long) {
         lastSweepAtUs = nowUs
@@ -261,23 +261,22 @@
         updateFailover()
         tracker.endAbsentAttempts(attempts.all()) { partitionTable[it] }
         totalCores = partitionTable.totalCores { lookups.capacityOf(it)?.cores ?: 0.0 }
-        outbox.setSaveCommands(checkpointStops.commandsByPartition(nowUs))
+        outbox.setSaveCommands(checkpointStops.takeDueCommandsByPartition(nowUs))
     }
 
     /**
-     * Handles the result of the transaction that records [deltas]. If [ok], the transaction is committed and the workers may clear these
-     * tasks (invariant 9).
+     * Handles the outcome of the write that records [deltas]. If it [isCommitted], the workers may clear these tasks (invariant 9).
      */
     fun onRangesWritten(
         deltas: List<CompletionDelta>,
-        ok: Boolean,
+        isCommitted: Boolean,
         nowUs: Long,
     ) {
-        recorder.onRangesWritten(deltas, ok, nowUs)
-        if (ok) deltas.forEach { if (it.job.phase == JobPhase.OPEN) reconciler.reconcileMachinesOf(it.job) }
+        recorder.onRangesWritten(deltas, isCommitted, nowUs)
+        if (isCommitted) deltas.forEach { if (it.job.phase == JobPhase.OPEN) reconciler.reconcileMachinesOf(it.job) }
     }
 
-    /** Handles that the job's completion is recorded: logs its times and closes the job. */
+    /** Handles the successful write of the job's completion: logs the job's times and closes it. */
     fun onCompletionRecorded(
         job: Job,
         nowUs: Long,
--- a/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
@@ -28,8 +28,8 @@
     }
 
     /**
-     * Returns the tasks on a machine, including tasks that belong to no attempt of the leader: the machine is not empty before these are
-     * stopped.
+     * Returns the tasks on a machine, including listed tasks that the leader tracks no attempt for, because the machine is not empty until
+     * they are stopped too.
      */
     override fun tasksOn(machine: String): List<PlacedTask> {
         val attempts = core.machines.attemptsOn(machine)
@@ -41,10 +41,10 @@
                 .orEmpty()
                 .filter { it.phase != TaskPhase.ENDED && it.attempt !in attemptNumbers }
                 .map { PlacedTask(TaskId(it.job, it.index), it.attempt, "", "", isRunning = false, remainingUs = 0, lostProgressUs = 0) }
-        return attempts.map(::runningTask) + unaccountedTasks
+        return attempts.map(::toPlacedTask) + unaccountedTasks
     }
 
-    private fun runningTask(attempt: Attempt): PlacedTask {
+    private fun toPlacedTask(attempt: Attempt): PlacedTask {
         val spec = attempt.job.spec
         return PlacedTask(
             TaskId(spec.id, attempt.index),
@@ -71,15 +71,15 @@
 
     /** Returns the attempts of [tasks] that may still be running. */
     fun attemptsOf(tasks: Collection<PlacedTask>): List<Attempt> =
-        tasks.mapNotNull { runningTask ->
-            core.jobs[runningTask.task.job]
+        tasks.mapNotNull { placedTask ->
+            core.jobs[placedTask.task.job]
                 ?.liveAttempts
-                ?.get(runningTask.task.index)
-                ?.takeIf { it.number == runningTask.attempt }
+                ?.get(placedTask.task.index)
+                ?.takeIf { it.number == placedTask.attempt }
         }
 
     companion object {
-        /** Returns the interruption by a failure: the attempt was running and has ended for a reason other than a drain. */
+        /** Returns an interruption of [attempt] with the cause FAILURE. A drain that caused the interruption has recorded it before. */
         fun failureInterruption(
             attempt: Attempt,
             atUs: Long,
--- a/src/main/kotlin/lichenstage/placement/LeaderEffect.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderEffect.kt
@@ -23,7 +23,7 @@
         val frame: PlacementFrame,
     ) : LeaderEffect
 
-    /** Records tasks as done, in one transaction. */
+    /** Records tasks as done. The changes are split into several transactions if they exceed the limit of one. */
     data class WriteCompletionChunks(
         val deltas: List<CompletionDelta>,
     ) : LeaderEffect
--- a/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
@@ -17,7 +17,7 @@
     /** Whether the machine is proven to be terminated. */
     fun isTerminated(machine: String) = directory.isTerminated(machine)
 
-    /** Returns the latest state of a machine, or null if its partition (without a record: any partition) does not list the machine. */
+    /** Returns the latest state of a machine, or null if no state is known. A machine without a record is looked up in all partitions. */
     fun stateOf(machine: String): MachineState? {
         val partition = directory.partitionOf(machine) ?: return partitions.findMachine(machine)
         return partitions[partition]?.machines?.get(machine)
--- a/src/main/kotlin/lichenstage/placement/LeaderMessage.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderMessage.kt
@@ -42,14 +42,14 @@
     ) : JobMessage
 
     /**
-     * Other controllers have reported that [jobs] are finished. The leader needs this if its own watch is the only one that gets no
-     * replies.
+     * Other controllers have reported that [jobs] are finished. The leader depends on these reports when its own watch gets no replies but
+     * the watches of the other controllers do.
      */
     data class JobsFinished(
         val jobs: List<String>,
     ) : JobMessage
 
-    /** The end of some dependencies has become known. */
+    /** Some jobs that others depend on are now known to be finished. */
     data object DependenciesResolved : JobMessage
 
     /** Jobs have been recorded as cancelled, each because one of its dependencies is cancelled. */
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -28,7 +28,7 @@
     private val singleWriterKeys: SingleWriterKeys,
     /** The revision of the leadership's key. */
     leaderKeyRevision: Long,
-    private val txnOps: Int,
+    private val maxChangesPerTransaction: Int,
     private val scope: CoroutineScope,
     private val onJobFinished: (String, JobOutcome) -> Unit,
     private val tell: (LeaderMessage) -> Unit,
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Records jobs that can never run as cancelled, in one transaction. If that fails, for example because one of them has finished in the
-     * meantime, each job is recorded in a transaction of its own.
+     * Records jobs that can never run as cancelled, in one transaction. If this transaction fails, for example because one of the jobs has
+     * finished in the meantime, each job is recorded in a transaction of its own.
      */
     fun cancelUnrunnableJobs(jobs: List<Job>) {
         scope.launch {
@@ -109,8 +109,8 @@
     }
 
     /**
-     * Deletes the completion chunks of a finished job. While a write of them is in flight, they stay; the outcome of that write triggers
-     * the deletion.
+     * Deletes the completion chunks of a finished job. Does nothing while a write of these chunks is in flight; the outcome of the write
+     * triggers another call.
      */
     fun deleteCompletionChunks(job: Job) {
         if (job.isRangesWriteInFlight || job.recordedTasks.isEmpty) return
@@ -124,7 +124,7 @@
 
     private suspend fun writeAll(changes: List<Change>): Boolean {
         val preconditions = listOf(leadershipPrecondition)
-        return changes.chunked(txnOps).all { singleWriterKeys.write(preconditions, it, isUrgent = false) }
+        return changes.chunked(maxChangesPerTransaction).all { singleWriterKeys.write(preconditions, it, isUrgent = false) }
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/LeaderServices.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderServices.kt
@@ -35,8 +35,8 @@
     /**
      * Converts a recorded time of day, in microseconds, to this process's steady clock. A time in the future becomes the current time.
      */
-    fun toSteadyClockUs(recordedUs: Long): Long {
-        val ageUs = timeOfDayUs() - recordedUs
+    fun toSteadyClockUs(recordedAtUs: Long): Long {
+        val ageUs = timeOfDayUs() - recordedAtUs
         return clock.now() - ageUs.coerceAtLeast(0)
     }
 }
--- a/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineKnowledge.kt
@@ -19,11 +19,11 @@
         private const val NO_HEARTBEAT_MARGIN_US = 2 * SECOND
 
         /**
-         * Returns what the leader knows of the tasks on a machine.
+         * Returns the basis on which the leader knows the tasks on a machine.
          *
-         * If the current owner of the partition has received no heartbeat of the machine, the age of the ownership decides: since it
-         * began, no reply of this or an earlier owner has renewed the machine's lease. The age comes from a final frame, and after a
-         * final frame no machine is missing from the partition's state.
+         * If the current owner of the partition has received no heartbeat of the machine, the age of the ownership decides: since the
+         * ownership began, no reply of this or an earlier owner has renewed the machine's lease. The age comes from a final frame. After
+         * a final frame, the partition's state contains every machine from which the owner has received a heartbeat.
          */
         fun of(
             machine: String,
--- a/src/main/kotlin/lichenstage/placement/MachineReconciler.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciler.kt
@@ -3,8 +3,8 @@
 import lichenstage.cluster.MachineState
 
 /**
- * Updates the stops and clears that each machine needs, and whether tasks without a tracked attempt run on the machine. Callers
- * reconcile a machine again whenever its task list or one of its jobs changes.
+ * The updates of the stops and clears that each machine needs, and of the use by tasks without a tracked attempt. Callers reconcile a
+ * machine again whenever its task list or one of its jobs changes.
  */
 internal class MachineReconciler(
     private val partitions: PartitionTable,
--- a/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
@@ -6,7 +6,7 @@
 import lichenstage.cluster.TaskPhase
 import lichenstage.cluster.TaskState
 
-/** The stops and clears that a machine needs, and whether it runs tasks that count for no team because no attempt tracks them. */
+/** The stops and clears that a machine needs, and whether it runs tasks that count for no team because their attempts are not tracked. */
 internal class MachineReconciliation(
     val stops: List<AttemptOrder>,
     val clears: List<AttemptOrder>,
--- a/src/main/kotlin/lichenstage/placement/MachineRegistry.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineRegistry.kt
@@ -20,15 +20,16 @@
  * the key-value store accepts only a few changes per second. Only the leader writes the registry, with its leadership as a precondition.
  */
 class MachineRegistry(
-    valueBytes: Int,
+    maxValueBytes: Int,
 ) {
-    private val maxMachinesPerChunk = (valueBytes / MAX_MACHINE_BYTES).coerceIn(1, MAX_MACHINES_PER_CHUNK)
+    private val maxMachinesPerChunk = (maxValueBytes / MAX_MACHINE_BYTES).coerceIn(1, MAX_MACHINES_PER_CHUNK)
     private val machinesByChunk = HashMap<String, LinkedHashMap<String, RegisteredMachine>>()
     private val chunkOfMachine = HashMap<String, String>()
     private val unwrittenChunks = LinkedHashSet<String>()
 
     /**
-     * Chunks from which machines have moved to other chunks. They are written after those, so that each machine is recorded at all times.
+     * Chunks from which machines have moved to other chunks. They are written after all other chunks, so that each machine is recorded at
+     * all times.
      */
     private val chunksWithMovedMachines = LinkedHashSet<String>()
 
@@ -43,8 +44,8 @@
         val chunk = LinkedHashMap<String, RegisteredMachine>()
         machinesByChunk[entry.key] = chunk
         for (machine in machines) {
-            // A move that was interrupted leaves a machine in two chunks. It stays only in the first one that is loaded: the copy in the
-            // other chunk would remain there after the machine is removed.
+            // An interrupted move leaves a machine in two chunks. Only the chunk that is loaded first keeps the machine, because a removal
+            // would not delete a second copy.
             if (chunkOfMachine.putIfAbsent(machine.name, entry.key) == null) chunk[machine.name] = machine else unwrittenChunks += entry.key
         }
         return machines
@@ -58,8 +59,8 @@
         }
 
     /**
-     * Splits the chunks that were written under a larger size limit. They can be read, but not be written again. To be called after all
-     * chunks are loaded. An earlier version of the service can read the new chunks as well as the original one.
+     * Splits the chunks that were written under a larger size limit, because they are too large to be written again. Must be called after
+     * all chunks are loaded. Earlier versions of the service can read the resulting chunks.
      */
     fun splitOversizedChunks() {
         for ((key, chunk) in machinesByChunk.filterValues { it.size > maxMachinesPerChunk }) {
@@ -71,7 +72,7 @@
     }
 
     /** Whether chunks are due to be written. */
-    val hasUnwritten get() = unwrittenChunks.isNotEmpty() || chunksWithMovedMachines.isNotEmpty()
+    val hasUnwrittenChunks get() = unwrittenChunks.isNotEmpty() || chunksWithMovedMachines.isNotEmpty()
 
     /** Adds a machine that is to be recorded. */
     fun add(machine: RegisteredMachine) {
@@ -97,7 +98,7 @@
     }
 
     /**
-     * Returns up to [maxChunks] chunks that differ from their records. They count as written unless [onWriteFailed] is called with them.
+     * Returns up to [maxChunks] chunks that differ from their records. They are no longer due unless [onWriteFailed] is called with them.
      */
     fun takeDueChunks(maxChunks: Int): List<RegistryChunk> {
         val chunksWithoutMoves = unwrittenChunks.filter { it !in chunksWithMovedMachines }.take(maxChunks)
--- a/src/main/kotlin/lichenstage/placement/MachineRegistryDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineRegistryDriver.kt
@@ -8,9 +8,9 @@
 /**
  * The driver that keeps the durable registry up to date with the machines.
  *
- * A machine gets tasks only after it is recorded (invariant 4), and it is recorded only after it has confirmed the fencing token. So a
- * later leader does not have to wait for a machine that never came up, and a late copy of a heartbeat does not bring back a terminated
- * machine.
+ * A machine gets tasks only after it is recorded (invariant 4), and it is recorded only after it has confirmed the fencing token.
+ * Therefore a later leader does not wait for a machine that never came up, and a late copy of a heartbeat does not bring back a
+ * terminated machine.
  */
 internal class MachineRegistryDriver(
     private val settings: Settings,
@@ -41,18 +41,19 @@
         return true
     }
 
+    /** Adds new machines to the registry, except the [cordoned] ones, and writes due chunks. Limited to one run per interval. */
     fun step(
         cordoned: () -> Set<String>,
         nowUs: Long,
     ) {
-        if (isWriteInFlight || nowUs - lastStepAtUs < if (registry.hasUnwritten) BACKLOG_INTERVAL_US else STEP_INTERVAL_US) return
-        // Set also if nothing is due: this runs after every message, and the search visits every machine.
+        if (isWriteInFlight || nowUs - lastStepAtUs < if (registry.hasUnwrittenChunks) BACKLOG_INTERVAL_US else STEP_INTERVAL_US) return
+        // The time is set even if nothing is due, because this runs after every message and the search visits every machine.
         lastStepAtUs = nowUs
         val cordonedMachines = cordoned()
-        for ((id, machine) in core.machines.unregisteredMachines()) {
+        for ((partition, machine) in core.machines.unregisteredMachines()) {
             if (machine.name in cordonedMachines || machine.name in registry) continue
             registry.add(
-                RegisteredMachine(machine.name, machine.typeName, settings.assignment.zoneOf(id)!!, machine.isSpot, machine.address),
+                RegisteredMachine(machine.name, machine.typeName, settings.assignment.zoneOf(partition)!!, machine.isSpot, machine.address),
             )
         }
         val chunks = registry.takeDueChunks(settings.maxTransactionOperations)
@@ -61,6 +62,7 @@
         writer.writeRegistryChunks(chunks)
     }
 
+    /** Handles the outcome of a write. If it is committed, the machines in the chunks count as registered. */
     fun onChunksWritten(message: LeaderMessage.RegistryChunksWritten) {
         isWriteInFlight = false
         if (!message.isCommitted) return registry.onWriteFailed(message.chunks)
--- a/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
+++ b/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
@@ -45,9 +45,9 @@
 /**
  * The sort order of waiting jobs that meets as many service objectives as the machines allow.
  *
- * The algorithm follows Moore and Hodgson. It schedules the jobs by due time. Whenever a job would be late, it takes out one of the jobs
- * that are scheduled so far: of those with the lowest priority, the one with the least value per unit of work. This job is postponed to
- * its next objective.
+ * The algorithm follows Moore and Hodgson. It schedules the jobs by due time. Whenever a job would be late, the algorithm takes out one of
+ * the jobs that are scheduled so far: of those with the lowest priority, the one with the least value per unit of work. The job that is
+ * taken out is postponed to its next objective.
  *
  * A deadline counts once per job, so large jobs have the least value per unit of work. A start objective counts per task, so a large job
  * is not at a disadvantage. Jobs without an objective left come last, by priority and then by descending run time of a task, so that all
@@ -74,7 +74,7 @@
             withoutObjective += withoutNextObjective
             plannedJobs = plannedJobs.filter { it !in withoutNextObjective }
         }
-        return (plannedJobs.sortedWith(BY_DUE_TIME) + withoutObjective.sortedWith(BY_RUN_TIME)).map { it.job }
+        return (plannedJobs.sortedWith(BY_DUE_TIME) + withoutObjective.sortedWith(BY_PRIORITY_AND_RUN_TIME)).map { it.job }
     }
 
     /** Returns the jobs to postpone when the machines process [plannedJobs], which are sorted by due time. */
@@ -84,7 +84,7 @@
         nowUs: Long,
     ): List<QueuedJob> {
         val postponed = ArrayList<QueuedJob>()
-        val scheduled = PriorityQueue(BY_VALUE)
+        val scheduled = PriorityQueue(BY_PRIORITY_AND_VALUE)
         var scheduledWork = 0.0
         for (queuedJob in plannedJobs) {
             scheduled += queuedJob
@@ -100,10 +100,10 @@
     }
 
     private val BY_DUE_TIME = compareBy<QueuedJob> { it.dueAtUs }.thenBy { it.job.createRevision }
-    private val BY_RUN_TIME =
+    private val BY_PRIORITY_AND_RUN_TIME =
         compareByDescending<QueuedJob> { it.priority }.thenByDescending { it.runUs }.thenBy { it.job.createRevision }
-    private val BY_VALUE = compareBy<QueuedJob> { it.priority }.thenBy { it.valuePerWork }
+    private val BY_PRIORITY_AND_VALUE = compareBy<QueuedJob> { it.priority }.thenBy { it.valuePerWork }
 
-    /** The maximum number of rounds of postponement. Jobs that are still late after the last round keep their position. */
+    /** The maximum number of rounds of postponement. Jobs postponed in the last round are not checked against their next objective. */
     private const val MAX_ROUNDS = 4
 }
--- a/src/main/kotlin/lichenstage/placement/OfferSelection.kt
+++ b/src/main/kotlin/lichenstage/placement/OfferSelection.kt
@@ -10,9 +10,9 @@
 )
 
 /**
- * The selection among the offers for one placement request, by worst fit: the machine with room for most tasks of the request is filled
- * first. The paper that docs/design.md follows calls this the "roomiest offer". [PlacementScore] decides between machines with the same
- * room.
+ * The selection among the offers for one placement request, by worst fit: the machine with room for the most tasks of the request is
+ * filled first. The paper that docs/design.md follows calls this the "roomiest offer". [PlacementScore] decides between machines with the
+ * same room.
  */
 object OfferSelection {
     /**
@@ -40,7 +40,7 @@
             }
     }
 
-    /** Returns the zone that offers room for most tasks, for a job whose tasks must share a zone. Null if there are no offers. */
+    /** Returns the zone that offers room for the most tasks, for a job whose tasks must share a zone. Null if there are no offers. */
     fun bestZone(
         offers: Map<String, List<HeldSlots>>,
         zoneOf: (String) -> String,
--- a/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
@@ -8,7 +8,7 @@
 import lichenstage.common.MILLI
 import lichenstage.model.JobRequirements
 
-/** The leader's state that frames to a partition contain besides placement requests and commands. */
+/** The parts of the leader's state that a [PartitionOutbox] reads to build its frames. */
 internal interface OutboxSource {
     /** Returns the state of a partition, or null before its first frame. */
     fun partition(id: String): PartitionState?
@@ -24,20 +24,21 @@
 }
 
 /**
- * Builds and sends the leader's frames to each partition. Keeps their sequence numbers, the time of the next frame, and the stops, clears
- * and saves that it must contain. A frame is sent soon after something has changed, and otherwise at a regular interval as a sign of life.
+ * The leader's outgoing frames to the partitions: their sequence numbers, the times at which they are due, and the stops, clears and saves
+ * that they must contain. A frame is sent soon after something has changed. Without changes, frames are sent at a regular interval, to show
+ * that the leader is alive.
  */
 internal class PartitionOutbox(
     private val term: Long,
     private val source: OutboxSource,
     private val emit: (LeaderEffect) -> Unit,
 ) {
-    private val lastSeqs = HashMap<String, Long>()
-    private val lastSentAtUs = HashMap<String, Long>()
+    private val lastSeqByPartition = HashMap<String, Long>()
+    private val lastSentAtUsByPartition = HashMap<String, Long>()
     private val duePartitions = HashSet<String>()
     private val partitionSync = PartitionSync()
     private val pendingCommands = PendingCommands()
-    private val saves = HashMap<String, List<SaveOrder>>()
+    private val savesByPartition = HashMap<String, List<SaveOrder>>()
 
     /** Makes the next frame to the partition due soon, because there is something to send. */
     fun markDue(partition: String) {
@@ -68,8 +69,8 @@
 
     /** Replaces the commands to save a checkpoint and stop, by partition. They are sent with the next frame to each partition. */
     fun setSaveCommands(byPartition: Map<String, List<SaveOrder>>) {
-        saves.clear()
-        saves += byPartition
+        savesByPartition.clear()
+        savesByPartition += byPartition
         duePartitions += byPartition.keys
     }
 
@@ -78,8 +79,8 @@
         partition: String,
         nowUs: Long,
     ): Boolean {
-        val sinceLastSentUs = nowUs - (lastSentAtUs[partition] ?: (Long.MIN_VALUE / 2))
-        return (partition in duePartitions && sinceLastSentUs >= MIN_FRAME_INTERVAL_US) || sinceLastSentUs >= HEARTBEAT_INTERVAL_US
+        val sinceLastSentUs = nowUs - (lastSentAtUsByPartition[partition] ?: (Long.MIN_VALUE / 2))
+        return (partition in duePartitions && sinceLastSentUs >= MIN_FRAME_INTERVAL_US) || sinceLastSentUs >= MAX_FRAME_INTERVAL_US
     }
 
     /**
@@ -93,9 +94,9 @@
         starts: List<StartOrder> = emptyList(),
         releases: List<Long> = emptyList(),
     ): Long {
-        val seq = (lastSeqs[id] ?: 0) + 1
-        lastSeqs[id] = seq
-        lastSentAtUs[id] = nowUs
+        val seq = (lastSeqByPartition[id] ?: 0) + 1
+        lastSeqByPartition[id] = seq
+        lastSentAtUsByPartition[id] = nowUs
         duePartitions -= id
         val partition = source.partition(id)
         val needsInitialState = !partitionSync.hasInitialState(id, partition, seq)
@@ -114,15 +115,15 @@
                 releases = releases,
                 stops = stops,
                 clears = clears,
-                cordoned = partitionSync.cordonedIfDue(id, partition, nowUs, source::isExcludedFromPlacement),
-                saves = saves.remove(id).orEmpty(),
+                cordoned = partitionSync.takeCordonedIfDue(id, partition, nowUs, source::isExcludedFromPlacement),
+                saves = savesByPartition.remove(id).orEmpty(),
             )
         emit(LeaderEffect.SendFrame(id, frame))
         return seq
     }
 
     private companion object {
-        const val HEARTBEAT_INTERVAL_US = 800 * MILLI
+        const val MAX_FRAME_INTERVAL_US = 800 * MILLI
         const val MIN_FRAME_INTERVAL_US = 100 * MILLI
     }
 }
--- a/src/main/kotlin/lichenstage/placement/PartitionState.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionState.kt
@@ -16,7 +16,7 @@
     /** The version of the owner's state up to which the leader has received every change. */
     var version = 0L
 
-    /** The highest sequence number of a leader's frame whose effects, with those of all earlier frames, are contained in this state. */
+    /** The sequence number up to which the effects of all frames of the leader are contained in this state. */
     var reflectedSeq = 0L
 
     /** The sequence number of the last leader's frame that the owner has received. */
@@ -24,7 +24,7 @@
 
     /**
      * How long the owner had owned the partition when it sent its last final frame, in microseconds. It is 0 before the first final
-     * frame: until then, a missing machine means nothing.
+     * frame. Until then, machines may be missing from this state although the owner knows them.
      */
     var ownershipAgeUs = 0L
 
--- a/src/main/kotlin/lichenstage/placement/PartitionSync.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionSync.kt
@@ -4,8 +4,8 @@
 import lichenstage.common.SECOND
 
 /**
- * Tracks which of the leader's state each partition has received besides placement requests and commands: the jobs and machines that
- * already existed, and the cordoned machines.
+ * The record of what each partition has received from the leader besides placement requests and commands: the jobs and machines that
+ * existed when its owner took over, and the cordoned machines.
  */
 class PartitionSync {
     private val initialStateSeq = HashMap<String, Long>()
@@ -27,10 +27,10 @@
     }
 
     /**
-     * Returns the machines of partition [id] that get no more tasks, or null if the frame should not contain them: the set was sent a
-     * moment ago, or it has not changed and was sent recently.
+     * Returns the machines of partition [id] that get no more tasks, and records them as sent. Returns null if the frame should not
+     * contain them: the partition has sent no frame yet, or the set was sent a moment ago, or it has not changed and was sent recently.
      */
-    fun cordonedIfDue(
+    fun takeCordonedIfDue(
         id: String,
         partition: PartitionState?,
         nowUs: Long,
--- a/src/main/kotlin/lichenstage/placement/PartitionTable.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionTable.kt
@@ -34,8 +34,8 @@
         partition.version = frame.version
         partition.receivedSeq = frame.receivedSeq
         if (frame.isFinal) {
-            // A partial frame never raises these values (invariant 17): in earlier versions of the service, the number in a partial
-            // frame covers effects that were sent in final frames which got lost.
+            // A partial frame never raises these values (invariant 17). In earlier versions of the service, the sequence number in a
+            // partial frame also covers effects that were sent only in final frames which were lost.
             partition.reflectedSeq = frame.seq
             partition.ownershipAgeUs = frame.ageUs
         }
--- a/src/main/kotlin/lichenstage/placement/PendingCommands.kt
+++ b/src/main/kotlin/lichenstage/placement/PendingCommands.kt
@@ -10,8 +10,8 @@
 )
 
 /**
- * The stop and clear commands that machines still have to execute. A command is sent once, and is repeated after an interval until the
- * machine has shown that it is executed, because frames can be lost.
+ * The stop and clear commands that machines still have to execute. A command is repeated at an interval until the machine's task list
+ * shows that the command was executed, because frames can be lost.
  */
 class PendingCommands {
     private class PendingCommand(
@@ -35,15 +35,16 @@
             commandsByMachine.remove(machine)
             return false
         }
-        val previousCommands = commandsByMachine[machine].orEmpty()
-        var added = false
+        val oldCommands = commandsByMachine[machine].orEmpty()
+        var hasNew = false
 
         fun findOrCreate(
             order: AttemptOrder,
             isStop: Boolean,
-        ) = previousCommands.firstOrNull { it.isStop == isStop && it.order == order } ?: PendingCommand(order, isStop).also { added = true }
+        ) = oldCommands.firstOrNull { it.isStop == isStop && it.order == order }
+            ?: PendingCommand(order, isStop).also { hasNew = true }
         commandsByMachine[machine] = stops.map { findOrCreate(it, true) } + clears.map { findOrCreate(it, false) }
-        return added
+        return hasNew
     }
 
     /** Removes the commands of a terminated machine. */
--- a/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
+++ b/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
@@ -4,9 +4,8 @@
 import lichenstage.model.JobSpec
 
 /**
- * The forecast of when blocked jobs become ready: at the end of the longest chain of their dependencies, by expected run times.
- *
- * Machines need time to boot. With this forecast the fleet can provision them before a stage becomes ready.
+ * The forecast of when blocked jobs become ready: at the expected end of the longest chain of their dependencies. With this forecast the
+ * fleet can provision machines early enough that they have booted when a job becomes ready.
  */
 class ReadinessForecast(
     private val runTimes: RunTimeEstimates,
--- a/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
@@ -53,12 +53,13 @@
     }
 
     /**
-     * Creates the requests for consecutive jobs of the same urgency. First all of them request machines that have their image; a job with
-     * a short fetch requests any machine from the start. The other requests for any machine follow, with higher request numbers.
-     * Otherwise the first job could take capacity that the next job could use at once, and occupy it while it fetches its image.
+     * Creates the requests for consecutive jobs of the same urgency, in two passes. In the first pass, each job requests machines that
+     * have its image, or any machine if its fetch is short. In the second pass, with higher request numbers, the jobs of the first kind
+     * request any machine, unless they should still wait. With a single pass, the first job could take a machine that has the image of
+     * the next job, and occupy this machine while it fetches its own image.
      *
      * Only jobs of the same urgency are treated together, so that a less urgent job does not overtake a more urgent one because its image
-     * is present.
+     * is present on a machine.
      */
     private fun createImageRequestsFirst(
         planned: List<PlannedRequest>,
@@ -106,15 +107,15 @@
     private fun isUrgent(job: Job) = objectives.hasStartObjectiveWithin(job.spec.jobClass, URGENT_START_WITHIN_US)
 
     /**
-     * Returns whether the job should prefer machines that have its image. Capacity is not used during a fetch, so the preference pays off
+     * Returns whether the job should prefer machines that have its image. Capacity is idle during a fetch, so the preference pays off
      * unless the fetch is short compared to the run.
      */
     private fun benefitsFromImage(job: Job) = fetchUs(job.spec) * SHORT_FETCH_DIVISOR > runTimes.expectedRunTimeUs(job.spec)
 
     /**
-     * Returns whether the job should wait for a machine that has its image. Only jobs that are not urgent wait, and only for a moment:
-     * where capacity becomes free all the time, some of it is on such machines. After the wait the job takes any machine once, which
-     * brings its image to more machines.
+     * Returns whether the job should wait for a machine that has its image. Only jobs that are not urgent wait, and only for a short
+     * time, which is usually enough for capacity on such a machine to become free. After the wait the job requests any machine, so its
+     * image gets onto more machines. Each placement of a task begins a new wait.
      */
     private fun shouldWaitForImage(
         job: Job,
--- a/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
@@ -72,18 +72,20 @@
 
     /** Broadcasts requests for the first jobs of the queue. */
     private fun beginRound(
-        waiting: () -> List<Job>,
+        waitingJobs: () -> List<Job>,
         nowUs: Long,
     ) {
         hasChangedSinceRound = false
         roundStartedAtUs = nowUs
-        val unaccounted = context.unaccountedUse()
+        val unaccountedUse = context.unaccountedUse()
         val requests =
-            planner.plan(waiting(), nowUs) { spec, planned -> attempts.allowedTaskCount(spec.team, spec.resources, unaccounted, planned) }
+            planner.plan(waitingJobs(), nowUs) { spec, planned ->
+                attempts.allowedTaskCount(spec.team, spec.resources, unaccountedUse, planned)
+            }
         if (requests.isEmpty()) return
         currentRound = RequestRound(requests, nowUs, settings.alphaUs)
-        val frames = requests.map { it.request }
-        assignment.partitions.forEach { outbox.send(it, nowUs, requests = frames) }
+        val placementRequests = requests.map { it.request }
+        assignment.partitions.forEach { outbox.send(it, nowUs, requests = placementRequests) }
     }
 
     /** Starts tasks on the roomiest of the held slots, and releases the other slots. */
@@ -129,7 +131,7 @@
             if (index < 0) break
             val attempt = Attempt(job, index, nextAttemptNumber(), slot.machine, slot.partition)
             attempt.partitionTerm = context.partition(slot.partition)!!.term
-            // A frame from the partition says nothing about the attempt until the frame with its start has been sent.
+            // Until the frame with its start is sent, no frame from the partition can prove that the attempt is absent.
             attempt.startSeq = Long.MAX_VALUE
             attempts.track(attempt)
             job.lastPlacedAtUs = nowUs
--- a/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
+++ b/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
@@ -24,6 +24,7 @@
             rows.mapNotNull { it.withinUs }.sorted()
         }
 
+    /** The time within which tasks of guaranteed jobs must start, in microseconds; null if there is no guarantee objective. */
     private val guaranteeUs = objectives.filter { it.kind == ObjectiveKind.GUARANTEE }.mapNotNull { it.withinUs }.minOrNull()
 
     /** Returns the jobs that fit into their team's guarantee together with the earlier open jobs of the team. */
@@ -69,7 +70,7 @@
      * missed by a small margin is kept, with the current time as its start time.
      *
      * @param runUs expected run time of one task
-     * @param isGuaranteed whether the job is within its team's guarantee, which has an objective of its own
+     * @param isGuaranteed whether the job is within its team's guarantee and so has an additional start objective
      * @param inheritedDueAtUs time by which the dependents need the job to be complete; null if they have no deadline
      */
     fun findAttainableObjectives(
--- a/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Which attempts are told to save a checkpoint and stop before their machine is terminated, and when. */
+/** Tests which attempts are told to save a checkpoint and stop before their machine is terminated, and when. */
 class CheckpointPreemptionTest {
     private val preemption = CheckpointPreemption(RunTimeEstimates())
 
@@ -36,17 +36,17 @@
     }
 
     private fun receiveReclaimNotice(
-        leftS: Long,
+        timeLeftS: Long,
         nowS: Long,
     ) = preemption.onMachineUpdate(
-        MachineState("m", "1.2.3.4:5", "t", true, true, false, false, false, leftS * SECOND, emptyList()),
+        MachineState("m", "1.2.3.4:5", "t", true, true, false, false, false, timeLeftS * SECOND, emptyList()),
         nowS * SECOND,
     )
 
-    private fun saveCommands(
+    private fun takeDueSaveCommands(
         nowS: Long,
         vararg attempts: Attempt,
-    ) = preemption.saveCommands("m", attempts.toList(), isDrained = false, nowS * SECOND)
+    ) = preemption.takeDueSaveCommands("m", attempts.toList(), isDrained = false, nowS * SECOND)
 
     @Example
     fun `on a machine drained by an operator, only requested attempts are stopped, even if they cannot save a checkpoint`() {
@@ -54,7 +54,7 @@
         val attemptWithoutCheckpoints = runningAttempt(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)
 
         fun commandsForDrainedMachine(nowS: Long) =
-            preemption.saveCommands(
+            preemption.takeDueSaveCommands(
                 "m",
                 listOf(longAttempt, attemptWithoutCheckpoints),
                 isDrained = true,
@@ -81,49 +81,49 @@
     @Example
     fun `after a reclaim notice, a task runs as long as it can still save, and the command is repeated`() {
         val attempt = runningAttempt(job(runS = 60), sinceS = 1)
-        receiveReclaimNotice(leftS = 20, nowS = 10)
-        assertTrue(saveCommands(15, attempt).isEmpty()) { "stopped with 15 s left" }
+        receiveReclaimNotice(timeLeftS = 20, nowS = 10)
+        assertTrue(takeDueSaveCommands(15, attempt).isEmpty()) { "stopped with 15 s left" }
         val order = SaveOrder("m", "j-1/0", 10, 5 * SECOND)
-        assertEquals(listOf(order), saveCommands(21, attempt)) { "not stopped with 9 s left" }
-        assertTrue(saveCommands(22, attempt).isEmpty()) { "repeated after 1 s" }
-        assertEquals(listOf(order), saveCommands(24, attempt)) { "not repeated after 3 s" }
+        assertEquals(listOf(order), takeDueSaveCommands(21, attempt)) { "not stopped with 9 s left" }
+        assertTrue(takeDueSaveCommands(22, attempt).isEmpty()) { "repeated after 1 s" }
+        assertEquals(listOf(order), takeDueSaveCommands(24, attempt)) { "not repeated after 3 s" }
         attempt.phase = TaskPhase.SAVING
-        assertTrue(saveCommands(25, attempt).isEmpty()) { "stopped again while it saves" }
+        assertTrue(takeDueSaveCommands(25, attempt).isEmpty()) { "stopped again while it saves" }
     }
 
     @Example
     fun `a repeated reclaim notice does not extend the deadline`() {
         val attempt = runningAttempt(job(runS = 60), sinceS = 1)
-        receiveReclaimNotice(leftS = 20, nowS = 10)
-        receiveReclaimNotice(leftS = 20, nowS = 14)
-        assertTrue(saveCommands(21, attempt).isNotEmpty()) { "the repeated notice moved the deadline" }
+        receiveReclaimNotice(timeLeftS = 20, nowS = 10)
+        receiveReclaimNotice(timeLeftS = 20, nowS = 14)
+        assertTrue(takeDueSaveCommands(21, attempt).isNotEmpty()) { "the repeated notice moved the deadline" }
     }
 
     @Example
     fun `a task that ends before the reclaim, cannot save or has no time left to save is not stopped`() {
-        receiveReclaimNotice(leftS = 20, nowS = 10)
-        assertTrue(saveCommands(21, runningAttempt(job(runS = 24), sinceS = 1)).isEmpty()) { "stopped although it ends in 4 s" }
+        receiveReclaimNotice(timeLeftS = 20, nowS = 10)
+        assertTrue(takeDueSaveCommands(21, runningAttempt(job(runS = 24), sinceS = 1)).isEmpty()) { "stopped although it ends in 4 s" }
         assertTrue(
-            saveCommands(21, runningAttempt(job(runS = 60, checkpointS = 0), sinceS = 1)).isEmpty(),
+            takeDueSaveCommands(21, runningAttempt(job(runS = 60, checkpointS = 0), sinceS = 1)).isEmpty(),
         ) { "stopped although it cannot save" }
         assertTrue(
-            saveCommands(26, runningAttempt(job(runS = 60), sinceS = 1)).isEmpty(),
+            takeDueSaveCommands(26, runningAttempt(job(runS = 60), sinceS = 1)).isEmpty(),
         ) { "stopped with 4 s left, although saving takes 4 s" }
         val fetching = runningAttempt(job(runS = 60), sinceS = 1).apply { phase = TaskPhase.FETCHING }
-        assertTrue(saveCommands(21, fetching).isEmpty()) { "stopped while fetching, with nothing to save" }
+        assertTrue(takeDueSaveCommands(21, fetching).isEmpty()) { "stopped while fetching, with nothing to save" }
     }
 
     @Example
     fun `a machine in scale-in is emptied only when all its tasks are long and can save`() {
         val longAttempt = runningAttempt(job(runS = 120), sinceS = 1)
-        assertTrue(saveCommands(20, longAttempt).isEmpty()) { "stopped so early that its start does not count for the objectives" }
+        assertTrue(takeDueSaveCommands(20, longAttempt).isEmpty()) { "stopped so early that its start does not count for the objectives" }
         assertTrue(
-            saveCommands(40, longAttempt, runningAttempt(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)).isEmpty(),
+            takeDueSaveCommands(40, longAttempt, runningAttempt(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)).isEmpty(),
         ) { "stopped although the other task cannot save" }
         assertTrue(
-            saveCommands(40, longAttempt, runningAttempt(job(runS = 50), sinceS = 1, index = 1)).isEmpty(),
+            takeDueSaveCommands(40, longAttempt, runningAttempt(job(runS = 50), sinceS = 1, index = 1)).isEmpty(),
         ) { "stopped although the other task ends soon" }
-        assertEquals(listOf(10L), saveCommands(40, longAttempt).map { it.attempt }) { "not stopped" }
+        assertEquals(listOf(10L), takeDueSaveCommands(40, longAttempt).map { it.attempt }) { "not stopped" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/placement/CloudCallerTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CloudCallerTest.kt
@@ -21,8 +21,8 @@
     private val machines = List(3) { ListedMachine("m$it", "t", "z", true, ListedStatus.RUNNING, 0) }
 
     /**
-     * A cloud that returns its machine list in [pages]. The key of a page is the last name of the page before, and null for the first
-     * page.
+     * A cloud that returns its machine list in [pages]. The key of a page is the last machine name of the previous page, or null for the
+     * first page.
      */
     private class PagedCloud(
         private val pages: Map<String?, CloudReply<MachinePage>>,
--- a/src/test/kotlin/lichenstage/placement/DemandEstimatorTest.kt
+++ b/src/test/kotlin/lichenstage/placement/DemandEstimatorTest.kt
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Guards against two faults: a blocked job counts as work that is due now, or it counts only once it is ready. Machines need time to
-     * boot.
+     * Guards against two faults. If a blocked job counted as work that is due now, machines would be provisioned too early. If it counted
+     * only once it is ready, they would boot too late.
      */
     @Example
     fun `a blocked job demands machines from one and a half boot times before it is ready`() {
--- a/src/test/kotlin/lichenstage/placement/FailoverRecoveryTest.kt
+++ b/src/test/kotlin/lichenstage/placement/FailoverRecoveryTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** When the failover is complete, and which silent machines are terminated to complete it (invariant 5). */
+/** Tests when the failover is complete, and which silent machines are terminated to complete it (invariant 5). */
 class FailoverRecoveryTest : LeaderFixture() {
     private val partition = PartitionState(term = 3)
     private val recovery = FailoverRecovery(20 * SECOND) { partition.takeIf { _ -> it == "z/0" } }
--- a/src/test/kotlin/lichenstage/placement/GraphFoldTest.kt
+++ b/src/test/kotlin/lichenstage/placement/GraphFoldTest.kt
@@ -7,9 +7,9 @@
     private val dependencies = mapOf("a" to emptyList(), "b" to listOf("a"), "c" to listOf("a"), "d" to listOf("b", "c"))
     private val computed = ArrayList<String>()
     private val depth =
-        GraphFold<String, Int>({ dependencies.getValue(it) }) { node, of, values ->
+        GraphFold<String, Int>({ dependencies.getValue(it) }) { node, nodeDependencies, values ->
             computed += node
-            1 + (of.maxOfOrNull { values.getValue(it) } ?: 0)
+            1 + (nodeDependencies.maxOfOrNull { values.getValue(it) } ?: 0)
         }
 
     @Example
--- a/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
+++ b/src/test/kotlin/lichenstage/placement/JobQueueTest.kt
@@ -25,8 +25,8 @@
      * Returns the time in microseconds at which the largest job, which has no objective, starts under lasting overload. Null if it never
      * starts.
      *
-     * Twice as many tasks arrive as can be placed. All of them have an objective and a higher priority. If [agingThresholdUs] is out of
-     * reach the largest job never starts, which shows that ageing is the cause of its start.
+     * Twice as many tasks arrive as can be placed. All of them have an objective and a higher priority. If [agingThresholdUs] is
+     * never reached, the largest job never starts, which shows that it starts because of ageing.
      */
     private fun largestJobStartUs(agingThresholdUs: Long): Long? {
         val queue = JobQueue(serviceObjectives, emptyMap(), RunTimeEstimates(), agingThresholdUs)
@@ -54,14 +54,14 @@
     }
 
     @Example
-    fun `under lasting overload the largest job of the lowest priority starts within four minutes`() {
+    fun `under lasting overload, the largest job of the lowest priority starts within four minutes`() {
         val startUs = largestJobStartUs(120 * SECOND)
         assertTrue(startUs != null && startUs < 240 * SECOND) { "startUs=$startUs" }
         assertNull(largestJobStartUs(Long.MAX_VALUE / 4)) { "the job starts without ageing" }
     }
 
     @Example
-    fun `the age of a job counts from its record and survives a leader change`() {
+    fun `the age of a job counts from its recorded submission, also under a new leader`() {
         val queue = JobQueue(serviceObjectives, emptyMap(), RunTimeEstimates())
         val oldJob = job(1, "slow", 5, -200 * SECOND, Priority.LOW)
         val newJobs = List(5) { job(2 + it, "quick", 5, 0) }
--- a/src/test/kotlin/lichenstage/placement/JobTableTest.kt
+++ b/src/test/kotlin/lichenstage/placement/JobTableTest.kt
@@ -7,11 +7,11 @@
 
 /** Tests when the tasks of jobs may be placed, and how long a job is kept (invariant 5). */
 class JobTableTest : LeaderFixture() {
-    private var failoverComplete = false
-    private val table = JobTable(leaderKeyRevision = 100) { failoverComplete }
+    private var isFailoverComplete = false
+    private val table = JobTable(leaderKeyRevision = 100) { isFailoverComplete }
 
     @Example
-    fun `before the failover is complete only jobs of this term are queued`() {
+    fun `before the failover is complete, only jobs of this term are queued`() {
         val earlierTermJob = job("j-1", createRevision = 100)
         val currentTermJob = job("j-2", createRevision = 101)
         listOf(earlierTermJob, currentTermJob).forEach {
@@ -23,13 +23,13 @@
     }
 
     @Example
-    fun `when the failover completes all ready jobs are queued, and none of them twice`() {
+    fun `when the failover completes, all ready jobs are queued, and none of them twice`() {
         val earlierTermJob = job("j-1", createRevision = 50)
         val currentTermJob = job("j-2", createRevision = 101)
         listOf(earlierTermJob, currentTermJob).forEach(table::add)
         table.enqueueIfPlaceable(currentTermJob)
         currentTermJob.nextPendingTask()
-        failoverComplete = true
+        isFailoverComplete = true
         table.enqueueAllReady()
         assertEquals(2, earlierTermJob.pendingTasks.size) { "the job of an earlier term is not queued" }
         assertEquals(1, currentTermJob.pendingTasks.size) { "a placed task is queued again" }
@@ -37,7 +37,7 @@
 
     @Example
     fun `a job with open dependencies is not queued`() {
-        failoverComplete = true
+        isFailoverComplete = true
         val blockedJob = Job(spec("j-2").copy(dependencies = listOf("j-1")), 101, 0)
         table.add(blockedJob)
         table.enqueueIfPlaceable(blockedJob)
--- a/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderCoreTest.kt
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Failover, recovery of attempts and the handling of frames by the leader, without rounds of placement requests. */
+/** Tests failover, recovery of attempts and the handling of frames by the leader, without rounds of placement requests. */
 class LeaderCoreTest : LeaderFixture() {
     @Example
     fun `while a registered machine is not accounted for, jobs of earlier terms wait`() {
@@ -57,10 +57,10 @@
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.addJob(job("j-1"))
-        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1", tokenConfirmed = false), ageUs = 60 * SECOND), SECOND)
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1", isTokenConfirmed = false), ageUs = 60 * SECOND), SECOND)
         assertFalse(leader.isFailoverComplete) { "complete although a reply may have renewed the lease of m1" }
         leader.onPartitionFrame(
-            partitionFrame("z", 0, machineState("m1", tokenConfirmed = false, lost = true), ageUs = 61 * SECOND),
+            partitionFrame("z", 0, machineState("m1", isTokenConfirmed = false, isLost = true), ageUs = 61 * SECOND),
             2 * SECOND,
         )
         assertTrue(leader.isFailoverComplete) { "the failover is not complete" }
@@ -81,7 +81,7 @@
     fun `only machines with a confirmed fencing token are to be registered, and terminated machines never again`() {
         val leader = leader()
         leader.onPartitionFrame(
-            partitionFrame("z", 0, machineState("m1"), machineState("m2", tokenConfirmed = false), machineState("m3")),
+            partitionFrame("z", 0, machineState("m1"), machineState("m2", isTokenConfirmed = false), machineState("m3")),
             SECOND,
         )
         leader.onMachineTerminated("m3")
@@ -93,7 +93,7 @@
     }
 
     @Example
-    fun `attempts on a terminated machine do not replace the attempts that run elsewhere`() {
+    fun `attempts on a machine without a record do not replace the attempts that run elsewhere`() {
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.addJob(job("j-1"))
@@ -115,12 +115,12 @@
     }
 
     /**
-     * Guards against tracking the older of two listed attempts. Found in a simulation of concurrent faults: a machine was terminated a
-     * second before the leader ended, so the machine was still in the record and the next leader found its attempt.
+     * Guards against tracking the older of two listed attempts. This happened in a simulation of concurrent faults: a machine was
+     * terminated a second before the leader's term ended. The machine was still recorded, so the next leader found its attempt.
      */
     @Example
     fun `when two attempts of a task are listed, the newer is tracked and the older stopped, in either order`() {
-        for (newerFirst in listOf(false, true)) {
+        for (isNewerFirst in listOf(false, true)) {
             effects.clear()
             val leader = leader()
             leader.addRecoveredMachines(recoveredMachines("back", "m1"))
@@ -131,7 +131,7 @@
                     machineState("m1", TaskState("j-1/0", 4, TaskPhase.RUNNING)),
                 )
             leader.onPartitionFrame(
-                partitionFrame("z", 0, *(if (newerFirst) machineStates.reversed() else machineStates).toTypedArray()),
+                partitionFrame("z", 0, *(if (isNewerFirst) machineStates.reversed() else machineStates).toTypedArray()),
                 SECOND,
             )
             assertTrue(leader.machines.attemptsOn("back").isEmpty()) { "the older attempt is still tracked" }
@@ -144,7 +144,7 @@
             ) { "the newer attempt is not tracked" }
             leader.tick(SECOND)
             assertEquals(listOf("back"), framesTo("z").flatMap { it.stops }.map { it.machine }) { "${framesTo("z").flatMap { it.stops }}" }
-            leader.onPartitionFrame(partitionFrame("z", 0, machineState("back", lost = true)), 2 * SECOND)
+            leader.onPartitionFrame(partitionFrame("z", 0, machineState("back", isLost = true)), 2 * SECOND)
             leader.tick(2 * SECOND)
             leader.tick(3 * SECOND)
             assertEquals(
@@ -159,7 +159,7 @@
         val leader = leader()
         leader.addRecoveredMachines(recoveredMachines("m1"))
         leader.addJob(job("j-1"))
-        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1"), machineState("ghost", tokenConfirmed = false)), SECOND)
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1"), machineState("ghost", isTokenConfirmed = false)), SECOND)
         assertTrue(leader.isFailoverComplete) { "the failover waits for a machine without a record" }
     }
 
@@ -213,16 +213,16 @@
                 leader.isFailoverComplete && capacityLookups == 0,
             ) { "$capacityLookups lookups with $machines machines during the failover" }
             leader.tick(SECOND)
-            val before = capacityLookups
-            assertTrue(before <= machines + 10) { "$before lookups with $machines machines in the first tick" }
+            val lookupsBefore = capacityLookups
+            assertTrue(lookupsBefore <= machines + 10) { "$lookupsBefore lookups with $machines machines in the first tick" }
             repeat(20) {
                 leader.onPartitionFrame(partitionFrame("z", 0, machineState("m$it")), SECOND + it * 10_000)
                 leader.tick(SECOND + it * 10_000)
             }
             assertEquals(
-                before,
+                lookupsBefore,
                 capacityLookups,
-            ) { "${capacityLookups - before} lookups with $machines machines for 20 frames of one machine each" }
+            ) { "${capacityLookups - lookupsBefore} lookups with $machines machines for 20 frames of one machine each" }
         }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -33,8 +33,8 @@
     protected fun spec(
         id: String,
         tasks: Int = 2,
-        sameZone: Boolean = false,
-        spread: Boolean = false,
+        requiresSameZone: Boolean = false,
+        requiresSpread: Boolean = false,
     ) = JobSpec(
         id,
         "c",
@@ -44,8 +44,8 @@
         Resources(4.0, 0.0, 1.0),
         null,
         null,
-        sameZone,
-        spread,
+        requiresSameZone,
+        requiresSpread,
         true,
         "i",
         1.0,
@@ -60,16 +60,16 @@
         id: String,
         createRevision: Long = 1,
         tasks: Int = 2,
-        sameZone: Boolean = false,
-        spread: Boolean = false,
-    ) = Job(spec(id, tasks, sameZone, spread), createRevision, 0)
+        requiresSameZone: Boolean = false,
+        requiresSpread: Boolean = false,
+    ) = Job(spec(id, tasks, requiresSameZone, requiresSpread), createRevision, 0)
 
     protected fun machineState(
         name: String,
         vararg tasks: TaskState,
-        tokenConfirmed: Boolean = true,
-        lost: Boolean = false,
-    ) = MachineState(name, "1.2.3.4:5", "t", false, tokenConfirmed, false, false, lost, null, tasks.toList())
+        isTokenConfirmed: Boolean = true,
+        isLost: Boolean = false,
+    ) = MachineState(name, "1.2.3.4:5", "t", false, isTokenConfirmed, false, false, isLost, null, tasks.toList())
 
     protected fun partitionFrame(
         zone: String,
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -14,10 +14,11 @@
 /** Tests the leader's requests, starts, stops, clears and records of tasks. */
 class LeaderRequestsTest : LeaderFixture() {
     /**
-     * The save command goes out with the next frame. The progress counts once the task is seen as stopped, and the task is queued again.
+     * The save command is sent with the next frame. Once the machine lists the task as ended, its progress counts and the task is queued
+     * again.
      */
     @Example
-    fun `when a machine has a spot notice its tasks with checkpoints are told to save and are queued again`() {
+    fun `when a machine has a reclaim notice, its tasks with checkpoints are told to save and are queued again`() {
         val spec =
             spec("j-1", tasks = 1).copy(
                 estimatedRunTimeUs = 100 * SECOND,
@@ -32,7 +33,7 @@
 
         fun receiveMachineFrame(
             phase: TaskPhase,
-            recallS: Long?,
+            timeUntilReclaimS: Long?,
             nowS: Long,
         ) {
             val cause = if (phase == TaskPhase.ENDED) "halted" else null
@@ -40,7 +41,7 @@
                 machineState(
                     "m1",
                     TaskState("j-1/0", attempt, phase, cause),
-                ).copy(timeUntilReclaimUs = recallS?.let { it * SECOND })
+                ).copy(timeUntilReclaimUs = timeUntilReclaimS?.let { it * SECOND })
             leader.onPartitionFrame(partitionFrame("z", seq, machine), nowS * SECOND)
             leader.tick(nowS * SECOND)
         }
@@ -76,8 +77,8 @@
     }
 
     /**
-     * An earlier version of the service repeats the content of lost complete frames in partial frames. A partial frame leaves out
-     * machines, so it must not end an attempt.
+     * In an earlier version of the service, the sequence number in a partial frame also covers effects that were sent only in a final frame
+     * which was lost. A partial frame leaves out machines, so it must not end an attempt.
      */
     @Example
     fun `a partial frame ends no attempt, whatever it contains`() {
@@ -92,8 +93,8 @@
     }
 
     @Example
-    fun `when a start is refused because of another attempt on the machine the other attempt counts, in whatever order they are listed`() {
-        for (refusedFirst in listOf(true, false)) {
+    fun `when a start is refused because of another attempt on the machine, the other attempt counts, in either listing order`() {
+        for (isRefusedFirst in listOf(true, false)) {
             effects.clear()
             val job = job("j-1", tasks = 1)
             val leader = leaderWithPlacedJob(job)
@@ -101,7 +102,7 @@
             val seq = framesTo("z").last().seq
             val refused = TaskState("j-1/0", attempt, TaskPhase.ENDED, "busy")
             val otherAttempt = TaskState("j-1/0", attempt - 1, TaskPhase.RUNNING)
-            val taskStates = if (refusedFirst) arrayOf(refused, otherAttempt) else arrayOf(otherAttempt, refused)
+            val taskStates = if (isRefusedFirst) arrayOf(refused, otherAttempt) else arrayOf(otherAttempt, refused)
             leader.onPartitionFrame(partitionFrame("z", seq, machineState("m1", *taskStates)), 2 * SECOND)
             assertEquals(
                 listOf(attempt - 1),
@@ -130,7 +131,7 @@
     @Example
     fun `under a new owner no attempt ends before the worker has confirmed the new fencing token`() {
         val leader = leaderWithPlacedJob()
-        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1", tokenConfirmed = false), term = 4), 3 * SECOND)
+        leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1", isTokenConfirmed = false), term = 4), 3 * SECOND)
         assertEquals(2, leader.machines.attemptsOn("m1").size) { "ended before the fencing token is confirmed" }
         leader.onPartitionFrame(partitionFrame("z", 0, machineState("m1"), term = 4), 4 * SECOND)
         assertTrue(leader.machines.attemptsOn("m1").isEmpty()) { "kept after the fencing token is confirmed" }
@@ -148,14 +149,14 @@
     @Example
     fun `a done task is recorded before it is cleared, and the job is closed once its completion is recorded`() {
         val leader = leaderWithPlacedJob()
-        val ended = sentStarts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.ENDED, "done") }
+        val endedTasks = sentStarts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.ENDED, "done") }
         val seq = framesTo("z").last().seq
-        leader.onPartitionFrame(partitionFrame("z", seq, machineState("m1", *ended.toTypedArray())), 2 * SECOND)
+        leader.onPartitionFrame(partitionFrame("z", seq, machineState("m1", *endedTasks.toTypedArray())), 2 * SECOND)
         effects.clear()
         leader.tick(2 * SECOND)
-        val end = effects.filterIsInstance<LeaderEffect.RecordJobCompletion>().single()
+        val completion = effects.filterIsInstance<LeaderEffect.RecordJobCompletion>().single()
         assertTrue(framesTo("z").all { it.clears.isEmpty() }) { "cleared before the record was written" }
-        leader.onCompletionRecorded(end.job, 3 * SECOND)
+        leader.onCompletionRecorded(completion.job, 3 * SECOND)
         leader.tick(4 * SECOND)
         assertTrue(framesTo("z").last().clears.size == 2 && "j-1" !in leader.jobs) { "tasks not cleared or job not closed" }
     }
@@ -163,8 +164,8 @@
     @Example
     fun `attempts of a cancelled job are stopped, and count against the limit until they have ended`() {
         val leader = leaderWithPlacedJob()
-        val running = sentStarts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.RUNNING) }.toTypedArray()
-        leader.onPartitionFrame(partitionFrame("z", framesTo("z").last().seq, machineState("m1", *running)), 2 * SECOND)
+        val runningTasks = sentStarts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.RUNNING) }.toTypedArray()
+        leader.onPartitionFrame(partitionFrame("z", framesTo("z").last().seq, machineState("m1", *runningTasks)), 2 * SECOND)
         leader.onJobClosed("j-1")
         leader.addJob(job("j-2"))
         effects.clear()
@@ -172,7 +173,7 @@
         assertEquals(2, framesTo("z").last().stops.size) { "attempts not stopped" }
         assertTrue(framesTo("z").none { it.requests.isNotEmpty() }) { "cores of running attempts were requested again" }
         leader.onPartitionFrame(
-            partitionFrame("z", framesTo("z").last().seq, machineState("m1").copy(removedAttempts = running.map { it.attempt })),
+            partitionFrame("z", framesTo("z").last().seq, machineState("m1").copy(removedAttempts = runningTasks.map { it.attempt })),
             4 * SECOND,
         )
         leader.tick(4 * SECOND)
--- a/src/test/kotlin/lichenstage/placement/MachineDirectoryTest.kt
+++ b/src/test/kotlin/lichenstage/placement/MachineDirectoryTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Which machines may get tasks, and how many at a time. */
+/** Tests which machines may get tasks, and how many at a time. */
 class MachineDirectoryTest {
     private val directory = MachineDirectory().apply { register(mapOf("m1" to "z/0", "m2" to "y/0")) }
 
--- a/src/test/kotlin/lichenstage/placement/MachineReconciliationTest.kt
+++ b/src/test/kotlin/lichenstage/placement/MachineReconciliationTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Which stops and clears a machine needs according to its task list, and when its use is unaccounted for. */
+/** Tests which stops and clears a machine needs according to its task list, and when it has unaccounted tasks. */
 class MachineReconciliationTest : LeaderFixture() {
     private val job = job("j-1")
     private val jobs = mapOf("j-1" to job)
@@ -53,13 +53,13 @@
 
     @Example
     fun `a machine without a confirmed fencing token gets no commands, and its tasks are unaccounted for`() {
-        val result = MachineReconciliation.of(machineState("m1", TaskState("j-9/0", 1, TaskPhase.RUNNING), tokenConfirmed = false), jobs)
+        val result = MachineReconciliation.of(machineState("m1", TaskState("j-9/0", 1, TaskPhase.RUNNING), isTokenConfirmed = false), jobs)
         assertTrue(result.stops.isEmpty() && result.clears.isEmpty() && result.hasUnaccountedTasks) { "$result" }
     }
 
     @Example
     fun `a lost machine gets no commands and has no unaccounted tasks`() {
-        val result = MachineReconciliation.of(machineState("m1", TaskState("j-9/0", 1, TaskPhase.RUNNING), lost = true), jobs)
+        val result = MachineReconciliation.of(machineState("m1", TaskState("j-9/0", 1, TaskPhase.RUNNING), isLost = true), jobs)
         assertTrue(result.stops.isEmpty() && result.clears.isEmpty() && !result.hasUnaccountedTasks) { "$result" }
     }
 }
--- a/src/test/kotlin/lichenstage/placement/MachineRegistryTest.kt
+++ b/src/test/kotlin/lichenstage/placement/MachineRegistryTest.kt
@@ -16,8 +16,8 @@
 
 class MachineRegistryTest {
     /**
-     * The chunks are written under a limit of 8 KiB and loaded under a limit of 2 KiB. Every machine must be recorded at all times, in
-     * whatever order writes fail.
+     * The chunks are written under a limit of 8 KiB and loaded under a limit of 2 KiB. Every machine must be recorded at all times, no
+     * matter which writes fail.
      */
     @Property(tries = 100, seed = "78")
     fun `chunks of a larger limit are split while every machine stays recorded`(
@@ -27,7 +27,7 @@
         val machines = (0 until 200).map(::machine)
         machines.forEach(earlierRegistry::add)
         val store = HashMap<String, Entry>()
-        while (earlierRegistry.hasUnwritten) {
+        while (earlierRegistry.hasUnwrittenChunks) {
             earlierRegistry.takeDueChunks(12).forEach {
                 store[it.key] =
                     Entry(it.key, MachineRecordCodec.encode(it.machines), 1)
@@ -38,17 +38,17 @@
         registry.splitOversizedChunks()
         val removedNames = machines.take(3).map { it.name }
         registry.remove(removedNames)
-        for (ok in outcomes + List(60) { true }) {
+        for (isCommitted in outcomes + List(60) { true }) {
             val chunks = registry.takeDueChunks(4)
-            if (!ok) registry.onWriteFailed(chunks)
-            for (chunk in chunks.takeIf { ok }.orEmpty()) {
+            if (!isCommitted) registry.onWriteFailed(chunks)
+            for (chunk in chunks.takeIf { isCommitted }.orEmpty()) {
                 assertTrue(MachineRecordCodec.encode(chunk.machines).encode().length <= 2048) { "a chunk exceeds the limit" }
                 store[chunk.key] = Entry(chunk.key, MachineRecordCodec.encode(chunk.machines), 1)
             }
             val recordedNames = store.values.flatMap { MachineRecordCodec.decode(it.value) }.mapTo(HashSet()) { it.name }
             assertTrue(machines.all { it.name in recordedNames || it.name in removedNames }) { "a machine is temporarily not recorded" }
         }
-        assertTrue(!registry.hasUnwritten && store.values.all { it.value.encode().length <= 2048 }) { "the chunks are not split" }
+        assertTrue(!registry.hasUnwrittenChunks && store.values.all { it.value.encode().length <= 2048 }) { "the chunks are not split" }
         val nextRegistry = MachineRegistry(2048)
         assertEquals(
             machines.map { it.name }.toSet() - removedNames.toSet(),
@@ -71,9 +71,9 @@
         val expectedNumbers = HashSet<Int>()
         var changes = 0
 
-        fun write(ok: Boolean) {
+        fun write(isCommitted: Boolean) {
             val chunks = registry.takeDueChunks(12)
-            if (!ok) return registry.onWriteFailed(chunks)
+            if (!isCommitted) return registry.onWriteFailed(chunks)
             for (change in chunks.map { it.change }) {
                 changes++
                 when (change) {
@@ -91,9 +91,9 @@
                 expectedNumbers.remove(number)
                 registry.remove(listOf(machine(number).name))
             }
-            if (step % 5 == 0) write(ok = step % 2 == 0)
+            if (step % 5 == 0) write(isCommitted = step % 2 == 0)
         }
-        repeat(30) { write(ok = true) }
+        repeat(30) { write(isCommitted = true) }
         val nextRegistry = MachineRegistry(8192)
         val read = store.values.flatMap(nextRegistry::load)
         assertEquals(expectedNumbers.map(::machine).toSet(), read.toSet()) { "read $read instead of $expectedNumbers" }
--- a/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
@@ -12,28 +12,28 @@
 
 class ObjectiveOrderTest {
     private fun spec(
-        n: Int,
+        number: Int,
         priority: Priority,
         tasks: Int = 4,
-    ) = oneCoreSpec(n, "c", priority, tasks, estimatedRunTimeUs = 10 * SECOND)
+    ) = oneCoreSpec(number, "c", priority, tasks, estimatedRunTimeUs = 10 * SECOND)
 
     private fun queuedJob(
-        n: Int,
+        number: Int,
         work: Double,
         vararg dueTimesUs: Long,
         priority: Priority = Priority.HIGH,
-    ) = QueuedJob(Job(spec(n, priority), n.toLong(), 0), work, dueTimesUs.map { PlannedObjective(it, 1.0) }, n * SECOND)
+    ) = QueuedJob(Job(spec(number, priority), number.toLong(), 0), work, dueTimesUs.map { PlannedObjective(it, 1.0) }, number * SECOND)
 
     private fun ids(jobs: List<Job>) = jobs.map { it.spec.id }
 
     @Example
-    fun `if all objectives can be met the job with the earliest due time comes first, whatever its priority`() {
+    fun `if all objectives can be met, the job with the earliest due time comes first, whatever its priority`() {
         val order = ObjectiveOrder.sort(listOf(queuedJob(1, 5.0, 100), queuedJob(2, 5.0, 50, priority = Priority.LOW)), 1.0, 0)
         assertEquals(listOf("j-2", "j-1"), ids(order)) { "${ids(order)}" }
     }
 
     @Example
-    fun `if not all objectives can be met the largest job of the lowest priority is postponed`() {
+    fun `if not all objectives can be met, the largest job of the lowest priority is postponed`() {
         val queuedJobs =
             listOf(
                 queuedJob(1, 60.0, 70),
--- a/src/test/kotlin/lichenstage/placement/OfferSelectionTest.kt
+++ b/src/test/kotlin/lichenstage/placement/OfferSelectionTest.kt
@@ -21,9 +21,9 @@
     private val zones = ZoneConstraints(PartitionAssignment(listOf("y", "z"), mapOf("n1" to "y", "n2" to "z", "n3" to "z")))
 
     private fun job(
-        sameZone: Boolean = false,
-        spread: Boolean = false,
-    ) = Job(oneCoreSpec(1, "c", Priority.HIGH, 9).copy(requiresSameZone = sameZone, requiresSpread = spread), 1, 0)
+        requiresSameZone: Boolean = false,
+        requiresSpread: Boolean = false,
+    ) = Job(oneCoreSpec(1, "c", Priority.HIGH, 9).copy(requiresSameZone = requiresSameZone, requiresSpread = requiresSpread), 1, 0)
 
     private fun Job.addAttempt(
         index: Int,
@@ -31,14 +31,14 @@
     ) = liveAttempts.put(index, Attempt(this, index, 10L + index, "m", partition))
 
     @Example
-    fun `a zone gets no more tasks than its limit, and the best zone is the one that offers most`() {
-        val spread = OfferSelection.selectRoomiest(offers, 9, ::zoneOf) { 5 }
-        assertTrue(spread.count { zoneOf(it.partition) == "z" } == 5 && spread.size == 9) { "$spread" }
+    fun `a zone gets no more tasks than its limit, and the best zone is the one with the most slots on offer`() {
+        val slots = OfferSelection.selectRoomiest(offers, 9, ::zoneOf) { 5 }
+        assertTrue(slots.count { zoneOf(it.partition) == "z" } == 5 && slots.size == 9) { "$slots" }
         assertEquals("z", OfferSelection.bestZone(offers, ::zoneOf)) { "not the zone with the larger offer" }
     }
 
     @Example
-    fun `the machine with room for most tasks is filled first, and among equals the fullest machine`() {
+    fun `the machine with room for the most tasks is filled first, and among equals the fullest machine`() {
         fun selected(maxTasks: Int) = OfferSelection.selectRoomiest(offers, maxTasks, ::zoneOf) { Int.MAX_VALUE }.map { it.machine }
         assertEquals(List(6) { "c" } + "b", selected(7), "one task is left, and b has the least room besides it")
         assertEquals(listOf("b"), selected(1), "all machines have room for the task")
@@ -58,7 +58,7 @@
 
     @Example
     fun `a spread job has at most half of its tasks in a zone, rounded up`() {
-        val job = job(spread = true)
+        val job = job(requiresSpread = true)
         job.addAttempt(0, "z/0")
         job.addAttempt(1, "z/1")
         val remaining = zones.remainingTasksByZone(job, offers)
@@ -67,8 +67,8 @@
     }
 
     @Example
-    fun `a single-zone job starts in the zone that offers most and stays in the zone of its tasks`() {
-        val job = job(sameZone = true)
+    fun `a single-zone job starts in the zone with the most slots on offer and stays in the zone of its tasks`() {
+        val job = job(requiresSameZone = true)
         assertNull(zones.requestedZone(job))
         assertEquals(listOf(0, Int.MAX_VALUE), listOf("y", "z").map(zones.remainingTasksByZone(job, offers)))
         job.addAttempt(0, "y/0")
--- a/src/test/kotlin/lichenstage/placement/PartitionTableTest.kt
+++ b/src/test/kotlin/lichenstage/placement/PartitionTableTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Which frames of partition owners are applied, and what the leader concludes from them. */
+/** Tests which frames of partition owners are applied, and what the leader concludes from them. */
 class PartitionTableTest : LeaderFixture() {
     private val newOwners = ArrayList<String>()
     private val table = PartitionTable(7, assignment) { newOwners += it }
@@ -63,7 +63,7 @@
     @Example
     fun `lost machines do not count for the total cores`() {
         val partition = table.acceptFrame(partitionFrame("z", 0), SECOND)!!
-        listOf(machineState("m1"), machineState("m2"), machineState("m3", lost = true)).forEach { partition.machines[it.name] = it }
+        listOf(machineState("m1"), machineState("m2"), machineState("m3", isLost = true)).forEach { partition.machines[it.name] = it }
         assertEquals(32.0, table.totalCores { 16.0 })
         assertEquals(listOf("m3"), table.machinesWhere { it.isLost }.map { it.machine.name })
     }
--- a/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
@@ -21,11 +21,11 @@
     @Example
     fun `a job inherits a due time along the longest chain and the highest priority of its dependents`() {
         val first = job(1, 10)
-        val thumbs = job(2, 25)
+        val thumbnails = job(2, 25)
         val drafts = job(3, 60)
         val last = job(4, 8, dueS = 200, priority = Priority.HIGH)
-        dependents[first] = listOf(thumbs, drafts)
-        dependents[thumbs] = listOf(last)
+        dependents[first] = listOf(thumbnails, drafts)
+        dependents[thumbnails] = listOf(last)
         dependents[drafts] = listOf(last)
         val snapshot = pipelineDeadlines.Snapshot()
         assertEquals(InheritedPriority(null, Priority.HIGH), snapshot.inheritedPriorityOf(last)) {
@@ -40,7 +40,7 @@
     }
 
     @Example
-    fun `a chain of 20000 jobs is computed without recursion and each job once`() {
+    fun `a chain of 20000 jobs is computed without recursion, and each job only once`() {
         val jobs = List(20_000) { job(it, 1, dueS = if (it == 19_999) 100 else null) }
         jobs.zipWithNext { a, b -> dependents[a] = listOf(b) }
         assertNotNull(pipelineDeadlines.Snapshot().inheritedPriorityOf(jobs[0]).dueAtUs) { "the deadline of the last job is not inherited" }
--- a/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ReadinessForecastTest.kt
@@ -34,10 +34,10 @@
     @Example
     fun `a job is ready at the end of the longest chain of its dependencies`() {
         job(1, 10)
-        val thumbs = job(2, 25, 1)
+        val thumbnails = job(2, 25, 1)
         job(3, 60, 1)
         val last = job(4, 8, 2, 3)
-        assertEquals(1 + 10 + 4L, readyInS(thumbs)) { "${readyInS(thumbs)}" }
+        assertEquals(1 + 10 + 4L, readyInS(thumbnails)) { "${readyInS(thumbnails)}" }
         assertEquals(15 + 1 + 60 + 4L, readyInS(last)) { "${readyInS(last)}" }
     }
 
--- a/src/test/kotlin/lichenstage/placement/ServiceObjectivesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ServiceObjectivesTest.kt
@@ -54,8 +54,8 @@
 
     @Example
     fun `a due time inherited from dependents is an objective`() {
-        val due = serviceObjectives.findAttainableObjectives(job(), SECOND, 0, inheritedDueAtUs = 10 * SECOND)
-        assertEquals(StartObjective(9 * SECOND, isPerTask = false), due.first())
+        val objectives = serviceObjectives.findAttainableObjectives(job(), SECOND, 0, inheritedDueAtUs = 10 * SECOND)
+        assertEquals(StartObjective(9 * SECOND, isPerTask = false), objectives.first())
     }
 
     @Example
