--- a/src/main/kotlin/lichenstage/placement/AttemptRecovery.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptRecovery.kt
@@ -8,7 +8,7 @@
 internal class AttemptRecovery(
     private val partitions: PartitionTable,
     private val jobs: JobTable,
-    private val tracker: AttemptTracker,
+    private val attemptTracker: AttemptTracker,
     private val reconciler: MachineReconciler,
 ) {
     /** Evaluates the task list of a machine that was just recorded. Before, no attempt on the machine was tracked (invariant 4). */
@@ -20,7 +20,7 @@
         val machine = partition.machines[machineName] ?: return
         for (task in machine.tasks) {
             if (task.phase == TaskPhase.ENDED) continue
-            jobs.byId[task.job]?.let { tracker.onTaskListed(PartitionRef(partitionId, partition), machine, task, it, 0) }
+            jobs.byId[task.job]?.let { attemptTracker.onTaskListed(PartitionRef(partitionId, partition), machine, task, it, 0) }
         }
         if (machine.tasks.isNotEmpty()) reconciler.reconcile(partitionId, machine)
     }
@@ -35,7 +35,7 @@
         for (machine in partition.state.machines.values) {
             val tasks = machine.tasks.filter { it.job == job.spec.id }
             if (tasks.isEmpty()) continue
-            tasks.forEach { tracker.onTaskListed(partition, machine, it, job, 0) }
+            tasks.forEach { attemptTracker.onTaskListed(partition, machine, it, job, 0) }
             reconciler.reconcile(partition.id, machine)
         }
     }
--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -25,7 +25,7 @@
 /** Updates attempts from the task lists of their machines, which arrive in the frames of partitions. */
 internal class AttemptTracker(
     private val leaseUs: Long,
-    private val attempts: RunningAttempts,
+    private val runningAttempts: RunningAttempts,
     private val runTimes: RunTimeEstimates,
     private val checkpointPreemption: CheckpointPreemption,
     private val isRegistered: (String) -> Boolean,
@@ -135,7 +135,7 @@
             attempt.startSeq = partition.state.reflectedSeq
             attempt.phase = task.phase
             if (currentAttempt != null) supersedeAttempt(currentAttempt)
-            attempts.track(attempt)
+            runningAttempts.track(attempt)
         } else if (currentAttempt != null) {
             log.info(
                 "Conflicting attempt ignored task={} attempt={} machine={} currentAttempt={} currentMachine={}",
@@ -150,7 +150,7 @@
 
     private fun supersedeAttempt(attempt: Attempt) {
         log.info("Attempt superseded task={} attempt={} machine={}", attempt.task, attempt.number, attempt.machine)
-        attempts.remove(attempt)
+        runningAttempts.remove(attempt)
         checkpointPreemption.onAttemptEnded(attempt)
         listener.onAttemptSuperseded(attempt)
     }
@@ -175,7 +175,7 @@
         attempt: Attempt,
         savedProgressUs: Long,
     ) {
-        attempts.remove(attempt)
+        runningAttempts.remove(attempt)
         checkpointPreemption.onAttemptEnded(attempt)
         attempt.job.recordSavedProgress(attempt.index, savedProgressUs)
         attempt.job.requeueTask(attempt.index)
@@ -190,9 +190,16 @@
         candidates: Sequence<Attempt>,
         partition: (String) -> PartitionState?,
     ) {
-        val absent = candidates.filter { attempt -> partition(attempt.partition)?.let { isAbsent(attempt, it) } == true }.toList()
-        absent.forEach { log.debug("Attempt absent from its machine task={} attempt={} machine={}", it.task, it.number, it.machine) }
-        endLostAttempts(absent)
+        val absentAttempts = candidates.filter { attempt -> partition(attempt.partition)?.let { isAbsent(attempt, it) } == true }.toList()
+        absentAttempts.forEach {
+            log.debug(
+                "Attempt absent from its machine task={} attempt={} machine={}",
+                it.task,
+                it.number,
+                it.machine,
+            )
+        }
+        endLostAttempts(absentAttempts)
     }
 
     /**
--- a/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
@@ -64,14 +64,14 @@
         nowUs: Long,
     ): List<SaveOrder> {
         val reclaimDeadlineUs = reclaimDeadlinesUs[machine]
-        val preempted =
+        val preemptedAttempts =
             when {
                 reclaimDeadlineUs != null -> selectBeforeReclaim(attempts, reclaimDeadlineUs - nowUs, nowUs)
                 isDrained -> emptyList()
                 else -> selectForScaleIn(attempts, nowUs)
             }
         val requestedOnMachine = attempts.filter { it.number in stopRequests && it.phase == TaskPhase.RUNNING }
-        return (preempted + requestedOnMachine)
+        return (preemptedAttempts + requestedOnMachine)
             .distinct()
             .filter {
                 markSentIfDue(it, nowUs)
--- a/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
@@ -6,14 +6,20 @@
 internal class CheckpointStops(
     private val preemption: CheckpointPreemption,
     private val directory: MachineDirectory,
-    private val attempts: RunningAttempts,
+    private val runningAttempts: RunningAttempts,
 ) {
     /** Returns the commands that are due at [nowUs], by partition name, and records them as sent. */
     fun takeDueCommandsByPartition(nowUs: Long): Map<String, List<SaveOrder>> {
         val commands = HashMap<String, List<SaveOrder>>()
         for (machine in directory.cordoned + preemption.affectedMachines) {
             val partition = directory.partitionOf(machine) ?: continue
-            val machineCommands = preemption.takeDueSaveCommands(machine, attempts.onMachine(machine), machine in directory.drained, nowUs)
+            val machineCommands =
+                preemption.takeDueSaveCommands(
+                    machine,
+                    runningAttempts.onMachine(machine),
+                    machine in directory.drained,
+                    nowUs,
+                )
             if (machineCommands.isNotEmpty()) commands.merge(partition, machineCommands) { existing, added -> existing + added }
         }
         return commands
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -16,7 +16,7 @@
 ) {
     /** Jobs with done tasks that are not recorded, each with the time at which its wait began, the oldest first. */
     private val unrecordedSinceUs = LinkedHashMap<Job, Long>()
-    private var isRangesWriteInFlight = false
+    private var isChunkWriteInFlight = false
 
     /** Marks the job as having unrecorded done tasks since [sinceUs]. If the job is marked already, the earlier time stays. */
     fun markUnrecorded(
@@ -42,13 +42,13 @@
             job.isCompletionWriteInFlight = true
             emit(LeaderEffect.RecordJobCompletion(job))
         }
-        if (isRangesWriteInFlight) return
+        if (isChunkWriteInFlight) return
         val deltas = nextBatch(nowUs)
         if (deltas.isEmpty()) return
-        isRangesWriteInFlight = true
+        isChunkWriteInFlight = true
         deltas.forEach {
             unrecordedSinceUs.remove(it.job)
-            it.job.isRangesWriteInFlight = true
+            it.job.isChunkWriteInFlight = true
         }
         emit(LeaderEffect.WriteCompletionChunks(deltas))
     }
@@ -110,14 +110,14 @@
     }
 
     /** Handles the outcome of the write of a batch. If it failed, the jobs wait again from [nowUs]. */
-    fun onRangesWritten(
+    fun onCompletionChunksWritten(
         deltas: List<CompletionDelta>,
         isCommitted: Boolean,
         nowUs: Long,
     ) {
-        isRangesWriteInFlight = false
+        isChunkWriteInFlight = false
         for ((job, recordedTasks) in deltas) {
-            job.isRangesWriteInFlight = false
+            job.isChunkWriteInFlight = false
             if (isCommitted) job.recordedTasks.or(recordedTasks)
             if (job.phase == JobPhase.OPEN && job.doneTasks.cardinality() != job.recordedTasks.cardinality()) markUnrecorded(job, nowUs)
         }
--- a/src/main/kotlin/lichenstage/placement/DrainDriverFactory.kt
+++ b/src/main/kotlin/lichenstage/placement/DrainDriverFactory.kt
@@ -20,7 +20,7 @@
 /** Creates the driver of drains for one term of leadership. */
 internal class DrainDriverFactory(
     private val core: LeaderCore,
-    private val fleet: FleetDriver,
+    private val fleetDriver: FleetDriver,
     private val clockNowUs: () -> Long,
 ) {
     /** Creates the driver, which receives its own messages back through [tell]. */
@@ -38,9 +38,9 @@
         object : DrainActionHandler {
             override fun evict(tasks: List<PlacedTask>) = core.requestStops(view.attemptsOf(tasks))
 
-            override fun provisionReplacement(key: DrainKey) = fleet.requestReplacement(key)
+            override fun provisionReplacement(key: DrainKey) = fleetDriver.requestReplacement(key)
 
-            override fun terminate(machine: String) = fleet.terminate(machine)
+            override fun terminate(machine: String) = fleetDriver.terminate(machine)
         }
 
     companion object {
--- a/src/main/kotlin/lichenstage/placement/FleetDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetDriver.kt
@@ -19,15 +19,15 @@
     private val settings: Settings,
     private val core: LeaderCore,
     private val observer: FleetObserver,
-    private val caller: CloudCaller,
+    private val cloudCaller: CloudCaller,
     policy: FleetPolicy,
     nowUs: Long,
     /** Returns the driver of drains; null if drains are not enabled. */
-    private val drains: () -> DrainDriver?,
+    private val drainDriver: () -> DrainDriver?,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.placement")
     private val forecast = DemandForecast(nowUs)
-    private val fleet = FleetCore(core.term, policy, forecast)
+    private val fleetCore = FleetCore(core.term, policy, forecast)
 
     /** The drained machine that each requested replacement is for, by the id of the replacement request. */
     private val drainKeyByReplacementId = HashMap<String, DrainKey>()
@@ -36,13 +36,13 @@
     private var lastDescriptionAtUs = Long.MIN_VALUE / 2
 
     /** The names of the machines that scale-in has cordoned or marked for termination. */
-    val cordonedMachines get() = fleet.cordonedMachines()
+    val cordonedMachines get() = fleetCore.cordonedMachines()
 
     /** Adds a machine that an earlier leader has recorded. */
     fun addRecorded(
         machine: RegisteredMachine,
         nowUs: Long,
-    ) = fleet.addMachine(machine.name, machine.typeName, machine.zone, machine.isSpot, nowUs)
+    ) = fleetCore.addMachine(machine.name, machine.typeName, machine.zone, machine.isSpot, nowUs)
 
     /** Counts a job in the demand forecast. The leader calls this when the job becomes ready to run. */
     fun onJobReady(job: Job) {
@@ -61,24 +61,24 @@
     private fun observe(nowUs: Long) {
         for ((id, partition) in core.partitions) {
             val zone = settings.assignment.zoneOf(id) ?: continue
-            partition.machines.values.forEach { fleet.addMachine(it.name, it.typeName, zone, it.isSpot, nowUs) }
+            partition.machines.values.forEach { fleetCore.addMachine(it.name, it.typeName, zone, it.isSpot, nowUs) }
         }
-        fleet.terminate(core.machinesToFence())
-        val excludedMachines = drains()?.excludedFromCapacity.orEmpty()
-        fleet.observe(observer.observe(excludedMachines, nowUs), nowUs)
+        fleetCore.terminate(core.machinesToFence())
+        val excludedMachines = drainDriver()?.excludedFromCapacity.orEmpty()
+        fleetCore.observe(observer.observe(excludedMachines, nowUs), nowUs)
         updateCordons()
         if (log.isDebugEnabled && nowUs - lastDescriptionAtUs >= DESCRIBE_INTERVAL_US) {
             lastDescriptionAtUs = nowUs
-            log.debug("Fleet observed {}", fleet.describe(nowUs))
+            log.debug("Fleet observed {}", fleetCore.describe(nowUs))
         }
     }
 
     private fun updateCordons() {
-        val drains = drains()
-        if (drains == null) return core.machines.setCordoned(fleet.cordonedMachines())
-        core.machines.setCordoned(fleet.cordonedMachines() + drains.cordoned)
-        core.machines.setDrained(drains.cordoned)
-        core.machines.setOnProbation(drains.onProbation)
+        val drainDriver = drainDriver()
+        if (drainDriver == null) return core.machines.setCordoned(fleetCore.cordonedMachines())
+        core.machines.setCordoned(fleetCore.cordonedMachines() + drainDriver.cordoned)
+        core.machines.setDrained(drainDriver.cordoned)
+        core.machines.setOnProbation(drainDriver.onProbation)
     }
 
     /** Requests a replacement for the drained machine [key], with the same type, zone and kind (spot or on-demand). */
@@ -87,19 +87,19 @@
         val zone = core.machines.zoneOf(key.machine) ?: return
         val id = "${key.drain} ${key.machine}"
         drainKeyByReplacementId[id] = key
-        fleet.requestReplacement(ReplacementRequest(id, machine.typeName, zone, machine.isSpot))
+        fleetCore.requestReplacement(ReplacementRequest(id, machine.typeName, zone, machine.isSpot))
     }
 
     /** Marks a machine for termination. */
-    fun terminate(machine: String) = fleet.terminate(listOf(machine))
+    fun terminate(machine: String) = fleetCore.terminate(listOf(machine))
 
     private fun callCloud(nowUs: Long) {
-        if (!caller.canCall(nowUs)) return
+        if (!cloudCaller.canCall(nowUs)) return
         if (!core.isFailoverComplete && observer.machineTypes.isEmpty()) return
         // Each decision examines every machine, so it is made at intervals and not after every message.
         if (nowUs - lastDecisionAtUs < DECIDE_INTERVAL_US) return
         lastDecisionAtUs = nowUs
-        fleet.nextCall(nowUs)?.let { caller.call(it, nowUs) }
+        fleetCore.nextCall(nowUs)?.let { cloudCaller.call(it, nowUs) }
     }
 
     /** Handles the reply to a provision request. */
@@ -107,20 +107,23 @@
         message: LeaderMessage.ProvisionReplyReceived,
         nowUs: Long,
     ) {
-        caller.onReplyReceived()
+        cloudCaller.onReplyReceived()
         val request = message.request
-        val machines = fleet.onProvisionReply(request, message.result, nowUs)
+        val machines = fleetCore.onProvisionReply(request, message.result, nowUs)
         if (machines.isEmpty()) return
-        drainKeyByReplacementId.remove(fleet.replacementIdOf(request))?.let { drains()?.onReplacementProvisioned(it, machines.first()) }
+        drainKeyByReplacementId
+            .remove(
+                fleetCore.replacementIdOf(request),
+            )?.let { drainDriver()?.onReplacementProvisioned(it, machines.first()) }
         log.info("Machines provisioned count={} type={} zone={} machines={}", machines.size, request.typeName, request.zone, machines)
     }
 
     /** Handles the reply to a terminate call. Returns whether the machines are proven gone. */
     fun onTerminateReply(message: LeaderMessage.TerminateReplyReceived): Boolean {
-        caller.onReplyReceived()
+        cloudCaller.onReplyReceived()
         if (message.result != TerminateResult.TERMINATED) return false
         log.info("Machines terminated machines={}", message.machines)
-        fleet.onMachinesTerminated(message.machines)
+        fleetCore.onMachinesTerminated(message.machines)
         return true
     }
 
@@ -129,8 +132,8 @@
         message: LeaderMessage.MachineListReceived,
         nowUs: Long,
     ) {
-        caller.onReplyReceived()
-        if (message.reply is CloudReply.Success) fleet.onMachinesListed(message.reply.value, nowUs)
+        cloudCaller.onReplyReceived()
+        if (message.reply is CloudReply.Success) fleetCore.onMachinesListed(message.reply.value, nowUs)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/FleetObserver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetObserver.kt
@@ -13,7 +13,7 @@
     private val settings: Settings,
     private val core: LeaderCore,
     private val catalog: MachineCatalog,
-    private val objectives: ServiceObjectives,
+    private val serviceObjectives: ServiceObjectives,
 ) {
     /** The machine types by name; empty until they are known. */
     val machineTypes: Map<String, MachineType> get() = catalog.machineTypes
@@ -32,7 +32,7 @@
     /** Returns the machine use of all tasks of a job, for the demand forecast; null if the job fits no machine type. */
     fun estimateArrival(job: Job): JobArrival? =
         DemandEstimator.estimateArrival(job, machineTypes, core.runTimes.expectedRunTimeUs(job.spec)) {
-            objectives.hasStartObjectiveWithin(job.spec.jobClass, it.bootUs)
+            serviceObjectives.hasStartObjectiveWithin(job.spec.jobClass, it.bootUs)
         }
 
     private fun machineStatusLookup(): (String) -> MachineStatus? {
@@ -64,9 +64,9 @@
 
         /** Returns when the job should be done. For a job that waits for dependencies, only the deadline is known. */
         override fun dueAtUs(job: Job): Long? {
-            if (!job.isReady) return objectives.deadlineAtUs(job)
+            if (!job.isReady) return serviceObjectives.deadlineAtUs(job)
             val runUs = runUs(job.spec)
-            return objectives.findAttainableObjectives(job, runUs, nowUs).firstOrNull()?.let { it.startByUs + runUs }
+            return serviceObjectives.findAttainableObjectives(job, runUs, nowUs).firstOrNull()?.let { it.startByUs + runUs }
         }
 
         override fun readyInUs(job: Job) = readiness.readyAtUs(job) - nowUs
--- a/src/main/kotlin/lichenstage/placement/Job.kt
+++ b/src/main/kotlin/lichenstage/placement/Job.kt
@@ -39,8 +39,8 @@
     /** Indices of the done tasks that are recorded as done in the key-value store. */
     val recordedTasks = BitSet()
 
-    /** Whether a record of ranges of done tasks is being written. */
-    var isRangesWriteInFlight = false
+    /** Whether completion chunks of the job are being written. */
+    var isChunkWriteInFlight = false
 
     /** Whether the record of the job's completion is being written. */
     var isCompletionWriteInFlight = false
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -28,12 +28,12 @@
     private val log = LoggerFactory.getLogger("lichenstage.placement")
     private val supervisor: CoroutineJob = SupervisorJob(parent.coroutineContext[CoroutineJob])
     private val scope = parent + supervisor
-    private val objectives = ServiceObjectives(settings.objectives)
+    private val serviceObjectives = ServiceObjectives(settings.objectives)
     private val core = createLeaderCore(options)
     private val mailbox =
         Mailbox("leader", scope, ::handle, tryDrop = { it is LeaderMessage.PartitionFrameReceived || it is LeaderMessage.Tick })
     private val singleWriterKeys = SingleWriterKeys(services.store)
-    private val writer =
+    private val recordWriter =
         LeaderRecordWriter(
             services.store,
             singleWriterKeys,
@@ -43,10 +43,20 @@
             services.replicaSync::onJobFinished,
             mailbox::tell,
         )
-    private val registry = MachineRegistryDriver(settings, core, writer)
-    private val fleet = createFleetDriver(options)
-    private val drains: DrainDriver? = createDrainDriver(options)
-    private val jobRecordHandler = LeaderJobRecordHandler(services, core, fleet, writer, maxOf(1, settings.maxTransactionOperations / 2))
+    private val registryDriver = MachineRegistryDriver(settings, core, recordWriter)
+    private val fleetDriver = createFleetDriver(options)
+    private val drainDriver: DrainDriver? = createDrainDriver(options)
+    private val jobRecordHandler =
+        LeaderJobRecordHandler(
+            services,
+            core,
+            fleetDriver,
+            recordWriter,
+            maxOf(
+                1,
+                settings.maxTransactionOperations / 2,
+            ),
+        )
     private var lastCountsSentAtUs = Long.MIN_VALUE / 2
 
     init {
@@ -74,7 +84,7 @@
                 settings.teams,
                 settings.workerLeaseUs,
                 options.placementSettings,
-                objectives,
+                serviceObjectives,
                 settings.maxTransactionOperations,
                 settings.maxValueBytes,
             ),
@@ -83,21 +93,21 @@
                 { MachineFit.maxFetchUs(it, catalog.machineTypes) },
                 services.dependencyGraph::dependentsOf,
             ),
-            { drains?.onTaskStopped(LeaderDrainView.failureInterruption(it, timeOfDayUs())) },
+            { drainDriver?.onTaskStopped(LeaderDrainView.failureInterruption(it, timeOfDayUs())) },
             ::execute,
         )
     }
 
     private fun createFleetDriver(options: LeaderOptions): FleetDriver {
-        val observer = FleetObserver(settings, core, services.catalog, objectives)
+        val observer = FleetObserver(settings, core, services.catalog, serviceObjectives)
         val caller = CloudCaller(services.cloud, settings.cloudRps, scope, mailbox::tell)
-        return FleetDriver(settings, core, observer, caller, options.fleet, services.clock.now()) { drains }
+        return FleetDriver(settings, core, observer, caller, options.fleetPolicy, services.clock.now()) { drainDriver }
     }
 
     private fun createDrainDriver(options: LeaderOptions): DrainDriver? {
-        val policy = options.drains ?: return null
+        val policy = options.drainPolicy ?: return null
         val recordAccess = DrainDriverFactory.createRecordAccess(services.store, singleWriterKeys, leadership.leaderKeyRevision, settings)
-        return DrainDriverFactory(core, fleet, services.clock::now)
+        return DrainDriverFactory(core, fleetDriver, services.clock::now)
             .createDriver(policy, recordAccess, scope) { mailbox.tell(LeaderMessage.DrainMessageReceived(it)) }
     }
 
@@ -114,12 +124,12 @@
         when (message) {
             is LeaderMessage.RecordsLoaded -> onRecordsLoaded(message, nowUs)
             is LeaderMessage.PartitionFrameReceived -> if (jobRecordHandler.isLoaded) core.onPartitionFrame(message.frame, nowUs)
-            is LeaderMessage.ProvisionReplyReceived -> fleet.onProvisionReply(message, nowUs)
-            is LeaderMessage.TerminateReplyReceived -> if (fleet.onTerminateReply(message)) onMachinesTerminated(message.machines)
-            is LeaderMessage.MachineListReceived -> fleet.onMachineListReceived(message, nowUs)
-            is LeaderMessage.RegistryChunksWritten -> registry.onChunksWritten(message)
+            is LeaderMessage.ProvisionReplyReceived -> fleetDriver.onProvisionReply(message, nowUs)
+            is LeaderMessage.TerminateReplyReceived -> if (fleetDriver.onTerminateReply(message)) onMachinesTerminated(message.machines)
+            is LeaderMessage.MachineListReceived -> fleetDriver.onMachineListReceived(message, nowUs)
+            is LeaderMessage.RegistryChunksWritten -> registryDriver.onChunksWritten(message)
             is LeaderMessage.JobMessage -> jobRecordHandler.handle(message, nowUs)
-            is LeaderMessage.DrainMessageReceived -> drains?.handle(message.message)
+            is LeaderMessage.DrainMessageReceived -> drainDriver?.handle(message.message)
             LeaderMessage.Tick -> Unit
         }
         // While authority is paused, the leader decides nothing: it starts no task, sends no provision request and writes no record.
@@ -128,9 +138,9 @@
 
     private fun step(nowUs: Long) {
         core.tick(nowUs)
-        fleet.step(nowUs)
-        drains?.step(nowUs)
-        registry.step(fleet::cordonedMachines, nowUs)
+        fleetDriver.step(nowUs)
+        drainDriver?.step(nowUs)
+        registryDriver.step(fleetDriver::cordonedMachines, nowUs)
         jobRecordHandler.cancelUnrunnableJobs()
         if (nowUs - lastCountsSentAtUs >= TASK_COUNTS_INTERVAL_US) sendTaskCounts(nowUs)
     }
@@ -146,22 +156,22 @@
         nowUs: Long,
     ) {
         singleWriterKeys.load(message.registryChunks + message.completionChunks)
-        registry.load(message.registryChunks).forEach { fleet.addRecorded(it, nowUs) }
+        registryDriver.load(message.registryChunks).forEach { fleetDriver.addRecorded(it, nowUs) }
         jobRecordHandler.load(message.openJobs, message.completionChunks)
-        log.info("Leadership begun, records loaded term={} jobs={} machines={}", term, message.openJobs.size, registry.size)
+        log.info("Leadership begun, records loaded term={} jobs={} machines={}", term, message.openJobs.size, registryDriver.size)
     }
 
     private fun execute(effect: LeaderEffect) {
         when (effect) {
             is LeaderEffect.SendFrame -> services.authority.ownerOf(effect.partition)?.let { services.send(it.label, effect.frame) }
-            is LeaderEffect.WriteCompletionChunks -> writer.writeCompletionChunks(effect.deltas)
-            is LeaderEffect.RecordJobCompletion -> writer.recordJobCompletion(effect.job)
+            is LeaderEffect.WriteCompletionChunks -> recordWriter.writeCompletionChunks(effect.deltas)
+            is LeaderEffect.RecordJobCompletion -> recordWriter.recordJobCompletion(effect.job)
         }
     }
 
     private fun onMachinesTerminated(machines: List<String>) {
         machines.forEach(core::onMachineTerminated)
-        registry.onMachinesRemoved(machines)
+        registryDriver.onMachinesRemoved(machines)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -37,34 +37,43 @@
 
     private val partitionTable = PartitionTable(term, settings.assignment) { outbox.resetForNewOwner(it) }
     private val directory = MachineDirectory()
-    private val failover = FailoverRecovery(settings.workerLeaseUs) { partitionTable[it] }
-    private val jobTable = JobTable(leadership.leaderKeyRevision) { failover.isComplete }
-    private val unaccountedUse = UnaccountedUse(failover, lookups.capacityOf)
-    private val attempts = RunningAttempts(settings.teams)
+    private val failoverRecovery = FailoverRecovery(settings.workerLeaseUs) { partitionTable[it] }
+    private val jobTable = JobTable(leadership.leaderKeyRevision) { failoverRecovery.isComplete }
+    private val unaccountedUse = UnaccountedUse(failoverRecovery, lookups.capacityOf)
+    private val runningAttempts = RunningAttempts(settings.teams)
     private val pipelineDeadlines =
-        PipelineDeadlines(settings.objectives, runTimes) { job -> lookups.dependentsOf(job.spec.id).mapNotNull { jobs[it] } }
-    private val readiness = ReadinessForecast(runTimes, lookups.fetchUs) { jobs[it] }
-    private val queue = JobQueue(settings.objectives, settings.teams, runTimes, pipelineDeadlines = pipelineDeadlines)
+        PipelineDeadlines(settings.serviceObjectives, runTimes) { job -> lookups.dependentsOf(job.spec.id).mapNotNull { jobs[it] } }
+    private val readinessForecast = ReadinessForecast(runTimes, lookups.fetchUs) { jobs[it] }
+    private val jobQueue = JobQueue(settings.serviceObjectives, settings.teams, runTimes, pipelineDeadlines = pipelineDeadlines)
     private val checkpointPreemption = CheckpointPreemption(runTimes)
-    private val recorder =
-        CompletionRecorder(settings.maxChangesPerTransaction, settings.placement.recordDelayUs, settings.maxValueBytes, emit)
+    private val completionRecorder =
+        CompletionRecorder(settings.maxChangesPerTransaction, settings.placementSettings.recordDelayUs, settings.maxValueBytes, emit)
     private val outbox = PartitionOutbox(term, OutboxView(), emit)
     private val reconciler = MachineReconciler(partitionTable, jobTable, unaccountedUse, directory::isRegistered, outbox)
-    private val tracker =
-        AttemptTracker(settings.workerLeaseUs, attempts, runTimes, checkpointPreemption, directory::isRegistered, AttemptEvents())
-    private val checkpointStops = CheckpointStops(checkpointPreemption, directory, attempts)
-    private val recovery = AttemptRecovery(partitionTable, jobTable, tracker, reconciler)
-    private val rounds = createRequestRounds()
+    private val attemptTracker =
+        AttemptTracker(settings.workerLeaseUs, runningAttempts, runTimes, checkpointPreemption, directory::isRegistered, AttemptEvents())
+    private val checkpointStops = CheckpointStops(checkpointPreemption, directory, runningAttempts)
+    private val attemptRecovery = AttemptRecovery(partitionTable, jobTable, attemptTracker, reconciler)
+    private val roundRunner = createRoundRunner()
 
     /** The view of the machines and of the attempts on them for the registry, the fleet and drains. */
-    val machines = LeaderMachines(directory, partitionTable, attempts, tracker, settings.assignment)
+    val machines = LeaderMachines(directory, partitionTable, runningAttempts, attemptTracker, settings.assignment)
     private var lastSweepAtUs = Long.MIN_VALUE / 2
     private var totalCores = 0.0
 
-    private fun createRequestRounds(): RequestRoundRunner {
+    private fun createRoundRunner(): RequestRoundRunner {
         val zones = ZoneConstraints(settings.assignment)
-        val planner = RequestPlanner(settings.placement, settings.objectives, runTimes, zones, lookups.fetchUs)
-        return RequestRoundRunner(term, settings.assignment, settings.placement, planner, zones, attempts, outbox, RoundView())
+        val planner = RequestPlanner(settings.placementSettings, settings.serviceObjectives, runTimes, zones, lookups.fetchUs)
+        return RequestRoundRunner(
+            term,
+            settings.assignment,
+            settings.placementSettings,
+            planner,
+            zones,
+            runningAttempts,
+            outbox,
+            RoundView(),
+        )
     }
 
     private inner class OutboxView : OutboxSource {
@@ -83,7 +92,7 @@
         override fun usableSlots(
             machine: String,
             held: Int,
-        ) = directory.usableSlots(machine, held) { attempts.onMachine(machine).size }
+        ) = directory.usableSlots(machine, held) { runningAttempts.onMachine(machine).size }
 
         override fun unaccountedUse() = unaccountedUse.total()
 
@@ -95,11 +104,11 @@
             job: Job,
             nowUs: Long,
         ) {
-            if (job.phase == JobPhase.OPEN) recorder.markUnrecorded(job, nowUs)
+            if (job.phase == JobPhase.OPEN) completionRecorder.markUnrecorded(job, nowUs)
         }
 
         override fun onAttemptEnded(attempt: Attempt) {
-            rounds.markChanged()
+            roundRunner.markChanged()
             val job = attempt.job
             val hasRun = attempt.startedRunningAtUs > 0
             if (hasRun && job.phase == JobPhase.OPEN && !job.doneTasks.get(attempt.index)) onAttemptInterrupted(attempt)
@@ -116,13 +125,13 @@
     val partitions: Map<String, PartitionState> get() = partitionTable.byId
 
     /** Whether every registered machine is accounted for. From then on, a task without a known attempt is not running (invariant 5). */
-    val isFailoverComplete get() = failover.isComplete
+    val isFailoverComplete get() = failoverRecovery.isComplete
 
     /** Adds machines that were registered before this term. The failover completes only when each of them is accounted for. */
     fun addRecoveredMachines(machines: Collection<RecoveredMachine>) {
         directory.register(machines.associate { it.name to it.partition })
         machines.forEach {
-            failover.awaitMachine(it)
+            failoverRecovery.awaitMachine(it)
             it.address?.let { address -> directory.setAddress(it.name, address) }
         }
     }
@@ -130,8 +139,8 @@
     /** Handles the registration of [machines], a map from machine name to partition name. */
     fun onMachinesRegistered(machines: Map<String, String>) {
         directory.register(machines)
-        rounds.markChanged()
-        machines.forEach { (name, partition) -> recovery.recoverAttemptsOn(name, partition) }
+        roundRunner.markChanged()
+        machines.forEach { (name, partition) -> attemptRecovery.recoverAttemptsOn(name, partition) }
     }
 
     /** Requests a stop of these attempts. Tasks that can save a checkpoint get the time to do so. */
@@ -149,11 +158,11 @@
     /** Adds a job that was just accepted or was read from its record. Does nothing if the job is already present. */
     fun addJob(job: Job) {
         if (!jobTable.add(job)) return
-        queue.onJobAdded(job)
-        rounds.markChanged()
+        jobQueue.onJobAdded(job)
+        roundRunner.markChanged()
         jobTable.enqueueIfPlaceable(job)
-        if (!jobTable.isFromThisTerm(job)) recovery.recoverAttemptsOf(job)
-        if (job.allTasksDone) recorder.markUnrecorded(job, Long.MIN_VALUE / 2)
+        if (!jobTable.isFromThisTerm(job)) attemptRecovery.recoverAttemptsOf(job)
+        if (job.allTasksDone) completionRecorder.markUnrecorded(job, Long.MIN_VALUE / 2)
     }
 
     /** Handles the recording of the job's last dependency as done, at [recordedAtUs]. Queues the tasks if they may be placed. */
@@ -164,12 +173,12 @@
         if (job.isReady || job.phase == JobPhase.CLOSED) return
         job.markReady(recordedAtUs)
         jobTable.enqueueIfPlaceable(job)
-        queue.markOrderStale()
-        rounds.markChanged()
+        jobQueue.markOrderStale()
+        roundRunner.markChanged()
     }
 
     /** Returns a forecast, made at [nowUs], of when jobs with open dependencies will be ready. */
-    fun expectedReadiness(nowUs: Long) = readiness.Snapshot(nowUs)
+    fun expectedReadiness(nowUs: Long) = readinessForecast.Snapshot(nowUs)
 
     /** Handles the deletion of the job's open record: the job was cancelled, or an earlier leader recorded its completion. */
     fun onJobClosed(id: String) {
@@ -181,7 +190,7 @@
 
     private fun closeJob(job: Job) {
         job.phase = JobPhase.CLOSED
-        recorder.onJobClosed(job)
+        completionRecorder.onJobClosed(job)
         reconciler.reconcileMachinesOf(job)
         jobTable.removeIfClosed(job)
     }
@@ -193,9 +202,9 @@
     ) {
         val state = partitionTable.acceptFrame(frame, nowUs) ?: return
         val partition = PartitionRef(frame.partition, state)
-        tracker.updateTime(nowUs)
+        attemptTracker.updateTime(nowUs)
         frame.machines.filter { !directory.isTerminated(it.name) }.forEach { applyMachineState(partition, it, nowUs) }
-        frame.offers.forEach { rounds.addOffer(frame.partition, it, nowUs) }
+        frame.offers.forEach { roundRunner.addOffer(frame.partition, it, nowUs) }
         updateFailover()
     }
 
@@ -208,18 +217,18 @@
         partition.state.machines[machine.name] = machine
         directory.setAddress(machine.name, machine.address)
         checkpointPreemption.onMachineUpdate(machine, nowUs)
-        rounds.markChanged()
+        roundRunner.markChanged()
         outbox.markDue(partition.id)
-        for (task in delta.tasks) jobs[task.job]?.let { tracker.onTaskListed(partition, machine, task, it, nowUs) }
-        val onMachine = attempts.onMachine(machine.name).asSequence().filter { it.partition == partition.id }
-        tracker.endAbsentAttempts(onMachine) { partitionTable[it] }
+        for (task in delta.tasks) jobs[task.job]?.let { attemptTracker.onTaskListed(partition, machine, task, it, nowUs) }
+        val onMachine = runningAttempts.onMachine(machine.name).asSequence().filter { it.partition == partition.id }
+        attemptTracker.endAbsentAttempts(onMachine) { partitionTable[it] }
         reconciler.reconcile(partition.id, machine)
     }
 
     /** Handles the termination of a machine, confirmed by the cloud: every attempt on the machine has ended. */
     fun onMachineTerminated(name: String) {
-        tracker.endLostAttempts(attempts.onMachine(name).toList())
-        tracker.failedJobsByMachine.remove(name)
+        attemptTracker.endLostAttempts(runningAttempts.onMachine(name).toList())
+        attemptTracker.failedJobsByMachine.remove(name)
         partitions.forEach { (id, partition) ->
             partition.machines.remove(name)
             outbox.removeMachine(id, name)
@@ -227,25 +236,25 @@
         unaccountedUse.remove(name)
         checkpointPreemption.onMachineTerminated(name)
         directory.markTerminated(name)
-        failover.onMachineTerminated(name)
+        failoverRecovery.onMachineTerminated(name)
         updateFailover()
     }
 
     private fun updateFailover() {
-        if (!failover.checkCompletion()) return
+        if (!failoverRecovery.checkCompletion()) return
         log.info("Failover complete term={} jobs={}", term, jobs.size)
         jobTable.enqueueAllReady()
-        rounds.markChanged()
+        roundRunner.markChanged()
     }
 
     /** Returns the machines that should be terminated because the failover waits for them (see [FailoverRecovery.machinesToFence]). */
-    fun machinesToFence() = failover.machinesToFence(directory.size)
+    fun machinesToFence() = failoverRecovery.machinesToFence(directory.size)
 
     /** Does the work that is due at [nowUs]: the sweep, rounds of placement requests, records and frames to partitions. */
     fun tick(nowUs: Long) {
         if (nowUs - lastSweepAtUs >= SWEEP_INTERVAL_US) sweep(nowUs)
-        rounds.tick(nowUs) { queue.sortWaitingJobs(jobs.values, { totalCores }, nowUs) }
-        recorder.writeDueCompletions(nowUs)
+        roundRunner.tick(nowUs) { jobQueue.sortWaitingJobs(jobs.values, { totalCores }, nowUs) }
+        completionRecorder.writeDueCompletions(nowUs)
         settings.assignment.partitions
             .filter { outbox.isDue(it, nowUs) }
             .forEach { outbox.send(it, nowUs) }
@@ -257,9 +266,9 @@
      */
     private fun sweep(nowUs: Long) {
         lastSweepAtUs = nowUs
-        tracker.updateTime(nowUs)
+        attemptTracker.updateTime(nowUs)
         updateFailover()
-        tracker.endAbsentAttempts(attempts.all()) { partitionTable[it] }
+        attemptTracker.endAbsentAttempts(runningAttempts.all()) { partitionTable[it] }
         totalCores = partitionTable.totalCores { lookups.capacityOf(it)?.cores ?: 0.0 }
         outbox.setSaveCommands(checkpointStops.takeDueCommandsByPartition(nowUs))
     }
@@ -267,12 +276,12 @@
     /**
      * Handles the outcome of the write that records [deltas]. If it [isCommitted], the workers may clear these tasks (invariant 9).
      */
-    fun onRangesWritten(
+    fun onCompletionChunksWritten(
         deltas: List<CompletionDelta>,
         isCommitted: Boolean,
         nowUs: Long,
     ) {
-        recorder.onRangesWritten(deltas, isCommitted, nowUs)
+        completionRecorder.onCompletionChunksWritten(deltas, isCommitted, nowUs)
         if (isCommitted) deltas.forEach { if (it.job.phase == JobPhase.OPEN) reconciler.reconcileMachinesOf(it.job) }
     }
 
@@ -295,7 +304,7 @@
     }
 
     /** Handles a failed write of the job's completion: [CompletionRecorder] tries again. */
-    fun onCompletionFailed(job: Job) {
+    fun onCompletionWriteFailed(job: Job) {
         job.isCompletionWriteInFlight = false
     }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderJobRecordHandler.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderJobRecordHandler.kt
@@ -12,8 +12,8 @@
 internal class LeaderJobRecordHandler(
     private val services: LeaderServices,
     private val core: LeaderCore,
-    private val fleet: FleetDriver,
-    private val writer: LeaderRecordWriter,
+    private val fleetDriver: FleetDriver,
+    private val recordWriter: LeaderRecordWriter,
     maxCancellationsPerTransaction: Int,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.placement")
@@ -42,7 +42,7 @@
         }
         isLoaded = true
         releaseReadyJobs()
-        writer.deleteKeys(obsoleteKeys)
+        recordWriter.deleteKeys(obsoleteKeys)
     }
 
     /** Handles a message about jobs and their records. */
@@ -74,8 +74,8 @@
             }
 
             is LeaderMessage.CompletionChunksWritten -> {
-                core.onRangesWritten(message.deltas, message.isCommitted, nowUs)
-                message.deltas.filter { it.job.phase == JobPhase.CLOSED }.forEach { writer.deleteCompletionChunks(it.job) }
+                core.onCompletionChunksWritten(message.deltas, message.isCommitted, nowUs)
+                message.deltas.filter { it.job.phase == JobPhase.CLOSED }.forEach { recordWriter.deleteCompletionChunks(it.job) }
             }
 
             is LeaderMessage.JobCompletionWritten -> {
@@ -86,7 +86,7 @@
 
     /** Cancels jobs that can never run because one of their dependencies is cancelled. */
     fun cancelUnrunnableJobs() {
-        blockedJobs.takeJobsToCancel().takeIf { it.isNotEmpty() }?.let(writer::cancelUnrunnableJobs)
+        blockedJobs.takeJobsToCancel().takeIf { it.isNotEmpty() }?.let(recordWriter::cancelUnrunnableJobs)
     }
 
     private fun addJob(entry: Entry) {
@@ -101,7 +101,7 @@
         val job = Job(spec, entry.modRevision, services.toSteadyClockUs(spec.submittedUs))
         core.addJob(job)
         if (job.isReady) {
-            fleet.onJobReady(job)
+            fleetDriver.onJobReady(job)
         } else {
             blockedJobs.add(job)
             if (isLoaded) releaseReadyJobs()
@@ -114,13 +114,13 @@
     private fun releaseReadyJobs() =
         blockedJobs.releaseReady { job, recordedAtUs ->
             core.onJobReady(job, if (recordedAtUs == 0L) services.clock.now() else services.toSteadyClockUs(recordedAtUs))
-            fleet.onJobReady(job)
+            fleetDriver.onJobReady(job)
         }
 
     private fun closeJob(id: String) {
         val job = core.jobs[id] ?: return
         core.onJobClosed(id)
-        writer.deleteCompletionChunks(job)
+        recordWriter.deleteCompletionChunks(job)
     }
 
     private fun reloadOpenJobs(entries: List<Entry>) {
@@ -138,9 +138,9 @@
         val job = message.job
         if (message.outcome is TransactionResult.Committed) {
             core.onCompletionRecorded(job, nowUs)
-            writer.deleteCompletionChunks(job)
+            recordWriter.deleteCompletionChunks(job)
         } else {
-            core.onCompletionFailed(job)
+            core.onCompletionWriteFailed(job)
             if (!message.isStillOpen) closeJob(job.spec.id)
         }
     }
--- a/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
@@ -7,8 +7,8 @@
 class LeaderMachines internal constructor(
     private val directory: MachineDirectory,
     private val partitions: PartitionTable,
-    private val attempts: RunningAttempts,
-    private val tracker: AttemptTracker,
+    private val runningAttempts: RunningAttempts,
+    private val attemptTracker: AttemptTracker,
     private val assignment: PartitionAssignment,
 ) {
     /** Whether the machine has a record. */
@@ -37,13 +37,13 @@
         }
 
     /** Returns the attempts that may be running on a machine. */
-    fun attemptsOn(machine: String): Collection<Attempt> = attempts.onMachine(machine)
+    fun attemptsOn(machine: String): Collection<Attempt> = runningAttempts.onMachine(machine)
 
     /** Returns the ids of the jobs with tasks that failed on a machine. Failures of several jobs suggest a faulty machine. */
-    fun failedJobsOn(machine: String): Set<String> = tracker.failedJobsByMachine[machine].orEmpty()
+    fun failedJobsOn(machine: String): Set<String> = attemptTracker.failedJobsByMachine[machine].orEmpty()
 
     /** Returns the number of running tasks per team. Teams without running tasks are left out. */
-    fun runningByTeam(): Map<String, Int> = attempts.runningByTeam()
+    fun runningByTeam(): Map<String, Int> = runningAttempts.runningByTeam()
 
     /** Replaces the set of machines that get no more tasks. */
     fun setCordoned(machines: Set<String>) {
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -113,7 +113,7 @@
      * triggers another call.
      */
     fun deleteCompletionChunks(job: Job) {
-        if (job.isRangesWriteInFlight || job.recordedTasks.isEmpty) return
+        if (job.isChunkWriteInFlight || job.recordedTasks.isEmpty) return
         deleteKeys((0 until CompletedTaskRanges.chunkCount(job.spec.taskCount)).map { CompletedTaskRanges.chunkKey(job.spec.id, it) })
     }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderServices.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderServices.kt
@@ -14,10 +14,10 @@
 
 /** The settings of a leader that operators can change. */
 data class LeaderOptions(
-    val fleet: FleetPolicy,
+    val fleetPolicy: FleetPolicy,
     val placementSettings: PlacementSettings,
     /** The policy of drains; null if drains are not enabled. */
-    val drains: DrainPolicy?,
+    val drainPolicy: DrainPolicy?,
 )
 
 /** The services of the controller that a leader uses. */
--- a/src/main/kotlin/lichenstage/placement/LeaderSettings.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderSettings.kt
@@ -21,8 +21,8 @@
     val teams: Map<String, Team>,
     /** How long a worker keeps running its tasks without a reply to its heartbeats, in microseconds. */
     val workerLeaseUs: Long,
-    val placement: PlacementSettings,
-    val objectives: ServiceObjectives,
+    val placementSettings: PlacementSettings,
+    val serviceObjectives: ServiceObjectives,
     /** The maximum number of changes in one transaction of the key-value store. */
     val maxChangesPerTransaction: Int,
     /** The maximum size of a value in the key-value store, in bytes. */
--- a/src/main/kotlin/lichenstage/placement/MachineRegistryDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineRegistryDriver.kt
@@ -15,7 +15,7 @@
 internal class MachineRegistryDriver(
     private val settings: Settings,
     private val core: LeaderCore,
-    private val writer: LeaderRecordWriter,
+    private val recordWriter: LeaderRecordWriter,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.placement")
     private val registry = MachineRegistry(settings.maxValueBytes)
@@ -59,7 +59,7 @@
         val chunks = registry.takeDueChunks(settings.maxTransactionOperations)
         if (chunks.isEmpty()) return
         isWriteInFlight = true
-        writer.writeRegistryChunks(chunks)
+        recordWriter.writeRegistryChunks(chunks)
     }
 
     /** Handles the outcome of a write. If it is committed, the machines in the chunks count as registered. */
--- a/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
+++ b/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
@@ -68,9 +68,9 @@
         var plannedJobs = waitingJobs.filter { it.objectives.isNotEmpty() }
         var rounds = 0
         while (rounds++ < MAX_ROUNDS) {
-            val postponed = selectJobsToPostpone(plannedJobs.sortedBy { it.dueAtUs }, capacityCores, nowUs)
-            if (postponed.isEmpty()) break
-            val withoutNextObjective = postponed.filter { !it.advanceToNextObjective() }.toSet()
+            val postponedJobs = selectJobsToPostpone(plannedJobs.sortedBy { it.dueAtUs }, capacityCores, nowUs)
+            if (postponedJobs.isEmpty()) break
+            val withoutNextObjective = postponedJobs.filter { !it.advanceToNextObjective() }.toSet()
             withoutObjective += withoutNextObjective
             plannedJobs = plannedJobs.filter { it !in withoutNextObjective }
         }
@@ -83,20 +83,20 @@
         capacityCores: Double,
         nowUs: Long,
     ): List<QueuedJob> {
-        val postponed = ArrayList<QueuedJob>()
-        val scheduled = PriorityQueue(BY_PRIORITY_AND_VALUE)
+        val postponedJobs = ArrayList<QueuedJob>()
+        val scheduledJobs = PriorityQueue(BY_PRIORITY_AND_VALUE)
         var scheduledWork = 0.0
         for (queuedJob in plannedJobs) {
-            scheduled += queuedJob
+            scheduledJobs += queuedJob
             scheduledWork += queuedJob.remainingWork
-            while (scheduled.isNotEmpty() && nowUs + scheduledWork / capacityCores > queuedJob.dueAtUs) {
-                val leastValue = scheduled.poll()
+            while (scheduledJobs.isNotEmpty() && nowUs + scheduledWork / capacityCores > queuedJob.dueAtUs) {
+                val leastValue = scheduledJobs.poll()
                 scheduledWork -= leastValue.remainingWork
-                postponed += leastValue
+                postponedJobs += leastValue
                 if (leastValue === queuedJob) break
             }
         }
-        return postponed
+        return postponedJobs
     }
 
     private val BY_DUE_TIME = compareBy<QueuedJob> { it.dueAtUs }.thenBy { it.job.createRevision }
--- a/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
@@ -14,7 +14,7 @@
 /** The planner of the placement requests of one round, for jobs in queue order. */
 internal class RequestPlanner(
     private val settings: PlacementSettings,
-    private val objectives: ServiceObjectives,
+    private val serviceObjectives: ServiceObjectives,
     private val runTimes: RunTimeEstimates,
     private val zones: ZoneConstraints,
     private val fetchUs: (JobSpec) -> Long,
@@ -39,17 +39,17 @@
         allowedTasks: (JobSpec, Resources) -> Int,
     ): List<JobRequest> {
         val plannedByTeam = HashMap<String, Resources>()
-        val selected = ArrayList<PlannedRequest>()
+        val plannedRequests = ArrayList<PlannedRequest>()
         for (job in jobs) {
-            if (selected.size >= settings.maxJobsPerRound) break
+            if (plannedRequests.size >= settings.maxJobsPerRound) break
             val spec = job.spec
             val plannedResources = plannedByTeam[spec.team] ?: RunningAttempts.NO_RESOURCES
             val count = minOf(job.pendingTasks.size, settings.maxTasksPerRequest, allowedTasks(spec, plannedResources))
             if (count <= 0) continue
             plannedByTeam[spec.team] = plannedResources - spec.resources * -count
-            selected += PlannedRequest(job, count)
+            plannedRequests += PlannedRequest(job, count)
         }
-        return groupConsecutive(selected) { isUrgent(it.job) }.flatMap { createImageRequestsFirst(it, nowUs) }
+        return groupConsecutive(plannedRequests) { isUrgent(it.job) }.flatMap { createImageRequestsFirst(it, nowUs) }
     }
 
     /**
@@ -104,7 +104,7 @@
         return JobRequest(request, job)
     }
 
-    private fun isUrgent(job: Job) = objectives.hasStartObjectiveWithin(job.spec.jobClass, URGENT_START_WITHIN_US)
+    private fun isUrgent(job: Job) = serviceObjectives.hasStartObjectiveWithin(job.spec.jobClass, URGENT_START_WITHIN_US)
 
     /**
      * Returns whether the job should prefer machines that have its image. Capacity is idle during a fetch, so the preference pays off
--- a/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
@@ -34,7 +34,7 @@
     private val settings: PlacementSettings,
     private val planner: RequestPlanner,
     private val zones: ZoneConstraints,
-    private val attempts: RunningAttempts,
+    private val runningAttempts: RunningAttempts,
     private val outbox: PartitionOutbox,
     private val context: RoundContext,
 ) {
@@ -80,7 +80,7 @@
         val unaccountedUse = context.unaccountedUse()
         val requests =
             planner.plan(waitingJobs(), nowUs) { spec, planned ->
-                attempts.allowedTaskCount(spec.team, spec.resources, unaccountedUse, planned)
+                runningAttempts.allowedTaskCount(spec.team, spec.resources, unaccountedUse, planned)
             }
         if (requests.isEmpty()) return
         currentRound = RequestRound(requests, nowUs, settings.alphaUs)
@@ -123,7 +123,7 @@
         nowUs: Long,
     ): List<Attempt> {
         val job = jobRequest.job
-        val maxTasks = minOf(jobRequest.request.count, attempts.allowedTaskCount(job.spec.team, job.spec.resources, unaccountedUse))
+        val maxTasks = minOf(jobRequest.request.count, runningAttempts.allowedTaskCount(job.spec.team, job.spec.resources, unaccountedUse))
         val offers = endingRound.offersFor(jobRequest.request.requestNumber).mapValues { (_, held) -> held.mapNotNull(::usableSlots) }
         val createdAttempts = ArrayList<Attempt>()
         for (slot in OfferSelection.selectRoomiest(offers, maxTasks, zones::zoneOf, zones.remainingTasksByZone(job, offers))) {
@@ -133,7 +133,7 @@
             attempt.partitionTerm = context.partition(slot.partition)!!.term
             // Until the frame with its start is sent, no frame from the partition can prove that the attempt is absent.
             attempt.startSeq = Long.MAX_VALUE
-            attempts.track(attempt)
+            runningAttempts.track(attempt)
             job.lastPlacedAtUs = nowUs
             createdAttempts += attempt
         }
--- a/src/main/kotlin/lichenstage/placement/UnaccountedUse.kt
+++ b/src/main/kotlin/lichenstage/placement/UnaccountedUse.kt
@@ -8,7 +8,7 @@
  * against the limit of every team (invariant 5).
  */
 internal class UnaccountedUse(
-    private val failover: FailoverRecovery,
+    private val failoverRecovery: FailoverRecovery,
     private val capacityOf: (String) -> Resources?,
 ) {
     /** Type names of the machines with untracked tasks, by machine name. */
@@ -30,7 +30,7 @@
 
     /** Returns the total of all unaccounted resources. Cores and GPUs are unlimited if a machine type is unknown; memory is always 0. */
     fun total(): Resources {
-        val awaited = failover.awaitedCapacity(capacityOf)
+        val awaited = failoverRecovery.awaitedCapacity(capacityOf)
         var cores = awaited.cores
         var gpus = awaited.gpus
         for (typeName in typeNamesByMachine.values) {
--- a/src/test/kotlin/lichenstage/placement/CloudCallerTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CloudCallerTest.kt
@@ -57,12 +57,12 @@
 
     @Example
     fun `the machine list contains all pages, and reading it fails if one page cannot be read`() {
-        val first = CloudReply.Success(MachinePage(machines.take(2), hasMore = true))
-        val last = CloudReply.Success(MachinePage(machines.drop(2), hasMore = false))
-        val completeList = replyTo(CloudCall.ListAll, mapOf(null to first, "m1" to last))
+        val firstPage = CloudReply.Success(MachinePage(machines.take(2), hasMore = true))
+        val lastPage = CloudReply.Success(MachinePage(machines.drop(2), hasMore = false))
+        val completeList = replyTo(CloudCall.ListAll, mapOf(null to firstPage, "m1" to lastPage))
         assertEquals(LeaderMessage.MachineListReceived(CloudReply.Success(machines)), completeList)
         for (failure in listOf(CloudReply.Unavailable, CloudReply.Refused(429))) {
-            assertEquals(LeaderMessage.MachineListReceived(failure), replyTo(CloudCall.ListAll, mapOf(null to first, "m1" to failure)))
+            assertEquals(LeaderMessage.MachineListReceived(failure), replyTo(CloudCall.ListAll, mapOf(null to firstPage, "m1" to failure)))
         }
     }
 
--- a/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
@@ -49,9 +49,9 @@
 
     @Example
     fun `a large job is not postponed for its size if its start objective counts per task`() {
-        val large = QueuedJob(Job(spec(1, Priority.HIGH), 1, 0), 60.0, listOf(PlannedObjective(70, 6.0)), SECOND)
-        val small = QueuedJob(Job(spec(2, Priority.HIGH), 2, 0), 20.0, listOf(PlannedObjective(75, 1.0)), SECOND)
-        assertEquals(listOf("j-1", "j-2"), ids(ObjectiveOrder.sort(listOf(large, small), 1.0, 0))) { "the large job was postponed" }
+        val largeJob = QueuedJob(Job(spec(1, Priority.HIGH), 1, 0), 60.0, listOf(PlannedObjective(70, 6.0)), SECOND)
+        val smallJob = QueuedJob(Job(spec(2, Priority.HIGH), 2, 0), 20.0, listOf(PlannedObjective(75, 1.0)), SECOND)
+        assertEquals(listOf("j-1", "j-2"), ids(ObjectiveOrder.sort(listOf(largeJob, smallJob), 1.0, 0))) { "the large job was postponed" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/placement/PartitionTableTest.kt
+++ b/src/test/kotlin/lichenstage/placement/PartitionTableTest.kt
@@ -21,10 +21,10 @@
 
     @Example
     fun `a frame that is older than the current state is ignored`() {
-        val older = partitionFrame("z", 1)
-        val newer = partitionFrame("z", 2)
-        assertNotNull(table.acceptFrame(newer, SECOND))
-        assertNull(table.acceptFrame(older, 2 * SECOND))
+        val olderFrame = partitionFrame("z", 1)
+        val newerFrame = partitionFrame("z", 2)
+        assertNotNull(table.acceptFrame(newerFrame, SECOND))
+        assertNull(table.acceptFrame(olderFrame, 2 * SECOND))
         assertEquals(SECOND, table["z/0"]!!.lastFrameAtUs) { "the late frame changed the arrival time" }
     }
 
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -198,12 +198,15 @@
             }
 
             is LeaderEffect.WriteCompletionChunks -> {
-                write(term, { effect.deltas.forEach(::recordDoneTasks) }) { leader, ok -> leader.onRangesWritten(effect.deltas, ok, nowUs) }
+                write(
+                    term,
+                    { effect.deltas.forEach(::recordDoneTasks) },
+                ) { leader, ok -> leader.onCompletionChunksWritten(effect.deltas, ok, nowUs) }
             }
 
             is LeaderEffect.RecordJobCompletion -> {
                 write(term, { state.recordDone(effect.job.spec.id) }) { leader, ok ->
-                    if (ok) leader.onCompletionRecorded(effect.job, nowUs) else leader.onCompletionFailed(effect.job)
+                    if (ok) leader.onCompletionRecorded(effect.job, nowUs) else leader.onCompletionWriteFailed(effect.job)
                 }
             }
         }
