--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -9,7 +9,7 @@
 
 /** Receives the changes of attempts that an [AttemptTracker] detects. */
 internal interface AttemptListener {
-    /** Called once per task, when its first attempt ends as done. */
+    /** Called once per task, when an attempt of the task has ended as done for the first time. */
     fun onTaskDone(
         job: Job,
         nowUs: Long,
@@ -25,7 +25,7 @@
 /** Updates attempts from the task lists of their machines, which arrive in the frames of partitions. */
 internal class AttemptTracker(
     private val leaseUs: Long,
-    private val attempts: RunningAttempts,
+    private val runningAttempts: RunningAttempts,
     private val runTimes: RunTimeEstimates,
     private val checkpointPreemption: CheckpointPreemption,
     private val isRegistered: (String) -> Boolean,
@@ -36,10 +36,10 @@
     /** Ids of the jobs with tasks that failed, by machine name. Failures of several jobs on one machine suggest a faulty machine. */
     val failedJobsByMachine = HashMap<String, HashSet<String>>()
 
-    /** The time in microseconds at which an attempt that is found to be lost counts as ended; decides up to when checkpoints count. */
+    /** The current time in microseconds. The checkpoints of an attempt that is found to be lost count up to this time. */
     private var currentTimeUs = 0L
 
-    /** Sets the time at which attempts that are lost from now on count as ended. */
+    /** Sets the current time, which is needed to determine the last checkpoint of an attempt that is found to be lost. */
     fun updateTime(nowUs: Long) {
         currentTimeUs = nowUs
     }
@@ -115,11 +115,12 @@
     /**
      * Tracks an attempt that an earlier leader started.
      *
-     * An attempt on a machine without a record is not tracked: that machine is terminated, its partition will find out (invariant 4),
-     * and the tasks may run elsewhere by now. In inc-2104 such attempts were tracked, and the attempts that really ran were stopped.
+     * An attempt on a machine without a record is not tracked (invariant 4). Such a machine may be terminated without its partition
+     * knowing this yet, and its tasks may run elsewhere by now. In inc-2104 such attempts were tracked, and the attempts that really ran
+     * were stopped. If the machine is recorded later, [AttemptRecovery] tracks its attempts then.
      *
      * If two attempts of a task are listed, the newer one is tracked. It was started only after the older one was proven to have ended.
-     * The machine that lists the older attempt was terminated, and the earlier leader had no time left to record that.
+     * In this case the machine that lists the older attempt is terminated, but the earlier leader lost its term before recording this.
      */
     private fun recoverAttempt(
         partition: PartitionRef,
@@ -134,7 +135,7 @@
             attempt.startSeq = partition.state.reflectedSeq
             attempt.phase = task.phase
             if (currentAttempt != null) supersedeAttempt(currentAttempt)
-            attempts.track(attempt)
+            runningAttempts.track(attempt)
         } else if (currentAttempt != null) {
             log.info(
                 "Conflicting attempt ignored task={} attempt={} machine={} currentAttempt={} currentMachine={}",
@@ -149,7 +150,7 @@
 
     private fun supersedeAttempt(attempt: Attempt) {
         log.info("Attempt superseded task={} attempt={} machine={}", attempt.task, attempt.number, attempt.machine)
-        attempts.remove(attempt)
+        runningAttempts.remove(attempt)
         checkpointPreemption.onAttemptEnded(attempt)
         listener.onAttemptSuperseded(attempt)
     }
@@ -174,7 +175,7 @@
         attempt: Attempt,
         savedProgressUs: Long,
     ) {
-        attempts.remove(attempt)
+        runningAttempts.remove(attempt)
         checkpointPreemption.onAttemptEnded(attempt)
         attempt.job.recordSavedProgress(attempt.index, savedProgressUs)
         attempt.job.requeueTask(attempt.index)
@@ -189,12 +190,22 @@
         candidates: Sequence<Attempt>,
         partition: (String) -> PartitionState?,
     ) {
-        val absent = candidates.filter { attempt -> partition(attempt.partition)?.let { isAbsent(attempt, it) } == true }.toList()
-        absent.forEach { log.debug("Attempt absent from its machine task={} attempt={} machine={}", it.task, it.number, it.machine) }
-        endLostAttempts(absent)
+        val absentAttempts = candidates.filter { attempt -> partition(attempt.partition)?.let { isAbsent(attempt, it) } == true }.toList()
+        absentAttempts.forEach {
+            log.debug(
+                "Attempt absent from its machine task={} attempt={} machine={}",
+                it.task,
+                it.number,
+                it.machine,
+            )
+        }
+        endLostAttempts(absentAttempts)
     }
 
-    /** Whether the partition has received the start, and the machine is lost or does not list the attempt (see [MachineKnowledge]). */
+    /**
+     * Whether the attempt is proven not to run: the partition has received its start, and the machine's lease has expired or its reliable
+     * task list does not contain the attempt (see [MachineKnowledge]).
+     */
     private fun isAbsent(
         attempt: Attempt,
         partition: PartitionState,
--- a/src/main/kotlin/lichenstage/placement/LeaderServices.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderServices.kt
@@ -14,10 +14,10 @@
 
 /** The settings of a leader that operators can change. */
 data class LeaderOptions(
-    val fleet: FleetPolicy,
+    val fleetPolicy: FleetPolicy,
     val placementSettings: PlacementSettings,
     /** The policy of drains; null if drains are not enabled. */
-    val drains: DrainPolicy?,
+    val drainPolicy: DrainPolicy?,
 )
 
 /** The services of the controller that a leader uses. */
@@ -35,8 +35,8 @@
     /**
      * Converts a recorded time of day, in microseconds, to this process's steady clock. A time in the future becomes the current time.
      */
-    fun toSteadyClockUs(recordedUs: Long): Long {
-        val ageUs = timeOfDayUs() - recordedUs
+    fun toSteadyClockUs(recordedAtUs: Long): Long {
+        val ageUs = timeOfDayUs() - recordedAtUs
         return clock.now() - ageUs.coerceAtLeast(0)
     }
 }
--- a/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
@@ -34,7 +34,7 @@
     private val settings: PlacementSettings,
     private val planner: RequestPlanner,
     private val zones: ZoneConstraints,
-    private val attempts: RunningAttempts,
+    private val runningAttempts: RunningAttempts,
     private val outbox: PartitionOutbox,
     private val context: RoundContext,
 ) {
@@ -72,18 +72,20 @@
 
     /** Broadcasts requests for the first jobs of the queue. */
     private fun beginRound(
-        waiting: () -> List<Job>,
+        waitingJobs: () -> List<Job>,
         nowUs: Long,
     ) {
         hasChangedSinceRound = false
         roundStartedAtUs = nowUs
-        val unaccounted = context.unaccountedUse()
+        val unaccountedUse = context.unaccountedUse()
         val requests =
-            planner.plan(waiting(), nowUs) { spec, planned -> attempts.allowedTaskCount(spec.team, spec.resources, unaccounted, planned) }
+            planner.plan(waitingJobs(), nowUs) { spec, planned ->
+                runningAttempts.allowedTaskCount(spec.team, spec.resources, unaccountedUse, planned)
+            }
         if (requests.isEmpty()) return
         currentRound = RequestRound(requests, nowUs, settings.alphaUs)
-        val frames = requests.map { it.request }
-        assignment.partitions.forEach { outbox.send(it, nowUs, requests = frames) }
+        val placementRequests = requests.map { it.request }
+        assignment.partitions.forEach { outbox.send(it, nowUs, requests = placementRequests) }
     }
 
     /** Starts tasks on the roomiest of the held slots, and releases the other slots. */
@@ -121,7 +123,7 @@
         nowUs: Long,
     ): List<Attempt> {
         val job = jobRequest.job
-        val maxTasks = minOf(jobRequest.request.count, attempts.allowedTaskCount(job.spec.team, job.spec.resources, unaccountedUse))
+        val maxTasks = minOf(jobRequest.request.count, runningAttempts.allowedTaskCount(job.spec.team, job.spec.resources, unaccountedUse))
         val offers = endingRound.offersFor(jobRequest.request.requestNumber).mapValues { (_, held) -> held.mapNotNull(::usableSlots) }
         val createdAttempts = ArrayList<Attempt>()
         for (slot in OfferSelection.selectRoomiest(offers, maxTasks, zones::zoneOf, zones.remainingTasksByZone(job, offers))) {
@@ -129,9 +131,9 @@
             if (index < 0) break
             val attempt = Attempt(job, index, nextAttemptNumber(), slot.machine, slot.partition)
             attempt.partitionTerm = context.partition(slot.partition)!!.term
-            // A frame from the partition says nothing about the attempt until the frame with its start has been sent.
+            // Until the frame with its start is sent, no frame from the partition can prove that the attempt is absent.
             attempt.startSeq = Long.MAX_VALUE
-            attempts.track(attempt)
+            runningAttempts.track(attempt)
             job.lastPlacedAtUs = nowUs
             createdAttempts += attempt
         }
--- a/src/test/kotlin/lichenstage/placement/CloudCallerTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CloudCallerTest.kt
@@ -21,8 +21,8 @@
     private val machines = List(3) { ListedMachine("m$it", "t", "z", true, ListedStatus.RUNNING, 0) }
 
     /**
-     * A cloud that returns its machine list in [pages]. The key of a page is the last name of the page before, and null for the first
-     * page.
+     * A cloud that returns its machine list in [pages]. The key of a page is the last machine name of the previous page, or null for the
+     * first page.
      */
     private class PagedCloud(
         private val pages: Map<String?, CloudReply<MachinePage>>,
@@ -57,12 +57,12 @@
 
     @Example
     fun `the machine list contains all pages, and reading it fails if one page cannot be read`() {
-        val first = CloudReply.Success(MachinePage(machines.take(2), hasMore = true))
-        val last = CloudReply.Success(MachinePage(machines.drop(2), hasMore = false))
-        val completeList = replyTo(CloudCall.ListAll, mapOf(null to first, "m1" to last))
+        val firstPage = CloudReply.Success(MachinePage(machines.take(2), hasMore = true))
+        val lastPage = CloudReply.Success(MachinePage(machines.drop(2), hasMore = false))
+        val completeList = replyTo(CloudCall.ListAll, mapOf(null to firstPage, "m1" to lastPage))
         assertEquals(LeaderMessage.MachineListReceived(CloudReply.Success(machines)), completeList)
         for (failure in listOf(CloudReply.Unavailable, CloudReply.Refused(429))) {
-            assertEquals(LeaderMessage.MachineListReceived(failure), replyTo(CloudCall.ListAll, mapOf(null to first, "m1" to failure)))
+            assertEquals(LeaderMessage.MachineListReceived(failure), replyTo(CloudCall.ListAll, mapOf(null to firstPage, "m1" to failure)))
         }
     }
 
--- a/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ObjectiveOrderTest.kt
@@ -12,28 +12,28 @@
 
 class ObjectiveOrderTest {
     private fun spec(
-        n: Int,
+        number: Int,
         priority: Priority,
         tasks: Int = 4,
-    ) = oneCoreSpec(n, "c", priority, tasks, estimatedRunTimeUs = 10 * SECOND)
+    ) = oneCoreSpec(number, "c", priority, tasks, estimatedRunTimeUs = 10 * SECOND)
 
     private fun queuedJob(
-        n: Int,
+        number: Int,
         work: Double,
         vararg dueTimesUs: Long,
         priority: Priority = Priority.HIGH,
-    ) = QueuedJob(Job(spec(n, priority), n.toLong(), 0), work, dueTimesUs.map { PlannedObjective(it, 1.0) }, n * SECOND)
+    ) = QueuedJob(Job(spec(number, priority), number.toLong(), 0), work, dueTimesUs.map { PlannedObjective(it, 1.0) }, number * SECOND)
 
     private fun ids(jobs: List<Job>) = jobs.map { it.spec.id }
 
     @Example
-    fun `if all objectives can be met the job with the earliest due time comes first, whatever its priority`() {
+    fun `if all objectives can be met, the job with the earliest due time comes first, whatever its priority`() {
         val order = ObjectiveOrder.sort(listOf(queuedJob(1, 5.0, 100), queuedJob(2, 5.0, 50, priority = Priority.LOW)), 1.0, 0)
         assertEquals(listOf("j-2", "j-1"), ids(order)) { "${ids(order)}" }
     }
 
     @Example
-    fun `if not all objectives can be met the largest job of the lowest priority is postponed`() {
+    fun `if not all objectives can be met, the largest job of the lowest priority is postponed`() {
         val queuedJobs =
             listOf(
                 queuedJob(1, 60.0, 70),
@@ -49,9 +49,9 @@
 
     @Example
     fun `a large job is not postponed for its size if its start objective counts per task`() {
-        val large = QueuedJob(Job(spec(1, Priority.HIGH), 1, 0), 60.0, listOf(PlannedObjective(70, 6.0)), SECOND)
-        val small = QueuedJob(Job(spec(2, Priority.HIGH), 2, 0), 20.0, listOf(PlannedObjective(75, 1.0)), SECOND)
-        assertEquals(listOf("j-1", "j-2"), ids(ObjectiveOrder.sort(listOf(large, small), 1.0, 0))) { "the large job was postponed" }
+        val largeJob = QueuedJob(Job(spec(1, Priority.HIGH), 1, 0), 60.0, listOf(PlannedObjective(70, 6.0)), SECOND)
+        val smallJob = QueuedJob(Job(spec(2, Priority.HIGH), 2, 0), 20.0, listOf(PlannedObjective(75, 1.0)), SECOND)
+        assertEquals(listOf("j-1", "j-2"), ids(ObjectiveOrder.sort(listOf(largeJob, smallJob), 1.0, 0))) { "the large job was postponed" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/placement/PartitionTableTest.kt
+++ b/src/test/kotlin/lichenstage/placement/PartitionTableTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Which frames of partition owners are applied, and what the leader concludes from them. */
+/** Tests which frames of partition owners are applied, and what the leader concludes from them. */
 class PartitionTableTest : LeaderFixture() {
     private val newOwners = ArrayList<String>()
     private val table = PartitionTable(7, assignment) { newOwners += it }
@@ -21,10 +21,10 @@
 
     @Example
     fun `a frame that is older than the current state is ignored`() {
-        val older = partitionFrame("z", 1)
-        val newer = partitionFrame("z", 2)
-        assertNotNull(table.acceptFrame(newer, SECOND))
-        assertNull(table.acceptFrame(older, 2 * SECOND))
+        val olderFrame = partitionFrame("z", 1)
+        val newerFrame = partitionFrame("z", 2)
+        assertNotNull(table.acceptFrame(newerFrame, SECOND))
+        assertNull(table.acceptFrame(olderFrame, 2 * SECOND))
         assertEquals(SECOND, table["z/0"]!!.lastFrameAtUs) { "the late frame changed the arrival time" }
     }
 
@@ -63,7 +63,7 @@
     @Example
     fun `lost machines do not count for the total cores`() {
         val partition = table.acceptFrame(partitionFrame("z", 0), SECOND)!!
-        listOf(machineState("m1"), machineState("m2"), machineState("m3", lost = true)).forEach { partition.machines[it.name] = it }
+        listOf(machineState("m1"), machineState("m2"), machineState("m3", isLost = true)).forEach { partition.machines[it.name] = it }
         assertEquals(32.0, table.totalCores { 16.0 })
         assertEquals(listOf("m3"), table.machinesWhere { it.isLost }.map { it.machine.name })
     }
