--- a/src/main/kotlin/lichenstage/app/FrameRouter.kt
+++ b/src/main/kotlin/lichenstage/app/FrameRouter.kt
@@ -8,11 +8,11 @@
 import lichenstage.cluster.Frame
 import lichenstage.cluster.Hello
 import lichenstage.cluster.JobsEnded
+import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.MoratoriumGrant
 import lichenstage.cluster.MoratoriumRequest
 import lichenstage.cluster.PartitionFrame
 import lichenstage.cluster.Ping
-import lichenstage.cluster.PlacementFrame
 import lichenstage.cluster.RelayedFrame
 import lichenstage.cluster.RequestForwarder
 import lichenstage.cluster.TaskCounts
@@ -44,7 +44,7 @@
             // The peer links handle these frames themselves.
             is Hello, is Ping, is RelayedFrame -> Unit
 
-            is PlacementFrame -> partitionActor.tell(PartitionMessage.LeaderFrameReceived(frame))
+            is LeaderFrame -> partitionActor.tell(PartitionMessage.LeaderFrameReceived(frame))
 
             is PartitionFrame -> leader()?.tell(LeaderMessage.PartitionFrameReceived(frame))
 
--- a/src/main/kotlin/lichenstage/app/WarmUp.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUp.kt
@@ -2,8 +2,8 @@
 
 import io.vertx.core.buffer.Buffer
 import lichenstage.cluster.FrameCodec
+import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.PartitionFrame
-import lichenstage.cluster.PlacementFrame
 import lichenstage.common.SECOND
 import lichenstage.config.Settings
 import lichenstage.config.Team
@@ -109,7 +109,7 @@
 /** Returns a leader whose frames are encoded, decoded again and added to [sentFrames]. */
 private fun warmUpLeader(
     resources: Resources,
-    sentFrames: MutableList<PlacementFrame>,
+    sentFrames: MutableList<LeaderFrame>,
 ) = LeaderCore(
     LeaderTerm(1, 1),
     LeaderSettings(
@@ -122,13 +122,13 @@
     ),
     LeaderLookups({ resources }),
 ) {
-    if (it is LeaderEffect.SendFrame) sentFrames += FrameCodec.decode(FrameCodec.encode(it.frame)) as PlacementFrame
+    if (it is LeaderEffect.SendFrame) sentFrames += FrameCodec.decode(FrameCodec.encode(it.frame)) as LeaderFrame
 }
 
 /** Runs the decisions of a leader and of a partition, with their frames, so that the archive contains their classes. */
 private fun exerciseDecisions() {
     val resources = Resources(1.0, 0.0, 1.0)
-    val sentFrames = ArrayList<PlacementFrame>()
+    val sentFrames = ArrayList<LeaderFrame>()
     val leader = warmUpLeader(resources, sentFrames)
     val spec =
         JobSpec("j-1", "c", "t", Priority.HIGH, 1, resources, null, null, false, false, true, "i", 1.0, SECOND, 0, 0, null, 0)
--- a/src/main/kotlin/lichenstage/authority/AcquisitionDelay.kt
+++ b/src/main/kotlin/lichenstage/authority/AcquisitionDelay.kt
@@ -15,7 +15,10 @@
 ) {
     private val rank = (settings.peers.map { it.label } + settings.label).sorted().indexOf(settings.label)
 
-    /** Whether the home partition of this controller is no larger than others: the controller shares its zone, or no controllers do. */
+    /**
+     * Whether the home partition of this controller is no larger than those of other controllers. This is the case if another controller
+     * is in the same zone, or if no two controllers are in the same zone.
+     */
     private val isEvenlyShared = isZoneShared() || zoneCount() > peerCount()
 
     private fun isZoneShared() = settings.peers.any { it.zone == settings.zone }
@@ -31,22 +34,25 @@
     /**
      * Returns the delay in microseconds.
      *
-     * [heldCount] is the number of keys that this controller holds, and [home] the home controller of the partition; null if there is
-     * none. [isHomeHealthy] says that the home controller is reachable and receives replies from the state service: it is about to acquire
-     * the partition itself. Waiting for it avoids a second change of owner. (Seen on Baile's lean "rough" day: all processes restarted
-     * within a second, the first one acquired two partitions and the leadership, and released the second partition after 36 s.)
+     * While the home controller is healthy, this controller waits longer, because the home controller is about to acquire the partition
+     * itself. The wait avoids a second change of owner. Incident (Baile, lean, "rough" day): all processes restarted within a second. The
+     * first one acquired two partitions and the leadership, and released the second partition after 36 s.
+     *
+     * @param heldCount the number of keys that this controller holds
+     * @param homeController the home controller of the partition; null if there is none
+     * @param isHomeHealthy whether the home controller is reachable and receives replies from the state service
      */
     fun delayUs(
         isLeadership: Boolean,
         heldCount: Int,
-        home: String?,
+        homeController: String?,
         hasEverBeenOwned: Boolean,
         isHomeHealthy: Boolean,
     ): Long =
         when {
             isLeadership -> heldCount * LEADERSHIP_PER_KEY_US + rank * LEADERSHIP_PER_RANK_US + if (isEvenlyShared) 0 else UNEVEN_SHARE_US
-            home == settings.label -> 0
-            home != null && (!hasEverBeenOwned || isHomeHealthy) -> HOME_FIRST_US + rank * HOME_FIRST_PER_RANK_US
+            homeController == settings.label -> 0
+            homeController != null && (!hasEverBeenOwned || isHomeHealthy) -> HOME_FIRST_US + rank * HOME_FIRST_PER_RANK_US
             else -> FOREIGN_US + heldCount * FOREIGN_PER_KEY_US + rank * FOREIGN_PER_RANK_US
         }
 
--- a/src/main/kotlin/lichenstage/authority/AcquisitionMoratorium.kt
+++ b/src/main/kotlin/lichenstage/authority/AcquisitionMoratorium.kt
@@ -10,11 +10,11 @@
 
 /**
  * The protocol by which controllers agree to acquire no keys for a short time while the state service is unavailable to all of them
- * (invariant 2). This class requests moratoriums from the other controllers and grants its own.
+ * (invariant 2). This class requests moratoriums from the other controllers and grants moratoriums to them.
  *
- * A controller grants no moratorium while it receives replies from the state service or while one of its acquisitions may still succeed:
- * it could see the lease of the requester expire and acquire its keys. One renewal without a reply is enough to grant a moratorium, since
- * a controller whose requests failed earlier has little of its lease left when the others notice the outage.
+ * A controller grants no moratorium while it receives replies from the state service or while one of its acquisitions may still succeed,
+ * because it could then see the requester's lease expire and acquire the requester's keys. After one renewal without a reply, a controller
+ * grants moratoriums: a requester whose renewals failed earlier has little of its lease left when the others notice the outage.
  */
 internal class AcquisitionMoratorium(
     settings: Settings,
@@ -27,8 +27,8 @@
     private val peers = settings.peers.map { it.label }.toSet()
 
     /**
-     * The moratoriums of the other controllers. If the settings list fewer controllers than exist, this has no peers and never extends
-     * the lease, since the unlisted controllers cannot be asked.
+     * The moratoriums of the other controllers. If the settings list fewer controllers than exist, the set of peers is empty and the lease
+     * is never extended, because the unlisted controllers cannot be asked.
      */
     private val peerMoratoriums = PeerMoratoriums(if (settings.controllerCount == peers.size + 1) peers else emptySet())
 
@@ -49,7 +49,7 @@
     ) {
         val nowUs = clock.now()
         if ((lease.isStateServiceAvailable() && !lease.isRenewalUnanswered) || acquisition.mayStillSucceed(nowUs)) return
-        acquisition.moratorium.grant(nowUs)
+        acquisition.localMoratorium.grant(nowUs)
         send(from, MoratoriumGrant(request.incarnation, request.requestedAtUs))
     }
 
--- a/src/main/kotlin/lichenstage/authority/Authority.kt
+++ b/src/main/kotlin/lichenstage/authority/Authority.kt
@@ -33,8 +33,8 @@
     private val lease = ProcessLease(state, clock, LeaseDuration.of(settings), ::notifyChange)
     private val heldOwnerships = HeldOwnerships(settings.label, lease, table)
     private val acquisition = OwnershipAcquisition(settings, state, clock, lease, table, heldOwnerships, isPeerHealthy, ::notifyChange)
-    private val release = OwnershipRelease(state, table, heldOwnerships, acquisition, ::notifyChange)
-    private val moratorium = AcquisitionMoratorium(settings, clock, lease, acquisition, send)
+    private val ownershipRelease = OwnershipRelease(state, table, heldOwnerships, acquisition, ::notifyChange)
+    private val acquisitionMoratorium = AcquisitionMoratorium(settings, clock, lease, acquisition, send)
     private val tokenReservation = FencingTokenReservation(state, table)
     private val watcher = OwnershipWatcher(state, table, ::revokePredecessors, ::notifyChange, ::onOwnershipEvents)
 
@@ -67,7 +67,7 @@
     fun start() {
         scope.launch { lease.run() }
         scope.launch { watcher.run() }
-        scope.launch { moratorium.run() }
+        scope.launch { acquisitionMoratorium.run() }
         scope.launch { acquisition.run() }
     }
 
@@ -75,16 +75,16 @@
     fun onMoratoriumRequest(
         from: String,
         request: MoratoriumRequest,
-    ) = moratorium.onRequest(from, request)
+    ) = acquisitionMoratorium.onRequest(from, request)
 
     /** Handles another controller's grant of an acquisition moratorium. */
     fun onMoratoriumGrant(
         from: String,
         grant: MoratoriumGrant,
-    ) = moratorium.onGrant(from, grant)
+    ) = acquisitionMoratorium.onGrant(from, grant)
 
     /** Releases a partition to its home controller. Returns once the release is confirmed. */
-    suspend fun releasePartition(partition: String) = release.release(OwnershipRecords.partitionKey(partition))
+    suspend fun releasePartition(partition: String) = ownershipRelease.release(OwnershipRecords.partitionKey(partition))
 
     /**
      * Reserves [count] fencing tokens above all tokens and terms issued before, for the owner of [partition] only. Returns null if none can
--- a/src/main/kotlin/lichenstage/authority/Holder.kt
+++ b/src/main/kotlin/lichenstage/authority/Holder.kt
@@ -1,10 +1,13 @@
 package lichenstage.authority
 
-/** The controller that holds a key, with the term and the process lease. [modRevision] is the revision of the ownership record. */
+/**
+ * The controller that holds a key, and the [term] of this ownership. [leaseId] is the process lease to which the ownership is attached, and
+ * [modRevision] the revision of the ownership record.
+ */
 data class Holder(
     val label: String,
     val term: Long,
-    val lease: Long,
+    val leaseId: Long,
     val modRevision: Long,
 )
 
--- a/src/main/kotlin/lichenstage/authority/LeaseDuration.kt
+++ b/src/main/kotlin/lichenstage/authority/LeaseDuration.kt
@@ -9,8 +9,8 @@
  * The lease is short, since no controller can acquire the keys of a dead process before its lease expires. It must outlast the stalls
  * of a live process, which occur after its start, while its code is interpreted and compiled and all peers reconnect.
  *
- * This guards against controllers that lose their lease because they are slow. Each loss moves their partitions, which slows down the
- * other controllers. (Seen on Baile's lean "rough" day: eleven failovers within a minute after two crashes.)
+ * This guards against controllers that lose their lease because they are slow. Each loss moves their partitions to other controllers and
+ * slows those down. Incident (Baile, lean, "rough" day): eleven failovers within a minute after two crashes.
  */
 internal object LeaseDuration {
     /** The CPU time that a newly started process uses without a break before it runs its timers again. */
--- a/src/main/kotlin/lichenstage/authority/Moratoriums.kt
+++ b/src/main/kotlin/lichenstage/authority/Moratoriums.kt
@@ -14,18 +14,18 @@
 class PeerMoratoriums(
     private val peers: Set<String>,
 ) {
-    private val untilUs = HashMap<String, Long>()
+    private val grantedUntilUsByPeer = HashMap<String, Long>()
 
     /** Records that [peer] granted a request sent at [requestedAtUs]. Its moratorium started at that time or later. */
     fun recordGrant(
         peer: String,
         requestedAtUs: Long,
     ) {
-        untilUs.merge(peer, requestedAtUs + MORATORIUM_US, ::maxOf)
+        grantedUntilUsByPeer.merge(peer, requestedAtUs + MORATORIUM_US, ::maxOf)
     }
 
     /** Returns the time until which no other controller acquires a key; [Long.MIN_VALUE] if that is unknown. */
-    fun grantedUntilUs(): Long = if (peers.isEmpty()) Long.MIN_VALUE else peers.minOf { untilUs[it] ?: Long.MIN_VALUE }
+    fun grantedUntilUs(): Long = if (peers.isEmpty()) Long.MIN_VALUE else peers.minOf { grantedUntilUsByPeer[it] ?: Long.MIN_VALUE }
 
     companion object {
         /** The time for which a controller acquires no key after a grant, before the allowance for clock drift and the margin. */
@@ -50,7 +50,7 @@
     /** Returns whether no moratorium of this process is in force at [nowUs]. */
     fun hasExpired(nowUs: Long) = nowUs > grantedUntilUs
 
-    private fun untilUs(from: Long) = from + withDrift(PeerMoratoriums.MORATORIUM_US) + MARGIN_US
+    private fun untilUs(startsAtUs: Long) = startsAtUs + withDrift(PeerMoratoriums.MORATORIUM_US) + MARGIN_US
 
     private companion object {
         const val MARGIN_US = SECOND / 10
--- a/src/main/kotlin/lichenstage/authority/OwnershipAcquisition.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipAcquisition.kt
@@ -30,7 +30,7 @@
     private val lag = EventLoopLag()
 
     /** The moratoriums granted by this process, on which other controllers rely. While one is in force, it acquires nothing. */
-    val moratorium = LocalMoratorium(clock.now())
+    val localMoratorium = LocalMoratorium(clock.now())
 
     /** The times since which keys have had no holder, by key. A deferred key has a time in the future. */
     private val unownedSinceUs = HashMap<String, Long>()
@@ -85,16 +85,22 @@
     }
 
     private fun delayUs(key: String): Long {
-        val home = settings.assignment.homeController(OwnershipRecords.partitionOf(key))
-        val isHomeHealthy = home != null && home != settings.label && isPeerHealthy(home)
+        val homeController = settings.assignment.homeController(OwnershipRecords.partitionOf(key))
+        val isHomeHealthy = homeController != null && homeController != settings.label && isPeerHealthy(homeController)
         val isLeadership = key == OwnershipRecords.LEADER_KEY
-        return acquisitionDelay.delayUs(isLeadership, heldOwnerships.recordedKeyCount, home, table.hasEverBeenOwned(key), isHomeHealthy) +
+        return acquisitionDelay.delayUs(
+            isLeadership,
+            heldOwnerships.recordedKeyCount,
+            homeController,
+            table.hasEverBeenOwned(key),
+            isHomeHealthy,
+        ) +
             AcquisitionDelay.lagDelayUs(lag.currentUs)
     }
 
     private suspend fun acquire(key: String) {
         val leaseId = lease.id ?: return
-        if (isInProgress || !moratorium.hasExpired(clock.now())) return
+        if (isInProgress || !localMoratorium.hasExpired(clock.now())) return
         isInProgress = true
         try {
             val counter = table.nextCounter(key)
--- a/src/main/kotlin/lichenstage/authority/ProcessLease.kt
+++ b/src/main/kotlin/lichenstage/authority/ProcessLease.kt
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The lease of this process, to which its ownerships are attached (invariant 2). It is acquired and renewed here. [onChange] is called when
- * the lease becomes valid and when the service reports its end.
+ * The lease of this process, to which its ownerships are attached (invariant 2). This class acquires and renews the lease. It calls
+ * [onChange] when the lease becomes valid and when the service reports its end.
  */
 internal class ProcessLease(
     private val state: KeyValueStoreClient,
--- a/src/main/kotlin/lichenstage/cloud/CloudCodec.kt
+++ b/src/main/kotlin/lichenstage/cloud/CloudCodec.kt
@@ -44,7 +44,7 @@
             .put("hire", request.name)
             .put(TYPE, request.typeName)
             .put(ZONE, request.zone)
-            .put(SPOT, request.spot)
+            .put(SPOT, request.isSpot)
             .put("number", request.count)
 
     fun encodeTerminate(machines: List<String>): JsonObject = JsonObject().put(MACHINES, JsonArray(machines))
--- a/src/main/kotlin/lichenstage/cloud/MachineListing.kt
+++ b/src/main/kotlin/lichenstage/cloud/MachineListing.kt
@@ -5,7 +5,7 @@
     val name: String,
     val typeName: String,
     val zone: String,
-    val spot: Boolean,
+    val isSpot: Boolean,
     val status: ListedStatus,
     /** Time since the machine was provisioned, in microseconds. */
     val ageUs: Long,
--- a/src/main/kotlin/lichenstage/cloud/Provisioning.kt
+++ b/src/main/kotlin/lichenstage/cloud/Provisioning.kt
@@ -5,7 +5,7 @@
     val name: String,
     val typeName: String,
     val zone: String,
-    val spot: Boolean,
+    val isSpot: Boolean,
     val count: Int,
 )
 
--- a/src/main/kotlin/lichenstage/cluster/Frame.kt
+++ b/src/main/kotlin/lichenstage/cluster/Frame.kt
@@ -27,7 +27,10 @@
     val isStateServiceAvailable: Boolean,
 ) : Frame
 
-/** A frame that a third controller relays between two that cannot reach each other (the "intermediate agent" of the paper). */
+/**
+ * A frame that a third controller relays between two controllers that cannot reach each other. The third controller is the "intermediate
+ * agent" of the paper that docs/design.md follows.
+ */
 @Serializable
 @SerialName("lichenstage.cluster.Relayed")
 data class RelayedFrame(
--- a/src/main/kotlin/lichenstage/cluster/PartitionFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PartitionFrames.kt
@@ -34,15 +34,15 @@
 /**
  * The state of a machine as the owner of its partition sees it.
  *
- * - [isTokenConfirmed]: the worker has reported the fencing token of its partition.
- * - [isUnresponsive]: the worker sends heartbeats but does not reply to direct orders.
- * - [isSilent]: several heartbeats are overdue.
- * - [isLost]: the machine has been silent for longer than its lease, so nothing runs on it any more.
- * - [timeUntilReclaimUs]: the time until the cloud takes the spot machine back; null without such a notice.
+ * - [isTokenConfirmed]: the worker has reported a fencing token of the partition's current owner.
+ * - [isUnresponsive]: it is doubtful that commands reach the worker, for example because a direct order got no reply.
+ * - [isSilent]: no message of the worker has arrived for several heartbeat intervals.
+ * - [isLost]: the worker's lease has expired, so nothing runs on the machine any more.
+ * - [timeUntilReclaimUs]: the time until the cloud provider reclaims the spot machine, in microseconds; null without such a notice.
  *
- * A frame carries only changes: [tasks] has the attempts that changed since the leader last acknowledged this machine, and
- * [removedAttempts] the numbers of those that the worker no longer reports. Otherwise the end of one task would resend all tasks of the
- * machine.
+ * A frame carries only changes: [tasks] contains the attempts that changed since the leader last acknowledged this machine, and
+ * [removedAttempts] the numbers of the attempts that the owner has removed since then. If frames carried complete states, the end of one
+ * task would resend all tasks of the machine.
  */
 @Serializable
 @CborArray
@@ -69,8 +69,8 @@
 }
 
 /**
- * A machine's part of a hold: capacity reserved for [count] tasks of a placement request. [maxCount] is the number of its tasks that would
- * fit on the machine. [hasImage] says whether the machine has the image of the request or is fetching it.
+ * A machine's part of a hold: capacity reserved for [count] tasks of a placement request. [maxCount] is the number of tasks of the request
+ * that would fit on the machine. [hasImage] says whether the machine probably has the request's image or is fetching it.
  */
 @Serializable
 @CborArray
@@ -81,7 +81,7 @@
     val hasImage: Boolean,
 )
 
-/** The capacity that a partition holds for the placement request [requestNumber]; no [slots] if it has none for it. */
+/** The capacity that a partition holds for the placement request [requestNumber]; [slots] is empty if the partition holds none. */
 @Serializable
 @CborArray
 data class Offer(
@@ -93,9 +93,10 @@
  * The state of a partition for the leader: the machines that changed after the version that the leader has acknowledged, in the order of
  * their changes, up to [version].
  *
- * After a failover this covers all machines and is split into several frames: partial frames, then a final frame ([isFinal]). Only after
- * a final frame may the leader draw conclusions from the absence of a machine or task. For the same reason, [seq], the sequence number of
- * the last leader frame that this state reflects, advances only with a final frame (invariant 17).
+ * A state that does not fit into one frame is split into partial frames and a final frame ([isFinal]), for example after a failover, when
+ * it covers all machines. Only after a final frame may the leader draw conclusions from the absence of a machine or task. For the same
+ * reason, only a final frame may advance [seq] to the newest leader frame that the partition has received ([receivedSeq]). The effects of
+ * the leader frames up to [seq] are completely contained in the state (invariant 17).
  */
 @Serializable
 @SerialName("lichenstage.cluster.PartFrame")
--- a/src/main/kotlin/lichenstage/cluster/PeerConnections.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerConnections.kt
@@ -20,8 +20,8 @@
     vertx: Vertx,
     private val label: String,
     private val peers: List<Peer>,
-    private val frames: Counter,
-    private val frameBytes: Counter,
+    private val frameCounter: Counter,
+    private val frameByteCounter: Counter,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.cluster")
     private val client = vertx.createNetClient(NetClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS).setTcpNoDelay(true))
@@ -45,8 +45,8 @@
 
     private fun encode(frame: Frame): Buffer {
         val bytes = FrameCodec.encode(frame)
-        frames.increment()
-        frameBytes.increment(bytes.size.toDouble())
+        frameCounter.increment()
+        frameByteCounter.increment(bytes.size.toDouble())
         return FrameStream.withLengthPrefix(bytes)
     }
 
--- a/src/main/kotlin/lichenstage/cluster/PeerLinks.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerLinks.kt
@@ -17,12 +17,12 @@
     private val clock: Clock,
     private val scope: CoroutineScope,
     private val isStateServiceAvailable: () -> Boolean,
-    frames: Counter,
-    frameBytes: Counter,
+    frameCounter: Counter,
+    frameByteCounter: Counter,
     private val onFrame: (String, Frame) -> Unit,
 ) {
     private val liveness = PeerLiveness()
-    private val connections = PeerConnections(vertx, settings.label, settings.peers, frames, frameBytes)
+    private val connections = PeerConnections(vertx, settings.label, settings.peers, frameCounter, frameByteCounter)
     private val server = PeerServer(vertx, settings.clusterListen, ::receive)
 
     /** Starts to listen for the other controllers, to connect to them and to send them pings. */
@@ -48,8 +48,8 @@
     fun isStable(label: String) = liveness.isStable(label, clock.now())
 
     /**
-     * Sends [frame] to the controller [to], through a third controller if no frames arrive directly from [to]. A later frame makes up for
-     * a dropped one, and the receiver recognizes delayed and duplicated frames.
+     * Sends [frame] to the controller [to]. If no frames arrive directly from [to], a reachable third controller relays the frame. A frame
+     * may be dropped: a later frame makes up for it. The receiver recognizes delayed and duplicated frames.
      */
     fun send(
         to: String,
--- a/src/main/kotlin/lichenstage/cluster/PeerLiveness.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerLiveness.kt
@@ -5,9 +5,9 @@
 
 /** The liveness of the other controllers (reachable, healthy, stable), derived from the frames and pings that they send. */
 internal class PeerLiveness {
-    private val lastFrameAtUs = HashMap<String, Long>()
-    private val healthySinceUs = HashMap<String, Long>()
-    private val isStateServiceAvailable = HashMap<String, Boolean>()
+    private val lastFrameAtUsByPeer = HashMap<String, Long>()
+    private val healthySinceUsByPeer = HashMap<String, Long>()
+    private val stateServiceAvailableByPeer = HashMap<String, Boolean>()
     private val punctualityByPeer = HashMap<String, PingPunctuality>()
 
     /** Handles a frame received directly from the controller [from], that is, not relayed. */
@@ -16,8 +16,8 @@
         nowUs: Long,
     ) {
         // After a silence the controller may run as a new process, so its healthy time starts again.
-        if (!isReachable(from, nowUs)) healthySinceUs.remove(from)
-        lastFrameAtUs[from] = nowUs
+        if (!isReachable(from, nowUs)) healthySinceUsByPeer.remove(from)
+        lastFrameAtUsByPeer[from] = nowUs
     }
 
     /** Handles the content of a ping, after [onFrameReceived] for the same frame. */
@@ -26,29 +26,29 @@
         ping: Ping,
         nowUs: Long,
     ) {
-        isStateServiceAvailable[from] = ping.isStateServiceAvailable
+        stateServiceAvailableByPeer[from] = ping.isStateServiceAvailable
         punctualityByPeer.getOrPut(from) { PingPunctuality(STABLE_AFTER_US, PING_INTERVAL_US) }.onPingReceived(nowUs)
-        if (ping.isStateServiceAvailable) healthySinceUs.putIfAbsent(from, nowUs) else healthySinceUs.remove(from)
+        if (ping.isStateServiceAvailable) healthySinceUsByPeer.putIfAbsent(from, nowUs) else healthySinceUsByPeer.remove(from)
     }
 
     /** Returns whether frames of the controller [label] arrive directly, the last one less than [SILENCE_TIMEOUT_US] ago. */
     fun isReachable(
         label: String,
         nowUs: Long,
-    ) = nowUs - (lastFrameAtUs[label] ?: NEVER_US) < SILENCE_TIMEOUT_US
+    ) = nowUs - (lastFrameAtUsByPeer[label] ?: NEVER_US) < SILENCE_TIMEOUT_US
 
     /** Returns whether the controller [label] is reachable and receives replies from the state service. */
     fun isHealthy(
         label: String,
         nowUs: Long,
-    ) = isReachable(label, nowUs) && isStateServiceAvailable[label] == true
+    ) = isReachable(label, nowUs) && stateServiceAvailableByPeer[label] == true
 
     /** Returns whether the controller [label] has been healthy for [STABLE_AFTER_US] and its pings were on time. */
     fun isStable(
         label: String,
         nowUs: Long,
     ): Boolean =
-        isHealthy(label, nowUs) && nowUs - (healthySinceUs[label] ?: nowUs) > STABLE_AFTER_US &&
+        isHealthy(label, nowUs) && nowUs - (healthySinceUsByPeer[label] ?: nowUs) > STABLE_AFTER_US &&
             punctualityByPeer[label]?.isPunctual(nowUs) == true
 
     companion object {
--- a/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
@@ -10,9 +10,9 @@
 import lichenstage.model.JobRequirements
 
 /**
- * A placement request: asks a partition to hold capacity for [count] tasks of one job. Each partition processes requests in the order of
- * their [requestNumber]. With [isImageRequired], only machines that have the image are of use: on others, fetching the image would take a
- * large part of the run time.
+ * A request to a partition to hold capacity for [count] tasks of one job. Each partition processes the requests of a frame in the order of
+ * their [requestNumber]. If [isImageRequired], the partition holds capacity only on machines that have the image, because fetching the
+ * image would take a large part of the run time.
  */
 @Serializable
 @CborArray
@@ -47,11 +47,11 @@
 )
 
 /**
- * An order to stop a running attempt that can save a checkpoint, with [leewayUs] microseconds to save. Versions that do not support this
- * order ignore it, so the task continues to run.
+ * An order to stop a running attempt after it had [leewayUs] microseconds to save a checkpoint. Versions that do not support this order
+ * ignore it, so the task continues to run.
  */
 @Serializable
-data class SaveOrder(
+data class CheckpointStopOrder(
     val machine: String,
     val task: String,
     val attempt: Long,
@@ -59,14 +59,14 @@
 )
 
 /**
- * The leader's placement requests and orders to one partition.
+ * A frame with the leader's placement requests and orders to one partition.
  *
  * A partition accepts frames only from the newest [term] it has seen (invariant 8), and within that term only with an increasing [seq].
- * [cordoned] has the machines that get no more tasks; null means that the set is the same as in the previous frames.
+ * [cordoned] contains the machines that get no more tasks; null means that the set is the same as in the previous frames.
  */
 @Serializable
 @SerialName("lichenstage.cluster.LeaderFrame")
-data class PlacementFrame(
+data class LeaderFrame(
     @SerialName("part")
     val partition: String,
     val term: Long,
@@ -89,5 +89,6 @@
     val cordoned: Set<String>? = null,
     /** Omitted from the frame if empty, so that the bytes equal those of versions without this field. */
     @EncodeDefault(EncodeDefault.Mode.NEVER)
-    val saves: List<SaveOrder> = emptyList(),
+    @SerialName("saves")
+    val checkpointStops: List<CheckpointStopOrder> = emptyList(),
 ) : Frame
--- a/src/main/kotlin/lichenstage/cluster/PlacementScore.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementScore.kt
@@ -1,8 +1,8 @@
 package lichenstage.cluster
 
 /**
- * The worst-fit order of machines (the "roomiest offer" of the paper). Partitions use it to hold capacity, and the leader to choose among
- * offers.
+ * The worst-fit order of machines (the "roomiest offer" of the paper that docs/design.md follows). Partitions use it to hold capacity, and
+ * the leader uses it to choose among offers.
  *
  * Free capacity is counted in tasks of the request, up to the number of tasks still to place: two machines that can each take all of
  * these tasks rank equal. Among equals, machines with the image come first, since fetching an image takes as long as many tasks run. The
@@ -30,11 +30,11 @@
         while (remaining > 0 && next < sorted.size) {
             var best = next
             for (i in next + 1 until sorted.size) if (isRoomier(sorted[i], sorted[best], remaining)) best = i
-            val held = sorted[best]
+            val bestSlots = sorted[best]
             sorted[best] = sorted[next]
             next++
-            val taken = minOf(held.count, remaining)
-            selected += if (taken == held.count) held else held.copy(count = taken)
+            val taken = minOf(bestSlots.count, remaining)
+            selected += if (taken == bestSlots.count) bestSlots else bestSlots.copy(count = taken)
             remaining -= taken
         }
         return selected
--- a/src/main/kotlin/lichenstage/cluster/RequestForwarder.kt
+++ b/src/main/kotlin/lichenstage/cluster/RequestForwarder.kt
@@ -5,12 +5,17 @@
 import lichenstage.common.timeOfDayUs
 import org.agrona.collections.Long2ObjectHashMap
 
-/** The forwarder of users' requests to another controller, [healthyPeer], which replies as an intermediate agent of the paper does. */
+/**
+ * The forwarder of users' requests to another controller. The other controller is the "intermediate agent" of the paper that
+ * docs/design.md follows.
+ *
+ * @property healthyPeer returns the label of a healthy controller; null if there is none
+ */
 class RequestForwarder(
     private val healthyPeer: () -> String?,
     private val send: (String, Frame) -> Unit,
 ) {
-    private val pending = Long2ObjectHashMap<CompletableDeferred<ForwardedReply>>()
+    private val pendingReplies = Long2ObjectHashMap<CompletableDeferred<ForwardedReply>>()
 
     /**
      * The number of the last request. It starts above the numbers of earlier processes of this controller, so that a late reply to one of
@@ -27,21 +32,21 @@
         text: String,
     ): ForwardedReply? {
         val to = healthyPeer() ?: return null
-        if (pending.size >= MAX_PENDING) return null
+        if (pendingReplies.size >= MAX_PENDING) return null
         val number = ++lastNumber
         val reply = CompletableDeferred<ForwardedReply>()
-        pending[number] = reply
+        pendingReplies[number] = reply
         return try {
             send(to, ForwardedRequest(number, verb, text))
             withTimeoutOrNull(REPLY_TIMEOUT_MS) { reply.await() }
         } finally {
-            pending.remove(number)
+            pendingReplies.remove(number)
         }
     }
 
     /** Handles the reply of another controller; drops it if its request has timed out. */
     fun onReply(frame: ForwardedReply) {
-        pending[frame.number]?.complete(frame)
+        pendingReplies[frame.number]?.complete(frame)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/fleet/FleetCore.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetCore.kt
@@ -101,7 +101,7 @@
         nowUs: Long,
     ): List<String> {
         val names = scaleOut.onProvisionReply(request, result, nowUs)
-        names.forEach { addMachine(it, request.typeName, request.zone, request.spot, nowUs) }
+        names.forEach { addMachine(it, request.typeName, request.zone, request.isSpot, nowUs) }
         return names
     }
 
--- a/src/main/kotlin/lichenstage/fleet/FleetInventory.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetInventory.kt
@@ -70,7 +70,7 @@
         nowUs: Long,
     ) {
         for (row in listed) {
-            add(row.name, row.typeName, row.zone, row.spot, nowUs - row.ageUs)
+            add(row.name, row.typeName, row.zone, row.isSpot, nowUs - row.ageUs)
             machines[row.name]?.hasFailed = row.status == ListedStatus.FAILED
         }
     }
--- a/src/main/kotlin/lichenstage/fleet/ScaleOut.kt
+++ b/src/main/kotlin/lichenstage/fleet/ScaleOut.kt
@@ -108,7 +108,7 @@
         result: ProvisionResult,
         nowUs: Long,
     ): List<String> {
-        val pool = CapacityPool(request.typeName, request.zone, request.spot)
+        val pool = CapacityPool(request.typeName, request.zone, request.isSpot)
         when (result) {
             is ProvisionResult.Provisioned -> {
                 pendingRequest = null
--- a/src/main/kotlin/lichenstage/partition/ChangeLog.kt
+++ b/src/main/kotlin/lichenstage/partition/ChangeLog.kt
@@ -120,8 +120,12 @@
         while (!unconfirmedFrames.isEmpty() && unconfirmedFrames.firstLongKey() <= leaderVersion) unconfirmedFrames.removeFirstLong()
     }
 
-    /** Gives the final frame a version that no partial frame can end with, so that its acknowledgement cannot be mistaken for theirs. */
-    private fun startFinalFrame() {
+    /**
+     * Assigns a new version to the final frame, unless the leader has already confirmed [receivedSeq] or the current version belongs to an
+     * earlier final frame with the same [receivedSeq]. No partial frame ends with the new version, so the leader's acknowledgement of this
+     * version proves that the final frame has arrived.
+     */
+    private fun assignFinalFrameVersion() {
         val isConfirmed = receivedSeq == confirmedSeq
         val isVersionShared = unconfirmedFrames.containsKey(version) && unconfirmedFrames.get(version) == receivedSeq
         if (isConfirmed || isVersionShared) return
@@ -143,7 +147,7 @@
         val includedMachines = selectNextMachines(machineCount)
         val isFinal = includedMachines.size == unacknowledged.size
         isFrameRequested = !isFinal
-        if (isFinal) startFinalFrame()
+        if (isFinal) assignFinalFrameVersion()
         return buildFrame(nowUs, includedMachines, isFinal).also { pendingOffers.clear() }
     }
 
@@ -200,8 +204,8 @@
         private const val MACHINES_PER_GROUP = 400
 
         /**
-         * At about 50 bytes per attempt, the frame stays well below the size limit of the reader, and a process with little memory can hold
-         * it twice.
+         * The maximum number of attempts in a frame of several machines. At about 50 bytes per attempt, the frame stays well below the size
+         * limit of the receiver, and a process with little memory can hold it twice.
          */
         private const val MAX_ATTEMPTS_PER_FRAME = 30_000
         private const val MAX_UNCONFIRMED_FRAMES = 64
--- a/src/main/kotlin/lichenstage/partition/EndedJobStopper.kt
+++ b/src/main/kotlin/lichenstage/partition/EndedJobStopper.kt
@@ -6,13 +6,13 @@
 
 /**
  * Stops the tasks of ended jobs without waiting for the leader (invariants 10 and 15). The leader may be unreachable, or may not know of a
- * cancellation yet, while this partition's replies to heartbeats keep renewing the workers' leases.
+ * cancellation yet. In the meantime this partition's replies to heartbeats keep renewing the workers' leases.
  */
 internal class EndedJobStopper(
     private val jobCompletions: JobCompletions,
     private val machines: MachineRegistry,
-    private val orders: OrderQueue,
-    private val fencing: OrderFencing,
+    private val orderQueue: OrderQueue,
+    private val orderFencing: OrderFencing,
     private val reportEvent: (OrderEvent) -> Unit,
 ) {
     private var lastCheckAtUs = Long.MIN_VALUE / 2
@@ -24,7 +24,7 @@
         val eventsByJob = HashMap<String, OrderEvent.JobEnded>()
         for (machine in machines.all) {
             for (attempt in machine.attempts.values) {
-                fencing.updateJobConfirmedOpenTime(attempt)
+                orderFencing.updateJobConfirmedOpenTime(attempt)
                 if (needsStop(attempt)) {
                     stop(machine, attempt)
                     eventsByJob.merge(attempt.job, jobEndedEvent(attempt), OrderEvent.JobEnded::plus)
@@ -42,8 +42,8 @@
         attempt: WorkerAttempt,
     ) {
         attempt.isStopRequested = true
-        orders.add(machine)
-        if (!attempt.isListed) fencing.addUnwantedStart(machine)
+        orderQueue.add(machine)
+        if (!attempt.isListed) orderFencing.addUnwantedStart(machine)
     }
 
     private fun jobEndedEvent(attempt: WorkerAttempt) =
--- a/src/main/kotlin/lichenstage/partition/FencingTokens.kt
+++ b/src/main/kotlin/lichenstage/partition/FencingTokens.kt
@@ -26,7 +26,7 @@
     private val remainingCount get() = reservedRanges.sumOf { it.last - it.first + 1 }
 
     /**
-     * Whether more tokens should be reserved. The threshold is reached long before the last token is needed, because the key-value store
+     * Whether more tokens should be reserved. The threshold is reached long before the last token is needed, because the state service
      * may be unavailable at that time.
      */
     val isLow get() = remainingCount < LOW_WATERMARK
@@ -34,16 +34,16 @@
     /**
      * Returns whether the caller should reserve tokens now, and records the attempt if so.
      *
-     * A reservation may fail, so it is attempted again after a while. In the first seconds of an ownership the key-value store is busy with
-     * ownership keys, so there are no attempts then unless [lacksToken] is set.
+     * A reservation may fail, so it is attempted again after a while. In the first seconds of an ownership the state service is busy with
+     * ownership keys, so there are no attempts then unless [lacksTokens] is set.
      *
-     * @param lacksToken whether a machine needs a newer token and none is left
+     * @param lacksTokens whether a machine needs a newer token and no reserved one is left
      */
     fun beginReservationIfDue(
         nowUs: Long,
-        lacksToken: Boolean,
+        lacksTokens: Boolean,
     ): Boolean {
-        if (!isLow || nowUs - lastReservationAtUs < RETRY_INTERVAL_US || (!lacksToken && nowUs - acquiredAtUs < HANDOVER_US)) return false
+        if (!isLow || nowUs - lastReservationAtUs < RETRY_INTERVAL_US || (!lacksTokens && nowUs - acquiredAtUs < HANDOVER_US)) return false
         lastReservationAtUs = nowUs
         return true
     }
@@ -69,7 +69,7 @@
         const val LOW_WATERMARK = 16L
         const val RETRY_INTERVAL_US = 2 * SECOND
 
-        /** The time after a failover in which the key-value store is busy with the keys that change owners. */
+        /** The time after a failover in which the state service is busy with the keys that change owners. */
         const val HANDOVER_US = 4 * SECOND
     }
 }
--- a/src/main/kotlin/lichenstage/partition/HeartbeatOutcome.kt
+++ b/src/main/kotlin/lichenstage/partition/HeartbeatOutcome.kt
@@ -12,7 +12,7 @@
     data object Superseded : HeartbeatOutcome
 
     /**
-     * The heartbeat is not accepted: accepting it would renew the lease of a machine that may still execute a start of a cancelled job
+     * The heartbeat is not accepted: accepting it would renew the lease of a machine that may still execute a start of an ended job
      * (invariant 6).
      */
     data object Withheld : HeartbeatOutcome
--- a/src/main/kotlin/lichenstage/partition/HeartbeatParser.kt
+++ b/src/main/kotlin/lichenstage/partition/HeartbeatParser.kt
@@ -18,11 +18,11 @@
     private var address: String? = null
     private var typeName: String? = null
     private var zone: String? = null
-    private var spot = false
+    private var isSpot = false
     private var agentEpoch = -1L
     private var sequence = -1L
     private var fencingToken = 0L
-    private var recallUs: Long? = null
+    private var timeUntilReclaimUs: Long? = null
     private val tasks = ArrayList<TaskReport>()
 
     /** Reads the heartbeat up to the end of its JSON object. Unknown fields are skipped. */
@@ -34,11 +34,11 @@
             address ?: failMissing(WorkerField.ADDRESS),
             typeName ?: failMissing(WorkerField.MACHINE_TYPE),
             zone ?: failMissing(WorkerField.ZONE),
-            spot,
+            isSpot,
             requireNotNegative(WorkerField.AGENT_EPOCH, agentEpoch),
             requireNotNegative(WorkerField.SEQUENCE, sequence),
             fencingToken,
-            recallUs,
+            timeUntilReclaimUs,
             tasks,
         )
     }
@@ -52,11 +52,11 @@
             WorkerField.ADDRESS -> address = readString(name)
             WorkerField.MACHINE_TYPE -> typeName = readString(name)
             WorkerField.ZONE -> zone = readString(name)
-            WorkerField.SPOT -> spot = value == JsonToken.VALUE_TRUE
+            WorkerField.SPOT -> isSpot = value == JsonToken.VALUE_TRUE
             WorkerField.AGENT_EPOCH -> agentEpoch = readLong(name)
             WorkerField.SEQUENCE -> sequence = readLong(name)
             WorkerField.FENCING_TOKEN -> if (value != JsonToken.VALUE_NULL) fencingToken = readLong(name)
-            WorkerField.RECALL_S -> if (value != JsonToken.VALUE_NULL) recallUs = (readDouble(name) * SECOND).toLong()
+            WorkerField.RECALL_S -> if (value != JsonToken.VALUE_NULL) timeUntilReclaimUs = (readDouble(name) * SECOND).toLong()
             WorkerField.TASKS -> if (value != JsonToken.VALUE_NULL) readTasks()
             else -> parser.skipChildren()
         }
--- a/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
+++ b/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
@@ -6,7 +6,7 @@
 internal class HeartbeatProcessor(
     private val fencingTokens: FencingTokens,
     private val changeLog: ChangeLog,
-    private val events: (OrderEvent) -> Unit,
+    private val reportEvent: (OrderEvent) -> Unit,
     private val requirementsOf: (String) -> JobRequirements?,
 ) {
     /** Applies [heartbeat]. Returns false, without any effect, if the heartbeat is older than the last applied one or a copy of it. */
@@ -18,7 +18,8 @@
         if (!isNewer(machine, heartbeat)) return false
         machine.lastMessageAtUs = nowUs
         var hasChanged =
-            machine.isLost || machine.address != heartbeat.address || (machine.recallUs == null) != (heartbeat.recallUs == null)
+            machine.isLost || machine.address != heartbeat.address ||
+                (machine.timeUntilReclaimUs == null) != (heartbeat.timeUntilReclaimUs == null)
         if (heartbeat.agentEpoch > machine.agentEpoch) {
             startAgentEpoch(machine, heartbeat.agentEpoch, nowUs)
             hasChanged = true
@@ -26,7 +27,7 @@
         machine.lastAppliedSequence = heartbeat.sequence
         machine.isLost = false
         machine.address = heartbeat.address
-        machine.recallUs = heartbeat.recallUs
+        machine.timeUntilReclaimUs = heartbeat.timeUntilReclaimUs
         if (fencingTokens.isIssuedByOwner(heartbeat.fencingToken)) {
             if (!machine.isTokenConfirmed) hasChanged = true
             machine.observedFencingToken = maxOf(machine.observedFencingToken, heartbeat.fencingToken)
@@ -41,7 +42,7 @@
         heartbeat: Heartbeat,
     ): Boolean {
         if (heartbeat.agentEpoch != machine.agentEpoch) return heartbeat.agentEpoch > machine.agentEpoch
-        // A heartbeat of an epoch whose lease has expired was sent before the expiry: the worker has killed the tasks that it lists.
+        // If the machine is lost, a heartbeat of the same epoch was sent before the lease expired, and its tasks have been killed since.
         return heartbeat.sequence > machine.lastAppliedSequence && !machine.isLost
     }
 
@@ -56,8 +57,8 @@
     ) {
         machine.startAgentEpoch(agentEpoch)
         machine.agentEpochFirstSeenAtUs = nowUs
-        // The lease expired although the worker's heartbeats were accepted, so replies perhaps do not reach the worker. It must reply
-        // to an order or a probe first.
+        // The worker's lease has expired, possibly although its heartbeats were accepted. Replies may therefore not reach the worker. It
+        // gets new tasks only after it has replied to an order or a probe.
         machine.isUnresponsive = true
     }
 
@@ -86,7 +87,11 @@
         if (attempt.phase == report.phase && attempt.cause == report.cause) return existing == null
         // The worker has executed a start, which proves that commands reach it.
         if (!attempt.isListed) machine.isUnresponsive = false
-        if (attempt.isUnwantedStart) events(OrderEvent.UnwantedStartListed(machine.name, machine.agentEpoch, attempt.task, attempt.number))
+        if (attempt.isUnwantedStart) {
+            reportEvent(
+                OrderEvent.UnwantedStartListed(machine.name, machine.agentEpoch, attempt.task, attempt.number),
+            )
+        }
         attempt.phase = report.phase
         attempt.cause = report.cause
         attempt.version = changeLog.nextVersion
--- a/src/main/kotlin/lichenstage/partition/HeldCapacity.kt
+++ b/src/main/kotlin/lichenstage/partition/HeldCapacity.kt
@@ -4,7 +4,7 @@
 
 /** The capacity of one machine that is held for placement requests. */
 internal class HeldCapacity {
-    private var heldTasks = 0
+    private var heldTaskCount = 0
 
     /** The resources of all held tasks together. */
     var total = NO_RESOURCES
@@ -15,9 +15,9 @@
         resources: Resources,
         taskCount: Int,
     ) {
-        heldTasks += taskCount
+        heldTaskCount += taskCount
         // The reset to exactly zero keeps rounding errors of many additions from accumulating.
-        total = if (heldTasks == 0) NO_RESOURCES else total - resources * -taskCount
+        total = if (heldTaskCount == 0) NO_RESOURCES else total - resources * -taskCount
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/partition/HoldTable.kt
+++ b/src/main/kotlin/lichenstage/partition/HoldTable.kt
@@ -132,12 +132,12 @@
         machine: Machine,
     ): HeldSlots? {
         if (request.allowedTypes != null && machine.typeName !in request.allowedTypes) return null
-        if (machine.spot && !request.isSpot) return null
+        if (machine.isSpot && !request.isSpot) return null
         val hasImage = machine.hasImage(request.requirements.image)
         if (request.isImageRequired && !hasImage) return null
         val limits = limitsOf(machine.typeName) ?: return null
-        val tasks = machine.countFreeSlots(request.requirements.resources, limits.capacity, requirementsOf)
-        return if (tasks > 0) HeldSlots(machine.name, tasks, tasks, hasImage) else null
+        val freeSlotCount = machine.countFreeSlots(request.requirements.resources, limits.capacity, requirementsOf)
+        return if (freeSlotCount > 0) HeldSlots(machine.name, freeSlotCount, freeSlotCount, hasImage) else null
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
+++ b/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
@@ -1,9 +1,9 @@
 package lichenstage.partition
 
 import lichenstage.cluster.AttemptOrder
-import lichenstage.cluster.PlacementFrame
+import lichenstage.cluster.CheckpointStopOrder
+import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.PlacementRequest
-import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.StartOrder
 
 /** The handler for frames of the leader: starts, stops, clears, checkpoint stops, cordons, placement requests and releases of holds. */
@@ -15,11 +15,11 @@
     private val orderQueue: OrderQueue,
     private val orderFencing: OrderFencing,
     private val probeSchedule: ProbeSchedule,
-    private val events: (OrderEvent) -> Unit,
+    private val reportEvent: (OrderEvent) -> Unit,
 ) {
     /** Applies [frame]. A frame that is older than the newest received one is ignored (invariant 8). */
     fun apply(
-        frame: PlacementFrame,
+        frame: LeaderFrame,
         nowUs: Long,
     ) {
         if (changeLog.isNewLeader(frame.term)) startLeaderTerm(frame.term)
@@ -31,11 +31,11 @@
         placementOffers.expireHolds(nowUs)
         frame.releases.forEach(placementOffers::release)
         for (order in frame.starts) handleStart(order, nowUs)
-        // The leader has not chosen the capacity that remains in a hold after its starts.
+        // The leader does not need the capacity that remains in a hold after the starts of this frame.
         frame.starts.forEach { placementOffers.release(it.requestNumber) }
         for (order in frame.stops) updateAttempt(order) { it.isStopRequested = true }
         for (order in frame.clears) updateAttempt(order) { it.isClearRequested = true }
-        frame.saves.forEach(::requestCheckpointStop)
+        frame.checkpointStops.forEach(::requestCheckpointStop)
         placementOffers.grant(frame.requests, nowUs).forEach(changeLog::addOffer)
         if (frame.requests.isNotEmpty() || frame.starts.isNotEmpty() || frame.stops.isNotEmpty()) changeLog.requestFrame()
     }
@@ -58,7 +58,7 @@
         val refusal = placementOffers.findRefusal(request, machine, nowUs)
         if (refusal != null) {
             val task = request?.let { "${it.job}/${order.index}" }.orEmpty()
-            events(OrderEvent.StartRefused(order.machine, task, order.attempt, refusal))
+            reportEvent(OrderEvent.StartRefused(order.machine, task, order.attempt, refusal))
         } else if (request != null) {
             startTask(order, request, machine, nowUs)
         }
@@ -96,8 +96,8 @@
         changeLog.requestFrame()
     }
 
-    /** Requests that the task saves a checkpoint and stops. The request has no effect if the task has ended or is already saving. */
-    private fun requestCheckpointStop(order: SaveOrder) {
+    /** Requests that the task saves a checkpoint and stops. The stop is sent only while the task is running, not while it is saving. */
+    private fun requestCheckpointStop(order: CheckpointStopOrder) {
         val machine = machines[order.machine] ?: return
         val attempt = machine.attempts.get(order.attempt) ?: return
         attempt.checkpointLeewayUs = order.leewayUs
--- a/src/main/kotlin/lichenstage/partition/Machine.kt
+++ b/src/main/kotlin/lichenstage/partition/Machine.kt
@@ -19,14 +19,14 @@
 ) {
     var address = heartbeat.address
     val typeName = heartbeat.typeName
-    val spot = heartbeat.spot
+    val isSpot = heartbeat.isSpot
     var agentEpoch = heartbeat.agentEpoch
 
     /** The sequence number of the last message that was applied: a heartbeat, or the reply to an order or a probe. */
     var lastAppliedSequence = -1L
 
-    /** The time until the cloud provider reclaims the spot machine, in microseconds; null while there is no notice. */
-    var recallUs: Long? = null
+    /** The time until the cloud provider reclaims the spot machine, as of the last applied message; null while there is no notice. */
+    var timeUntilReclaimUs: Long? = null
 
     /** The time at which a message of the worker was last applied. */
     var lastMessageAtUs = 0L
@@ -58,7 +58,7 @@
     /** Whether the worker has shown a token of this owner. From then on its task list is authoritative (invariant 3). */
     val isTokenConfirmed get() = observedFencingToken > 0
 
-    /** Whether several heartbeats are overdue. */
+    /** Whether no message of the worker has been applied for several heartbeat intervals. */
     var isSilent = false
 
     /** Whether the machine's lease has expired, so that no task runs on it any more. */
@@ -135,12 +135,12 @@
             name,
             address,
             typeName,
-            spot,
+            isSpot,
             isTokenConfirmed,
             isUnresponsive,
             isSilent,
             isLost,
-            recallUs,
+            timeUntilReclaimUs,
             attempts.values.filter { it.version > acknowledgedVersion }.map { it.toTaskState() },
             removedAttemptNumbers.toList(),
         )
--- a/src/main/kotlin/lichenstage/partition/MachineRegistry.kt
+++ b/src/main/kotlin/lichenstage/partition/MachineRegistry.kt
@@ -4,7 +4,7 @@
 import lichenstage.common.withDrift
 import lichenstage.model.MachineLimits
 
-/** The machines of a partition, with the checks for overdue heartbeats and expired leases. */
+/** The machines of a partition, with the checks for overdue messages and expired leases. */
 internal class MachineRegistry(
     private val parameters: PartitionParameters,
     private val fencingTokens: FencingTokens,
@@ -38,7 +38,7 @@
         return machine
     }
 
-    /** Marks the machines with overdue heartbeats as silent and those with an expired lease as lost. */
+    /** Marks the machines whose messages are overdue as silent and those with an expired lease as lost. */
     fun updateLiveness(nowUs: Long) = machinesByName.values.forEach { updateLiveness(it, nowUs) }
 
     private fun updateLiveness(
@@ -51,7 +51,7 @@
             machine.invalidateUsedResources()
             changeLog.record(machine)
         }
-        val isSilent = isHeartbeatOverdue(machine, nowUs)
+        val isSilent = isMessageOverdue(machine, nowUs)
         if (isSilent != machine.isSilent) {
             machine.isSilent = isSilent
             changeLog.record(machine)
@@ -67,8 +67,11 @@
         return nowUs - leaseStartedAtUs > withDrift(parameters.workerLeaseUs) + EXPIRY_MARGIN_US
     }
 
-    /** Returns whether several heartbeats are overdue, counted from the failover at the earliest: workers have to find the new owner. */
-    private fun isHeartbeatOverdue(
+    /**
+     * Returns whether no message (a heartbeat, or the reply to an order or a probe) has been applied for several heartbeat intervals. The
+     * time counts from the failover at the earliest, because workers first have to find the new owner.
+     */
+    private fun isMessageOverdue(
         machine: Machine,
         nowUs: Long,
     ): Boolean {
@@ -76,7 +79,7 @@
         return nowUs - lastSeenAtUs > parameters.heartbeatIntervalUs * SILENT_HEARTBEATS + EXPIRY_MARGIN_US
     }
 
-    /** Removes and returns the machines that have been lost for longer than the retention time. */
+    /** Removes and returns the lost machines whose last accepted heartbeat is older than the retention time. */
     fun removeLongLostMachines(nowUs: Long): List<Machine> {
         val removed = machinesByName.values.filter { it.isLost && nowUs - it.lastReplyAtUs > LOST_MACHINE_RETENTION_US }
         removed.forEach { machinesByName -= it.name }
@@ -86,7 +89,7 @@
     private companion object {
         const val EXPIRY_MARGIN_US = SECOND
 
-        /** The number of consecutive missing heartbeats after which a machine is silent. */
+        /** The number of heartbeat intervals without a message after which a machine is silent. */
         const val SILENT_HEARTBEATS = 3
         const val LOST_MACHINE_RETENTION_US = 1200 * SECOND
     }
--- a/src/main/kotlin/lichenstage/partition/OrderEvent.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderEvent.kt
@@ -14,7 +14,7 @@
     /** The job has ended. */
     JOB_ENDED,
 
-    /** The hold on the machine's capacity has expired. */
+    /** The machine has no capacity held for the request: the hold has expired, was used up or was released. */
     HOLD_EXPIRED,
 
     /** The machine accepts no tasks at present. */
@@ -31,7 +31,7 @@
         val order: DirectOrder,
     ) : OrderEvent
 
-    /** All later replies and orders to the machine carry the newer [fencingToken]. */
+    /** A machine was given the newer [fencingToken], which all later replies and orders to the machine carry. */
     data class FencingTokenRaised(
         val machine: String,
         val agentEpoch: Long,
--- a/src/main/kotlin/lichenstage/partition/OrderEventRecorder.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderEventRecorder.kt
@@ -15,9 +15,9 @@
     clock: Clock,
 ) {
     private val log = RateLimitedLog.of("lichenstage.orders", clock)
-    private val unansweredOrders = metrics.counter("orders_unanswered")
-    private val unwantedStarts = metrics.counter("starts_landed_late")
-    private val withheldReplies = metrics.counter("answers_withheld")
+    private val unansweredOrderCounter = metrics.counter("orders_unanswered")
+    private val unwantedStartCounter = metrics.counter("starts_landed_late")
+    private val withheldReplyCounter = metrics.counter("answers_withheld")
     private val raisedTokenCounters: Map<FenceReason, Counter> =
         FenceReason.entries.associateWith { metrics.counter("fences_${it.name.lowercase()}") }
 
@@ -33,10 +33,10 @@
 
     private fun incrementCounter(event: OrderEvent) {
         when (event) {
-            is OrderEvent.OrderUnanswered -> unansweredOrders.increment()
+            is OrderEvent.OrderUnanswered -> unansweredOrderCounter.increment()
             is OrderEvent.FencingTokenRaised -> raisedTokenCounters.getValue(event.reason).increment()
-            is OrderEvent.UnwantedStartListed -> unwantedStarts.increment()
-            is OrderEvent.ReplyWithheld -> withheldReplies.increment()
+            is OrderEvent.UnwantedStartListed -> unwantedStartCounter.increment()
+            is OrderEvent.ReplyWithheld -> withheldReplyCounter.increment()
             is OrderEvent.JobEnded, is OrderEvent.StartProvenNotExecuted, is OrderEvent.StartRefused -> Unit
         }
     }
--- a/src/main/kotlin/lichenstage/partition/OrderFencing.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderFencing.kt
@@ -15,7 +15,7 @@
  */
 internal class OrderFencing(
     private val fencingTokens: FencingTokens,
-    private val changes: ChangeLog,
+    private val changeLog: ChangeLog,
     private val jobCompletions: JobCompletions,
     private val reportEvent: (OrderEvent) -> Unit,
 ) {
@@ -52,7 +52,7 @@
         if (machine.attempts.values.none { it.isUnwantedStart }) machinesWithUnwantedStarts -= machine
         if (unexecutedStarts.isNotEmpty()) {
             machine.invalidateUsedResources()
-            changes.record(machine)
+            changeLog.record(machine)
         }
     }
 
@@ -64,7 +64,7 @@
     /** Updates the time up to which the job of [attempt] is confirmed open. Only attempts that no heartbeat has listed need this time. */
     fun updateJobConfirmedOpenTime(attempt: WorkerAttempt) {
         if (attempt.isListed) return
-        jobCompletions.confirmedOpenAtUs(attempt.job)?.let { attempt.jobOpenAtUs = it }
+        jobCompletions.confirmedOpenAtUs(attempt.job)?.let { attempt.jobConfirmedOpenAtUs = it }
     }
 
     /** Assigns a newer fencing token to each machine that needs one now: first because of unwanted starts, then because of clears. */
@@ -73,10 +73,10 @@
         nowUs: Long,
     ) {
         lacksTokens = false
-        raiseToken(machinesWithUnwantedStarts.filter(::mustRefuseUnwantedStarts), FenceReason.UNWANTED_START)
+        raiseToken(machinesWithUnwantedStarts.filter(::needsTokenForUnwantedStarts), FenceReason.UNWANTED_START)
         if (nowUs - lastClearFencingAtUs < CLEAR_FENCING_INTERVAL_US) return
         lastClearFencingAtUs = nowUs
-        raiseToken(machines.filter(::mustRefuseStartsBeforeClear), FenceReason.CLEARS)
+        raiseToken(machines.filter(::needsTokenForClears), FenceReason.CLEARS)
     }
 
     /** Assigns one newer token, shared by all of [machines], or sets [lacksTokens] if none is left. */
@@ -96,7 +96,8 @@
         }
     }
 
-    private fun mustRefuseUnwantedStarts(machine: Machine) =
+    /** Returns whether [machine] needs a newer token so that it refuses the orders that carry unwanted starts. */
+    private fun needsTokenForUnwantedStarts(machine: Machine) =
         machine.attempts.values.any {
             it.isUnwantedStart && it.isStartIndeterminate && it.startOrdersInFlight == 0 && it.isStartExecutableUnder(machine.fencingToken)
         }
@@ -105,7 +106,7 @@
      * Returns whether [machine] needs a newer token before ended attempts can be cleared. Returns false while an order is in flight,
      * because the machine would refuse that order too. The clears can wait for the next round.
      */
-    private fun mustRefuseStartsBeforeClear(machine: Machine) =
+    private fun needsTokenForClears(machine: Machine) =
         machine.canTakeOrders && machine.attempts.values.any { it.needsNewerTokenToClear(machine.fencingToken) }
 
     /**
@@ -130,7 +131,8 @@
     ): Boolean {
         val canBeExecuted = attempt.isStartIndeterminate || attempt.startOrdersInFlight > 0
         return attempt.isUnwantedStart && canBeExecuted && attempt.isStartExecutableUnder(machine.fencingToken) &&
-            nowUs - attempt.jobOpenAtUs > jobCompletions.maxStalenessUs && jobCompletions.hasEnded(attempt.job, attempt.firstSeenAtUs)
+            nowUs - attempt.jobConfirmedOpenAtUs > jobCompletions.maxStalenessUs &&
+            jobCompletions.hasEnded(attempt.job, attempt.firstSeenAtUs)
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/partition/PartitionCore.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionCore.kt
@@ -1,7 +1,7 @@
 package lichenstage.partition
 
+import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.PartitionFrame
-import lichenstage.cluster.PlacementFrame
 import lichenstage.common.LruMap
 import lichenstage.jobs.JobCompletions
 import lichenstage.model.JobRequirements
@@ -19,13 +19,13 @@
  * All times are in microseconds of the controller's clock.
  *
  * @param jobCompletions tells which jobs are known to have ended
- * @param events receives the events of orders that operators need to see
+ * @param reportEvent receives the events of orders that operators need to see
  * @param limitsOf returns the limits of a machine type; null if the type is unknown
  */
 class PartitionCore(
     private val parameters: PartitionParameters,
     jobCompletions: JobCompletions = JobCompletions.NONE,
-    private val events: (OrderEvent) -> Unit = {},
+    private val reportEvent: (OrderEvent) -> Unit = {},
     limitsOf: (String) -> MachineLimits?,
 ) {
     private val requirementsByJob = LruMap<String, JobRequirements>(MAX_CACHED_JOBS)
@@ -33,15 +33,15 @@
     private val changeLog = ChangeLog(parameters)
     private val fencingTokens = FencingTokens(parameters.term, parameters.acquiredAtUs)
     private val machines = MachineRegistry(parameters, fencingTokens, changeLog, limitsOf)
-    private val heartbeatProcessor = HeartbeatProcessor(fencingTokens, changeLog, events, requirementsOf)
+    private val heartbeatProcessor = HeartbeatProcessor(fencingTokens, changeLog, reportEvent, requirementsOf)
     private val orderQueue = OrderQueue()
-    private val orderFencing = OrderFencing(fencingTokens, changeLog, jobCompletions, events)
+    private val orderFencing = OrderFencing(fencingTokens, changeLog, jobCompletions, reportEvent)
     private val probeSchedule = ProbeSchedule(parameters.term)
     private val holdTable = HoldTable(parameters.zone, limitsOf, requirementsOf, machines::get)
     private val placementOffers = PlacementOffers(parameters, machines, holdTable, requirementsByJob, jobCompletions)
-    private val endedJobStopper = EndedJobStopper(jobCompletions, machines, orderQueue, orderFencing, events)
+    private val endedJobStopper = EndedJobStopper(jobCompletions, machines, orderQueue, orderFencing, reportEvent)
     private val leaderFrameHandler =
-        LeaderFrameHandler(parameters.term, machines, changeLog, placementOffers, orderQueue, orderFencing, probeSchedule, events)
+        LeaderFrameHandler(parameters.term, machines, changeLog, placementOffers, orderQueue, orderFencing, probeSchedule, reportEvent)
 
     /** The partition's name. */
     val id get() = parameters.id
@@ -84,7 +84,7 @@
 
     /** Applies a frame of the leader. A frame that is older than the newest received one is ignored (invariant 8). */
     fun onLeaderFrame(
-        frame: PlacementFrame,
+        frame: LeaderFrame,
         nowUs: Long,
     ) = leaderFrameHandler.apply(frame, nowUs)
 
@@ -94,7 +94,7 @@
         heartbeat: Heartbeat?,
         nowUs: Long,
     ) {
-        probeSchedule.handleProbeEnd(probe)
+        probeSchedule.onProbeCompleted(probe)
         if (heartbeat == null || heartbeat.machine != probe.machine || heartbeat.zone != parameters.zone) return
         if (heartbeat.fencingToken > fencingTokens.highestIssued) return
         val machine = machines.getOrAdd(heartbeat, nowUs)
@@ -123,7 +123,7 @@
             }
 
             OrderOutcome.Indeterminate -> {
-                events(OrderEvent.OrderUnanswered(order))
+                reportEvent(OrderEvent.OrderUnanswered(order))
                 markUnresponsive(machine)
             }
         }
--- a/src/main/kotlin/lichenstage/partition/PartitionMessage.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionMessage.kt
@@ -1,6 +1,6 @@
 package lichenstage.partition
 
-import lichenstage.cluster.PlacementFrame
+import lichenstage.cluster.LeaderFrame
 
 /** The messages of [PartitionActor]. */
 sealed interface PartitionMessage {
@@ -12,7 +12,7 @@
 
     /** A frame from the leader. */
     data class LeaderFrameReceived(
-        val frame: PlacementFrame,
+        val frame: LeaderFrame,
     ) : PartitionMessage
 
     /** The outcome of a direct order that this process sent as the owner of [partition] under [term]. */
--- a/src/main/kotlin/lichenstage/partition/PlacementOffers.kt
+++ b/src/main/kotlin/lichenstage/partition/PlacementOffers.kt
@@ -1,7 +1,7 @@
 package lichenstage.partition
 
+import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.Offer
-import lichenstage.cluster.PlacementFrame
 import lichenstage.cluster.PlacementRequest
 import lichenstage.jobs.JobCompletions
 import lichenstage.model.JobRequirements
@@ -24,7 +24,7 @@
     }
 
     /** Stores the job requirements and the cordoned machines of a leader frame. A frame without cordons leaves them unchanged. */
-    fun updateFrom(frame: PlacementFrame) {
+    fun updateFrom(frame: LeaderFrame) {
         requirementsByJob.putAll(frame.requirements)
         frame.cordoned?.let { cordonedMachines = it }
     }
@@ -79,7 +79,7 @@
      * announced, orders do not reach it, or it lists too many attempts that cannot be cleared yet.
      */
     private fun isUsable(machine: Machine) =
-        machine.isTokenConfirmed && !machine.isLost && !machine.isUnresponsive && machine.recallUs == null &&
+        machine.isTokenConfirmed && !machine.isLost && !machine.isUnresponsive && machine.timeUntilReclaimUs == null &&
             machine.attempts.size < MAX_ATTEMPTS_PER_MACHINE
 
     /** Returns whether heartbeats are overdue for so long that perhaps nothing renews the machine's lease (invariant 12). */
--- a/src/main/kotlin/lichenstage/partition/ProbeSchedule.kt
+++ b/src/main/kotlin/lichenstage/partition/ProbeSchedule.kt
@@ -15,10 +15,10 @@
 )
 
 /**
- * The schedule of probes. It probes the machines that have not shown a token of the owner, and the unresponsive ones.
+ * The schedule of probes to machines that have not shown a token of the owner and to unresponsive machines.
  *
- * With probes a new owner does not have to wait until each worker has found it: the reply to a probe confirms the token (invariant 3).
- * A probe renews no lease. The number of probes in flight is bounded, since hundreds would be due at once after a failover.
+ * A new owner does not have to wait until each worker has found it, because the reply to a probe confirms the token (invariant 3). A probe
+ * renews no lease. The number of probes in flight is bounded, since hundreds would be due at once after a failover.
  *
  * @property term the partition's term, which is the fencing token for machines that the partition does not know yet
  */
@@ -27,7 +27,7 @@
 ) {
     private val addresses = HashMap<String, String>()
     private val lastProbedAtUs = HashMap<String, Long>()
-    private val machinesInFlight = HashSet<String>()
+    private val machinesBeingProbed = HashSet<String>()
 
     /** Adds machines, as a map from machine name to address. */
     fun addAll(machines: Map<String, String>) {
@@ -48,7 +48,7 @@
         lastProbedAtUs -= machine
     }
 
-    /** Returns the probes to send now, at most [limit], and counts them as in flight until [handleProbeEnd]. */
+    /** Returns the probes to send now, at most [limit], and counts them as in flight until [onProbeCompleted]. */
     fun nextProbes(
         nowUs: Long,
         limit: Int,
@@ -56,10 +56,10 @@
     ): List<StatusProbe> {
         val dueProbes = ArrayList<StatusProbe>()
         for ((name, address) in addresses) {
-            if (machinesInFlight.size >= MAX_IN_FLIGHT || dueProbes.size >= limit) break
+            if (machinesBeingProbed.size >= MAX_IN_FLIGHT || dueProbes.size >= limit) break
             val machine = findMachine(name)
             if (isReachable(machine) || !isDue(name, nowUs)) continue
-            machinesInFlight += name
+            machinesBeingProbed += name
             lastProbedAtUs[name] = nowUs
             dueProbes += StatusProbe(name, machine?.address ?: address, machine?.fencingToken ?: term, machine?.agentEpoch ?: 0)
         }
@@ -71,11 +71,11 @@
     private fun isDue(
         machine: String,
         nowUs: Long,
-    ) = machine !in machinesInFlight && nowUs - (lastProbedAtUs[machine] ?: (Long.MIN_VALUE / 2)) > RETRY_INTERVAL_US
+    ) = machine !in machinesBeingProbed && nowUs - (lastProbedAtUs[machine] ?: (Long.MIN_VALUE / 2)) > RETRY_INTERVAL_US
 
     /** Records that the probe got a reply or was given up, so that the machine can be probed again. */
-    fun handleProbeEnd(probe: StatusProbe) {
-        machinesInFlight -= probe.machine
+    fun onProbeCompleted(probe: StatusProbe) {
+        machinesBeingProbed -= probe.machine
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/partition/WorkerAttempt.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerAttempt.kt
@@ -52,11 +52,14 @@
     /** When a direct order last carried this start. */
     var directStartAtUs = NEVER_US
 
-    /** The fencing token of that order; 0 if there was none. Unlike a reply to a heartbeat, an order may be executed late or repeatedly. */
+    /**
+     * The fencing token of the last direct order that carried this start; 0 if there was none. Unlike a reply to a heartbeat, an order may
+     * be executed late or repeatedly.
+     */
     var directStartToken = 0L
 
     /** The latest time at which the job is confirmed to have been open. No user was told of the job's end before this time. */
-    var jobOpenAtUs = NEVER_US
+    var jobConfirmedOpenAtUs = NEVER_US
 
     /** Whether a heartbeat has listed the attempt. */
     val isListed get() = phase != TaskPhase.PENDING
--- a/src/main/kotlin/lichenstage/partition/WorkerMessages.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerMessages.kt
@@ -22,11 +22,11 @@
  * @property machine the machine's name
  * @property address the address at which the worker accepts direct orders, as `HOST:PORT`
  * @property typeName the machine type
- * @property spot whether the machine is a spot machine
+ * @property isSpot whether the machine is a spot machine
  * @property agentEpoch the epoch of the worker process; after a lease has expired, the worker begins a higher epoch without tasks
  * @property sequence the sequence number of the message, which rises with every message of an agent epoch
  * @property fencingToken the highest fencing token that the worker has seen; 0 if none
- * @property recallUs the time until the cloud provider reclaims the spot machine, in microseconds; null while there is no notice
+ * @property timeUntilReclaimUs the time until the cloud provider reclaims the spot machine, in microseconds; null while there is no notice
  * @property tasks all attempts that the worker has not forgotten, including ended ones
  */
 data class Heartbeat(
@@ -34,11 +34,11 @@
     val address: String,
     val typeName: String,
     val zone: String,
-    val spot: Boolean,
+    val isSpot: Boolean,
     val agentEpoch: Long,
     val sequence: Long,
     val fencingToken: Long,
-    val recallUs: Long?,
+    val timeUntilReclaimUs: Long?,
     val tasks: List<TaskReport>,
 )
 
--- a/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
+import lichenstage.cluster.CheckpointStopOrder
 import lichenstage.cluster.MachineState
-import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.TaskPhase
 import lichenstage.common.SECOND
 
@@ -60,7 +60,7 @@
         attempts: Collection<Attempt>,
         isDrained: Boolean,
         nowUs: Long,
-    ): List<SaveOrder> {
+    ): List<CheckpointStopOrder> {
         val reclaimDeadlineUs = reclaimDeadlinesUs[machine]
         val preempted =
             when {
@@ -73,7 +73,7 @@
             .distinct()
             .filter {
                 markSentIfDue(it, nowUs)
-            }.map { SaveOrder(machine, it.task, it.number, graceUs(it)) }
+            }.map { CheckpointStopOrder(machine, it.task, it.number, graceUs(it)) }
     }
 
     private fun selectBeforeReclaim(
--- a/src/main/kotlin/lichenstage/placement/LeaderEffect.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderEffect.kt
@@ -1,6 +1,6 @@
 package lichenstage.placement
 
-import lichenstage.cluster.PlacementFrame
+import lichenstage.cluster.LeaderFrame
 import java.util.BitSet
 
 /**
@@ -20,7 +20,7 @@
     /** Sends a frame to the owner of a partition. */
     data class SendFrame(
         val partition: String,
-        val frame: PlacementFrame,
+        val frame: LeaderFrame,
     ) : LeaderEffect
 
     /** Records tasks as done, in one transaction. */
--- a/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
@@ -1,9 +1,9 @@
 package lichenstage.placement
 
 import lichenstage.cluster.AttemptOrder
-import lichenstage.cluster.PlacementFrame
+import lichenstage.cluster.CheckpointStopOrder
+import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.PlacementRequest
-import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.StartOrder
 import lichenstage.common.MILLI
 import lichenstage.model.JobRequirements
@@ -37,7 +37,7 @@
     private val duePartitions = HashSet<String>()
     private val partitionSync = PartitionSync()
     private val pendingCommands = PendingCommands()
-    private val saves = HashMap<String, List<SaveOrder>>()
+    private val saves = HashMap<String, List<CheckpointStopOrder>>()
 
     /** Makes the next frame to the partition due soon, because there is something to send. */
     fun markDue(partition: String) {
@@ -67,7 +67,7 @@
     }
 
     /** Replaces the commands to save a checkpoint and stop, by partition. They are sent with the next frame to each partition. */
-    fun setSaveCommands(byPartition: Map<String, List<SaveOrder>>) {
+    fun setSaveCommands(byPartition: Map<String, List<CheckpointStopOrder>>) {
         saves.clear()
         saves += byPartition
         duePartitions += byPartition.keys
@@ -101,7 +101,7 @@
         val needsInitialState = !partitionSync.hasInitialState(id, partition, seq)
         val (stops, clears) = pendingCommands.takeDue(id, nowUs)
         val frame =
-            PlacementFrame(
+            LeaderFrame(
                 partition = id,
                 term = term,
                 seq = seq,
@@ -115,7 +115,7 @@
                 stops = stops,
                 clears = clears,
                 cordoned = partitionSync.cordonedIfDue(id, partition, nowUs, source::isExcludedFromPlacement),
-                saves = saves.remove(id).orEmpty(),
+                checkpointStops = saves.remove(id).orEmpty(),
             )
         emit(LeaderEffect.SendFrame(id, frame))
         return seq
--- a/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
+++ b/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
@@ -26,11 +26,13 @@
     writeShare: () -> Double,
 ) : KeyValueStore {
     private val log = LoggerFactory.getLogger("lichenstage.state")
-    private val requests = JsonHttpClient(vertx, address, connections = REQUEST_CONNECTIONS, queue = MAX_QUEUED_REQUESTS)
+    private val requestClient = JsonHttpClient(vertx, address, connections = REQUEST_CONNECTIONS, queue = MAX_QUEUED_REQUESTS)
 
-    /** The client for watches, which occupy a connection for long. Leases too have their own client, so that nothing delays a renewal. */
-    private val watches = JsonHttpClient(vertx, address, connections = WATCH_CONNECTIONS, queue = WATCH_CONNECTIONS)
-    private val leases = JsonHttpClient(vertx, address, connections = LEASE_CONNECTIONS, queue = LEASE_CONNECTIONS)
+    /** The client for watches, each of which occupies a connection for a long time. */
+    private val watchClient = JsonHttpClient(vertx, address, connections = WATCH_CONNECTIONS, queue = WATCH_CONNECTIONS)
+
+    /** The client for leases. It is separate so that no other request delays a renewal. */
+    private val leaseClient = JsonHttpClient(vertx, address, connections = LEASE_CONNECTIONS, queue = LEASE_CONNECTIONS)
     private val requestLimiter = RequestRateLimiter(clock) { rps / controllerCount }
     private val writeLimiter = RequestRateLimiter(clock) { writeRps * writeShare() }
 
@@ -40,7 +42,7 @@
     ): ReadResult {
         requestLimiter.acquire()
         val path = KeyValueStoreCodec.keyPath(key)
-        val (status, body) = requests.call(HttpMethod.GET, path, null, timeoutMs) ?: return ReadResult.Unavailable
+        val (status, body) = requestClient.call(HttpMethod.GET, path, null, timeoutMs) ?: return ReadResult.Unavailable
         return when {
             status == HttpStatus.OK -> decode { ReadResult.Found(KeyValueStoreCodec.decodeEntry(body)) } ?: ReadResult.Unavailable
             status == HttpStatus.NOT_FOUND && KeyValueStoreCodec.hasRevision(body) -> ReadResult.NotFound
@@ -67,7 +69,7 @@
     ): KeyValueStoreCodec.ScanPage? {
         requestLimiter.acquire(isUrgent = false)
         val path = KeyValueStoreCodec.scanPath(prefix, lastKey)
-        val (status, body) = requests.call(HttpMethod.GET, path, null, SCAN_TIMEOUT_MS) ?: return null
+        val (status, body) = requestClient.call(HttpMethod.GET, path, null, SCAN_TIMEOUT_MS) ?: return null
         return if (status == HttpStatus.OK) decode { KeyValueStoreCodec.decodePage(body) } else null
     }
 
@@ -81,7 +83,7 @@
         if (changes.isNotEmpty()) writeLimiter.acquire(changes.size, isUrgent)
         val request = KeyValueStoreCodec.encodeTransaction(preconditions, changes)
         val (status, body) =
-            requests.call(HttpMethod.POST, KeyValueStoreCodec.TRANSACTION_PATH, request, timeoutMs)
+            requestClient.call(HttpMethod.POST, KeyValueStoreCodec.TRANSACTION_PATH, request, timeoutMs)
                 ?: return TransactionResult.Indeterminate
         return when (status) {
             HttpStatus.OK -> {
@@ -109,7 +111,7 @@
     /** Requests a lease that lasts [durationUs] without renewal. */
     suspend fun grantLease(durationUs: Long): LeaseGrant {
         val request = KeyValueStoreCodec.encodeLeaseRequest(durationUs)
-        val response = leases.call(HttpMethod.POST, KeyValueStoreCodec.LEASES_PATH, request, LEASE_TIMEOUT_MS)
+        val response = leaseClient.call(HttpMethod.POST, KeyValueStoreCodec.LEASES_PATH, request, LEASE_TIMEOUT_MS)
         val lease = response?.takeIf { it.status == HttpStatus.OK }?.let { KeyValueStoreCodec.decodeLease(it.body) }
         return if (lease == null) LeaseGrant.Failed else LeaseGrant.Granted(lease)
     }
@@ -117,7 +119,7 @@
     /** Renews a lease for its full duration from now on. */
     suspend fun renewLease(lease: Long): LeaseRenewal {
         val path = KeyValueStoreCodec.leaseRenewalPath(lease)
-        val response = leases.call(HttpMethod.POST, path, JsonObject(), LEASE_RENEWAL_TIMEOUT_MS)
+        val response = leaseClient.call(HttpMethod.POST, path, JsonObject(), LEASE_RENEWAL_TIMEOUT_MS)
         return when (response?.status) {
             HttpStatus.OK -> LeaseRenewal.RENEWED
             HttpStatus.NOT_FOUND -> LeaseRenewal.EXPIRED
@@ -127,7 +129,7 @@
 
     /** Ends a lease at once. The service then deletes the keys attached to it. */
     suspend fun revokeLease(lease: Long): LeaseRevocation {
-        val response = leases.call(HttpMethod.DELETE, KeyValueStoreCodec.leasePath(lease), null, LEASE_TIMEOUT_MS)
+        val response = leaseClient.call(HttpMethod.DELETE, KeyValueStoreCodec.leasePath(lease), null, LEASE_TIMEOUT_MS)
         return when (response?.status) {
             HttpStatus.OK, HttpStatus.NOT_FOUND -> LeaseRevocation.REVOKED
             else -> LeaseRevocation.INDETERMINATE
@@ -142,7 +144,7 @@
     ): WatchResult {
         requestLimiter.acquire()
         val path = KeyValueStoreCodec.watchPath(prefix, afterRevision, waitMs)
-        val (status, body) = watches.call(HttpMethod.GET, path, null, waitMs + WATCH_GRACE_MS) ?: return WatchResult.Unavailable
+        val (status, body) = watchClient.call(HttpMethod.GET, path, null, waitMs + WATCH_GRACE_MS) ?: return WatchResult.Unavailable
         return when (status) {
             HttpStatus.OK -> decode { KeyValueStoreCodec.decodeEvents(body) } ?: WatchResult.Unavailable
             HttpStatus.GONE -> WatchResult.Compacted
--- a/src/main/kotlin/lichenstage/state/LeaseResults.kt
+++ b/src/main/kotlin/lichenstage/state/LeaseResults.kt
@@ -19,7 +19,7 @@
     /** The service no longer has the lease. */
     EXPIRED,
 
-    /** The outcome is unknown: no reply, or one that does not show it. */
+    /** The outcome is unknown: no reply, or a reply that does not state the outcome. */
     INDETERMINATE,
 }
 
@@ -28,6 +28,6 @@
     /** The service no longer has the lease. */
     REVOKED,
 
-    /** The outcome is unknown: no reply, or one that does not show it. */
+    /** The outcome is unknown: no reply, or a reply that does not state the outcome. */
     INDETERMINATE,
 }
--- a/src/main/kotlin/lichenstage/state/RequestRateLimiter.kt
+++ b/src/main/kotlin/lichenstage/state/RequestRateLimiter.kt
@@ -5,14 +5,14 @@
 import lichenstage.common.SECOND
 
 /**
- * A token bucket that keeps a process within its share of a rate, [permitsPerSecond]. Urgent requests can overdraw the bucket and wait only
- * until its level is back at zero. Other requests wait until the bucket has enough tokens for them.
+ * A token bucket that keeps a process within its share of a rate, [permitsPerSecond]. An urgent request can overdraw the bucket and waits
+ * only as long as it takes to pay back the overdraft. Other requests wait until the bucket has enough permits for them.
  */
 class RequestRateLimiter(
     private val clock: Clock,
     private val permitsPerSecond: () -> Double,
 ) {
-    private var tokens = 0.0
+    private var availablePermits = 0.0
     private var refilledAtUs = Long.MIN_VALUE
 
     /** Takes [permits] from the bucket and waits if the bucket has fewer. */
@@ -39,11 +39,12 @@
         val nowUs = clock.now()
         // The bucket holds half a second of permits. The service allows bursts of one second of permits over all processes.
         val capacity = maxOf(rate / 2, 1.0)
-        tokens = if (refilledAtUs == Long.MIN_VALUE) capacity else minOf(capacity, tokens + (nowUs - refilledAtUs) * rate / SECOND)
+        availablePermits =
+            if (refilledAtUs == Long.MIN_VALUE) capacity else minOf(capacity, availablePermits + (nowUs - refilledAtUs) * rate / SECOND)
         refilledAtUs = nowUs
-        val missingTokens = if (isUrgent) permits - tokens else minOf(permits.toDouble(), capacity) - tokens
-        if (isUrgent || missingTokens <= 0) tokens -= permits
-        return if (missingTokens <= 0) 0 else (missingTokens / rate * MILLIS_PER_SECOND).toLong() + 1
+        val missingPermits = if (isUrgent) permits - availablePermits else minOf(permits.toDouble(), capacity) - availablePermits
+        if (isUrgent || missingPermits <= 0) availablePermits -= permits
+        return if (missingPermits <= 0) 0 else (missingPermits / rate * MILLIS_PER_SECOND).toLong() + 1
     }
 
     private companion object {
--- a/src/main/kotlin/lichenstage/state/SingleWriterKeys.kt
+++ b/src/main/kotlin/lichenstage/state/SingleWriterKeys.kt
@@ -7,8 +7,9 @@
  * its only precondition, it would overwrite newer values with older ones: a registry chunk would lack machines that now run tasks, or a
  * completion chunk would lack done tasks that the workers have already cleared.
  *
- * So each write has the current revision of each key as a precondition. If the outcome of a write is unknown, its keys are read again
- * before their next write. After that, either the delayed write conflicts, or it has been applied and makes the next write conflict.
+ * So each write has the last known revision of each of its keys as a precondition. If the outcome of a write is unknown, or the write
+ * conflicts, its keys are read again before their next write. After that, either the delayed write conflicts, or it is applied first and
+ * makes the next write conflict.
  */
 class SingleWriterKeys(
     private val state: KeyValueStore,
@@ -16,8 +17,8 @@
     /** The revision of each key that exists. */
     private val modRevisions = HashMap<String, Long>()
 
-    /** The keys of writes whose outcome is unknown. */
-    private val indeterminateKeys = HashSet<String>()
+    /** The keys of writes that failed with an unknown outcome or a conflict, so that their revisions may be outdated. */
+    private val keysToReread = HashSet<String>()
 
     /** Sets the revisions of existing keys, read before the first [write]. */
     fun load(entries: List<Entry>) = entries.forEach { modRevisions[it.key] = it.modRevision }
@@ -29,13 +30,13 @@
         isUrgent: Boolean,
     ): Boolean {
         val keys = changes.map { it.key }
-        for (key in keys) if (key in indeterminateKeys && !reread(key)) return false
+        for (key in keys) if (key in keysToReread && !reread(key)) return false
         val unchanged = keys.map { Precondition(it, modRevisions[it] ?: Precondition.ABSENT) }
         val result = state.commit(preconditions + unchanged, changes, isUrgent = isUrgent)
         if (result is TransactionResult.Committed) {
             changes.forEach { if (it is Change.Put) modRevisions[it.key] = result.revision else modRevisions.remove(it.key) }
         } else if (result !is TransactionResult.Rejected) {
-            indeterminateKeys += keys
+            keysToReread += keys
         }
         return result is TransactionResult.Committed
     }
@@ -46,7 +47,7 @@
             ReadResult.NotFound -> modRevisions.remove(key)
             ReadResult.Unavailable -> return false
         }
-        indeterminateKeys -= key
+        keysToReread -= key
         return true
     }
 }
--- a/src/main/kotlin/lichenstage/state/Transaction.kt
+++ b/src/main/kotlin/lichenstage/state/Transaction.kt
@@ -43,7 +43,7 @@
         val revision: Long,
     ) : TransactionResult
 
-    /** A precondition did not hold, and nothing was applied. [failedKeys] has the keys that the service reported for this. */
+    /** A precondition did not hold, and nothing was applied. [failedKeys] contains the keys that the service reported. */
     data class Conflict(
         val failedKeys: List<String> = emptyList(),
     ) : TransactionResult
@@ -55,8 +55,8 @@
     data object Rejected : TransactionResult
 
     /**
-     * The outcome is unknown: no reply, or one that does not show it. The transaction may still be applied later, so every transaction
-     * carries its own preconditions.
+     * The outcome is unknown: no reply, or a reply that does not state the outcome. The transaction may still be applied later, so every
+     * transaction carries its own preconditions.
      */
     data object Indeterminate : TransactionResult
 }
--- a/src/test/kotlin/lichenstage/authority/AcquisitionDelayTest.kt
+++ b/src/test/kotlin/lichenstage/authority/AcquisitionDelayTest.kt
@@ -12,9 +12,15 @@
     private val delay = AcquisitionDelay(Settings.parse(warmUpSettings(8080, 8081, 8082)))
 
     private fun delayUs(
-        home: String,
+        homeController: String,
         isHomeHealthy: Boolean,
-    ) = delay.delayUs(isLeadership = false, heldCount = 1, home = home, hasEverBeenOwned = true, isHomeHealthy = isHomeHealthy)
+    ) = delay.delayUs(
+        isLeadership = false,
+        heldCount = 1,
+        homeController = homeController,
+        hasEverBeenOwned = true,
+        isHomeHealthy = isHomeHealthy,
+    )
 
     /**
      * Guards against a change of owner right after a restart of all controllers: the first one to start must leave partitions to their home
--- a/src/test/kotlin/lichenstage/authority/FencingTokenReservationTest.kt
+++ b/src/test/kotlin/lichenstage/authority/FencingTokenReservationTest.kt
@@ -39,14 +39,14 @@
         }
     }
 
-    private val held = Holder("n0", 7, 1, 40)
+    private val ownership = Holder("n0", 7, 1, 40)
     private val table =
         OwnershipTable().apply {
             put(Entry(OwnershipRecords.TERM_COUNTER_KEY, OwnershipRecords.encodeTermCounter(TermCounter(9, listOf(KEY))), 41))
             put(Entry(KEY, JsonObject().put("label", "n0").put("term", 7L).put("lease", 1L), 40))
         }
 
-    private fun reserve(state: KeyValueStore) = runBlocking { FencingTokenReservation(state, table).reserve(KEY, held, 4) }
+    private fun reserve(state: KeyValueStore) = runBlocking { FencingTokenReservation(state, table).reserve(KEY, ownership, 4) }
 
     @Example
     fun `reserved tokens are above all terms, advance the counter, and have the ownership as a precondition`() {
--- a/src/test/kotlin/lichenstage/authority/LocalLeaseTest.kt
+++ b/src/test/kotlin/lichenstage/authority/LocalLeaseTest.kt
@@ -21,8 +21,8 @@
         val durationUs = durationMs * MILLI
         val lease = LocalLease(durationUs).apply { onGranted(1, 0) }
         val rate = 1.0 + drift / 10_000.0
-        val endsThere = delayMs * MILLI + (durationUs * rate).toLong()
-        assertFalse(lease.isValid(endsThere)) { "still valid when the lease of $durationMs ms had ended" }
+        val serviceExpiryUs = delayMs * MILLI + (durationUs * rate).toLong()
+        assertFalse(lease.isValid(serviceExpiryUs)) { "still valid when the lease of $durationMs ms had ended" }
         if (durationMs > 1_000) assertTrue(lease.isValid(durationUs / 2)) { "ended after half of its duration" }
     }
 
--- a/src/test/kotlin/lichenstage/authority/OwnershipTableTest.kt
+++ b/src/test/kotlin/lichenstage/authority/OwnershipTableTest.kt
@@ -10,12 +10,12 @@
 class OwnershipTableTest {
     private val table = OwnershipTable()
 
-    private fun held(
+    private fun ownershipEntry(
         modRevision: Long,
         label: String = "n0",
     ) = Entry(KEY, JsonObject().put("label", label).put("term", modRevision).put("lease", 1L), modRevision)
 
-    private fun deleted(modRevision: Long) = Entry(KEY, JsonObject(), modRevision)
+    private fun deletionEntry(modRevision: Long) = Entry(KEY, JsonObject(), modRevision)
 
     /**
      * Guards against a key that no controller acquires, because the table still shows its former holder. This can happen if the key is put
@@ -23,15 +23,15 @@
      */
     @Example
     fun `a key that was put and deleted within one batch of changes is absent`() {
-        table.applyChanges(listOf(held(5)), listOf(deleted(7)))
+        table.applyChanges(listOf(ownershipEntry(5)), listOf(deletionEntry(7)))
         assertTrue(KEY !in table) { "${table.holder(KEY)}" }
-        table.applyChanges(listOf(held(8), held(10, "n1")), listOf(deleted(9)))
+        table.applyChanges(listOf(ownershipEntry(8), ownershipEntry(10, "n1")), listOf(deletionEntry(9)))
         assertEquals("n1", table.holder(KEY)?.label) { "${table.holder(KEY)}" }
     }
 
     @Example
     fun `a scan does not undo changes after its revision`() {
-        table.applyChanges(listOf(held(5)), emptyList())
+        table.applyChanges(listOf(ownershipEntry(5)), emptyList())
         table.applyScan(emptyList(), 4)
         assertEquals(5L, table.holder(KEY)?.modRevision) { "the later change is lost: ${table.holder(KEY)}" }
         table.applyScan(emptyList(), 6)
--- a/src/test/kotlin/lichenstage/cloud/CloudCodecTest.kt
+++ b/src/test/kotlin/lichenstage/cloud/CloudCodecTest.kt
@@ -15,7 +15,7 @@
     fun `a provision request contains name, type, zone, spot flag and number of machines`() {
         assertEquals(
             """{"hire":"h3-1","build":"g8","yard":"a","loaners":true,"number":12}""",
-            CloudCodec.encodeProvision(ProvisionRequest("h3-1", "g8", "a", spot = true, count = 12)).encode(),
+            CloudCodec.encodeProvision(ProvisionRequest("h3-1", "g8", "a", isSpot = true, count = 12)).encode(),
         )
     }
 
--- a/src/test/kotlin/lichenstage/cloud/MachineCatalogTest.kt
+++ b/src/test/kotlin/lichenstage/cloud/MachineCatalogTest.kt
@@ -27,8 +27,8 @@
             """"zones":["a","b"]},{"name":"c4","cores":16.0,"cards":8.0,"mem":64.0,"price":2.0,"spot":0.5,"boot":1500000,"fetch":0.5,""" +
             """"zones":["a","b"]}]}"""
 
-    private class Store : InMemoryKeyValueStore() {
-        var writes = 0
+    private class CountingStore : InMemoryKeyValueStore() {
+        var writeCount = 0
 
         override suspend fun get(
             key: String,
@@ -41,7 +41,7 @@
             timeoutMs: Long,
             isUrgent: Boolean,
         ): TransactionResult {
-            writes++
+            writeCount++
             return apply(preconditions, changes)
         }
     }
@@ -58,13 +58,13 @@
         override suspend fun listMachines(after: String?) = CloudReply.Unavailable
     }
 
-    private val store = Store()
+    private val store = CountingStore()
 
     /** Returns a catalog that has requested the machine types from the cloud once. */
     private fun catalog(types: CloudReply<List<MachineType>>): MachineCatalog =
         runBlocking {
             lateinit var catalog: MachineCatalog
-            val reading =
+            val refreshLoop =
                 launch {
                     coroutineScope {
                         catalog = MachineCatalog(FakeCloud(types), store, this)
@@ -72,7 +72,7 @@
                     }
                 }
             repeat(3) { yield() }
-            reading.cancelAndJoin()
+            refreshLoop.cancelAndJoin()
             catalog
         }
 
@@ -87,12 +87,12 @@
     @Example
     fun `the types from the cloud are stored once and not again if only a spot price changes`() {
         assertEquals(mapOf("g8" to bounded), catalog(CloudReply.Success(listOf(bounded))).machineTypes)
-        assertEquals(1, store.writes)
-        val moved = bounded.copy(spotPrice = 0.7)
-        assertEquals(mapOf("g8" to moved), catalog(CloudReply.Success(listOf(moved))).machineTypes)
-        assertEquals(1, store.writes, "only the spot price has changed")
+        assertEquals(1, store.writeCount)
+        val repriced = bounded.copy(spotPrice = 0.7)
+        assertEquals(mapOf("g8" to repriced), catalog(CloudReply.Success(listOf(repriced))).machineTypes)
+        assertEquals(1, store.writeCount, "only the spot price has changed")
         catalog(CloudReply.Success(listOf(bounded.copy(onDemandPrice = 3.0))))
-        assertEquals(2, store.writes, "the price has changed")
+        assertEquals(2, store.writeCount, "the price has changed")
     }
 
     @Example
@@ -104,7 +104,7 @@
             assertEquals(50.0, catalog.limitsOf("g8")?.cacheGb)
             assertNull(catalog.limitsOf("g9"))
         }
-        assertEquals(0, store.writes)
+        assertEquals(0, store.writeCount)
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
@@ -42,7 +42,7 @@
         val requirements = JobRequirements(Resources(1.5, 0.0, 7.25), "img")
         val leader =
             Combinators.combine(words, numbers, numbers, orders, orders).`as` { w, a, b, stops, clears ->
-                PlacementFrame(
+                LeaderFrame(
                     w,
                     a,
                     b,
@@ -56,7 +56,7 @@
                     stops,
                     clears,
                     setOf(w),
-                    if (a > b) emptyList() else listOf(SaveOrder(w, w, a, b)),
+                    if (a > b) emptyList() else listOf(CheckpointStopOrder(w, w, a, b)),
                 )
             }
         val partition =
--- a/src/test/kotlin/lichenstage/cluster/PlacementScoreTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PlacementScoreTest.kt
@@ -10,7 +10,7 @@
 
 /** Guards against tasks placed beyond the offered capacity, and against small requests that break up empty machines. */
 class PlacementScoreTest {
-    private fun held(
+    private fun freeSlots(
         name: String,
         maxCount: Int,
         hasImage: Boolean = false,
@@ -22,29 +22,34 @@
         @ForAll @IntRange(min = 0, max = 60) count: Int,
     ) {
         val capacities = numbers.map { Math.floorMod(it, 17) }
-        val offers = capacities.mapIndexed { i, maxCount -> held("m$i", maxCount, i % 3 == 0) }
-        val taken = PlacementScore.selectRoomiest(offers, count)
-        assertEquals(minOf(count, capacities.sum()), taken.sumOf { it.count }) { "$capacities $count: $taken" }
-        assertTrue(taken.all { it.count in 1..offers.first { o -> o.machine == it.machine }.count }) { "$capacities $count: $taken" }
+        val offers = capacities.mapIndexed { i, maxCount -> freeSlots("m$i", maxCount, i % 3 == 0) }
+        val selected = PlacementScore.selectRoomiest(offers, count)
+        assertEquals(minOf(count, capacities.sum()), selected.sumOf { it.count }) { "$capacities $count: $selected" }
+        assertTrue(selected.all { it.count in 1..offers.first { o -> o.machine == it.machine }.count }) { "$capacities $count: $selected" }
     }
 
     @Example
     fun `a small request takes a partly used machine before an empty one`() {
-        val taken = PlacementScore.selectRoomiest(listOf(held("whole", 16), held("broken", 5)), 3)
-        assertEquals(listOf("broken"), taken.map { it.machine }) { "$taken" }
+        val selected = PlacementScore.selectRoomiest(listOf(freeSlots("empty", 16), freeSlots("partly used", 5)), 3)
+        assertEquals(listOf("partly used"), selected.map { it.machine }) { "$selected" }
     }
 
     @Example
     fun `machines rank by usable capacity first and by the image next`() {
-        val offers = listOf(held("whole", 16), held("warm", 3, hasImage = true), held("warm whole", 16, hasImage = true))
+        val offers =
+            listOf(
+                freeSlots("empty", 16),
+                freeSlots("partly used with image", 3, hasImage = true),
+                freeSlots("empty with image", 16, hasImage = true),
+            )
         assertEquals(
-            listOf("warm whole"),
+            listOf("empty with image"),
             PlacementScore.selectRoomiest(offers, 8).map {
                 it.machine
             },
         ) { "${PlacementScore.selectRoomiest(offers, 8)}" }
         assertEquals(
-            listOf("warm"),
+            listOf("partly used with image"),
             PlacementScore.selectRoomiest(offers, 2).map { it.machine },
         ) { "${PlacementScore.selectRoomiest(offers, 2)}" }
     }
--- a/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
@@ -26,7 +26,7 @@
  */
 @OptIn(ExperimentalSerializationApi::class)
 class ProductionSamplesTest {
-    /** The fields of a [PlacementFrame] that the version in production reads, under their serial names. */
+    /** The fields of a [LeaderFrame] that the version in production reads, under their serial names. */
     @Serializable
     private data class ProductionLeaderFrame(
         val part: String,
@@ -40,32 +40,37 @@
         val closed: Set<String>? = null,
     )
 
-    /** A partition owner that runs the version in production ignores save orders and applies all other content of the frame. */
+    /** A partition owner that runs the version in production ignores checkpoint stops and applies all other content of the frame. */
     @Example
-    fun `the version in production ignores save orders, and a frame without save orders omits the field`() {
+    fun `the version in production ignores checkpoint stops, and a frame without checkpoint stops omits the field`() {
         val codec =
             Cbor {
                 ignoreUnknownKeys = true
                 encodeDefaults = true
             }
         val stop = AttemptOrder("m", "j-1/0", 7)
-        val plain = PlacementFrame("z/0", 1, 2, 3, 4, stops = listOf(stop), cordoned = setOf("m"))
-        val saving = plain.copy(saves = listOf(SaveOrder("m", "j-1/1", 8, 5)))
+        val plain = LeaderFrame("z/0", 1, 2, 3, 4, stops = listOf(stop), cordoned = setOf("m"))
+        val saving = plain.copy(checkpointStops = listOf(CheckpointStopOrder("m", "j-1/1", 8, 5)))
         for (frame in listOf(plain, saving)) {
             val read =
                 codec.decodeFromByteArray(
                     ProductionLeaderFrame.serializer(),
-                    codec.encodeToByteArray(PlacementFrame.serializer(), frame),
+                    codec.encodeToByteArray(LeaderFrame.serializer(), frame),
                 )
             val expected = ProductionLeaderFrame("z/0", 1, 2, 3, 4, stops = listOf(stop), closed = setOf("m"))
             assertEquals(expected, read) { "$read" }
         }
-        val names = listOf(plain, saving).map { String(FrameCodec.encode(it), Charsets.ISO_8859_1).contains("saves") }
-        assertEquals(listOf(false, true), names) { "$names" }
+        val hasSavesField = listOf(plain, saving).map { String(FrameCodec.encode(it), Charsets.ISO_8859_1).contains("saves") }
+        assertEquals(listOf(false, true), hasSavesField) { "$hasSavesField" }
     }
 
     /** The current names of renamed frame classes, by their names in production, which the samples use. Serial names are unchanged. */
-    private val renamedFrames = mapOf("PledgeRequest" to "MoratoriumRequest", "Pledge" to "MoratoriumGrant")
+    private val renamedFrames =
+        mapOf(
+            "PledgeRequest" to "MoratoriumRequest",
+            "Pledge" to "MoratoriumGrant",
+            "PlacementFrame" to "LeaderFrame",
+        )
 
     private fun currentName(sample: String) = renamedFrames[sample] ?: sample
 
@@ -112,9 +117,9 @@
             records.getJsonObject("j").fieldNames().all { written.getValue(it) == records.getJsonObject("j").getValue(it) },
         ) { "$written" }
         assertEquals(spec, JobRecordCodec.decode(written)) { "the dependencies are lost" }
-        val over = JsonObject(JobRecordCodec.encodeFinished(FinishedJob(JobOutcome(EndStatus.DONE, 5), 12)).encode())
+        val finishedRecord = JsonObject(JobRecordCodec.encodeFinished(FinishedJob(JobOutcome(EndStatus.DONE, 5), 12)).encode())
         assertTrue(
-            records.getJsonObject("x").fieldNames().all { over.getValue(it) == records.getJsonObject("x").getValue(it) },
-        ) { "$over" }
+            records.getJsonObject("x").fieldNames().all { finishedRecord.getValue(it) == records.getJsonObject("x").getValue(it) },
+        ) { "$finishedRecord" }
     }
 }
--- a/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
@@ -63,7 +63,7 @@
         val spotChoices = ArrayList<Boolean>()
         repeat(3) {
             val request = fleet.nextProvision(SECOND)!!
-            spotChoices += request.spot
+            spotChoices += request.isSpot
             fleet.onProvisionReply(request, ProvisionResult.NoCapacity, SECOND)
         }
         assertEquals(listOf(true, true, false), spotChoices) { "$spotChoices" }
@@ -91,7 +91,7 @@
     fun `jobs that may not run on spot machines get on-demand ones`() {
         val fleet = fleet()
         fleet.observeDemand(listOf(Demand("t", false, 4.0, 400.0 * SECOND, null)), { null }, SECOND)
-        assertEquals(false, fleet.nextProvision(SECOND)?.spot) { "requested a spot machine" }
+        assertEquals(false, fleet.nextProvision(SECOND)?.isSpot) { "requested a spot machine" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/fleet/ScaleOutTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/ScaleOutTest.kt
@@ -17,7 +17,7 @@
     fun `a replacement is requested until a machine has been provisioned for it`() {
         replacements.add(ReplacementRequest("drain m1", "t", "z", isSpot = true))
         val first = scaleOut.createReplacementRequest(0)!!
-        assertEquals(ProvisionRequest("h3-1", "t", "z", spot = true, count = 1), first)
+        assertEquals(ProvisionRequest("h3-1", "t", "z", isSpot = true, count = 1), first)
         assertEquals("drain m1", replacements.idOf(first))
         scaleOut.onProvisionReply(first, ProvisionResult.NoCapacity, 0)
         assertNull(scaleOut.createReplacementRequest(SECOND), "sent a request to a pool that had just refused one")
--- a/src/test/kotlin/lichenstage/partition/FencingTokensTest.kt
+++ b/src/test/kotlin/lichenstage/partition/FencingTokensTest.kt
@@ -53,11 +53,11 @@
     @Example
     fun `a low pool requests a reservation at most every 2 s, and in the first seconds only if a token is lacking`() {
         val fencingTokens = FencingTokens(10, acquiredAtUs = SECOND)
-        assertFalse(fencingTokens.beginReservationIfDue(4 * SECOND, lacksToken = false)) { "due while ownership keys are written" }
-        assertTrue(fencingTokens.beginReservationIfDue(4 * SECOND, lacksToken = true)) { "not due although a token is lacking" }
-        assertFalse(fencingTokens.beginReservationIfDue(5 * SECOND, lacksToken = true)) { "due again after 1 s" }
-        assertTrue(fencingTokens.beginReservationIfDue(6 * SECOND, lacksToken = false)) { "not due again after 2 s" }
+        assertFalse(fencingTokens.beginReservationIfDue(4 * SECOND, lacksTokens = false)) { "due while ownership keys are written" }
+        assertTrue(fencingTokens.beginReservationIfDue(4 * SECOND, lacksTokens = true)) { "not due although a token is lacking" }
+        assertFalse(fencingTokens.beginReservationIfDue(5 * SECOND, lacksTokens = true)) { "due again after 1 s" }
+        assertTrue(fencingTokens.beginReservationIfDue(6 * SECOND, lacksTokens = false)) { "not due again after 2 s" }
         fencingTokens.addReserved(11L..40L)
-        assertFalse(fencingTokens.beginReservationIfDue(60 * SECOND, lacksToken = false)) { "due although enough tokens are left" }
+        assertFalse(fencingTokens.beginReservationIfDue(60 * SECOND, lacksTokens = false)) { "due although enough tokens are left" }
     }
 }
--- a/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
@@ -1,6 +1,6 @@
 package lichenstage.partition
 
-import lichenstage.cluster.PlacementFrame
+import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.PlacementRequest
 import lichenstage.cluster.StartOrder
 import lichenstage.common.MILLI
@@ -47,7 +47,7 @@
         fun sendLeaderFrame(
             requests: List<PlacementRequest> = emptyList(),
             starts: List<StartOrder> = emptyList(),
-        ) = partition.onLeaderFrame(PlacementFrame("a/0", 1, ++sequence, 0, 0, requests = requests, starts = starts), nowUs)
+        ) = partition.onLeaderFrame(LeaderFrame("a/0", 1, ++sequence, 0, 0, requests = requests, starts = starts), nowUs)
 
         fun runUntil(untilUs: Long) {
             while (nowUs < untilUs) {
@@ -75,7 +75,7 @@
         }
 
         /** Sends the start of j-1/0 as a direct order that does not reach the worker yet. */
-        fun sendHeldStart(): DirectOrder {
+        fun sendDelayedStart(): DirectOrder {
             sendLeaderFrame(requests = listOf(PlacementRequest(1, "j-1", JobRequirements(job.resources(), "img"), 1, null, null, true)))
             sendLeaderFrame(starts = listOf(StartOrder(1, worker.name, 0, 1)))
             return partition.nextDirectOrders(nowUs).single().also { unansweredOrders += it }
@@ -105,13 +105,13 @@
     }
 
     /** Cancels the job after the direct order with its start was sent, and delivers the order [arrivesAfterUs] after the cancellation. */
-    private fun cancelWithHeldStart(
+    private fun cancelWithDelayedStart(
         arrivesAfterUs: Long,
         prepare: Scenario.() -> Unit = {},
     ): Scenario {
         val scenario = Scenario().apply(prepare)
         scenario.runUntil(7 * SECOND)
-        val order = scenario.sendHeldStart()
+        val order = scenario.sendDelayedStart()
         scenario.runUntil(7 * SECOND + 500 * MILLI)
         scenario.cancelJob()
         scenario.runUntil(10 * SECOND)
@@ -125,7 +125,7 @@
     @Example
     fun `a delayed start is not executed after the time limit for its job's cancellation`() {
         for (arrivesAfterUs in listOf(CANCELLATION_LIMIT_US + SECOND, 600 * SECOND)) {
-            val scenario = cancelWithHeldStart(arrivesAfterUs)
+            val scenario = cancelWithDelayedStart(arrivesAfterUs)
             assertTrue(scenario.checker.violations.isEmpty()) { "${scenario.checker.violations}" }
             assertEquals(0, scenario.checker.startsAfterCancellation) { "the worker started a task of a cancelled job" }
             assertEquals(2L, scenario.worker.agentEpoch) { "without a newer token the agent epoch must end: ${scenario.worker.agentEpoch}" }
@@ -135,7 +135,7 @@
     @Example
     fun `with a newer token available a delayed start is refused seconds after its order timed out, and the machine keeps its lease`() {
         for (arrivesAfterUs in listOf(6 * SECOND, CANCELLATION_LIMIT_US + SECOND, 600 * SECOND)) {
-            val scenario = cancelWithHeldStart(arrivesAfterUs) { partition.addReservedTokens(TOKEN + 1..TOKEN + 9) }
+            val scenario = cancelWithDelayedStart(arrivesAfterUs) { partition.addReservedTokens(TOKEN + 1..TOKEN + 9) }
             assertTrue(scenario.checker.violations.isEmpty()) { "${scenario.checker.violations}" }
             assertEquals(0, scenario.checker.startsAfterCancellation) { "the worker started a task of a cancelled job" }
             assertEquals(1L, scenario.worker.agentEpoch) { "the machine has lost its lease" }
@@ -150,7 +150,7 @@
         val scenario = Scenario()
         scenario.partition.addReservedTokens(TOKEN + 1..TOKEN + 9)
         scenario.runUntil(7 * SECOND)
-        val order = scenario.sendHeldStart()
+        val order = scenario.sendDelayedStart()
         scenario.executeAndReply(order)
         val probeCount = scenario.probeCount
         scenario.cancelJob()
@@ -165,7 +165,7 @@
         val scenario = Scenario()
         scenario.partition.addReservedTokens(TOKEN + 1..TOKEN + 9)
         scenario.runUntil(7 * SECOND)
-        scenario.sendHeldStart()
+        scenario.sendDelayedStart()
         scenario.runUntil(10 * SECOND)
         scenario.timeOutOrders()
         scenario.runUntil(14 * SECOND)
--- a/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
@@ -1,6 +1,6 @@
 package lichenstage.partition
 
-import lichenstage.cluster.PlacementFrame
+import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.StartOrder
 import lichenstage.cluster.TaskPhase
 import lichenstage.common.SECOND
@@ -92,7 +92,7 @@
         partition.onLeaderFrame(frame(), 1)
         val first = partition.nextFrame(SECOND)!!
         assertTrue(!first.isFinal && first.machines.size == 100 && first.seq == 0L && first.receivedSeq == seq) { "$first" }
-        partition.onLeaderFrame(PlacementFrame("z/0", 1, ++seq, 5, first.version), SECOND)
+        partition.onLeaderFrame(LeaderFrame("z/0", 1, ++seq, 5, first.version), SECOND)
         val second = partition.nextFrame(2 * SECOND)!!
         assertTrue(second.isFinal && second.machines.size == 30 && second.seq == seq) { "$second" }
         val names = (first.machines + second.machines).map { it.name }.toSet()
--- a/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
@@ -1,9 +1,9 @@
 package lichenstage.partition
 
 import lichenstage.cluster.FrameCodec
+import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.MachineState
 import lichenstage.cluster.PartitionFrame
-import lichenstage.cluster.PlacementFrame
 import lichenstage.cluster.StartOrder
 import lichenstage.cluster.TaskPhase
 import lichenstage.common.SECOND
@@ -38,26 +38,26 @@
     private var seq = 0L
     private var lastAttempt = 0L
 
-    private fun heartbeat(machine: String) {
+    private fun sendHeartbeat(machine: String) {
         val reports = tasks.getOrPut(machine) { HashMap() }.values.toList()
         partition.onHeartbeat(Heartbeat(machine, "1.2.3.4:5", "t", "z", false, 1, ++sequence, 5, null, reports), nowUs)
     }
 
-    private fun leaderFrame(
+    private fun sendLeaderFrame(
         term: Long,
         acknowledgedVersion: Long,
-    ) = partition.onLeaderFrame(PlacementFrame("z/0", term, ++seq, 5, acknowledgedVersion), nowUs)
+    ) = partition.onLeaderFrame(LeaderFrame("z/0", term, ++seq, 5, acknowledgedVersion), nowUs)
 
     /**
      * Sends a leader frame with a start on [startedMachine]. The start is refused, since there is no hold, but the partition still reports
      * the machine in its next frame.
      */
-    private fun leaderFrame(
+    private fun sendLeaderFrame(
         term: Long,
         acknowledgedVersion: Long,
         startedMachine: String,
     ) = partition.onLeaderFrame(
-        PlacementFrame("z/0", term, ++seq, 5, acknowledgedVersion, starts = listOf(StartOrder(1, startedMachine, 0, ++lastAttempt))),
+        LeaderFrame("z/0", term, ++seq, 5, acknowledgedVersion, starts = listOf(StartOrder(1, startedMachine, 0, ++lastAttempt))),
         nowUs,
     )
 
@@ -102,7 +102,7 @@
         var term = 1L
         val sentFrames = ArrayList<PartitionFrame>()
         repeat(150) {
-            repeat(random.nextInt(5)) { change(random, if (isSmall) FEW_MACHINES else MACHINES) }
+            repeat(random.nextInt(5)) { changeRandomTask(random, if (isSmall) FEW_MACHINES else MACHINES) }
             nextFrame()?.let { frame ->
                 if (frame.leaderTerm == term && random.nextInt(4) > 0) leader.receive(frame)
                 sentFrames += frame
@@ -116,11 +116,11 @@
                 leader = LeaderView(isEarlierRelease)
             }
             // Frames of the leader also come late or not at all.
-            if (random.nextInt(3) > 0) leaderFrame(term, leader.version)
+            if (random.nextInt(3) > 0) sendLeaderFrame(term, leader.version)
             assertTrue(leader.seq <= leader.finalSeq) { "partial frames claim ${leader.seq}, final frames ${leader.finalSeq} (seed $seed)" }
         }
         repeat(2 + MACHINES) {
-            leaderFrame(term, leader.version)
+            sendLeaderFrame(term, leader.version)
             nextFrame()?.let(leader::receive)
         }
         for ((name, reports) in tasks) {
@@ -131,11 +131,11 @@
         }
     }
 
-    private fun change(
+    private fun changeRandomTask(
         random: Random,
-        machines: Int,
+        machineCount: Int,
     ) {
-        val machine = "m${random.nextInt(machines)}"
+        val machine = "m${random.nextInt(machineCount)}"
         val reports = tasks.getOrPut(machine) { HashMap() }
         val attempt = reports.keys.randomOrNull(random)
         when {
@@ -152,7 +152,7 @@
                 reports.remove(attempt)
             }
         }
-        heartbeat(machine)
+        sendHeartbeat(machine)
     }
 
     private fun Set<Long>.randomOrNull(random: Random) = if (isEmpty()) null else elementAt(random.nextInt(size))
@@ -166,15 +166,15 @@
                     tasks.getOrPut("m$m") { HashMap() }[++lastAttempt] =
                         TaskReport("j-1/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null)
                 }
-                heartbeat("m$m")
+                sendHeartbeat("m$m")
             }
-            leaderFrame(machines.toLong(), 0)
+            sendLeaderFrame(machines.toLong(), 0)
             var acknowledgedVersion = 0L
             while (true) {
                 val frame = nextFrame() ?: break
                 assertTrue(frame.machines.size <= 100 * (machines / 400)) { "${frame.machines.size} of $machines machines in one frame" }
                 acknowledgedVersion = frame.version
-                leaderFrame(machines.toLong(), acknowledgedVersion)
+                sendLeaderFrame(machines.toLong(), acknowledgedVersion)
                 if (frame.isFinal) break
             }
             val attempt =
@@ -184,7 +184,7 @@
                     .first { it.phase == TaskPhase.RUNNING }
                     .attempt
             tasks.getValue("m7")[attempt] = tasks.getValue("m7").getValue(attempt).copy(phase = TaskPhase.ENDED, cause = "done")
-            heartbeat("m7")
+            sendHeartbeat("m7")
             val update = nextFrame()!!
             assertTrue(
                 update.machines.sumOf { it.tasks.size } == 1 && update.machines.size == 1,
@@ -199,15 +199,15 @@
     @Example
     fun `a partial frame does not claim changes that only a lost final frame carried`() {
         testPartition = TestPartition(maxMachinesPerFrame = 1)
-        listOf("m1", "m2").forEach(::heartbeat)
-        leaderFrame(1, 0)
+        listOf("m1", "m2").forEach(::sendHeartbeat)
+        sendLeaderFrame(1, 0)
         val confirmed = acknowledgeAll()
-        leaderFrame(1, confirmed.version, startedMachine = "m1")
+        sendLeaderFrame(1, confirmed.version, startedMachine = "m1")
         val lostFrame = nextFrame()!!
         assertTrue(lostFrame.isFinal && lostFrame.seq == seq && lostFrame.machines.single().name == "m1") { "$lostFrame" }
         listOf("m2", "m1").forEach { machine ->
             tasks.getOrPut(machine) { HashMap() }[++lastAttempt] = TaskReport("j-2/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null)
-            heartbeat(machine)
+            sendHeartbeat(machine)
         }
         val partialFrame = nextFrame()!!
         assertTrue(!partialFrame.isFinal && partialFrame.machines.single().name == "m2") { "$partialFrame" }
@@ -215,12 +215,12 @@
             partialFrame.seq <= confirmed.seq,
         ) { "the frame claims ${partialFrame.seq}, but only ${confirmed.seq} is confirmed" }
         // Partial frames take the leader to a higher version than that of the lost frame. This does not prove that the lost frame arrived.
-        leaderFrame(1, partialFrame.version)
-        heartbeat("m2")
+        sendLeaderFrame(1, partialFrame.version)
+        sendHeartbeat("m2")
         tasks.getValue("m2")[++lastAttempt] = TaskReport("j-2/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null)
-        heartbeat("m2")
+        sendHeartbeat("m2")
         tasks.getValue("m1")[++lastAttempt] = TaskReport("j-2/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null)
-        heartbeat("m1")
+        sendHeartbeat("m1")
         val next = nextFrame()!!
         assertTrue(!next.isFinal && next.seq <= confirmed.seq) { "the frame claims ${next.seq}, but only ${confirmed.seq} is confirmed" }
     }
@@ -228,14 +228,14 @@
     @Example
     fun `partial frames after an acknowledged final frame claim what that frame carried`() {
         testPartition = TestPartition(maxMachinesPerFrame = 1)
-        listOf("m1", "m2").forEach(::heartbeat)
-        leaderFrame(1, 0)
+        listOf("m1", "m2").forEach(::sendHeartbeat)
+        sendLeaderFrame(1, 0)
         acknowledgeAll()
         val finalFrame = nextFrame()!!
-        leaderFrame(1, finalFrame.version)
+        sendLeaderFrame(1, finalFrame.version)
         listOf("m2", "m1").forEach { machine ->
             tasks.getOrPut(machine) { HashMap() }[++lastAttempt] = TaskReport("j-2/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null)
-            heartbeat(machine)
+            sendHeartbeat(machine)
         }
         val partialFrame = nextFrame()!!
         assertTrue(
@@ -252,15 +252,15 @@
         for (count in listOf(4_000, 6_000)) {
             testPartition = TestPartition()
             val machines = List(count) { "m$it" }
-            machines.forEach(::heartbeat)
-            leaderFrame(1, 0)
+            machines.forEach(::sendHeartbeat)
+            sendLeaderFrame(1, 0)
             acknowledgeAll()
             var nextMachine = 0
             val finalFrames =
                 (1..ROUNDS).count {
-                    repeat(count / CHANGING_SHARE) { change(machines[nextMachine++ % count]) }
+                    repeat(count / MACHINES_PER_CHANGE) { reportNewTask(machines[nextMachine++ % count]) }
                     val frame = nextFrame()!!
-                    leaderFrame(1, frame.version)
+                    sendLeaderFrame(1, frame.version)
                     frame.isFinal
                 }
             assertEquals(ROUNDS, finalFrames) { "$count machines: $finalFrames of $ROUNDS frames were final" }
@@ -273,22 +273,22 @@
         for (machine in machines) {
             val reports = tasks.getOrPut(machine) { HashMap() }
             repeat(60) { reports[++lastAttempt] = TaskReport("j-000001/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null) }
-            heartbeat(machine)
+            sendHeartbeat(machine)
         }
-        leaderFrame(1, 0)
+        sendLeaderFrame(1, 0)
         val sizes = ArrayList<Int>()
         while (true) {
             val frame = nextFrame()!!
             sizes += FrameCodec.encode(frame).size
-            leaderFrame(1, frame.version)
+            sendLeaderFrame(1, frame.version)
             if (frame.isFinal) break
         }
         assertTrue(sizes.max() < 4 * 1024 * 1024) { "frame sizes in bytes: $sizes" }
     }
 
-    private fun change(machine: String) {
+    private fun reportNewTask(machine: String) {
         tasks.getOrPut(machine) { HashMap() }[++lastAttempt] = TaskReport("j-3/$lastAttempt", lastAttempt, TaskPhase.RUNNING, null)
-        heartbeat(machine)
+        sendHeartbeat(machine)
         tasks.getValue(machine).clear()
     }
 
@@ -296,7 +296,7 @@
     private fun acknowledgeAll(): PartitionFrame {
         while (true) {
             val frame = nextFrame()!!
-            leaderFrame(1, frame.version)
+            sendLeaderFrame(1, frame.version)
             if (frame.isFinal) return frame
         }
     }
@@ -307,6 +307,6 @@
         const val ROUNDS = 20
 
         /** One machine in this many changes before the leader acknowledges a frame, about 0.3 s after the frame was sent. */
-        const val CHANGING_SHARE = 10
+        const val MACHINES_PER_CHANGE = 10
     }
 }
--- a/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
@@ -1,9 +1,9 @@
 package lichenstage.partition
 
 import lichenstage.cluster.AttemptOrder
-import lichenstage.cluster.PlacementFrame
+import lichenstage.cluster.CheckpointStopOrder
+import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.PlacementRequest
-import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.StartOrder
 import lichenstage.cluster.TaskEndCause
 import lichenstage.cluster.TaskPhase
@@ -38,7 +38,7 @@
         starts: List<StartOrder> = emptyList(),
         stops: List<AttemptOrder> = emptyList(),
         clears: List<AttemptOrder> = emptyList(),
-    ) = PlacementFrame("z/0", term, ++seq, 0, 0, requests = requests, starts = starts, stops = stops, clears = clears)
+    ) = LeaderFrame("z/0", term, ++seq, 0, 0, requests = requests, starts = starts, stops = stops, clears = clears)
 
     protected fun request(
         requestNumber: Long,
@@ -63,7 +63,7 @@
     }
 
     protected fun checkpointStopFrame(leewayS: Long = 5) =
-        PlacementFrame("z/0", 1, ++seq, 0, 0, saves = listOf(SaveOrder("m", "j-1/0", 1, leewayS * SECOND)))
+        LeaderFrame("z/0", 1, ++seq, 0, 0, checkpointStops = listOf(CheckpointStopOrder("m", "j-1/0", 1, leewayS * SECOND)))
 
     protected fun taskReport(phase: TaskPhase) = TaskReport("j-1/0", 1, phase, if (phase == TaskPhase.ENDED) TaskEndCause.HALTED else null)
 
--- a/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
+import lichenstage.cluster.CheckpointStopOrder
 import lichenstage.cluster.MachineState
-import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.TaskPhase
 import lichenstage.common.SECOND
 import lichenstage.model.Priority
@@ -63,7 +63,7 @@
         assertTrue(commandsForDrainedMachine(40).isEmpty()) { "stopped outside the disruption budget of its team" }
         preemption.requestStops(listOf(attemptWithoutCheckpoints))
         assertTrue("m" in preemption.affectedMachines) { "the machine is not among the affected machines" }
-        assertEquals(listOf(SaveOrder("m", "j-1/1", 11, 0)), commandsForDrainedMachine(41)) { "${commandsForDrainedMachine(44)}" }
+        assertEquals(listOf(CheckpointStopOrder("m", "j-1/1", 11, 0)), commandsForDrainedMachine(41)) { "${commandsForDrainedMachine(44)}" }
         assertEquals(0L, attemptWithoutCheckpoints.saveCommandedAtUs) { "its progress would wrongly count as saved" }
         preemption.requestStops(listOf(longAttempt))
         assertTrue(
@@ -83,7 +83,7 @@
         val attempt = runningAttempt(job(runS = 60), sinceS = 1)
         receiveReclaimNotice(leftS = 20, nowS = 10)
         assertTrue(saveCommands(15, attempt).isEmpty()) { "stopped with 15 s left" }
-        val order = SaveOrder("m", "j-1/0", 10, 5 * SECOND)
+        val order = CheckpointStopOrder("m", "j-1/0", 10, 5 * SECOND)
         assertEquals(listOf(order), saveCommands(21, attempt)) { "not stopped with 9 s left" }
         assertTrue(saveCommands(22, attempt).isEmpty()) { "repeated after 1 s" }
         assertEquals(listOf(order), saveCommands(24, attempt)) { "not repeated after 3 s" }
--- a/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderFixture.kt
@@ -1,10 +1,10 @@
 package lichenstage.placement
 
 import lichenstage.cluster.HeldSlots
+import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.MachineState
 import lichenstage.cluster.Offer
 import lichenstage.cluster.PartitionFrame
-import lichenstage.cluster.PlacementFrame
 import lichenstage.cluster.TaskState
 import lichenstage.common.SECOND
 import lichenstage.config.Team
@@ -84,12 +84,12 @@
     protected fun framesTo(zone: String) =
         effects.filterIsInstance<LeaderEffect.SendFrame>().filter { it.partition == "$zone/0" }.map { it.frame }
 
-    protected fun lastRequestFrame(): PlacementFrame = framesTo("z").last { it.requests.isNotEmpty() }
+    protected fun lastRequestFrame(): LeaderFrame = framesTo("z").last { it.requests.isNotEmpty() }
 
     protected fun sentStarts() = effects.filterIsInstance<LeaderEffect.SendFrame>().flatMap { it.frame.starts }
 
     protected fun offersFor(
-        frame: PlacementFrame,
+        frame: LeaderFrame,
         machine: String,
         count: Int,
     ) = frame.requests.map {
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -47,7 +47,7 @@
         receiveMachineFrame(TaskPhase.RUNNING, null, 2)
         receiveMachineFrame(TaskPhase.RUNNING, 9, 40)
         leader.tick(41 * SECOND)
-        assertEquals(listOf(attempt), framesTo("z").flatMap { it.saves }.map { it.attempt }) { "${framesTo("z").last()}" }
+        assertEquals(listOf(attempt), framesTo("z").flatMap { it.checkpointStops }.map { it.attempt }) { "${framesTo("z").last()}" }
         receiveMachineFrame(TaskPhase.ENDED, 4, 45)
         assertTrue(job.totalSavedProgressUs in 37 * SECOND..39 * SECOND) { "${job.totalSavedProgressUs}" }
         assertTrue(leader.machines.attemptsOn("m1").isEmpty() && job.pendingTasks.size == 1) { "the task is not queued again" }
--- a/src/test/kotlin/lichenstage/world/SimulatedController.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedController.kt
@@ -1,7 +1,7 @@
 package lichenstage.world
 
+import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.PartitionFrame
-import lichenstage.cluster.PlacementFrame
 import lichenstage.common.SECOND
 import lichenstage.model.MachineLimits
 import lichenstage.model.Resources
@@ -136,7 +136,7 @@
     }
 
     /** The leader's frame for a partition has come. */
-    fun onLeaderFrame(frame: PlacementFrame) {
+    fun onLeaderFrame(frame: LeaderFrame) {
         if (!isAlive) return
         partitions[frame.partition]?.onLeaderFrame(frame, nowUs)
         if (mutation == Mutation.CLEARS_EXECUTED_IMMEDIATELY) executeClearsImmediately(frame)
@@ -144,7 +144,7 @@
     }
 
     /** A service that has tasks forgotten as soon as its leader says so. */
-    private fun executeClearsImmediately(frame: PlacementFrame) {
+    private fun executeClearsImmediately(frame: LeaderFrame) {
         val fencingToken = partitions[frame.partition]?.term ?: return
         for (clear in frame.clears) {
             val worker = machines.getWorker(clear.machine)
