--- a/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointStops.kt
@@ -1,6 +1,6 @@
 package lichenstage.placement
 
-import lichenstage.cluster.SaveOrder
+import lichenstage.cluster.CheckpointStopOrder
 
 /** The commands to save a checkpoint and stop, collected for all machines that will be terminated. */
 internal class CheckpointStops(
@@ -9,8 +9,8 @@
     private val runningAttempts: RunningAttempts,
 ) {
     /** Returns the commands that are due at [nowUs], by partition name, and records them as sent. */
-    fun takeDueCommandsByPartition(nowUs: Long): Map<String, List<SaveOrder>> {
-        val commands = HashMap<String, List<SaveOrder>>()
+    fun takeDueCommandsByPartition(nowUs: Long): Map<String, List<CheckpointStopOrder>> {
+        val commands = HashMap<String, List<CheckpointStopOrder>>()
         for (machine in directory.cordoned + preemption.affectedMachines) {
             val partition = directory.partitionOf(machine) ?: continue
             val machineCommands =
--- a/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
@@ -1,9 +1,9 @@
 package lichenstage.placement
 
 import lichenstage.cluster.AttemptOrder
-import lichenstage.cluster.PlacementFrame
+import lichenstage.cluster.CheckpointStopOrder
+import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.PlacementRequest
-import lichenstage.cluster.SaveOrder
 import lichenstage.cluster.StartOrder
 import lichenstage.common.MILLI
 import lichenstage.model.JobRequirements
@@ -38,7 +38,7 @@
     private val duePartitions = HashSet<String>()
     private val partitionSync = PartitionSync()
     private val pendingCommands = PendingCommands()
-    private val savesByPartition = HashMap<String, List<SaveOrder>>()
+    private val savesByPartition = HashMap<String, List<CheckpointStopOrder>>()
 
     /** Makes the next frame to the partition due soon, because there is something to send. */
     fun markDue(partition: String) {
@@ -68,7 +68,7 @@
     }
 
     /** Replaces the commands to save a checkpoint and stop, by partition. They are sent with the next frame to each partition. */
-    fun setSaveCommands(byPartition: Map<String, List<SaveOrder>>) {
+    fun setSaveCommands(byPartition: Map<String, List<CheckpointStopOrder>>) {
         savesByPartition.clear()
         savesByPartition += byPartition
         duePartitions += byPartition.keys
@@ -102,7 +102,7 @@
         val needsInitialState = !partitionSync.hasInitialState(id, partition, seq)
         val (stops, clears) = pendingCommands.takeDue(id, nowUs)
         val frame =
-            PlacementFrame(
+            LeaderFrame(
                 partition = id,
                 term = term,
                 seq = seq,
@@ -116,7 +116,7 @@
                 stops = stops,
                 clears = clears,
                 cordoned = partitionSync.takeCordonedIfDue(id, partition, nowUs, source::isExcludedFromPlacement),
-                saves = savesByPartition.remove(id).orEmpty(),
+                checkpointStops = savesByPartition.remove(id).orEmpty(),
             )
         emit(LeaderEffect.SendFrame(id, frame))
         return seq
