--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -44,7 +44,7 @@
 class Controller(
     vertx: Vertx,
     private val settings: Settings,
-    private val operator: OperatorSettings,
+    private val operatorSettings: OperatorSettings,
     private val scope: CoroutineScope,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.app")
@@ -56,12 +56,12 @@
             settings.maxSockets,
             KeyValueStoreClient.MAX_CONNECTIONS + CloudClient.MAX_CONNECTIONS + settings.peers.size * SOCKETS_PER_PEER + SPARE_SOCKETS,
         )
-    private val state =
+    private val store =
         KeyValueStoreClient(vertx, settings.stateAddress, clock, controllerCount, settings.stateRps, settings.stateWriteRps, ::writeShare)
-    private val cloud = CloudClient(vertx, settings.cloudAddress)
-    private val catalog = MachineCatalog(cloud, state, scope)
+    private val cloudClient = CloudClient(vertx, settings.cloudAddress)
+    private val catalog = MachineCatalog(cloudClient, store, scope)
     private val authority: Authority =
-        Authority(settings, state, clock, scope, { to, frame -> links.send(to, frame) }, { links.isHealthy(it) }, ::onOwnershipChanged)
+        Authority(settings, store, clock, scope, { to, frame -> links.send(to, frame) }, { links.isHealthy(it) }, ::onOwnershipChanged)
     private val links: PeerLinks =
         PeerLinks(
             vertx,
@@ -87,7 +87,7 @@
             replica,
             dependencyGraph,
             PeerChannel(peerLabels) { to, frame -> links.send(to, frame) },
-            state,
+            store,
             clock,
             scope,
             object : JobEndListener {
@@ -99,7 +99,7 @@
     private val recordLimits = RecordLimits(settings.maxTransactionOperations, settings.maxValueBytes)
     private val jobsActor =
         JobsActor(
-            state,
+            store,
             PeerFallback(forwarder, authority::isStateServiceAvailable),
             OpenJobs(replica, dependencyGraph),
             AdmissionPolicy(settings.teams, recordLimits, catalog::machineTypes),
@@ -211,8 +211,8 @@
         leader =
             LeaderActor(
                 settings,
-                LeaderOptions(operator.adjustFleetPolicy(FleetPolicy()), operator.placement, operator.drains),
-                LeaderServices(authority, state, cloud, catalog, clock, replicaSync, dependencyGraph, links::send),
+                LeaderOptions(operatorSettings.adjustFleetPolicy(FleetPolicy()), operatorSettings.placement, operatorSettings.drains),
+                LeaderServices(authority, store, cloudClient, catalog, clock, replicaSync, dependencyGraph, links::send),
                 LeaderTerm(leadership.term, leadership.modRevision),
                 scope,
             )
--- a/src/main/kotlin/lichenstage/app/EventBatching.kt
+++ b/src/main/kotlin/lichenstage/app/EventBatching.kt
@@ -27,7 +27,7 @@
     private val pauseUs: Long,
     private val pause: (Long) -> Unit,
 ) {
-    private var lastWakeUpUs = Long.MIN_VALUE / 2
+    private var lastWakeUpAtUs = Long.MIN_VALUE / 2
 
     /**
      * Returns the number of ready channels, from a [select] that does not block, if the event loop has tasks of its own. Otherwise returns
@@ -39,8 +39,8 @@
     ): Int {
         if (hasTasks) return select()
         val nowUs = clock.now()
-        val isBusy = nowUs - lastWakeUpUs < pauseUs * BUSY_THRESHOLD_PAUSES
-        lastWakeUpUs = nowUs
+        val isBusy = nowUs - lastWakeUpAtUs < pauseUs * BUSY_THRESHOLD_PAUSES
+        lastWakeUpAtUs = nowUs
         if (isBusy) pause(pauseUs)
         return SelectStrategy.SELECT
     }
--- a/src/main/kotlin/lichenstage/app/HttpApi.kt
+++ b/src/main/kotlin/lichenstage/app/HttpApi.kt
@@ -121,8 +121,8 @@
         request: HttpServerRequest,
         caller: Caller,
     ) {
-        val receivedUs = clock.now()
-        request.response().endHandler { metrics.recordRequest(caller, request.response().statusCode, clock.now() - receivedUs) }
+        val receivedAtUs = clock.now()
+        request.response().endHandler { metrics.recordRequest(caller, request.response().statusCode, clock.now() - receivedAtUs) }
     }
 
     private fun handleHeartbeat(
--- a/src/main/kotlin/lichenstage/app/Main.kt
+++ b/src/main/kotlin/lichenstage/app/Main.kt
@@ -69,7 +69,7 @@
     }
     if (arguments.has(WARM_UP_OPTION)) return warmUp()
     val path = arguments.text("config") ?: throw InvalidArgumentsException("--config: must be the path of a settings file, was missing")
-    return startController(path, arguments.text("operator"), checkOnly = arguments.has("check"))
+    return startController(path, arguments.text("operator"), isCheckOnly = arguments.has("check"))
 }
 
 private fun reportUsageError(
@@ -84,20 +84,20 @@
 private fun startController(
     settingsPath: String,
     operatorPath: String?,
-    checkOnly: Boolean,
+    isCheckOnly: Boolean,
 ): Int {
     val settings: Settings
-    val operator: OperatorSettings
+    val operatorSettings: OperatorSettings
     try {
         settings = readFile(settingsPath, Settings::parse)
-        operator =
+        operatorSettings =
             operatorPath?.let { readFile(it) { text -> OperatorSettings.parse(text).apply { validateAgainst(settings) } } }
                 ?: OperatorSettings()
     } catch (e: InvalidSettingsException) {
         return reportUsageError(e.message)
     }
-    if (checkOnly) return 0
-    serve(settings, operator)
+    if (isCheckOnly) return 0
+    serve(settings, operatorSettings)
     return SERVING
 }
 
--- a/src/main/kotlin/lichenstage/app/ServiceRuntime.kt
+++ b/src/main/kotlin/lichenstage/app/ServiceRuntime.kt
@@ -12,14 +12,14 @@
 /** Starts a controller on a single event loop and returns. The event loop's thread keeps the process alive. */
 fun serve(
     settings: Settings,
-    operator: OperatorSettings = OperatorSettings(),
+    operatorSettings: OperatorSettings = OperatorSettings(),
 ) {
     configureLibraries()
     val vertx = createBatchingVertx(vertxOptions())
     val context = vertx.getOrCreateContext()
     context.runOnContext {
         val exitOnException = CoroutineExceptionHandler { _, e -> exitOnFailure("Coroutine failed", e) }
-        Controller(vertx, settings, operator, CoroutineScope(context.dispatcher() + SupervisorJob() + exitOnException)).start()
+        Controller(vertx, settings, operatorSettings, CoroutineScope(context.dispatcher() + SupervisorJob() + exitOnException)).start()
     }
 }
 
--- a/src/main/kotlin/lichenstage/cloud/CloudClient.kt
+++ b/src/main/kotlin/lichenstage/cloud/CloudClient.kt
@@ -16,7 +16,7 @@
     address: Address,
 ) : Cloud {
     private val log = LoggerFactory.getLogger("lichenstage.app")
-    private val http = JsonHttpClient(vertx, address, connections = MAX_CONNECTIONS, queue = MAX_QUEUED_REQUESTS)
+    private val http = JsonHttpClient(vertx, address, maxConnections = MAX_CONNECTIONS, maxQueuedRequests = MAX_QUEUED_REQUESTS)
 
     override suspend fun listMachineTypes(): CloudReply<List<MachineType>> =
         read(CloudCodec.MACHINE_TYPES_PATH) { CloudCodec.decodeMachineTypes(it) }
--- a/src/main/kotlin/lichenstage/cluster/PeerLinks.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerLinks.kt
@@ -23,7 +23,7 @@
 ) {
     private val liveness = PeerLiveness()
     private val connections = PeerConnections(vertx, settings.label, settings.peers, frames, frameBytes)
-    private val server = PeerServer(vertx, settings.clusterListen, ::receive)
+    private val server = PeerServer(vertx, settings.clusterListenAddress, ::receive)
 
     /** Starts to listen for the other controllers, to connect to them and to send them pings. */
     fun start() {
--- a/src/main/kotlin/lichenstage/common/ConnectionBudget.kt
+++ b/src/main/kotlin/lichenstage/common/ConnectionBudget.kt
@@ -44,8 +44,8 @@
 
     /** Returns whether connections of workers must be closed with the reply to a heartbeat. Logs an error the first time this is true. */
     fun isExhausted(): Boolean {
-        val exhausted = servedConnections > sharedSockets - userSockets - minOrderConnections()
-        if (exhausted && !isExhaustionLogged) {
+        val isExhausted = servedConnections > sharedSockets - userSockets - minOrderConnections()
+        if (isExhausted && !isExhaustionLogged) {
             isExhaustionLogged = true
             log.error(
                 "Connection limit reached, closing worker connections after heartbeats servedConnections={} maxSockets={}",
@@ -53,7 +53,7 @@
                 maxSockets,
             )
         }
-        return exhausted
+        return isExhausted
     }
 
     private fun minOrderConnections() = (sharedSockets / ORDER_SHARE_DIVISOR).coerceIn(1, MAX_ORDER_CONNECTIONS)
--- a/src/main/kotlin/lichenstage/common/JsonHttpClient.kt
+++ b/src/main/kotlin/lichenstage/common/JsonHttpClient.kt
@@ -48,13 +48,13 @@
 class JsonHttpClient(
     vertx: Vertx,
     private val address: Address,
-    connections: Int,
-    queue: Int,
+    maxConnections: Int,
+    maxQueuedRequests: Int,
 ) {
     private val client =
         vertx.createHttpClient(
             HttpClientOptions().setKeepAliveTimeout(KEEP_ALIVE_S).setConnectTimeout(CONNECT_TIMEOUT_MS).setPipelining(false),
-            PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(queue),
+            PoolOptions().setHttp1MaxSize(maxConnections).setMaxWaitQueueSize(maxQueuedRequests),
         )
 
     /**
--- a/src/main/kotlin/lichenstage/common/Metrics.kt
+++ b/src/main/kotlin/lichenstage/common/Metrics.kt
@@ -14,7 +14,7 @@
 /** The metrics of the process. `GET /metrics` returns them as plain text, one metric per line. */
 class Metrics {
     private val registry = SimpleMeterRegistry()
-    private val requests = EnumMap<Caller, Int2ObjectOpenHashMap<Timer>>(Caller::class.java)
+    private val timersByCaller = EnumMap<Caller, Int2ObjectOpenHashMap<Timer>>(Caller::class.java)
 
     /** Registers a gauge. [value] is called each time the metrics are rendered. */
     fun gauge(
@@ -33,8 +33,8 @@
         status: Int,
         durationUs: Long,
     ) {
-        val byStatus = requests.getOrPut(caller) { Int2ObjectOpenHashMap() }
-        val timer = byStatus.get(status) ?: timer(caller, status).also { byStatus.put(status, it) }
+        val timersByStatus = timersByCaller.getOrPut(caller) { Int2ObjectOpenHashMap() }
+        val timer = timersByStatus.get(status) ?: timer(caller, status).also { timersByStatus.put(status, it) }
         timer.record(durationUs, TimeUnit.MICROSECONDS)
     }
 
--- a/src/main/kotlin/lichenstage/drain/DrainActionHandler.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainActionHandler.kt
@@ -24,6 +24,6 @@
     val singleWriterKeys: SingleWriterKeys,
     /** Preconditions of every write: the key of the leadership still has the revision of this leader. */
     val leaderPreconditions: List<Precondition>,
-    val maxTxnOps: Int,
+    val maxTransactionOperations: Int,
     val scan: suspend (String) -> ScanResult,
 )
--- a/src/main/kotlin/lichenstage/drain/DrainCommand.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCommand.kt
@@ -96,7 +96,7 @@
         try {
             return runBlocking {
                 withContext(vertx.dispatcher()) {
-                    val state =
+                    val store =
                         KeyValueStoreClient(
                             vertx,
                             settings.stateAddress,
@@ -105,7 +105,7 @@
                             settings.stateRps,
                             settings.stateWriteRps,
                         ) { STATE_WRITE_SHARE }
-                    val operations = DrainOperations(state, state::scan, DrainRecordCodec(settings.maxValueBytes), settings, ::timeOfDayUs)
+                    val operations = DrainOperations(store, store::scan, DrainRecordCodec(settings.maxValueBytes), settings, ::timeOfDayUs)
                     when (arguments.subcommand) {
                         START -> operations.start(buildRequest(name!!, arguments.parsed))
                         STATUS -> operations.status(name)
@@ -124,23 +124,23 @@
         name: String,
         parsed: ParsedArguments,
     ): DrainRequest {
-        val spot = if (parsed.has("spot")) true else false.takeIf { parsed.has("ordinary") }
+        val isSpot = if (parsed.has("spot")) true else false.takeIf { parsed.has("ordinary") }
         val names = parsed.text("machine")?.split(',').orEmpty()
         val selection =
             DrainSelection(
                 names.filter { it.isNotEmpty() }.toSet(),
                 parsed.text("type"),
                 parsed.text("zone"),
-                spot,
+                isSpot,
                 parsed.text("hired-up-to"),
             )
         val deadlineS = parsed.wholeNumber("deadline-s")
         return DrainRequest(
             name,
             selection,
-            replace = parsed.has("replace"),
+            shouldReplace = parsed.has("replace"),
             maxConcurrent = maxConcurrent(parsed),
-            deadlineUs = deadlineS?.let { timeOfDayUs() + it * SECOND },
+            deadlineAtUs = deadlineS?.let { timeOfDayUs() + it * SECOND },
             isDryRun = parsed.has("dry-run"),
         )
     }
--- a/src/main/kotlin/lichenstage/drain/DrainCore.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCore.kt
@@ -82,7 +82,7 @@
     }
 
     /** Handles the interruption of a task by a failure. The interruption is counted only while a drain is running. */
-    fun onTaskLost(interruption: Interruption) {
+    fun onTaskStopped(interruption: Interruption) {
         if (isActive && interruption.task !in state.interruptions) unrecordedFailures[interruption.task] = interruption
     }
 
--- a/src/main/kotlin/lichenstage/drain/DrainDriver.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainDriver.kt
@@ -32,8 +32,8 @@
     private var recordedValues: Map<String, JsonObject> = emptyMap()
     private var isWriting = false
     private var isReading = false
-    private var lastReadUs = Long.MIN_VALUE / 2
-    private var lastStepUs = Long.MIN_VALUE / 2
+    private var lastReadAtUs = Long.MIN_VALUE / 2
+    private var lastStepAtUs = Long.MIN_VALUE / 2
 
     /** Keys of unreadable records that were logged. Each key is logged once. */
     private val loggedUnreadableKeys = HashSet<String>()
@@ -57,14 +57,14 @@
     ) = core?.onReplacementProvisioned(key, machine) ?: Unit
 
     /** Handles the stop of a task that ran, whatever the cause. */
-    fun onTaskStopped(interruption: Interruption) = core?.onTaskLost(interruption) ?: Unit
+    fun onTaskStopped(interruption: Interruption) = core?.onTaskStopped(interruption) ?: Unit
 
     /** Reads the records and advances the drains if either is due. Must be called regularly. [nowUs] is a time of the steady clock. */
     fun step(nowUs: Long) {
-        if (!isReading && nowUs - lastReadUs >= READ_INTERVAL_US) readRecords(nowUs)
+        if (!isReading && nowUs - lastReadAtUs >= READ_INTERVAL_US) readRecords(nowUs)
         val drainCore = core ?: return
-        if (isWriting || nowUs - lastStepUs < STEP_INTERVAL_US) return
-        lastStepUs = nowUs
+        if (isWriting || nowUs - lastStepAtUs < STEP_INTERVAL_US) return
+        lastStepAtUs = nowUs
         val wallClockUs = timeOfDayUs()
         val nextState = drainCore.step(wallClockUs, hourOf(wallClockUs)) ?: return
         recordState(nextState)
@@ -74,7 +74,7 @@
 
     private fun readRecords(nowUs: Long) {
         isReading = true
-        lastReadUs = nowUs
+        lastReadAtUs = nowUs
         scope.launch {
             sendMessage(DrainMessage.RecordsRead((recordAccess.scan(DrainRecordCodec.PREFIX) as? ScanResult.Complete)?.entries))
         }
@@ -87,7 +87,7 @@
         isWriting = true
         scope.launch {
             val isWritten =
-                changes.chunked(recordAccess.maxTxnOps).all {
+                changes.chunked(recordAccess.maxTransactionOperations).all {
                     recordAccess.singleWriterKeys.write(recordAccess.leaderPreconditions, it, isUrgent = false)
                 }
             if (!isWritten) delay(RETRY_INTERVAL_MS)
--- a/src/main/kotlin/lichenstage/drain/DrainOperations.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainOperations.kt
@@ -39,7 +39,7 @@
     private suspend fun startNew(request: DrainRequest): DrainCommandResult {
         val machines = scanEntries(MachineRecordCodec.PREFIX).flatMap { MachineRecordCodec.decode(it.value) }
         val boundZones = scanEntries(JobRecordCodec.OPEN_PREFIX).mapNotNullTo(HashSet()) { JobRecordCodec.decode(it.value).zone }
-        rejectionReason(request, machines, boundZones)?.let { throw RejectedCommand(it) }
+        findRejectionReason(request, machines, boundZones)?.let { throw RejectedCommand(it) }
         val selected = machines.filter { it in request.selection }.sortedBy { it.name }
         return if (request.isDryRun) DrainCommandResult.DryRun(request, selected) else recordDrain(request, selected)
     }
@@ -49,7 +49,7 @@
         entry: Entry,
     ): DrainCommandResult {
         val existing = codec.decodeDrain(entry)
-        if (existing.replace != request.replace || existing.maxConcurrent != request.maxConcurrent) {
+        if (existing.shouldReplace != request.shouldReplace || existing.maxConcurrent != request.maxConcurrent) {
             throw RejectedCommand("drain \"${request.name}\" already exists with different options")
         }
         return readStatus(request.name)
@@ -84,7 +84,7 @@
         if (store.commit(preconditions, changes) !is TransactionResult.Committed) throw StateServiceUnavailable()
     }
 
-    private fun rejectionReason(
+    private fun findRejectionReason(
         request: DrainRequest,
         machines: List<RegisteredMachine>,
         boundZones: Set<String>,
@@ -99,7 +99,7 @@
             selection.zone != null && selection.zone !in settings.zones -> "--zone: must be a configured zone, was \"${selection.zone}\""
             typeName != null && machines.none { it.typeName == typeName } -> "--type: must have a registered machine, was \"$typeName\""
             selectedZones.isEmpty() -> "no registered machine matches the selection"
-            emptiedZone == null || request.replace -> null
+            emptiedZone == null || request.shouldReplace -> null
             else -> "--replace: must be given, jobs are bound to zone \"$emptiedZone\", which would be empty"
         }
     }
@@ -122,12 +122,12 @@
         val drain =
             Drain(
                 request.name,
-                request.replace,
+                request.shouldReplace,
                 request.maxConcurrent,
                 DrainStatus.RUNNING,
                 null,
                 nowUs,
-                request.deadlineUs,
+                request.deadlineAtUs,
             )
         commit(listOf(Precondition.absent(drainKey)), listOf(Change.Put(drainKey, codec.encode(drain))))
         return readStatus(request.name)
--- a/src/main/kotlin/lichenstage/drain/DrainPlanner.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainPlanner.kt
@@ -29,7 +29,7 @@
 
     /** Returns the next step of the running drains among [drains]. Drains are processed in the order of their requests. */
     fun planStep(drains: List<Drain>): DrainProposal {
-        val running = drains.filter { it.status == DrainStatus.RUNNING }.sortedBy { it.requestedUs }
+        val running = drains.filter { it.status == DrainStatus.RUNNING }.sortedBy { it.requestedAtUs }
         running.forEach(::advanceMachines)
         running.forEach { startDraining(it, machinesInProgress(running)) }
         interruptTasks(running)
@@ -176,7 +176,7 @@
                     view.condition(it.name) == MachineCondition.HEALTHY
             }
         waitingMachines.sortedWith(drainOrder()).take(availableSlots).forEach { machine ->
-            if (drain.replace) {
+            if (drain.shouldReplace) {
                 enterStage(machine, Stage.PREPARING)
                 actions += DrainAction.ProvisionReplacement(machine.key)
             } else {
@@ -209,7 +209,7 @@
 
     /** Returns the number of running tasks of each team, without tasks that have a recorded interruption and may be stopping already. */
     private fun countRunningTasksByTeam(): Map<String, Int> {
-        val taskCounts = HashMap(view.runningByTeam())
+        val taskCounts = HashMap(view.runningTasksByTeam())
         for (interruption in state.interruptions.values) {
             if (view.execution(interruption.task) is TaskExecution.Running) taskCounts.merge(interruption.team, -1, Int::plus)
         }
--- a/src/main/kotlin/lichenstage/drain/DrainRecordCodec.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainRecordCodec.kt
@@ -26,12 +26,12 @@
         JsonObject()
             .put(FORMAT_FIELD, CURRENT_FORMAT)
             .put("status", drain.status.name)
-            .put("replace", drain.replace)
+            .put("replace", drain.shouldReplace)
             .put("at_most", drain.maxConcurrent)
-            .put("asked", drain.requestedUs)
+            .put("asked", drain.requestedAtUs)
             .apply {
                 if (drain.reason != null) put("reason", drain.reason)
-                if (drain.deadlineUs != null) put("deadline", drain.deadlineUs)
+                if (drain.deadlineAtUs != null) put("deadline", drain.deadlineAtUs)
             }
 
     /** Returns the drain recorded in [entry]. Throws [UnreadableRecordException]. */
@@ -39,12 +39,12 @@
         decode(entry) {
             Drain(
                 name = entry.key.removePrefix(DRAIN_PREFIX),
-                replace = it.getBoolean("replace")!!,
+                shouldReplace = it.getBoolean("replace")!!,
                 maxConcurrent = it.getInteger("at_most")!!,
                 status = DrainStatus.valueOf(it.getString("status")),
                 reason = it.getString("reason"),
-                requestedUs = it.getLong("asked")!!,
-                deadlineUs = it.getLong("deadline"),
+                requestedAtUs = it.getLong("asked")!!,
+                deadlineAtUs = it.getLong("deadline"),
             )
         }
 
--- a/src/main/kotlin/lichenstage/drain/DrainReport.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainReport.kt
@@ -8,10 +8,10 @@
 /** The status report of a drain, as text or JSON. */
 data class DrainReport(
     val drain: Drain,
-    val stages: Map<Stage, Int>,
-    val inProgress: List<DrainedMachine>,
+    val machineCountByStage: Map<Stage, Int>,
+    val machinesInProgress: List<DrainedMachine>,
     /** Current interruptions of each team for any cause, including those not caused by this drain. */
-    val interrupted: Map<String, List<Interruption>>,
+    val interruptionsByTeam: Map<String, List<Interruption>>,
     /** Whether the deadline has passed or will be missed at the average pace so far. */
     val isLate: Boolean,
 ) {
@@ -21,12 +21,12 @@
             .put("name", drain.name)
             .put("status", drain.status.name.lowercase())
             .put("reason", drain.reason)
-            .put("replace", drain.replace)
+            .put("replace", drain.shouldReplace)
             .put("at_most", drain.maxConcurrent)
             .put("late", isLate)
-            .put("stages", JsonObject(stages.entries.associate { it.key.name.lowercase() to it.value }))
-            .put("under_way", JsonArray(inProgress.map(::machineJson)))
-            .put("interrupted", JsonObject(interrupted.mapValues { (_, interruptions) -> interruptionsJson(interruptions) }))
+            .put("stages", JsonObject(machineCountByStage.entries.associate { it.key.name.lowercase() to it.value }))
+            .put("under_way", JsonArray(machinesInProgress.map(::machineJson)))
+            .put("interrupted", JsonObject(interruptionsByTeam.mapValues { (_, interruptions) -> interruptionsJson(interruptions) }))
 
     private fun machineJson(machine: DrainedMachine) =
         JsonObject()
@@ -48,15 +48,15 @@
         val reason = drain.reason?.let { " ($it)" }.orEmpty()
         lines +=
             "${drain.name}: ${drain.status.name.lowercase()}$reason, at most ${drain.maxConcurrent} at once" +
-            if (drain.replace) ", with replacement" else ""
-        drain.deadlineUs?.let { lines += "  deadline ${formatTime(it)}${if (isLate) " (cannot be met)" else ""}" }
-        lines += "  " + stages.entries.joinToString { "${it.value} ${it.key.name.lowercase()}" }
-        for (machine in inProgress) {
+            if (drain.shouldReplace) ", with replacement" else ""
+        drain.deadlineAtUs?.let { lines += "  deadline ${formatTime(it)}${if (isLate) " (cannot be met)" else ""}" }
+        lines += "  " + machineCountByStage.entries.joinToString { "${it.value} ${it.key.name.lowercase()}" }
+        for (machine in machinesInProgress) {
             val replacement = machine.replacement?.let { ", replacement $it" }.orEmpty()
             val failures = if (machine.failedReplacements > 0) ", ${machine.failedReplacements} replacements failed" else ""
             lines += "  ${machine.name} ${machine.stage.name.lowercase()} since ${formatTime(machine.sinceUs)}$replacement$failures"
         }
-        for ((team, interruptions) in interrupted) {
+        for ((team, interruptions) in interruptionsByTeam) {
             val jobs = interruptions.map { it.task.job }.distinct()
             lines += "  $team: ${jobs.size} jobs interrupted (${jobs.sorted().joinToString(" ")}), ${interruptions.size} tasks"
         }
@@ -90,12 +90,12 @@
             machines: List<DrainedMachine>,
             nowUs: Long,
         ): Boolean {
-            val deadlineUs = drain.deadlineUs ?: return false
+            val deadlineAtUs = drain.deadlineAtUs ?: return false
             val completedMachines = machines.count { it.stage.isOver }
             val remainingMachines = machines.size - completedMachines
             if (remainingMachines == 0) return false
-            val perMachineUs = (nowUs - drain.requestedUs) / maxOf(completedMachines, 1)
-            return nowUs + (if (completedMachines == 0) 0 else perMachineUs * remainingMachines) > deadlineUs
+            val perMachineUs = (nowUs - drain.requestedAtUs) / maxOf(completedMachines, 1)
+            return nowUs + (if (completedMachines == 0) 0 else perMachineUs * remainingMachines) > deadlineAtUs
         }
 
         private fun formatTime(us: Long): String = Instant.ofEpochSecond(us / SECOND).toString()
--- a/src/main/kotlin/lichenstage/drain/DrainRequest.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainRequest.kt
@@ -7,14 +7,14 @@
     val names: Set<String> = emptySet(),
     val typeName: String? = null,
     val zone: String? = null,
-    val spot: Boolean? = null,
+    val isSpot: Boolean? = null,
     /** Highest selected machine name. Names ascend in the order in which machines are provisioned. */
     val provisionedUpTo: String? = null,
 ) {
     /** Returns whether [machine] is selected. */
     operator fun contains(machine: RegisteredMachine) =
         (names.isEmpty() || machine.name in names) && (typeName == null || machine.typeName == typeName) &&
-            (zone == null || machine.zone == zone) && (spot == null || machine.isSpot == spot) &&
+            (zone == null || machine.zone == zone) && (isSpot == null || machine.isSpot == isSpot) &&
             (provisionedUpTo == null || machine.name <= provisionedUpTo)
 }
 
@@ -22,9 +22,9 @@
 data class DrainRequest(
     val name: String,
     val selection: DrainSelection,
-    val replace: Boolean,
+    val shouldReplace: Boolean,
     val maxConcurrent: Int,
-    val deadlineUs: Long?,
+    val deadlineAtUs: Long?,
     val isDryRun: Boolean,
 )
 
--- a/src/main/kotlin/lichenstage/drain/DrainTypes.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainTypes.kt
@@ -17,15 +17,15 @@
 data class Drain(
     val name: String,
     /** Whether each machine is replaced by a new one like it. The replacement must start a task before the old machine is drained. */
-    val replace: Boolean,
+    val shouldReplace: Boolean,
     /** Maximum number of machines that are drained at once. */
     val maxConcurrent: Int,
     val status: DrainStatus,
     /** Reason for the pause or cancellation; null for other statuses. */
     val reason: String?,
     /** Wall clock time of the request. */
-    val requestedUs: Long,
-    val deadlineUs: Long?,
+    val requestedAtUs: Long,
+    val deadlineAtUs: Long?,
 )
 
 /** The progress of one machine in a drain. */
@@ -189,7 +189,7 @@
     fun execution(task: TaskId): TaskExecution
 
     /** Returns the number of running tasks of each team. */
-    fun runningByTeam(): Map<String, Int>
+    fun runningTasksByTeam(): Map<String, Int>
 
     /** Returns whether tasks have failed on [machine]. */
     fun isFaulty(machine: String): Boolean
--- a/src/main/kotlin/lichenstage/fleet/FleetCore.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetCore.kt
@@ -19,10 +19,10 @@
     forecast: DemandForecast,
 ) {
     private val inventory = FleetInventory()
-    private val capacity = CapacityEstimator(policy, forecast)
-    private val replacements = ReplacementRequests()
-    private val scaleIn = ScaleIn(policy, forecast, capacity)
-    private val scaleOut = ScaleOut(term, capacity, replacements)
+    private val capacityEstimator = CapacityEstimator(policy, forecast)
+    private val replacementRequests = ReplacementRequests()
+    private val scaleIn = ScaleIn(policy, forecast, capacityEstimator)
+    private val scaleOut = ScaleOut(term, capacityEstimator, replacementRequests)
     private var machineTypes = emptyMap<String, MachineType>()
     private var excludedMachines = emptySet<String>()
     private var lastListRequestAtUs = Long.MIN_VALUE / 2
@@ -37,9 +37,9 @@
         name: String,
         typeName: String,
         zone: String,
-        spot: Boolean,
+        isSpot: Boolean,
         provisionedAtUs: Long,
-    ) = inventory.add(name, typeName, zone, spot, provisionedAtUs)
+    ) = inventory.add(name, typeName, zone, isSpot, provisionedAtUs)
 
     /** Applies the cloud's list of machines, which lags behind the actual state. */
     fun onMachinesListed(
@@ -57,16 +57,16 @@
     ) {
         machineTypes = observation.machineTypes
         excludedMachines = observation.excludedMachines
-        capacity.update(observation.demand)
+        capacityEstimator.update(observation.demand)
         inventory.applyStatus(observation.statusOf, machineTypes, nowUs)
         scaleIn.drainSurplus(inventory.servingMachines(excludedMachines), nowUs)
     }
 
     /** Requests a replacement, which is provisioned regardless of the demand. */
-    fun requestReplacement(request: ReplacementRequest) = replacements.add(request)
+    fun requestReplacement(request: ReplacementRequest) = replacementRequests.add(request)
 
     /** Returns the id of the replacement that a provision request was sent for; null if it was sent for the demand. */
-    fun replacementIdOf(request: ProvisionRequest): String? = replacements.idOf(request)
+    fun replacementIdOf(request: ProvisionRequest): String? = replacementRequests.idOf(request)
 
     /** Marks machines for termination, which proves that nothing runs on them any more. */
     fun terminate(machines: Collection<String>) = inventory.terminate(machines)
@@ -116,13 +116,13 @@
         nowUs: Long,
     ): String {
         val machines = inventory.allMachines.filter { it.typeName == typeName }
-        val demand = capacity.demandFor(typeName)
+        val demand = capacityEstimator.demandFor(typeName)
         val waitingS = demand.sumOf { it.waitingWorkUs } / SECOND / maxOf(machines.size, 1)
         return "type=$typeName machines=${machines.size} spot=${machines.count { it.isSpot }} up=${machines.count { it.hasBeenUp }} " +
             "idle=${machines.count { it.hasBeenUp && it.taskCount == 0 }} draining=${machines.count { it.isDraining }} " +
-            "needed=${capacity.neededMachines(typeName, nowUs)} " +
+            "needed=${capacityEstimator.neededMachines(typeName, nowUs)} " +
             "expected=%.0f busy=%.0f waitingS=%.0f".format(
-                capacity.expectedMachines(typeName, nowUs),
+                capacityEstimator.expectedMachines(typeName, nowUs),
                 demand.sumOf { it.busyMachines },
                 waitingS,
             )
--- a/src/main/kotlin/lichenstage/fleet/FleetInventory.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetInventory.kt
@@ -58,10 +58,10 @@
         name: String,
         typeName: String,
         zone: String,
-        spot: Boolean,
+        isSpot: Boolean,
         provisionedAtUs: Long,
     ) {
-        if (name !in terminatedNames) machines.getOrPut(name) { FleetMachine(typeName, zone, spot, provisionedAtUs) }
+        if (name !in terminatedNames) machines.getOrPut(name) { FleetMachine(typeName, zone, isSpot, provisionedAtUs) }
     }
 
     /** Applies the cloud's list. A machine that is missing from the list is kept, because the list lags. */
@@ -96,8 +96,8 @@
     ) {
         if (status != null && status.isUp) machine.hasBeenUp = true
         machine.taskCount = status?.taskCount ?: 0
-        val bootFailed = !machine.hasBeenUp && nowUs - machine.provisionedAtUs > BOOT_TIMEOUT_FACTOR * bootUs + BOOT_TIMEOUT_MARGIN_US
-        if (status?.isLost == true || status?.isFaulty == true || machine.hasFailed || bootFailed) machine.isTerminating = true
+        val hasBootFailed = !machine.hasBeenUp && nowUs - machine.provisionedAtUs > BOOT_TIMEOUT_FACTOR * bootUs + BOOT_TIMEOUT_MARGIN_US
+        if (status?.isLost == true || status?.isFaulty == true || machine.hasFailed || hasBootFailed) machine.isTerminating = true
     }
 
     /** Marks machines for termination. Unknown names are ignored. */
--- a/src/main/kotlin/lichenstage/fleet/ScaleIn.kt
+++ b/src/main/kotlin/lichenstage/fleet/ScaleIn.kt
@@ -9,7 +9,7 @@
 internal class ScaleIn(
     private val policy: FleetPolicy,
     private val forecast: DemandForecast,
-    private val capacity: CapacityEstimator,
+    private val capacityEstimator: CapacityEstimator,
 ) {
     private val surplusSinceUsByType = HashMap<String, Long>()
 
@@ -19,7 +19,7 @@
         nowUs: Long,
     ) {
         for ((typeName, group) in machines.groupBy { it.typeName }) {
-            val surplus = group.size - capacity.retainedMachines(typeName, nowUs)
+            val surplus = group.size - capacityEstimator.retainedMachines(typeName, nowUs)
             if (surplus <= 0) {
                 surplusSinceUsByType.remove(typeName)
                 group.forEach { it.isDraining = false }
--- a/src/main/kotlin/lichenstage/fleet/ScaleOut.kt
+++ b/src/main/kotlin/lichenstage/fleet/ScaleOut.kt
@@ -14,8 +14,8 @@
  */
 internal class ScaleOut(
     private val term: Long,
-    private val capacity: CapacityEstimator,
-    private val replacements: ReplacementRequests,
+    private val capacityEstimator: CapacityEstimator,
+    private val replacementRequests: ReplacementRequests,
 ) {
     private val backoff = ProvisionBackoff()
     private var requestCounter = 0L
@@ -27,9 +27,9 @@
 
     /** Creates a request for a replacement; null if none is due. */
     fun createReplacementRequest(nowUs: Long): ProvisionRequest? {
-        val replacement = replacements.next(backoff, nowUs) ?: return null
+        val replacement = replacementRequests.next(backoff, nowUs) ?: return null
         val request = createRequest(CapacityPool(replacement.typeName, replacement.zone, replacement.isSpot), 1)
-        replacements.assign(replacement.id, request)
+        replacementRequests.assign(replacement.id, request)
         return request
     }
 
@@ -44,7 +44,7 @@
     ): ProvisionRequest? =
         machineTypes.firstNotNullOfOrNull { machineType ->
             val machines = servingMachines(machineType.name)
-            val shortage = capacity.neededMachines(machineType.name, nowUs) - machines.size
+            val shortage = capacityEstimator.neededMachines(machineType.name, nowUs) - machines.size
             if (shortage > 0) requestMachines(machineType, machines, shortage, nowUs) else requestSpotSwap(machineType, machines, nowUs)
         }
 
@@ -58,27 +58,27 @@
         shortage: Int,
         nowUs: Long,
     ): ProvisionRequest? {
-        val allowsSpot = capacity.allowsSpot(machineType.name)
-        val onDemandFirst = machines.count { !it.isSpot } < capacity.minOnDemandMachines(machineType.name) || !allowsSpot
-        val spotChoices = if (onDemandFirst) listOf(false, true) else listOf(true, false)
+        val allowsSpot = capacityEstimator.allowsSpot(machineType.name)
+        val isOnDemandFirst = machines.count { !it.isSpot } < capacityEstimator.minOnDemandMachines(machineType.name) || !allowsSpot
+        val spotChoices = if (isOnDemandFirst) listOf(false, true) else listOf(true, false)
         return spotChoices
-            .filter { spot -> !spot || allowsSpot }
-            .firstNotNullOfOrNull { spot -> requestInEmptiestZone(machineType, machines, spot, shortage, nowUs) }
+            .filter { isSpot -> !isSpot || allowsSpot }
+            .firstNotNullOfOrNull { isSpot -> requestInEmptiestZone(machineType, machines, isSpot, shortage, nowUs) }
     }
 
     private fun requestInEmptiestZone(
         machineType: MachineType,
         machines: List<FleetMachine>,
-        spot: Boolean,
+        isSpot: Boolean,
         shortage: Int,
         nowUs: Long,
     ): ProvisionRequest? {
         val zone =
             machineType.zones
-                .filter { backoff.allows(CapacityPool(machineType.name, it, spot), nowUs) }
+                .filter { backoff.allows(CapacityPool(machineType.name, it, isSpot), nowUs) }
                 .minByOrNull { zone -> machines.count { it.zone == zone } } ?: return null
         val count = ceil(shortage.toDouble() / machineType.zones.size).toInt().coerceIn(1, MAX_MACHINES_PER_REQUEST)
-        return createRequest(CapacityPool(machineType.name, zone, spot), count)
+        return createRequest(CapacityPool(machineType.name, zone, isSpot), count)
     }
 
     /**
@@ -91,7 +91,7 @@
         nowUs: Long,
     ): ProvisionRequest? {
         if (machineType.spotPrice >= machineType.onDemandPrice || nowUs - lastSpotSwapAtUs < SPOT_SWAP_INTERVAL_US) return null
-        if (machines.none { !it.isSpot && !it.isDraining } || !capacity.allowsSpot(machineType.name)) return null
+        if (machines.none { !it.isSpot && !it.isDraining } || !capacityEstimator.allowsSpot(machineType.name)) return null
         val zone = machineType.zones.firstOrNull { backoff.allows(CapacityPool(machineType.name, it, true), nowUs) } ?: return null
         lastSpotSwapAtUs = nowUs
         return createRequest(CapacityPool(machineType.name, zone, true), 1)
@@ -113,7 +113,7 @@
             is ProvisionResult.Provisioned -> {
                 pendingRequest = null
                 if (result.names.size < request.count) backoff.onRefusal(pool, nowUs) else backoff.onSuccess(pool)
-                if (result.names.isNotEmpty()) replacements.onProvisioned(request)
+                if (result.names.isNotEmpty()) replacementRequests.onProvisioned(request)
                 return result.names
             }
 
--- a/src/main/kotlin/lichenstage/jobs/JobLookup.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobLookup.kt
@@ -12,7 +12,7 @@
 
 /** Reads the state of jobs for users and cancels jobs. */
 class JobLookup(
-    private val state: KeyValueStore,
+    private val store: KeyValueStore,
     private val cache: JobCache,
     private val replica: JobReplica,
     private val dependencyGraph: DependencyGraph,
@@ -47,7 +47,7 @@
                 RecordState.DELETED -> cache.forgetOpen(id)
             }
         }
-        return when (val read = state.get(JobRecordCodec.OPEN_PREFIX + id, READ_TIMEOUT_MS)) {
+        return when (val read = store.get(JobRecordCodec.OPEN_PREFIX + id, READ_TIMEOUT_MS)) {
             is ReadResult.Found -> {
                 val dependencies = JobRecordCodec.decodeDependencies(read.entry.value)
                 cache.rememberOpen(id, read.entry.modRevision, dependencies)
@@ -65,7 +65,7 @@
     }
 
     private suspend fun findFinished(id: String): Reply =
-        when (val read = state.get(JobRecordCodec.FINISHED_PREFIX + id, READ_TIMEOUT_MS)) {
+        when (val read = store.get(JobRecordCodec.FINISHED_PREFIX + id, READ_TIMEOUT_MS)) {
             is ReadResult.Found -> {
                 val job = JobRecordCodec.decodeFinished(read.entry.value)
                 cache.rememberFinished(id, job)
@@ -107,7 +107,7 @@
         if (!SubmissionCodec.isValidId(id)) return Reply.unknownJob()
         repeat(MAX_TRIES) {
             cache.finishedJob(id)?.let { return Reply.ofFinished(id, it) }
-            when (val read = state.get(JobRecordCodec.OPEN_PREFIX + id, READ_TIMEOUT_MS)) {
+            when (val read = store.get(JobRecordCodec.OPEN_PREFIX + id, READ_TIMEOUT_MS)) {
                 is ReadResult.Found -> recordCancellation(id, read.entry.modRevision)?.let { return it }
                 ReadResult.NotFound -> return find(id)
                 ReadResult.Unavailable -> return Reply.stateUnavailable()
@@ -127,7 +127,7 @@
                 Change.Delete(JobRecordCodec.OPEN_PREFIX + id),
                 Change.Put(JobRecordCodec.FINISHED_PREFIX + id, JobRecordCodec.encodeFinished(job)),
             )
-        return when (val outcome = state.commit(listOf(Precondition(JobRecordCodec.OPEN_PREFIX + id, revision)), changes)) {
+        return when (val outcome = store.commit(listOf(Precondition(JobRecordCodec.OPEN_PREFIX + id, revision)), changes)) {
             is TransactionResult.Committed -> {
                 cache.rememberFinished(id, job)
                 onCancelled(id, outcome.revision)
--- a/src/main/kotlin/lichenstage/jobs/JobRecordCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobRecordCodec.kt
@@ -69,7 +69,7 @@
             .put("checkpoint", spec.checkpointIntervalUs)
             .put("save", spec.checkpointSaveUs)
             .put("deadline", spec.deadlineUs)
-            .put("at", spec.submittedUs)
+            .put("at", spec.submittedAtUs)
             .apply { if (spec.dependencies.isNotEmpty()) put(DEPENDENCIES, JsonArray(spec.dependencies)) }
 
     /** Returns the ids of the dependencies in an open record. Throws [JsonDecodingException] if they are not a list of strings. */
@@ -98,7 +98,7 @@
             checkpointIntervalUs = json.requiredLong("checkpoint"),
             checkpointSaveUs = json.requiredLong("save"),
             deadlineUs = json.optionalLong("deadline"),
-            submittedUs = json.requiredLong("at"),
+            submittedAtUs = json.requiredLong("at"),
             dependencies = decodeDependencies(json),
         )
 
--- a/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
@@ -40,7 +40,7 @@
     private val replica: JobReplica,
     private val dependencyGraph: DependencyGraph,
     private val peers: PeerChannel,
-    private val state: KeyValueStoreClient,
+    private val store: KeyValueStoreClient,
     private val clock: Clock,
     private val scope: CoroutineScope,
     private val listener: JobEndListener,
@@ -81,7 +81,7 @@
 
     private suspend fun followOpenJobs() {
         val scanSentAtUs = clock.now()
-        val scan = state.scan(JobRecordCodec.OPEN_PREFIX)
+        val scan = store.scan(JobRecordCodec.OPEN_PREFIX)
         if (scan !is ScanResult.Complete) {
             delay(RETRY_INTERVAL_MS)
             return
@@ -90,7 +90,7 @@
         scan.entries.forEach { dependencyGraph.onJobOpened(jobId(it.key), JobRecordCodec.decodeDependencies(it.value)) }
         while (true) {
             val sentAtUs = clock.now()
-            when (val result = state.watch(JobRecordCodec.OPEN_PREFIX, replica.revision, WATCH_TIMEOUT_MS)) {
+            when (val result = store.watch(JobRecordCodec.OPEN_PREFIX, replica.revision, WATCH_TIMEOUT_MS)) {
                 is WatchResult.Events -> {
                     val revisionsByJob = result.puts.associate { jobId(it.key) to it.modRevision }
                     result.puts.forEach { dependencyGraph.onJobOpened(jobId(it.key), JobRecordCodec.decodeDependencies(it.value)) }
@@ -119,7 +119,7 @@
 
     /** Reads the outcome of a finished job that others depend on. Its dependents wait until the read succeeds. */
     private suspend fun resolveOutcome(job: String) {
-        val read = state.get(JobRecordCodec.FINISHED_PREFIX + job)
+        val read = store.get(JobRecordCodec.FINISHED_PREFIX + job)
         if (read is ReadResult.Found) onJobFinished(job, JobRecordCodec.decodeFinished(read.entry.value).outcome)
     }
 
--- a/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
@@ -12,11 +12,11 @@
 
 /** Handles submissions: decodes them, refuses jobs that can never run, and writes the records of accepted jobs. */
 class JobSubmission(
-    private val state: KeyValueStore,
+    private val store: KeyValueStore,
     private val cache: JobCache,
     private val lookup: JobLookup,
     private val dependencyGraph: DependencyGraph,
-    private val admission: AdmissionPolicy,
+    private val admissionPolicy: AdmissionPolicy,
 ) {
     /** Handles a submission with the body [text] and returns the reply. */
     suspend fun submit(text: String): Reply {
@@ -30,7 +30,7 @@
                 return lookup.findExistingOrElse(id.orEmpty()) { Reply.rejected(HttpStatus.BAD_REQUEST, e.field, e.message!!) }
             }
         cache.finishedJob(spec.id)?.let { return Reply.ofFinished(spec.id, it) }
-        val refusal = admission.findRefusal(spec)
+        val refusal = admissionPolicy.findRefusal(spec)
         if (refusal != null) return lookup.findExistingOrElse(spec.id) { refusal }
         return tryToAccept(spec)
     }
@@ -79,7 +79,7 @@
             } else {
                 Change.Put(openKey, JobRecordCodec.encode(spec))
             }
-        return when (val outcome = state.commit(Precondition.allOf(revisions), listOf(change), SUBMIT_TIMEOUT_MS)) {
+        return when (val outcome = store.commit(Precondition.allOf(revisions), listOf(change), SUBMIT_TIMEOUT_MS)) {
             is TransactionResult.Committed -> {
                 if (finishedJob != null) {
                     cache.rememberFinished(spec.id, finishedJob)
@@ -126,7 +126,7 @@
         if (dependencyGraph.isOrphaned(id)) return DependencyState.Cancelled
         cache.finishedJob(id)?.let { return toDependencyState(it.outcome) }
         if (!mustReadRecord) cache.openRevision(id)?.let { return DependencyState.Open(it) }
-        return when (val read = state.get(JobRecordCodec.OPEN_PREFIX + id, JobLookup.READ_TIMEOUT_MS)) {
+        return when (val read = store.get(JobRecordCodec.OPEN_PREFIX + id, JobLookup.READ_TIMEOUT_MS)) {
             is ReadResult.Found -> DependencyState.Open(read.entry.modRevision)
             ReadResult.Unavailable -> DependencyState.Indeterminate
             ReadResult.NotFound -> readFinishedDependency(id)
@@ -134,7 +134,7 @@
     }
 
     private suspend fun readFinishedDependency(id: String): DependencyState =
-        when (val read = state.get(JobRecordCodec.FINISHED_PREFIX + id, JobLookup.READ_TIMEOUT_MS)) {
+        when (val read = store.get(JobRecordCodec.FINISHED_PREFIX + id, JobLookup.READ_TIMEOUT_MS)) {
             is ReadResult.Found -> toDependencyState(JobRecordCodec.decodeFinished(read.entry.value).outcome)
             ReadResult.NotFound -> DependencyState.NeverAccepted
             ReadResult.Unavailable -> DependencyState.Indeterminate
--- a/src/main/kotlin/lichenstage/jobs/JobsActor.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsActor.kt
@@ -28,10 +28,10 @@
  * data that can no longer change is cached for replies.
  */
 class JobsActor(
-    state: KeyValueStore,
+    store: KeyValueStore,
     private val fallback: PeerFallback,
     openJobs: OpenJobs,
-    admission: AdmissionPolicy,
+    admissionPolicy: AdmissionPolicy,
     maxPreconditions: Int,
     clock: Clock,
     private val scope: CoroutineScope,
@@ -39,9 +39,9 @@
 ) {
     private val cache = JobCache(openJobs.replica, openJobs.dependencyGraph)
     private val openRecordCheck =
-        OpenRecordCheck(maxPreconditions, scope) { state.commit(Precondition.allOf(it), emptyList(), COMPARE_TIMEOUT_MS) }
-    private val lookup = JobLookup(state, cache, openJobs.replica, openJobs.dependencyGraph, openRecordCheck, clock, onCancelled)
-    private val submission = JobSubmission(state, cache, lookup, openJobs.dependencyGraph, admission)
+        OpenRecordCheck(maxPreconditions, scope) { store.commit(Precondition.allOf(it), emptyList(), COMPARE_TIMEOUT_MS) }
+    private val lookup = JobLookup(store, cache, openJobs.replica, openJobs.dependencyGraph, openRecordCheck, clock, onCancelled)
+    private val submission = JobSubmission(store, cache, lookup, openJobs.dependencyGraph, admissionPolicy)
     private var openRequests = 0
     private val mailbox = Mailbox("jobs", scope, ::handle, tryDrop = ::shed)
 
--- a/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
+++ b/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
@@ -13,11 +13,11 @@
  * state service has lowered its limits. It is refused at once instead of being retried forever.
  */
 class RecordLimits(
-    maxTransactionOps: Int,
+    maxTransactionOperations: Int,
     private val maxValueBytes: Int,
 ) {
     /** The maximum number of preconditions of one transaction. */
-    val maxPreconditions = maxTransactionOps * PRECONDITIONS_PER_CHANGE
+    val maxPreconditions = maxTransactionOperations * PRECONDITIONS_PER_CHANGE
 
     /** The maximum number of dependencies of a job. Each can need a precondition, in addition to the two that check that the job is new. */
     val maxDependencies = maxPreconditions - OWN_PRECONDITIONS
--- a/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
@@ -69,7 +69,7 @@
             checkpointIntervalUs = reader.durationUs("snapshot_every_s"),
             checkpointSaveUs = reader.durationUs("snapshot_s"),
             deadlineUs = if (json.getValue("due_s") == null) null else reader.durationUs("due_s"),
-            submittedUs = submittedAtUs,
+            submittedAtUs = submittedAtUs,
             dependencies = readDependencies(reader, id),
         )
     }
--- a/src/main/kotlin/lichenstage/model/JobSpec.kt
+++ b/src/main/kotlin/lichenstage/model/JobSpec.kt
@@ -23,7 +23,7 @@
  * @property checkpointIntervalUs the run time between two checkpoints of a task, in microseconds; 0 if the task saves none
  * @property checkpointSaveUs the time that a task needs to save a checkpoint when it is stopped, in microseconds
  * @property deadlineUs the time within which the job should be complete, in microseconds after its submission; null if it has no deadline
- * @property submittedUs the time of the submission, in microseconds since the epoch
+ * @property submittedAtUs the time of the submission, in microseconds since the epoch
  * @property dependencies the ids of the jobs that must be done before any task of this job starts
  */
 data class JobSpec(
@@ -44,7 +44,7 @@
     val checkpointIntervalUs: Long,
     val checkpointSaveUs: Long,
     val deadlineUs: Long?,
-    val submittedUs: Long,
+    val submittedAtUs: Long,
     val dependencies: List<String> = emptyList(),
 ) {
     /** The part of this specification that a partition needs to place tasks of the job. */
--- a/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
@@ -65,7 +65,7 @@
         return if (isRunning) TaskExecution.Running(attempt.number) else TaskExecution.NotRunning
     }
 
-    override fun runningByTeam() = core.machines.runningByTeam()
+    override fun runningTasksByTeam() = core.machines.runningByTeam()
 
     override fun isFaulty(machine: String) = core.machines.failedJobsOn(machine).isNotEmpty()
 
--- a/src/main/kotlin/lichenstage/placement/LeaderJobRecordHandler.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderJobRecordHandler.kt
@@ -98,7 +98,7 @@
                 return
             }
         if (spec.id in core.jobs) return
-        val job = Job(spec, entry.modRevision, services.toSteadyClockUs(spec.submittedUs))
+        val job = Job(spec, entry.modRevision, services.toSteadyClockUs(spec.submittedAtUs))
         core.addJob(job)
         if (job.isReady) {
             fleet.onJobReady(job)
--- a/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
+++ b/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
@@ -26,11 +26,11 @@
     writeShare: () -> Double,
 ) : KeyValueStore {
     private val log = LoggerFactory.getLogger("lichenstage.state")
-    private val requests = JsonHttpClient(vertx, address, connections = REQUEST_CONNECTIONS, queue = MAX_QUEUED_REQUESTS)
+    private val requests = JsonHttpClient(vertx, address, maxConnections = REQUEST_CONNECTIONS, maxQueuedRequests = MAX_QUEUED_REQUESTS)
 
     /** The client for watches, which occupy a connection for long. Leases too have their own client, so that nothing delays a renewal. */
-    private val watches = JsonHttpClient(vertx, address, connections = WATCH_CONNECTIONS, queue = WATCH_CONNECTIONS)
-    private val leases = JsonHttpClient(vertx, address, connections = LEASE_CONNECTIONS, queue = LEASE_CONNECTIONS)
+    private val watches = JsonHttpClient(vertx, address, maxConnections = WATCH_CONNECTIONS, maxQueuedRequests = WATCH_CONNECTIONS)
+    private val leases = JsonHttpClient(vertx, address, maxConnections = LEASE_CONNECTIONS, maxQueuedRequests = LEASE_CONNECTIONS)
     private val requestLimiter = RequestRateLimiter(clock) { rps / controllerCount }
     private val writeLimiter = RequestRateLimiter(clock) { writeRps * writeShare() }
 
--- a/src/test/kotlin/lichenstage/common/JsonHttpClientTest.kt
+++ b/src/test/kotlin/lichenstage/common/JsonHttpClientTest.kt
@@ -37,7 +37,7 @@
                     if (it.path() == "/held") heldRequest.complete(it) else it.response().end("{}")
                 }
             val port = server.listen(0, "127.0.0.1").coAwait().actualPort()
-            val http = JsonHttpClient(vertx, Address("127.0.0.1", port), connections = 1, queue = 10)
+            val http = JsonHttpClient(vertx, Address("127.0.0.1", port), maxConnections = 1, maxQueuedRequests = 10)
             val first = async { http.call(HttpMethod.GET, "/held", null, LONG_MS) }
             val request = heldRequest.await()
             repeat(3) { assertNull(http.call(HttpMethod.GET, "/given-up", null, 20)) { "got a response without a connection" } }
--- a/src/test/kotlin/lichenstage/config/SettingsTest.kt
+++ b/src/test/kotlin/lichenstage/config/SettingsTest.kt
@@ -87,9 +87,11 @@
 
     @Example
     fun `operators' settings are parsed from HCL and validated`() {
-        val operator = OperatorSettings.parse("placement {\n  alpha_ms = 500\n}\nfleet {\n  settle_s = 7\n}\n")
-        assertTrue(operator.placement.alphaUs == 500 * MILLI && operator.placement.betaUs == 300 * MILLI) { "$operator" }
-        val policy = operator.adjustFleetPolicy(lichenstage.fleet.FleetPolicy())
+        val operatorSettings = OperatorSettings.parse("placement {\n  alpha_ms = 500\n}\nfleet {\n  settle_s = 7\n}\n")
+        assertTrue(
+            operatorSettings.placement.alphaUs == 500 * MILLI && operatorSettings.placement.betaUs == 300 * MILLI,
+        ) { "$operatorSettings" }
+        val policy = operatorSettings.adjustFleetPolicy(lichenstage.fleet.FleetPolicy())
         assertEquals(7 * SECOND, policy.scaleInDelayUs) { "$policy" }
         val unknownKeyMessage = errorMessage { OperatorSettings.parse("placement {\n  alpha = \"x\"\n}") }
         assertEquals("placement.alpha: must not be set, the key is unknown, was x", unknownKeyMessage) { "$unknownKeyMessage" }
--- a/src/test/kotlin/lichenstage/drain/DrainCoreFixture.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainCoreFixture.kt
@@ -16,10 +16,10 @@
     internal fun drain(
         name: String = "d",
         maxConcurrent: Int = 1,
-        replace: Boolean = false,
+        shouldReplace: Boolean = false,
         status: DrainStatus = DrainStatus.RUNNING,
-        requestedUs: Long = 0,
-    ) = Drain(name, replace, maxConcurrent, status, null, requestedUs, null)
+        requestedAtUs: Long = 0,
+    ) = Drain(name, shouldReplace, maxConcurrent, status, null, requestedAtUs, null)
 
     internal fun machines(
         vararg names: String,
--- a/src/test/kotlin/lichenstage/drain/DrainInterruptionTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainInterruptionTest.kt
@@ -33,7 +33,7 @@
         val failed = task(3)
         cluster.addMachine("m3", failed)
         cluster.stopTask(failed.task)
-        core.onTaskLost(Interruption(failed.task, failed.attempt, "red", InterruptionCause.FAILURE, nowUs))
+        core.onTaskStopped(Interruption(failed.task, failed.attempt, "red", InterruptionCause.FAILURE, nowUs))
         repeat(3) { assertTrue(core.runStep().evictedTasks().isEmpty()) { "interrupted in addition to a failed job" } }
         cluster.restartTask("m3", failed, 2)
         core.runStep()
@@ -55,7 +55,7 @@
         core.updateDrains(listOf(drain()), machines("m1"))
         val failed = List(2_500) { task(2 + it) }
         failed.forEach { cluster.waitingTasks += it.task }
-        failed.forEach { core.onTaskLost(Interruption(it.task, it.attempt, "red", InterruptionCause.FAILURE, nowUs)) }
+        failed.forEach { core.onTaskStopped(Interruption(it.task, it.attempt, "red", InterruptionCause.FAILURE, nowUs)) }
         repeat(3) { assertTrue(core.runStep().evictedTasks().isEmpty()) { "interrupted while all lost tasks wait" } }
         cluster.waitingTasks.retainAll(setOf(failed.last().task))
         repeat(5) { assertTrue(core.runStep().evictedTasks().isEmpty()) { "interrupted while the last lost task waits" } }
--- a/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
@@ -84,11 +84,11 @@
 
     private fun request(
         selection: DrainSelection = DrainSelection(typeName = "g"),
-        replace: Boolean = false,
+        shouldReplace: Boolean = false,
         maxConcurrent: Int = 2,
-        dryRun: Boolean = false,
+        isDryRun: Boolean = false,
         name: String = "spring",
-    ) = DrainRequest(name, selection, replace, maxConcurrent, null, dryRun)
+    ) = DrainRequest(name, selection, shouldReplace, maxConcurrent, null, isDryRun)
 
     private fun start(request: DrainRequest) = runBlocking { operations.start(request) }
 
@@ -110,18 +110,20 @@
             )
         for ((request, text) in errors) assertEquals(DrainCommandResult.Rejected(text), start(request)) { "${start(request)}, not $text" }
         assertEquals(before + 1, store.revision) { "something was written" }
-        assertTrue(start(request(DrainSelection(zone = "y"), replace = true)) is DrainCommandResult.Status) { "rejected with --replace" }
+        assertTrue(
+            start(request(DrainSelection(zone = "y"), shouldReplace = true)) is DrainCommandResult.Status,
+        ) { "rejected with --replace" }
     }
 
     @Example
     fun `machines are selected by name, type, zone, spot flag and provisioning order`() {
         fun select(selection: DrainSelection) =
-            (start(request(selection, dryRun = true)) as DrainCommandResult.DryRun).machines.map { it.name }
+            (start(request(selection, isDryRun = true)) as DrainCommandResult.DryRun).machines.map { it.name }
         val before = store.revision
         assertEquals(listOf("vm-007"), select(DrainSelection(setOf("vm-007")))) { "by name" }
         assertEquals(50, select(DrainSelection(typeName = "g", zone = "y")).size) { "by type and zone" }
         assertTrue(
-            select(DrainSelection(spot = true)).size == 100 && select(DrainSelection(spot = false)).size == 200,
+            select(DrainSelection(isSpot = true)).size == 100 && select(DrainSelection(isSpot = false)).size == 200,
         ) {
             "by spot flag"
         }
@@ -129,7 +131,7 @@
         assertEquals(before, store.revision) { "a dry run wrote records" }
         val text =
             DrainReport.formatDryRun(
-                start(request(DrainSelection(provisionedUpTo = "vm-003"), dryRun = true)) as DrainCommandResult.DryRun,
+                start(request(DrainSelection(provisionedUpTo = "vm-003"), isDryRun = true)) as DrainCommandResult.DryRun,
             )
         assertTrue(text.lines().size == 3 && text.lines().last() == "step 2: vm-003 (h, z)") { text }
     }
@@ -141,7 +143,10 @@
         assertTrue(store.entries.keys.none { it.startsWith(DrainRecordCodec.DRAIN_PREFIX) }) { "recorded without its machines" }
         store.transactionsLeft = Int.MAX_VALUE
         val result = start(request()) as DrainCommandResult.Status
-        assertEquals(mapOf(Stage.WAITING to 150), result.reports.single().stages) { "${result.reports.single().stages}" }
+        assertEquals(
+            mapOf(Stage.WAITING to 150),
+            result.reports.single().machineCountByStage,
+        ) { "${result.reports.single().machineCountByStage}" }
         val revision = store.revision
         assertTrue(start(request()) is DrainCommandResult.Status && store.revision == revision) { "a repeated start wrote records" }
         assertTrue(start(request(maxConcurrent = 7)) is DrainCommandResult.Rejected) { "accepted another drain with the same name" }
--- a/src/test/kotlin/lichenstage/drain/DrainOrderTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainOrderTest.kt
@@ -34,7 +34,7 @@
         cluster.addMachine("m2", task(1))
         val core = core()
         core.updateDrains(
-            listOf(drain("late", requestedUs = 2), drain("early", requestedUs = 1)),
+            listOf(drain("late", requestedAtUs = 2), drain("early", requestedAtUs = 1)),
             machines("m1", drain = "early") + machines("m1", "m2", drain = "late"),
         )
         core.runStep()
--- a/src/test/kotlin/lichenstage/drain/DrainReplacementTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainReplacementTest.kt
@@ -11,7 +11,7 @@
     fun `a machine is drained only after its replacement runs a task`() {
         cluster.addMachine("m1", task(1))
         val core = core()
-        core.updateDrains(listOf(drain(replace = true)), machines("m1"))
+        core.updateDrains(listOf(drain(shouldReplace = true)), machines("m1"))
         assertEquals(listOf(DrainAction.ProvisionReplacement(DrainKey("d", "m1"))), core.runStep()) { "no replacement requested" }
         repeat(5) { assertTrue(core.runStep().isEmpty() && core.cordoned.isEmpty()) { "requested twice, or cordoned early" } }
         core.onReplacementProvisioned(DrainKey("d", "m1"), "n1")
@@ -35,7 +35,7 @@
     fun `failed replacements are terminated and requested again with growing delays until the drain pauses itself`() {
         cluster.addMachine("m1", task(1))
         val core = core(DrainPolicy(maxReplacementFailures = 3))
-        core.updateDrains(listOf(drain(replace = true)), machines("m1"))
+        core.updateDrains(listOf(drain(shouldReplace = true)), machines("m1"))
         val requestTimesUs = ArrayList<Long>()
         var pause: DrainAction.Pause? = null
         repeat(1_000) {
@@ -49,7 +49,7 @@
                 if (action is DrainAction.Terminate) assertTrue(action.machine.startsWith("n")) { "$action" }
                 if (action is DrainAction.Pause && pause == null) pause = action
             }
-            pause?.let { core.updateDrains(listOf(drain(replace = true, status = DrainStatus.PAUSED)), emptyList()) }
+            pause?.let { core.updateDrains(listOf(drain(shouldReplace = true, status = DrainStatus.PAUSED)), emptyList()) }
         }
         assertTrue(requestTimesUs.size == 3 && requestTimesUs[2] - requestTimesUs[1] > requestTimesUs[1] - requestTimesUs[0]) {
             "requested at $requestTimesUs"
@@ -62,7 +62,7 @@
     fun `a replacement that never starts counts as failed, and the drain waits for a delayed provision`() {
         cluster.addMachine("m1", task(1))
         val core = core()
-        core.updateDrains(listOf(drain(replace = true)), machines("m1"))
+        core.updateDrains(listOf(drain(shouldReplace = true)), machines("m1"))
         core.runStep()
         repeat(150) { assertTrue(core.runStep().isEmpty()) { "acted before the replacement was provisioned" } }
         core.onReplacementProvisioned(DrainKey("d", "m1"), "n1")
--- a/src/test/kotlin/lichenstage/drain/FakeCluster.kt
+++ b/src/test/kotlin/lichenstage/drain/FakeCluster.kt
@@ -47,7 +47,7 @@
         }
     }
 
-    override fun runningByTeam() =
+    override fun runningTasksByTeam() =
         tasks.values
             .flatten()
             .groupingBy { it.team }
--- a/src/test/kotlin/lichenstage/fleet/DemandForecastTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/DemandForecastTest.kt
@@ -11,8 +11,8 @@
 
     private fun arrive(
         atS: Long,
-        urgent: Boolean = false,
-    ) = forecast.recordArrival(JobArrival("t", atS * SECOND, machines = 5.0, runUs = 20 * SECOND, urgent))
+        isUrgent: Boolean = false,
+    ) = forecast.recordArrival(JobArrival("t", atS * SECOND, machines = 5.0, runUs = 20 * SECOND, isUrgent))
 
     @Example
     fun `no machines are expected for a type that no job has requested`() {
@@ -30,7 +30,7 @@
 
     @Example
     fun `urgent arrivals add one standard deviation regardless of the utilization`() {
-        arrive(atS = 0, urgent = true)
+        arrive(atS = 0, isUrgent = true)
         assertEquals(1.0 + Math.sqrt(5.0), forecast.expectedMachines("t", 0.5, 0), 1e-9)
     }
 
--- a/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
@@ -21,7 +21,7 @@
             assertEquals(CloudCall.ListAll, nextCall(0))
         }
 
-    private fun demand(machines: Double) = listOf(Demand("t", true, machines, machines * 100 * SECOND, 60 * SECOND))
+    private fun demand(maxMachines: Double) = listOf(Demand("t", true, maxMachines, maxMachines * 100 * SECOND, 60 * SECOND))
 
     private fun FleetCore.observeDemand(
         demand: List<Demand>,
@@ -32,9 +32,9 @@
     private fun FleetCore.nextProvision(nowUs: Long): ProvisionRequest? = (nextCall(nowUs) as? CloudCall.Provision)?.request
 
     private fun status(
-        tasks: Int,
-        lost: Boolean = false,
-    ) = MachineStatus(isUp = !lost, isSilent = false, isLost = lost, taskCount = tasks, isFaulty = false)
+        taskCount: Int,
+        isLost: Boolean = false,
+    ) = MachineStatus(isUp = !isLost, isSilent = false, isLost = isLost, taskCount = taskCount, isFaulty = false)
 
     @Example
     fun `a request with an indeterminate outcome is repeated under its name, and no later request has this name`() {
@@ -117,12 +117,12 @@
 
         fun recordArrival(
             nowUs: Long,
-            urgent: Boolean,
-        ) = forecast.recordArrival(JobArrival("t", nowUs, 5.0, 20 * SECOND, urgent))
-        for (s in 1L..300L step 10) recordArrival(s * SECOND, urgent = false)
+            isUrgent: Boolean,
+        ) = forecast.recordArrival(JobArrival("t", nowUs, 5.0, 20 * SECOND, isUrgent))
+        for (s in 1L..300L step 10) recordArrival(s * SECOND, isUrgent = false)
         val nonUrgentMachines = forecast.expectedMachines("t", 0.85, 300 * SECOND)
         assertTrue(nonUrgentMachines in 9.0..15.0) { "expected about 10 machines for 5 machines used 20 s every 10 s: $nonUrgentMachines" }
-        for (s in 1L..300L step 10) recordArrival(300 * SECOND + s * SECOND, urgent = true)
+        for (s in 1L..300L step 10) recordArrival(300 * SECOND + s * SECOND, isUrgent = true)
         val machinesWithUrgent = forecast.expectedMachines("t", 0.85, 600 * SECOND)
         assertTrue(machinesWithUrgent in 14.0..20.0) { "expected 10 machines and about 7 for the standard deviation: $machinesWithUrgent" }
         for (s in 0L..50L step 10) fleet.observeDemand(emptyList(), { status(0) }, (600 + s) * SECOND)
@@ -142,8 +142,12 @@
 
         fun observe(
             afterS: Long,
-            busy: Double,
-        ) = fleet.observeDemand(listOf(Demand("t", true, busy, 0.0, null, busy, 0.0)), { status(1) }, termStartUs + afterS * SECOND)
+            busyMachines: Double,
+        ) = fleet.observeDemand(
+            listOf(Demand("t", true, busyMachines, 0.0, null, busyMachines, 0.0)),
+            { status(1) },
+            termStartUs + afterS * SECOND,
+        )
         observe(1, 20.0)
         observe(2, 8.0)
         assertTrue(fleet.cordonedMachines().isEmpty()) { "drained machines without the scale-in delay" }
--- a/src/test/kotlin/lichenstage/fleet/ScaleOutTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/ScaleOutTest.kt
@@ -10,15 +10,15 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 class ScaleOutTest {
-    private val replacements = ReplacementRequests()
-    private val scaleOut = ScaleOut(3, CapacityEstimator(FleetPolicy(), DemandForecast(0)), replacements)
+    private val replacementRequests = ReplacementRequests()
+    private val scaleOut = ScaleOut(3, CapacityEstimator(FleetPolicy(), DemandForecast(0)), replacementRequests)
 
     @Example
     fun `a replacement is requested until a machine has been provisioned for it`() {
-        replacements.add(ReplacementRequest("drain m1", "t", "z", isSpot = true))
+        replacementRequests.add(ReplacementRequest("drain m1", "t", "z", isSpot = true))
         val first = scaleOut.createReplacementRequest(0)!!
         assertEquals(ProvisionRequest("h3-1", "t", "z", spot = true, count = 1), first)
-        assertEquals("drain m1", replacements.idOf(first))
+        assertEquals("drain m1", replacementRequests.idOf(first))
         scaleOut.onProvisionReply(first, ProvisionResult.NoCapacity, 0)
         assertNull(scaleOut.createReplacementRequest(SECOND), "sent a request to a pool that had just refused one")
         val second = scaleOut.createReplacementRequest(5 * SECOND)!!
@@ -29,7 +29,7 @@
 
     @Example
     fun `a request stays pending until its outcome is known`() {
-        replacements.add(ReplacementRequest("drain m1", "t", "z", isSpot = false))
+        replacementRequests.add(ReplacementRequest("drain m1", "t", "z", isSpot = false))
         val request = scaleOut.createReplacementRequest(0)!!
         scaleOut.onProvisionReply(request, ProvisionResult.Indeterminate, SECOND)
         assertEquals(request, scaleOut.pendingRequest)
--- a/src/test/kotlin/lichenstage/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/DependencyGraphTest.kt
@@ -81,8 +81,8 @@
             when (random.nextInt(4)) {
                 0, 1 -> {
                     val job = "j-$step"
-                    val all = dependencies.keys.toList()
-                    dependencies[job] = List(if (all.isEmpty()) 0 else random.nextInt(4)) { all[random.nextInt(all.size)] }.distinct()
+                    val jobs = dependencies.keys.toList()
+                    dependencies[job] = List(if (jobs.isEmpty()) 0 else random.nextInt(4)) { jobs[random.nextInt(jobs.size)] }.distinct()
                     openJobs += job
                     dependencyGraph.onJobOpened(job, dependencies.getValue(job))
                 }
@@ -115,8 +115,8 @@
                 dependencyGraph.findOrphans(1000).toSet(),
             ) { "seed $seed step $step: ${dependencyGraph.findOrphans(1000)}, not $orphans" }
             for (job in openJobs) {
-                val ready = dependencies.getValue(job).all { it in resolvedJobs && isDoneByJob[it] == true }
-                assertEquals(ready, (dependencyGraph.readySinceUs(dependencies.getValue(job)) != null)) { "seed $seed step $step: $job" }
+                val isReady = dependencies.getValue(job).all { it in resolvedJobs && isDoneByJob[it] == true }
+                assertEquals(isReady, (dependencyGraph.readySinceUs(dependencies.getValue(job)) != null)) { "seed $seed step $step: $job" }
             }
         }
         while (dependencyGraph.findUnresolved(10).isNotEmpty()) {
--- a/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
@@ -40,7 +40,7 @@
     fun `a submission as documented by the protocol is decoded and its unknown fields are ignored`() {
         val spec = SubmissionCodec.decode(submission(), 7)
         assertTrue(spec.id == "j-000412" && spec.taskCount == 16 && spec.resources == Resources(8.0, 1.0, 64.0)) { "$spec" }
-        assertTrue(spec.deadlineUs == 900_000_000L && spec.estimatedRunTimeUs == 240_000_000L && spec.submittedUs == 7L) { "$spec" }
+        assertTrue(spec.deadlineUs == 900_000_000L && spec.estimatedRunTimeUs == 240_000_000L && spec.submittedAtUs == 7L) { "$spec" }
         assertTrue(spec.allowedTypes == listOf("g8") && spec.zone == null && spec.requiresSameZone && spec.allowsSpot) { "$spec" }
     }
 
--- a/src/test/kotlin/lichenstage/model/MachineFitTest.kt
+++ b/src/test/kotlin/lichenstage/model/MachineFitTest.kt
@@ -40,7 +40,7 @@
         checkpointIntervalUs = 0,
         checkpointSaveUs = 0,
         deadlineUs = null,
-        submittedUs = 0,
+        submittedAtUs = 0,
     )
 
     @Example
--- a/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
@@ -60,7 +60,7 @@
     private var lastStepUs = 0L
 
     /** An attempt ran and ended although its task is not done. */
-    fun onAttemptInterrupted(attempt: Attempt) = core.onTaskLost(LeaderDrainView.failureInterruption(attempt, context.nowUs))
+    fun onAttemptInterrupted(attempt: Attempt) = core.onTaskStopped(LeaderDrainView.failureInterruption(attempt, context.nowUs))
 
     fun step() {
         if (context.nowUs - lastStepUs < SECOND) return
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -182,7 +182,7 @@
             checkpointIntervalUs = 0,
             checkpointSaveUs = 0,
             deadlineUs = null,
-            submittedUs = 0,
+            submittedAtUs = 0,
             dependencies = job.dependencies,
         )
 
