--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -121,7 +121,7 @@
     private val api = HttpApi(vertx, settings.listenAddress, jobsActor, partitionActor, metrics, clock, connectionBudget, ::isHealthy)
     private var leader: LeaderActor? = null
 
-    /** Joins the cluster, and starts the HTTP server as soon as requests can be answered. */
+    /** Joins the cluster, and starts the HTTP server as soon as this controller can reply to requests. */
     fun start() {
         if (settings.controllerCount != controllerCount) {
             log.error(
@@ -162,7 +162,7 @@
     }
 
     /**
-     * Starts the HTTP server once requests can be answered. Clients that find no server try another controller.
+     * Starts the HTTP server once this controller can reply to requests. Clients that find no server try another controller.
      *
      * If the server started earlier, hundreds of workers would connect at once and be refused. They would take the processor time that the
      * process needs to acquire its lease: on Baile's lean "rough" day, the lease was acquired 12 s after the server had started to listen.
@@ -231,7 +231,7 @@
         /** One connection in each direction, twice: the old connection may still be open while its replacement is opened. */
         const val SOCKETS_PER_PEER = 4
 
-        /** Sockets that listen, and sockets that are being closed. */
+        /** Reserve for listening sockets and for sockets that are being closed. */
         const val SPARE_SOCKETS = 24
 
         /**
--- a/src/main/kotlin/lichenstage/app/EventBatching.kt
+++ b/src/main/kotlin/lichenstage/app/EventBatching.kt
@@ -17,10 +17,10 @@
 /**
  * The select strategy of an event loop that handles network events in batches.
  *
- * With hundreds of workers, a network event arrives every few milliseconds, and a wake-up of the event loop costs as much processor time
- * as the event itself. A process that wakes up for each event needs more processor time than it has. While events arrive often, the event
- * loop therefore pauses for [pauseUs] before it selects again; the pause is negligible beside the response times that users are promised.
- * An event that arrives alone is handled at once.
+ * With hundreds of workers, a network event arrives every few milliseconds, and a wake-up of the event loop costs as much processor time as
+ * the event itself. A process that wakes up for each event would need more processor time than it is allowed. While events arrive often,
+ * the event loop therefore pauses for [pauseUs] before it selects again; the pause is negligible beside the response times that users are
+ * promised. An event that arrives alone is handled at once.
  */
 class EventBatching(
     private val clock: Clock,
@@ -30,8 +30,10 @@
     private var lastWakeUpAtUs = Long.MIN_VALUE / 2
 
     /**
-     * Returns the number of ready channels, from a [select] that does not block, if the event loop has tasks of its own. Otherwise returns
-     * [SelectStrategy.SELECT], which lets the event loop block until an event arrives. Netty calls this before each select.
+     * Returns the strategy for the next select. Netty calls this before each select.
+     *
+     * If the event loop has tasks of its own, returns the number of ready channels, as determined by [select], which does not block.
+     * Otherwise pauses if events arrive often, and returns [SelectStrategy.SELECT], which lets the event loop block until an event arrives.
      */
     fun calculateStrategy(
         select: () -> Int,
--- a/src/main/kotlin/lichenstage/app/HclBlock.kt
+++ b/src/main/kotlin/lichenstage/app/HclBlock.kt
@@ -4,8 +4,9 @@
 import lichenstage.drain.HourRange
 
 /**
- * One block of an HCL file, at [path]. Each accessor reads one key. After the last one, [rejectUnreadKeys] rejects the keys that no
- * accessor has read. All errors are [InvalidSettingsException]s that name the path of the key, what is expected and the value found.
+ * One block of an HCL file, at [path]. Each accessor reads one key. After all accessors, [rejectUnreadKeys] must be called: it rejects the
+ * keys that no accessor has read. All errors are [InvalidSettingsException]s that name the path of the key, what is expected and the value
+ * found.
  */
 internal class HclBlock(
     private val values: Map<String, Any?>,
--- a/src/main/kotlin/lichenstage/app/HttpApi.kt
+++ b/src/main/kotlin/lichenstage/app/HttpApi.kt
@@ -151,7 +151,7 @@
         }
     }
 
-    /** Encodes a reply. Most replies have no commands; such a reply is encoded once per fencing token and then cached. */
+    /** Returns the encoded reply. Most replies have no commands; such a reply is encoded once per fencing token and then cached. */
     private fun encodeReply(reply: HeartbeatReply.Accepted): Buffer =
         if (reply.commands.isEmpty()) {
             encodedEmptyReplies.getOrPut(reply.fencingToken) { WorkerCodec.encodeCommands(reply.fencingToken, emptyList()) }
--- a/src/main/kotlin/lichenstage/app/Main.kt
+++ b/src/main/kotlin/lichenstage/app/Main.kt
@@ -19,7 +19,7 @@
 
 private fun runDrainCommand(args: List<String>) = DrainCommand({ readFile(it, Settings::parse) }, ::println, System.err::println).run(args)
 
-/** The result of a start after which the process keeps running on the threads of the service. Every other result is an exit status. */
+/** The result of [runController] if a controller was started and the process must not exit. Every other result is an exit status. */
 private const val SERVING = -1
 
 /** The name of the command that manages drains. */
--- a/src/main/kotlin/lichenstage/app/ServiceRuntime.kt
+++ b/src/main/kotlin/lichenstage/app/ServiceRuntime.kt
@@ -46,5 +46,5 @@
         .setBlockedThreadCheckInterval(BLOCKED_THREAD_CHECK_MS)
         .setFileSystemOptions(FileSystemOptions().setFileCachingEnabled(false).setClassPathResolvingEnabled(false))
 
-/** One hour, so that the check for blocked threads takes no processor time. It is of no use here, as no code blocks the event loop. */
+/** One hour, so that the check for blocked threads takes no processor time. The check is not needed, as no code blocks the event loop. */
 private const val BLOCKED_THREAD_CHECK_MS = 3_600_000L
--- a/src/main/kotlin/lichenstage/common/Clock.kt
+++ b/src/main/kotlin/lichenstage/common/Clock.kt
@@ -27,5 +27,8 @@
  */
 fun withDrift(durationUs: Long) = durationUs + durationUs / DRIFT_DIVISOR
 
-/** Returns the wall-clock time in microseconds since the epoch. For stored records, since monotonic times are valid in one process only. */
+/**
+ * Returns the wall-clock time in microseconds since the epoch. Stored records need it, because monotonic times are valid in one process
+ * only.
+ */
 fun timeOfDayUs(): Long = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis())
--- a/src/main/kotlin/lichenstage/common/ConnectionBudget.kt
+++ b/src/main/kotlin/lichenstage/common/ConnectionBudget.kt
@@ -5,9 +5,9 @@
 /**
  * The budget that divides [maxSockets], the sockets that the machine allows, between the uses of the process.
  *
- * If only one controller is left, every worker connects to it, and it could open another connection to each worker for direct orders. These
- * are more sockets than the machine allows, and users, peers and the state service could no longer connect. (In the load check, one
- * controller with 1,600 workers used 3,186 sockets.)
+ * If only one controller is left, every worker connects to it, and it could open another connection to each worker for direct orders. This
+ * can take more sockets than the machine allows. Users and peers could then no longer connect, and the controller could no longer reach the
+ * state service. (In the load check, one controller with 1,600 workers used 3,186 sockets.)
  *
  * Therefore [reservedSockets] are always kept free for the state service, the cloud and the peers. The more connections are served, the
  * fewer may be opened for direct orders. Near the limit, connections of workers are closed with the reply to a heartbeat.
@@ -59,10 +59,10 @@
     private fun minOrderConnections() = (sharedSockets / ORDER_SHARE_DIVISOR).coerceIn(1, MAX_ORDER_CONNECTIONS)
 
     private companion object {
-        /** One shared socket in this many is kept free for users. */
+        /** The shared sockets are divided by this number to get the sockets that are kept free for users. */
         const val USER_SHARE_DIVISOR = 8
 
-        /** At least one shared socket in this many is available for direct orders. */
+        /** The shared sockets are divided by this number to get the minimum that is available for direct orders. */
         const val ORDER_SHARE_DIVISOR = 16
 
         /** The limit for thousands of machines: open connections to all would take more memory than reopening some of them is worth. */
--- a/src/main/kotlin/lichenstage/common/Mailbox.kt
+++ b/src/main/kotlin/lichenstage/common/Mailbox.kt
@@ -12,8 +12,8 @@
  * If the actor throws, the process exits and the platform restarts it. A process with a dead actor would be worse, and all durable state is
  * in the state service or on the workers.
  *
- * If the mailbox is full, [tryDrop] decides whether a message may be dropped, and replies to its sender if the sender expects a reply.
- * Thousands of heartbeats that a network partition has delayed are therefore no reason for a restart. The number of messages that must not
+ * If the mailbox is full, [tryDrop] returns whether the message may be dropped, and replies to its sender if the sender expects a reply.
+ * Thousands of heartbeats that a network partition has delayed therefore do not cause a restart. The number of messages that must not
  * be dropped is bounded elsewhere, so the process exits if the mailbox has no room for such a message.
  */
 class Mailbox<M : Any>(
--- a/src/main/kotlin/lichenstage/config/Settings.kt
+++ b/src/main/kotlin/lichenstage/config/Settings.kt
@@ -22,7 +22,7 @@
     val gpusMax: Double,
 )
 
-/** What a service-level objective limits: the time to the completion of a job or to the start of its tasks. Lower case in the file. */
+/** The kind of time that a service-level objective limits, such as the time until a job is done or starts. Lower case in the file. */
 enum class ObjectiveKind { DEADLINE, WAIT, FINISHED, GUARANTEE }
 
 /** A service-level objective for the jobs of [jobClass], or for all jobs if [jobClass] is null. */
@@ -55,10 +55,12 @@
     val maxTransactionOperations: Int,
     val maxValueBytes: Int,
     val cloudRps: Double,
+    /** The time by which the cloud's list of machines lags behind the actual state. */
     val machineListLagUs: Long,
     /** The number of controllers in the deployment. */
     val controllerCount: Int,
     val objectives: List<Objective>,
+    /** The number of sockets that the machine of the controller allows the process. */
     val maxSockets: Int,
     /** The share of one processor core that the process may use. */
     val coreShare: Double,
--- a/src/main/kotlin/lichenstage/drain/DisruptionBudget.kt
+++ b/src/main/kotlin/lichenstage/drain/DisruptionBudget.kt
@@ -43,8 +43,9 @@
 /**
  * Decides whether drains may interrupt one more task, given all tasks that are interrupted already for any cause.
  *
- * [runningTasksByTeam] is the number of running tasks of each team, excluding tasks that are about to be stopped. A share applies to the
- * running and interrupted tasks together and is rounded down, so drains may be unable to interrupt any task of a small team.
+ * The constructor parameter `runningTasksByTeam` is the number of running tasks of each team, excluding tasks that are about to be stopped.
+ * A task share applies to the running and interrupted tasks together. The resulting number of tasks is rounded down, so drains may be
+ * unable to interrupt any task of a small team.
  */
 class BudgetTracker(
     private val policy: DrainPolicy,
@@ -72,7 +73,7 @@
         usage.taskCount++
     }
 
-    /** Counts [task] as interrupted and returns true if its team's budget allows that; returns false otherwise. */
+    /** Returns whether the budget of the team of [task] allows drains to interrupt it. If so, counts the task as interrupted. */
     fun tryInterrupt(task: PlacedTask): Boolean {
         val budget = policy.budgetOf(task.team)
         val isForbidden = task.jobClass in budget.uninterruptibleClasses || budget.allowedHours?.contains(hour) == false
--- a/src/main/kotlin/lichenstage/drain/DrainActionHandler.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainActionHandler.kt
@@ -17,12 +17,12 @@
     fun terminate(machine: String)
 }
 
-/** Access to the records of drains for [DrainDriver]. [scan] reads all keys with a prefix. */
+/** The access of [DrainDriver] to the records of drains. [scan] reads all keys with a prefix. */
 class DrainRecordAccess(
     val codec: DrainRecordCodec,
     val store: KeyValueStore,
     val singleWriterKeys: SingleWriterKeys,
-    /** Preconditions of every write: the key of the leadership still has the revision of this leader. */
+    /** Preconditions of every write. They fail once the leader's key no longer has the revision of this leader. */
     val leaderPreconditions: List<Precondition>,
     val maxTransactionOperations: Int,
     val scan: suspend (String) -> ScanResult,
--- a/src/main/kotlin/lichenstage/drain/DrainCommand.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCommand.kt
@@ -42,7 +42,7 @@
             .flag("json", "Print JSON.")
             .flag("help", "Show this help.", short = "h")
 
-    /** The arguments after the checks that need no state service. */
+    /** The arguments that have passed all checks that need no state service. */
     private class Arguments(
         val settings: Settings,
         val subcommand: String,
@@ -189,7 +189,7 @@
         const val EXIT_INVALID_REQUEST = 2
         const val EXIT_UNAVAILABLE = 1
 
-        /** Fraction of the write rate that the command may use. Lease renewals and users' requests have priority. */
+        /** Fraction of the allowed write rate that the command may use. The rest is left for lease renewals and users' requests. */
         const val STATE_WRITE_SHARE = 0.1
     }
 }
--- a/src/main/kotlin/lichenstage/drain/DrainCore.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCore.kt
@@ -39,9 +39,9 @@
     private val pendingStatusChanges = HashSet<String>()
 
     /**
-     * Interruptions by failures, to be recorded in the next steps as far as the record has room. Each task is listed at most once and only
-     * until it runs again, so the number of tasks bounds the size. A fixed limit of 2,000 was too small: a zone of a few hundred machines
-     * lost more tasks, the interruptions over the limit were forgotten, and drains exceeded the budgets.
+     * Interruptions by failures that are not recorded yet. Each step records as many of them as the records have room for. Each task is
+     * listed at most once and only until it runs again, so the number of tasks bounds the size. A fixed limit of 2,000 was too small: a
+     * zone of a few hundred machines lost more tasks, the interruptions over the limit were forgotten, and drains exceeded the budgets.
      */
     private val unrecordedFailures = LinkedHashMap<TaskId, Interruption>()
     private val unrecordedReplacements = HashMap<DrainKey, String>()
@@ -52,7 +52,7 @@
     /** Machines that receive no new tasks. */
     val cordoned: Set<String> get() = machineNames { it.stage.isCordoned }
 
-    /** Replacements that have not started a task yet. They receive one task at a time. */
+    /** Replacements that are not proven to work yet. They receive one task at a time. */
     val onProbation: Set<String> get() = replacementNames { it.stage == Stage.PREPARING }
 
     /** Replacements whose old machines still exist. The fleet has one surplus machine for each. */
@@ -81,7 +81,10 @@
         if (newMachines.isNotEmpty()) state = state.copy(machines = state.machines.putAll(newMachines.associateBy { it.key }))
     }
 
-    /** Handles the interruption of a task by a failure. The interruption is counted only while a drain is running. */
+    /**
+     * Handles the stop of a running task. Counts it as an interruption, unless no drain is running or an interruption of the task is
+     * already recorded.
+     */
     fun onTaskStopped(interruption: Interruption) {
         if (isActive && interruption.task !in state.interruptions) unrecordedFailures[interruption.task] = interruption
     }
@@ -112,8 +115,8 @@
     }
 
     /**
-     * Returns [baseState] with the changes observed since: new replacements, ended interruptions and new failures. The wait for a
-     * replacement starts when its machine is provisioned, however long the cloud rejected the request before.
+     * Returns [baseState] with the changes that have been observed since: new replacements, ended interruptions and new failures. The wait
+     * for a replacement starts when its machine is provisioned, however long the cloud has refused the request before.
      */
     private fun withObservedChanges(
         baseState: DrainState,
@@ -124,7 +127,7 @@
             val machine = machines[key] ?: continue
             machines = machines.put(key, machine.copy(replacement = name, sinceUs = nowUs))
         }
-        // Ended interruptions are removed first, so that waiting failures find room in this step rather than the next.
+        // Ended interruptions are removed first, so that this step, rather than the next, has room for unrecorded failures.
         var interruptions = baseState.interruptions
         for (row in baseState.interruptions.values) if (row.isOver(view.execution(row.task))) interruptions = interruptions.remove(row.task)
         unrecordedFailures.values.removeAll { it.isOver(view.execution(it.task)) }
@@ -153,7 +156,9 @@
         return completedStep.proposal.actions.filter(::registerRequest)
     }
 
-    /** Returns whether [action] must be executed now. Requests that are already pending are not repeated. */
+    /**
+     * Returns whether [action] must be executed now, and marks its request as pending. Requests that are already pending are not repeated.
+     */
     private fun registerRequest(action: DrainAction) =
         when (action) {
             is DrainAction.ProvisionReplacement -> action.key !in unrecordedReplacements && pendingProvisions.add(action.key)
--- a/src/main/kotlin/lichenstage/drain/DrainDriver.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainDriver.kt
@@ -44,7 +44,7 @@
     /** Machines that receive no new tasks. */
     val cordoned: Set<String> get() = core?.cordoned.orEmpty()
 
-    /** Replacements that have not started a task yet. They receive one task at a time. */
+    /** Replacements that are not proven to work yet. They receive one task at a time. */
     val onProbation: Set<String> get() = core?.onProbation.orEmpty()
 
     /** Machines that the fleet does not count as capacity. */
@@ -56,7 +56,7 @@
         machine: String,
     ) = core?.onReplacementProvisioned(key, machine) ?: Unit
 
-    /** Handles the stop of a task that ran, whatever the cause. */
+    /** Handles the stop of a running task, whether a drain or a failure caused it. */
     fun onTaskStopped(interruption: Interruption) = core?.onTaskStopped(interruption) ?: Unit
 
     /** Reads the records and advances the drains if either is due. Must be called regularly. [nowUs] is a time of the steady clock. */
@@ -136,7 +136,7 @@
 
             is DrainMessage.StateRecorded -> {
                 isWriting = false
-                // After a failed write the recorded values are unknown, so the next step writes all of them.
+                // After a failed write, the recorded values are unknown, so the next step writes all pages that are not empty.
                 recordedValues = if (message.isSuccess) recordedValues + message.writtenValues else emptyMap()
                 executeActions(message.isSuccess)
             }
@@ -169,7 +169,7 @@
         machines: Map<String, List<DrainedMachine>>,
     ) {
         val pages = entries.filter { it.key.startsWith(DrainRecordCodec.INTERRUPTION_PREFIX) }
-        // If one of these pages is unreadable, the current interruptions are unknown, so no drain may start another.
+        // If one of these pages is unreadable, the current interruptions are unknown, so no drain may make progress.
         val interruptions = pages.map { page -> decodeOrNull(page) { recordAccess.codec.decodeInterruptions(it) } ?: return }
         recordAccess.singleWriterKeys.load(pages)
         recordedValues = pages.associate { it.key to it.value }
--- a/src/main/kotlin/lichenstage/drain/DrainOperations.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainOperations.kt
@@ -14,8 +14,8 @@
 import lichenstage.state.UnreadableRecordException
 
 /**
- * The operators' commands for drains. They only read records and write them on the precondition that these have not changed since, so they
- * do not depend on which controllers are running.
+ * The operators' commands for drains. A command reads records, and writes records on the precondition that they have not changed since the
+ * read. It sends nothing to a controller, so it works whichever controllers are running.
  */
 class DrainOperations(
     private val store: KeyValueStore,
@@ -24,7 +24,10 @@
     private val settings: Settings,
     private val timeOfDayUs: () -> Long,
 ) {
-    /** Records a new drain, or returns its machines for a dry run. Idempotent: a repetition of the same request succeeds. */
+    /**
+     * Records a new drain, or returns its machines for a dry run. If a drain with this name and the same options already exists, returns
+     * its status.
+     */
     suspend fun start(request: DrainRequest): DrainCommandResult =
         toCommandResult {
             if (!NAME.matches(request.name)) throw RejectedCommand("NAME: must be 1-60 letters, digits or dashes, was \"${request.name}\"")
@@ -104,7 +107,7 @@
         }
     }
 
-    /** Records the machines first and the drain last: the drain exists only once its own record is written. */
+    /** Records the machines first and the drain last, because the drain exists as soon as its own record is written. */
     private suspend fun recordDrain(
         request: DrainRequest,
         machines: List<RegisteredMachine>,
--- a/src/main/kotlin/lichenstage/drain/DrainPlanner.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainPlanner.kt
@@ -11,16 +11,16 @@
 /**
  * Plans the next step of all drains on a copy of their state.
  *
- * Each machine moves from stage to stage. Idle machines are drained first, then machines whose tasks end soonest, then machines that lose
- * the least progress. A task is interrupted only if its team's budget allows that in addition to all current interruptions. Tasks that are
- * about to end are left to finish. A deadline changes none of this.
+ * Each machine moves from stage to stage. Idle machines are drained first, then machines whose tasks end soonest, then machines whose tasks
+ * lose the least progress. A task is interrupted only if its team's budget allows that in addition to all current interruptions. Tasks that
+ * are about to end are left to finish. A deadline changes none of this.
  */
 class DrainPlanner(
     private val policy: DrainPolicy,
     private val view: DrainView,
     private val hour: Int,
     private val nowUs: Long,
-    /** Number of recorded interruptions at which drains stop adding more, so that the records have room for failures. */
+    /** Number of recorded interruptions from which on drains interrupt no more tasks, so that the records have room for failures. */
     private val maxInterruptions: Int,
     private var state: DrainState,
 ) {
@@ -144,7 +144,9 @@
             (condition != MachineCondition.HEALTHY && waitedUs > MAX_BOOT_US)
     }
 
-    /** Returns whether the replacement works: it runs a task, or it is healthy and no task was available to start for [IDLE_TRIAL_US]. */
+    /**
+     * Returns whether a healthy replacement is proven to work: it runs a task, or it has no task [IDLE_TRIAL_US] after its provisioning.
+     */
     private fun isProven(
         replacement: String,
         waitedUs: Long,
@@ -238,9 +240,11 @@
         const val NEAR_END_US = 20 * SECOND
 
         private const val CORDON_PROPAGATION_US = 2 * SECOND
+
+        /** A replacement that is not healthy this long after its provisioning has failed. */
         private const val MAX_BOOT_US = 300 * SECOND
 
-        /** A healthy replacement on which no task was started for this time counts as working. */
+        /** A healthy replacement counts as working if it has no task this long after its provisioning. */
         private const val IDLE_TRIAL_US = 90 * SECOND
         private const val INITIAL_BACKOFF_US = 30 * SECOND
         private const val MAX_BACKOFF_DOUBLINGS = 4
--- a/src/main/kotlin/lichenstage/drain/DrainRecordCodec.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainRecordCodec.kt
@@ -11,7 +11,7 @@
  * Encodes and decodes the records of drains in the state service. Versions of the service without drains ignore the prefix.
  *
  * `drain/d/NAME` holds the drain as requested by an operator, `drain/m/NAME/PAGE` holds a page of its machines, and `drain/i/PAGE` holds a
- * page of the interruptions, which all drains share. A page has several rows and takes at most [valueBytes].
+ * page of the interruptions, which all drains share. A page has several rows and takes at most `valueBytes`.
  */
 class DrainRecordCodec(
     valueBytes: Int,
@@ -84,7 +84,9 @@
             }
         }
 
-    /** Returns all pages of interruptions by key, including empty ones. A task stays on its page, so that a step changes few pages. */
+    /**
+     * Returns all pages of interruptions by key, including empty ones. A task always has the same page, so that a step changes few pages.
+     */
     fun encodeInterruptions(interruptions: Collection<Interruption>): Map<String, JsonObject> {
         val byPage = interruptions.groupBy { Math.floorMod(it.task.hashCode(), INTERRUPTION_PAGES) }
         return (0 until INTERRUPTION_PAGES).associate { page ->
--- a/src/main/kotlin/lichenstage/drain/DrainReport.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainReport.kt
@@ -12,7 +12,7 @@
     val machinesInProgress: List<DrainedMachine>,
     /** Current interruptions of each team for any cause, including those not caused by this drain. */
     val interruptionsByTeam: Map<String, List<Interruption>>,
-    /** Whether the deadline has passed or will be missed at the average pace so far. */
+    /** Whether the deadline has passed, or would be missed at the average pace so far. */
     val isLate: Boolean,
 ) {
     /** Returns the report as JSON for programs. */
--- a/src/main/kotlin/lichenstage/drain/DrainTypes.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainTypes.kt
@@ -7,16 +7,19 @@
 enum class DrainStatus {
     RUNNING,
 
-    /** Paused by an operator or by the drain itself. Until resumed, it cordons, provisions and terminates no machine and evicts no task. */
+    /**
+     * An operator or the drain itself has paused the drain. Until it is resumed, it cordons, provisions and terminates no machines and
+     * evicts no tasks.
+     */
     PAUSED,
     CANCELLED,
     FINISHED,
 }
 
-/** A drain as requested by an operator. Its machines ([DrainState]) are fixed at the request: machines that start later are not drained. */
+/** A drain as requested by an operator. Its machines ([DrainState]) are fixed at the request; later machines are not drained. */
 data class Drain(
     val name: String,
-    /** Whether each machine is replaced by a new one like it. The replacement must start a task before the old machine is drained. */
+    /** Whether each machine is replaced by a new one like it. The replacement must be proven to work before the old machine is drained. */
     val shouldReplace: Boolean,
     /** Maximum number of machines that are drained at once. */
     val maxConcurrent: Int,
@@ -25,6 +28,7 @@
     val reason: String?,
     /** Wall clock time of the request. */
     val requestedAtUs: Long,
+    /** Wall clock time by which the drain should be finished; null if there is no deadline. Used only to report whether it is late. */
     val deadlineAtUs: Long?,
 )
 
@@ -32,31 +36,31 @@
 enum class Stage {
     WAITING,
 
-    /** Its replacement is requested but has not started a task yet. The machine itself still receives tasks. */
+    /** A replacement is requested but not proven to work yet. The machine itself still receives tasks. */
     PREPARING,
 
-    /** It receives no new tasks. */
+    /** The machine receives no new tasks. */
     CORDONED,
 
-    /** At least one of its tasks has been evicted. */
+    /** The machine receives no new tasks, and at least one of its tasks has been interrupted. */
     EMPTYING,
 
-    /** It runs no tasks and is being terminated. */
+    /** The machine runs no tasks and is being terminated. */
     EMPTIED,
 
-    /** It is terminated and has no replacement. */
+    /** The machine is terminated and has no replacement. */
     GONE,
 
-    /** It is terminated and its replacement is in use. */
+    /** The machine is terminated and its replacement is in use. */
     REPLACED,
 
-    /** It was lost before it was empty. */
+    /** The machine was lost before it was empty, or it disappeared while it was being drained. */
     FAILED,
     ;
 
     val isOver get() = this >= GONE
 
-    /** Whether the drain has begun with the machine and is not done with it. */
+    /** Whether the drain has begun to process the machine and has not finished with it. */
     val isInProgress get() = this != WAITING && !isOver
 
     /** Whether the machine receives no new tasks. */
@@ -161,7 +165,7 @@
     GONE,
 }
 
-/** The execution state of a task, as far as it matters to an interruption. */
+/** The execution state of a task, as far as the end of an interruption depends on it. */
 sealed interface TaskExecution {
     /** The task or its job has ended. */
     data object Finished : TaskExecution
@@ -191,7 +195,7 @@
     /** Returns the number of running tasks of each team. */
     fun runningTasksByTeam(): Map<String, Int>
 
-    /** Returns whether tasks have failed on [machine]. */
+    /** Returns whether [machine] counts as faulty because tasks have failed on it. */
     fun isFaulty(machine: String): Boolean
 }
 
--- a/src/main/kotlin/lichenstage/fleet/CapacityEstimator.kt
+++ b/src/main/kotlin/lichenstage/fleet/CapacityEstimator.kt
@@ -32,14 +32,14 @@
     fun minOnDemandMachines(typeName: String): Int = roundUp(demandFor(typeName).filter { !it.allowsSpot }.sumOf { it.maxMachines })
 
     /**
-     * Returns how many machines of a type are needed: the largest of the machines that future jobs are expected to use, the machines for
-     * jobs that wait for dependencies, and the machines for ready jobs.
+     * Returns how many machines of a type are needed. This is the largest of three numbers: the machines that future jobs are expected to
+     * use, the machines for jobs that wait for dependencies, and the machines for ready jobs.
      *
-     * Ready jobs need enough machines for all waiting tasks to start within [FleetPolicy.backlogUs] and for their objectives to be met,
-     * but no more than they can use. A backlog saves nothing: a busy machine costs the same now as later, and the jobs only become late.
+     * Ready jobs need enough machines for all waiting tasks to start within [FleetPolicy.backlogUs] and for their objectives to be met, but
+     * no more than they can use. A longer backlog saves nothing: a busy machine costs the same now as later, and the jobs only become late.
      *
-     * Jobs that wait for dependencies count as future jobs. Counting them as waiting work counted them twice and
-     * raised the cost by a tenth without any benefit.
+     * Jobs that wait for dependencies count as future jobs. An earlier version added them to the waiting work, although the forecast
+     * already included them. This raised the cost by a tenth without any benefit.
      */
     fun neededMachines(
         typeName: String,
@@ -73,8 +73,8 @@
      * Returns how many machines of a type to keep while the forecast is learning: the peak usage of this term plus a margin, and 0
      * afterwards.
      *
-     * A new leader does not know the arrivals before its term, so its forecast is too low at first. Keeping all machines instead cost a
-     * tenth of the price of a day with leader changes and a surplus of machines.
+     * A new leader does not know the arrivals before its term, so its forecast is too low at first. An earlier version kept all machines
+     * during this time, which cost a tenth of the price of a day with leader changes and surplus machines.
      */
     private fun retainedMachinesWhileLearning(
         typeName: String,
--- a/src/main/kotlin/lichenstage/fleet/DemandForecast.kt
+++ b/src/main/kotlin/lichenstage/fleet/DemandForecast.kt
@@ -21,7 +21,7 @@
 )
 
 /**
- * Forecasts how many machines future jobs will use. Recent arrivals are the basis, and their weight decays exponentially. If no job
+ * Forecasts how many machines future jobs will use. The forecast is based on recent arrivals, whose weight decays exponentially. If no job
  * arrives for much longer than usual, the forecast is 0.
  *
  * Urgent jobs cannot wait for a machine to boot, so the forecast for them covers the variation of their use as well: it adds one standard
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Returns how many machines future jobs will use: on average, and for urgent jobs nearly always. For other jobs, [utilization] is the
-     * part of a machine's time that can be filled.
+     * Returns how many machines future jobs will use: the mean, plus one standard deviation for urgent jobs. The machines for other jobs
+     * are divided by [utilization], the part of a machine's time that can be filled.
      */
     fun expectedMachines(
         typeName: String,
@@ -115,7 +115,7 @@
     private companion object {
         const val WINDOW_US = 100 * SECOND
 
-        /** The number of standard deviations of the use of urgent jobs that are held in addition to the mean. */
+        /** The number of standard deviations of the use of urgent jobs that the forecast adds to the mean. */
         const val HELD_DEVIATIONS = 1.0
 
         /** Arrivals have ceased once this many jobs would have been expected since the last one. */
--- a/src/main/kotlin/lichenstage/fleet/FleetCore.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetCore.kt
@@ -32,7 +32,9 @@
     /** Returns the names of the machines that should get no more tasks. */
     fun cordonedMachines(): Set<String> = inventory.cordonedMachines()
 
-    /** Adds a machine that a record or a partition shows. If the age of the machine is unknown, [provisionedAtUs] is the current time. */
+    /**
+     * Adds a machine that a record or a partition contains. If the age of the machine is unknown, [provisionedAtUs] is the current time.
+     */
     fun addMachine(
         name: String,
         typeName: String,
@@ -68,7 +70,7 @@
     /** Returns the id of the replacement that a provision request was sent for; null if it was sent for the demand. */
     fun replacementIdOf(request: ProvisionRequest): String? = replacementRequests.idOf(request)
 
-    /** Marks machines for termination, which proves that nothing runs on them any more. */
+    /** Marks machines for termination. Once they are terminated, it is certain that nothing runs on them any more. */
     fun terminate(machines: Collection<String>) = inventory.terminate(machines)
 
     /** Returns the next call to make; null if there is none. */
--- a/src/main/kotlin/lichenstage/fleet/FleetInventory.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetInventory.kt
@@ -29,7 +29,7 @@
     var isTerminating = false
 }
 
-/** The machines of the fleet, as the cloud and the partitions show them. */
+/** The machines of the fleet, as the cloud and the partitions report them. */
 internal class FleetInventory {
     private val machines = LinkedHashMap<String, FleetMachine>()
 
@@ -75,14 +75,14 @@
         }
     }
 
-    /** Applies the status that the partitions show, and marks machines that are of no more use for termination. */
+    /** Applies the status that the partitions report, and marks lost, faulty, failed and silent machines for termination. */
     fun applyStatus(
         statusOf: (String) -> MachineStatus?,
         machineTypes: Map<String, MachineType>,
         nowUs: Long,
     ) {
-        // A hanging machine is replaced before its lease has expired: its termination is the fastest proof that its tasks may run
-        // elsewhere. If many machines are silent at once, the network is at fault and the machines are kept.
+        // A silent machine is terminated before its lease has expired, because its termination is the fastest proof that its tasks may
+        // run elsewhere. If many machines are silent at once, the cause is the network and the machines are kept.
         val silentMachines = machines.keys.filter { statusOf(it)?.isSilent == true }
         if (silentMachines.size <= maxOf(MIN_SILENT_LIMIT, machines.size / SILENT_FLEET_DIVISOR)) terminate(silentMachines)
         for ((name, machine) in machines) update(machine, statusOf(name), machineTypes[machine.typeName]?.bootUs ?: DEFAULT_BOOT_US, nowUs)
@@ -111,8 +111,8 @@
 
     private companion object {
         /**
-         * The number of silent machines up to which they are terminated. In large fleets, the limit is one part in [SILENT_FLEET_DIVISOR]
-         * of the machines.
+         * Silent machines are terminated only if there are at most this many of them. In large fleets, the limit is the number of machines
+         * divided by [SILENT_FLEET_DIVISOR].
          */
         const val MIN_SILENT_LIMIT = 2
         const val SILENT_FLEET_DIVISOR = 100
--- a/src/main/kotlin/lichenstage/fleet/FleetObservation.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetObservation.kt
@@ -2,10 +2,10 @@
 
 import lichenstage.model.MachineType
 
-/** The status of a machine, as its partition shows it to the leader. */
+/** The status of a machine, as its partition reports it to the leader. */
 data class MachineStatus(
     val isUp: Boolean,
-    /** Whether no heartbeat has come for longer than usual, while the lease has not expired yet. */
+    /** Whether no heartbeat has arrived for longer than usual, while the lease has not expired yet. */
     val isSilent: Boolean,
     /** Whether the lease of the machine has expired. */
     val isLost: Boolean,
@@ -22,7 +22,7 @@
  * @property demand the current demand of jobs
  * @property excludedMachines the names of machines that do not serve the demand: they are being drained, or are replacements for
  *   machines that still serve it
- * @property statusOf returns the status of a machine by its name; null until its partition has shown the machine
+ * @property statusOf returns the status of a machine by its name; null until its partition has reported the machine
  */
 class FleetObservation(
     val machineTypes: Map<String, MachineType>,
--- a/src/main/kotlin/lichenstage/fleet/FleetPolicy.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetPolicy.kt
@@ -5,8 +5,8 @@
 /**
  * The policy by which the fleet is scaled out and in.
  *
- * @property minHorizonUs the minimum time until work counts as due; work that is due sooner counts as due after this time, because
- *   provisioning cannot help it
+ * @property minHorizonUs the minimum time until work counts as due; work that is due sooner counts as due after this time, because new
+ *   machines would come too late for it
  * @property deadlineSlackFraction the part of the time until an objective within which its work should be done
  * @property backlogUs the time within which waiting tasks should start
  * @property targetUtilization the part of a machine's time that can be filled, above 0 and at most 1
--- a/src/main/kotlin/lichenstage/fleet/ProvisionBackoff.kt
+++ b/src/main/kotlin/lichenstage/fleet/ProvisionBackoff.kt
@@ -9,7 +9,7 @@
     val isSpot: Boolean,
 )
 
-/** Delays the next request to a pool that recently had no capacity. The delay grows with each refusal. */
+/** Delays the next request to a pool that recently had too little capacity. The delay doubles with each refusal, up to a limit. */
 internal class ProvisionBackoff {
     private val blockedUntilUs = HashMap<CapacityPool, Long>()
     private val refusals = HashMap<CapacityPool, Int>()
--- a/src/main/kotlin/lichenstage/fleet/ReplacementRequests.kt
+++ b/src/main/kotlin/lichenstage/fleet/ReplacementRequests.kt
@@ -20,7 +20,7 @@
         openRequests[request.id] = request
     }
 
-    /** Returns the first open request whose pool may be asked now. */
+    /** Returns the first open request to whose pool a provision request may be sent now; null if there is none. */
     fun next(
         backoff: ProvisionBackoff,
         nowUs: Long,
--- a/src/main/kotlin/lichenstage/fleet/ScaleIn.kt
+++ b/src/main/kotlin/lichenstage/fleet/ScaleIn.kt
@@ -59,7 +59,7 @@
         /** Draining may start this long before the machine may be terminated. */
         const val DRAIN_LEAD_US = 10 * SECOND
 
-        /** The divisor of the scale-in delay for a type for which no more jobs are expected. */
+        /** Divides the scale-in delay for a machine type for which no more jobs are expected. */
         const val CEASED_DELAY_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/lichenstage/fleet/ScaleOut.kt
+++ b/src/main/kotlin/lichenstage/fleet/ScaleOut.kt
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Creates a request for machines that the demand lacks. If it lacks none, creates a request for a spot machine in place of an
-     * on-demand one. Returns null if no request is due.
+     * Creates a request for machines that are missing for the demand. If none are missing, creates a request for a spot machine in place of
+     * an on-demand one. Returns null if no request is due.
      */
     fun createDemandRequest(
         machineTypes: Collection<MachineType>,
--- a/src/main/kotlin/lichenstage/jobs/AdmissionPolicy.kt
+++ b/src/main/kotlin/lichenstage/jobs/AdmissionPolicy.kt
@@ -6,14 +6,17 @@
 import lichenstage.model.MachineFit
 import lichenstage.model.MachineType
 
-/** Checks whether a submitted job can ever run: against its team's limits, the machine types and the limits of its record. */
+/** Refuses jobs that can never run: it checks each job against its team's limits, the machine types and the size limits of its record. */
 class AdmissionPolicy(
     private val teams: Map<String, Team>,
     private val recordLimits: RecordLimits,
     /** Returns the machine types by name; empty while they are not known. */
     private val machineTypes: () -> Map<String, MachineType>,
 ) {
-    /** Returns the reply that refuses the job, or null if the job may be accepted. */
+    /**
+     * Returns the reply that refuses the job, or null if the job may be accepted. While the machine types are not known, the reply asks the
+     * user to retry.
+     */
     fun findRefusal(spec: JobSpec): Reply? = checkTeam(spec) ?: checkMachineTypes(spec) ?: checkSize(spec)
 
     private fun checkTeam(spec: JobSpec): Reply? {
--- a/src/main/kotlin/lichenstage/jobs/CompletedTaskRanges.kt
+++ b/src/main/kotlin/lichenstage/jobs/CompletedTaskRanges.kt
@@ -7,14 +7,14 @@
 /**
  * Encodes the completed tasks of a job for the state service.
  *
- * The tasks are split into chunks. Each chunk fits one value of the state service, whichever of its tasks are completed: it is written as
- * ranges while these are shorter, otherwise as a bitmap.
+ * The tasks are split into chunks. A chunk is written as ranges of task numbers or as a bitmap, whichever is shorter. It therefore fits one
+ * value of the state service, whichever of its tasks are completed.
  */
 object CompletedTaskRanges {
     /** The number of tasks in a chunk. A bitmap of this many tasks takes 2,732 characters. */
     const val TASKS_PER_CHUNK = 16_384
 
-    /** The bytes of a value beside its text: braces, field name and quotes. */
+    /** The bytes that a value takes in addition to its text: braces, field name and quotes. */
     private const val FIELD_OVERHEAD_BYTES = 16
 
     /** Returns the number of chunks of a job that has this many tasks. */
@@ -40,8 +40,8 @@
     /**
      * Returns the first completed tasks of [chunk] that fit a value of [maxBytes], numbered from the start of the chunk.
      *
-     * Not all of them may fit, because chunks are sized for larger values than the state service may accept one day. A task that is left
-     * out stays in its worker's task list until a later record holds it.
+     * The state service may lower its size limit, so that a value can no longer hold every chunk in full. A task that is left out stays in
+     * its worker's task list until a later record contains it.
      */
     fun truncateToFit(
         done: BitSet,
@@ -59,7 +59,7 @@
     /** Returns an upper bound for the Base64 characters of a bitmap of this many tasks. */
     private fun maxBitmapLength(tasks: Int) = (tasks + BITS_PER_BYTE - 1) / BITS_PER_BYTE * BASE64_CHARS / BASE64_BYTES + BASE64_CHARS
 
-    /** Returns the number of tasks in a bitmap of [length] Base64 characters. Only complete Base64 groups count. */
+    /** Returns the number of tasks that a bitmap of [length] Base64 characters holds. Only complete Base64 groups count. */
     private fun maxBitmapTasks(length: Int) = length * BASE64_BYTES / BASE64_CHARS / BASE64_BYTES * BASE64_BYTES * BITS_PER_BYTE
 
     /** Returns the tasks of the first ranges that take at most [maxChars] characters. */
--- a/src/main/kotlin/lichenstage/jobs/DependencyGraph.kt
+++ b/src/main/kotlin/lichenstage/jobs/DependencyGraph.kt
@@ -5,7 +5,7 @@
     /** All dependencies of the job are done. */
     READY,
 
-    /** Some dependencies of the job are not done yet. As far as is known, all of them can still be done. */
+    /** Some dependencies of the job are not done yet, and none of them is known to be cancelled. */
     WAITING,
 
     /** A direct or transitive dependency is cancelled. */
@@ -19,7 +19,7 @@
  * The dependencies between jobs: the open jobs that have dependencies, and the outcomes of the finished jobs that they depend on
  * (invariant 16).
  *
- * All state here is derived from records. A job may start once all its dependencies are **recorded** as done; an earlier start would
+ * The graph is derived from records only. A job may start once all its dependencies are **recorded** as done; an earlier start would
  * violate the rule `too_early`. A job must be cancelled once a direct or transitive dependency is recorded as cancelled; otherwise it
  * would violate the rule `orphaned`. Neither conclusion is ever reversed, so each controller can draw it independently, at any time and
  * after any change of leader. The cost of a change depends only on the number of jobs that depend on the changed job.
@@ -94,8 +94,8 @@
     /**
      * Returns whether [job], which has these [dependencies], may start.
      *
-     * Guards against a user who sees a job as waiting long after a dependency was cancelled. A dependency's end is known before its
-     * outcome is. In between, the state of its dependents is unknown. This also applies if the record of [job] is not known here:
+     * Guards against a job that users see as waiting long after a dependency was cancelled. The end of a dependency becomes known before
+     * its outcome. In between, the readiness of its dependents is unknown. This also applies if the record of [job] is not known here:
      * another controller can report the end of a dependency before the watch delivers that record. (The simulated cluster found this
      * fault: a job that was submitted right after an outage was reported as open although its chain was cancelled.)
      */
@@ -132,7 +132,10 @@
     /** Returns up to [limit] finished jobs whose outcome has to be read. */
     fun findUnresolved(limit: Int): List<String> = unresolvedJobs.take(limit)
 
-    /** Returns up to [limit] open jobs to record as cancelled. Each follows at least one of its cancelled or orphaned dependencies. */
+    /**
+     * Returns up to [limit] open jobs to record as cancelled, in the order in which they were found. A job comes after the orphaned
+     * dependency through which it was found.
+     */
     fun findOrphans(limit: Int): List<String> = orphanedJobs.take(limit)
 
     /** Returns whether a direct or transitive dependency of the open job is cancelled. */
--- a/src/main/kotlin/lichenstage/jobs/JobCache.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobCache.kt
@@ -3,7 +3,7 @@
 import lichenstage.cluster.TaskCounts
 import lichenstage.common.LruMap
 
-/** The user API's cache of jobs: their recorded ends, which never change, and data of open records that [replica] may lack. */
+/** The cache of jobs for replies to users: recorded ends, which never change, and data of open records that [replica] may lack. */
 class JobCache(
     private val replica: JobReplica,
     private val dependencyGraph: DependencyGraph,
--- a/src/main/kotlin/lichenstage/jobs/JobCompletions.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobCompletions.kt
@@ -1,6 +1,6 @@
 package lichenstage.jobs
 
-/** The ends of jobs that a controller knows of. Its replies and orders to workers depend on them (invariant 15). */
+/** The ends of jobs that a controller knows of. They determine its replies and commands to workers (invariant 15). */
 interface JobCompletions {
     /** Returns whether the job has certainly ended, given that one of its tasks has been known since [sinceUs]. */
     fun hasEnded(
@@ -15,8 +15,8 @@
     fun confirmedOpenAtUs(job: String): Long?
 
     /**
-     * The maximum age of the known ends, in microseconds. For this long after a user may have seen the end of a job, a reply may still
-     * renew the lease of a worker that may run its tasks. That lease then expires before the time limit of the cancellation.
+     * The maximum age of the known ends, in microseconds. A reply that is sent within this time after a user has seen the end of a job may
+     * still renew the lease of a worker that runs its tasks. That lease then expires before the time limit of the cancellation.
      */
     val maxStalenessUs: Long
 
--- a/src/main/kotlin/lichenstage/jobs/JobLookup.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobLookup.kt
@@ -85,9 +85,9 @@
     /**
      * Returns the reply for a job with an open record.
      *
-     * If a dependency is cancelled, the job is recorded as cancelled before its user sees that status. Another controller may not know of
-     * the cancellation yet and must not reply with an older status. While the replica of this controller is stale, the state of a waiting
-     * job is unknown.
+     * If a dependency is cancelled, the job is recorded as cancelled before its user sees that status. A controller that does not know of
+     * the cancellation yet must not reply with an older status. While the replica of this controller is stale, the state of a waiting job
+     * is unknown.
      */
     private suspend fun openJobReply(
         id: String,
@@ -145,7 +145,7 @@
     }
 
     companion object {
-        /** Returns the end of a job that ends now. */
+        /** Returns the recorded end of a job that ends at the current time of day. */
         fun createFinishedJob(
             status: EndStatus,
             completedTasks: Int,
--- a/src/main/kotlin/lichenstage/jobs/JobReplica.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplica.kt
@@ -9,8 +9,8 @@
  * This process's copy of the keys of the open jobs, with its age (invariant 15).
  *
  * Guards against an owner that keeps tasks of a cancelled job alive because it does not know of the cancellation. An owner can hold its
- * authority for longer than the state service replies to it: authority means that no other controller may act, not that the owner's data
- * is fresh. A reply to a heartbeat renews the lease of its worker. Heartbeats therefore get replies only while [isCurrent] holds: this
+ * authority after the state service has stopped replying to it: authority means that no other controller may act, not that the owner's
+ * data is fresh. A reply to a heartbeat renews the lease of its worker. Heartbeats therefore get replies only while [isCurrent] holds: this
  * process then knows every end that a user may have seen up to [maxStalenessUs] ago. Either of two proofs is sufficient:
  * - A read of the state service proves it as of the time at which the request was sent.
  * - During an outage, replies of **all** other controllers prove it. Each reply contains all ends that its sender learned of after the
@@ -189,7 +189,7 @@
     /** Returns whether heartbeats may get replies, which renew the leases of workers (invariant 15). */
     fun isCurrent(nowUs: Long) = knownEndsAsOfUs() > Long.MIN_VALUE && nowUs - knownEndsAsOfUs() <= maxStalenessUs
 
-    /** Returns whether the last read of the state service is older than usual while the service is available. */
+    /** Returns whether the last read of the state service is older than it can be while the service is available. */
     fun isLagging(nowUs: Long) = revision >= 0 && nowUs - lastReadAtUs > LAG_THRESHOLD_US
 
     /** Returns whether the last read of the state service is at most [maxAgeUs] microseconds old. */
--- a/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplicaSync.kt
@@ -48,7 +48,7 @@
     private val log = RateLimitedLog.of("lichenstage.jobs", clock)
     private var isStale = false
 
-    /** Starts following the open jobs. */
+    /** Starts the loops that follow the open records, read the outcomes of dependencies and request ends from the other controllers. */
     fun start() {
         scope.launch {
             while (true) {
--- a/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
@@ -10,7 +10,7 @@
 import lichenstage.state.ReadResult
 import lichenstage.state.TransactionResult
 
-/** Handles submissions: decodes them, refuses jobs that can never run, and writes the records of accepted jobs. */
+/** Handles submissions: decodes each one, refuses a job that can never run, and writes the record of an accepted job. */
 class JobSubmission(
     private val store: KeyValueStore,
     private val cache: JobCache,
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Writes the job's record on the condition that everything read about its dependencies still holds. If a dependency is cancelled at the
-     * same moment, one of two things happens: the cancellation finds this job's record and includes it, or this submission sees that the
-     * dependency is cancelled.
+     * Writes the job's record on the precondition that the records of its dependencies have not changed since they were read. If a
+     * dependency is cancelled at the same moment, one of two things happens: the cancellation finds this job's record and includes it, or
+     * this submission sees that the dependency is cancelled.
      */
     private suspend fun tryToAccept(spec: JobSpec): Reply {
         repeat(MAX_TRIES) { tryIndex ->
--- a/src/main/kotlin/lichenstage/jobs/JobsActor.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsActor.kt
@@ -24,8 +24,8 @@
 )
 
 /**
- * Handles the requests of users. Each reply about an unfinished job is decided on its record in the state service, never on a copy. Only
- * data that can no longer change is cached for replies.
+ * Handles the requests of users. The status in a reply about an open job follows from its record in the state service, never from a copy.
+ * Only data that can no longer change is cached for this decision.
  */
 class JobsActor(
     store: KeyValueStore,
@@ -48,7 +48,7 @@
     /** Enqueues a message. The reply to a request goes to its callback. */
     fun tell(message: JobsMessage) = mailbox.tell(message)
 
-    /** Drops a message because the mailbox is full. A user is asked to retry, and task counts are sent again anyway. */
+    /** Drops a message because the mailbox is full. The sender of a request is asked to retry; task counts are sent again regularly. */
     private fun shed(message: JobsMessage): Boolean {
         if (message is JobsMessage.UserRequest) message.reply(Reply.unavailable(BUSY_MESSAGE, BUSY_RETRY_S))
         return true
--- a/src/main/kotlin/lichenstage/jobs/OpenRecordCheck.kt
+++ b/src/main/kotlin/lichenstage/jobs/OpenRecordCheck.kt
@@ -10,7 +10,8 @@
 enum class RecordState { OPEN, DELETED, UNKNOWN }
 
 /**
- * Checks many jobs at once: a transaction that only compares revisions asks the state service whether their records are still open.
+ * Checks for many jobs at once whether their open records still exist. It sends the state service a transaction that only compares
+ * revisions.
  *
  * Guards against a violation of the rule `forgotten`. Thousands of jobs are polled within seconds, and one request for each job would far
  * exceed the request limit of the state service.
@@ -30,7 +31,7 @@
     private val pendingChecks = ArrayDeque<PendingCheck>()
     private var isBatchRunning = false
 
-    /** Returns whether the record at [key] still has [revision]; [RecordState.UNKNOWN] at once if too many checks are pending. */
+    /** Returns the state of the record that had [revision] at [key]; [RecordState.UNKNOWN] at once if too many checks are pending. */
     suspend fun check(
         key: String,
         revision: Long,
@@ -52,8 +53,8 @@
     private fun takeBatch() = List(minOf(maxPreconditions, pendingChecks.size)) { pendingChecks.removeFirst() }
 
     /**
-     * Completes the checks of a batch. The records of failed keys are deleted. The other checks are repeated, because a conflict may name
-     * only some of the failed keys.
+     * Completes the checks of a batch. If the transaction conflicts, the records of the named keys are deleted. The other checks are
+     * repeated, because a conflict may name only some of the failed keys.
      */
     private suspend fun runBatch(checks: List<PendingCheck>) {
         var undecided = checks
--- a/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
+++ b/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
@@ -9,8 +9,8 @@
 )
 
 /**
- * The size limits of one record and of one transaction. A submission that exceeds them could not be written, either now or after the
- * state service has lowered its limits. It is refused at once instead of being retried forever.
+ * The size limits of one record and of one transaction. The record of a submission that exceeds them could not be written, either now or
+ * after the state service has lowered its limits. Such a submission is refused at once, because its user would retry it forever.
  */
 class RecordLimits(
     maxTransactionOperations: Int,
--- a/src/main/kotlin/lichenstage/jobs/Reply.kt
+++ b/src/main/kotlin/lichenstage/jobs/Reply.kt
@@ -16,13 +16,13 @@
     val retryAfterS: Int? = null,
 ) {
     companion object {
-        /** Returns the state of an open job. */
+        /** Returns the reply with the state of an open job. */
         fun ofOpen(
             id: String,
             progress: TaskProgress,
         ) = ofJob(id, if (progress.running > 0) RUNNING else PENDING, progress)
 
-        /** Returns the state of a finished job. */
+        /** Returns the reply with the state of a finished job. */
         fun ofFinished(
             id: String,
             job: FinishedJob,
--- a/src/main/kotlin/lichenstage/model/JobSpec.kt
+++ b/src/main/kotlin/lichenstage/model/JobSpec.kt
@@ -1,6 +1,6 @@
 package lichenstage.model
 
-/** The priority of a job. Jobs with a later entry are placed before jobs with an earlier one. */
+/** The priority of a job, in ascending order. Jobs with a higher priority are placed first. */
 enum class Priority { LOW, STANDARD, HIGH, PRODUCTION }
 
 /**
--- a/src/main/kotlin/lichenstage/model/MachineFit.kt
+++ b/src/main/kotlin/lichenstage/model/MachineFit.kt
@@ -8,7 +8,7 @@
         resources: Resources,
     ): Int = machineType.capacity.countFitting(resources)
 
-    /** Returns the types that the job allows, that exist in its zone and that have room for at least one of its tasks. */
+    /** Returns the machine types that the job allows, that exist in its zone and that have room for at least one of its tasks. */
     fun compatibleTypes(
         spec: JobSpec,
         machineTypes: Map<String, MachineType>,
--- a/src/main/kotlin/lichenstage/model/MachineType.kt
+++ b/src/main/kotlin/lichenstage/model/MachineType.kt
@@ -2,7 +2,7 @@
 
 import lichenstage.common.SECOND
 
-/** A machine type that the cloud offers. Prices are per machine; [zones] are the zones in which the type exists. */
+/** A machine type that the cloud offers. Prices are per machine and hour; [zones] are the zones in which the type exists. */
 data class MachineType(
     val name: String,
     val capacity: Resources,
--- a/src/main/kotlin/lichenstage/model/PartitionAssignment.kt
+++ b/src/main/kotlin/lichenstage/model/PartitionAssignment.kt
@@ -6,7 +6,7 @@
  *
  * The partition of a machine depends only on the zone and the name of the machine, so all controllers agree on it without a shared table.
  *
- * @param controllers the zone of each controller by its label, as in the settings of every controller
+ * @param controllers the zone of each controller by the controller's label; the settings of all controllers contain the same zones
  */
 class PartitionAssignment(
     zones: Collection<String>,
--- a/src/main/kotlin/lichenstage/model/RegisteredMachine.kt
+++ b/src/main/kotlin/lichenstage/model/RegisteredMachine.kt
@@ -8,7 +8,7 @@
  * A machine that is recorded in the state service.
  *
  * @property name the name of the machine; names increase in the order in which machines are provisioned
- * @property typeName the name of its [MachineType]
+ * @property typeName the name of the machine's [MachineType]
  * @property zone the zone of the machine
  * @property isSpot whether the machine is a spot machine
  * @property address the address at which its worker takes direct orders, as `host:port`
--- a/src/test/kotlin/lichenstage/common/CommandLineParserTest.kt
+++ b/src/test/kotlin/lichenstage/common/CommandLineParserTest.kt
@@ -4,6 +4,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
+/** Guards against invalid arguments that are silently ignored. */
 class CommandLineParserTest {
     private val parser =
         CommandLineParser("tool [NAME]", "Does something.", maxOperands = 1)
--- a/src/test/kotlin/lichenstage/common/RateLimitedLogTest.kt
+++ b/src/test/kotlin/lichenstage/common/RateLimitedLogTest.kt
@@ -3,7 +3,7 @@
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
 
-/** Guards against a log without a limit, and against lines that are dropped without a trace. */
+/** Guards against a log without a limit, and against dropped lines that are not counted. */
 class RateLimitedLogTest {
     @Example
     fun `lines over the limit of a period are dropped and the next period starts with their number`() {
--- a/src/test/kotlin/lichenstage/drain/DrainBudgetTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainBudgetTest.kt
@@ -63,7 +63,7 @@
         ) { "one task of three was interrupted" }
     }
 
-    /** Random tasks on random machines: the interruptions never exceed the budget of any team. */
+    /** Machines run random tasks, and the recorded interruptions must never exceed the budget of any team. */
     @Property(tries = 200, seed = "22")
     fun `no step exceeds a budget`(
         @ForAll seed: Long,
--- a/src/test/kotlin/lichenstage/drain/DrainInterruptionTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainInterruptionTest.kt
@@ -45,7 +45,7 @@
     }
 
     /**
-     * A zone of a few hundred machines loses thousands of tasks at once, more than the record can hold. An earlier version remembered at
+     * A zone of a few hundred machines loses thousands of tasks at once, more than the records can hold. An earlier version remembered at
      * most 2,000 of them, so drains interrupted more tasks while the forgotten ones were still waiting.
      */
     @Example
--- a/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainOperationsTest.kt
@@ -184,7 +184,7 @@
     }
 
     @Example
-    fun `a report says whether the deadline can be met`() {
+    fun `a report contains whether the deadline can be met`() {
         val drain = Drain("d", false, 1, DrainStatus.RUNNING, null, 0, 100 * SECOND)
         val rows = (1..10).map { DrainedMachine("m$it", "d", if (it <= 2) Stage.GONE else Stage.WAITING, 0) }
         val state = DrainState().let { it.copy(machines = it.machines.putAll(rows.associateBy { row -> row.key })) }
--- a/src/test/kotlin/lichenstage/fleet/DemandForecastTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/DemandForecastTest.kt
@@ -6,6 +6,7 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 
+/** Guards against a forecast that keeps too many machines after arrivals have ceased, or too few for urgent jobs. */
 class DemandForecastTest {
     private val forecast = DemandForecast(startedAtUs = 0)
 
--- a/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/FleetCoreTest.kt
@@ -11,6 +11,7 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 
+/** Guards against machines that are provisioned twice or without demand, and against the termination of machines in use. */
 class FleetCoreTest {
     private val machineTypes =
         mapOf("t" to MachineType("t", Resources(16.0, 0.0, 64.0), 1.0, 0.4, 30 * SECOND, 50.0, 0.5, listOf("y", "z")))
--- a/src/test/kotlin/lichenstage/fleet/FleetInventoryTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/FleetInventoryTest.kt
@@ -9,6 +9,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
+/** Guards against terminated machines that the lagging list of the cloud adds again, and against dead machines that are kept. */
 class FleetInventoryTest {
     private val machineTypes =
         mapOf("t" to MachineType("t", Resources(16.0, 0.0, 64.0), 1.0, 0.4, 30 * SECOND, 50.0, 0.5, listOf("y", "z")))
--- a/src/test/kotlin/lichenstage/fleet/ScaleOutTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/ScaleOutTest.kt
@@ -9,6 +9,7 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 
+/** Guards against replacements that are provisioned twice, and against requests to a pool that has just refused one. */
 class ScaleOutTest {
     private val replacementRequests = ReplacementRequests()
     private val scaleOut = ScaleOut(3, CapacityEstimator(FleetPolicy(), DemandForecast(0)), replacementRequests)
--- a/src/test/kotlin/lichenstage/jobs/DependencyCancellationTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/DependencyCancellationTest.kt
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
-/** Guards against dependents that stay open after a cancellation which falls between their submissions and the requests of users. */
+/** Guards against dependents that stay open if a job is cancelled while they are being submitted or requested by users. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class DependencyCancellationTest : JobsActorFixture() {
     /**
--- a/src/test/kotlin/lichenstage/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/DependencyGraphTest.kt
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
-/** The dependency graph derives readiness and cancellations only from records, in whatever order these become known. */
+/** Guards against a readiness or a cancellation that depends on the order in which the dependency graph learns of the records. */
 class DependencyGraphTest {
     /**
-     * Guards against a waiting job that is reported as pending between the time when a dependency is known to have ended and the time when
-     * its outcome is known. The simulated cluster found this after an outage longer than `cancel_s`.
+     * Guards against a job that is reported as pending although its dependency is known to have ended and the outcome is not known yet. The
+     * simulated cluster found this after an outage longer than `cancel_s`.
      */
     @Example
     fun `the dependents of an ended job have an unknown state until its outcome is known`() {
--- a/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
@@ -18,7 +18,7 @@
 import java.util.BitSet
 import java.util.Random
 
-/** Submissions, job records and completed task ranges are encoded and decoded without loss and within their size limits. */
+/** Guards against submissions, job records and completed tasks that lose data or exceed their size limits when they are encoded. */
 class JobFormatsTest {
     private fun submission() =
         JsonObject(
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Tasks that do not fit are left for a later record. The recorded tasks must all be completed tasks. They must be more than half of
-     * these if at least 3 percent of the tasks are completed.
+     * Tasks that do not fit are left for a later record. Every recorded task must be a completed one. If at least 3 percent of the tasks
+     * are completed, more than half of the completed tasks must be recorded.
      */
     @Property(tries = 100, seed = "31")
     fun `completed tasks are truncated to what a small value holds`(
--- a/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
-/** A replica may call itself current only while it knows every end that users were told of longer ago than its maximum staleness. */
+/** Guards against a replica that counts as current although it lacks an end that a user saw longer ago than its maximum staleness. */
 class JobReplicaTest {
     private fun replica(
         incarnation: Long,
@@ -91,7 +91,7 @@
             "only a job that a later read does not find has ended"
         }
         replica.applyChanges(mapOf("j-2" to 11L), mapOf("j-1" to 12L), 12, 300)
-        assertTrue(replica.hasEnded("j-1", 400) && !replica.hasEnded("j-2", 200)) { "the changes of the watch are not applied" }
+        assertTrue(replica.hasEnded("j-1", 400) && !replica.hasEnded("j-2", 200)) { "the changes from the watch were not applied" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/jobs/OpenRecordCheckTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/OpenRecordCheckTest.kt
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Guards against one request per poll: thousands of polls must be checked by a few requests, with the result of the state service. */
+/** Guards against one request to the state service per poll: a few requests must check thousands of polls, with correct results. */
 class OpenRecordCheckTest {
     private var requests = 0
 
--- a/src/test/kotlin/lichenstage/jobs/SubmissionRefusalTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/SubmissionRefusalTest.kt
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
-/** Submissions that can never be accepted are refused at once, with the status and the field. */
+/** Guards against a submission that can never be accepted but is not refused at once with the right status and field. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class SubmissionRefusalTest : JobsActorFixture() {
     @Example
--- a/src/test/kotlin/lichenstage/jobs/UnreliableStore.kt
+++ b/src/test/kotlin/lichenstage/jobs/UnreliableStore.kt
@@ -11,7 +11,7 @@
 import lichenstage.state.TransactionResult
 import java.util.Random
 
-/** A state service that is slow, refuses requests, sends no reply, and applies some transactions late or without confirming them. */
+/** A state service that is slow, refuses requests, leaves some without a reply, and applies some transactions late or unconfirmed. */
 internal class UnreliableStore(
     private val random: Random,
     private val scope: CoroutineScope,
--- a/src/test/kotlin/lichenstage/model/MachineFitTest.kt
+++ b/src/test/kotlin/lichenstage/model/MachineFitTest.kt
@@ -5,6 +5,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 
+/** Guards against jobs that count as runnable on machine types that are not allowed, too small or in another zone. */
 class MachineFitTest {
     private val small = machineType("small", cores = 4.0, price = 1.0, fetchGbPerS = 1.0, zones = listOf("y"))
     private val large = machineType("large", cores = 16.0, price = 2.0, fetchGbPerS = 0.5, zones = listOf("y", "z"))
