--- a/src/main/kotlin/lichenstage/app/ServiceRuntime.kt
+++ b/src/main/kotlin/lichenstage/app/ServiceRuntime.kt
@@ -12,14 +12,14 @@
 /** Starts a controller on a single event loop and returns. The event loop's thread keeps the process alive. */
 fun serve(
     settings: Settings,
-    operator: OperatorSettings = OperatorSettings(),
+    operatorSettings: OperatorSettings = OperatorSettings(),
 ) {
     configureLibraries()
     val vertx = createBatchingVertx(vertxOptions())
     val context = vertx.getOrCreateContext()
     context.runOnContext {
         val exitOnException = CoroutineExceptionHandler { _, e -> exitOnFailure("Coroutine failed", e) }
-        Controller(vertx, settings, operator, CoroutineScope(context.dispatcher() + SupervisorJob() + exitOnException)).start()
+        Controller(vertx, settings, operatorSettings, CoroutineScope(context.dispatcher() + SupervisorJob() + exitOnException)).start()
     }
 }
 
@@ -46,5 +46,5 @@
         .setBlockedThreadCheckInterval(BLOCKED_THREAD_CHECK_MS)
         .setFileSystemOptions(FileSystemOptions().setFileCachingEnabled(false).setClassPathResolvingEnabled(false))
 
-/** One hour, so that the check for blocked threads takes no processor time. It is of no use here, as no code blocks the event loop. */
+/** One hour, so that the check for blocked threads takes no processor time. The check is not needed, as no code blocks the event loop. */
 private const val BLOCKED_THREAD_CHECK_MS = 3_600_000L
--- a/src/main/kotlin/lichenstage/drain/DrainCommand.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCommand.kt
@@ -42,7 +42,7 @@
             .flag("json", "Print JSON.")
             .flag("help", "Show this help.", short = "h")
 
-    /** The arguments after the checks that need no state service. */
+    /** The arguments that have passed all checks that need no state service. */
     private class Arguments(
         val settings: Settings,
         val subcommand: String,
@@ -96,7 +96,7 @@
         try {
             return runBlocking {
                 withContext(vertx.dispatcher()) {
-                    val state =
+                    val store =
                         KeyValueStoreClient(
                             vertx,
                             settings.stateAddress,
@@ -105,7 +105,7 @@
                             settings.stateRps,
                             settings.stateWriteRps,
                         ) { STATE_WRITE_SHARE }
-                    val operations = DrainOperations(state, state::scan, DrainRecordCodec(settings.maxValueBytes), settings, ::timeOfDayUs)
+                    val operations = DrainOperations(store, store::scan, DrainRecordCodec(settings.maxValueBytes), settings, ::timeOfDayUs)
                     when (arguments.subcommand) {
                         START -> operations.start(buildRequest(name!!, arguments.parsed))
                         STATUS -> operations.status(name)
@@ -124,23 +124,23 @@
         name: String,
         parsed: ParsedArguments,
     ): DrainRequest {
-        val spot = if (parsed.has("spot")) true else false.takeIf { parsed.has("ordinary") }
+        val isSpot = if (parsed.has("spot")) true else false.takeIf { parsed.has("ordinary") }
         val names = parsed.text("machine")?.split(',').orEmpty()
         val selection =
             DrainSelection(
                 names.filter { it.isNotEmpty() }.toSet(),
                 parsed.text("type"),
                 parsed.text("zone"),
-                spot,
+                isSpot,
                 parsed.text("hired-up-to"),
             )
         val deadlineS = parsed.wholeNumber("deadline-s")
         return DrainRequest(
             name,
             selection,
-            replace = parsed.has("replace"),
+            shouldReplace = parsed.has("replace"),
             maxConcurrent = maxConcurrent(parsed),
-            deadlineUs = deadlineS?.let { timeOfDayUs() + it * SECOND },
+            deadlineAtUs = deadlineS?.let { timeOfDayUs() + it * SECOND },
             isDryRun = parsed.has("dry-run"),
         )
     }
@@ -189,7 +189,7 @@
         const val EXIT_INVALID_REQUEST = 2
         const val EXIT_UNAVAILABLE = 1
 
-        /** Fraction of the write rate that the command may use. Lease renewals and users' requests have priority. */
+        /** Fraction of the allowed write rate that the command may use. The rest is left for lease renewals and users' requests. */
         const val STATE_WRITE_SHARE = 0.1
     }
 }
--- a/src/main/kotlin/lichenstage/drain/DrainOperations.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainOperations.kt
@@ -14,8 +14,8 @@
 import lichenstage.state.UnreadableRecordException
 
 /**
- * The operators' commands for drains. They only read records and write them on the precondition that these have not changed since, so they
- * do not depend on which controllers are running.
+ * The operators' commands for drains. A command reads records, and writes records on the precondition that they have not changed since the
+ * read. It sends nothing to a controller, so it works whichever controllers are running.
  */
 class DrainOperations(
     private val store: KeyValueStore,
@@ -24,7 +24,10 @@
     private val settings: Settings,
     private val timeOfDayUs: () -> Long,
 ) {
-    /** Records a new drain, or returns its machines for a dry run. Idempotent: a repetition of the same request succeeds. */
+    /**
+     * Records a new drain, or returns its machines for a dry run. If a drain with this name and the same options already exists, returns
+     * its status.
+     */
     suspend fun start(request: DrainRequest): DrainCommandResult =
         toCommandResult {
             if (!NAME.matches(request.name)) throw RejectedCommand("NAME: must be 1-60 letters, digits or dashes, was \"${request.name}\"")
@@ -39,7 +42,7 @@
     private suspend fun startNew(request: DrainRequest): DrainCommandResult {
         val machines = scanEntries(MachineRecordCodec.PREFIX).flatMap { MachineRecordCodec.decode(it.value) }
         val boundZones = scanEntries(JobRecordCodec.OPEN_PREFIX).mapNotNullTo(HashSet()) { JobRecordCodec.decode(it.value).zone }
-        rejectionReason(request, machines, boundZones)?.let { throw RejectedCommand(it) }
+        findRejectionReason(request, machines, boundZones)?.let { throw RejectedCommand(it) }
         val selected = machines.filter { it in request.selection }.sortedBy { it.name }
         return if (request.isDryRun) DrainCommandResult.DryRun(request, selected) else recordDrain(request, selected)
     }
@@ -49,7 +52,7 @@
         entry: Entry,
     ): DrainCommandResult {
         val existing = codec.decodeDrain(entry)
-        if (existing.replace != request.replace || existing.maxConcurrent != request.maxConcurrent) {
+        if (existing.shouldReplace != request.shouldReplace || existing.maxConcurrent != request.maxConcurrent) {
             throw RejectedCommand("drain \"${request.name}\" already exists with different options")
         }
         return readStatus(request.name)
@@ -84,7 +87,7 @@
         if (store.commit(preconditions, changes) !is TransactionResult.Committed) throw StateServiceUnavailable()
     }
 
-    private fun rejectionReason(
+    private fun findRejectionReason(
         request: DrainRequest,
         machines: List<RegisteredMachine>,
         boundZones: Set<String>,
@@ -99,12 +102,12 @@
             selection.zone != null && selection.zone !in settings.zones -> "--zone: must be a configured zone, was \"${selection.zone}\""
             typeName != null && machines.none { it.typeName == typeName } -> "--type: must have a registered machine, was \"$typeName\""
             selectedZones.isEmpty() -> "no registered machine matches the selection"
-            emptiedZone == null || request.replace -> null
+            emptiedZone == null || request.shouldReplace -> null
             else -> "--replace: must be given, jobs are bound to zone \"$emptiedZone\", which would be empty"
         }
     }
 
-    /** Records the machines first and the drain last: the drain exists only once its own record is written. */
+    /** Records the machines first and the drain last, because the drain exists as soon as its own record is written. */
     private suspend fun recordDrain(
         request: DrainRequest,
         machines: List<RegisteredMachine>,
@@ -122,12 +125,12 @@
         val drain =
             Drain(
                 request.name,
-                request.replace,
+                request.shouldReplace,
                 request.maxConcurrent,
                 DrainStatus.RUNNING,
                 null,
                 nowUs,
-                request.deadlineUs,
+                request.deadlineAtUs,
             )
         commit(listOf(Precondition.absent(drainKey)), listOf(Change.Put(drainKey, codec.encode(drain))))
         return readStatus(request.name)
--- a/src/main/kotlin/lichenstage/drain/DrainPlanner.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainPlanner.kt
@@ -11,16 +11,16 @@
 /**
  * Plans the next step of all drains on a copy of their state.
  *
- * Each machine moves from stage to stage. Idle machines are drained first, then machines whose tasks end soonest, then machines that lose
- * the least progress. A task is interrupted only if its team's budget allows that in addition to all current interruptions. Tasks that are
- * about to end are left to finish. A deadline changes none of this.
+ * Each machine moves from stage to stage. Idle machines are drained first, then machines whose tasks end soonest, then machines whose tasks
+ * lose the least progress. A task is interrupted only if its team's budget allows that in addition to all current interruptions. Tasks that
+ * are about to end are left to finish. A deadline changes none of this.
  */
 class DrainPlanner(
     private val policy: DrainPolicy,
     private val view: DrainView,
     private val hour: Int,
     private val nowUs: Long,
-    /** Number of recorded interruptions at which drains stop adding more, so that the records have room for failures. */
+    /** Number of recorded interruptions from which on drains interrupt no more tasks, so that the records have room for failures. */
     private val maxInterruptions: Int,
     private var state: DrainState,
 ) {
@@ -29,7 +29,7 @@
 
     /** Returns the next step of the running drains among [drains]. Drains are processed in the order of their requests. */
     fun planStep(drains: List<Drain>): DrainProposal {
-        val running = drains.filter { it.status == DrainStatus.RUNNING }.sortedBy { it.requestedUs }
+        val running = drains.filter { it.status == DrainStatus.RUNNING }.sortedBy { it.requestedAtUs }
         running.forEach(::advanceMachines)
         running.forEach { startDraining(it, machinesInProgress(running)) }
         interruptTasks(running)
@@ -144,7 +144,9 @@
             (condition != MachineCondition.HEALTHY && waitedUs > MAX_BOOT_US)
     }
 
-    /** Returns whether the replacement works: it runs a task, or it is healthy and no task was available to start for [IDLE_TRIAL_US]. */
+    /**
+     * Returns whether a healthy replacement is proven to work: it runs a task, or it has no task [IDLE_TRIAL_US] after its provisioning.
+     */
     private fun isProven(
         replacement: String,
         waitedUs: Long,
@@ -176,7 +178,7 @@
                     view.condition(it.name) == MachineCondition.HEALTHY
             }
         waitingMachines.sortedWith(drainOrder()).take(availableSlots).forEach { machine ->
-            if (drain.replace) {
+            if (drain.shouldReplace) {
                 enterStage(machine, Stage.PREPARING)
                 actions += DrainAction.ProvisionReplacement(machine.key)
             } else {
@@ -209,7 +211,7 @@
 
     /** Returns the number of running tasks of each team, without tasks that have a recorded interruption and may be stopping already. */
     private fun countRunningTasksByTeam(): Map<String, Int> {
-        val taskCounts = HashMap(view.runningByTeam())
+        val taskCounts = HashMap(view.runningTasksByTeam())
         for (interruption in state.interruptions.values) {
             if (view.execution(interruption.task) is TaskExecution.Running) taskCounts.merge(interruption.team, -1, Int::plus)
         }
@@ -238,9 +240,11 @@
         const val NEAR_END_US = 20 * SECOND
 
         private const val CORDON_PROPAGATION_US = 2 * SECOND
+
+        /** A replacement that is not healthy this long after its provisioning has failed. */
         private const val MAX_BOOT_US = 300 * SECOND
 
-        /** A healthy replacement on which no task was started for this time counts as working. */
+        /** A healthy replacement counts as working if it has no task this long after its provisioning. */
         private const val IDLE_TRIAL_US = 90 * SECOND
         private const val INITIAL_BACKOFF_US = 30 * SECOND
         private const val MAX_BACKOFF_DOUBLINGS = 4
--- a/src/main/kotlin/lichenstage/jobs/JobsActor.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsActor.kt
@@ -24,14 +24,14 @@
 )
 
 /**
- * Handles the requests of users. Each reply about an unfinished job is decided on its record in the state service, never on a copy. Only
- * data that can no longer change is cached for replies.
+ * Handles the requests of users. The status in a reply about an open job follows from its record in the state service, never from a copy.
+ * Only data that can no longer change is cached for this decision.
  */
 class JobsActor(
-    state: KeyValueStore,
+    store: KeyValueStore,
     private val fallback: PeerFallback,
     openJobs: OpenJobs,
-    admission: AdmissionPolicy,
+    admissionPolicy: AdmissionPolicy,
     maxPreconditions: Int,
     clock: Clock,
     private val scope: CoroutineScope,
@@ -39,16 +39,16 @@
 ) {
     private val cache = JobCache(openJobs.replica, openJobs.dependencyGraph)
     private val openRecordCheck =
-        OpenRecordCheck(maxPreconditions, scope) { state.commit(Precondition.allOf(it), emptyList(), COMPARE_TIMEOUT_MS) }
-    private val lookup = JobLookup(state, cache, openJobs.replica, openJobs.dependencyGraph, openRecordCheck, clock, onCancelled)
-    private val submission = JobSubmission(state, cache, lookup, openJobs.dependencyGraph, admission)
+        OpenRecordCheck(maxPreconditions, scope) { store.commit(Precondition.allOf(it), emptyList(), COMPARE_TIMEOUT_MS) }
+    private val lookup = JobLookup(store, cache, openJobs.replica, openJobs.dependencyGraph, openRecordCheck, clock, onCancelled)
+    private val submission = JobSubmission(store, cache, lookup, openJobs.dependencyGraph, admissionPolicy)
     private var openRequests = 0
     private val mailbox = Mailbox("jobs", scope, ::handle, tryDrop = ::shed)
 
     /** Enqueues a message. The reply to a request goes to its callback. */
     fun tell(message: JobsMessage) = mailbox.tell(message)
 
-    /** Drops a message because the mailbox is full. A user is asked to retry, and task counts are sent again anyway. */
+    /** Drops a message because the mailbox is full. The sender of a request is asked to retry; task counts are sent again regularly. */
     private fun shed(message: JobsMessage): Boolean {
         if (message is JobsMessage.UserRequest) message.reply(Reply.unavailable(BUSY_MESSAGE, BUSY_RETRY_S))
         return true
--- a/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
+++ b/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
@@ -9,15 +9,15 @@
 )
 
 /**
- * The size limits of one record and of one transaction. A submission that exceeds them could not be written, either now or after the
- * state service has lowered its limits. It is refused at once instead of being retried forever.
+ * The size limits of one record and of one transaction. The record of a submission that exceeds them could not be written, either now or
+ * after the state service has lowered its limits. Such a submission is refused at once, because its user would retry it forever.
  */
 class RecordLimits(
-    maxTransactionOps: Int,
+    maxTransactionOperations: Int,
     private val maxValueBytes: Int,
 ) {
     /** The maximum number of preconditions of one transaction. */
-    val maxPreconditions = maxTransactionOps * PRECONDITIONS_PER_CHANGE
+    val maxPreconditions = maxTransactionOperations * PRECONDITIONS_PER_CHANGE
 
     /** The maximum number of dependencies of a job. Each can need a precondition, in addition to the two that check that the job is new. */
     val maxDependencies = maxPreconditions - OWN_PRECONDITIONS
--- a/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
+++ b/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
@@ -26,13 +26,13 @@
     writeShare: () -> Double,
 ) : KeyValueStore {
     private val log = LoggerFactory.getLogger("lichenstage.state")
-    private val requestClient = JsonHttpClient(vertx, address, connections = REQUEST_CONNECTIONS, queue = MAX_QUEUED_REQUESTS)
+    private val requestClient = JsonHttpClient(vertx, address, maxConnections = REQUEST_CONNECTIONS, maxQueuedRequests = MAX_QUEUED_REQUESTS)
 
     /** The client for watches, each of which occupies a connection for a long time. */
-    private val watchClient = JsonHttpClient(vertx, address, connections = WATCH_CONNECTIONS, queue = WATCH_CONNECTIONS)
+    private val watchClient = JsonHttpClient(vertx, address, maxConnections = WATCH_CONNECTIONS, maxQueuedRequests = WATCH_CONNECTIONS)
 
     /** The client for leases. It is separate so that no other request delays a renewal. */
-    private val leaseClient = JsonHttpClient(vertx, address, connections = LEASE_CONNECTIONS, queue = LEASE_CONNECTIONS)
+    private val leaseClient = JsonHttpClient(vertx, address, maxConnections = LEASE_CONNECTIONS, maxQueuedRequests = LEASE_CONNECTIONS)
     private val requestLimiter = RequestRateLimiter(clock) { rps / controllerCount }
     private val writeLimiter = RequestRateLimiter(clock) { writeRps * writeShare() }
 
--- a/src/test/kotlin/lichenstage/fleet/DemandForecastTest.kt
+++ b/src/test/kotlin/lichenstage/fleet/DemandForecastTest.kt
@@ -6,13 +6,14 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 
+/** Guards against a forecast that keeps too many machines after arrivals have ceased, or too few for urgent jobs. */
 class DemandForecastTest {
     private val forecast = DemandForecast(startedAtUs = 0)
 
     private fun arrive(
         atS: Long,
-        urgent: Boolean = false,
-    ) = forecast.recordArrival(JobArrival("t", atS * SECOND, machines = 5.0, runUs = 20 * SECOND, urgent))
+        isUrgent: Boolean = false,
+    ) = forecast.recordArrival(JobArrival("t", atS * SECOND, machines = 5.0, runUs = 20 * SECOND, isUrgent))
 
     @Example
     fun `no machines are expected for a type that no job has requested`() {
@@ -30,7 +31,7 @@
 
     @Example
     fun `urgent arrivals add one standard deviation regardless of the utilization`() {
-        arrive(atS = 0, urgent = true)
+        arrive(atS = 0, isUrgent = true)
         assertEquals(1.0 + Math.sqrt(5.0), forecast.expectedMachines("t", 0.5, 0), 1e-9)
     }
 
--- a/src/test/kotlin/lichenstage/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/DependencyGraphTest.kt
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import java.util.Random
 
-/** The dependency graph derives readiness and cancellations only from records, in whatever order these become known. */
+/** Guards against a readiness or a cancellation that depends on the order in which the dependency graph learns of the records. */
 class DependencyGraphTest {
     /**
-     * Guards against a waiting job that is reported as pending between the time when a dependency is known to have ended and the time when
-     * its outcome is known. The simulated cluster found this after an outage longer than `cancel_s`.
+     * Guards against a job that is reported as pending although its dependency is known to have ended and the outcome is not known yet. The
+     * simulated cluster found this after an outage longer than `cancel_s`.
      */
     @Example
     fun `the dependents of an ended job have an unknown state until its outcome is known`() {
@@ -81,8 +81,8 @@
             when (random.nextInt(4)) {
                 0, 1 -> {
                     val job = "j-$step"
-                    val all = dependencies.keys.toList()
-                    dependencies[job] = List(if (all.isEmpty()) 0 else random.nextInt(4)) { all[random.nextInt(all.size)] }.distinct()
+                    val jobs = dependencies.keys.toList()
+                    dependencies[job] = List(if (jobs.isEmpty()) 0 else random.nextInt(4)) { jobs[random.nextInt(jobs.size)] }.distinct()
                     openJobs += job
                     dependencyGraph.onJobOpened(job, dependencies.getValue(job))
                 }
@@ -115,8 +115,8 @@
                 dependencyGraph.findOrphans(1000).toSet(),
             ) { "seed $seed step $step: ${dependencyGraph.findOrphans(1000)}, not $orphans" }
             for (job in openJobs) {
-                val ready = dependencies.getValue(job).all { it in resolvedJobs && isDoneByJob[it] == true }
-                assertEquals(ready, (dependencyGraph.readySinceUs(dependencies.getValue(job)) != null)) { "seed $seed step $step: $job" }
+                val isReady = dependencies.getValue(job).all { it in resolvedJobs && isDoneByJob[it] == true }
+                assertEquals(isReady, (dependencyGraph.readySinceUs(dependencies.getValue(job)) != null)) { "seed $seed step $step: $job" }
             }
         }
         while (dependencyGraph.findUnresolved(10).isNotEmpty()) {
--- a/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
@@ -18,7 +18,7 @@
 import java.util.BitSet
 import java.util.Random
 
-/** Submissions, job records and completed task ranges are encoded and decoded without loss and within their size limits. */
+/** Guards against submissions, job records and completed tasks that lose data or exceed their size limits when they are encoded. */
 class JobFormatsTest {
     private fun submission() =
         JsonObject(
@@ -40,13 +40,13 @@
     fun `a submission as documented by the protocol is decoded and its unknown fields are ignored`() {
         val spec = SubmissionCodec.decode(submission(), 7)
         assertTrue(spec.id == "j-000412" && spec.taskCount == 16 && spec.resources == Resources(8.0, 1.0, 64.0)) { "$spec" }
-        assertTrue(spec.deadlineUs == 900_000_000L && spec.estimatedRunTimeUs == 240_000_000L && spec.submittedUs == 7L) { "$spec" }
+        assertTrue(spec.deadlineUs == 900_000_000L && spec.estimatedRunTimeUs == 240_000_000L && spec.submittedAtUs == 7L) { "$spec" }
         assertTrue(spec.allowedTypes == listOf("g8") && spec.zone == null && spec.requiresSameZone && spec.allowsSpot) { "$spec" }
     }
 
     /**
-     * Tasks that do not fit are left for a later record. The recorded tasks must all be completed tasks. They must be more than half of
-     * these if at least 3 percent of the tasks are completed.
+     * Tasks that do not fit are left for a later record. Every recorded task must be a completed one. If at least 3 percent of the tasks
+     * are completed, more than half of the completed tasks must be recorded.
      */
     @Property(tries = 100, seed = "31")
     fun `completed tasks are truncated to what a small value holds`(
--- a/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
@@ -63,7 +63,7 @@
     private var lastStepUs = 0L
 
     /** Handles the end of an attempt that ran, but whose task is not done. */
-    fun onAttemptInterrupted(attempt: Attempt) = core.onTaskLost(LeaderDrainView.failureInterruption(attempt, context.nowUs))
+    fun onAttemptInterrupted(attempt: Attempt) = core.onTaskStopped(LeaderDrainView.failureInterruption(attempt, context.nowUs))
 
     /** Advances the drains, at most once a second. */
     fun step() {
