--- a/src/main/kotlin/lichenstage/authority/Authority.kt
+++ b/src/main/kotlin/lichenstage/authority/Authority.kt
@@ -21,7 +21,7 @@
  */
 class Authority(
     private val settings: Settings,
-    private val state: KeyValueStoreClient,
+    private val store: KeyValueStoreClient,
     clock: Clock,
     private val scope: CoroutineScope,
     send: (String, Frame) -> Unit,
@@ -30,13 +30,13 @@
     private val onChange: (OwnershipView) -> Unit,
 ) {
     private val table = OwnershipTable()
-    private val lease = ProcessLease(state, clock, LeaseDuration.of(settings), ::notifyChange)
+    private val lease = ProcessLease(store, clock, LeaseDuration.of(settings), ::notifyChange)
     private val heldOwnerships = HeldOwnerships(settings.label, lease, table)
-    private val acquisition = OwnershipAcquisition(settings, state, clock, lease, table, heldOwnerships, isPeerHealthy, ::notifyChange)
-    private val ownershipRelease = OwnershipRelease(state, table, heldOwnerships, acquisition, ::notifyChange)
+    private val acquisition = OwnershipAcquisition(settings, store, clock, lease, table, heldOwnerships, isPeerHealthy, ::notifyChange)
+    private val ownershipRelease = OwnershipRelease(store, table, heldOwnerships, acquisition, ::notifyChange)
     private val acquisitionMoratorium = AcquisitionMoratorium(settings, clock, lease, acquisition, send)
-    private val tokenReservation = FencingTokenReservation(state, table)
-    private val watcher = OwnershipWatcher(state, table, ::revokePredecessors, ::notifyChange, ::onOwnershipEvents)
+    private val tokenReservation = FencingTokenReservation(store, table)
+    private val watcher = OwnershipWatcher(store, table, ::revokePredecessors, ::notifyChange, ::onOwnershipEvents)
 
     /** Returns whether this process may act on its ownerships. Callers check this again right before each reply they send. */
     fun hasAuthority() = lease.isValid()
@@ -112,6 +112,6 @@
      * are dead, otherwise this one would not have been started.
      */
     private suspend fun revokePredecessors() {
-        for (predecessor in heldOwnerships.predecessorLeases()) if (predecessor != lease.id) state.revokeLease(predecessor)
+        for (leaseId in heldOwnerships.predecessorLeaseIds()) if (leaseId != lease.id) store.revokeLease(leaseId)
     }
 }
--- a/src/main/kotlin/lichenstage/authority/FencingTokenReservation.kt
+++ b/src/main/kotlin/lichenstage/authority/FencingTokenReservation.kt
@@ -12,7 +12,7 @@
  * precondition of the write, so the write cannot succeed after the ownership has ended.
  */
 internal class FencingTokenReservation(
-    private val state: KeyValueStore,
+    private val store: KeyValueStore,
     private val table: OwnershipTable,
 ) {
     private var isInProgress = false
@@ -31,7 +31,7 @@
             val record = OwnershipRecords.encodeTermCounter(counter)
             val preconditions =
                 listOf(Precondition(OwnershipRecords.TERM_COUNTER_KEY, counterRevision), Precondition(key, ownership.modRevision))
-            val result = state.commit(preconditions, listOf(Change.Put(OwnershipRecords.TERM_COUNTER_KEY, record)))
+            val result = store.commit(preconditions, listOf(Change.Put(OwnershipRecords.TERM_COUNTER_KEY, record)))
             if (result !is TransactionResult.Committed) return null
             table.put(Entry(OwnershipRecords.TERM_COUNTER_KEY, record, result.revision))
             return counter.term - count + 1..counter.term
--- a/src/main/kotlin/lichenstage/authority/HeldOwnerships.kt
+++ b/src/main/kotlin/lichenstage/authority/HeldOwnerships.kt
@@ -25,7 +25,7 @@
     }
 
     /** Returns the leases under which this controller holds keys. Before this process acquires a key, these belong to earlier processes. */
-    fun predecessorLeases(): List<Long> =
+    fun predecessorLeaseIds(): List<Long> =
         table.currentHolders
             .filter { it.label == label }
             .map { it.leaseId }
--- a/src/main/kotlin/lichenstage/authority/LocalLease.kt
+++ b/src/main/kotlin/lichenstage/authority/LocalLease.kt
@@ -13,17 +13,17 @@
 class LocalLease(
     private val durationUs: Long,
 ) {
-    /** The number of the lease in the state service; null while no lease is held. */
+    /** The ID of the lease in the state service; null while no lease is held. */
     var id: Long? = null
         private set
     private var validUntilUs = Long.MIN_VALUE
 
-    /** Handles the grant of [lease] to a request that was sent at [sentAtUs]. */
+    /** Handles the grant of the lease [leaseId] to a request that was sent at [sentAtUs]. */
     fun onGranted(
-        lease: Long,
+        leaseId: Long,
         sentAtUs: Long,
     ) {
-        id = lease
+        id = leaseId
         validUntilUs = expiryUs(sentAtUs)
     }
 
--- a/src/main/kotlin/lichenstage/authority/OwnershipAcquisition.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipAcquisition.kt
@@ -16,7 +16,7 @@
 /** The acquisition of leadership and partitions that no controller holds, each under a new term (invariant 1). */
 internal class OwnershipAcquisition(
     private val settings: Settings,
-    private val state: KeyValueStoreClient,
+    private val store: KeyValueStoreClient,
     private val clock: Clock,
     private val lease: ProcessLease,
     private val table: OwnershipTable,
@@ -108,7 +108,7 @@
             val ownership = Change.Put(key, OwnershipRecords.encodeOwnership(settings.label, counter.term, leaseId), leaseId)
             val counterRevision = table.modRevision(OwnershipRecords.TERM_COUNTER_KEY) ?: Precondition.ABSENT
             val preconditions = listOf(Precondition(OwnershipRecords.TERM_COUNTER_KEY, counterRevision), Precondition.absent(key))
-            val result = state.commit(preconditions, listOf(counterEntry, ownership))
+            val result = store.commit(preconditions, listOf(counterEntry, ownership))
             if (result is TransactionResult.Committed) {
                 log.info("Ownership acquired key={} term={}", key, counter.term)
                 onAcquired(counterEntry, ownership, result.revision)
--- a/src/main/kotlin/lichenstage/authority/OwnershipRecords.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipRecords.kt
@@ -35,8 +35,8 @@
     internal fun encodeOwnership(
         label: String,
         term: Long,
-        lease: Long,
-    ): JsonObject = JsonObject().put(LABEL, label).put(TERM, term).put(LEASE, lease)
+        leaseId: Long,
+    ): JsonObject = JsonObject().put(LABEL, label).put(TERM, term).put(LEASE, leaseId)
 
     /** Returns the holder named by an ownership record. Throws [JsonDecodingException] if a field is missing or has another type. */
     internal fun decodeHolder(entry: Entry): Holder {
--- a/src/main/kotlin/lichenstage/authority/OwnershipRelease.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipRelease.kt
@@ -13,7 +13,7 @@
  * it reaches the workers there even when the zone is cut off.
  */
 internal class OwnershipRelease(
-    private val state: KeyValueStore,
+    private val store: KeyValueStore,
     private val table: OwnershipTable,
     private val heldOwnerships: HeldOwnerships,
     private val acquisition: OwnershipAcquisition,
@@ -36,7 +36,7 @@
         onChange()
         val unchanged = listOf(Precondition(key, ownership.modRevision))
         while (table.modRevision(key) == ownership.modRevision) {
-            if (state.commit(unchanged, listOf(Change.Delete(key))) is TransactionResult.Committed) {
+            if (store.commit(unchanged, listOf(Change.Delete(key))) is TransactionResult.Committed) {
                 if (table.modRevision(key) == ownership.modRevision) table.remove(key, ownership.modRevision + 1)
             } else {
                 delay(RETRY_MS)
--- a/src/main/kotlin/lichenstage/authority/OwnershipWatcher.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipWatcher.kt
@@ -11,7 +11,7 @@
  * [onFirstScan] runs before the table is marked as loaded, [onScan] after each scan, and [onEvents] after each watch that returned changes.
  */
 internal class OwnershipWatcher(
-    private val state: KeyValueStoreClient,
+    private val store: KeyValueStoreClient,
     private val table: OwnershipTable,
     private val onFirstScan: suspend () -> Unit,
     private val onScan: () -> Unit,
@@ -20,7 +20,7 @@
     /** Scans and watches the records until cancelled. */
     suspend fun run() {
         while (true) {
-            val scan = state.scan(OwnershipRecords.KEY_PREFIX)
+            val scan = store.scan(OwnershipRecords.KEY_PREFIX)
             if (scan !is ScanResult.Complete) {
                 delay(SCAN_RETRY_MS)
                 continue
@@ -37,7 +37,7 @@
     private suspend fun follow(scanRevision: Long) {
         var revision = scanRevision
         while (true) {
-            when (val result = state.watch(OwnershipRecords.KEY_PREFIX, revision, WATCH_MS)) {
+            when (val result = store.watch(OwnershipRecords.KEY_PREFIX, revision, WATCH_MS)) {
                 is WatchResult.Events -> {
                     revision = result.revision
                     table.applyChanges(result.puts, result.deletes)
--- a/src/main/kotlin/lichenstage/authority/ProcessLease.kt
+++ b/src/main/kotlin/lichenstage/authority/ProcessLease.kt
@@ -14,7 +14,7 @@
  * [onChange] when the lease becomes valid and when the service reports its end.
  */
 internal class ProcessLease(
-    private val state: KeyValueStoreClient,
+    private val store: KeyValueStoreClient,
     private val clock: Clock,
     private val durationUs: Long,
     private val onChange: () -> Unit,
@@ -28,7 +28,7 @@
     var isRenewalUnanswered = false
         private set
 
-    /** The number of the lease in the state service; null while no lease is held. */
+    /** The ID of the lease in the state service; null while no lease is held. */
     val id: Long? get() = lease.id
 
     /** Returns whether this process may act on the ownerships attached to the lease. */
@@ -50,17 +50,17 @@
 
     private suspend fun acquire() {
         val sentAtUs = clock.now()
-        val grant = state.grantLease(durationUs)
+        val grant = store.grantLease(durationUs)
         if (grant is LeaseGrant.Granted) {
-            applyConfirmation { lease.onGranted(grant.lease, sentAtUs) }
-            log.info("Process lease granted lease={}", grant.lease)
+            applyConfirmation { lease.onGranted(grant.leaseId, sentAtUs) }
+            log.info("Process lease granted lease={}", grant.leaseId)
         }
         delay(RETRY_MS)
     }
 
     private suspend fun renew(leaseId: Long) {
         val sentAtUs = clock.now()
-        when (state.renewLease(leaseId)) {
+        when (store.renewLease(leaseId)) {
             LeaseRenewal.RENEWED -> {
                 applyConfirmation { lease.onRenewed(sentAtUs) }
             }
--- a/src/main/kotlin/lichenstage/cloud/MachineCatalog.kt
+++ b/src/main/kotlin/lichenstage/cloud/MachineCatalog.kt
@@ -18,7 +18,7 @@
  */
 class MachineCatalog(
     private val cloud: Cloud,
-    private val state: KeyValueStore,
+    private val store: KeyValueStore,
     private val scope: CoroutineScope,
 ) {
     /** The machine types by name; empty until they have been loaded for the first time. */
@@ -53,14 +53,14 @@
     }
 
     private suspend fun persist() {
-        val storedTypes = (state.get(MachineCatalogCodec.KEY) as? ReadResult.Found)?.let { MachineCatalogCodec.decode(it.entry.value) }
+        val storedTypes = (store.get(MachineCatalogCodec.KEY) as? ReadResult.Found)?.let { MachineCatalogCodec.decode(it.entry.value) }
         if (storedTypes != null && withoutSpotPrices(storedTypes) == withoutSpotPrices(machineTypes)) return
-        state.commit(emptyList(), listOf(Change.Put(MachineCatalogCodec.KEY, MachineCatalogCodec.encode(machineTypes.values))))
+        store.commit(emptyList(), listOf(Change.Put(MachineCatalogCodec.KEY, MachineCatalogCodec.encode(machineTypes.values))))
     }
 
     private suspend fun restore() {
         val storedTypes =
-            (state.get(MachineCatalogCodec.KEY) as? ReadResult.Found)?.let { MachineCatalogCodec.decode(it.entry.value) } ?: return
+            (store.get(MachineCatalogCodec.KEY) as? ReadResult.Found)?.let { MachineCatalogCodec.decode(it.entry.value) } ?: return
         if (!isLoaded) machineTypes = storedTypes
     }
 
--- a/src/main/kotlin/lichenstage/cluster/PartitionFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PartitionFrames.kt
@@ -97,6 +97,11 @@
  * it covers all machines. Only after a final frame may the leader draw conclusions from the absence of a machine or task. For the same
  * reason, only a final frame may advance [seq] to the newest leader frame that the partition has received ([receivedSeq]). The effects of
  * the leader frames up to [seq] are completely contained in the state (invariant 17).
+ *
+ * @property term the term under which the sender owns the partition
+ * @property ageUs the time since the sender acquired the partition, in microseconds
+ * @property leaderTerm the term of the leader for which the frame is meant
+ * @property since the version up to which the leader has acknowledged changes
  */
 @Serializable
 @SerialName("lichenstage.cluster.PartFrame")
--- a/src/main/kotlin/lichenstage/cluster/PeerServer.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerServer.kt
@@ -6,7 +6,10 @@
 import lichenstage.common.Address
 import org.slf4j.LoggerFactory
 
-/** The server for connections from the other controllers. It drops frames of replaced processes (invariant 13). */
+/**
+ * The server for connections from the other controllers. Once a new process of a controller has connected, the server drops the frames of
+ * all earlier processes of that controller (invariant 13).
+ */
 internal class PeerServer(
     private val vertx: Vertx,
     private val listen: Address,
--- a/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
@@ -62,7 +62,13 @@
  * A frame with the leader's placement requests and orders to one partition.
  *
  * A partition accepts frames only from the newest [term] it has seen (invariant 8), and within that term only with an increasing [seq].
- * [cordoned] contains the machines that get no more tasks; null means that the set is the same as in the previous frames.
+ *
+ * @property term the leadership term
+ * @property acknowledgedTerm the term of the partition's owner to which [acknowledgedVersion] belongs; 0 without a frame of an owner
+ * @property acknowledgedVersion the version of the partition's state up to which the leader has received all changes
+ * @property addresses the addresses of the partition's recorded machines by name; empty once the owner has acknowledged them
+ * @property releases the numbers of the placement requests whose holds are released
+ * @property cordoned the machines that get no more tasks; null means that the set is the same as in the previous frames
  */
 @Serializable
 @SerialName("lichenstage.cluster.LeaderFrame")
@@ -72,9 +78,9 @@
     val term: Long,
     val seq: Long,
     @SerialName("ackTerm")
-    val ackTerm: Long,
+    val acknowledgedTerm: Long,
     @SerialName("ackVersion")
-    val ackVersion: Long,
+    val acknowledgedVersion: Long,
     @SerialName("facts")
     val requirements: Map<String, JobRequirements> = emptyMap(),
     val addresses: Map<String, String> = emptyMap(),
--- a/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
+++ b/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
@@ -27,7 +27,7 @@
         changeLog.markReceived(frame.seq)
         placementOffers.updateFrom(frame)
         probeSchedule.addAll(frame.addresses)
-        if (frame.ackTerm == term) changeLog.acknowledge(frame.ackVersion)
+        if (frame.acknowledgedTerm == term) changeLog.acknowledge(frame.acknowledgedVersion)
         placementOffers.expireHolds(nowUs)
         frame.releases.forEach(placementOffers::release)
         for (order in frame.starts) handleStart(order, nowUs)
--- a/src/main/kotlin/lichenstage/partition/Machine.kt
+++ b/src/main/kotlin/lichenstage/partition/Machine.kt
@@ -79,7 +79,11 @@
 
     /** The numbers of the attempts that were removed and whose removal the leader has not acknowledged yet. */
     private val removedAttemptNumbers = LongArrayList()
+
+    /** The attempts on the machine by number, including starts that no heartbeat has listed yet. */
     val attempts = Long2ObjectLinkedOpenHashMap<WorkerAttempt>()
+
+    /** Whether a direct order was sent whose outcome has not been handled yet. */
     var hasOrderInFlight = false
 
     /**
--- a/src/main/kotlin/lichenstage/partition/PartitionActor.kt
+++ b/src/main/kotlin/lichenstage/partition/PartitionActor.kt
@@ -51,8 +51,8 @@
     fun tell(message: PartitionMessage) = mailbox.tell(message)
 
     /**
-     * Decides whether a full mailbox drops [message]. Heartbeats, frames and ticks are repeated by their senders, so they can be dropped.
-     * A dropped heartbeat gets the reply [HeartbeatReply.Unavailable].
+     * Returns whether a full mailbox may drop [message]. Heartbeats, frames and ticks may be dropped, because their senders repeat them. A
+     * dropped heartbeat gets the reply [HeartbeatReply.Unavailable].
      */
     private fun tryDrop(message: PartitionMessage): Boolean {
         if (message is PartitionMessage.HeartbeatReceived) message.reply(HeartbeatReply.Unavailable)
--- a/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
+++ b/src/main/kotlin/lichenstage/state/KeyValueStoreClient.kt
@@ -112,13 +112,13 @@
     suspend fun grantLease(durationUs: Long): LeaseGrant {
         val request = KeyValueStoreCodec.encodeLeaseRequest(durationUs)
         val response = leaseClient.call(HttpMethod.POST, KeyValueStoreCodec.LEASES_PATH, request, LEASE_TIMEOUT_MS)
-        val lease = response?.takeIf { it.status == HttpStatus.OK }?.let { KeyValueStoreCodec.decodeLease(it.body) }
-        return if (lease == null) LeaseGrant.Failed else LeaseGrant.Granted(lease)
+        val leaseId = response?.takeIf { it.status == HttpStatus.OK }?.let { KeyValueStoreCodec.decodeLease(it.body) }
+        return if (leaseId == null) LeaseGrant.Failed else LeaseGrant.Granted(leaseId)
     }
 
     /** Renews a lease for its full duration from now on. */
-    suspend fun renewLease(lease: Long): LeaseRenewal {
-        val path = KeyValueStoreCodec.leaseRenewalPath(lease)
+    suspend fun renewLease(leaseId: Long): LeaseRenewal {
+        val path = KeyValueStoreCodec.leaseRenewalPath(leaseId)
         val response = leaseClient.call(HttpMethod.POST, path, JsonObject(), LEASE_RENEWAL_TIMEOUT_MS)
         return when (response?.status) {
             HttpStatus.OK -> LeaseRenewal.RENEWED
@@ -128,8 +128,8 @@
     }
 
     /** Ends a lease at once. The service then deletes the keys attached to it. */
-    suspend fun revokeLease(lease: Long): LeaseRevocation {
-        val response = leaseClient.call(HttpMethod.DELETE, KeyValueStoreCodec.leasePath(lease), null, LEASE_TIMEOUT_MS)
+    suspend fun revokeLease(leaseId: Long): LeaseRevocation {
+        val response = leaseClient.call(HttpMethod.DELETE, KeyValueStoreCodec.leasePath(leaseId), null, LEASE_TIMEOUT_MS)
         return when (response?.status) {
             HttpStatus.OK, HttpStatus.NOT_FOUND -> LeaseRevocation.REVOKED
             else -> LeaseRevocation.INDETERMINATE
--- a/src/main/kotlin/lichenstage/state/KeyValueStoreCodec.kt
+++ b/src/main/kotlin/lichenstage/state/KeyValueStoreCodec.kt
@@ -51,10 +51,10 @@
     ) = "/changes?prefix=$prefix&since=$afterRevision&wait_ms=$waitMs"
 
     /** Returns the path of one lease. */
-    fun leasePath(lease: Long) = "$LEASES_PATH/$lease"
+    fun leasePath(leaseId: Long) = "$LEASES_PATH/$leaseId"
 
     /** Returns the path that renews a lease. */
-    fun leaseRenewalPath(lease: Long) = "${leasePath(lease)}/renew"
+    fun leaseRenewalPath(leaseId: Long) = "${leasePath(leaseId)}/renew"
 
     /** Returns the body of a transaction. */
     fun encodeTransaction(
@@ -67,14 +67,14 @@
 
     private fun encodeChange(change: Change): JsonObject =
         when (change) {
-            is Change.Put -> JsonObject().put(PUT, change.key).put(VALUE, change.value).apply { change.lease?.let { put(LEASE, it) } }
+            is Change.Put -> JsonObject().put(PUT, change.key).put(VALUE, change.value).apply { change.leaseId?.let { put(LEASE, it) } }
             is Change.Delete -> JsonObject().put(DELETE, change.key)
         }
 
     /** Returns the body of a request for a lease that lasts [durationUs]. */
     fun encodeLeaseRequest(durationUs: Long): JsonObject = JsonObject().put("life_ms", durationUs / MILLI)
 
-    /** Returns the number of a granted lease; null if the reply has none. */
+    /** Returns the ID of a granted lease; null if the reply has none. */
     fun decodeLease(body: JsonObject): Long? = body.getLong(LEASE)
 
     /** Returns whether the reply has a revision. Replies of the service itself have one even if the key does not exist. */
--- a/src/main/kotlin/lichenstage/state/LeaseResults.kt
+++ b/src/main/kotlin/lichenstage/state/LeaseResults.kt
@@ -2,9 +2,9 @@
 
 /** The outcome of a request for a new lease. */
 sealed interface LeaseGrant {
-    /** The service granted the lease with the number [lease]. */
+    /** The service granted the lease [leaseId]. */
     data class Granted(
-        val lease: Long,
+        val leaseId: Long,
     ) : LeaseGrant
 
     /** The service refused the lease, or the outcome is unknown. */
--- a/src/main/kotlin/lichenstage/state/SingleWriterKeys.kt
+++ b/src/main/kotlin/lichenstage/state/SingleWriterKeys.kt
@@ -12,7 +12,7 @@
  * makes the next write conflict.
  */
 class SingleWriterKeys(
-    private val state: KeyValueStore,
+    private val store: KeyValueStore,
 ) {
     /** The revision of each key that exists. */
     private val modRevisions = HashMap<String, Long>()
@@ -32,7 +32,7 @@
         val keys = changes.map { it.key }
         for (key in keys) if (key in keysToReread && !reread(key)) return false
         val unchanged = keys.map { Precondition(it, modRevisions[it] ?: Precondition.ABSENT) }
-        val result = state.commit(preconditions + unchanged, changes, isUrgent = isUrgent)
+        val result = store.commit(preconditions + unchanged, changes, isUrgent = isUrgent)
         if (result is TransactionResult.Committed) {
             changes.forEach { if (it is Change.Put) modRevisions[it.key] = result.revision else modRevisions.remove(it.key) }
         } else if (result !is TransactionResult.Rejected) {
@@ -42,7 +42,7 @@
     }
 
     private suspend fun reread(key: String): Boolean {
-        when (val read = state.get(key)) {
+        when (val read = store.get(key)) {
             is ReadResult.Found -> modRevisions[key] = read.entry.modRevision
             ReadResult.NotFound -> modRevisions.remove(key)
             ReadResult.Unavailable -> return false
--- a/src/main/kotlin/lichenstage/state/Transaction.kt
+++ b/src/main/kotlin/lichenstage/state/Transaction.kt
@@ -23,11 +23,11 @@
 sealed interface Change {
     val key: String
 
-    /** Writes [value] to the key. If [lease] is not null, the service deletes the key when that lease ends. */
+    /** Writes [value] to the key. If [leaseId] is not null, the service deletes the key when that lease ends. */
     data class Put(
         override val key: String,
         val value: JsonObject,
-        val lease: Long? = null,
+        val leaseId: Long? = null,
     ) : Change
 
     /** Deletes the key. */
--- a/src/test/kotlin/lichenstage/authority/FencingTokenReservationTest.kt
+++ b/src/test/kotlin/lichenstage/authority/FencingTokenReservationTest.kt
@@ -46,21 +46,21 @@
             put(Entry(KEY, JsonObject().put("label", "n0").put("term", 7L).put("lease", 1L), 40))
         }
 
-    private fun reserve(state: KeyValueStore) = runBlocking { FencingTokenReservation(state, table).reserve(KEY, ownership, 4) }
+    private fun reserve(store: KeyValueStore) = runBlocking { FencingTokenReservation(store, table).reserve(KEY, ownership, 4) }
 
     @Example
     fun `reserved tokens are above all terms, advance the counter, and have the ownership as a precondition`() {
-        val state = FixedResultStore(TransactionResult.Committed(50))
-        assertEquals(10L..13L, reserve(state)) { "${table.lastTerm()}" }
-        assertEquals(listOf(Precondition(OwnershipRecords.TERM_COUNTER_KEY, 41L), Precondition(KEY, 40L)), state.preconditions.single()) {
-            "${state.preconditions}"
+        val store = FixedResultStore(TransactionResult.Committed(50))
+        assertEquals(10L..13L, reserve(store)) { "${table.lastTerm()}" }
+        assertEquals(listOf(Precondition(OwnershipRecords.TERM_COUNTER_KEY, 41L), Precondition(KEY, 40L)), store.preconditions.single()) {
+            "${store.preconditions}"
         }
-        val written = state.changes.single() as Change.Put
+        val written = store.changes.single() as Change.Put
         assertTrue(
             written.key == OwnershipRecords.TERM_COUNTER_KEY &&
                 written.value == OwnershipRecords.encodeTermCounter(TermCounter(13, listOf(KEY))),
         ) { "$written" }
-        assertNull(written.lease) { "the counter would be deleted when the lease ends" }
+        assertNull(written.leaseId) { "the counter would be deleted when the lease ends" }
         // The next owner, in any version, takes the term after the counter.
         assertEquals(14L, table.nextCounter(KEY).term) { "${table.nextCounter(KEY).term}" }
         assertEquals(14L..17L, reserve(FixedResultStore(TransactionResult.Committed(51)))) { "second reservation" }
--- a/src/test/kotlin/lichenstage/cluster/PlacementScoreTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/PlacementScoreTest.kt
@@ -30,26 +30,26 @@
 
     @Example
     fun `a small request takes a partly used machine before an empty one`() {
-        val selected = PlacementScore.selectRoomiest(listOf(freeSlots("empty", 16), freeSlots("partly used", 5)), 3)
-        assertEquals(listOf("partly used"), selected.map { it.machine }) { "$selected" }
+        val selected = PlacementScore.selectRoomiest(listOf(freeSlots("whole", 16), freeSlots("broken", 5)), 3)
+        assertEquals(listOf("broken"), selected.map { it.machine }) { "$selected" }
     }
 
     @Example
     fun `machines rank by usable capacity first and by the image next`() {
         val offers =
             listOf(
-                freeSlots("empty", 16),
-                freeSlots("partly used with image", 3, hasImage = true),
-                freeSlots("empty with image", 16, hasImage = true),
+                freeSlots("whole", 16),
+                freeSlots("warm", 3, hasImage = true),
+                freeSlots("warm whole", 16, hasImage = true),
             )
         assertEquals(
-            listOf("empty with image"),
+            listOf("warm whole"),
             PlacementScore.selectRoomiest(offers, 8).map {
                 it.machine
             },
         ) { "${PlacementScore.selectRoomiest(offers, 8)}" }
         assertEquals(
-            listOf("partly used with image"),
+            listOf("warm"),
             PlacementScore.selectRoomiest(offers, 2).map { it.machine },
         ) { "${PlacementScore.selectRoomiest(offers, 2)}" }
     }
--- a/src/test/kotlin/lichenstage/partition/ConnectionPoolTest.kt
+++ b/src/test/kotlin/lichenstage/partition/ConnectionPoolTest.kt
@@ -8,6 +8,7 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 
+/** Guards against more open connections to workers than the limit allows, and against idle connections that are never closed. */
 class ConnectionPoolTest {
     private val closedConnections = ArrayList<Int>()
     private var maxConnections = 3
--- a/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
@@ -210,7 +210,7 @@
         assertTrue(isAttemptRemoved(refusedPartition, SECOND)) { "not removed although the order was refused for its agent epoch" }
     }
 
-    /** Has [partition] send the start of j-1/0 only in the reply to a heartbeat, then cancels the start. Returns that heartbeat. */
+    /** Makes [partition] send the start of j-1/0 only in the reply to a heartbeat, then requests its stop. Returns that heartbeat. */
     private fun startInReply(partition: PartitionCore): Heartbeat {
         partition.onHeartbeat(heartbeat(0), 1)
         partition.onHeartbeat(heartbeat(5), 1)
--- a/src/test/kotlin/lichenstage/state/KeyValueStoreCodecTest.kt
+++ b/src/test/kotlin/lichenstage/state/KeyValueStoreCodecTest.kt
@@ -13,7 +13,8 @@
     @Example
     fun `a transaction is encoded with its preconditions and changes in order`() {
         val preconditions = listOf(Precondition("c/leader", 7), Precondition.absent("j/1"))
-        val changes = listOf(Change.Put("j/1", JsonObject().put("n", 1), lease = 4), Change.Put("j/2", JsonObject()), Change.Delete("j/3"))
+        val changes =
+            listOf(Change.Put("j/1", JsonObject().put("n", 1), leaseId = 4), Change.Put("j/2", JsonObject()), Change.Delete("j/3"))
         assertEquals(
             """{"guards":[{"k":"c/leader","stamp":7},{"k":"j/1","stamp":0}],"then":""" +
                 """[{"put":"j/1","value":{"n":1},"tenancy":4},{"put":"j/2","value":{}},{"delete":"j/3"}]}""",
