--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -206,7 +206,7 @@
             activeLeader.stop()
             leader = null
         }
-        val leadership = authority.heldLeadership() ?: return
+        val leadership = authority.currentLeadership() ?: return
         if (leader?.term == leadership.term) return
         leader =
             LeaderActor(
--- a/src/main/kotlin/lichenstage/authority/AcquisitionDelay.kt
+++ b/src/main/kotlin/lichenstage/authority/AcquisitionDelay.kt
@@ -5,10 +5,10 @@
 import lichenstage.config.Settings
 
 /**
- * The delay before a controller acquires a key that has no holder.
+ * The delay before a controller acquires a key that has no owner.
  *
  * The home controller of a partition acquires it at once. Other controllers wait for different times, to avoid concurrent acquisitions.
- * Leadership costs about as much as the ownership of a partition, so controllers that hold fewer keys wait less.
+ * Leadership costs about as much as the ownership of a partition, so controllers that own fewer keys wait less.
  */
 internal class AcquisitionDelay(
     private val settings: Settings,
@@ -38,22 +38,34 @@
      * itself. The wait avoids a second change of owner. Incident (Baile, lean, "rough" day): all processes restarted within a second. The
      * first one acquired two partitions and the leadership, and released the second partition after 36 s.
      *
-     * @param heldCount the number of keys that this controller holds
+     * @param ownedKeyCount the number of keys that this controller owns
      * @param homeController the home controller of the partition; null if there is none
      * @param isHomeHealthy whether the home controller is reachable and receives replies from the state service
      */
     fun delayUs(
         isLeadership: Boolean,
-        heldCount: Int,
+        ownedKeyCount: Int,
         homeController: String?,
         hasEverBeenOwned: Boolean,
         isHomeHealthy: Boolean,
     ): Long =
         when {
-            isLeadership -> heldCount * LEADERSHIP_PER_KEY_US + rank * LEADERSHIP_PER_RANK_US + if (isEvenlyShared) 0 else UNEVEN_SHARE_US
-            homeController == settings.label -> 0
-            homeController != null && (!hasEverBeenOwned || isHomeHealthy) -> HOME_FIRST_US + rank * HOME_FIRST_PER_RANK_US
-            else -> FOREIGN_US + heldCount * FOREIGN_PER_KEY_US + rank * FOREIGN_PER_RANK_US
+            isLeadership -> {
+                ownedKeyCount * LEADERSHIP_PER_KEY_US + rank * LEADERSHIP_PER_RANK_US +
+                    if (isEvenlyShared) 0 else UNEVEN_SHARE_US
+            }
+
+            homeController == settings.label -> {
+                0
+            }
+
+            homeController != null && (!hasEverBeenOwned || isHomeHealthy) -> {
+                HOME_FIRST_US + rank * HOME_FIRST_PER_RANK_US
+            }
+
+            else -> {
+                FOREIGN_US + ownedKeyCount * FOREIGN_PER_KEY_US + rank * FOREIGN_PER_RANK_US
+            }
         }
 
     companion object {
--- a/src/main/kotlin/lichenstage/authority/AcquisitionMoratorium.kt
+++ b/src/main/kotlin/lichenstage/authority/AcquisitionMoratorium.kt
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Handles another controller's request: grants it only if this controller can neither hold nor acquire the requester's keys. */
+    /** Handles another controller's request: grants it only if this controller can neither own nor acquire the requester's keys. */
     fun onRequest(
         from: String,
         request: MoratoriumRequest,
--- a/src/main/kotlin/lichenstage/authority/Authority.kt
+++ b/src/main/kotlin/lichenstage/authority/Authority.kt
@@ -17,7 +17,7 @@
  *
  * While the state service is unavailable to all controllers, this process keeps its authority as long as all other controllers grant an
  * acquisition moratorium ([AcquisitionMoratorium]). Otherwise its authority is suspended. If the service returns before the lease has
- * expired, no other controller can have held the keys.
+ * expired, no other controller can have owned the keys.
  */
 class Authority(
     private val settings: Settings,
@@ -31,9 +31,9 @@
 ) {
     private val table = OwnershipTable()
     private val lease = ProcessLease(store, clock, LeaseDuration.of(settings), ::notifyChange)
-    private val heldOwnerships = HeldOwnerships(settings.label, lease, table)
-    private val acquisition = OwnershipAcquisition(settings, store, clock, lease, table, heldOwnerships, isPeerHealthy, ::notifyChange)
-    private val ownershipRelease = OwnershipRelease(store, table, heldOwnerships, acquisition, ::notifyChange)
+    private val localOwnerships = LocalOwnerships(settings.label, lease, table)
+    private val acquisition = OwnershipAcquisition(settings, store, clock, lease, table, localOwnerships, isPeerHealthy, ::notifyChange)
+    private val ownershipRelease = OwnershipRelease(store, table, localOwnerships, acquisition, ::notifyChange)
     private val acquisitionMoratorium = AcquisitionMoratorium(settings, clock, lease, acquisition, send)
     private val tokenReservation = FencingTokenReservation(store, table)
     private val watcher = OwnershipWatcher(store, table, ::revokePredecessors, ::notifyChange, ::onOwnershipEvents)
@@ -45,25 +45,26 @@
     fun isStateServiceAvailable() = lease.isStateServiceAvailable()
 
     /** Returns the leadership of this process while the process may act on it, else null. */
-    fun heldLeadership(): Holder? = heldOwnerships.currentOwnership(OwnershipRecords.LEADER_KEY)
+    fun currentLeadership(): Ownership? = localOwnerships.currentOwnership(OwnershipRecords.LEADER_KEY)
 
     /** Returns this process's ownership of a partition while the process may act on it, else null. */
-    fun heldPartition(partition: String): Holder? = heldOwnerships.currentOwnership(OwnershipRecords.partitionKey(partition))
+    fun currentPartitionOwnership(partition: String): Ownership? =
+        localOwnerships.currentOwnership(OwnershipRecords.partitionKey(partition))
 
-    /** Returns the owner of a partition as last seen in the state service; null if it has none. */
-    fun ownerOf(partition: String): Holder? = table.holder(OwnershipRecords.partitionKey(partition))
+    /** Returns the ownership of a partition as last seen in the state service; null if the partition has no owner. */
+    fun ownerOf(partition: String): Ownership? = table.ownership(OwnershipRecords.partitionKey(partition))
 
     /** Returns the leader and the owners of the partitions as last seen in the state service. */
     fun ownershipView(): OwnershipView {
-        val owners = LinkedHashMap<String, Holder>()
+        val owners = LinkedHashMap<String, Ownership>()
         for (partition in settings.assignment.partitions) ownerOf(partition)?.let { owners[partition] = it }
-        return OwnershipView(table.holder(OwnershipRecords.LEADER_KEY), owners)
+        return OwnershipView(table.ownership(OwnershipRecords.LEADER_KEY), owners)
     }
 
     /** Returns whether this process has authority and has read the ownership records at least once. */
     fun isReady() = table.isLoaded && hasAuthority()
 
-    /** Starts to renew the lease, to watch the ownership records and to acquire keys that no controller holds. */
+    /** Starts to renew the lease, to watch the ownership records and to acquire keys that no controller owns. */
     fun start() {
         scope.launch { lease.run() }
         scope.launch { watcher.run() }
@@ -88,14 +89,14 @@
 
     /**
      * Reserves [count] fencing tokens above all tokens and terms issued before, for the owner of [partition] only. Returns null if none can
-     * be reserved now. Unless [isUrgent], no tokens are reserved while a key has no holder, since its acquisition changes the same counter.
+     * be reserved now. Unless [isUrgent], no tokens are reserved while a key has no owner, since its acquisition changes the same counter.
      */
     suspend fun reserveFencingTokens(
         partition: String,
         count: Int,
         isUrgent: Boolean,
     ): LongRange? {
-        val ownership = heldPartition(partition) ?: return null
+        val ownership = currentPartitionOwnership(partition) ?: return null
         if (acquisition.isInProgress || (acquisition.isAnyKeyUnowned && !isUrgent)) return null
         return tokenReservation.reserve(OwnershipRecords.partitionKey(partition), ownership, count)
     }
@@ -112,6 +113,6 @@
      * are dead, otherwise this one would not have been started.
      */
     private suspend fun revokePredecessors() {
-        for (leaseId in heldOwnerships.predecessorLeaseIds()) if (leaseId != lease.id) store.revokeLease(leaseId)
+        for (leaseId in localOwnerships.predecessorLeaseIds()) if (leaseId != lease.id) store.revokeLease(leaseId)
     }
 }
--- a/src/main/kotlin/lichenstage/authority/FencingTokenReservation.kt
+++ b/src/main/kotlin/lichenstage/authority/FencingTokenReservation.kt
@@ -20,7 +20,7 @@
     /** Returns [count] tokens reserved under the [ownership] of [key]; null if the reservation failed or another one is in progress. */
     suspend fun reserve(
         key: String,
-        ownership: Holder,
+        ownership: Ownership,
         count: Int,
     ): LongRange? {
         val counterRevision = table.modRevision(OwnershipRecords.TERM_COUNTER_KEY) ?: return null
--- a/src/main/kotlin/lichenstage/authority/LocalLease.kt
+++ b/src/main/kotlin/lichenstage/authority/LocalLease.kt
@@ -4,10 +4,10 @@
 import lichenstage.common.withDrift
 
 /**
- * The holder's view of a lease in the state service (invariant 2): valid from the time when the last successful renewal was sent, for the
- * lease's duration less the drift between two clocks and a margin.
+ * The lease holder's view of a lease in the state service (invariant 2). The lease is valid from the time when the last successful renewal
+ * was sent, for its duration less the drift between two clocks and a margin.
  *
- * This guards against a process that acts while another one already holds its keys. The service counts from the arrival of the renewal,
+ * This guards against a process that acts while another one already owns its keys. The service counts from the arrival of the renewal,
  * which is never before its sending, so the lease ends here first.
  */
 class LocalLease(
@@ -49,7 +49,7 @@
         validUntilUs = Long.MIN_VALUE
     }
 
-    /** Returns whether the holder may rely on the lease at [nowUs]. */
+    /** Returns whether the lease holder may rely on the lease at [nowUs]. */
     fun isValid(nowUs: Long) = id != null && nowUs < validUntilUs
 
     private fun expiryUs(sentAtUs: Long) = sentAtUs + durationUs - (withDrift(durationUs) - durationUs) - MARGIN_US
--- a/src/main/kotlin/lichenstage/authority/OwnershipAcquisition.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipAcquisition.kt
@@ -13,14 +13,14 @@
 import lichenstage.state.TransactionResult
 import org.slf4j.LoggerFactory
 
-/** The acquisition of leadership and partitions that no controller holds, each under a new term (invariant 1). */
+/** The acquisition of leadership and partitions that no controller owns, each under a new term (invariant 1). */
 internal class OwnershipAcquisition(
     private val settings: Settings,
     private val store: KeyValueStoreClient,
     private val clock: Clock,
     private val lease: ProcessLease,
     private val table: OwnershipTable,
-    private val heldOwnerships: HeldOwnerships,
+    private val localOwnerships: LocalOwnerships,
     private val isPeerHealthy: (String) -> Boolean,
     private val onChange: () -> Unit,
 ) {
@@ -32,7 +32,7 @@
     /** The moratoriums granted by this process, on which other controllers rely. While one is in force, it acquires nothing. */
     val localMoratorium = LocalMoratorium(clock.now())
 
-    /** The times since which keys have had no holder, by key. A deferred key has a time in the future. */
+    /** The times since which keys have had no owner, by key. A deferred key has a time in the future. */
     private val unownedSinceUs = HashMap<String, Long>()
     private val acquiredAtUs = HashMap<String, Long>()
 
@@ -43,14 +43,14 @@
     var isInProgress = false
         private set
 
-    /** Whether any key has no holder according to the records that this process has seen. */
+    /** Whether any key has no owner according to the records that this process has seen. */
     val isAnyKeyUnowned: Boolean get() = unownedSinceUs.isNotEmpty()
 
     /** Returns whether a transaction that this process has sent may still acquire a key at [nowUs]. */
     fun mayStillSucceed(nowUs: Long) = isInProgress || nowUs - lastIndeterminateAtUs < MAX_COMMIT_DELAY_US
 
     /** Returns the time in microseconds since this process acquired [key]. */
-    fun heldDurationUs(key: String): Long = clock.now() - (acquiredAtUs[key] ?: 0)
+    fun ownershipDurationUs(key: String): Long = clock.now() - (acquiredAtUs[key] ?: 0)
 
     /** Leaves a key to other controllers: the acquisition delay of this process starts only after [delayUs]. */
     fun defer(
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Acquires each key that has had no holder for at least the acquisition delay of this process. */
+    /** Acquires each key that has had no owner for at least the acquisition delay of this process. */
     suspend fun acquireUnownedKeys() {
         if (!table.isLoaded || !lease.isValid()) return
         val nowUs = clock.now()
@@ -90,7 +90,7 @@
         val isLeadership = key == OwnershipRecords.LEADER_KEY
         return acquisitionDelay.delayUs(
             isLeadership,
-            heldOwnerships.recordedKeyCount,
+            localOwnerships.recordedKeyCount,
             homeController,
             table.hasEverBeenOwned(key),
             isHomeHealthy,
--- a/src/main/kotlin/lichenstage/authority/OwnershipRecords.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipRecords.kt
@@ -38,10 +38,10 @@
         leaseId: Long,
     ): JsonObject = JsonObject().put(LABEL, label).put(TERM, term).put(LEASE, leaseId)
 
-    /** Returns the holder named by an ownership record. Throws [JsonDecodingException] if a field is missing or has another type. */
-    internal fun decodeHolder(entry: Entry): Holder {
+    /** Returns the ownership that a record describes. Throws [JsonDecodingException] if a field is missing or has another type. */
+    internal fun decodeOwnership(entry: Entry): Ownership {
         val record = entry.value
-        return Holder(record.requiredString(LABEL), record.requiredLong(TERM), record.requiredLong(LEASE), entry.modRevision)
+        return Ownership(record.requiredString(LABEL), record.requiredLong(TERM), record.requiredLong(LEASE), entry.modRevision)
     }
 
     /** Returns the record of the term counter. */
--- a/src/main/kotlin/lichenstage/authority/OwnershipRelease.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipRelease.kt
@@ -15,24 +15,24 @@
 internal class OwnershipRelease(
     private val store: KeyValueStore,
     private val table: OwnershipTable,
-    private val heldOwnerships: HeldOwnerships,
+    private val localOwnerships: LocalOwnerships,
     private val acquisition: OwnershipAcquisition,
     private val onChange: () -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.authority")
 
     /**
-     * Releases the ownership of [key] if this process has held it for at least [MIN_HELD_DURATION_US].
+     * Releases the ownership of [key] if this process has had it for at least [MIN_OWNERSHIP_DURATION_US].
      *
      * The process gives up its authority before it sends the delete and does not regain it, whatever the outcome of the delete is
      * (invariant 2). A reply to a worker after the new owner has started would extend a lease that the new owner treats as expired. A
      * delete that is not known to be committed is sent again until the key is gone, otherwise the partition would have no owner.
      */
     suspend fun release(key: String) {
-        val ownership = heldOwnerships.currentOwnership(key) ?: return
+        val ownership = localOwnerships.currentOwnership(key) ?: return
         // A home controller can seem healthy and still not acquire the partition. This limits how often the partition then changes owners.
-        if (acquisition.heldDurationUs(key) < MIN_HELD_DURATION_US) return
-        heldOwnerships.relinquish(ownership)
+        if (acquisition.ownershipDurationUs(key) < MIN_OWNERSHIP_DURATION_US) return
+        localOwnerships.relinquish(ownership)
         onChange()
         val unchanged = listOf(Precondition(key, ownership.modRevision))
         while (table.modRevision(key) == ownership.modRevision) {
@@ -49,7 +49,7 @@
     }
 
     private companion object {
-        const val MIN_HELD_DURATION_US = 12 * SECOND
+        const val MIN_OWNERSHIP_DURATION_US = 12 * SECOND
         const val HOME_FIRST_DELAY_US = 3 * SECOND
         const val RETRY_MS = 300L
     }
--- a/src/main/kotlin/lichenstage/authority/OwnershipTable.kt
+++ b/src/main/kotlin/lichenstage/authority/OwnershipTable.kt
@@ -9,18 +9,18 @@
     private val log = LoggerFactory.getLogger("lichenstage.authority")
     private val entries = HashMap<String, Entry>()
 
-    /** The decoded holders by key, kept since every heartbeat looks one up. */
-    private val holders = HashMap<String, Holder>()
+    /** The decoded ownerships by key, kept since every heartbeat looks one up. */
+    private val ownerships = HashMap<String, Ownership>()
 
     /** Whether the records have been read completely at least once. */
     var isLoaded = false
 
-    /** The holders of all keys that are held. */
-    val currentHolders: Collection<Holder> get() = holders.values
+    /** The ownerships of all keys that have an owner. */
+    val currentOwnerships: Collection<Ownership> get() = ownerships.values
 
     operator fun contains(key: String) = entries.containsKey(key)
 
-    fun holder(key: String): Holder? = holders[key]
+    fun ownership(key: String): Ownership? = ownerships[key]
 
     fun modRevision(key: String): Long? = entries[key]?.modRevision
 
@@ -30,13 +30,13 @@
         revision: Long,
     ) {
         entries.values.removeIf { it.modRevision <= revision }
-        holders.keys.retainAll(entries.keys)
+        ownerships.keys.retainAll(entries.keys)
         scanned.forEach(::put)
     }
 
     /**
      * Applies changes in any order of their revisions. A key that was put and then deleted ends up deleted. Otherwise the table would show
-     * the key as held, and no controller would acquire it; this once happened after an interrupted watch.
+     * the key as owned, and no controller would acquire it; this once happened after an interrupted watch.
      */
     fun applyChanges(
         puts: List<Entry>,
@@ -51,8 +51,8 @@
     fun put(entry: Entry) {
         if (isOutdated(entry.key, entry.modRevision)) return
         entries[entry.key] = entry
-        val holder = if (entry.key == OwnershipRecords.TERM_COUNTER_KEY) null else decode(entry)
-        if (holder == null) holders.remove(entry.key) else holders[entry.key] = holder
+        val ownership = if (entry.key == OwnershipRecords.TERM_COUNTER_KEY) null else decode(entry)
+        if (ownership == null) ownerships.remove(entry.key) else ownerships[entry.key] = ownership
     }
 
     /** Removes a key that was deleted at [modRevision], unless the table already has a change at the same or a later revision. */
@@ -62,7 +62,7 @@
     ) {
         if (isOutdated(key, modRevision)) return
         entries.remove(key)
-        holders.remove(key)
+        ownerships.remove(key)
     }
 
     private fun isOutdated(
@@ -70,9 +70,9 @@
         modRevision: Long,
     ) = (entries[key]?.modRevision ?: 0) >= modRevision
 
-    private fun decode(entry: Entry): Holder? =
+    private fun decode(entry: Entry): Ownership? =
         try {
-            OwnershipRecords.decodeHolder(entry)
+            OwnershipRecords.decodeOwnership(entry)
         } catch (e: JsonDecodingException) {
             log.info("Ownership record not decodable key={} reason={}", entry.key, e.message)
             null
--- a/src/main/kotlin/lichenstage/partition/OwnedPartitions.kt
+++ b/src/main/kotlin/lichenstage/partition/OwnedPartitions.kt
@@ -8,9 +8,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The partitions that this process holds, with the check whether it is authorized to act for them.
+ * The partitions that this process has acquired, with the check whether it is authorized to act for them.
  *
- * A held partition stays in memory while this process's authority for it only pauses.
+ * A partition stays in memory until it has a newer owner, even while this process is temporarily not authorized to act for it.
  *
  * @property limitsOf returns the limits of a machine type; null if the type is unknown
  */
@@ -26,15 +26,15 @@
     private val assignment = settings.assignment
     private val partitionsById = HashMap<String, PartitionCore>()
 
-    /** All partitions that this process holds, whether or not it is authorized to act for them now. */
+    /** All partitions in memory, whether or not this process is authorized to act for them now. */
     val all: Collection<PartitionCore> get() = partitionsById.values
 
-    /** Returns the partition with this name, or null if this process does not hold it. */
+    /** Returns the partition with this name, or null if it is not in memory. */
     operator fun get(id: String): PartitionCore? = partitionsById[id]
 
     /**
-     * Returns the partition if it is still held under [term], otherwise null. Callers use it to drop the results of requests that were sent
-     * under an earlier ownership.
+     * Returns the partition if it is in memory under the ownership of [term], otherwise null. Callers thereby drop the results of requests
+     * that were sent under an earlier ownership.
      */
     fun findUnderTerm(
         id: String,
@@ -54,18 +54,18 @@
      * not keep tasks running whose job a user was told is cancelled (invariant 15).
      */
     fun isAuthorized(partition: PartitionCore) =
-        authority.heldPartition(partition.id)?.term == partition.term && replica.isCurrent(clock.now())
+        authority.currentPartitionOwnership(partition.id)?.term == partition.term && replica.isCurrent(clock.now())
 
     /**
-     * Adds the partitions that this process has acquired, and removes those that have a newer owner. A partition whose authority only
-     * pauses keeps its state.
+     * Adds the partitions that this process has acquired, and removes those that have a newer owner. A partition for which this process is
+     * temporarily not authorized to act keeps its state.
      */
     fun updateOwnership(nowUs: Long) {
         for (id in assignment.partitions) {
             val owner = authority.ownerOf(id)
             val partition = partitionsById[id]
             if (partition != null && owner != null && owner.term > partition.term) partitionsById.remove(id)
-            val ownership = authority.heldPartition(id) ?: continue
+            val ownership = authority.currentPartitionOwnership(id) ?: continue
             if (partitionsById[id]?.term == ownership.term) continue
             partitionsById[id] = createPartition(id, ownership.term, nowUs)
             log.info("Ownership acquired partition={} term={}", id, ownership.term)
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -107,7 +107,7 @@
     /** Ends the term by cancelling all of its coroutines. */
     fun stop() = supervisor.cancel()
 
-    private fun hasLeadership() = services.authority.heldLeadership()?.term == term
+    private fun hasLeadership() = services.authority.currentLeadership()?.term == term
 
     private fun handle(message: LeaderMessage) {
         val nowUs = services.clock.now()
--- a/src/test/kotlin/lichenstage/authority/AcquisitionDelayTest.kt
+++ b/src/test/kotlin/lichenstage/authority/AcquisitionDelayTest.kt
@@ -16,7 +16,7 @@
         isHomeHealthy: Boolean,
     ) = delay.delayUs(
         isLeadership = false,
-        heldCount = 1,
+        ownedKeyCount = 1,
         homeController = homeController,
         hasEverBeenOwned = true,
         isHomeHealthy = isHomeHealthy,
--- a/src/test/kotlin/lichenstage/authority/FencingTokenReservationTest.kt
+++ b/src/test/kotlin/lichenstage/authority/FencingTokenReservationTest.kt
@@ -39,7 +39,7 @@
         }
     }
 
-    private val ownership = Holder("n0", 7, 1, 40)
+    private val ownership = Ownership("n0", 7, 1, 40)
     private val table =
         OwnershipTable().apply {
             put(Entry(OwnershipRecords.TERM_COUNTER_KEY, OwnershipRecords.encodeTermCounter(TermCounter(9, listOf(KEY))), 41))
--- a/src/test/kotlin/lichenstage/authority/MoratoriumsTest.kt
+++ b/src/test/kotlin/lichenstage/authority/MoratoriumsTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 /**
- * Guards against two holders of one key during an outage of the state service: one that relies on moratoriums too long, and one that
+ * Guards against two owners of one key during an outage of the state service: one that relies on moratoriums too long, and one that
  * acquires keys while others still rely on its moratorium.
  */
 class MoratoriumsTest {
@@ -34,7 +34,7 @@
         assertTrue(lease.isValid(6 * SECOND) && !lease.isValid(7 * SECOND)) { "the last grant of b was at 5 s" }
         grant("a", 8 * SECOND)
         grant("b", 8 * SECOND)
-        assertFalse(lease.isValid(8 * SECOND)) { "valid again after a gap, although another controller may hold the keys" }
+        assertFalse(lease.isValid(8 * SECOND)) { "valid again after a gap, although another controller may own the keys" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/authority/OwnershipRecordsTest.kt
+++ b/src/test/kotlin/lichenstage/authority/OwnershipRecordsTest.kt
@@ -18,10 +18,10 @@
     }
 
     @Example
-    fun `an ownership record has the agreed field names and is decoded to the same holder`() {
+    fun `an ownership record has the agreed field names and is decoded to the same ownership`() {
         val record = OwnershipRecords.encodeOwnership("n0", 7, 3)
         assertEquals("""{"label":"n0","term":7,"lease":3}""", record.encode())
-        assertEquals(Holder("n0", 7, 3, 40), OwnershipRecords.decodeHolder(Entry("c/leader", record, 40)))
+        assertEquals(Ownership("n0", 7, 3, 40), OwnershipRecords.decodeOwnership(Entry("c/leader", record, 40)))
     }
 
     @Example
@@ -35,7 +35,7 @@
     @Example
     fun `decoding a record without a term throws an exception that names the field`() {
         val entry = Entry("c/leader", JsonObject().put("label", "n0").put("lease", 3), 40)
-        val failure = assertThrows(JsonDecodingException::class.java) { OwnershipRecords.decodeHolder(entry) }
+        val failure = assertThrows(JsonDecodingException::class.java) { OwnershipRecords.decodeOwnership(entry) }
         assertEquals("term", failure.field)
     }
 }
--- a/src/test/kotlin/lichenstage/authority/OwnershipTableTest.kt
+++ b/src/test/kotlin/lichenstage/authority/OwnershipTableTest.kt
@@ -18,24 +18,24 @@
     private fun deletionEntry(modRevision: Long) = Entry(KEY, JsonObject(), modRevision)
 
     /**
-     * Guards against a key that no controller acquires, because the table still shows its former holder. This can happen if the key is put
+     * Guards against a key that no controller acquires, because the table still shows its former owner. This can happen if the key is put
      * and deleted while the watch is interrupted.
      */
     @Example
     fun `a key that was put and deleted within one batch of changes is absent`() {
         table.applyChanges(listOf(ownershipEntry(5)), listOf(deletionEntry(7)))
-        assertTrue(KEY !in table) { "${table.holder(KEY)}" }
+        assertTrue(KEY !in table) { "${table.ownership(KEY)}" }
         table.applyChanges(listOf(ownershipEntry(8), ownershipEntry(10, "n1")), listOf(deletionEntry(9)))
-        assertEquals("n1", table.holder(KEY)?.label) { "${table.holder(KEY)}" }
+        assertEquals("n1", table.ownership(KEY)?.label) { "${table.ownership(KEY)}" }
     }
 
     @Example
     fun `a scan does not undo changes after its revision`() {
         table.applyChanges(listOf(ownershipEntry(5)), emptyList())
         table.applyScan(emptyList(), 4)
-        assertEquals(5L, table.holder(KEY)?.modRevision) { "the later change is lost: ${table.holder(KEY)}" }
+        assertEquals(5L, table.ownership(KEY)?.modRevision) { "the later change is lost: ${table.ownership(KEY)}" }
         table.applyScan(emptyList(), 6)
-        assertTrue(KEY !in table && table.holder(KEY) == null) { "the deleted key is still there: ${table.holder(KEY)}" }
+        assertTrue(KEY !in table && table.ownership(KEY) == null) { "the deleted key is still there: ${table.ownership(KEY)}" }
     }
 
     private companion object {
