--- a/src/main/kotlin/lichenstage/app/EventBatching.kt
+++ b/src/main/kotlin/lichenstage/app/BatchingSelectStrategy.kt
@@ -22,7 +22,7 @@
  * the event loop therefore pauses for [pauseUs] before it selects again; the pause is negligible beside the response times that users are
  * promised. An event that arrives alone is handled at once.
  */
-class EventBatching(
+class BatchingSelectStrategy(
     private val clock: Clock,
     private val pauseUs: Long,
     private val pause: (Long) -> Unit,
@@ -53,12 +53,12 @@
     }
 }
 
-/** Returns a Vert.x instance on the NIO transport whose event loops use [EventBatching]. */
+/** Returns a Vert.x instance on the NIO transport whose event loops use [BatchingSelectStrategy]. */
 fun createBatchingVertx(options: VertxOptions): Vertx {
     val strategies =
         SelectStrategyFactory {
-            val batching = EventBatching(Clock.steady, BATCH_PAUSE_US) { LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(it)) }
-            SelectStrategy { select, hasTasks -> batching.calculateStrategy(select::get, hasTasks) }
+            val strategy = BatchingSelectStrategy(Clock.steady, BATCH_PAUSE_US) { LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(it)) }
+            SelectStrategy { select, hasTasks -> strategy.calculateStrategy(select::get, hasTasks) }
         }
     val transport =
         object : NioTransport() {
--- a/src/main/kotlin/lichenstage/app/Controller.kt
+++ b/src/main/kotlin/lichenstage/app/Controller.kt
@@ -79,7 +79,7 @@
         JobReplica(
             timeOfDayUs(),
             peerLabels.toSet().takeIf { settings.controllerCount == controllerCount },
-            JobReplica.maxStalenessUs(settings.cancellationDeadlineUs, settings.workerLeaseUs),
+            JobReplica.maxStalenessUs(settings.cancellationTimeLimitUs, settings.workerLeaseUs),
         )
     private val dependencyGraph = DependencyGraph()
     private val replicaSync =
--- a/src/main/kotlin/lichenstage/config/Settings.kt
+++ b/src/main/kotlin/lichenstage/config/Settings.kt
@@ -45,7 +45,7 @@
     val teams: Map<String, Team>,
     val workerLeaseUs: Long,
     /** The time after the confirmation of a cancellation by which no task of the job may be left. */
-    val cancellationDeadlineUs: Long,
+    val cancellationTimeLimitUs: Long,
     val heartbeatIntervalUs: Long,
     /** The requests per second that the state service allows, for all controllers together. */
     val stateRps: Double,
@@ -100,7 +100,7 @@
                 zones = settings.stringList("zones"),
                 teams = settings.objectList("teams").map(::parseTeam).associateBy { it.name },
                 workerLeaseUs = workers.durationUs("lease_s"),
-                cancellationDeadlineUs = workers.durationUs("cancel_s"),
+                cancellationTimeLimitUs = workers.durationUs("cancel_s"),
                 heartbeatIntervalUs = workers.durationUs("report_s"),
                 stateRps = limit("rps", 1.0),
                 stateWriteRps = limit("write_rps", 1.0),
--- a/src/main/kotlin/lichenstage/jobs/CompletedTaskRanges.kt
+++ b/src/main/kotlin/lichenstage/jobs/CompletedTaskCodec.kt
@@ -10,7 +10,7 @@
  * The tasks are split into chunks. A chunk is written as ranges of task numbers or as a bitmap, whichever is shorter. It therefore fits one
  * value of the state service, whichever of its tasks are completed.
  */
-object CompletedTaskRanges {
+object CompletedTaskCodec {
     /** The number of tasks in a chunk. A bitmap of this many tasks takes 2,732 characters. */
     const val TASKS_PER_CHUNK = 16_384
 
--- a/src/main/kotlin/lichenstage/jobs/JobRecordCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobRecordCodec.kt
@@ -20,7 +20,7 @@
  *
  * An open job has the record `j/ID`, and a finished job has the record `x/ID`. From its acceptance on, a job has exactly one of the two,
  * because one transaction deletes the first and puts the second. The records `d/ID/CHUNK` hold the completed tasks of an open job
- * ([CompletedTaskRanges]).
+ * (see [CompletedTaskCodec]).
  */
 object JobRecordCodec {
     /** Prefix of the keys of open jobs. */
@@ -68,7 +68,7 @@
             .put("estimate", spec.estimatedRunTimeUs)
             .put("checkpoint", spec.checkpointIntervalUs)
             .put("save", spec.checkpointSaveUs)
-            .put("deadline", spec.deadlineUs)
+            .put("deadline", spec.deadlineAfterUs)
             .put("at", spec.submittedAtUs)
             .apply { if (spec.dependencies.isNotEmpty()) put(DEPENDENCIES, JsonArray(spec.dependencies)) }
 
@@ -97,7 +97,7 @@
             estimatedRunTimeUs = json.requiredLong("estimate"),
             checkpointIntervalUs = json.requiredLong("checkpoint"),
             checkpointSaveUs = json.requiredLong("save"),
-            deadlineUs = json.optionalLong("deadline"),
+            deadlineAfterUs = json.optionalLong("deadline"),
             submittedAtUs = json.requiredLong("at"),
             dependencies = decodeDependencies(json),
         )
--- a/src/main/kotlin/lichenstage/jobs/JobReplica.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplica.kt
@@ -227,8 +227,8 @@
          * reply renews still ends a cancelled task within `cancel_s` of the cancellation.
          */
         fun maxStalenessUs(
-            cancelUs: Long,
+            cancellationTimeLimitUs: Long,
             leaseUs: Long,
-        ) = maxOf(cancelUs - withDrift(leaseUs) - LEASE_END_MARGIN_US, MIN_STALENESS_US)
+        ) = maxOf(cancellationTimeLimitUs - withDrift(leaseUs) - LEASE_END_MARGIN_US, MIN_STALENESS_US)
     }
 }
--- a/src/main/kotlin/lichenstage/jobs/JobsActor.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsActor.kt
@@ -41,7 +41,7 @@
     private val openRecordCheck =
         OpenRecordCheck(maxPreconditions, scope) { store.commit(Precondition.allOf(it), emptyList(), COMPARE_TIMEOUT_MS) }
     private val lookup = JobLookup(store, cache, openJobs.replica, openJobs.dependencyGraph, openRecordCheck, clock, onCancelled)
-    private val submission = JobSubmission(store, cache, lookup, openJobs.dependencyGraph, admissionPolicy)
+    private val submissionHandler = SubmissionHandler(store, cache, lookup, openJobs.dependencyGraph, admissionPolicy)
     private var openRequests = 0
     private val mailbox = Mailbox("jobs", scope, ::handle, tryDrop = ::shed)
 
@@ -50,7 +50,7 @@
 
     /** Drops a message because the mailbox is full. The sender of a request is asked to retry; task counts are sent again regularly. */
     private fun shed(message: JobsMessage): Boolean {
-        if (message is JobsMessage.UserRequest) message.reply(Reply.unavailable(BUSY_MESSAGE, BUSY_RETRY_S))
+        if (message is JobsMessage.UserRequest) message.sendReply(Reply.unavailable(BUSY_MESSAGE, BUSY_RETRY_S))
         return true
     }
 
@@ -64,13 +64,13 @@
     /** Starts a request. If [MAX_OPEN_REQUESTS] are open, it is refused at once so that the open requests get their replies in time. */
     private fun startRequest(request: JobsMessage.UserRequest) {
         if (openRequests >= MAX_OPEN_REQUESTS) {
-            request.reply(Reply.unavailable(BUSY_MESSAGE, BUSY_RETRY_S))
+            request.sendReply(Reply.unavailable(BUSY_MESSAGE, BUSY_RETRY_S))
             return
         }
         openRequests++
         scope.launch {
             try {
-                request.reply(process(request))
+                request.sendReply(process(request))
             } finally {
                 openRequests--
             }
@@ -84,7 +84,7 @@
      */
     private suspend fun process(request: JobsMessage.UserRequest): Reply {
         if (fallback.isStateServiceAvailable() || cache.finishedJob(request.text) != null) return processLocally(request)
-        if (request.verb == UserVerb.SUBMIT && JobSubmission.parse(request.text) == null) return JobSubmission.invalidBodyReply()
+        if (request.verb == UserVerb.SUBMIT && SubmissionHandler.parse(request.text) == null) return SubmissionHandler.invalidBodyReply()
         val forwardedReply = if (request.isForwarded) null else fallback.forwarder.forward(request.verb, request.text)
         if (forwardedReply != null) return Reply(forwardedReply.status, JsonObject(forwardedReply.body), forwardedReply.retryAfterS)
         return withTimeoutOrNull(PROBE_TIMEOUT_MS) { processLocally(request) } ?: Reply.stateUnavailable()
@@ -92,7 +92,7 @@
 
     private suspend fun processLocally(request: JobsMessage.UserRequest): Reply =
         when (request.verb) {
-            UserVerb.SUBMIT -> submission.submit(request.text)
+            UserVerb.SUBMIT -> submissionHandler.submit(request.text)
             UserVerb.SHOW -> lookup.findStatus(request.text)
             UserVerb.CANCEL -> lookup.cancel(request.text)
         }
--- a/src/main/kotlin/lichenstage/jobs/JobsMessage.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsMessage.kt
@@ -10,13 +10,13 @@
      *
      * @property text the body of a submission, or the job's id in other requests
      * @property isForwarded whether another controller forwarded the request because the state service does not reply to it
-     * @property reply the callback for the reply, called once
+     * @property sendReply the callback for the reply, called once
      */
     data class UserRequest(
         val verb: UserVerb,
         val text: String,
         val isForwarded: Boolean = false,
-        val reply: (Reply) -> Unit,
+        val sendReply: (Reply) -> Unit,
     ) : JobsMessage
 
     /** The task counts that a leader has sent. */
--- a/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
+++ b/src/main/kotlin/lichenstage/jobs/RecordLimits.kt
@@ -30,10 +30,10 @@
                 "${SubmissionFields.DEPENDENCIES}: must name at most $maxDependencies jobs, was ${spec.dependencies.size}",
             )
         }
-        val recordBytes = encodedSize(spec)
+        val recordBytes = encodedSizeBytes(spec)
         if (recordBytes <= maxValueBytes) return null
         val field =
-            if (encodedSize(spec.copy(dependencies = emptyList())) <= maxValueBytes) {
+            if (encodedSizeBytes(spec.copy(dependencies = emptyList())) <= maxValueBytes) {
                 SubmissionFields.DEPENDENCIES
             } else {
                 SubmissionFields.ALLOWED_TYPES
@@ -41,7 +41,7 @@
         return OversizedField(field, "$field: the record must take at most $maxValueBytes bytes, was $recordBytes")
     }
 
-    private fun encodedSize(spec: JobSpec) =
+    private fun encodedSizeBytes(spec: JobSpec) =
         JobRecordCodec
             .encode(spec)
             .encode()
--- a/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
@@ -68,7 +68,7 @@
             estimatedRunTimeUs = reader.durationUs("guess_s"),
             checkpointIntervalUs = reader.durationUs("snapshot_every_s"),
             checkpointSaveUs = reader.durationUs("snapshot_s"),
-            deadlineUs = if (json.getValue("due_s") == null) null else reader.durationUs("due_s"),
+            deadlineAfterUs = if (json.getValue("due_s") == null) null else reader.durationUs("due_s"),
             submittedAtUs = submittedAtUs,
             dependencies = readDependencies(reader, id),
         )
@@ -125,7 +125,7 @@
         fun jobIds(field: String): List<String> {
             val value = json.getValue(field) ?: return emptyList()
             val array = value as? JsonArray ?: throw InvalidSubmissionException(field, "must be a list of job ids or null")
-            if (array.any { it !is String || !isValidId(it) }) throw InvalidSubmissionException(field, "ids must have the form j-NUMBER")
+            if (array.any { it !is String || !isValidId(it) }) throw InvalidSubmissionException(field, "must be a list of j-NUMBER ids")
             return array.map { it as String }.distinct()
         }
 
--- a/src/main/kotlin/lichenstage/jobs/JobSubmission.kt
+++ b/src/main/kotlin/lichenstage/jobs/SubmissionHandler.kt
@@ -11,7 +11,7 @@
 import lichenstage.state.TransactionResult
 
 /** Handles submissions: decodes each one, refuses a job that can never run, and writes the record of an accepted job. */
-class JobSubmission(
+class SubmissionHandler(
     private val store: KeyValueStore,
     private val cache: JobCache,
     private val lookup: JobLookup,
--- a/src/main/kotlin/lichenstage/model/JobSpec.kt
+++ b/src/main/kotlin/lichenstage/model/JobSpec.kt
@@ -22,7 +22,7 @@
  * @property estimatedRunTimeUs the user's estimate of the run time of a task, in microseconds
  * @property checkpointIntervalUs the run time between two checkpoints of a task, in microseconds; 0 if the task saves none
  * @property checkpointSaveUs the time that a task needs to save a checkpoint when it is stopped, in microseconds
- * @property deadlineUs the time within which the job should be complete, in microseconds after its submission; null if it has no deadline
+ * @property deadlineAfterUs the time from the submission to the deadline of the job, in microseconds; null if it has no deadline
  * @property submittedAtUs the time of the submission, in microseconds since the epoch
  * @property dependencies the ids of the jobs that must be done before any task of this job starts
  */
@@ -43,7 +43,7 @@
     val estimatedRunTimeUs: Long,
     val checkpointIntervalUs: Long,
     val checkpointSaveUs: Long,
-    val deadlineUs: Long?,
+    val deadlineAfterUs: Long?,
     val submittedAtUs: Long,
     val dependencies: List<String> = emptyList(),
 ) {
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -1,6 +1,6 @@
 package lichenstage.placement
 
-import lichenstage.jobs.CompletedTaskRanges
+import lichenstage.jobs.CompletedTaskCodec
 import java.util.BitSet
 
 /**
@@ -88,13 +88,13 @@
         chunk: Int,
         recordedTasks: BitSet,
     ): Boolean {
-        val recordableTasks = CompletedTaskRanges.truncateToFit(job.doneTasks, chunk, valueBytes)
-        val recorded = job.recordedTasks.get(chunk * CompletedTaskRanges.TASKS_PER_CHUNK, (chunk + 1) * CompletedTaskRanges.TASKS_PER_CHUNK)
+        val recordableTasks = CompletedTaskCodec.truncateToFit(job.doneTasks, chunk, valueBytes)
+        val recorded = job.recordedTasks.get(chunk * CompletedTaskCodec.TASKS_PER_CHUNK, (chunk + 1) * CompletedTaskCodec.TASKS_PER_CHUNK)
         val droppedTasks = (recorded.clone() as BitSet).apply { andNot(recordableTasks) }
         if (!droppedTasks.isEmpty || recordableTasks == recorded) return false
         var next = recordableTasks.nextSetBit(0)
         while (next >= 0) {
-            recordedTasks.set(chunk * CompletedTaskRanges.TASKS_PER_CHUNK + next)
+            recordedTasks.set(chunk * CompletedTaskCodec.TASKS_PER_CHUNK + next)
             next = recordableTasks.nextSetBit(next + 1)
         }
         return true
@@ -102,9 +102,9 @@
 
     private fun changedChunks(job: Job): List<Int> {
         val unrecordedTasks = (job.doneTasks.clone() as BitSet).apply { andNot(job.recordedTasks) }
-        return (0 until CompletedTaskRanges.chunkCount(job.spec.taskCount)).filter {
-            val next = unrecordedTasks.nextSetBit(it * CompletedTaskRanges.TASKS_PER_CHUNK)
-            next >= 0 && next < (it + 1) * CompletedTaskRanges.TASKS_PER_CHUNK
+        return (0 until CompletedTaskCodec.chunkCount(job.spec.taskCount)).filter {
+            val next = unrecordedTasks.nextSetBit(it * CompletedTaskCodec.TASKS_PER_CHUNK)
+            next >= 0 && next < (it + 1) * CompletedTaskCodec.TASKS_PER_CHUNK
         }
     }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderJobRecordHandler.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderJobRecordHandler.kt
@@ -1,7 +1,7 @@
 package lichenstage.placement
 
 import lichenstage.common.JsonDecodingException
-import lichenstage.jobs.CompletedTaskRanges
+import lichenstage.jobs.CompletedTaskCodec
 import lichenstage.jobs.JobRecordCodec
 import lichenstage.state.Entry
 import lichenstage.state.TransactionResult
@@ -37,7 +37,7 @@
             if (job == null) {
                 obsoleteKeys += entry.key
             } else {
-                job.restoreDoneTasks(BitSet().also { CompletedTaskRanges.decode(entry.value, chunk.toInt(), it) })
+                job.restoreDoneTasks(BitSet().also { CompletedTaskCodec.decode(entry.value, chunk.toInt(), it) })
             }
         }
         isLoaded = true
--- a/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderRecordWriter.kt
@@ -5,7 +5,7 @@
 import kotlinx.coroutines.launch
 import lichenstage.authority.OwnershipRecords
 import lichenstage.common.timeOfDayUs
-import lichenstage.jobs.CompletedTaskRanges
+import lichenstage.jobs.CompletedTaskCodec
 import lichenstage.jobs.EndStatus
 import lichenstage.jobs.FinishedJob
 import lichenstage.jobs.JobOutcome
@@ -42,8 +42,8 @@
                 deltas.flatMap { delta ->
                     delta.chunks.map {
                         Change.Put(
-                            CompletedTaskRanges.chunkKey(delta.job.spec.id, it),
-                            CompletedTaskRanges.encode(delta.recordedTasks, it),
+                            CompletedTaskCodec.chunkKey(delta.job.spec.id, it),
+                            CompletedTaskCodec.encode(delta.recordedTasks, it),
                         )
                     }
                 }
@@ -114,7 +114,7 @@
      */
     fun deleteCompletionChunks(job: Job) {
         if (job.isRangesWriteInFlight || job.recordedTasks.isEmpty) return
-        deleteKeys((0 until CompletedTaskRanges.chunkCount(job.spec.taskCount)).map { CompletedTaskRanges.chunkKey(job.spec.id, it) })
+        deleteKeys((0 until CompletedTaskCodec.chunkCount(job.spec.taskCount)).map { CompletedTaskCodec.chunkKey(job.spec.id, it) })
     }
 
     /** Deletes completion chunks that are no longer needed. */
--- a/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
+++ b/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
@@ -56,7 +56,7 @@
      * Returns the time on the steady clock of the job's own deadline, or null if it has none. A deadline counts from the submission, also
      * while the job is blocked.
      */
-    fun deadlineAtUs(job: Job): Long? = job.spec.deadlineUs?.let { job.submittedAtUs + it }
+    fun deadlineAtUs(job: Job): Long? = job.spec.deadlineAfterUs?.let { job.submittedAtUs + it }
 
     /** Returns the times by which the job should be complete, the earliest first. */
     private fun dueTimesAtUs(job: Job): List<Long> {
--- a/src/test/kotlin/lichenstage/app/EventBatchingTest.kt
+++ b/src/test/kotlin/lichenstage/app/BatchingSelectStrategyTest.kt
@@ -6,16 +6,16 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 /** Guards against an event loop that wakes up for each of many events, and against a pause that delays single events or tasks. */
-class EventBatchingTest {
+class BatchingSelectStrategyTest {
     private var nowUs = 0L
     private var pausedUs = 0L
-    private val batching =
-        EventBatching({ nowUs }, 20 * MILLI) {
+    private val strategy =
+        BatchingSelectStrategy({ nowUs }, 20 * MILLI) {
             pausedUs += it
             nowUs += it
         }
 
-    private fun calculateStrategy(hasTasks: Boolean = false) = batching.calculateStrategy({ 3 }, hasTasks)
+    private fun calculateStrategy(hasTasks: Boolean = false) = strategy.calculateStrategy({ 3 }, hasTasks)
 
     @Example
     fun `the event loop pauses only while events arrive often and never while it has tasks`() {
--- a/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
@@ -4,7 +4,7 @@
 import kotlinx.serialization.ExperimentalSerializationApi
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.Cbor
-import lichenstage.jobs.CompletedTaskRanges
+import lichenstage.jobs.CompletedTaskCodec
 import lichenstage.jobs.EndStatus
 import lichenstage.jobs.FinishedJob
 import lichenstage.jobs.JobOutcome
@@ -95,8 +95,8 @@
         val records = samples.getJsonObject("records")
         val spec = JobRecordCodec.decode(records.getJsonObject("j"))
         assertTrue(JobRecordCodec.encode(spec) == records.getJsonObject("j") && spec.dependencies.isEmpty()) { "$spec" }
-        val done = BitSet().also { CompletedTaskRanges.decode(records.getJsonObject("d"), 0, it) }
-        assertTrue(CompletedTaskRanges.encode(done, 0) == records.getJsonObject("d") && done.cardinality() == 6) { "$done" }
+        val done = BitSet().also { CompletedTaskCodec.decode(records.getJsonObject("d"), 0, it) }
+        assertTrue(CompletedTaskCodec.encode(done, 0) == records.getJsonObject("d") && done.cardinality() == 6) { "$done" }
         val machines = MachineRecordCodec.decode(records.getJsonObject("m"))
         assertEquals(records.getJsonObject("m"), MachineRecordCodec.encode(machines)) { "$machines" }
     }
--- a/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobFormatsTest.kt
@@ -40,7 +40,7 @@
     fun `a submission as documented by the protocol is decoded and its unknown fields are ignored`() {
         val spec = SubmissionCodec.decode(submission(), 7)
         assertTrue(spec.id == "j-000412" && spec.taskCount == 16 && spec.resources == Resources(8.0, 1.0, 64.0)) { "$spec" }
-        assertTrue(spec.deadlineUs == 900_000_000L && spec.estimatedRunTimeUs == 240_000_000L && spec.submittedAtUs == 7L) { "$spec" }
+        assertTrue(spec.deadlineAfterUs == 900_000_000L && spec.estimatedRunTimeUs == 240_000_000L && spec.submittedAtUs == 7L) { "$spec" }
         assertTrue(spec.allowedTypes == listOf("g8") && spec.zone == null && spec.requiresSameZone && spec.allowsSpot) { "$spec" }
     }
 
@@ -55,11 +55,11 @@
     ) {
         val random = java.util.Random(seed)
         val done = BitSet()
-        for (i in 0 until CompletedTaskRanges.TASKS_PER_CHUNK) if (random.nextInt(100) < percent) done.set(i)
-        val fitting = CompletedTaskRanges.truncateToFit(done, 0, 2048)
-        val text = CompletedTaskRanges.encode(fitting, 0).encode()
+        for (i in 0 until CompletedTaskCodec.TASKS_PER_CHUNK) if (random.nextInt(100) < percent) done.set(i)
+        val fitting = CompletedTaskCodec.truncateToFit(done, 0, 2048)
+        val text = CompletedTaskCodec.encode(fitting, 0).encode()
         assertTrue(text.length <= 2048) { "$percent percent of the tasks take ${text.length} characters" }
-        val read = BitSet().also { CompletedTaskRanges.decode(JsonObject(text), 0, it) }
+        val read = BitSet().also { CompletedTaskCodec.decode(JsonObject(text), 0, it) }
         assertTrue(read == fitting && (fitting.clone() as BitSet).apply { andNot(done) }.isEmpty) { "tasks that are not completed" }
         assertTrue(fitting.cardinality() * 2 > done.cardinality() || percent < 3) {
             "only ${fitting.cardinality()} of ${done.cardinality()} tasks recorded"
@@ -71,7 +71,7 @@
         val json = submission()
         listOf("builds", "yard", "due_s").forEach { json.remove(it) }
         val spec = SubmissionCodec.decode(json, 0)
-        assertTrue(spec.allowedTypes == null && spec.zone == null && spec.deadlineUs == null) { "$spec" }
+        assertTrue(spec.allowedTypes == null && spec.zone == null && spec.deadlineAfterUs == null) { "$spec" }
     }
 
     @Property(tries = 300, seed = "4711")
@@ -152,10 +152,10 @@
         val done = BitSet()
         for (i in 0 until tasks) if (random.nextInt(100) < density) done.set(i)
         val read = BitSet()
-        for (chunk in 0 until CompletedTaskRanges.chunkCount(tasks)) {
-            val text = CompletedTaskRanges.encode(done, chunk).encode()
+        for (chunk in 0 until CompletedTaskCodec.chunkCount(tasks)) {
+            val text = CompletedTaskCodec.encode(done, chunk).encode()
             assertTrue(text.length < 4 * 1024) { "chunk $chunk of $tasks tasks takes ${text.length} characters" }
-            CompletedTaskRanges.decode(JsonObject(text), chunk, read)
+            CompletedTaskCodec.decode(JsonObject(text), chunk, read)
         }
         assertEquals(done, read) { "$tasks tasks, seed $seed" }
     }
--- a/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
+++ b/src/test/kotlin/lichenstage/jobs/JobReplicaTest.kt
@@ -26,10 +26,10 @@
         @ForAll seed: Long,
     ) {
         val random = Random(seed)
-        val asker = replica(1, "a", "b").apply { replaceAll(emptyMap(), 100, 0) }
+        val requester = replica(1, "a", "b").apply { replaceAll(emptyMap(), 100, 0) }
         val peers = HashMap(mapOf("a" to replica(2, "b", "asker"), "b" to replica(3, "a", "asker")))
         peers.values.forEach { it.replaceAll(emptyMap(), 100, 0) }
-        val toldEnds = ArrayList<Pair<String, Long>>()
+        val endsSeenByUsers = ArrayList<Pair<String, Long>>()
         val lateReplies = ArrayList<Pair<String, CompletionSyncReply>>()
         var revision = 100L
         var nowUs = 0L
@@ -41,7 +41,7 @@
                     repeat(if (random.nextInt(12) == 0) 900 else 1) { n ->
                         val job = "j-$step-$n"
                         peers.getValue(name).recordEnd(job, ++revision)
-                        toldEnds += job to nowUs
+                        endsSeenByUsers += job to nowUs
                     }
                 }
 
@@ -55,32 +55,32 @@
                 3 -> {
                     if (lateReplies.isNotEmpty()) {
                         lateReplies[random.nextInt(lateReplies.size)].let { (from, reply) ->
-                            asker.applySyncReply(from, reply)
+                            requester.applySyncReply(from, reply)
                         }
                     }
                 }
 
                 else -> {
-                    val syncRequest = asker.createSyncRequest(name, nowUs) ?: return@repeat
+                    val syncRequest = requester.createSyncRequest(name, nowUs) ?: return@repeat
                     val reply = peers.getValue(name).createSyncReply(syncRequest) ?: return@repeat
-                    if (random.nextInt(3) == 0) lateReplies += name to reply else asker.applySyncReply(name, reply)
+                    if (random.nextInt(3) == 0) lateReplies += name to reply else requester.applySyncReply(name, reply)
                 }
             }
-            if (!asker.isCurrent(nowUs)) return@repeat
-            val unknownEnds = toldEnds.filter { (job, at) -> at < nowUs - MAX_STALENESS_US && !asker.hasEnded(job, 0) }
+            if (!requester.isCurrent(nowUs)) return@repeat
+            val unknownEnds = endsSeenByUsers.filter { (job, at) -> at < nowUs - MAX_STALENESS_US && !requester.hasEnded(job, 0) }
             assertTrue(unknownEnds.isEmpty()) { "seed $seed step $step: unknown ends: ${unknownEnds.take(3)}" }
         }
     }
 
     @Example
     fun `replies of all other controllers keep a replica current and replies of some do not`() {
-        val asker = replica(1, "a", "b").apply { replaceAll(emptyMap(), 100, 0) }
+        val requester = replica(1, "a", "b").apply { replaceAll(emptyMap(), 100, 0) }
         val (a, b) = List(2) { replica(2L + it, "asker").apply { replaceAll(emptyMap(), 90, 0) } }
         for (second in 1L..60) {
             val nowUs = second * SECOND
-            asker.applySyncReply("a", a.createSyncReply(asker.createSyncRequest("a", nowUs)!!)!!)
-            if (second <= 30) asker.applySyncReply("b", b.createSyncReply(asker.createSyncRequest("b", nowUs)!!)!!)
-            assertTrue(asker.isCurrent(nowUs) == nowUs <= 30 * SECOND + MAX_STALENESS_US) { "after $second s" }
+            requester.applySyncReply("a", a.createSyncReply(requester.createSyncRequest("a", nowUs)!!)!!)
+            if (second <= 30) requester.applySyncReply("b", b.createSyncReply(requester.createSyncRequest("b", nowUs)!!)!!)
+            assertTrue(requester.isCurrent(nowUs) == nowUs <= 30 * SECOND + MAX_STALENESS_US) { "after $second s" }
         }
     }
 
@@ -96,10 +96,10 @@
 
     @Example
     fun `the replica of a single controller is as old as its last read`() {
-        val alone = replica(1)
-        assertFalse(alone.isCurrent(0)) { "current before the first read" }
-        alone.replaceAll(emptyMap(), 1, SECOND)
-        assertTrue(alone.isCurrent(SECOND + MAX_STALENESS_US) && !alone.isCurrent(2 * SECOND + MAX_STALENESS_US)) {
+        val replica = replica(1)
+        assertFalse(replica.isCurrent(0)) { "current before the first read" }
+        replica.replaceAll(emptyMap(), 1, SECOND)
+        assertTrue(replica.isCurrent(SECOND + MAX_STALENESS_US) && !replica.isCurrent(2 * SECOND + MAX_STALENESS_US)) {
             "age does not count from the last read"
         }
     }
--- a/src/test/kotlin/lichenstage/model/MachineFitTest.kt
+++ b/src/test/kotlin/lichenstage/model/MachineFitTest.kt
@@ -40,7 +40,7 @@
         estimatedRunTimeUs = SECOND,
         checkpointIntervalUs = 0,
         checkpointSaveUs = 0,
-        deadlineUs = null,
+        deadlineAfterUs = null,
         submittedAtUs = 0,
     )
 
--- a/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/PipelineDeadlinesTest.kt
@@ -16,7 +16,7 @@
         runS: Long,
         dueS: Long? = null,
         priority: Priority = Priority.LOW,
-    ) = Job(oneCoreSpec(number, "c", priority, 2, runS * SECOND).copy(deadlineUs = dueS?.let { it * SECOND }), number.toLong(), 0)
+    ) = Job(oneCoreSpec(number, "c", priority, 2, runS * SECOND).copy(deadlineAfterUs = dueS?.let { it * SECOND }), number.toLong(), 0)
 
     @Example
     fun `a job inherits a due time along the longest chain and the highest priority of its dependents`() {
--- a/src/test/kotlin/lichenstage/placement/ServiceObjectivesTest.kt
+++ b/src/test/kotlin/lichenstage/placement/ServiceObjectivesTest.kt
@@ -21,7 +21,8 @@
             ),
         )
 
-    private fun job(deadlineUs: Long? = null) = Job(oneCoreSpec(1, "c", Priority.HIGH, 2).copy(deadlineUs = deadlineUs), 1, 0)
+    private fun job(deadlineAfterUs: Long? = null) =
+        Job(oneCoreSpec(1, "c", Priority.HIGH, 2).copy(deadlineAfterUs = deadlineAfterUs), 1, 0)
 
     @Example
     fun `an objective that can't be met any more is left out`() {
@@ -42,7 +43,7 @@
 
     @Example
     fun `a deadline counts from the submission, and class objectives count from the time at which the job is ready`() {
-        val spec = oneCoreSpec(1, "c", Priority.HIGH, 2).copy(deadlineUs = 60 * SECOND, dependencies = listOf("j-0"))
+        val spec = oneCoreSpec(1, "c", Priority.HIGH, 2).copy(deadlineAfterUs = 60 * SECOND, dependencies = listOf("j-0"))
         val job = Job(spec, 1, 0).apply { markReady(40 * SECOND) }
         assertEquals(60 * SECOND, serviceObjectives.deadlineAtUs(job))
         assertEquals(
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -181,7 +181,7 @@
             estimatedRunTimeUs = job.runUs,
             checkpointIntervalUs = 0,
             checkpointSaveUs = 0,
-            deadlineUs = null,
+            deadlineAfterUs = null,
             submittedAtUs = 0,
             dependencies = job.dependencies,
         )
