--- a/src/main/kotlin/lichenstage/app/WarmUp.kt
+++ b/src/main/kotlin/lichenstage/app/WarmUp.kt
@@ -106,7 +106,7 @@
       "cloud":{"rps":4,"list_lag_s":4}}}
     """
 
-/** Returns a leader whose frames are encoded, decoded again and added to [sentFrames]. */
+/** Returns a leader that encodes each frame it sends, decodes it again and adds it to [sentFrames]. */
 private fun warmUpLeader(
     resources: Resources,
     sentFrames: MutableList<PlacementFrame>,
--- a/src/main/kotlin/lichenstage/common/EventLoopLag.kt
+++ b/src/main/kotlin/lichenstage/common/EventLoopLag.kt
@@ -1,8 +1,8 @@
 package lichenstage.common
 
 /**
- * The recent lag of the event loop: the maximum delay of its timers, which decays exponentially. Replies of this process are late by about
- * the same time.
+ * The recent lag of the event loop: the maximum delay of its timers, which decays exponentially. The replies of this process are delayed by
+ * about the same time.
  */
 class EventLoopLag {
     /** The current lag in microseconds; 0 if all timers run on time. */
--- a/src/main/kotlin/lichenstage/drain/DrainPlanner.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainPlanner.kt
@@ -27,7 +27,7 @@
     private val actions = ArrayList<DrainAction>()
     private val tasksToEvict = ArrayList<PlacedTask>()
 
-    /** Returns the next step of the running drains among [drains]. Drains are processed in the order of their requests. */
+    /** Returns the next step of all [drains] that are running. Drains are processed in the order in which they were requested. */
     fun planStep(drains: List<Drain>): DrainProposal {
         val running = drains.filter { it.status == DrainStatus.RUNNING }.sortedBy { it.requestedAtUs }
         running.forEach(::advanceMachines)
--- a/src/main/kotlin/lichenstage/fleet/Demand.kt
+++ b/src/main/kotlin/lichenstage/fleet/Demand.kt
@@ -9,7 +9,7 @@
  * @property dueAtUs when the job should be done, on the steady clock; null if no objective can be met any more
  * @property busyMachines the number of machines that the job uses now
  * @property waitingWorkUs the part of [workUs] that could start now but has not started
- * @property readyInUs the time within which a job that waits for dependencies is expected to be ready; 0 if the job is ready
+ * @property readyInUs the expected time until a job that waits for dependencies is ready, in microseconds; 0 if the job is ready
  */
 data class Demand(
     val typeName: String,
--- a/src/main/kotlin/lichenstage/fleet/FleetInventory.kt
+++ b/src/main/kotlin/lichenstage/fleet/FleetInventory.kt
@@ -33,7 +33,7 @@
 internal class FleetInventory {
     private val machines = LinkedHashMap<String, FleetMachine>()
 
-    /** The names of machines that are gone. The cloud's list lags and may still contain them; they must not be added again. */
+    /** The names of machines that are gone. They must not be added again, although the cloud's list lags and may still contain them. */
     private val terminatedNames = HashSet<String>()
 
     /** All machines, including those that are draining or marked for termination. */
--- a/src/main/kotlin/lichenstage/jobs/JobReplica.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobReplica.kt
@@ -12,12 +12,12 @@
  * authority after the state service has stopped replying to it: authority means that no other controller may act, not that the owner's
  * data is fresh. A reply to a heartbeat renews the lease of its worker. Heartbeats therefore get replies only while [isCurrent] holds: this
  * process then knows every end that a user may have seen up to [maxStalenessUs] ago. Either of two proofs is sufficient:
- * - A read of the state service proves it as of the time at which the request was sent.
+ * - A read of the state service proves it for the time at which the request of the read was sent.
  * - During an outage, replies of **all** other controllers prove it. Each reply contains all ends that its sender learned of after the
  *   revision up to which this process has read. Users get replies only from controllers, and a controller reports only ends that it has
  *   learned of.
  *
- * A controller whose process has been reading the state service only since a later revision sends no such reply: it cannot know which
+ * A controller sends no such reply if its process has been reading the state service only since a later revision: it cannot know which
  * ends an earlier process of the same controller reported to users. Without either proof, heartbeats get no reply, and the tasks end in
  * time because the leases of their workers expire.
  */
@@ -57,7 +57,7 @@
     /** The index of the first entry that [endLog] still contains. */
     private var logStartIndex = 0L
 
-    /** The log may lack ends up to this revision. */
+    /** The revision up to which [endLog] may lack ends. */
     private var logBaseRevision = -1L
     private val peerProgress = HashMap<String, PeerProgress>()
 
@@ -179,7 +179,7 @@
         return markEnded(reply.jobs)
     }
 
-    /** Returns the time as of which every end that a user had seen is known here; [Long.MIN_VALUE] if there is none. */
+    /** Returns the latest time for which this process knows every end that a user had seen by then; [Long.MIN_VALUE] if there is none. */
     private fun knownEndsAsOfUs(): Long {
         val peersAsOfUs =
             peerLabels?.takeIf { revision >= 0 && it.isNotEmpty() }?.minOf { peerProgress[it]?.completeAsOfUs ?: Long.MIN_VALUE }
--- a/src/test/kotlin/lichenstage/drain/DrainInterruptionTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainInterruptionTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Guards against tasks that are stopped before the interruption is recorded, and against interruptions that are not counted. */
+/** Guards against tasks that are stopped before their interruption is recorded, and against interruptions that no budget counts. */
 class DrainInterruptionTest : DrainCoreFixture() {
     @Example
     fun `an interruption is recorded before its task is stopped, and a failed write stops nothing`() {
