--- a/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
@@ -70,8 +70,8 @@
                 isDrained -> emptyList()
                 else -> selectForScaleIn(attempts, nowUs)
             }
-        val requestedOnMachine = attempts.filter { it.number in stopRequests && it.phase == TaskPhase.RUNNING }
-        return (preemptedAttempts + requestedOnMachine)
+        val requestedAttempts = attempts.filter { it.number in stopRequests && it.phase == TaskPhase.RUNNING }
+        return (preemptedAttempts + requestedAttempts)
             .distinct()
             .filter {
                 markSentIfDue(it, nowUs)
--- a/src/main/kotlin/lichenstage/placement/Job.kt
+++ b/src/main/kotlin/lichenstage/placement/Job.kt
@@ -69,7 +69,7 @@
     /** The number of attempts that failed under this leader. */
     var failureCount = 0
 
-    /** Saved progress by task index in microseconds of run time, as far as this leader knows. */
+    /** Saved progress by task index in microseconds of run time, from the attempts that this leader has tracked. */
     private val savedProgressByTask = Int2LongOpenHashMap()
 
     /** The total saved progress of all tasks that are not done, in microseconds of run time. */
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -52,10 +52,7 @@
             core,
             fleetDriver,
             recordWriter,
-            maxOf(
-                1,
-                settings.maxTransactionOperations / 2,
-            ),
+            maxOf(1, settings.maxTransactionOperations / 2),
         )
     private var lastCountsSentAtUs = Long.MIN_VALUE / 2
 
--- a/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
+++ b/src/main/kotlin/lichenstage/placement/ObjectiveOrder.kt
@@ -90,10 +90,10 @@
             scheduledJobs += queuedJob
             scheduledWork += queuedJob.remainingWork
             while (scheduledJobs.isNotEmpty() && nowUs + scheduledWork / capacityCores > queuedJob.dueAtUs) {
-                val leastValue = scheduledJobs.poll()
-                scheduledWork -= leastValue.remainingWork
-                postponedJobs += leastValue
-                if (leastValue === queuedJob) break
+                val leastValuableJob = scheduledJobs.poll()
+                scheduledWork -= leastValuableJob.remainingWork
+                postponedJobs += leastValuableJob
+                if (leastValuableJob === queuedJob) break
             }
         }
         return postponedJobs
--- a/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
@@ -19,10 +19,10 @@
     private val zones: ZoneConstraints,
     private val fetchUs: (JobSpec) -> Long,
 ) {
-    /** The decision to request capacity for [tasks] tasks of a job. */
+    /** The decision to request capacity for [taskCount] tasks of a job. */
     private class PlannedRequest(
         val job: Job,
-        val tasks: Int,
+        val taskCount: Int,
     )
 
     private var requestCounter = 0L
@@ -65,9 +65,9 @@
         planned: List<PlannedRequest>,
         nowUs: Long,
     ): List<JobRequest> {
-        val firstRequests = planned.map { createRequest(it, imageOnly = benefitsFromImage(it.job)) }
+        val firstRequests = planned.map { createRequest(it, isImageRequired = benefitsFromImage(it.job)) }
         val jobsForAnyMachine = planned.filter { benefitsFromImage(it.job) && !shouldWaitForImage(it.job, nowUs) }
-        return firstRequests + jobsForAnyMachine.map { createRequest(it, imageOnly = false) }
+        return firstRequests + jobsForAnyMachine.map { createRequest(it, isImageRequired = false) }
     }
 
     /** Splits a list into groups of consecutive items of the same kind. */
@@ -85,7 +85,7 @@
 
     private fun createRequest(
         planned: PlannedRequest,
-        imageOnly: Boolean,
+        isImageRequired: Boolean,
     ): JobRequest {
         val job = planned.job
         val spec = job.spec
@@ -95,11 +95,11 @@
                 ++requestCounter,
                 spec.id,
                 spec.requirements,
-                planned.tasks,
+                planned.taskCount,
                 spec.allowedTypes,
                 zone,
                 spec.allowsSpot,
-                imageOnly,
+                isImageRequired,
             )
         return JobRequest(request, job)
     }
--- a/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
+++ b/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
@@ -20,8 +20,8 @@
     objectives: List<Objective>,
 ) {
     private val timesByKindAndClass =
-        objectives.groupBy { it.kind to it.jobClass }.mapValues { (_, rows) ->
-            rows.mapNotNull { it.withinUs }.sorted()
+        objectives.groupBy { it.kind to it.jobClass }.mapValues { (_, objectivesOfClass) ->
+            objectivesOfClass.mapNotNull { it.withinUs }.sorted()
         }
 
     /** The time within which tasks of guaranteed jobs must start, in microseconds; null if there is no guarantee objective. */
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -78,10 +78,10 @@
 
     /**
      * In an earlier version of the service, the sequence number in a partial frame also covers effects that were sent only in a final frame
-     * which was lost. A partial frame leaves out machines, so it must not end an attempt.
+     * which was lost. A partial frame leaves out machines, so it must not end an attempt that it does not list.
      */
     @Example
-    fun `a partial frame ends no attempt, whatever it contains`() {
+    fun `a partial frame that does not list an attempt does not end it`() {
         val leader = leaderWithPlacedJob()
         val seq = framesTo("z").last { it.starts.isNotEmpty() }.seq
         leader.onPartitionFrame(partitionFrame("z", seq, machineState("m2"), isFinal = false), 2 * SECOND)
--- a/src/test/kotlin/lichenstage/placement/MachineRegistryTest.kt
+++ b/src/test/kotlin/lichenstage/placement/MachineRegistryTest.kt
@@ -114,7 +114,8 @@
             val error = assertThrows(UnreadableRecordException::class.java) { MachineRegistry(8192).load(entry) }
             assertTrue(error.message!!.startsWith("m/4: field 'machines[1]' must be a list of name, type, zone")) { "${error.message}" }
         }
-        val none = assertThrows(UnreadableRecordException::class.java) { MachineRegistry(8192).load(Entry("m/0", JsonObject(), 1)) }
-        assertEquals("m/0: field 'machines' must be a list", none.message)
+        val missingListError =
+            assertThrows(UnreadableRecordException::class.java) { MachineRegistry(8192).load(Entry("m/0", JsonObject(), 1)) }
+        assertEquals("m/0: field 'machines' must be a list", missingListError.message)
     }
 }
