--- a/src/main/kotlin/lichenstage/placement/Attempt.kt
+++ b/src/main/kotlin/lichenstage/placement/Attempt.kt
@@ -19,8 +19,8 @@
     var partitionTerm = 0L
 
     /**
-     * The sequence number of the leader's frame that contained the start. As long as a partition state does not reflect this frame, a
-     * machine's task list in this state does not show whether the attempt runs.
+     * The sequence number of the leader's frame that contained the start. Until a partition state reflects this frame, the
+     * absence of the attempt from a task list in this state proves nothing.
      */
     var startSeq = 0L
     var phase = TaskPhase.PENDING
--- a/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
@@ -6,8 +6,8 @@
 import lichenstage.common.SECOND
 
 /**
- * The decision which running tasks are preempted because their machine will be terminated. Tasks that can save a checkpoint get the time
- * to do so.
+ * The selection of the running tasks that are preempted because their machine will be terminated. Tasks that can save a checkpoint get
+ * the time to do so.
  *
  * - After a reclaim notice for a spot machine, a task keeps running until the time left is just enough to save a checkpoint, because the
  *   machine is paid for until then anyway. A task is not stopped if it is expected to end before the reclaim, or if the time left is too
--- a/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
+++ b/src/main/kotlin/lichenstage/placement/CompletionRecorder.kt
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Handles the outcome of the write of a batch. If it failed, the jobs wait again from [nowUs]. */
+    /** Handles the outcome of the write of a batch. Jobs that still have unrecorded done tasks wait again from [nowUs]. */
     fun onCompletionChunksWritten(
         deltas: List<CompletionDelta>,
         isCommitted: Boolean,
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -165,7 +165,7 @@
         if (job.allTasksDone) completionRecorder.markUnrecorded(job, Long.MIN_VALUE / 2)
     }
 
-    /** Handles the recording of the job's last dependency as done, at [recordedAtUs]. Queues the tasks if they may be placed. */
+    /** Handles a job whose last dependency was recorded as done at [recordedAtUs]. Queues the tasks if they may be placed. */
     fun onJobReady(
         job: Job,
         recordedAtUs: Long,
--- a/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
@@ -28,8 +28,8 @@
     }
 
     /**
-     * Returns the tasks on a machine, including listed tasks that the leader tracks no attempt for, because the machine is not empty until
-     * they are stopped too.
+     * Returns the tasks on a machine, including listed tasks for which the leader tracks no attempt, because the machine is not empty
+     * until they are stopped too.
      */
     override fun tasksOn(machine: String): List<PlacedTask> {
         val attempts = core.machines.attemptsOn(machine)
@@ -79,7 +79,7 @@
         }
 
     companion object {
-        /** Returns an interruption of [attempt] with the cause FAILURE. A drain that caused the interruption has recorded it before. */
+        /** Returns an interruption of [attempt] by a failure. Drains ignore it if they have already recorded an interruption of the task. */
         fun failureInterruption(
             attempt: Attempt,
             atUs: Long,
--- a/src/main/kotlin/lichenstage/placement/MachineReconciler.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciler.kt
@@ -3,8 +3,8 @@
 import lichenstage.cluster.MachineState
 
 /**
- * The updates of the stops and clears that each machine needs, and of the use by tasks without a tracked attempt. Callers reconcile a
- * machine again whenever its task list or one of its jobs changes.
+ * The component that keeps the stops, the clears and the unaccounted use of each machine up to date. Callers reconcile a machine again
+ * whenever its task list or one of its jobs changes.
  */
 internal class MachineReconciler(
     private val partitions: PartitionTable,
--- a/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
+++ b/src/main/kotlin/lichenstage/placement/ReadinessForecast.kt
@@ -4,8 +4,8 @@
 import lichenstage.model.JobSpec
 
 /**
- * The forecast of when blocked jobs become ready: at the expected end of the longest chain of their dependencies. With this forecast the
- * fleet can provision machines early enough that they have booted when a job becomes ready.
+ * The forecast of when blocked jobs become ready: at the end of the longest chain of their dependencies, according to expected run times.
+ * With this forecast the fleet can provision machines early enough that they have booted when a job becomes ready.
  */
 class ReadinessForecast(
     private val runTimes: RunTimeEstimates,
--- a/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
@@ -115,7 +115,7 @@
     /**
      * Returns whether the job should wait for a machine that has its image. Only jobs that are not urgent wait, and only for a short
      * time, which is usually enough for capacity on such a machine to become free. After the wait the job requests any machine, so its
-     * image gets onto more machines. Each placement of a task begins a new wait.
+     * image is fetched to more machines. Each placement of a task begins a new wait.
      */
     private fun shouldWaitForImage(
         job: Job,
--- a/src/main/kotlin/lichenstage/placement/RunTimeEstimates.kt
+++ b/src/main/kotlin/lichenstage/placement/RunTimeEstimates.kt
@@ -8,7 +8,7 @@
  * The expected run times of tasks.
  *
  * They start from the users' estimates, which are corrected by the mean error of the estimates in the same job class. This error is learned
- * from completed tasks, because on some days most estimates are too high or most are too low.
+ * from completed tasks, because on some days the estimates are mostly too high or mostly too low.
  */
 class RunTimeEstimates {
     /** The weighted sum of the logarithms of run time divided by estimate. Old completions lose their weight. */
