--- a/src/test/kotlin/lichenstage/standin/DrainCheck.kt
+++ b/src/test/kotlin/lichenstage/standin/DrainCheck.kt
@@ -9,8 +9,8 @@
 import kotlin.system.exitProcess
 
 /**
- * Checks drains on loopback, started by hand: `DrainCheckKt [SEED]`. Three controllers of the built jar run against the stand-ins, with
- * tasks of two teams on every machine. A drain replaces all machines, and some of the replacements never boot. Meanwhile controllers are
+ * Checks drains on loopback, started by hand: `DrainCheckKt [SEED]`. Three controllers of the built jar run against the stand-ins, and the
+ * tasks of two teams fill all machines. A drain replaces all machines, and some of the replacements never boot. Meanwhile controllers are
  * killed at times that depend on the seed. An observer of the workers counts how many jobs of each team are interrupted at the same time.
  */
 fun main(args: Array<String>) {
--- a/src/test/kotlin/lichenstage/standin/Load.kt
+++ b/src/test/kotlin/lichenstage/standin/Load.kt
@@ -121,7 +121,7 @@
                     maxOf(peakUsage.sockets, usage.sockets),
                 )
             if (allRepliedAfterMs < 0 &&
-                workers.all { it.lastRepliedHeartbeatMs > startMs }
+                workers.all { it.lastRepliedHeartbeatAtMs > startMs }
             ) {
                 allRepliedAfterMs = System.currentTimeMillis() - startMs
             }
--- a/src/test/kotlin/lichenstage/standin/Smoke.kt
+++ b/src/test/kotlin/lichenstage/standin/Smoke.kt
@@ -10,8 +10,8 @@
 
 /**
  * Checks the built jar on loopback: three controllers, started with the command of the deploy file, run against the stand-ins. The check
- * submits, polls and cancels jobs, kills each controller in turn, and verifies that no task ran on two machines at once. It ends with the
- * number of checks that passed and failed.
+ * submits, polls and cancels jobs, kills each controller in turn, and verifies that no task ran on two machines at once. Finally it
+ * prints how many checks passed and failed.
  */
 fun main() {
     exitProcess(Smoke(deployedCommand()).run())
--- a/src/test/kotlin/lichenstage/standin/StateStandIn.kt
+++ b/src/test/kotlin/lichenstage/standin/StateStandIn.kt
@@ -209,13 +209,13 @@
         watch: Watch,
         shouldReplyIfEmpty: Boolean,
     ): Boolean {
-        val events =
+        val changeRows =
             changes.filter { it.revision > watch.sinceRevision && it.key.startsWith(watch.prefix) }.map {
-                val event = JsonObject().put("stamp", it.revision)
-                if (it.value != null) event.put("put", it.key).put("value", it.value) else event.put("delete", it.key)
+                val row = JsonObject().put("stamp", it.revision)
+                if (it.value != null) row.put("put", it.key).put("value", it.value) else row.put("delete", it.key)
             }
-        if (events.isEmpty() && !shouldReplyIfEmpty) return false
-        reply(watch.request, 200, JsonObject().put("ledger_rev", revision).put("events", JsonArray(events)))
+        if (changeRows.isEmpty() && !shouldReplyIfEmpty) return false
+        reply(watch.request, 200, JsonObject().put("ledger_rev", revision).put("events", JsonArray(changeRows)))
         return true
     }
 
--- a/src/test/kotlin/lichenstage/standin/WorkerStandIn.kt
+++ b/src/test/kotlin/lichenstage/standin/WorkerStandIn.kt
@@ -37,7 +37,7 @@
     private var heartbeatNumber = 0L
 
     /** When the lease began: when the last heartbeat that got a reply was sent, or when the previous lease expired. */
-    private var leaseStartMs = System.currentTimeMillis()
+    private var leaseStartedAtMs = System.currentTimeMillis()
     private val tasksByAttempt = LinkedHashMap<Pair<String, Long>, Task>()
     private var heartbeatTimer = 0L
     private var lastHeartbeatAtMs = 0L
@@ -47,7 +47,7 @@
     val leaseExpiries get() = agentEpoch - 1
 
     /** When the last heartbeat that got a reply was sent, or when the lease last expired if that was later. */
-    val lastRepliedHeartbeatMs get() = leaseStartMs
+    val lastRepliedHeartbeatAtMs get() = leaseStartedAtMs
     val address = "$LOOPBACK:$port"
 
     /** Whether the machine stays in the state `starting` for good. */
@@ -155,11 +155,11 @@
         val sentAtMs = System.currentTimeMillis()
         isHeartbeatInFlight = true
         lastHeartbeatAtMs = sentAtMs
-        if (sentAtMs - leaseStartMs > profile.leaseMs) {
+        if (sentAtMs - leaseStartedAtMs > profile.leaseMs) {
             clearTasks()
             agentEpoch++
             heartbeatNumber = 0
-            leaseStartMs = sentAtMs
+            leaseStartedAtMs = sentAtMs
         }
         val sentEpoch = agentEpoch
         val sendingClient = client
@@ -174,7 +174,7 @@
                 val (status, body) = if (result.succeeded()) result.result() else (0 to null)
                 when {
                     status == OK && JsonObject(body).getLong("warrant") >= fencingToken && sentEpoch == agentEpoch -> {
-                        leaseStartMs = sentAtMs
+                        leaseStartedAtMs = sentAtMs
                         execute(JsonObject(body))
                         scheduleHeartbeat(profile.heartbeatIntervalMs)
                     }
--- a/src/test/kotlin/lichenstage/world/ConcurrentFaultsTest.kt
+++ b/src/test/kotlin/lichenstage/world/ConcurrentFaultsTest.kt
@@ -49,7 +49,7 @@
         assertScenario(Mutation.NO_LEASE_WAIT_AFTER_FAILOVER, "ran_twice") {
             every(12, 60, 16) {
                 repeat(9) { cutOff(it, 6 * SECOND, holdsMessages = true) }
-                crash(maxOf(leader, 0), 300 * MILLI)
+                crash(maxOf(leaderId, 0), 300 * MILLI)
             }
         }
 
@@ -74,12 +74,12 @@
         assertScenario(Mutation.AUTHORITY_KEPT_AFTER_LEASE, "ran_twice") {
             script(2 * SECOND) { repeat(10) { submitLongRunning(100 + it, 70 * SECOND) } }
             script(20 * SECOND) {
-                val cut = maxOf(leader, 0)
-                refuse(cut, 55 * SECOND)
-                (0..2).filter { it != cut }.forEach { disconnect(cut, it, 55 * SECOND) }
-                repeat(9) { if (it % 2 == 0) restrictTo(it, cut, 55 * SECOND) }
+                val cutId = maxOf(leaderId, 0)
+                refuse(cutId, 55 * SECOND)
+                (0..2).filter { it != cutId }.forEach { disconnect(cutId, it, 55 * SECOND) }
+                repeat(9) { if (it % 2 == 0) restrictTo(it, cutId, 55 * SECOND) }
             }
-            script(32 * SECOND) { repeat(4) { cancel("j-${100 + it}", (leader + it) % 3) } }
+            script(32 * SECOND) { repeat(4) { cancel("j-${100 + it}", (leaderId + it) % 3) } }
         }
 
     @Example
@@ -97,7 +97,7 @@
             script(SECOND) { repeat(20) { submitLongRunning(200 + it, 25 * SECOND) } }
             script(20 * SECOND) {
                 repeat(5) { cutOff(it, 12 * SECOND, holdsMessages = it % 2 == 0) }
-                crash(maxOf(leader, 0), 4 * SECOND)
+                crash(maxOf(leaderId, 0), 4 * SECOND)
             }
             script(24 * SECOND) { repeat(4) { cancel("j-${200 + it}", it % 3) } }
         }
@@ -106,7 +106,7 @@
     fun `no task runs twice when the leader changes ten times within two minutes, also during an outage`() =
         assertScenario(Mutation.NO_LEASE_WAIT_AFTER_FAILOVER, "ran_twice") {
             every(8, 68, 6) { n ->
-                crash(maxOf(leader, 0), if (n % 2 == 0) 300 * MILLI else 3 * SECOND)
+                crash(maxOf(leaderId, 0), if (n % 2 == 0) 300 * MILLI else 3 * SECOND)
                 cutOff(n % 9, 5 * SECOND, holdsMessages = false)
             }
             script(30 * SECOND) { beginOutage(16 * SECOND) }
@@ -120,7 +120,7 @@
         ): Int {
             val cluster = SimulatedCluster(seed, mutation)
             cluster.script(SECOND) { repeat(4) { submitUnevenRunTimes(it) } }
-            cluster.every(20, 60, 10) { crash(maxOf(leader, 0), 2 * SECOND) }
+            cluster.every(20, 60, 10) { crash(maxOf(leaderId, 0), 2 * SECOND) }
             cluster.run(FAULTS_US, CALM_US)
             assertTrue(
                 cluster.checker.violations.isEmpty() && cluster.openJobs.isEmpty(),
@@ -142,7 +142,7 @@
             script(20 * SECOND) {
                 repeat(3) { cutOff(it, 12 * SECOND, holdsMessages = true) }
                 repeat(3) { blockInbound(3 + it, 12 * SECOND) }
-                crash(maxOf(leader, 0), 3 * SECOND)
+                crash(maxOf(leaderId, 0), 3 * SECOND)
             }
         }
 
@@ -182,7 +182,7 @@
             every(8, 68, 12) { n ->
                 hang(n % 9, 18 * SECOND)
                 cutOff((n + 3) % 9, 17 * SECOND, holdsMessages = true)
-                if (n % 2 == 0) crash(maxOf(leader, 0), SECOND)
+                if (n % 2 == 0) crash(maxOf(leaderId, 0), SECOND)
             }
         }
 
@@ -191,8 +191,8 @@
         assertScenario(Mutation.LEASES_RENEWED_WITH_STALE_REPLICA, "ran_cancelled") {
             script(2 * SECOND) { repeat(8) { submitLongRunning(100 + it, 80 * SECOND) } }
             script(10 * SECOND) { slowDownState(12 * SECOND) }
-            script(24 * SECOND) { refuse(maxOf(leader, 0), 14 * SECOND) }
-            script(24 * SECOND + 700 * MILLI) { repeat(5) { cancel("j-${100 + it}", (leader + 1 + it % 2) % 3) } }
+            script(24 * SECOND) { refuse(maxOf(leaderId, 0), 14 * SECOND) }
+            script(24 * SECOND + 700 * MILLI) { repeat(5) { cancel("j-${100 + it}", (leaderId + 1 + it % 2) % 3) } }
             script(25 * SECOND) { beginOutage(52 * SECOND) }
         }
 
@@ -217,8 +217,8 @@
         ) {
             every(2, 70, 1) { n ->
                 submitRandomJobs(2, SECOND, firstNumber = 100 + 2 * n)
-                val leaderId = maxOf(leader, 0)
-                (0..2).filter { it != leaderId }.forEach { cutControllers(leaderId, it, 500 * MILLI, holdsMessages = false) }
+                val targetId = maxOf(leaderId, 0)
+                (0..2).filter { it != targetId }.forEach { cutControllers(targetId, it, 500 * MILLI, holdsMessages = false) }
             }
         }
 
--- a/src/test/kotlin/lichenstage/world/DrainFaultsTest.kt
+++ b/src/test/kotlin/lichenstage/world/DrainFaultsTest.kt
@@ -82,14 +82,14 @@
     fun `a drain keeps the budgets when the leader changes ten times within two minutes`() =
         assertBudgetsKept(script = {
             script(30 * SECOND) { drainAll("all", atMost = 4, replace = false) }
-            repeat(10) { n -> script((36 + 12L * n) * SECOND) { crash(maxOf(leader, 0), (300 + 700L * (n % 3)) * MILLI) } }
+            repeat(10) { n -> script((36 + 12L * n) * SECOND) { crash(maxOf(leaderId, 0), (300 + 700L * (n % 3)) * MILLI) } }
         })
 
     @Example
     fun `a drain keeps the budgets when the leader loses the state service and a long outage follows`() =
         assertBudgetsKept(script = {
             script(30 * SECOND) { drainAll("all", atMost = 4, replace = false) }
-            repeat(4) { n -> script((40 + 15L * n) * SECOND) { cutFromState(maxOf(leader, 0), 9 * SECOND, holdsMessages = n % 2 == 0) } }
+            repeat(4) { n -> script((40 + 15L * n) * SECOND) { cutFromState(maxOf(leaderId, 0), 9 * SECOND, holdsMessages = n % 2 == 0) } }
             script(110 * SECOND) { beginOutage(45 * SECOND) }
         })
 
@@ -124,9 +124,9 @@
     fun `a drain keeps the budgets when a controller of a version without drains leads at times`() =
         assertBudgetsKept(controllersWithoutDrains = setOf(1), script = {
             script(30 * SECOND) { drainAll("all", atMost = 4, replace = false) }
-            repeat(10) { n -> script((36 + 11L * n) * SECOND) { crash(maxOf(leader, 0), (300 + 900L * (n % 3)) * MILLI) } }
+            repeat(10) { n -> script((36 + 11L * n) * SECOND) { crash(maxOf(leaderId, 0), (300 + 900L * (n % 3)) * MILLI) } }
             // Crashes the older controller whenever it leads, so that another one takes over and the drain can finish.
-            repeat(10) { n -> script((160 + 40L * n) * SECOND) { if (leader == 1) crash(1, 4 * SECOND) } }
+            repeat(10) { n -> script((160 + 40L * n) * SECOND) { if (leaderId == 1) crash(1, 4 * SECOND) } }
         })
 
     @Example
@@ -145,7 +145,7 @@
         assertBudgetsKept(1L..6L, script = {
             script(30 * SECOND) { drainAll("all", atMost = 2, replace = false) }
             script(31 * SECOND) { drainAll("second", atMost = 2, replace = false) }
-            script(60 * SECOND) { crash(maxOf(leader, 0), SECOND) }
+            script(60 * SECOND) { crash(maxOf(leaderId, 0), SECOND) }
         }) { seed ->
             assertDrainFinished(seed)
             assertEquals(DrainStatus.FINISHED, getDrain("second").status) { "seed $seed: ${stageCounts("second")}" }
@@ -177,7 +177,7 @@
             assertViolated("over_budget", mutation, 1L..MAX_SEEDS) { seed ->
                 simulate(seed, mutation) {
                     script(30 * SECOND) { drainAll("all", atMost = 6, replace = false) }
-                    repeat(12) { n -> script((36 + 7L * n) * SECOND) { crash(maxOf(leader, 0), 300 * MILLI) } }
+                    repeat(12) { n -> script((36 + 7L * n) * SECOND) { crash(maxOf(leaderId, 0), 300 * MILLI) } }
                 }
             }
         }
--- a/src/test/kotlin/lichenstage/world/LateOrdersSimulationTest.kt
+++ b/src/test/kotlin/lichenstage/world/LateOrdersSimulationTest.kt
@@ -13,13 +13,13 @@
 class LateOrdersSimulationTest {
     @Example
     fun `orders that are executed minutes late violate no rule`() {
-        var fences = 0
+        var startFences = 0
         for (seed in SEEDS) {
             val cluster = SimulatedCluster(seed, profile = ClusterProfile.LATE_ORDERS).apply { run(FAULTS_US, CALM_US) }
             cluster.assertRulesHeld(seed)
-            fences += cluster.orderEvents.startFences
+            startFences += cluster.orderEvents.startFences
         }
-        assertTrue(fences > 0) { "no machine was given a newer fencing token because of an unwanted start" }
+        assertTrue(startFences > 0) { "no machine was given a newer fencing token because of an unwanted start" }
     }
 
     /** Simulates jobs that are cancelled one second after their submission, so that some of their starts are still held. */
@@ -37,16 +37,16 @@
 
     @Example
     fun `held starts of cancelled jobs cause few newer fencing tokens and no lost tasks`() {
-        var unanswered = 0
+        var unansweredOrders = 0
         for (seed in CANCELLED_SEEDS) {
             val cluster = simulateEarlyCancellations(seed)
             cluster.assertRulesHeld(seed)
             val events = cluster.orderEvents
-            unanswered += events.unansweredOrders
+            unansweredOrders += events.unansweredOrders
             assertEquals(0, cluster.checker.tasksLost) { "seed $seed: ${cluster.checker.tasksLost} tasks lost, expected none; $events" }
             assertTrue(events.startFences + events.clearFences <= events.unansweredOrders + MAX_CLEAR_FENCES) { "seed $seed: $events" }
         }
-        assertTrue(unanswered > 100) { "$unanswered orders without a reply, expected more than 100" }
+        assertTrue(unansweredOrders > 100) { "$unansweredOrders orders without a reply, expected more than 100" }
     }
 
     @Example
@@ -78,13 +78,13 @@
 
     @Example
     fun `if no newer fencing token is available, heartbeats get no reply and worker leases expire in time`() {
-        var withheld = 0
+        var withheldReplies = 0
         for (seed in OUTAGE_SEEDS) {
             val cluster = simulateOutageBeforeTokens(seed)
             cluster.assertRulesHeld(seed)
-            withheld += cluster.orderEvents.withheldReplies
+            withheldReplies += cluster.orderEvents.withheldReplies
         }
-        assertTrue(withheld > 0) { "no reply to a heartbeat was withheld" }
+        assertTrue(withheldReplies > 0) { "no reply to a heartbeat was withheld" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/world/PipelineFaultsTest.kt
+++ b/src/test/kotlin/lichenstage/world/PipelineFaultsTest.kt
@@ -26,7 +26,7 @@
                 scheduleCancellations(8)
             },
             Scenario("the state service refuses only the leader while first stages are cancelled") {
-                script(20 * SECOND) { refuse(maxOf(leader, 0), 30 * SECOND) }
+                script(20 * SECOND) { refuse(maxOf(leaderId, 0), 30 * SECOND) }
                 scheduleCancellations(21)
             },
             Scenario("an outage longer than the time limit of a cancellation, right after cancellations") {
@@ -43,9 +43,9 @@
             Scenario("transactions are delayed and applied late while leaders change") {
                 for (atS in 15L..60L step 15) {
                     script(atS * SECOND) {
-                        val leaderId = maxOf(leader, 0)
-                        cutFromState(leaderId, 6 * SECOND, holdsMessages = true)
-                        crash((leaderId + 1) % 3, 300 * MILLI)
+                        val targetId = maxOf(leaderId, 0)
+                        cutFromState(targetId, 6 * SECOND, holdsMessages = true)
+                        crash((targetId + 1) % 3, 300 * MILLI)
                     }
                 }
                 scheduleCancellations(16)
--- a/src/test/kotlin/lichenstage/world/RandomFaults.kt
+++ b/src/test/kotlin/lichenstage/world/RandomFaults.kt
@@ -103,7 +103,7 @@
 
     /** Lets the state service refuse only the leader and then all controllers, while running jobs are cancelled. */
     private fun refuseLeaderThenAll(parameters: FaultParameters) {
-        cluster.refuse(maxOf(cluster.leader, 0), 14 * SECOND)
+        cluster.refuse(maxOf(cluster.leaderId, 0), 14 * SECOND)
         cluster.after(SECOND) { cancelRunning(2) }
         cluster.after(SECOND + SECOND / 2) { cluster.beginOutage(parameters.durationUs * 2) }
     }
--- a/src/test/kotlin/lichenstage/world/RefusedLeaderTest.kt
+++ b/src/test/kotlin/lichenstage/world/RefusedLeaderTest.kt
@@ -16,7 +16,7 @@
     private class Variant(
         val name: String,
         val outageUs: Long = 58 * SECOND,
-        /** Injects further faults at the time of the cancellation. The arguments are the leader and the controller that confirms it. */
+        /** Injects further faults at the time of the cancellation. The arguments are the leader and the confirming controller. */
         val extraFaults: SimulatedCluster.(Int, Int) -> Unit = { _, _ -> },
     )
 
@@ -66,16 +66,16 @@
         repeat(6) { n -> cluster.script(2 * SECOND) { submitLongRunning(n, 400 * SECOND) } }
         cluster.script(40 * SECOND) {
             assertEquals(2, runningTaskCount("j-0")) { "${variant.name}, seed $seed: expected both tasks of j-0 to run" }
-            refuse(leader, 14 * SECOND)
+            refuse(leaderId, 14 * SECOND)
         }
         cluster.script(40 * SECOND + 700 * MILLI) {
-            val confirmerId = (leader + 1 + (seed % 2).toInt()) % 3
-            val leaderId = leader
+            val confirmerId = (leaderId + 1 + (seed % 2).toInt()) % 3
+            val refusedId = leaderId
             cancel("j-0", confirmerId)
-            variant.extraFaults(this, leaderId, confirmerId)
+            variant.extraFaults(this, refusedId, confirmerId)
         }
         // The message that tells the leader of the cancellation is lost: no rule may depend on its arrival.
-        cluster.script(40 * SECOND + 690 * MILLI) { (0..2).filter { it != leader }.forEach { disconnect(leader, it, 200 * MILLI) } }
+        cluster.script(40 * SECOND + 690 * MILLI) { (0..2).filter { it != leaderId }.forEach { disconnect(leaderId, it, 200 * MILLI) } }
         cluster.script(41 * SECOND) { beginOutage(variant.outageUs) }
         cluster.run(120 * SECOND, 30 * SECOND)
         return cluster
--- a/src/test/kotlin/lichenstage/world/SimulatedAuthority.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedAuthority.kt
@@ -67,20 +67,20 @@
     fun requestMoratoriums() {
         val requestedUs = nowUs
         val senderIncarnation = controller.incarnation
-        for (other in controller.otherControllers()) {
-            context.send(host, other.host) {
-                if (!other.isAlive || other.canReachState) return@send
-                other.authority.localMoratorium.grant(nowUs)
-                context.send(other.host, host) { if (controller.incarnation == senderIncarnation) onMoratoriumGranted(other, requestedUs) }
+        for (peer in controller.otherControllers()) {
+            context.send(host, peer.host) {
+                if (!peer.isAlive || peer.canReachState) return@send
+                peer.authority.localMoratorium.grant(nowUs)
+                context.send(peer.host, host) { if (controller.incarnation == senderIncarnation) onMoratoriumGranted(peer, requestedUs) }
             }
         }
     }
 
     private fun onMoratoriumGranted(
-        other: SimulatedController,
+        peer: SimulatedController,
         requestedUs: Long,
     ) {
-        peerMoratoriums.recordGrant(other.host, requestedUs)
+        peerMoratoriums.recordGrant(peer.host, requestedUs)
         if (controller.hasAuthority) validUntilUs = maxOf(validUntilUs, peerMoratoriums.grantedUntilUs())
     }
 
--- a/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedCluster.kt
@@ -49,7 +49,7 @@
     val openJobs get() = state.openJobs.keys.toList()
 
     /** The number of the controller that owns the leadership; -1 if there is none. */
-    val leader get() = state.owners[SimulatedLeadership.KEY]?.controller ?: -1
+    val leaderId get() = state.owners[SimulatedLeadership.KEY]?.controller ?: -1
 
     /** The number of machines that are not terminated. */
     val machineCount get() = machines.count
--- a/src/test/kotlin/lichenstage/world/SimulatedJobSync.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedJobSync.kt
@@ -81,36 +81,36 @@
     /** Asks the other controllers which jobs have ended, while the replica is not up to date with the state service. */
     fun requestJobEnds() {
         if (!replica.isLagging(nowUs) || !controller.sharesJobEnds) return
-        for (other in controller.otherControllers()) {
+        for (peer in controller.otherControllers()) {
             val senderIncarnation = controller.incarnation
-            val request = replica.createSyncRequest(other.host, nowUs) ?: continue
-            context.send(host, other.host) {
-                if (!other.isAlive) return@send
+            val request = replica.createSyncRequest(peer.host, nowUs) ?: continue
+            context.send(host, peer.host) {
+                if (!peer.isAlive) return@send
                 val emptyReply =
                     CompletionSyncReply(
                         request.incarnation,
                         request.requestedAtUs,
-                        other.replica.hashCode().toLong(),
+                        peer.replica.hashCode().toLong(),
                         0,
                         0,
                         emptyList(),
                         true,
                     )
-                val reply = other.replica.createSyncReply(request) ?: emptyReply.takeIf { mutation == Mutation.REPLIED_FOR_EARLIER_PROCESS }
+                val reply = peer.replica.createSyncReply(request) ?: emptyReply.takeIf { mutation == Mutation.REPLIED_FOR_EARLIER_PROCESS }
                 if (reply == null) return@send
-                context.send(other.host, host) {
-                    if (controller.incarnation == senderIncarnation && controller.isAlive) onSyncReply(other, reply)
+                context.send(peer.host, host) {
+                    if (controller.incarnation == senderIncarnation && controller.isAlive) onSyncReply(peer, reply)
                 }
             }
         }
     }
 
     private fun onSyncReply(
-        other: SimulatedController,
+        peer: SimulatedController,
         reply: CompletionSyncReply,
     ) {
         val appliedReply = if (mutation == Mutation.SYNC_REPLY_JOBS_IGNORED) reply.copy(jobs = emptyList()) else reply
-        for (job in replica.applySyncReply(other.host, appliedReply)) {
+        for (job in replica.applySyncReply(peer.host, appliedReply)) {
             dependencyGraph.onJobClosed(job)
             controller.leadership.onJobClosed(job)
         }
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -56,11 +56,12 @@
     fun step() {
         val ownership = controller.authority.owners[KEY]?.takeIf { it.controller == controller.id }
         if (ownership == null) return stopLeading()
-        val current = leader?.takeIf { it.term == ownership.term } ?: if (controller.canReachState) startTerm(ownership.term) else return
-        if (controller.canReachState) updateJobs(current)
-        markReady(current)
-        cancelOrphans(current)
-        current.tick(nowUs)
+        val currentLeader =
+            leader?.takeIf { it.term == ownership.term } ?: if (controller.canReachState) startTerm(ownership.term) else return
+        if (controller.canReachState) updateJobs(currentLeader)
+        markReady(currentLeader)
+        cancelOrphans(currentLeader)
+        currentLeader.tick(nowUs)
         if (controller.canReachState && context.profile.hasMachineChurn) fleet?.step()
         if (controller.canReachState) drains?.step()
     }
@@ -91,9 +92,9 @@
         write(
             leader.term,
             { orphans.filter { it in state.openJobs }.forEach { state.recordEnd(it, isDone = false) } },
-        ) { current, isWritten ->
+        ) { currentLeader, isWritten ->
             isCancellingOrphans = false
-            if (isWritten) orphans.forEach(current::onJobClosed)
+            if (isWritten) orphans.forEach(currentLeader::onJobClosed)
         }
     }
 
--- a/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedUsers.kt
@@ -160,9 +160,9 @@
         controller.dependencyGraph.onJobClosed(id)
         checker.onCancellationConfirmed(job, context.nowUs)
         checker.onJobPolled(job, PolledStatus.CANCELLED, context.nowUs)
-        for (other in controllers) {
-            if (other != controller && controller.sharesJobEnds) {
-                context.send(hostOf(controller.id), hostOf(other.id)) { other.onJobsEnded(listOf(id)) }
+        for (peer in controllers) {
+            if (peer != controller && controller.sharesJobEnds) {
+                context.send(hostOf(controller.id), hostOf(peer.id)) { peer.onJobsEnded(listOf(id)) }
             }
         }
     }
