--- a/src/test/kotlin/lichenstage/standin/Load.kt
+++ b/src/test/kotlin/lichenstage/standin/Load.kt
@@ -106,7 +106,7 @@
         workers: List<WorkerStandIn>,
     ) {
         val startMs = System.currentTimeMillis()
-        var allRepliedAfterMs = -1L
+        var repliedAfterMs = -1L
         var peakUsage = ProcessUsage(0, 0, 0)
         val cpuTimeBeforeMs = cpuTimeMs()
         for (second in 1..options.phaseDurationS) {
@@ -120,16 +120,10 @@
                     maxOf(peakUsage.threads, usage.threads),
                     maxOf(peakUsage.sockets, usage.sockets),
                 )
-            if (allRepliedAfterMs < 0 &&
-                workers.all { it.lastRepliedHeartbeatAtMs > startMs }
-            ) {
-                allRepliedAfterMs = System.currentTimeMillis() - startMs
-            }
+            if (repliedAfterMs < 0 && workers.all { it.lastRepliedAtMs > startMs }) repliedAfterMs = System.currentTimeMillis() - startMs
         }
         val cpuTimeS = (cpuTimeMs() - cpuTimeBeforeMs) / 1000.0
-        println(
-            "$name: all had a reply after $allRepliedAfterMs ms; $peakUsage; $cpuTimeS s of processor time in ${options.phaseDurationS} s",
-        )
+        println("$name: all had a reply after $repliedAfterMs ms; $peakUsage; $cpuTimeS s of processor time in ${options.phaseDurationS} s")
     }
 
     /** Submits two jobs, which together have the tasks of one second. */
--- a/src/test/kotlin/lichenstage/standin/WorkerStandIn.kt
+++ b/src/test/kotlin/lichenstage/standin/WorkerStandIn.kt
@@ -47,7 +47,7 @@
     val leaseExpiries get() = agentEpoch - 1
 
     /** When the last heartbeat that got a reply was sent, or when the lease last expired if that was later. */
-    val lastRepliedHeartbeatAtMs get() = leaseStartedAtMs
+    val lastRepliedAtMs get() = leaseStartedAtMs
     val address = "$LOOPBACK:$port"
 
     /** Whether the machine stays in the state `starting` for good. */
--- a/src/test/kotlin/lichenstage/world/DrainMeasure.kt
+++ b/src/test/kotlin/lichenstage/world/DrainMeasure.kt
@@ -44,7 +44,7 @@
     )
 
 private const val TASK_RUN_US = 600 * SECOND
-private const val DRAIN_BEGIN_US = 200 * SECOND
+private const val BEGIN_US = 200 * SECOND
 private const val END_US = 3_600 * SECOND
 
 private fun measure(
@@ -66,32 +66,17 @@
     // Each job has two tasks of two cores, so the first jobs fill two thirds of the cores. The same number of jobs follows later.
     val jobs = machines * 4 / 3
     repeat(jobs) { n -> cluster.script(SECOND + n * 60 * SECOND / jobs) { submitLongRunning(n, TASK_RUN_US) } }
-    repeat(jobs) { n -> cluster.script(DRAIN_BEGIN_US + n * TASK_RUN_US / jobs) { submitLongRunning(jobs + n, TASK_RUN_US) } }
-    cluster.script(DRAIN_BEGIN_US) { drainAll("all", variant.maxConcurrent, replace = false, share = 2) }
-    for (atUs in DRAIN_BEGIN_US until END_US step SECOND) {
+    repeat(jobs) { n -> cluster.script(BEGIN_US + n * TASK_RUN_US / jobs) { submitLongRunning(jobs + n, TASK_RUN_US) } }
+    cluster.script(BEGIN_US) { drainAll("all", variant.maxConcurrent, replace = false, share = 2) }
+    for (atUs in BEGIN_US until END_US step SECOND) {
         cluster.script(atUs) { if (finishedUs == 0L && getDrain("all").status == DrainStatus.FINISHED) finishedUs = nowUs }
     }
-    cluster.run(DRAIN_BEGIN_US, END_US - DRAIN_BEGIN_US)
+    cluster.run(BEGIN_US, END_US - BEGIN_US)
     val checker = cluster.checker
-    val drainedAfter =
-        if (finishedUs >
-            0
-        ) {
-            "${(finishedUs - DRAIN_BEGIN_US) / SECOND}"
-        } else {
-            "not within ${(END_US - DRAIN_BEGIN_US) / SECOND}"
-        }
-    val lostRunTimeHours = "%.1f".format(checker.lostProgressUs / SECOND / 3600.0)
+    val drainedAfter = if (finishedUs > 0) "${(finishedUs - BEGIN_US) / SECOND}" else "not within ${(END_US - BEGIN_US) / SECOND}"
+    val lostHours = "%.1f".format(checker.lostProgressUs / SECOND / 3600.0)
     val violations = checker.violations.filter { !it.startsWith("waiting") }.take(1)
     val cells =
-        listOf(
-            machines,
-            variant.name,
-            drainedAfter,
-            checker.interruptions,
-            checker.maxJobsInterrupted,
-            lostRunTimeHours,
-            cluster.drainWrites,
-        )
+        listOf(machines, variant.name, drainedAfter, checker.interruptions, checker.maxJobsInterrupted, lostHours, cluster.drainWrites)
     return cells.joinToString(" | ", "| ", " |") + if (violations.isEmpty()) "" else " violations: $violations"
 }
