--- a/src/test/kotlin/lichenstage/world/SimulatedController.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedController.kt
@@ -49,7 +49,7 @@
     val canReachState get() = isAlive && !state.isUnavailable && !context.network.isCut(host, SimulatedNetwork.STATE)
     val hasAuthority get() = isAlive && (authority.isValid || mutation == Mutation.AUTHORITY_KEPT_AFTER_LEASE)
 
-    /** Whether the controller can renew the leases of workers. */
+    /** Whether the controller is allowed to renew the leases of workers. */
     private val canRenewLeases get() = hasAuthority && (mutation == Mutation.LEASES_RENEWED_WITH_STALE_REPLICA || replica.isCurrent(nowUs))
 
     fun otherControllers() = allControllers().filter { it != this }
--- a/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedFleet.kt
@@ -14,8 +14,9 @@
     )
 
     /**
-     * Runs [apply] as a transaction that requires the leadership. Calls [onReply] with whether it was executed, or with false if the reply
-     * is lost. Does not call [onReply] once the process or the term has ended.
+     * Runs [apply] as a transaction that requires the leadership. Calls [onReply] with true if it was executed, or with false if it was
+     * refused or no reply arrived in time; then it may still have been executed. Does not call [onReply] once the process or the term has
+     * ended.
      */
     fun write(
         apply: () -> Unit,
