--- a/src/test/kotlin/lichenstage/world/LateOrdersSimulationTest.kt
+++ b/src/test/kotlin/lichenstage/world/LateOrdersSimulationTest.kt
@@ -13,13 +13,13 @@
 class LateOrdersSimulationTest {
     @Example
     fun `orders that are executed minutes late violate no rule`() {
-        var fences = 0
+        var startFences = 0
         for (seed in SEEDS) {
             val cluster = SimulatedCluster(seed, profile = ClusterProfile.LATE_ORDERS).apply { run(FAULTS_US, CALM_US) }
             cluster.assertRulesHeld(seed)
-            fences += cluster.orderEvents.startFences
+            startFences += cluster.orderEvents.startFences
         }
-        assertTrue(fences > 0) { "no machine was given a newer fencing token because of an unwanted start" }
+        assertTrue(startFences > 0) { "no machine was given a newer fencing token because of an unwanted start" }
     }
 
     /** Simulates jobs that are cancelled one second after their submission, so that some of their starts are still held. */
@@ -36,17 +36,17 @@
     }
 
     @Example
-    fun `held starts of cancelled jobs cause few newer fencing tokens and no expired worker lease`() {
-        var unanswered = 0
+    fun `held starts of cancelled jobs cause few newer fencing tokens and no lost tasks`() {
+        var unansweredOrders = 0
         for (seed in CANCELLED_SEEDS) {
             val cluster = simulateEarlyCancellations(seed)
             cluster.assertRulesHeld(seed)
             val events = cluster.orderEvents
-            unanswered += events.unansweredOrders
+            unansweredOrders += events.unansweredOrders
             assertEquals(0, cluster.checker.tasksLost) { "seed $seed: ${cluster.checker.tasksLost} tasks lost, expected none; $events" }
             assertTrue(events.startFences + events.clearFences <= events.unansweredOrders + MAX_CLEAR_FENCES) { "seed $seed: $events" }
         }
-        assertTrue(unanswered > 100) { "$unanswered orders without a reply, expected more than 100" }
+        assertTrue(unansweredOrders > 100) { "$unansweredOrders orders without a reply, expected more than 100" }
     }
 
     @Example
@@ -78,17 +78,17 @@
 
     @Example
     fun `if no newer fencing token is available, heartbeats get no reply and worker leases expire in time`() {
-        var withheld = 0
+        var withheldReplies = 0
         for (seed in OUTAGE_SEEDS) {
             val cluster = simulateOutageBeforeTokens(seed)
             cluster.assertRulesHeld(seed)
-            withheld += cluster.orderEvents.withheldReplies
+            withheldReplies += cluster.orderEvents.withheldReplies
         }
-        assertTrue(withheld > 0) { "no reply to a heartbeat was withheld" }
+        assertTrue(withheldReplies > 0) { "no reply to a heartbeat was withheld" }
     }
 
     @Example
-    fun `if these heartbeats get a reply, a start of a cancelled job is executed late`() =
+    fun `if heartbeats get a reply although no newer fencing token is available, a start of a cancelled job is executed late`() =
         assertViolated("ran_cancelled", Mutation.REPLIED_WITHOUT_FENCING, OUTAGE_SEEDS) { seed ->
             simulateOutageBeforeTokens(seed, Mutation.REPLIED_WITHOUT_FENCING)
         }
@@ -98,13 +98,13 @@
         const val FAULTS_US = 120_000_000L
         const val CALM_US = 780_000_000L
 
-        /** Most orders are held, for up to two minutes. */
+        /** A cluster in which most direct orders are held, for up to two minutes. */
         val HELD_ORDERS = ClusterProfile(heldOrderShare = 0.7, maxHoldUs = 120 * SECOND)
         val CANCELLED_SEEDS = 1L..12L
         const val CANCELLED_US = 80_000_000L
         const val CANCELLED_CALM_US = 300_000_000L
 
-        /** Tokens raised to clear ended tasks: at most one for each of the nine machines in each minute. */
+        /** The limit of newer fencing tokens for clears: one per minute for each of the nine machines, for seven minutes. */
         const val MAX_CLEAR_FENCES = 9 * 7
         val OUTAGE_SEEDS = 1L..20L
         const val OUTAGE_FAULTS_US = 110_000_000L
--- a/src/test/kotlin/lichenstage/world/SimulatedAuthority.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedAuthority.kt
@@ -18,7 +18,7 @@
     private val host = hostOf(id)
     private val nowUs get() = context.nowUs
 
-    /** The incarnation of the controller's process that holds the lease. */
+    /** The incarnation of the process that last renewed the lease. */
     private var leaseIncarnation = 0
 
     /** The time until which the process has authority, due to its renewals and the moratoriums of the other controllers. */
@@ -44,7 +44,7 @@
         localMoratorium = LocalMoratorium(nowUs)
     }
 
-    /** Renews the lease, acquires keys that have no owner, and reads all owners. */
+    /** Renews the lease, acquires a random share of the keys that have no owner, and reads all owners. */
     fun renew() {
         if (leaseIncarnation != controller.incarnation) {
             // A new process takes its own lease and ends that of its predecessor.
@@ -67,20 +67,20 @@
     fun requestMoratoriums() {
         val requestedUs = nowUs
         val senderIncarnation = controller.incarnation
-        for (other in controller.otherControllers()) {
-            context.send(host, other.host) {
-                if (!other.isAlive || other.canReachState) return@send
-                other.authority.localMoratorium.grant(nowUs)
-                context.send(other.host, host) { if (controller.incarnation == senderIncarnation) onMoratoriumGranted(other, requestedUs) }
+        for (peer in controller.otherControllers()) {
+            context.send(host, peer.host) {
+                if (!peer.isAlive || peer.canReachState) return@send
+                peer.authority.localMoratorium.grant(nowUs)
+                context.send(peer.host, host) { if (controller.incarnation == senderIncarnation) onMoratoriumGranted(peer, requestedUs) }
             }
         }
     }
 
     private fun onMoratoriumGranted(
-        other: SimulatedController,
+        peer: SimulatedController,
         requestedUs: Long,
     ) {
-        peerMoratoriums.recordGrant(other.host, requestedUs)
+        peerMoratoriums.recordGrant(peer.host, requestedUs)
         if (controller.hasAuthority) validUntilUs = maxOf(validUntilUs, peerMoratoriums.grantedUntilUs())
     }
 
