--- a/src/main/kotlin/lichenstage/placement/JobTable.kt
+++ b/src/main/kotlin/lichenstage/placement/JobTable.kt
@@ -38,7 +38,10 @@
         if (job.phase == JobPhase.CLOSED && job.liveAttempts.isEmpty()) byId.remove(job.spec.id)
     }
 
-    /** Returns the numbers of done tasks and of tasks in progress of each open job, for display. A task that fetches its image is in progress. */
+    /**
+     * Returns the numbers of done tasks and of tasks in progress of each open job, for display. A task that fetches its image is in
+     * progress.
+     */
     fun taskCounts(): Map<String, List<Int>> =
         byId.values.filter { it.phase != JobPhase.CLOSED }.associate { job ->
             job.spec.id to listOf(job.spec.taskCount - job.remainingTasks, job.liveAttempts.values.count { it.phase != TaskPhase.PENDING })
--- a/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
@@ -79,7 +79,7 @@
         }
 
     companion object {
-        /** Returns an interruption of [attempt] by a failure. Drains ignore it if they have already recorded an interruption of the task. */
+        /** Returns an interruption of [attempt] by a failure. Drains ignore it if they have recorded one of the task already. */
         fun failureInterruption(
             attempt: Attempt,
             atUs: Long,
