--- a/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
@@ -27,31 +27,31 @@
     val isImageRequired: Boolean = false,
 )
 
-/** An order to start task [index] of the job of placement request [requestNumber] on [machine], which holds capacity for that request. */
+/** The command to start task [index] of the job of placement request [requestNumber] on [machine], which holds capacity for the request. */
 @Serializable
 @CborArray
-data class StartOrder(
+data class StartCommand(
     val requestNumber: Long,
     val machine: String,
     val index: Int,
     val attempt: Long,
 )
 
-/** An attempt on [machine] that the worker is to stop, or to clear from its list of ended attempts. */
+/** The command to stop an attempt on [machine], or to clear it from the list of ended attempts. */
 @Serializable
 @CborArray
-data class AttemptOrder(
+data class AttemptCommand(
     val machine: String,
     val task: String,
     val attempt: Long,
 )
 
 /**
- * An order to stop a running attempt after it had [leewayUs] microseconds to save a checkpoint. Versions that do not support this order
- * ignore it, so the task continues to run.
+ * The command to stop a running attempt after it had [leewayUs] microseconds to save a checkpoint. Versions that do not support this
+ * command ignore it, so the task continues to run.
  */
 @Serializable
-data class CheckpointStopOrder(
+data class CheckpointStopCommand(
     val machine: String,
     val task: String,
     val attempt: Long,
@@ -59,7 +59,7 @@
 )
 
 /**
- * A frame with the leader's placement requests and orders to one partition.
+ * A frame with the leader's placement requests and commands to one partition.
  *
  * A partition accepts frames only from the newest [term] it has seen (invariant 8), and within that term only with an increasing [seq].
  *
@@ -87,14 +87,14 @@
     @SerialName("asks")
     val requests: List<PlacementRequest> = emptyList(),
     @SerialName("starts")
-    val starts: List<StartOrder> = emptyList(),
+    val starts: List<StartCommand> = emptyList(),
     val releases: List<Long> = emptyList(),
-    val stops: List<AttemptOrder> = emptyList(),
-    val clears: List<AttemptOrder> = emptyList(),
+    val stops: List<AttemptCommand> = emptyList(),
+    val clears: List<AttemptCommand> = emptyList(),
     @SerialName("closed")
     val cordoned: Set<String>? = null,
     /** Omitted from the frame if empty, so that the bytes equal those of versions without this field. */
     @EncodeDefault(EncodeDefault.Mode.NEVER)
     @SerialName("saves")
-    val checkpointStops: List<CheckpointStopOrder> = emptyList(),
+    val checkpointStops: List<CheckpointStopCommand> = emptyList(),
 ) : Frame
--- a/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
+++ b/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
@@ -1,10 +1,10 @@
 package lichenstage.partition
 
-import lichenstage.cluster.AttemptOrder
-import lichenstage.cluster.CheckpointStopOrder
+import lichenstage.cluster.AttemptCommand
+import lichenstage.cluster.CheckpointStopCommand
 import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.PlacementRequest
-import lichenstage.cluster.StartOrder
+import lichenstage.cluster.StartCommand
 
 /** The handler for frames of the leader: starts, stops, clears, checkpoint stops, cordons, placement requests and releases of holds. */
 internal class LeaderFrameHandler(
@@ -30,11 +30,11 @@
         if (frame.acknowledgedTerm == term) changeLog.acknowledge(frame.acknowledgedVersion)
         placementOffers.expireHolds(nowUs)
         frame.releases.forEach(placementOffers::release)
-        for (order in frame.starts) handleStart(order, nowUs)
+        for (command in frame.starts) handleStart(command, nowUs)
         // The leader does not need the capacity that remains in a hold after the starts of this frame.
         frame.starts.forEach { placementOffers.release(it.requestNumber) }
-        for (order in frame.stops) updateAttempt(order) { it.isStopRequested = true }
-        for (order in frame.clears) updateAttempt(order) { it.isClearRequested = true }
+        for (command in frame.stops) updateAttempt(command) { it.isStopRequested = true }
+        for (command in frame.clears) updateAttempt(command) { it.isClearRequested = true }
         frame.checkpointStops.forEach(::requestCheckpointStop)
         placementOffers.grant(frame.requests, nowUs).forEach(changeLog::addOffer)
         if (frame.requests.isNotEmpty() || frame.starts.isNotEmpty() || frame.stops.isNotEmpty()) changeLog.requestFrame()
@@ -46,49 +46,49 @@
     }
 
     /**
-     * Starts the task of [order], or refuses the order, for example if no hold exists for it. In both cases the machine is reported to
+     * Starts the task of [command], or refuses the command, for example if no hold exists for it. In both cases the machine is reported to
      * the leader again. After a refusal, the machine's task list shows the leader that the attempt does not exist.
      */
     private fun handleStart(
-        order: StartOrder,
+        command: StartCommand,
         nowUs: Long,
     ) {
-        val machine = machines[order.machine] ?: return
-        val request = placementOffers.findHeldRequest(order.requestNumber, machine)
+        val machine = machines[command.machine] ?: return
+        val request = placementOffers.findHeldRequest(command.requestNumber, machine)
         val refusal = placementOffers.findRefusal(request, machine, nowUs)
         if (refusal != null) {
-            val task = request?.let { "${it.job}/${order.index}" }.orEmpty()
-            reportEvent(OrderEvent.StartRefused(order.machine, task, order.attempt, refusal))
+            val task = request?.let { "${it.job}/${command.index}" }.orEmpty()
+            reportEvent(OrderEvent.StartRefused(command.machine, task, command.attempt, refusal))
         } else if (request != null) {
-            startTask(order, request, machine, nowUs)
+            startTask(command, request, machine, nowUs)
         }
         changeLog.record(machine)
     }
 
     private fun startTask(
-        order: StartOrder,
+        command: StartCommand,
         request: PlacementRequest,
         machine: Machine,
         nowUs: Long,
     ) {
-        placementOffers.consume(order.requestNumber, machine)
+        placementOffers.consume(command.requestNumber, machine)
         machine.recordImageUse(request.requirements)
-        if (!machine.attempts.containsKey(order.attempt)) {
-            val attempt = WorkerAttempt("${request.job}/${order.index}", order.attempt, nowUs)
+        if (!machine.attempts.containsKey(command.attempt)) {
+            val attempt = WorkerAttempt("${request.job}/${command.index}", command.attempt, nowUs)
             attempt.version = changeLog.nextVersion
             orderFencing.updateJobConfirmedOpenTime(attempt)
-            machine.attempts.put(order.attempt, attempt)
+            machine.attempts.put(command.attempt, attempt)
             machine.invalidateUsedResources()
         }
         orderQueue.add(machine)
     }
 
     private fun updateAttempt(
-        order: AttemptOrder,
+        command: AttemptCommand,
         update: (WorkerAttempt) -> Unit,
     ) {
-        val machine = machines[order.machine] ?: return
-        val attempt = machine.attempts.get(order.attempt) ?: return
+        val machine = machines[command.machine] ?: return
+        val attempt = machine.attempts.get(command.attempt) ?: return
         update(attempt)
         orderQueue.add(machine)
         if (attempt.isUnwantedStart) orderFencing.addUnwantedStart(machine)
@@ -97,10 +97,10 @@
     }
 
     /** Requests that the task saves a checkpoint and stops. The stop is sent only while the task is running, not while it is saving. */
-    private fun requestCheckpointStop(order: CheckpointStopOrder) {
-        val machine = machines[order.machine] ?: return
-        val attempt = machine.attempts.get(order.attempt) ?: return
-        attempt.checkpointLeewayUs = order.leewayUs
+    private fun requestCheckpointStop(command: CheckpointStopCommand) {
+        val machine = machines[command.machine] ?: return
+        val attempt = machine.attempts.get(command.attempt) ?: return
+        attempt.checkpointLeewayUs = command.leewayUs
         orderQueue.add(machine)
     }
 }
--- a/src/main/kotlin/lichenstage/placement/Attempt.kt
+++ b/src/main/kotlin/lichenstage/placement/Attempt.kt
@@ -35,7 +35,7 @@
     var startedRunningAtUs = 0L
 
     /** The time in microseconds of the first command to save a checkpoint and stop; 0 if there was none. */
-    var saveCommandedAtUs = 0L
+    var checkpointStopAtUs = 0L
 
     /** Returns the progress of the task at [nowUs] in microseconds of run time, including the checkpoints of earlier attempts. */
     fun progressUs(nowUs: Long) = job.savedProgressUs(index) + if (startedRunningAtUs > 0) nowUs - startedRunningAtUs else 0
--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -228,7 +228,7 @@
 
     /** Returns the progress that is kept when the attempt ends: all progress up to a stop with a checkpoint, if one was sent. */
     private fun progressAtStopUs(attempt: Attempt) =
-        if (attempt.saveCommandedAtUs > 0) attempt.progressUs(attempt.saveCommandedAtUs) else checkpointedProgressUs(attempt)
+        if (attempt.checkpointStopAtUs > 0) attempt.progressUs(attempt.checkpointStopAtUs) else checkpointedProgressUs(attempt)
 
     /** Returns the progress at the last periodic checkpoint; 0 if the task saves none. */
     private fun checkpointedProgressUs(attempt: Attempt): Long {
--- a/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
@@ -1,6 +1,6 @@
 package lichenstage.placement
 
-import lichenstage.cluster.CheckpointStopOrder
+import lichenstage.cluster.CheckpointStopCommand
 import lichenstage.cluster.MachineState
 import lichenstage.cluster.TaskPhase
 import lichenstage.common.SECOND
@@ -57,12 +57,12 @@
      * attempts that may be running there. If the machine [isDrained] by an operator and has no reclaim notice, only the attempts whose stop
      * the drain has requested are stopped, because only their stop is within the disruption budget of their team.
      */
-    fun takeDueSaveCommands(
+    fun takeDueCheckpointStops(
         machine: String,
         attempts: Collection<Attempt>,
         isDrained: Boolean,
         nowUs: Long,
-    ): List<CheckpointStopOrder> {
+    ): List<CheckpointStopCommand> {
         val reclaimDeadlineUs = reclaimDeadlinesUs[machine]
         val preemptedAttempts =
             when {
@@ -75,7 +75,7 @@
             .distinct()
             .filter {
                 markSentIfDue(it, nowUs)
-            }.map { CheckpointStopOrder(machine, it.task, it.number, graceUs(it)) }
+            }.map { CheckpointStopCommand(machine, it.task, it.number, graceUs(it)) }
     }
 
     private fun selectBeforeReclaim(
@@ -132,7 +132,7 @@
         val previousSentAtUs = lastSentAtUs[attempt.number]
         if (previousSentAtUs != null && nowUs - previousSentAtUs < REPEAT_INTERVAL_US) return false
         lastSentAtUs[attempt.number] = nowUs
-        if (attempt.saveCommandedAtUs == 0L && savesCheckpoints(attempt)) attempt.saveCommandedAtUs = nowUs
+        if (attempt.checkpointStopAtUs == 0L && savesCheckpoints(attempt)) attempt.checkpointStopAtUs = nowUs
         return true
     }
 
--- a/src/main/kotlin/lichenstage/placement/LeaderCore.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderCore.kt
@@ -270,7 +270,7 @@
         updateFailover()
         attemptTracker.endAbsentAttempts(runningAttempts.all()) { partitionTable[it] }
         totalCores = partitionTable.totalCores { lookups.capacityOf(it)?.cores ?: 0.0 }
-        outbox.setSaveCommands(checkpointStops.takeDueCommandsByPartition(nowUs))
+        outbox.setCheckpointStops(checkpointStops.takeDueCommandsByPartition(nowUs))
     }
 
     /**
--- a/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
@@ -1,6 +1,6 @@
 package lichenstage.placement
 
-import lichenstage.cluster.AttemptOrder
+import lichenstage.cluster.AttemptCommand
 import lichenstage.cluster.MachineState
 import lichenstage.cluster.TaskEndCause
 import lichenstage.cluster.TaskPhase
@@ -8,8 +8,8 @@
 
 /** The stops and clears that a machine needs, and whether it runs tasks that count for no team because their attempts are not tracked. */
 internal class MachineReconciliation(
-    val stops: List<AttemptOrder>,
-    val clears: List<AttemptOrder>,
+    val stops: List<AttemptCommand>,
+    val clears: List<AttemptCommand>,
     val hasUnaccountedTasks: Boolean,
 ) {
     companion object {
@@ -19,17 +19,17 @@
             jobs: Map<String, Job>,
         ): MachineReconciliation {
             if (machine.isLost) return MachineReconciliation(emptyList(), emptyList(), hasUnaccountedTasks = false)
-            val stops = ArrayList<AttemptOrder>()
-            val clears = ArrayList<AttemptOrder>()
+            val stops = ArrayList<AttemptCommand>()
+            val clears = ArrayList<AttemptCommand>()
             var hasUnaccountedTasks = false
             for (task in machine.tasks) {
                 val job = jobs[task.job]
                 if (task.phase == TaskPhase.ENDED) {
-                    if (!mustBeKept(task, job)) clears += orderFor(machine, task)
+                    if (!mustBeKept(task, job)) clears += commandFor(machine, task)
                 } else {
                     val isTrackedAttempt = isTracked(task, machine.name, job)
                     if (!isTrackedAttempt) hasUnaccountedTasks = true
-                    if (!isTrackedAttempt || !isOpen(job)) stops += orderFor(machine, task)
+                    if (!isTrackedAttempt || !isOpen(job)) stops += commandFor(machine, task)
                 }
             }
             // A worker that has not shown the fencing token gets no commands.
@@ -44,10 +44,10 @@
             }
         }
 
-        private fun orderFor(
+        private fun commandFor(
             machine: MachineState,
             task: TaskState,
-        ) = AttemptOrder(machine.name, task.task, task.attempt)
+        ) = AttemptCommand(machine.name, task.task, task.attempt)
 
         private fun isOpen(job: Job?) = job != null && job.phase != JobPhase.CLOSED
 
--- a/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
+++ b/src/main/kotlin/lichenstage/placement/PartitionOutbox.kt
@@ -1,10 +1,10 @@
 package lichenstage.placement
 
-import lichenstage.cluster.AttemptOrder
-import lichenstage.cluster.CheckpointStopOrder
+import lichenstage.cluster.AttemptCommand
+import lichenstage.cluster.CheckpointStopCommand
 import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.PlacementRequest
-import lichenstage.cluster.StartOrder
+import lichenstage.cluster.StartCommand
 import lichenstage.common.MILLI
 import lichenstage.model.JobRequirements
 
@@ -24,9 +24,9 @@
 }
 
 /**
- * The leader's outgoing frames to the partitions: their sequence numbers, the times at which they are due, and the stops, clears and saves
- * that they must contain. A frame is sent soon after something has changed. Without changes, frames are sent at a regular interval, to show
- * that the leader is alive.
+ * The leader's outgoing frames to the partitions: their sequence numbers, the times at which they are due, and the stops, clears and
+ * checkpoint stops that they must contain. A frame is sent soon after something has changed. Without changes, frames are sent at a regular
+ * interval, to show that the leader is alive.
  */
 internal class PartitionOutbox(
     private val term: Long,
@@ -38,7 +38,7 @@
     private val duePartitions = HashSet<String>()
     private val partitionSync = PartitionSync()
     private val pendingCommands = PendingCommands()
-    private val savesByPartition = HashMap<String, List<CheckpointStopOrder>>()
+    private val checkpointStopsByPartition = HashMap<String, List<CheckpointStopCommand>>()
 
     /** Makes the next frame to the partition due soon, because there is something to send. */
     fun markDue(partition: String) {
@@ -61,16 +61,16 @@
     fun setStopsAndClears(
         partition: String,
         machine: String,
-        stops: List<AttemptOrder>,
-        clears: List<AttemptOrder>,
+        stops: List<AttemptCommand>,
+        clears: List<AttemptCommand>,
     ) {
         if (pendingCommands.replace(partition, machine, stops, clears)) markDue(partition)
     }
 
     /** Replaces the commands to save a checkpoint and stop, by partition. They are sent with the next frame to each partition. */
-    fun setSaveCommands(byPartition: Map<String, List<CheckpointStopOrder>>) {
-        savesByPartition.clear()
-        savesByPartition += byPartition
+    fun setCheckpointStops(byPartition: Map<String, List<CheckpointStopCommand>>) {
+        checkpointStopsByPartition.clear()
+        checkpointStopsByPartition += byPartition
         duePartitions += byPartition.keys
     }
 
@@ -84,14 +84,14 @@
     }
 
     /**
-     * Sends a frame to partition [id] with the given requests, starts and releases, and with the stops, clears and saves that its machines
-     * still need. Returns the sequence number of the frame.
+     * Sends a frame to partition [id] with the given requests, starts and releases, and with the stops, clears and checkpoint stops that
+     * its machines still need. Returns the sequence number of the frame.
      */
     fun send(
         id: String,
         nowUs: Long,
         requests: List<PlacementRequest> = emptyList(),
-        starts: List<StartOrder> = emptyList(),
+        starts: List<StartCommand> = emptyList(),
         releases: List<Long> = emptyList(),
     ): Long {
         val seq = (lastSeqByPartition[id] ?: 0) + 1
@@ -116,7 +116,7 @@
                 stops = stops,
                 clears = clears,
                 cordoned = partitionSync.takeCordonedIfDue(id, partition, nowUs, source::isExcludedFromPlacement),
-                checkpointStops = savesByPartition.remove(id).orEmpty(),
+                checkpointStops = checkpointStopsByPartition.remove(id).orEmpty(),
             )
         emit(LeaderEffect.SendFrame(id, frame))
         return seq
--- a/src/main/kotlin/lichenstage/placement/PendingCommands.kt
+++ b/src/main/kotlin/lichenstage/placement/PendingCommands.kt
@@ -1,12 +1,12 @@
 package lichenstage.placement
 
-import lichenstage.cluster.AttemptOrder
+import lichenstage.cluster.AttemptCommand
 import lichenstage.common.SECOND
 
 /** The stop and clear commands that are sent in one frame. */
 data class DueCommands(
-    val stops: List<AttemptOrder>,
-    val clears: List<AttemptOrder>,
+    val stops: List<AttemptCommand>,
+    val clears: List<AttemptCommand>,
 )
 
 /**
@@ -15,7 +15,7 @@
  */
 class PendingCommands {
     private class PendingCommand(
-        val order: AttemptOrder,
+        val attemptCommand: AttemptCommand,
         val isStop: Boolean,
     ) {
         var sentAtUs = Long.MIN_VALUE / 2
@@ -27,8 +27,8 @@
     fun replace(
         partition: String,
         machine: String,
-        stops: List<AttemptOrder>,
-        clears: List<AttemptOrder>,
+        stops: List<AttemptCommand>,
+        clears: List<AttemptCommand>,
     ): Boolean {
         val commandsByMachine = commandsByPartition.getOrPut(partition) { LinkedHashMap() }
         if (stops.isEmpty() && clears.isEmpty()) {
@@ -39,10 +39,10 @@
         var hasNew = false
 
         fun findOrCreate(
-            order: AttemptOrder,
+            attemptCommand: AttemptCommand,
             isStop: Boolean,
-        ) = oldCommands.firstOrNull { it.isStop == isStop && it.order == order }
-            ?: PendingCommand(order, isStop).also { hasNew = true }
+        ) = oldCommands.firstOrNull { it.isStop == isStop && it.attemptCommand == attemptCommand }
+            ?: PendingCommand(attemptCommand, isStop).also { hasNew = true }
         commandsByMachine[machine] = stops.map { findOrCreate(it, true) } + clears.map { findOrCreate(it, false) }
         return hasNew
     }
@@ -65,8 +65,8 @@
         partition: String,
         nowUs: Long,
     ): DueCommands {
-        val stops = ArrayList<AttemptOrder>()
-        val clears = ArrayList<AttemptOrder>()
+        val stops = ArrayList<AttemptCommand>()
+        val clears = ArrayList<AttemptCommand>()
         val pendingCommands =
             commandsByPartition[partition]
                 ?.values
@@ -75,7 +75,7 @@
                 .flatten()
         for (command in pendingCommands.filter { isDue(it, nowUs) }.take(MAX_COMMANDS_PER_FRAME)) {
             command.sentAtUs = nowUs
-            (if (command.isStop) stops else clears) += command.order
+            (if (command.isStop) stops else clears) += command.attemptCommand
         }
         return DueCommands(stops, clears)
     }
--- a/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
@@ -2,7 +2,7 @@
 
 import lichenstage.cluster.HeldSlots
 import lichenstage.cluster.Offer
-import lichenstage.cluster.StartOrder
+import lichenstage.cluster.StartCommand
 import lichenstage.model.PartitionAssignment
 import lichenstage.model.Resources
 
@@ -95,14 +95,14 @@
     ) {
         currentRound = null
         val unaccountedUse = context.unaccountedUse()
-        val startsByPartition = HashMap<String, ArrayList<StartOrder>>()
+        val startsByPartition = HashMap<String, ArrayList<StartCommand>>()
         val startedAttempts = ArrayList<Attempt>()
         for (request in endingRound.requests) {
             if (request.job.phase != JobPhase.OPEN) continue
             for (attempt in createAttempts(request, endingRound, unaccountedUse, nowUs)) {
                 startedAttempts += attempt
                 startsByPartition.getOrPut(attempt.partition) { ArrayList() } +=
-                    StartOrder(request.request.requestNumber, attempt.machine, attempt.index, attempt.number)
+                    StartCommand(request.request.requestNumber, attempt.machine, attempt.index, attempt.number)
             }
         }
         val allRequestNumbers = endingRound.requests.map { it.request.requestNumber }
--- a/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/FrameCodecTest.kt
@@ -33,15 +33,15 @@
     fun frames(): Arbitrary<Frame> {
         val numbers = Arbitraries.longs()
         val words = Arbitraries.strings().ofMaxLength(12)
-        val orders =
+        val commands =
             Combinators
                 .combine(words, words, numbers)
-                .`as`(::AttemptOrder)
+                .`as`(::AttemptCommand)
                 .list()
                 .ofMaxSize(4)
         val requirements = JobRequirements(Resources(1.5, 0.0, 7.25), "img")
         val leader =
-            Combinators.combine(words, numbers, numbers, orders, orders).`as` { w, a, b, stops, clears ->
+            Combinators.combine(words, numbers, numbers, commands, commands).`as` { w, a, b, stops, clears ->
                 LeaderFrame(
                     w,
                     a,
@@ -51,12 +51,12 @@
                     mapOf(w to requirements),
                     mapOf(w to "1.2.3.4:5"),
                     listOf(PlacementRequest(a, w, requirements, 3, if (a % 2 == 0L) null else listOf(w), null, true)),
-                    listOf(StartOrder(a, w, 3, b)),
+                    listOf(StartCommand(a, w, 3, b)),
                     listOf(a, b),
                     stops,
                     clears,
                     setOf(w),
-                    if (a > b) emptyList() else listOf(CheckpointStopOrder(w, w, a, b)),
+                    if (a > b) emptyList() else listOf(CheckpointStopCommand(w, w, a, b)),
                 )
             }
         val partition =
--- a/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
+++ b/src/test/kotlin/lichenstage/cluster/ProductionSamplesTest.kt
@@ -34,9 +34,9 @@
         val seq: Long,
         val ackTerm: Long,
         val ackVersion: Long,
-        val starts: List<StartOrder> = emptyList(),
-        val stops: List<AttemptOrder> = emptyList(),
-        val clears: List<AttemptOrder> = emptyList(),
+        val starts: List<StartCommand> = emptyList(),
+        val stops: List<AttemptCommand> = emptyList(),
+        val clears: List<AttemptCommand> = emptyList(),
         val closed: Set<String>? = null,
     )
 
@@ -48,9 +48,9 @@
                 ignoreUnknownKeys = true
                 encodeDefaults = true
             }
-        val stop = AttemptOrder("m", "j-1/0", 7)
+        val stop = AttemptCommand("m", "j-1/0", 7)
         val plain = LeaderFrame("z/0", 1, 2, 3, 4, stops = listOf(stop), cordoned = setOf("m"))
-        val saving = plain.copy(checkpointStops = listOf(CheckpointStopOrder("m", "j-1/1", 8, 5)))
+        val saving = plain.copy(checkpointStops = listOf(CheckpointStopCommand("m", "j-1/1", 8, 5)))
         for (frame in listOf(plain, saving)) {
             val read =
                 codec.decodeFromByteArray(
--- a/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/LateOrdersTest.kt
@@ -2,7 +2,7 @@
 
 import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.PlacementRequest
-import lichenstage.cluster.StartOrder
+import lichenstage.cluster.StartCommand
 import lichenstage.common.MILLI
 import lichenstage.common.SECOND
 import lichenstage.model.JobRequirements
@@ -46,7 +46,7 @@
 
         fun sendLeaderFrame(
             requests: List<PlacementRequest> = emptyList(),
-            starts: List<StartOrder> = emptyList(),
+            starts: List<StartCommand> = emptyList(),
         ) = partition.onLeaderFrame(LeaderFrame("a/0", 1, ++sequence, 0, 0, requests = requests, starts = starts), nowUs)
 
         fun runUntil(untilUs: Long) {
@@ -77,7 +77,7 @@
         /** Sends the start of j-1/0 as a direct order that does not reach the worker yet. */
         fun sendDelayedStart(): DirectOrder {
             sendLeaderFrame(requests = listOf(PlacementRequest(1, "j-1", JobRequirements(job.resources(), "img"), 1, null, null, true)))
-            sendLeaderFrame(starts = listOf(StartOrder(1, worker.name, 0, 1)))
+            sendLeaderFrame(starts = listOf(StartCommand(1, worker.name, 0, 1)))
             return partition.nextDirectOrders(nowUs).single().also { unansweredOrders += it }
         }
 
--- a/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionCoreTest.kt
@@ -1,7 +1,7 @@
 package lichenstage.partition
 
 import lichenstage.cluster.LeaderFrame
-import lichenstage.cluster.StartOrder
+import lichenstage.cluster.StartCommand
 import lichenstage.cluster.TaskPhase
 import lichenstage.common.SECOND
 import net.jqwik.api.Example
@@ -69,7 +69,7 @@
         partition.onHeartbeat(heartbeat(5), 0)
         partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), 0)
         partition.nextFrame(1)
-        partition.onLeaderFrame(frame(starts = listOf(StartOrder(1, "m", 0, 1))), 6 * SECOND)
+        partition.onLeaderFrame(frame(starts = listOf(StartCommand(1, "m", 0, 1))), 6 * SECOND)
         assertTrue(partition.nextDirectOrders(6 * SECOND).isEmpty()) { "the task was started on an expired hold" }
         assertTrue(onlyMachineOfNextFrame(partition, 6 * SECOND).tasks.isEmpty()) { "the refused task is listed" }
     }
@@ -80,8 +80,8 @@
         partition.onHeartbeat(heartbeat(5), 0)
         partition.onLeaderFrame(frame(term = 1, requests = listOf(request(1, 1))), 0)
         partition.onLeaderFrame(frame(term = 2), 1)
-        partition.onLeaderFrame(frame(term = 1, starts = listOf(StartOrder(1, "m", 0, 1))), 2)
-        partition.onLeaderFrame(frame(term = 2, starts = listOf(StartOrder(1, "m", 0, 1))), 3)
+        partition.onLeaderFrame(frame(term = 1, starts = listOf(StartCommand(1, "m", 0, 1))), 2)
+        partition.onLeaderFrame(frame(term = 2, starts = listOf(StartCommand(1, "m", 0, 1))), 3)
         assertTrue(partition.nextDirectOrders(3).isEmpty()) { "the task was started on a dropped hold" }
     }
 
@@ -151,7 +151,7 @@
         val partition = newPartition()
         listOf("a", "b", "c").forEach { partition.onHeartbeat(heartbeat(5, machine = it), 1) }
         partition.onLeaderFrame(frame(requests = listOf(request(1, 3))), 2)
-        partition.onLeaderFrame(frame(starts = listOf(StartOrder(1, "b", 0, 1))), 3)
+        partition.onLeaderFrame(frame(starts = listOf(StartCommand(1, "b", 0, 1))), 3)
         partition.nextDirectOrders(3)
         partition.onHeartbeat(heartbeat(5, TaskReport("j-1/0", 1, TaskPhase.ENDED, "done"), machine = "b"), 4)
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), 5)
@@ -163,7 +163,7 @@
         val partition = newPartition()
         listOf("a", "b").forEach { partition.onHeartbeat(heartbeat(5, machine = it), 1) }
         partition.onLeaderFrame(frame(requests = listOf(request(1, 4))), 2)
-        partition.onLeaderFrame(frame(starts = listOf(StartOrder(1, "b", 0, 1))), 3)
+        partition.onLeaderFrame(frame(starts = listOf(StartCommand(1, "b", 0, 1))), 3)
         partition.onLeaderFrame(frame(requests = listOf(request(2, 3).copy(isImageRequired = true), request(3, 3))), 4)
         val counts =
             partition
@@ -181,7 +181,7 @@
         partition.onLeaderFrame(frame(requests = listOf(request(1, 3).copy(isImageRequired = true))), 2)
         assertTrue(machinesOfferedInNextFrame(partition, 2).isEmpty()) { "a machine without the image was offered" }
         partition.onLeaderFrame(frame(requests = listOf(request(2, 4))), 3)
-        partition.onLeaderFrame(frame(starts = listOf(StartOrder(2, "b", 0, 1))), 4)
+        partition.onLeaderFrame(frame(starts = listOf(StartCommand(2, "b", 0, 1))), 4)
         partition.nextDirectOrders(4)
         partition.onLeaderFrame(frame(requests = listOf(request(3, 3).copy(isImageRequired = true))), 5)
         assertEquals(listOf("b"), machinesOfferedInNextFrame(partition, 5)) { "expected only the machine that fetches the image" }
--- a/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
@@ -4,7 +4,7 @@
 import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.MachineState
 import lichenstage.cluster.PartitionFrame
-import lichenstage.cluster.StartOrder
+import lichenstage.cluster.StartCommand
 import lichenstage.cluster.TaskPhase
 import lichenstage.common.SECOND
 import lichenstage.model.MachineLimits
@@ -57,7 +57,7 @@
         acknowledgedVersion: Long,
         startedMachine: String,
     ) = partition.onLeaderFrame(
-        LeaderFrame("z/0", term, ++seq, 5, acknowledgedVersion, starts = listOf(StartOrder(1, startedMachine, 0, ++lastAttempt))),
+        LeaderFrame("z/0", term, ++seq, 5, acknowledgedVersion, starts = listOf(StartCommand(1, startedMachine, 0, ++lastAttempt))),
         nowUs,
     )
 
--- a/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionFixture.kt
@@ -1,10 +1,10 @@
 package lichenstage.partition
 
-import lichenstage.cluster.AttemptOrder
-import lichenstage.cluster.CheckpointStopOrder
+import lichenstage.cluster.AttemptCommand
+import lichenstage.cluster.CheckpointStopCommand
 import lichenstage.cluster.LeaderFrame
 import lichenstage.cluster.PlacementRequest
-import lichenstage.cluster.StartOrder
+import lichenstage.cluster.StartCommand
 import lichenstage.cluster.TaskEndCause
 import lichenstage.cluster.TaskPhase
 import lichenstage.common.SECOND
@@ -35,9 +35,9 @@
     protected fun frame(
         term: Long = 1,
         requests: List<PlacementRequest> = emptyList(),
-        starts: List<StartOrder> = emptyList(),
-        stops: List<AttemptOrder> = emptyList(),
-        clears: List<AttemptOrder> = emptyList(),
+        starts: List<StartCommand> = emptyList(),
+        stops: List<AttemptCommand> = emptyList(),
+        clears: List<AttemptCommand> = emptyList(),
     ) = LeaderFrame("z/0", term, ++seq, 0, 0, requests = requests, starts = starts, stops = stops, clears = clears)
 
     protected fun request(
@@ -58,12 +58,12 @@
         partition.onHeartbeat(heartbeat(0), nowUs)
         partition.onHeartbeat(heartbeat(5), nowUs)
         partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), nowUs)
-        partition.onLeaderFrame(frame(starts = listOf(StartOrder(1, "m", 0, 1))), nowUs)
+        partition.onLeaderFrame(frame(starts = listOf(StartCommand(1, "m", 0, 1))), nowUs)
         return partition.nextDirectOrders(nowUs).single()
     }
 
     protected fun checkpointStopFrame(leewayS: Long = 5) =
-        LeaderFrame("z/0", 1, ++seq, 0, 0, checkpointStops = listOf(CheckpointStopOrder("m", "j-1/0", 1, leewayS * SECOND)))
+        LeaderFrame("z/0", 1, ++seq, 0, 0, checkpointStops = listOf(CheckpointStopCommand("m", "j-1/0", 1, leewayS * SECOND)))
 
     protected fun taskReport(phase: TaskPhase) = TaskReport("j-1/0", 1, phase, if (phase == TaskPhase.ENDED) TaskEndCause.HALTED else null)
 
--- a/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionOrdersTest.kt
@@ -1,7 +1,7 @@
 package lichenstage.partition
 
-import lichenstage.cluster.AttemptOrder
-import lichenstage.cluster.StartOrder
+import lichenstage.cluster.AttemptCommand
+import lichenstage.cluster.StartCommand
 import lichenstage.cluster.TaskPhase
 import lichenstage.common.SECOND
 import net.jqwik.api.Example
@@ -20,8 +20,8 @@
         partition.onHeartbeat(heartbeat(5, TaskReport("j-9/0", 9, TaskPhase.RUNNING, null), machine = "m3"), 2)
         partition.nextDirectOrders(2)
         partition.onLeaderFrame(frame(requests = listOf(request(1, 4))), 3)
-        val starts = listOf("m1", "m2").mapIndexed { i, name -> StartOrder(1, name, i, 10L + i) }
-        partition.onLeaderFrame(frame(starts = starts, stops = listOf(AttemptOrder("m3", "j-9/0", 9))), 4)
+        val starts = listOf("m1", "m2").mapIndexed { i, name -> StartCommand(1, name, i, 10L + i) }
+        partition.onLeaderFrame(frame(starts = starts, stops = listOf(AttemptCommand("m3", "j-9/0", 9))), 4)
         assertTrue(partition.nextDirectOrders(5, limit = 0).isEmpty()) { "sent without an available connection" }
         assertEquals(listOf("m3"), partition.nextDirectOrders(5, limit = 1).map { it.machine }) { "the stop was not first" }
         assertEquals(listOf("m1", "m2"), partition.nextDirectOrders(6, limit = 9).map { it.machine }) { "the starts did not follow" }
@@ -34,7 +34,7 @@
             val order = startTask(partition)
             val ended = TaskReport("j-1/0", 1, TaskPhase.ENDED, cause)
             partition.onOrderOutcome(order, OrderOutcome.Replied(true, heartbeat(5, ended)), 2)
-            partition.onLeaderFrame(frame(clears = listOf(AttemptOrder("m", "j-1/0", 1))), 3)
+            partition.onLeaderFrame(frame(clears = listOf(AttemptCommand("m", "j-1/0", 1))), 3)
             for (nowUs in listOf(9 * SECOND, 29 * LEASE_US, 31 * LEASE_US, 1000 * LEASE_US)) {
                 val commands = partition.commands(heartbeat(5, ended), nowUs)
                 assertEquals((cause == "done"), commands.any { it is Command.Clear }) { "$cause at $nowUs: $commands" }
@@ -56,7 +56,7 @@
         val done = TaskReport("j-1/0", 1, TaskPhase.ENDED, "done")
         partition.onOrderOutcome(order, OrderOutcome.Indeterminate, 3 * SECOND)
         partition.onProbeResult(StatusProbe("m", "1.2.3.4:5", 5, 1), heartbeat(5, done), 5 * SECOND)
-        partition.onLeaderFrame(frame(clears = listOf(AttemptOrder("m", "j-1/0", 1))), 6 * SECOND)
+        partition.onLeaderFrame(frame(clears = listOf(AttemptCommand("m", "j-1/0", 1))), 6 * SECOND)
         assertTrue(partition.commands(heartbeat(5, done), 7 * SECOND).isEmpty()) { "cleared while the order may still be executed" }
         partition.addReservedTokens(6L..9L)
         partition.tick(8 * SECOND)
@@ -71,7 +71,7 @@
         val ended = TaskReport("j-1/0", 1, TaskPhase.ENDED, "done")
         assertTrue(partition.commands(heartbeat(5), 10).single() is Command.Start) { "the reply does not carry the start" }
         partition.onOrderOutcome(order, OrderOutcome.Replied(true, heartbeat(5, ended)), 11)
-        partition.onLeaderFrame(frame(clears = listOf(AttemptOrder("m", "j-1/0", 1))), 12)
+        partition.onLeaderFrame(frame(clears = listOf(AttemptCommand("m", "j-1/0", 1))), 12)
         assertTrue(partition.commands(heartbeat(5, ended), SECOND).isEmpty()) { "cleared too early" }
         assertTrue(partition.commands(heartbeat(5, ended), 7 * SECOND).single() is Command.Clear) { "not cleared" }
     }
@@ -97,7 +97,7 @@
         partition.onLeaderFrame(checkpointStopFrame(), SECOND)
         partition.nextDirectOrders(SECOND)
         partition.onHeartbeat(heartbeat(5, taskReport(TaskPhase.SAVING)), 2 * SECOND)
-        partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2 * SECOND)
+        partition.onLeaderFrame(frame(stops = listOf(AttemptCommand("m", "j-1/0", 1))), 2 * SECOND)
         val commands = partition.commands(heartbeat(5, taskReport(TaskPhase.SAVING)), 3 * SECOND)
         assertEquals(listOf(Command.Stop("j-1/0", 1, 0.0)), commands) { "$commands" }
     }
@@ -149,7 +149,7 @@
     fun `an unwanted start whose order was never sent is removed`() {
         val partition = newPartition()
         val order = startTask(partition)
-        partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
+        partition.onLeaderFrame(frame(stops = listOf(AttemptCommand("m", "j-1/0", 1))), 2)
         assertEquals(1, onlyMachineOfNextFrame(partition, 2).tasks.size) { "removed while its order is in flight" }
         partition.onOrderOutcome(order, OrderOutcome.NotSent, 3)
         assertTrue(onlyMachineOfNextFrame(partition, SECOND).tasks.isEmpty()) { "not removed" }
@@ -160,7 +160,7 @@
         val partition = newPartition()
         val order = startTask(partition)
         partition.onOrderOutcome(order, OrderOutcome.Indeterminate, SECOND)
-        partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), SECOND)
+        partition.onLeaderFrame(frame(stops = listOf(AttemptCommand("m", "j-1/0", 1))), SECOND)
 
         fun taskCount(
             nowUs: Long,
@@ -197,7 +197,7 @@
         for (outcome in inconclusiveOutcomes) {
             val partition = newPartition()
             val order = startTask(partition)
-            partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
+            partition.onLeaderFrame(frame(stops = listOf(AttemptCommand("m", "j-1/0", 1))), 2)
             partition.onOrderOutcome(order, outcome, SECOND)
             partition.onHeartbeat(heartbeat(5), SECOND)
             assertFalse(isAttemptRemoved(partition, SECOND)) { "$outcome" }
@@ -205,7 +205,7 @@
         }
         val refusedPartition = newPartition()
         val order = startTask(refusedPartition)
-        refusedPartition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), 2)
+        refusedPartition.onLeaderFrame(frame(stops = listOf(AttemptCommand("m", "j-1/0", 1))), 2)
         refusedPartition.onOrderOutcome(order, OrderOutcome.Replied(false, heartbeat(5, agentEpoch = 2)), SECOND)
         assertTrue(isAttemptRemoved(refusedPartition, SECOND)) { "not removed although the order was refused for its agent epoch" }
     }
@@ -215,10 +215,10 @@
         partition.onHeartbeat(heartbeat(0), 1)
         partition.onHeartbeat(heartbeat(5), 1)
         partition.onLeaderFrame(frame(requests = listOf(request(1, 1))), 1)
-        partition.onLeaderFrame(frame(starts = listOf(StartOrder(1, "m", 0, 1))), 1)
+        partition.onLeaderFrame(frame(starts = listOf(StartCommand(1, "m", 0, 1))), 1)
         val repliedHeartbeat = heartbeat(5)
         assertTrue(partition.commands(repliedHeartbeat, SECOND).single() is Command.Start) { "no start in the reply" }
-        partition.onLeaderFrame(frame(stops = listOf(AttemptOrder("m", "j-1/0", 1))), SECOND)
+        partition.onLeaderFrame(frame(stops = listOf(AttemptCommand("m", "j-1/0", 1))), SECOND)
         return repliedHeartbeat
     }
 
@@ -269,7 +269,7 @@
         partition.onLeaderFrame(frame(requests = listOf(request(2, 1))), SECOND)
         partition.commands(heartbeat(5, taskReport(TaskPhase.RUNNING)), SECOND)
         jobCompletions.endJob("j-1")
-        partition.onLeaderFrame(frame(requests = listOf(request(3, 1)), starts = listOf(StartOrder(2, "m", 1, 2))), 2 * SECOND)
+        partition.onLeaderFrame(frame(requests = listOf(request(3, 1)), starts = listOf(StartCommand(2, "m", 1, 2))), 2 * SECOND)
         assertTrue(lastOfferOfNextFrame(partition, 2 * SECOND).slots.isEmpty()) { "offered for an ended job" }
         partition.tick(3 * SECOND)
         val commands = partition.commands(heartbeat(5, taskReport(TaskPhase.RUNNING)), 3 * SECOND)
--- a/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
@@ -1,6 +1,6 @@
 package lichenstage.placement
 
-import lichenstage.cluster.CheckpointStopOrder
+import lichenstage.cluster.CheckpointStopCommand
 import lichenstage.cluster.MachineState
 import lichenstage.cluster.TaskPhase
 import lichenstage.common.SECOND
@@ -43,10 +43,10 @@
         nowS * SECOND,
     )
 
-    private fun takeDueSaveCommands(
+    private fun takeDueCheckpointStops(
         nowS: Long,
         vararg attempts: Attempt,
-    ) = preemption.takeDueSaveCommands("m", attempts.toList(), isDrained = false, nowS * SECOND)
+    ) = preemption.takeDueCheckpointStops("m", attempts.toList(), isDrained = false, nowS * SECOND)
 
     @Example
     fun `on a machine drained by an operator, only requested attempts are stopped, even if they cannot save a checkpoint`() {
@@ -54,7 +54,7 @@
         val attemptWithoutCheckpoints = runningAttempt(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)
 
         fun commandsForDrainedMachine(nowS: Long) =
-            preemption.takeDueSaveCommands(
+            preemption.takeDueCheckpointStops(
                 "m",
                 listOf(longAttempt, attemptWithoutCheckpoints),
                 isDrained = true,
@@ -63,13 +63,16 @@
         assertTrue(commandsForDrainedMachine(40).isEmpty()) { "stopped outside the disruption budget of its team" }
         preemption.requestStops(listOf(attemptWithoutCheckpoints))
         assertTrue("m" in preemption.affectedMachines) { "the machine is not among the affected machines" }
-        assertEquals(listOf(CheckpointStopOrder("m", "j-1/1", 11, 0)), commandsForDrainedMachine(41)) { "${commandsForDrainedMachine(44)}" }
-        assertEquals(0L, attemptWithoutCheckpoints.saveCommandedAtUs) { "its progress would wrongly count as saved" }
+        assertEquals(
+            listOf(CheckpointStopCommand("m", "j-1/1", 11, 0)),
+            commandsForDrainedMachine(41),
+        ) { "${commandsForDrainedMachine(44)}" }
+        assertEquals(0L, attemptWithoutCheckpoints.checkpointStopAtUs) { "its progress would wrongly count as saved" }
         preemption.requestStops(listOf(longAttempt))
         assertTrue(
             commandsForDrainedMachine(42).map {
                 it.attempt
-            } == listOf(10L) && longAttempt.saveCommandedAtUs > 0,
+            } == listOf(10L) && longAttempt.checkpointStopAtUs > 0,
         ) { "not stopped, or without time to save" }
         preemption.onAttemptEnded(attemptWithoutCheckpoints)
         preemption.onAttemptEnded(longAttempt)
@@ -82,13 +85,13 @@
     fun `after a reclaim notice, a task runs as long as it can still save, and the command is repeated`() {
         val attempt = runningAttempt(job(runS = 60), sinceS = 1)
         receiveReclaimNotice(timeLeftS = 20, nowS = 10)
-        assertTrue(takeDueSaveCommands(15, attempt).isEmpty()) { "stopped with 15 s left" }
-        val order = CheckpointStopOrder("m", "j-1/0", 10, 5 * SECOND)
-        assertEquals(listOf(order), takeDueSaveCommands(21, attempt)) { "not stopped with 9 s left" }
-        assertTrue(takeDueSaveCommands(22, attempt).isEmpty()) { "repeated after 1 s" }
-        assertEquals(listOf(order), takeDueSaveCommands(24, attempt)) { "not repeated after 3 s" }
+        assertTrue(takeDueCheckpointStops(15, attempt).isEmpty()) { "stopped with 15 s left" }
+        val command = CheckpointStopCommand("m", "j-1/0", 10, 5 * SECOND)
+        assertEquals(listOf(command), takeDueCheckpointStops(21, attempt)) { "not stopped with 9 s left" }
+        assertTrue(takeDueCheckpointStops(22, attempt).isEmpty()) { "repeated after 1 s" }
+        assertEquals(listOf(command), takeDueCheckpointStops(24, attempt)) { "not repeated after 3 s" }
         attempt.phase = TaskPhase.SAVING
-        assertTrue(takeDueSaveCommands(25, attempt).isEmpty()) { "stopped again while it saves" }
+        assertTrue(takeDueCheckpointStops(25, attempt).isEmpty()) { "stopped again while it saves" }
     }
 
     @Example
@@ -96,34 +99,36 @@
         val attempt = runningAttempt(job(runS = 60), sinceS = 1)
         receiveReclaimNotice(timeLeftS = 20, nowS = 10)
         receiveReclaimNotice(timeLeftS = 20, nowS = 14)
-        assertTrue(takeDueSaveCommands(21, attempt).isNotEmpty()) { "the repeated notice moved the deadline" }
+        assertTrue(takeDueCheckpointStops(21, attempt).isNotEmpty()) { "the repeated notice moved the deadline" }
     }
 
     @Example
     fun `a task that ends before the reclaim, cannot save or has no time left to save is not stopped`() {
         receiveReclaimNotice(timeLeftS = 20, nowS = 10)
-        assertTrue(takeDueSaveCommands(21, runningAttempt(job(runS = 24), sinceS = 1)).isEmpty()) { "stopped although it ends in 4 s" }
+        assertTrue(takeDueCheckpointStops(21, runningAttempt(job(runS = 24), sinceS = 1)).isEmpty()) { "stopped although it ends in 4 s" }
         assertTrue(
-            takeDueSaveCommands(21, runningAttempt(job(runS = 60, checkpointS = 0), sinceS = 1)).isEmpty(),
+            takeDueCheckpointStops(21, runningAttempt(job(runS = 60, checkpointS = 0), sinceS = 1)).isEmpty(),
         ) { "stopped although it cannot save" }
         assertTrue(
-            takeDueSaveCommands(26, runningAttempt(job(runS = 60), sinceS = 1)).isEmpty(),
+            takeDueCheckpointStops(26, runningAttempt(job(runS = 60), sinceS = 1)).isEmpty(),
         ) { "stopped with 4 s left, although saving takes 4 s" }
         val fetching = runningAttempt(job(runS = 60), sinceS = 1).apply { phase = TaskPhase.FETCHING }
-        assertTrue(takeDueSaveCommands(21, fetching).isEmpty()) { "stopped while fetching, with nothing to save" }
+        assertTrue(takeDueCheckpointStops(21, fetching).isEmpty()) { "stopped while fetching, with nothing to save" }
     }
 
     @Example
     fun `a machine in scale-in is emptied only when all its tasks are long and can save`() {
         val longAttempt = runningAttempt(job(runS = 120), sinceS = 1)
-        assertTrue(takeDueSaveCommands(20, longAttempt).isEmpty()) { "stopped so early that its start does not count for the objectives" }
         assertTrue(
-            takeDueSaveCommands(40, longAttempt, runningAttempt(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)).isEmpty(),
+            takeDueCheckpointStops(20, longAttempt).isEmpty(),
+        ) { "stopped so early that its start does not count for the objectives" }
+        assertTrue(
+            takeDueCheckpointStops(40, longAttempt, runningAttempt(job(runS = 120, checkpointS = 0), sinceS = 1, index = 1)).isEmpty(),
         ) { "stopped although the other task cannot save" }
         assertTrue(
-            takeDueSaveCommands(40, longAttempt, runningAttempt(job(runS = 50), sinceS = 1, index = 1)).isEmpty(),
+            takeDueCheckpointStops(40, longAttempt, runningAttempt(job(runS = 50), sinceS = 1, index = 1)).isEmpty(),
         ) { "stopped although the other task ends soon" }
-        assertEquals(listOf(10L), takeDueSaveCommands(40, longAttempt).map { it.attempt }) { "not stopped" }
+        assertEquals(listOf(10L), takeDueCheckpointStops(40, longAttempt).map { it.attempt }) { "not stopped" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/placement/PendingCommandsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/PendingCommandsTest.kt
@@ -1,6 +1,6 @@
 package lichenstage.placement
 
-import lichenstage.cluster.AttemptOrder
+import lichenstage.cluster.AttemptCommand
 import lichenstage.common.SECOND
 import net.jqwik.api.Example
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -10,8 +10,8 @@
 /** Tests when stop and clear commands are sent and repeated. */
 class PendingCommandsTest {
     private val commands = PendingCommands()
-    private val stop = AttemptOrder("m1", "j-1/0", 1)
-    private val clear = AttemptOrder("m1", "j-1/1", 2)
+    private val stop = AttemptCommand("m1", "j-1/0", 1)
+    private val clear = AttemptCommand("m1", "j-1/1", 2)
 
     @Example
     fun `a command is sent once, and again only after its retry interval`() {
