--- a/src/main/kotlin/lichenstage/cluster/PartitionFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PartitionFrames.kt
@@ -17,18 +17,18 @@
 @Serializable
 @CborArray
 data class TaskState(
-    val task: String,
-    val attempt: Long,
+    val taskId: String,
+    val attemptNumber: Long,
     val phase: TaskPhase,
     val cause: String? = null,
 ) {
     /** The ID of the job. [job] and [index] are parsed once, since both are read at every change on the machine. */
     @Transient
-    val job = task.substringBefore('/')
+    val job = taskId.substringBefore('/')
 
-    /** The index of the task in its job; -1 if the task name has none. */
+    /** The index of the task in its job; -1 if [taskId] has none. */
     @Transient
-    val index = task.substringAfter('/', "").toIntOrNull() ?: -1
+    val index = taskId.substringAfter('/', "").toIntOrNull() ?: -1
 }
 
 /**
@@ -63,8 +63,8 @@
     fun applyTo(previous: MachineState?): MachineState {
         if (previous == null) return if (removedAttempts.isEmpty()) this else copy(removedAttempts = emptyList())
         val changed = LongOpenHashSet(removedAttempts)
-        tasks.forEach { changed.add(it.attempt) }
-        return copy(tasks = previous.tasks.filterNot { changed.contains(it.attempt) } + tasks, removedAttempts = emptyList())
+        tasks.forEach { changed.add(it.attemptNumber) }
+        return copy(tasks = previous.tasks.filterNot { changed.contains(it.attemptNumber) } + tasks, removedAttempts = emptyList())
     }
 }
 
--- a/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
@@ -34,7 +34,7 @@
     val requestNumber: Long,
     val machine: String,
     val index: Int,
-    val attempt: Long,
+    val attemptNumber: Long,
 )
 
 /** The command to stop an attempt on [machine], or to clear it from the list of ended attempts. */
@@ -42,8 +42,8 @@
 @CborArray
 data class AttemptCommand(
     val machine: String,
-    val task: String,
-    val attempt: Long,
+    val taskId: String,
+    val attemptNumber: Long,
 )
 
 /**
@@ -53,8 +53,10 @@
 @Serializable
 data class CheckpointStopCommand(
     val machine: String,
-    val task: String,
-    val attempt: Long,
+    @SerialName("task")
+    val taskId: String,
+    @SerialName("attempt")
+    val attemptNumber: Long,
     val leewayUs: Long,
 )
 
--- a/src/main/kotlin/lichenstage/drain/DisruptionBudget.kt
+++ b/src/main/kotlin/lichenstage/drain/DisruptionBudget.kt
@@ -59,17 +59,17 @@
     private val totalTasksByTeam: Map<String, Int>
 
     init {
-        interruptions.forEach { addInterruption(it.team, it.task) }
+        interruptions.forEach { addInterruption(it.team, it.taskId) }
         totalTasksByTeam =
             (runningTasksByTeam.keys + usageByTeam.keys).associateWith { (runningTasksByTeam[it] ?: 0) + (usageByTeam[it]?.taskCount ?: 0) }
     }
 
     private fun addInterruption(
         team: String,
-        task: TaskId,
+        taskId: TaskId,
     ) {
         val usage = usageByTeam.getOrPut(team) { BudgetUsage() }
-        usage.jobs += task.job
+        usage.jobs += taskId.job
         usage.taskCount++
     }
 
@@ -78,7 +78,7 @@
         val budget = policy.budgetOf(task.team)
         val isForbidden = task.jobClass in budget.uninterruptibleClasses || budget.allowedHours?.contains(hour) == false
         if (isForbidden || !allowsJob(budget, task) || !allowsTask(budget, task)) return false
-        addInterruption(task.team, task.task)
+        addInterruption(task.team, task.taskId)
         return true
     }
 
@@ -87,7 +87,7 @@
         task: PlacedTask,
     ): Boolean {
         val jobs = usageByTeam[task.team]?.jobs.orEmpty()
-        return budget.maxJobs == null || jobs.size < budget.maxJobs || (task.task.job in jobs && jobs.size <= budget.maxJobs)
+        return budget.maxJobs == null || jobs.size < budget.maxJobs || (task.taskId.job in jobs && jobs.size <= budget.maxJobs)
     }
 
     private fun allowsTask(
--- a/src/main/kotlin/lichenstage/drain/DrainCore.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCore.kt
@@ -86,7 +86,7 @@
      * already recorded.
      */
     fun onTaskStopped(interruption: Interruption) {
-        if (isActive && interruption.task !in state.interruptions) unrecordedFailures[interruption.task] = interruption
+        if (isActive && interruption.taskId !in state.interruptions) unrecordedFailures[interruption.taskId] = interruption
     }
 
     /** Handles the provisioning of [machine] as the replacement for the machine of [key]. */
@@ -129,8 +129,10 @@
         }
         // Ended interruptions are removed first, so that this step, rather than the next, has room for unrecorded failures.
         var interruptions = baseState.interruptions
-        for (row in baseState.interruptions.values) if (row.isOver(view.execution(row.task))) interruptions = interruptions.remove(row.task)
-        unrecordedFailures.values.removeAll { it.isOver(view.execution(it.task)) }
+        for (row in baseState.interruptions.values) {
+            if (row.isOver(view.execution(row.taskId))) interruptions = interruptions.remove(row.taskId)
+        }
+        unrecordedFailures.values.removeAll { it.isOver(view.execution(it.taskId)) }
         for ((task, interruption) in unrecordedFailures) {
             if (interruptions.size >= maxInterruptions) break
             if (task !in interruptions) interruptions = interruptions.put(task, interruption)
--- a/src/main/kotlin/lichenstage/drain/DrainDriver.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainDriver.kt
@@ -175,7 +175,7 @@
         recordedValues = pages.associate { it.key to it.value }
         val state =
             DrainState().let { empty ->
-                empty.copy(interruptions = empty.interruptions.putAll(interruptions.flatten().associateBy { it.task }))
+                empty.copy(interruptions = empty.interruptions.putAll(interruptions.flatten().associateBy { it.taskId }))
             }
         core = DrainCore(policy, view, state, recordAccess.codec.maxInterruptions)
         if (machines.isNotEmpty()) log.info("Drains loaded drains={}", machines.keys)
--- a/src/main/kotlin/lichenstage/drain/DrainPlanner.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainPlanner.kt
@@ -213,7 +213,7 @@
     private fun countRunningTasksByTeam(): Map<String, Int> {
         val taskCounts = HashMap(view.runningTasksByTeam())
         for (interruption in state.interruptions.values) {
-            if (view.execution(interruption.task) is TaskExecution.Running) taskCounts.merge(interruption.team, -1, Int::plus)
+            if (view.execution(interruption.taskId) is TaskExecution.Running) taskCounts.merge(interruption.team, -1, Int::plus)
         }
         return taskCounts
     }
@@ -224,12 +224,12 @@
     ) {
         // A previous leader may have recorded these interruptions without stopping the tasks, so the tasks are stopped again.
         val tasks = view.tasksOn(machine.name).filter { it.isRunning }
-        tasksToEvict += tasks.filter { state.interruptions[it.task]?.attempt == it.attempt }
+        tasksToEvict += tasks.filter { state.interruptions[it.taskId]?.attemptNumber == it.attemptNumber }
         // Tasks that lose the least progress come first, such as tasks that have saved a checkpoint.
-        for (task in tasks.filter { it.task !in state.interruptions && it.remainingUs > NEAR_END_US }.sortedBy { it.lostProgressUs }) {
+        for (task in tasks.filter { it.taskId !in state.interruptions && it.remainingUs > NEAR_END_US }.sortedBy { it.lostProgressUs }) {
             if (state.interruptions.size >= maxInterruptions || !budgetTracker.tryInterrupt(task)) continue
-            val interruption = Interruption(task.task, task.attempt, task.team, InterruptionCause.DRAIN, nowUs)
-            state = state.copy(interruptions = state.interruptions.put(task.task, interruption))
+            val interruption = Interruption(task.taskId, task.attemptNumber, task.team, InterruptionCause.DRAIN, nowUs)
+            state = state.copy(interruptions = state.interruptions.put(task.taskId, interruption))
             tasksToEvict += task
             if (machine.stage == Stage.CORDONED) updateMachine(state.machines.getValue(machine.key).copy(stage = Stage.EMPTYING))
         }
--- a/src/main/kotlin/lichenstage/drain/DrainRecordCodec.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainRecordCodec.kt
@@ -88,16 +88,16 @@
      * Returns all pages of interruptions by key, including empty ones. A task always has the same page, so that a step changes few pages.
      */
     fun encodeInterruptions(interruptions: Collection<Interruption>): Map<String, JsonObject> {
-        val byPage = interruptions.groupBy { Math.floorMod(it.task.hashCode(), INTERRUPTION_PAGES) }
+        val byPage = interruptions.groupBy { Math.floorMod(it.taskId.hashCode(), INTERRUPTION_PAGES) }
         return (0 until INTERRUPTION_PAGES).associate { page ->
-            "$INTERRUPTION_PREFIX$page" to encodePage(byPage[page].orEmpty().sortedBy { it.task.toString() }.map(::encodeInterruption))
+            "$INTERRUPTION_PREFIX$page" to encodePage(byPage[page].orEmpty().sortedBy { it.taskId.toString() }.map(::encodeInterruption))
         }
     }
 
     private fun encodeInterruption(interruption: Interruption) =
         JsonArray()
-            .add(interruption.task.toString())
-            .add(interruption.attempt)
+            .add(interruption.taskId.toString())
+            .add(interruption.attemptNumber)
             .add(interruption.team)
             .add(interruption.cause.name)
             .add(interruption.sinceUs)
@@ -122,7 +122,7 @@
         interruptions: List<Entry>,
     ) = DrainState(
         machines.flatMap(::decodeMachines).associateBy { it.key }.toPersistentMap(),
-        interruptions.flatMap(::decodeInterruptions).associateBy { it.task }.toPersistentMap(),
+        interruptions.flatMap(::decodeInterruptions).associateBy { it.taskId }.toPersistentMap(),
     )
 
     /** Returns all pages of machines and interruptions of [state] by key. */
--- a/src/main/kotlin/lichenstage/drain/DrainReport.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainReport.kt
@@ -38,7 +38,7 @@
 
     private fun interruptionsJson(interruptions: List<Interruption>) =
         JsonObject()
-            .put("jobs", JsonArray(interruptions.map { it.task.job }.distinct().sorted()))
+            .put("jobs", JsonArray(interruptions.map { it.taskId.job }.distinct().sorted()))
             .put("tasks", interruptions.size)
             .put("by_drains", interruptions.count { it.cause == InterruptionCause.DRAIN })
 
@@ -57,7 +57,7 @@
             lines += "  ${machine.name} ${machine.stage.name.lowercase()} since ${formatTime(machine.sinceUs)}$replacement$failures"
         }
         for ((team, interruptions) in interruptionsByTeam) {
-            val jobs = interruptions.map { it.task.job }.distinct()
+            val jobs = interruptions.map { it.taskId.job }.distinct()
             lines += "  $team: ${jobs.size} jobs interrupted (${jobs.sorted().joinToString(" ")}), ${interruptions.size} tasks"
         }
         return lines.joinToString("\n")
--- a/src/main/kotlin/lichenstage/drain/DrainTypes.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainTypes.kt
@@ -109,10 +109,10 @@
     FAILURE,
 }
 
-/** The interruption of a task that ran as [attempt]. It ends when another attempt runs or when the task or its job is done. */
+/** The interruption of a task that ran as attempt [attemptNumber]. It ends when another attempt runs, or the task or its job is done. */
 data class Interruption(
-    val task: TaskId,
-    val attempt: Long,
+    val taskId: TaskId,
+    val attemptNumber: Long,
     val team: String,
     val cause: InterruptionCause,
     /** Wall clock time at which the interruption began. */
@@ -122,7 +122,7 @@
     fun isOver(execution: TaskExecution) =
         when (execution) {
             TaskExecution.Finished -> true
-            is TaskExecution.Running -> execution.attempt != attempt
+            is TaskExecution.Running -> execution.attemptNumber != attemptNumber
             TaskExecution.NotRunning -> false
         }
 }
@@ -135,8 +135,8 @@
 
 /** A task that is placed on a machine and may be running. */
 data class PlacedTask(
-    val task: TaskId,
-    val attempt: Long,
+    val taskId: TaskId,
+    val attemptNumber: Long,
     val team: String,
     val jobClass: String,
     /** Whether the task is running and not saving a checkpoint. */
@@ -170,9 +170,9 @@
     /** The task or its job has ended. */
     data object Finished : TaskExecution
 
-    /** The task runs as [attempt]. */
+    /** The task runs as attempt [attemptNumber]. */
     data class Running(
-        val attempt: Long,
+        val attemptNumber: Long,
     ) : TaskExecution
 
     data object NotRunning : TaskExecution
@@ -189,8 +189,8 @@
     /** Returns the tasks that may be running on [machine]. */
     fun tasksOn(machine: String): List<PlacedTask>
 
-    /** Returns the execution state of [task]. */
-    fun execution(task: TaskId): TaskExecution
+    /** Returns the execution state of a task. */
+    fun execution(taskId: TaskId): TaskExecution
 
     /** Returns the number of running tasks of each team. */
     fun runningTasksByTeam(): Map<String, Int>
--- a/src/main/kotlin/lichenstage/partition/HeartbeatParser.kt
+++ b/src/main/kotlin/lichenstage/partition/HeartbeatParser.kt
@@ -69,22 +69,22 @@
     }
 
     private fun readTask(): TaskReport {
-        var task: String? = null
-        var attempt = -1L
+        var taskId: String? = null
+        var attemptNumber = -1L
         var phase: TaskPhase? = null
         var cause: String? = null
         forEachField { name, value ->
             when (name) {
-                WorkerField.TASK -> task = readString(name)
-                WorkerField.ATTEMPT -> attempt = readLong(name)
+                WorkerField.TASK -> taskId = readString(name)
+                WorkerField.ATTEMPT -> attemptNumber = readLong(name)
                 WorkerField.PHASE -> phase = WorkerField.parsePhase(readString(name))
                 WorkerField.CAUSE -> if (value != JsonToken.VALUE_NULL) cause = readString(name)
                 else -> parser.skipChildren()
             }
         }
         return TaskReport(
-            task ?: failMissing(WorkerField.TASK),
-            requireNotNegative(WorkerField.ATTEMPT, attempt),
+            taskId ?: failMissing(WorkerField.TASK),
+            requireNotNegative(WorkerField.ATTEMPT, attemptNumber),
             phase ?: failMissing(WorkerField.PHASE),
             cause,
         )
--- a/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
+++ b/src/main/kotlin/lichenstage/partition/HeartbeatProcessor.kt
@@ -81,7 +81,7 @@
         sequence: Long,
         nowUs: Long,
     ): Boolean {
-        val existing = machine.attempts.get(report.attempt)
+        val existing = machine.attempts.get(report.attemptNumber)
         val attempt = existing ?: addAttempt(machine, report, nowUs)
         attempt.lastListedSequence = sequence
         if (attempt.phase == report.phase && attempt.cause == report.cause) return existing == null
@@ -89,7 +89,7 @@
         if (!attempt.isListed) machine.isUnresponsive = false
         if (attempt.isUnwantedStart) {
             reportEvent(
-                OrderEvent.UnwantedStartListed(machine.name, machine.agentEpoch, attempt.task, attempt.number),
+                OrderEvent.UnwantedStartListed(machine.name, machine.agentEpoch, attempt.taskId, attempt.number),
             )
         }
         attempt.phase = report.phase
@@ -103,9 +103,9 @@
         report: TaskReport,
         nowUs: Long,
     ): WorkerAttempt {
-        val attempt = WorkerAttempt(report.task, report.attempt, nowUs)
+        val attempt = WorkerAttempt(report.taskId, report.attemptNumber, nowUs)
         attempt.version = changeLog.nextVersion
-        machine.attempts.put(report.attempt, attempt)
+        machine.attempts.put(report.attemptNumber, attempt)
         requirementsOf(attempt.job)?.let(machine::recordImageUse)
         return attempt
     }
--- a/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
+++ b/src/main/kotlin/lichenstage/partition/LeaderFrameHandler.kt
@@ -57,8 +57,8 @@
         val request = placementOffers.findHeldRequest(command.requestNumber, machine)
         val refusal = placementOffers.findRefusal(request, machine, nowUs)
         if (refusal != null) {
-            val task = request?.let { "${it.job}/${command.index}" }.orEmpty()
-            reportEvent(OrderEvent.StartRefused(command.machine, task, command.attempt, refusal))
+            val taskId = request?.let { "${it.job}/${command.index}" }.orEmpty()
+            reportEvent(OrderEvent.StartRefused(command.machine, taskId, command.attemptNumber, refusal))
         } else if (request != null) {
             startTask(command, request, machine, nowUs)
         }
@@ -73,11 +73,11 @@
     ) {
         placementOffers.consume(command.requestNumber, machine)
         machine.recordImageUse(request.requirements)
-        if (!machine.attempts.containsKey(command.attempt)) {
-            val attempt = WorkerAttempt("${request.job}/${command.index}", command.attempt, nowUs)
+        if (!machine.attempts.containsKey(command.attemptNumber)) {
+            val attempt = WorkerAttempt("${request.job}/${command.index}", command.attemptNumber, nowUs)
             attempt.version = changeLog.nextVersion
             orderFencing.updateJobConfirmedOpenTime(attempt)
-            machine.attempts.put(command.attempt, attempt)
+            machine.attempts.put(command.attemptNumber, attempt)
             machine.invalidateUsedResources()
         }
         orderQueue.add(machine)
@@ -88,7 +88,7 @@
         update: (WorkerAttempt) -> Unit,
     ) {
         val machine = machines[command.machine] ?: return
-        val attempt = machine.attempts.get(command.attempt) ?: return
+        val attempt = machine.attempts.get(command.attemptNumber) ?: return
         update(attempt)
         orderQueue.add(machine)
         if (attempt.isUnwantedStart) orderFencing.addUnwantedStart(machine)
@@ -99,7 +99,7 @@
     /** Requests that the task saves a checkpoint and stops. The stop is sent only while the task is running, not while it is saving. */
     private fun requestCheckpointStop(command: CheckpointStopCommand) {
         val machine = machines[command.machine] ?: return
-        val attempt = machine.attempts.get(command.attempt) ?: return
+        val attempt = machine.attempts.get(command.attemptNumber) ?: return
         attempt.checkpointLeewayUs = command.leewayUs
         orderQueue.add(machine)
     }
--- a/src/main/kotlin/lichenstage/partition/OrderEvent.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderEvent.kt
@@ -43,8 +43,8 @@
     data class StartProvenNotExecuted(
         val machine: String,
         val agentEpoch: Long,
-        val task: String,
-        val attempt: Long,
+        val taskId: String,
+        val attemptNumber: Long,
         val observedFencingToken: Long,
     ) : OrderEvent
 
@@ -52,15 +52,15 @@
     data class UnwantedStartListed(
         val machine: String,
         val agentEpoch: Long,
-        val task: String,
-        val attempt: Long,
+        val taskId: String,
+        val attemptNumber: Long,
     ) : OrderEvent
 
-    /** The partition refused a start that the leader requested. [task] is empty if the hold of the start no longer exists. */
+    /** The partition refused a start that the leader requested. [taskId] is empty if the hold of the start no longer exists. */
     data class StartRefused(
         val machine: String,
-        val task: String,
-        val attempt: Long,
+        val taskId: String,
+        val attemptNumber: Long,
         val reason: StartRefusal,
     ) : OrderEvent
 
--- a/src/main/kotlin/lichenstage/partition/OrderEventRecorder.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderEventRecorder.kt
@@ -66,15 +66,15 @@
 
             is OrderEvent.StartProvenNotExecuted -> {
                 "machine=${event.machine} agentEpoch=${event.agentEpoch} fencingToken=${event.observedFencingToken} " +
-                    "task=${event.task} attempt=${event.attempt}"
+                    "task=${event.taskId} attempt=${event.attemptNumber}"
             }
 
             is OrderEvent.UnwantedStartListed -> {
-                "machine=${event.machine} agentEpoch=${event.agentEpoch} task=${event.task} attempt=${event.attempt}"
+                "machine=${event.machine} agentEpoch=${event.agentEpoch} task=${event.taskId} attempt=${event.attemptNumber}"
             }
 
             is OrderEvent.StartRefused -> {
-                "machine=${event.machine} task=${event.task} attempt=${event.attempt} reason=${event.reason.name.lowercase()}"
+                "machine=${event.machine} task=${event.taskId} attempt=${event.attemptNumber} reason=${event.reason.name.lowercase()}"
             }
 
             is OrderEvent.JobEnded -> {
@@ -89,7 +89,7 @@
     private fun listCommands(order: DirectOrder): String {
         val formatted =
             order.commands.take(MAX_LISTED_COMMANDS).joinToString(prefix = "[", postfix = "]") {
-                "${it::class.simpleName!!.lowercase()} ${it.task} ${it.attempt}"
+                "${it::class.simpleName!!.lowercase()} ${it.taskId} ${it.attemptNumber}"
             }
         val omitted = order.commands.size - MAX_LISTED_COMMANDS
         return if (omitted > 0) "$formatted omittedCommands=$omitted" else formatted
--- a/src/main/kotlin/lichenstage/partition/OrderFencing.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderFencing.kt
@@ -59,7 +59,7 @@
     private fun startProvenNotExecuted(
         machine: Machine,
         attempt: WorkerAttempt,
-    ) = OrderEvent.StartProvenNotExecuted(machine.name, machine.agentEpoch, attempt.task, attempt.number, machine.observedFencingToken)
+    ) = OrderEvent.StartProvenNotExecuted(machine.name, machine.agentEpoch, attempt.taskId, attempt.number, machine.observedFencingToken)
 
     /** Updates the time up to which the job of [attempt] is confirmed open. Only attempts that no heartbeat has listed need this time. */
     fun updateJobConfirmedOpenTime(attempt: WorkerAttempt) {
--- a/src/main/kotlin/lichenstage/partition/OrderQueue.kt
+++ b/src/main/kotlin/lichenstage/partition/OrderQueue.kt
@@ -52,20 +52,20 @@
     ): Command? =
         when {
             attempt.phase == TaskPhase.PENDING -> {
-                if (attempt.isStopRequested) null else Command.Start(attempt.task, attempt.number)
+                if (attempt.isStopRequested) null else Command.Start(attempt.taskId, attempt.number)
             }
 
             attempt.phase == TaskPhase.ENDED -> {
                 val isClearDue = attempt.isClearRequested && attempt.isClearable(nowUs, machine.observedFencingToken)
-                if (isClearDue) Command.Clear(attempt.task, attempt.number) else null
+                if (isClearDue) Command.Clear(attempt.taskId, attempt.number) else null
             }
 
             attempt.isStopRequested -> {
-                Command.Stop(attempt.task, attempt.number, 0.0)
+                Command.Stop(attempt.taskId, attempt.number, 0.0)
             }
 
             attempt.isCheckpointStopDue(nowUs) -> {
-                Command.Stop(attempt.task, attempt.number, attempt.checkpointLeewayUs!! / SECOND.toDouble())
+                Command.Stop(attempt.taskId, attempt.number, attempt.checkpointLeewayUs!! / SECOND.toDouble())
             }
 
             else -> {
@@ -81,7 +81,7 @@
         recordStart: (WorkerAttempt) -> Unit,
     ) {
         for (command in commands) {
-            val attempt = machine.attempts.get(command.attempt) ?: continue
+            val attempt = machine.attempts.get(command.attemptNumber) ?: continue
             if (command is Command.Stop && !attempt.isStopRequested) attempt.checkpointStopSentAtUs = nowUs
             if (command is Command.Start) recordStart(attempt)
         }
@@ -145,7 +145,7 @@
         if (machine.agentEpoch != order.agentEpoch) return
         for (command in order.commands) {
             if (command !is Command.Start) continue
-            val attempt = machine.attempts.get(command.attempt) ?: continue
+            val attempt = machine.attempts.get(command.attemptNumber) ?: continue
             attempt.startOrdersInFlight--
             if (outcome is OrderOutcome.Indeterminate) attempt.isStartIndeterminate = true
         }
--- a/src/main/kotlin/lichenstage/partition/WorkerAttempt.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerAttempt.kt
@@ -10,16 +10,16 @@
  *
  * All times are in microseconds of the controller's clock.
  *
- * @property task the task, as `JOB/INDEX`
+ * @property taskId the task, as `JOB/INDEX`
  * @property number the attempt's number, unique across all leaders (invariant 7)
  * @property firstSeenAtUs when this partition first learned of the attempt
  */
 internal class WorkerAttempt(
-    val task: String,
+    val taskId: String,
     val number: Long,
     val firstSeenAtUs: Long,
 ) {
-    val job = task.substringBefore('/')
+    val job = taskId.substringBefore('/')
     var phase = TaskPhase.PENDING
     var cause: String? = null
     var isStopRequested = false
@@ -128,7 +128,7 @@
     fun needsNewerTokenToClear(fencingToken: Long) = phase == TaskPhase.ENDED && isClearRequested && isRepeatHarmful(fencingToken)
 
     /** Returns the state of the attempt for a frame to the leader. */
-    fun toTaskState() = TaskState(task, number, phase, cause)
+    fun toTaskState() = TaskState(taskId, number, phase, cause)
 
     private companion object {
         const val NEVER_US = Long.MIN_VALUE / 2
--- a/src/main/kotlin/lichenstage/partition/WorkerCodec.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerCodec.kt
@@ -75,8 +75,8 @@
             }
         generator.writeStartObject()
         generator.writeStringField(WorkerField.VERB, verb)
-        generator.writeStringField(WorkerField.TASK, command.task)
-        generator.writeNumberField(WorkerField.ATTEMPT, command.attempt)
+        generator.writeStringField(WorkerField.TASK, command.taskId)
+        generator.writeNumberField(WorkerField.ATTEMPT, command.attemptNumber)
         if (command is Command.Stop) generator.writeNumberField(WorkerField.LEEWAY_S, command.leewayS)
         generator.writeEndObject()
     }
--- a/src/main/kotlin/lichenstage/partition/WorkerMessages.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerMessages.kt
@@ -5,13 +5,13 @@
 /**
  * The entry of one attempt in a heartbeat.
  *
- * @property task the task, as `JOB/INDEX`
- * @property attempt the number of the attempt
+ * @property taskId the task, as `JOB/INDEX`
+ * @property attemptNumber the number of the attempt
  * @property cause the reason why the attempt ended (see [lichenstage.cluster.TaskEndCause]); null while the attempt has not ended
  */
 data class TaskReport(
-    val task: String,
-    val attempt: Long,
+    val taskId: String,
+    val attemptNumber: Long,
     val phase: TaskPhase,
     val cause: String?,
 )
@@ -45,27 +45,27 @@
 /** An instruction to a worker that concerns one attempt of a task. */
 sealed interface Command {
     /** The task, as `JOB/INDEX`. */
-    val task: String
+    val taskId: String
 
     /** The number of the attempt. */
-    val attempt: Long
+    val attemptNumber: Long
 
     /** The instruction to start the task as this attempt. */
     data class Start(
-        override val task: String,
-        override val attempt: Long,
+        override val taskId: String,
+        override val attemptNumber: Long,
     ) : Command
 
     /** The instruction to stop the task. The task gets [leewayS] seconds to save a checkpoint. */
     data class Stop(
-        override val task: String,
-        override val attempt: Long,
+        override val taskId: String,
+        override val attemptNumber: Long,
         val leewayS: Double,
     ) : Command
 
     /** The instruction to forget an attempt that has ended. */
     data class Clear(
-        override val task: String,
-        override val attempt: Long,
+        override val taskId: String,
+        override val attemptNumber: Long,
     ) : Command
 }
--- a/src/main/kotlin/lichenstage/placement/Attempt.kt
+++ b/src/main/kotlin/lichenstage/placement/Attempt.kt
@@ -25,8 +25,8 @@
     var startSeq = 0L
     var phase = TaskPhase.PENDING
 
-    /** The name of the task in the worker protocol. */
-    val task get() = taskName(job.spec.id, index)
+    /** The id of the task in the worker protocol. */
+    val taskId get() = taskId(job.spec.id, index)
 
     /**
      * The time in microseconds when the listed phase changed to running; 0 before that. It stays 0 for an attempt that was already running
@@ -41,8 +41,8 @@
     fun progressUs(nowUs: Long) = job.savedProgressUs(index) + if (startedRunningAtUs > 0) nowUs - startedRunningAtUs else 0
 }
 
-/** Returns the name of a task in the worker protocol: the job id and the task index, e.g. `j-1/0`. */
-fun taskName(
+/** Returns the id of a task in the worker protocol: the job id and the task index, e.g. `j-1/0`. */
+fun taskId(
     job: String,
     index: Int,
 ) = "$job/$index"
--- a/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
+++ b/src/main/kotlin/lichenstage/placement/AttemptTracker.kt
@@ -56,7 +56,7 @@
         if (index !in 0 until job.spec.taskCount) return
         job.listedOnMachines += machine.name
         val currentAttempt = job.liveAttempts.get(index)
-        val matchingAttempt = currentAttempt?.takeIf { it.number == task.attempt && it.machine == machine.name }
+        val matchingAttempt = currentAttempt?.takeIf { it.number == task.attemptNumber && it.machine == machine.name }
         when {
             task.phase == TaskPhase.ENDED -> handleTaskEnd(partition, machine, task, job, matchingAttempt, nowUs)
             matchingAttempt != null -> updatePhase(matchingAttempt, task.phase, nowUs)
@@ -108,7 +108,7 @@
         refusedTask: TaskState,
         job: Job,
     ) {
-        val conflictingTask = machine.tasks.firstOrNull { it.task == refusedTask.task && it.phase != TaskPhase.ENDED } ?: return
+        val conflictingTask = machine.tasks.firstOrNull { it.taskId == refusedTask.taskId && it.phase != TaskPhase.ENDED } ?: return
         recoverAttempt(partition, machine, conflictingTask, job, job.liveAttempts.get(conflictingTask.index))
     }
 
@@ -129,8 +129,10 @@
         job: Job,
         currentAttempt: Attempt?,
     ) {
-        if (machine.isTokenConfirmed && isRegistered(machine.name) && (currentAttempt == null || task.attempt > currentAttempt.number)) {
-            val attempt = Attempt(job, task.index, task.attempt, machine.name, partition.id)
+        if (machine.isTokenConfirmed && isRegistered(machine.name) &&
+            (currentAttempt == null || task.attemptNumber > currentAttempt.number)
+        ) {
+            val attempt = Attempt(job, task.index, task.attemptNumber, machine.name, partition.id)
             attempt.partitionTerm = partition.state.term
             attempt.startSeq = partition.state.reflectedSeq
             attempt.phase = task.phase
@@ -139,8 +141,8 @@
         } else if (currentAttempt != null) {
             log.info(
                 "Conflicting attempt ignored task={} attempt={} machine={} currentAttempt={} currentMachine={}",
-                task.task,
-                task.attempt,
+                task.taskId,
+                task.attemptNumber,
                 machine.name,
                 currentAttempt.number,
                 currentAttempt.machine,
@@ -149,7 +151,7 @@
     }
 
     private fun supersedeAttempt(attempt: Attempt) {
-        log.info("Attempt superseded task={} attempt={} machine={}", attempt.task, attempt.number, attempt.machine)
+        log.info("Attempt superseded task={} attempt={} machine={}", attempt.taskId, attempt.number, attempt.machine)
         runningAttempts.remove(attempt)
         checkpointPreemption.onAttemptEnded(attempt)
         listener.onAttemptSuperseded(attempt)
@@ -162,7 +164,7 @@
         nowUs: Long,
     ) {
         if (task.cause == TaskEndCause.HALTED) return
-        log.info("Attempt failed task={} attempt={} machine={} cause={}", task.task, task.attempt, machine.name, task.cause)
+        log.info("Attempt failed task={} attempt={} machine={} cause={}", task.taskId, task.attemptNumber, machine.name, task.cause)
         if (task.cause == TaskEndCause.ERROR) failedJobsByMachine.getOrPut(machine.name) { HashSet() }.add(job.spec.id)
         job.failureCount++
         // Without the backoff, a job that fails on every machine would keep taking capacity from other jobs.
@@ -194,7 +196,7 @@
         absentAttempts.forEach {
             log.debug(
                 "Attempt absent from its machine task={} attempt={} machine={}",
-                it.task,
+                it.taskId,
                 it.number,
                 it.machine,
             )
@@ -224,7 +226,7 @@
     ) = partition.machines[attempt.machine]
         ?.tasks
         .orEmpty()
-        .any { it.attempt == attempt.number && it.task == attempt.task }
+        .any { it.attemptNumber == attempt.number && it.taskId == attempt.taskId }
 
     /** Returns the progress that is kept when the attempt ends: all progress up to a stop with a checkpoint, if one was sent. */
     private fun progressAtStopUs(attempt: Attempt) =
--- a/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
+++ b/src/main/kotlin/lichenstage/placement/CheckpointPreemption.kt
@@ -75,7 +75,7 @@
             .distinct()
             .filter {
                 markSentIfDue(it, nowUs)
-            }.map { CheckpointStopCommand(machine, it.task, it.number, graceUs(it)) }
+            }.map { CheckpointStopCommand(machine, it.taskId, it.number, graceUs(it)) }
     }
 
     private fun selectBeforeReclaim(
--- a/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
@@ -39,8 +39,10 @@
                 .stateOf(machine)
                 ?.tasks
                 .orEmpty()
-                .filter { it.phase != TaskPhase.ENDED && it.attempt !in attemptNumbers }
-                .map { PlacedTask(TaskId(it.job, it.index), it.attempt, "", "", isRunning = false, remainingUs = 0, lostProgressUs = 0) }
+                .filter { it.phase != TaskPhase.ENDED && it.attemptNumber !in attemptNumbers }
+                .map {
+                    PlacedTask(TaskId(it.job, it.index), it.attemptNumber, "", "", isRunning = false, remainingUs = 0, lostProgressUs = 0)
+                }
         return attempts.map(::toPlacedTask) + unaccountedTasks
     }
 
@@ -57,10 +59,10 @@
         )
     }
 
-    override fun execution(task: TaskId): TaskExecution {
-        val job = core.jobs[task.job]
-        if (job == null || job.phase == JobPhase.CLOSED || job.doneTasks.get(task.index)) return TaskExecution.Finished
-        val attempt = job.liveAttempts.get(task.index)
+    override fun execution(taskId: TaskId): TaskExecution {
+        val job = core.jobs[taskId.job]
+        if (job == null || job.phase == JobPhase.CLOSED || job.doneTasks.get(taskId.index)) return TaskExecution.Finished
+        val attempt = job.liveAttempts.get(taskId.index)
         val isRunning = attempt != null && (attempt.phase == TaskPhase.RUNNING || attempt.phase == TaskPhase.SAVING)
         return if (isRunning) TaskExecution.Running(attempt.number) else TaskExecution.NotRunning
     }
@@ -72,10 +74,10 @@
     /** Returns the attempts of [tasks] that may still be running. */
     fun attemptsOf(tasks: Collection<PlacedTask>): List<Attempt> =
         tasks.mapNotNull { placedTask ->
-            core.jobs[placedTask.task.job]
+            core.jobs[placedTask.taskId.job]
                 ?.liveAttempts
-                ?.get(placedTask.task.index)
-                ?.takeIf { it.number == placedTask.attempt }
+                ?.get(placedTask.taskId.index)
+                ?.takeIf { it.number == placedTask.attemptNumber }
         }
 
     companion object {
--- a/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
+++ b/src/main/kotlin/lichenstage/placement/MachineReconciliation.kt
@@ -47,7 +47,7 @@
         private fun commandFor(
             machine: MachineState,
             task: TaskState,
-        ) = AttemptCommand(machine.name, task.task, task.attempt)
+        ) = AttemptCommand(machine.name, task.taskId, task.attemptNumber)
 
         private fun isOpen(job: Job?) = job != null && job.phase != JobPhase.CLOSED
 
@@ -63,7 +63,7 @@
             job: Job?,
         ): Boolean {
             val attempt = job?.liveAttempts?.get(task.index) ?: return false
-            return attempt.number == task.attempt && attempt.machine == machine
+            return attempt.number == task.attemptNumber && attempt.machine == machine
         }
     }
 }
--- a/src/test/kotlin/lichenstage/drain/DrainBudgetTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainBudgetTest.kt
@@ -86,7 +86,10 @@
                     )
                 }
             // The team is part of the job id, because a job belongs to one team.
-            cluster.addMachine("m$m", *tasks.map { it.copy(task = TaskId("${it.task.job}-${it.team}", it.task.index)) }.toTypedArray())
+            cluster.addMachine(
+                "m$m",
+                *tasks.map { it.copy(taskId = TaskId("${it.taskId.job}-${it.team}", it.taskId.index)) }.toTypedArray(),
+            )
         }
         val core = core(policy)
         core.updateDrains(listOf(drain(maxConcurrent = 1 + random.nextInt(6))), machines("m0", "m1", "m2", "m3", "m4", "m5"))
@@ -95,7 +98,7 @@
             val red =
                 core.state.interruptions.values
                     .filter { it.team == "red" }
-            assertTrue(red.map { it.task.job }.distinct().size <= policy.defaultBudget.maxJobs!!) { "seed $seed: $red" }
+            assertTrue(red.map { it.taskId.job }.distinct().size <= policy.defaultBudget.maxJobs!!) { "seed $seed: $red" }
             val blue =
                 core.state.interruptions.values
                     .count { it.team == "blue" }
--- a/src/test/kotlin/lichenstage/drain/DrainCoreFixture.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainCoreFixture.kt
@@ -35,7 +35,7 @@
         return if (step(nowUs, hour) == null) emptyList() else onStateRecorded(true)
     }
 
-    internal fun List<DrainAction>.evictedTasks() = filterIsInstance<DrainAction.EvictTasks>().flatMap { it.tasks }.map { it.task }
+    internal fun List<DrainAction>.evictedTasks() = filterIsInstance<DrainAction.EvictTasks>().flatMap { it.tasks }.map { it.taskId }
 
     internal fun DrainCore.stageOf(
         machine: String,
--- a/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainDriverTest.kt
@@ -42,7 +42,7 @@
         val terminated = ArrayList<String>()
 
         override fun evict(tasks: List<PlacedTask>) {
-            evicted += tasks.map { it.task }
+            evicted += tasks.map { it.taskId }
         }
 
         override fun provisionReplacement(key: DrainKey) {
--- a/src/test/kotlin/lichenstage/drain/DrainInterruptionTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainInterruptionTest.kt
@@ -32,8 +32,8 @@
         core.updateDrains(listOf(drain(maxConcurrent = 2)), machines("m1", "m2"))
         val failed = task(3)
         cluster.addMachine("m3", failed)
-        cluster.stopTask(failed.task)
-        core.onTaskStopped(Interruption(failed.task, failed.attempt, "red", InterruptionCause.FAILURE, nowUs))
+        cluster.stopTask(failed.taskId)
+        core.onTaskStopped(Interruption(failed.taskId, failed.attemptNumber, "red", InterruptionCause.FAILURE, nowUs))
         repeat(3) { assertTrue(core.runStep().evictedTasks().isEmpty()) { "interrupted in addition to a failed job" } }
         cluster.restartTask("m3", failed, 2)
         core.runStep()
@@ -54,10 +54,10 @@
         val core = core()
         core.updateDrains(listOf(drain()), machines("m1"))
         val failed = List(2_500) { task(2 + it) }
-        failed.forEach { cluster.waitingTasks += it.task }
-        failed.forEach { core.onTaskStopped(Interruption(it.task, it.attempt, "red", InterruptionCause.FAILURE, nowUs)) }
+        failed.forEach { cluster.waitingTasks += it.taskId }
+        failed.forEach { core.onTaskStopped(Interruption(it.taskId, it.attemptNumber, "red", InterruptionCause.FAILURE, nowUs)) }
         repeat(3) { assertTrue(core.runStep().evictedTasks().isEmpty()) { "interrupted while all lost tasks wait" } }
-        cluster.waitingTasks.retainAll(setOf(failed.last().task))
+        cluster.waitingTasks.retainAll(setOf(failed.last().taskId))
         repeat(5) { assertTrue(core.runStep().evictedTasks().isEmpty()) { "interrupted while the last lost task waits" } }
         cluster.waitingTasks.clear()
         val first = (1..3).flatMap { core.runStep().evictedTasks() }
--- a/src/test/kotlin/lichenstage/drain/DrainRecordCodecTest.kt
+++ b/src/test/kotlin/lichenstage/drain/DrainRecordCodecTest.kt
@@ -34,7 +34,7 @@
                 val cause = InterruptionCause.entries[random.nextInt(2)]
                 Interruption(TaskId("j-${random.nextInt(1_000_000)}", it), random.nextLong(), "team-${it % 4}", cause, random.nextLong())
             }
-        return DrainState(machines.associateBy { it.key }.toPersistentMap(), interruptions.associateBy { it.task }.toPersistentMap())
+        return DrainState(machines.associateBy { it.key }.toPersistentMap(), interruptions.associateBy { it.taskId }.toPersistentMap())
     }
 
     @Property(tries = 60, seed = "23")
--- a/src/test/kotlin/lichenstage/drain/FakeCluster.kt
+++ b/src/test/kotlin/lichenstage/drain/FakeCluster.kt
@@ -18,10 +18,10 @@
         tasks[name] = running.toMutableList()
     }
 
-    /** Stops [task], which then waits to be started again. */
-    fun stopTask(task: TaskId) {
-        tasks.values.forEach { rows -> rows.removeIf { it.task == task } }
-        waitingTasks += task
+    /** Stops the task, which then waits to be started again. */
+    fun stopTask(taskId: TaskId) {
+        tasks.values.forEach { rows -> rows.removeIf { it.taskId == taskId } }
+        waitingTasks += taskId
     }
 
     /** Starts [task] on [machine] again as [attempt]. */
@@ -30,19 +30,19 @@
         task: PlacedTask,
         attempt: Long,
     ) {
-        waitingTasks -= task.task
-        tasks.getValue(machine) += task.copy(attempt = attempt)
+        waitingTasks -= task.taskId
+        tasks.getValue(machine) += task.copy(attemptNumber = attempt)
     }
 
     override fun condition(machine: String) = conditions[machine] ?: MachineCondition.ABSENT
 
     override fun tasksOn(machine: String) = tasks[machine].orEmpty()
 
-    override fun execution(task: TaskId): TaskExecution {
-        val running = tasks.values.flatten().firstOrNull { it.task == task }
+    override fun execution(taskId: TaskId): TaskExecution {
+        val running = tasks.values.flatten().firstOrNull { it.taskId == taskId }
         return when {
-            running != null -> TaskExecution.Running(running.attempt)
-            task in waitingTasks -> TaskExecution.NotRunning
+            running != null -> TaskExecution.Running(running.attemptNumber)
+            taskId in waitingTasks -> TaskExecution.NotRunning
             else -> TaskExecution.Finished
         }
     }
--- a/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
+++ b/src/test/kotlin/lichenstage/partition/PartitionDeltaTest.kt
@@ -125,7 +125,7 @@
         }
         for ((name, reports) in tasks) {
             val listed = leader.machines[name]?.tasks.orEmpty()
-            assertTrue(listed.size == reports.size && listed.all { reports[it.attempt]?.phase == it.phase }) {
+            assertTrue(listed.size == reports.size && listed.all { reports[it.attemptNumber]?.phase == it.phase }) {
                 "$name: expected tasks ${reports.values}, the leader knows $listed (seed $seed)"
             }
         }
@@ -182,7 +182,7 @@
                     .getValue("m7")
                     .values
                     .first { it.phase == TaskPhase.RUNNING }
-                    .attempt
+                    .attemptNumber
             tasks.getValue("m7")[attempt] = tasks.getValue("m7").getValue(attempt).copy(phase = TaskPhase.ENDED, cause = "done")
             sendHeartbeat("m7")
             val update = nextFrame()!!
--- a/src/test/kotlin/lichenstage/partition/WorkerCodecTest.kt
+++ b/src/test/kotlin/lichenstage/partition/WorkerCodecTest.kt
@@ -49,7 +49,7 @@
         command: Command,
     ): Boolean {
         val verb = command::class.simpleName!!.lowercase()
-        val expected = JsonObject().put("verb", verb).put("part", command.task).put("try", command.attempt)
+        val expected = JsonObject().put("verb", verb).put("part", command.taskId).put("try", command.attemptNumber)
         if (command is Command.Stop) expected.put("leeway_s", command.leewayS)
         return commandJson == expected
     }
--- a/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
+++ b/src/test/kotlin/lichenstage/placement/CheckpointPreemptionTest.kt
@@ -71,7 +71,7 @@
         preemption.requestStops(listOf(longAttempt))
         assertTrue(
             commandsForDrainedMachine(42).map {
-                it.attempt
+                it.attemptNumber
             } == listOf(10L) && longAttempt.checkpointStopAtUs > 0,
         ) { "not stopped, or without time to save" }
         preemption.onAttemptEnded(attemptWithoutCheckpoints)
@@ -128,7 +128,7 @@
         assertTrue(
             takeDueCheckpointStops(40, longAttempt, runningAttempt(job(runS = 50), sinceS = 1, index = 1)).isEmpty(),
         ) { "stopped although the other task ends soon" }
-        assertEquals(listOf(10L), takeDueCheckpointStops(40, longAttempt).map { it.attempt }) { "not stopped" }
+        assertEquals(listOf(10L), takeDueCheckpointStops(40, longAttempt).map { it.attemptNumber }) { "not stopped" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -28,7 +28,7 @@
             )
         val job = Job(spec, 101, 0)
         val leader = leaderWithPlacedJob(job)
-        val attempt = sentStarts().single().attempt
+        val attempt = sentStarts().single().attemptNumber
         val seq = framesTo("z").last().seq
 
         fun receiveMachineFrame(
@@ -48,7 +48,7 @@
         receiveMachineFrame(TaskPhase.RUNNING, null, 2)
         receiveMachineFrame(TaskPhase.RUNNING, 9, 40)
         leader.tick(41 * SECOND)
-        assertEquals(listOf(attempt), framesTo("z").flatMap { it.checkpointStops }.map { it.attempt }) { "${framesTo("z").last()}" }
+        assertEquals(listOf(attempt), framesTo("z").flatMap { it.checkpointStops }.map { it.attemptNumber }) { "${framesTo("z").last()}" }
         receiveMachineFrame(TaskPhase.ENDED, 4, 45)
         assertTrue(job.totalSavedProgressUs in 37 * SECOND..39 * SECOND) { "${job.totalSavedProgressUs}" }
         assertTrue(leader.machines.attemptsOn("m1").isEmpty() && job.pendingTasks.size == 1) { "the task is not queued again" }
@@ -64,7 +64,7 @@
             partitionFrame(
                 "z",
                 seq,
-                machineState("m1", TaskState("j-1/${sentStarts()[0].index}", sentStarts()[0].attempt, TaskPhase.PENDING)),
+                machineState("m1", TaskState("j-1/${sentStarts()[0].index}", sentStarts()[0].attemptNumber, TaskPhase.PENDING)),
             ),
             2 * SECOND,
         )
@@ -73,7 +73,7 @@
             leader.machines.attemptsOn("m1").map {
                 it.index
             },
-        ) { "${leader.machines.attemptsOn("m1").map { it.task }}" }
+        ) { "${leader.machines.attemptsOn("m1").map { it.taskId }}" }
     }
 
     /**
@@ -98,7 +98,7 @@
             effects.clear()
             val job = job("j-1", tasks = 1)
             val leader = leaderWithPlacedJob(job)
-            val attempt = sentStarts().single().attempt
+            val attempt = sentStarts().single().attemptNumber
             val seq = framesTo("z").last().seq
             val refused = TaskState("j-1/0", attempt, TaskPhase.ENDED, "busy")
             val otherAttempt = TaskState("j-1/0", attempt - 1, TaskPhase.RUNNING)
@@ -109,7 +109,9 @@
                 leader.machines.attemptsOn("m1").map { it.number },
             ) { "${leader.machines.attemptsOn("m1").map { it.number }}" }
             leader.tick(60 * SECOND)
-            assertTrue(framesTo("z").none { frame -> frame.stops.any { it.attempt == attempt - 1 } }) { "the running attempt is stopped" }
+            assertTrue(
+                framesTo("z").none { frame -> frame.stops.any { it.attemptNumber == attempt - 1 } },
+            ) { "the running attempt is stopped" }
             leader.onPartitionFrame(
                 partitionFrame("z", seq, machineState("m1", refused, otherAttempt.copy(phase = TaskPhase.ENDED, cause = "done"))),
                 61 * SECOND,
@@ -149,7 +151,7 @@
     @Example
     fun `a done task is recorded before it is cleared, and the job is closed once its completion is recorded`() {
         val leader = leaderWithPlacedJob()
-        val endedTasks = sentStarts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.ENDED, "done") }
+        val endedTasks = sentStarts().map { TaskState("j-1/${it.index}", it.attemptNumber, TaskPhase.ENDED, "done") }
         val seq = framesTo("z").last().seq
         leader.onPartitionFrame(partitionFrame("z", seq, machineState("m1", *endedTasks.toTypedArray())), 2 * SECOND)
         effects.clear()
@@ -164,7 +166,7 @@
     @Example
     fun `attempts of a cancelled job are stopped, and count against the limit until they have ended`() {
         val leader = leaderWithPlacedJob()
-        val runningTasks = sentStarts().map { TaskState("j-1/${it.index}", it.attempt, TaskPhase.RUNNING) }.toTypedArray()
+        val runningTasks = sentStarts().map { TaskState("j-1/${it.index}", it.attemptNumber, TaskPhase.RUNNING) }.toTypedArray()
         leader.onPartitionFrame(partitionFrame("z", framesTo("z").last().seq, machineState("m1", *runningTasks)), 2 * SECOND)
         leader.onJobClosed("j-1")
         leader.addJob(job("j-2"))
@@ -173,7 +175,7 @@
         assertEquals(2, framesTo("z").last().stops.size) { "attempts not stopped" }
         assertTrue(framesTo("z").none { it.requests.isNotEmpty() }) { "cores of running attempts were requested again" }
         leader.onPartitionFrame(
-            partitionFrame("z", framesTo("z").last().seq, machineState("m1").copy(removedAttempts = runningTasks.map { it.attempt })),
+            partitionFrame("z", framesTo("z").last().seq, machineState("m1").copy(removedAttempts = runningTasks.map { it.attemptNumber })),
             4 * SECOND,
         )
         leader.tick(4 * SECOND)
@@ -183,7 +185,7 @@
     @Example
     fun `attempt numbers increase from leader to leader`() {
         leaderWithPlacedJob()
-        assertTrue(sentStarts().all { it.attempt > (6L shl 32) + 0xffff_ffffL }) { "${sentStarts()}" }
+        assertTrue(sentStarts().all { it.attemptNumber > (6L shl 32) + 0xffff_ffffL }) { "${sentStarts()}" }
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/placement/MachineReconciliationTest.kt
+++ b/src/test/kotlin/lichenstage/placement/MachineReconciliationTest.kt
@@ -29,7 +29,7 @@
         track(0, 3)
         job.phase = JobPhase.CLOSED
         val result = MachineReconciliation.of(machineState("m1", TaskState("j-1/0", 3, TaskPhase.RUNNING)), jobs)
-        assertEquals(listOf(3L), result.stops.map { it.attempt })
+        assertEquals(listOf(3L), result.stops.map { it.attemptNumber })
         assertFalse(result.hasUnaccountedTasks) { "a tracked attempt is unaccounted for" }
     }
 
@@ -38,7 +38,7 @@
         track(0, 4)
         val untrackedTasks = arrayOf(TaskState("j-1/0", 3, TaskPhase.RUNNING), TaskState("j-9/0", 1, TaskPhase.RUNNING))
         val result = MachineReconciliation.of(machineState("m1", *untrackedTasks), jobs)
-        assertEquals(listOf(3L, 1L), result.stops.map { it.attempt })
+        assertEquals(listOf(3L, 1L), result.stops.map { it.attemptNumber })
         assertTrue(result.hasUnaccountedTasks) { "untracked attempts are not reported as unaccounted for" }
     }
 
@@ -48,7 +48,7 @@
         job.markTaskDone(0)
         assertTrue(MachineReconciliation.of(machine, jobs).clears.isEmpty()) { "cleared before the task was recorded" }
         job.recordedTasks.set(0)
-        assertEquals(listOf(3L), MachineReconciliation.of(machine, jobs).clears.map { it.attempt })
+        assertEquals(listOf(3L), MachineReconciliation.of(machine, jobs).clears.map { it.attemptNumber })
     }
 
     @Example
--- a/src/test/kotlin/lichenstage/world/SimulatedController.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedController.kt
@@ -148,7 +148,7 @@
         val fencingToken = partitions[frame.partition]?.term ?: return
         for (clear in frame.clears) {
             val worker = machines.getWorker(clear.machine)
-            worker.execute(fencingToken, worker.agentEpoch, listOf(Command.Clear(clear.task, clear.attempt)), nowUs)
+            worker.execute(fencingToken, worker.agentEpoch, listOf(Command.Clear(clear.taskId, clear.attemptNumber)), nowUs)
         }
     }
 
--- a/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedDrains.kt
@@ -48,8 +48,8 @@
     private class ViewEndingInterruptionsAtStop(
         private val view: DrainView,
     ) : DrainView by view {
-        override fun execution(task: TaskId) =
-            view.execution(task).let {
+        override fun execution(taskId: TaskId) =
+            view.execution(taskId).let {
                 if (it ==
                     TaskExecution.NotRunning
                 ) {
--- a/src/test/kotlin/lichenstage/world/SimulatedWorker.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedWorker.kt
@@ -96,7 +96,7 @@
         command: Command,
         nowUs: Long,
     ) {
-        val key = command.task to command.attempt
+        val key = command.taskId to command.attemptNumber
         when (command) {
             is Command.Start -> start(command, nowUs)
             is Command.Stop -> tasks[key]?.let { if (it.phase != TaskPhase.ENDED) stop(it, nowUs) }
@@ -108,10 +108,10 @@
         command: Command.Start,
         nowUs: Long,
     ) {
-        val key = command.task to command.attempt
+        val key = command.taskId to command.attemptNumber
         if (key in tasks) return
-        val job = jobOf(command.task.substringBefore('/')) ?: return
-        val index = command.task.substringAfter('/').toInt()
+        val job = jobOf(command.taskId.substringBefore('/')) ?: return
+        val index = command.taskId.substringAfter('/').toInt()
         val active = tasks.values.filter { it.phase != TaskPhase.ENDED }
         val refusal =
             when {
@@ -120,21 +120,21 @@
                 else -> null
             }
         if (refusal != null) {
-            tasks[key] = Task(job, index, command.attempt, TaskPhase.ENDED, refusal, 0)
+            tasks[key] = Task(job, index, command.attemptNumber, TaskPhase.ENDED, refusal, 0)
             return
         }
-        if (command.task in keptResults) {
+        if (command.taskId in keptResults) {
             // The worker has kept the result of the task, so the attempt ends with `done` without running.
-            tasks[key] = Task(job, index, command.attempt, TaskPhase.ENDED, TaskEndCause.DONE, 0)
+            tasks[key] = Task(job, index, command.attemptNumber, TaskPhase.ENDED, TaskEndCause.DONE, 0)
             return
         }
         val runTimeFactor = if (job.hasUnevenRunTimes) 1 + 6 * index else 1
         val runTimeUs = job.runUs * runTimeFactor / 2 + (random.nextDouble() * job.runUs).toLong()
         if (fetchesImages) {
             val fetchUs = random.nextInt(MAX_FETCH_US).toLong()
-            tasks[key] = Task(job, index, command.attempt, TaskPhase.FETCHING, null, nowUs + fetchUs + runTimeUs, nowUs + fetchUs)
+            tasks[key] = Task(job, index, command.attemptNumber, TaskPhase.FETCHING, null, nowUs + fetchUs + runTimeUs, nowUs + fetchUs)
         } else {
-            tasks[key] = Task(job, index, command.attempt, TaskPhase.RUNNING, null, nowUs + runTimeUs, nowUs)
+            tasks[key] = Task(job, index, command.attemptNumber, TaskPhase.RUNNING, null, nowUs + runTimeUs, nowUs)
             checker.onTaskStarted(name, job, index, nowUs)
         }
     }
