--- a/src/main/kotlin/lichenstage/config/Settings.kt
+++ b/src/main/kotlin/lichenstage/config/Settings.kt
@@ -13,13 +13,16 @@
     val address: Address,
 )
 
-/** A team with its guarantee ([cores], [gpus]) and its quota ([coresMax], [gpusMax]). A quota of 0 in the file means no quota: infinity. */
+/**
+ * A team with its guarantee ([guaranteedCores], [guaranteedGpus]) and its limit ([coreLimit], [gpuLimit]). A limit of 0 in the file means
+ * no limit: infinity.
+ */
 data class Team(
     val name: String,
-    val cores: Double,
-    val coresMax: Double,
-    val gpus: Double,
-    val gpusMax: Double,
+    val guaranteedCores: Double,
+    val coreLimit: Double,
+    val guaranteedGpus: Double,
+    val gpuLimit: Double,
 )
 
 /** The kind of time that a service-level objective limits, such as the time until a job is done or starts. Lower case in the file. */
--- a/src/main/kotlin/lichenstage/jobs/AdmissionPolicy.kt
+++ b/src/main/kotlin/lichenstage/jobs/AdmissionPolicy.kt
@@ -26,7 +26,7 @@
                 SubmissionFields.TEAM,
                 "${SubmissionFields.TEAM}: must be a configured team, was ${spec.team}",
             )
-        val isWithinLimits = spec.resources.cores <= team.coresMax && spec.resources.gpus <= team.gpusMax
+        val isWithinLimits = spec.resources.cores <= team.coreLimit && spec.resources.gpus <= team.gpuLimit
         return if (isWithinLimits) {
             null
         } else {
--- a/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
+++ b/src/main/kotlin/lichenstage/placement/DemandEstimator.kt
@@ -11,7 +11,7 @@
     /** The inputs of the estimate besides the state of the jobs. All times are in microseconds on the steady clock. */
     interface Inputs {
         /** Returns the maximum number of cores that the team may use at once. */
-        fun maxCores(team: String): Double
+        fun coreLimit(team: String): Double
 
         /** Returns the expected run time of one task. */
         fun runUs(spec: JobSpec): Long
@@ -24,8 +24,9 @@
     }
 
     /**
-     * Returns the remaining demand of each open job for which a machine type and team quota are available. A blocked job is left out until
-     * it is expected to be ready within [BOOT_TIME_MARGIN] boot times, because machines for it do not have to be provisioned earlier.
+     * Returns the remaining demand of each open job for which a machine type is available and whose team has not reached its limit. A
+     * blocked job is left out until it is expected to be ready within [BOOT_TIME_MARGIN] boot times, because machines for it do not have to
+     * be provisioned earlier.
      */
     fun estimateDemand(
         jobs: Collection<Job>,
@@ -37,14 +38,14 @@
             val spec = job.spec
             val machineType = MachineFit.cheapestType(spec, machineTypes)
             val leadUs = if (job.isReady || machineType == null) 0 else (machineType.bootUs * BOOT_TIME_MARGIN).toLong()
-            val tasks = concurrentTasks(job, inputs.maxCores(spec.team) - (plannedCoresByTeam[spec.team] ?: 0.0))
+            val tasks = concurrentTasks(job, inputs.coreLimit(spec.team) - (plannedCoresByTeam[spec.team] ?: 0.0))
             if (machineType == null || tasks <= 0.0 || (!job.isReady && inputs.readyInUs(job) > leadUs)) return@mapNotNull null
             plannedCoresByTeam.merge(spec.team, tasks * spec.resources.cores, Double::plus)
             remainingDemand(job, machineType, tasks, inputs.runUs(spec)).copy(dueAtUs = inputs.dueAtUs(job), readyInUs = leadUs)
         }
     }
 
-    /** Returns how many tasks of the job may run at once within [availableCores], the unused part of its team's quota. */
+    /** Returns how many tasks of the job may run at once within [availableCores], the unused part of its team's limit. */
     private fun concurrentTasks(
         job: Job,
         availableCores: Double,
--- a/src/main/kotlin/lichenstage/placement/FleetObserver.kt
+++ b/src/main/kotlin/lichenstage/placement/FleetObserver.kt
@@ -58,7 +58,7 @@
     ) : DemandEstimator.Inputs {
         private val readiness = core.expectedReadiness(nowUs)
 
-        override fun maxCores(team: String) = settings.teams[team]?.coresMax ?: 0.0
+        override fun coreLimit(team: String) = settings.teams[team]?.coreLimit ?: 0.0
 
         override fun runUs(spec: JobSpec) = core.runTimes.expectedRunTimeUs(spec)
 
--- a/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestPlanner.kt
@@ -28,7 +28,7 @@
     private var requestCounter = 0L
 
     /**
-     * Returns the placement requests for the first of [jobs], within the quotas of their teams.
+     * Returns the placement requests for the first of [jobs], within the limits of their teams.
      *
      * @param allowedTasks returns how many tasks of a job its team may start in addition to the resources already planned for the team in
      *   this round
--- a/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
+++ b/src/main/kotlin/lichenstage/placement/RequestRoundRunner.kt
@@ -17,7 +17,7 @@
         held: Int,
     ): Int
 
-    /** Returns the resources in use that can't be attributed to a team. They count against the quota of every team. */
+    /** Returns the resources in use that can't be attributed to a team. They count against the limits of every team. */
     fun unaccountedUse(): Resources
 
     /** Returns the partitions that have recently sent a frame. A round waits only for their offers. */
--- a/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
+++ b/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
@@ -61,9 +61,9 @@
         unaccountedUse: Resources,
         planned: Resources = NO_RESOURCES,
     ): Int {
-        val limit = teams[team] ?: return 0
-        val cores = limit.coresMax - unaccountedUse.cores - (usedCoresByTeam[team] ?: 0.0) - planned.cores
-        val gpus = limit.gpusMax - unaccountedUse.gpus - (usedGpusByTeam[team] ?: 0.0) - planned.gpus
+        val limits = teams[team] ?: return 0
+        val cores = limits.coreLimit - unaccountedUse.cores - (usedCoresByTeam[team] ?: 0.0) - planned.cores
+        val gpus = limits.gpuLimit - unaccountedUse.gpus - (usedGpusByTeam[team] ?: 0.0) - planned.gpus
         return Resources(cores, gpus, Double.POSITIVE_INFINITY).countFitting(resources)
     }
 
--- a/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
+++ b/src/main/kotlin/lichenstage/placement/ServiceObjectives.kt
@@ -42,8 +42,8 @@
                 val spec = it.spec
                 val team = teams[spec.team]
                 team != null &&
-                    coresByTeam.merge(spec.team, spec.taskCount * spec.resources.cores, Double::plus)!! <= team.cores &&
-                    gpusByTeam.merge(spec.team, spec.taskCount * spec.resources.gpus, Double::plus)!! <= team.gpus
+                    coresByTeam.merge(spec.team, spec.taskCount * spec.resources.cores, Double::plus)!! <= team.guaranteedCores &&
+                    gpusByTeam.merge(spec.team, spec.taskCount * spec.resources.gpus, Double::plus)!! <= team.guaranteedGpus
             }
     }
 
--- a/src/test/kotlin/lichenstage/config/SettingsTest.kt
+++ b/src/test/kotlin/lichenstage/config/SettingsTest.kt
@@ -34,7 +34,7 @@
     fun `the platform's settings file is parsed`() {
         val settings = Settings.parse(text)
         assertTrue(settings.workerLeaseUs == 17_500_000L && settings.cancellationTimeLimitUs == 47_000_000L) { "$settings" }
-        assertEquals(Double.POSITIVE_INFINITY, settings.teams.getValue("red").coresMax) { "a quota of 0 means no quota" }
+        assertEquals(Double.POSITIVE_INFINITY, settings.teams.getValue("red").coreLimit) { "a limit of 0 means no limit" }
         assertEquals(Address("10.0.0.2", 8081), settings.peers.single().address) { "$settings" }
     }
 
--- a/src/test/kotlin/lichenstage/placement/DemandEstimatorTest.kt
+++ b/src/test/kotlin/lichenstage/placement/DemandEstimatorTest.kt
@@ -24,10 +24,10 @@
 
     private fun inputs(
         readyInS: Long = 0,
-        maxCores: Double = Double.MAX_VALUE,
+        coreLimit: Double = Double.MAX_VALUE,
         dueAtUs: Long? = null,
     ) = object : DemandEstimator.Inputs {
-        override fun maxCores(team: String) = maxCores
+        override fun coreLimit(team: String) = coreLimit
 
         override fun runUs(spec: JobSpec) = spec.estimatedRunTimeUs
 
@@ -61,9 +61,9 @@
     }
 
     @Example
-    fun `jobs of a team share its quota, and a job for which no quota is left has no demand`() {
+    fun `jobs of a team share its limit, and a job for which nothing of the limit is left has no demand`() {
         val jobs = listOf(job(1, tasks = 16), job(2, tasks = 16), job(3, tasks = 16))
-        val demand = DemandEstimator.estimateDemand(jobs, machineTypes, inputs(maxCores = 24.0))
+        val demand = DemandEstimator.estimateDemand(jobs, machineTypes, inputs(coreLimit = 24.0))
         assertEquals(listOf(1.0, 0.5), demand.map { it.maxMachines })
     }
 
--- a/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
+++ b/src/test/kotlin/lichenstage/placement/LeaderRequestsTest.kt
@@ -214,7 +214,7 @@
         val serviceObjectives = ServiceObjectives(listOf(Objective(ObjectiveKind.WAIT, "quick", 2 * SECOND)))
         val leader =
             leader(
-                teams = mapOf("red" to teams.getValue("red").copy(coresMax = 99.0)),
+                teams = mapOf("red" to teams.getValue("red").copy(coreLimit = 99.0)),
                 objectives = serviceObjectives,
                 lookups = LeaderLookups({ Resources(16.0, 0.0, 64.0) }, fetchUs = { SECOND }),
             )
--- a/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedLeadership.kt
@@ -116,7 +116,7 @@
             if (mutation ==
                 Mutation.TEAM_LIMIT_IGNORED
             ) {
-                context.teams.mapValues { it.value.copy(coresMax = 1e9) }
+                context.teams.mapValues { it.value.copy(coreLimit = 1e9) }
             } else {
                 context.teams
             }
--- a/src/test/kotlin/lichenstage/world/SimulationContext.kt
+++ b/src/test/kotlin/lichenstage/world/SimulationContext.kt
@@ -23,7 +23,7 @@
 
     /** Counts of the events in the handling of commands to workers. */
     val orderEvents = OrderEventCounts()
-    val checker = RuleChecker(teams.mapValues { it.value.coresMax }, CANCEL_US)
+    val checker = RuleChecker(teams.mapValues { it.value.coreLimit }, CANCEL_US)
 
     fun after(
         delayUs: Long,
