--- a/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
+++ b/src/main/kotlin/lichenstage/cluster/PlacementFrames.kt
@@ -23,7 +23,7 @@
     val count: Int,
     val allowedTypes: List<String>?,
     val zone: String?,
-    val isSpot: Boolean,
+    val allowsSpot: Boolean,
     val isImageRequired: Boolean = false,
 )
 
--- a/src/main/kotlin/lichenstage/partition/HoldTable.kt
+++ b/src/main/kotlin/lichenstage/partition/HoldTable.kt
@@ -132,7 +132,7 @@
         machine: Machine,
     ): HeldSlots? {
         if (request.allowedTypes != null && machine.typeName !in request.allowedTypes) return null
-        if (machine.isSpot && !request.isSpot) return null
+        if (machine.isSpot && !request.allowsSpot) return null
         val hasImage = machine.hasImage(request.requirements.image)
         if (request.isImageRequired && !hasImage) return null
         val limits = limitsOf(machine.typeName) ?: return null
--- a/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderDrainView.kt
@@ -67,7 +67,7 @@
         return if (isRunning) TaskExecution.Running(attempt.number) else TaskExecution.NotRunning
     }
 
-    override fun runningTasksByTeam() = core.machines.runningByTeam()
+    override fun runningTasksByTeam() = core.machines.runningTasksByTeam()
 
     override fun isFaulty(machine: String) = core.machines.failedJobsOn(machine).isNotEmpty()
 
--- a/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
@@ -43,7 +43,7 @@
     fun failedJobsOn(machine: String): Set<String> = attemptTracker.failedJobsByMachine[machine].orEmpty()
 
     /** Returns the number of running tasks per team. Teams without running tasks are left out. */
-    fun runningByTeam(): Map<String, Int> = runningAttempts.runningByTeam()
+    fun runningTasksByTeam(): Map<String, Int> = runningAttempts.runningTasksByTeam()
 
     /** Replaces the set of machines that get no more tasks. */
     fun setCordoned(machines: Set<String>) {
--- a/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
+++ b/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
@@ -19,7 +19,7 @@
     fun all(): Sequence<Attempt> = byMachine.values.asSequence().flatten()
 
     /** Returns the number of running tasks per team. Teams without running tasks are left out. */
-    fun runningByTeam(): Map<String, Int> =
+    fun runningTasksByTeam(): Map<String, Int> =
         all()
             .filter { it.phase == TaskPhase.RUNNING }
             .groupingBy { it.job.spec.team }
