--- a/src/main/kotlin/lichenstage/jobs/JobsActor.kt
+++ b/src/main/kotlin/lichenstage/jobs/JobsActor.kt
@@ -43,13 +43,13 @@
     private val lookup = JobLookup(store, cache, openJobs.replica, openJobs.dependencyGraph, openRecordCheck, clock, onCancelled)
     private val submissionHandler = SubmissionHandler(store, cache, lookup, openJobs.dependencyGraph, admissionPolicy)
     private var openRequests = 0
-    private val mailbox = Mailbox("jobs", scope, ::handle, tryDrop = ::shed)
+    private val mailbox = Mailbox("jobs", scope, ::handle, tryDrop = ::tryDrop)
 
     /** Enqueues a message. The reply to a request goes to its callback. */
     fun tell(message: JobsMessage) = mailbox.tell(message)
 
     /** Drops a message because the mailbox is full. The sender of a request is asked to retry; task counts are sent again regularly. */
-    private fun shed(message: JobsMessage): Boolean {
+    private fun tryDrop(message: JobsMessage): Boolean {
         if (message is JobsMessage.UserRequest) message.sendReply(Reply.unavailable(BUSY_MESSAGE, BUSY_RETRY_S))
         return true
     }
--- a/src/main/kotlin/lichenstage/placement/FailoverRecovery.kt
+++ b/src/main/kotlin/lichenstage/placement/FailoverRecovery.kt
@@ -69,8 +69,8 @@
         if (awaitedMachines.isEmpty()) return emptyList()
         val afterUs =
             when {
-                awaitedMachines.size <= maxOf(FEW_MACHINES, registered / FEW_DIVISOR) -> FENCE_FEW_AFTER_US
-                awaitedMachines.size <= registered / SOME_DIVISOR -> FENCE_SOME_AFTER_US
+                awaitedMachines.size <= maxOf(EARLY_FENCE_MACHINES, registered / EARLY_FENCE_DIVISOR) -> EARLY_FENCE_AFTER_US
+                awaitedMachines.size <= registered / LATE_FENCE_DIVISOR -> LATE_FENCE_AFTER_US
                 else -> return emptyList()
             }
         return awaitedMachines.values.filter { (partitionOf(it.partition)?.ownershipAgeUs ?: 0) > afterUs }.map { it.name }
@@ -91,15 +91,15 @@
     }
 
     private companion object {
-        /** Up to this number, or one in [FEW_DIVISOR] registered machines, count as a few. */
-        const val FEW_MACHINES = 2
-        const val FEW_DIVISOR = 50
+        /** Up to this number of machines, or one in [EARLY_FENCE_DIVISOR] registered machines, are terminated early. */
+        const val EARLY_FENCE_MACHINES = 2
+        const val EARLY_FENCE_DIVISOR = 50
 
-        /** More than one in this number of registered machines count as many. */
-        const val SOME_DIVISOR = 16
+        /** Up to one in this number of registered machines are terminated late. More than that are not terminated. */
+        const val LATE_FENCE_DIVISOR = 16
 
-        /** Age of the partition's ownership after which a few machines, or a larger number of them, are terminated. */
-        const val FENCE_FEW_AFTER_US = 5 * SECOND / 2
-        const val FENCE_SOME_AFTER_US = 6 * SECOND
+        /** Age of the ownership of the partition after which machines are terminated early or late. */
+        const val EARLY_FENCE_AFTER_US = 5 * SECOND / 2
+        const val LATE_FENCE_AFTER_US = 6 * SECOND
     }
 }
