--- a/src/main/kotlin/lichenstage/cloud/CloudClient.kt
+++ b/src/main/kotlin/lichenstage/cloud/CloudClient.kt
@@ -47,7 +47,7 @@
 
     /** Returns null if the response does not have the form that the protocol requires. Callers treat it like a missing response. */
     private inline fun <T : Any> decode(decodeResponse: () -> T): T? =
-        decodeOrNull({ log.info("Cloud response could not be decoded reason={}", it.message) }, decodeResponse)
+        decodeOrNull({ log.info("Cloud reply not decodable reason={}", it.message) }, decodeResponse)
 
     companion object {
         /** The largest number of connections that this client opens. */
--- a/src/main/kotlin/lichenstage/cluster/PeerServer.kt
+++ b/src/main/kotlin/lichenstage/cluster/PeerServer.kt
@@ -26,7 +26,7 @@
             .createNetServer(NetServerOptions().setTcpNoDelay(true))
             .connectHandler { Connection(it).start() }
             .listen(listen.port, listen.host)
-            .onFailure { log.error("Listening on cluster address failed address={} reason={}", listen, it.message) }
+            .onFailure { log.error("Cluster server failed to listen address={} reason={}", listen, it.message) }
     }
 
     private inner class Connection(
--- a/src/main/kotlin/lichenstage/common/JsonFields.kt
+++ b/src/main/kotlin/lichenstage/common/JsonFields.kt
@@ -10,7 +10,7 @@
     val field: String,
     val expected: String,
     cause: Throwable? = null,
-) : Exception("field '$field' must be $expected", cause)
+) : Exception("$field: must be $expected", cause)
 
 /** Returns the whole number in a field. Throws [JsonDecodingException] if the field is missing or invalid. */
 fun JsonObject.requiredLong(field: String): Long = required(field, "a number") { getLong(field) }
--- a/src/main/kotlin/lichenstage/common/JsonHttpClient.kt
+++ b/src/main/kotlin/lichenstage/common/JsonHttpClient.kt
@@ -77,7 +77,7 @@
         } catch (e: CancellationException) {
             throw e
         } catch (e: Exception) {
-            log.debug("Request failed method={} path={} address={} cause={}", method, path, address, e.message)
+            log.debug("Request failed method={} path={} address={} reason={}", method, path, address, e.message)
             null
         }
 
--- a/src/main/kotlin/lichenstage/drain/DrainCommand.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainCommand.kt
@@ -68,10 +68,12 @@
     private fun parseArguments(parsed: ParsedArguments): Arguments {
         val subcommand = parsed.operands.firstOrNull().orEmpty()
         val name = parsed.operands.getOrNull(1)
-        if (subcommand !in SUBCOMMANDS) throw InvalidArgumentsException("expected ${SUBCOMMANDS.joinToString()}, was \"$subcommand\"")
+        if (subcommand !in SUBCOMMANDS) {
+            throw InvalidArgumentsException("subcommand: must be one of ${SUBCOMMANDS.joinToString()}, was \"$subcommand\"")
+        }
         if (name == null && subcommand != STATUS) throw InvalidArgumentsException("NAME: must be given for $subcommand")
         if (subcommand == START && !hasSelection(parsed)) throw InvalidArgumentsException("machine selection: must be given, or use --all")
-        val config = parsed.text("config") ?: throw InvalidArgumentsException("--config: must be given")
+        val config = parsed.text("config") ?: throw InvalidArgumentsException("--config: must be the path of a settings file, was missing")
         return Arguments(loadSettings(config), subcommand, name, parsed)
     }
 
--- a/src/main/kotlin/lichenstage/drain/DrainDriver.kt
+++ b/src/main/kotlin/lichenstage/drain/DrainDriver.kt
@@ -201,7 +201,7 @@
             decode(entry)
         } catch (e: UnreadableRecordException) {
             if (loggedUnreadableKeys.add(entry.key)) {
-                log.error("Drain record unreadable, affected drains make no progress key={} error={}", entry.key, e.message)
+                log.error("Drain record unreadable, affected drains make no progress key={} reason={}", entry.key, e.message)
             }
             null
         }
--- a/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
+++ b/src/main/kotlin/lichenstage/jobs/SubmissionCodec.kt
@@ -132,7 +132,9 @@
         fun stringList(field: String): List<String>? {
             val value = json.getValue(field) ?: return null
             val array = value as? JsonArray ?: throw InvalidSubmissionException(field, "must be a list of strings or null")
-            if (array.size() > MAX_LIST_SIZE) throw InvalidSubmissionException(field, "at most $MAX_LIST_SIZE entries, was ${array.size()}")
+            if (array.size() > MAX_LIST_SIZE) {
+                throw InvalidSubmissionException(field, "must have at most $MAX_LIST_SIZE entries, was ${array.size()}")
+            }
             return array.map { it as? String ?: throw InvalidSubmissionException(field, "must be a list of strings or null") }
         }
     }
--- a/src/main/kotlin/lichenstage/partition/WorkerCodec.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerCodec.kt
@@ -18,7 +18,7 @@
     val field: String?,
     val expected: String,
     cause: Throwable? = null,
-) : Exception("${field ?: "the body"}: expected $expected", cause)
+) : Exception("${field ?: "body"}: must be $expected", cause)
 
 /** The encoder and decoder for messages of the worker protocol. Only this file contains the field names of the protocol. */
 object WorkerCodec {
--- a/src/main/kotlin/lichenstage/placement/LeaderJobRecordHandler.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderJobRecordHandler.kt
@@ -94,7 +94,7 @@
             try {
                 JobRecordCodec.decode(entry.value)
             } catch (e: JsonDecodingException) {
-                log.error("Job record unreadable key={} error={}", entry.key, e.message)
+                log.error("Job record unreadable key={} reason={}", entry.key, e.message)
                 return
             }
         if (spec.id in core.jobs) return
--- a/src/test/kotlin/lichenstage/partition/WorkerCodecTest.kt
+++ b/src/test/kotlin/lichenstage/partition/WorkerCodecTest.kt
@@ -94,7 +94,7 @@
     @Example
     fun `the message of a rejection names the field and the expected type`() {
         val exception = decodeInvalid("""{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":"x","tally":1}""")
-        assertEquals("tenure: expected an integer", exception.message)
+        assertEquals("tenure: must be an integer", exception.message)
     }
 
     private fun decodeInvalid(body: String): InvalidHeartbeatException =
--- a/src/test/kotlin/lichenstage/placement/MachineRegistryTest.kt
+++ b/src/test/kotlin/lichenstage/placement/MachineRegistryTest.kt
@@ -112,10 +112,10 @@
         for (broken in listOf(JsonArray().add("m2"), JsonArray(readable.list).copy().set(3, "yes"), "m2")) {
             val entry = Entry("m/4", JsonObject().put("machines", JsonArray().add(readable).add(broken)), 1)
             val error = assertThrows(UnreadableRecordException::class.java) { MachineRegistry(8192).load(entry) }
-            assertTrue(error.message!!.startsWith("m/4: field 'machines[1]' must be a list of name, type, zone")) { "${error.message}" }
+            assertTrue(error.message!!.startsWith("m/4: machines[1]: must be a list of name, type, zone")) { "${error.message}" }
         }
         val missingListError =
             assertThrows(UnreadableRecordException::class.java) { MachineRegistry(8192).load(Entry("m/0", JsonObject(), 1)) }
-        assertEquals("m/0: field 'machines' must be a list", missingListError.message)
+        assertEquals("m/0: machines: must be a list", missingListError.message)
     }
 }
