--- a/src/main/kotlin/lichenstage/partition/WorkerCodec.kt
+++ b/src/main/kotlin/lichenstage/partition/WorkerCodec.kt
@@ -18,7 +18,7 @@
     val field: String?,
     val expected: String,
     cause: Throwable? = null,
-) : Exception("${field ?: "the body"}: expected $expected", cause)
+) : Exception("${field ?: "body"}: must be $expected", cause)
 
 /** The encoder and decoder for messages of the worker protocol. Only this file contains the field names of the protocol. */
 object WorkerCodec {
@@ -75,8 +75,8 @@
             }
         generator.writeStartObject()
         generator.writeStringField(WorkerField.VERB, verb)
-        generator.writeStringField(WorkerField.TASK, command.task)
-        generator.writeNumberField(WorkerField.ATTEMPT, command.attempt)
+        generator.writeStringField(WorkerField.TASK, command.taskId)
+        generator.writeNumberField(WorkerField.ATTEMPT, command.attemptNumber)
         if (command is Command.Stop) generator.writeNumberField(WorkerField.LEEWAY_S, command.leewayS)
         generator.writeEndObject()
     }
--- a/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
+++ b/src/main/kotlin/lichenstage/placement/RunningAttempts.kt
@@ -19,7 +19,7 @@
     fun all(): Sequence<Attempt> = byMachine.values.asSequence().flatten()
 
     /** Returns the number of running tasks per team. Teams without running tasks are left out. */
-    fun runningByTeam(): Map<String, Int> =
+    fun runningTasksByTeam(): Map<String, Int> =
         all()
             .filter { it.phase == TaskPhase.RUNNING }
             .groupingBy { it.job.spec.team }
@@ -61,9 +61,9 @@
         unaccountedUse: Resources,
         planned: Resources = NO_RESOURCES,
     ): Int {
-        val limit = teams[team] ?: return 0
-        val cores = limit.coresMax - unaccountedUse.cores - (usedCoresByTeam[team] ?: 0.0) - planned.cores
-        val gpus = limit.gpusMax - unaccountedUse.gpus - (usedGpusByTeam[team] ?: 0.0) - planned.gpus
+        val limits = teams[team] ?: return 0
+        val cores = limits.coreLimit - unaccountedUse.cores - (usedCoresByTeam[team] ?: 0.0) - planned.cores
+        val gpus = limits.gpuLimit - unaccountedUse.gpus - (usedGpusByTeam[team] ?: 0.0) - planned.gpus
         return Resources(cores, gpus, Double.POSITIVE_INFINITY).countFitting(resources)
     }
 
--- a/src/test/kotlin/lichenstage/partition/WorkerCodecTest.kt
+++ b/src/test/kotlin/lichenstage/partition/WorkerCodecTest.kt
@@ -49,7 +49,7 @@
         command: Command,
     ): Boolean {
         val verb = command::class.simpleName!!.lowercase()
-        val expected = JsonObject().put("verb", verb).put("part", command.task).put("try", command.attempt)
+        val expected = JsonObject().put("verb", verb).put("part", command.taskId).put("try", command.attemptNumber)
         if (command is Command.Stop) expected.put("leeway_s", command.leewayS)
         return commandJson == expected
     }
@@ -94,7 +94,7 @@
     @Example
     fun `the message of a rejection names the field and the expected type`() {
         val exception = decodeInvalid("""{"holdfast":"m","addr":"a","build":"b","yard":"z","tenure":"x","tally":1}""")
-        assertEquals("tenure: expected an integer", exception.message)
+        assertEquals("tenure: must be an integer", exception.message)
     }
 
     private fun decodeInvalid(body: String): InvalidHeartbeatException =
--- a/src/test/kotlin/lichenstage/world/SimulationContext.kt
+++ b/src/test/kotlin/lichenstage/world/SimulationContext.kt
@@ -23,7 +23,7 @@
 
     /** Counts of the events in the handling of commands to workers. */
     val orderEvents = OrderEventCounts()
-    val checker = RuleChecker(teams.mapValues { it.value.coresMax }, CANCELLATION_LIMIT_US)
+    val checker = RuleChecker(teams.mapValues { it.value.coreLimit }, CANCELLATION_LIMIT_US)
 
     fun after(
         delayUs: Long,
