--- a/src/main/kotlin/lichenstage/placement/MachineRegistry.kt
+++ b/src/main/kotlin/lichenstage/placement/DurableMachineRegistry.kt
@@ -16,10 +16,11 @@
 }
 
 /**
- * The durable list of machines. A chunk holds several machines under one key, because hundreds of machines come and go within seconds and
- * the key-value store accepts only a few changes per second. Only the leader writes the registry, with its leadership as a precondition.
+ * The durable list of machines, stored in chunks. A chunk holds several machines under one key, because hundreds of machines come and go
+ * within seconds and the key-value store accepts only a few changes per second. Only the leader writes the registry, with its leadership
+ * as a precondition.
  */
-class MachineRegistry(
+class DurableMachineRegistry(
     maxValueBytes: Int,
 ) {
     private val maxMachinesPerChunk = (maxValueBytes / MAX_MACHINE_BYTES).coerceIn(1, MAX_MACHINES_PER_CHUNK)
--- a/src/main/kotlin/lichenstage/placement/MachineRegistryDriver.kt
+++ b/src/main/kotlin/lichenstage/placement/DurableMachineRegistryDriver.kt
@@ -6,19 +6,19 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The driver that keeps the durable registry up to date with the machines.
+ * The driver that keeps the durable machine registry up to date with the machines.
  *
  * A machine gets tasks only after it is recorded (invariant 4), and it is recorded only after it has confirmed the fencing token.
  * Therefore a later leader does not wait for a machine that never came up, and a late copy of a heartbeat does not bring back a
  * terminated machine.
  */
-internal class MachineRegistryDriver(
+internal class DurableMachineRegistryDriver(
     private val settings: Settings,
     private val core: LeaderCore,
     private val recordWriter: LeaderRecordWriter,
 ) {
     private val log = LoggerFactory.getLogger("lichenstage.placement")
-    private val registry = MachineRegistry(settings.maxValueBytes)
+    private val registry = DurableMachineRegistry(settings.maxValueBytes)
     private var isWriteInFlight = false
     private var lastStepAtUs = Long.MIN_VALUE / 2
 
--- a/src/main/kotlin/lichenstage/placement/LeaderActor.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderActor.kt
@@ -43,7 +43,7 @@
             services.replicaSync::onJobFinished,
             mailbox::tell,
         )
-    private val registryDriver = MachineRegistryDriver(settings, core, recordWriter)
+    private val registryDriver = DurableMachineRegistryDriver(settings, core, recordWriter)
     private val fleetDriver = createFleetDriver(options)
     private val drainDriver: DrainDriver? = createDrainDriver(options)
     private val jobRecordHandler =
--- a/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
+++ b/src/main/kotlin/lichenstage/placement/LeaderMachines.kt
@@ -3,7 +3,7 @@
 import lichenstage.cluster.MachineState
 import lichenstage.model.PartitionAssignment
 
-/** The leader's view of the machines, for the components that add and remove machines: the registry, the fleet and drains. */
+/** The leader's view of the machines, for the components that add and remove machines: the durable registry, the fleet and drains. */
 class LeaderMachines internal constructor(
     private val directory: MachineDirectory,
     private val partitions: PartitionTable,
--- a/src/test/kotlin/lichenstage/placement/MachineRegistryTest.kt
+++ b/src/test/kotlin/lichenstage/placement/DurableMachineRegistryTest.kt
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
 
-class MachineRegistryTest {
+class DurableMachineRegistryTest {
     /**
      * The chunks are written under a limit of 8 KiB and loaded under a limit of 2 KiB. Every machine must be recorded at all times, no
      * matter which writes fail.
@@ -23,7 +23,7 @@
     fun `chunks of a larger limit are split while every machine stays recorded`(
         @ForAll outcomes: List<Boolean>,
     ) {
-        val earlierRegistry = MachineRegistry(8192)
+        val earlierRegistry = DurableMachineRegistry(8192)
         val machines = (0 until 200).map(::machine)
         machines.forEach(earlierRegistry::add)
         val store = HashMap<String, Entry>()
@@ -33,7 +33,7 @@
                     Entry(it.key, MachineRecordCodec.encode(it.machines), 1)
             }
         }
-        val registry = MachineRegistry(2048)
+        val registry = DurableMachineRegistry(2048)
         store.values.toList().forEach(registry::load)
         registry.splitOversizedChunks()
         val removedNames = machines.take(3).map { it.name }
@@ -49,7 +49,7 @@
             assertTrue(machines.all { it.name in recordedNames || it.name in removedNames }) { "a machine is temporarily not recorded" }
         }
         assertTrue(!registry.hasUnwrittenChunks && store.values.all { it.value.encode().length <= 2048 }) { "the chunks are not split" }
-        val nextRegistry = MachineRegistry(2048)
+        val nextRegistry = DurableMachineRegistry(2048)
         assertEquals(
             machines.map { it.name }.toSet() - removedNames.toSet(),
             store.values
@@ -66,7 +66,7 @@
     fun `a new leader reads the machines that were written, and few changes are needed`(
         @ForAll steps: List<Int>,
     ) {
-        val registry = MachineRegistry(8192)
+        val registry = DurableMachineRegistry(8192)
         val store = HashMap<String, Entry>()
         val expectedNumbers = HashSet<Int>()
         var changes = 0
@@ -94,7 +94,7 @@
             if (step % 5 == 0) write(isCommitted = step % 2 == 0)
         }
         repeat(30) { write(isCommitted = true) }
-        val nextRegistry = MachineRegistry(8192)
+        val nextRegistry = DurableMachineRegistry(8192)
         val read = store.values.flatMap(nextRegistry::load)
         assertEquals(expectedNumbers.map(::machine).toSet(), read.toSet()) { "read $read instead of $expectedNumbers" }
         assertTrue(changes <= steps.size + 30) { "$changes changes for ${steps.size} steps" }
@@ -111,11 +111,11 @@
                 .add("10.0.0.1:1")
         for (broken in listOf(JsonArray().add("m2"), JsonArray(readable.list).copy().set(3, "yes"), "m2")) {
             val entry = Entry("m/4", JsonObject().put("machines", JsonArray().add(readable).add(broken)), 1)
-            val error = assertThrows(UnreadableRecordException::class.java) { MachineRegistry(8192).load(entry) }
+            val error = assertThrows(UnreadableRecordException::class.java) { DurableMachineRegistry(8192).load(entry) }
             assertTrue(error.message!!.startsWith("m/4: machines[1]: must be a list of name, type, zone")) { "${error.message}" }
         }
         val missingListError =
-            assertThrows(UnreadableRecordException::class.java) { MachineRegistry(8192).load(Entry("m/0", JsonObject(), 1)) }
+            assertThrows(UnreadableRecordException::class.java) { DurableMachineRegistry(8192).load(Entry("m/0", JsonObject(), 1)) }
         assertEquals("m/0: machines: must be a list", missingListError.message)
     }
 }
--- a/src/test/kotlin/lichenstage/world/SimulatedAuthority.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedAuthority.kt
@@ -27,7 +27,7 @@
     private var localMoratorium = LocalMoratorium(-10 * SECOND)
 
     /** The owners of the keys as last read from the state service. */
-    var owners = HashMap<String, Ownership>()
+    var owners = HashMap<String, SimulatedOwnership>()
         private set
 
     val isValid get() = nowUs < validUntilUs
--- a/src/test/kotlin/lichenstage/world/SimulatedStateService.kt
+++ b/src/test/kotlin/lichenstage/world/SimulatedStateService.kt
@@ -10,7 +10,7 @@
 import java.util.BitSet
 
 /** The controller that owns a key, and the term of its ownership. */
-internal data class Ownership(
+internal data class SimulatedOwnership(
     val controller: Int,
     val term: Long,
 )
@@ -27,7 +27,7 @@
 ) {
     private var revision = 0L
     private val leaseExpiresAtUs = LongArray(CONTROLLERS)
-    val owners = HashMap<String, Ownership>()
+    val owners = HashMap<String, SimulatedOwnership>()
     val jobs = LinkedHashMap<String, SimulatedJob>()
     val openJobs = LinkedHashMap<String, SimulatedJob>()
     val recordedDoneTasks = HashMap<String, BitSet>()
@@ -79,7 +79,7 @@
         key: String,
         controller: Int,
     ) {
-        owners[key] = Ownership(controller, nextRevision())
+        owners[key] = SimulatedOwnership(controller, nextRevision())
     }
 
     /** Reserves fencing tokens for one owner. They are higher than all terms and tokens given out so far. */
